--- a/crates/forwarder/src/journal.rs
+++ b/crates/forwarder/src/journal.rs
@@ -17,16 +17,18 @@
 const LIVE: f64 = 0.75; // of what is not kept free may live: a segment that is freed is copied by that much in the mean
 const HEADER: usize = 8; // bytes before a record: its length and its checksum
 const FULL: u64 = 67_000; // bytes, over any packet that the protocol lets in
+const EARLIER_MOST: u32 = 65_535; // the largest number of a destination in earlier versions: they had 16 bits
 const SMALL: u64 = 256; // bytes, over any record but a packet's own: room that later records of it need
 
-/// A packet as the journal keeps it.
+/// A packet as the journal keeps it. A destination of 16 bits is written as by earlier versions, byte by byte; of a larger
+/// one see [`BeyondEarlier`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Kept {
     pub serial: u64,
     pub request_id: String,
     pub profile: u16,
     pub tenant: Option<u32>,
-    pub destination: u16,
+    pub destination: u32,
     /// Unix µs.
     pub expires: Micros,
     pub mark: Option<String>,
@@ -79,7 +81,7 @@
     }
 }
 
-#[derive(Debug, Serialize, Deserialize)]
+#[derive(Clone, Debug, Serialize, Deserialize)]
 enum Record {
     Packet(Kept),
     TripStarted {
@@ -123,6 +125,37 @@
     }
 }
 
+/// What stands behind a packet's record whose destination earlier versions can't name. They know the record as one of a
+/// packet that is written off and owed its notice, so each packet gets its end from whichever version reads it, and what
+/// follows in the segment is not hidden. They pass over the bytes behind it, where this one finds what is true.
+#[derive(Debug, Serialize, Deserialize)]
+struct BeyondEarlier {
+    destination: u32,
+    owed: Option<Ending>,
+}
+
+impl BeyondEarlier {
+    /// A record as earlier versions are to read it, and what stands behind it; none where they read it as it is.
+    fn split(record: &Record) -> Option<(Record, BeyondEarlier)> {
+        let (Record::Packet(kept) | Record::Keyed(kept, _)) = record else { return None };
+        if kept.destination <= EARLIER_MOST {
+            return None;
+        }
+        let beyond = BeyondEarlier { destination: kept.destination, owed: kept.owed };
+        let mut earlier = record.clone();
+        let written_off =
+            BeyondEarlier { destination: EARLIER_MOST, owed: kept.owed.or(Some(Ending::WrittenOff)) };
+        written_off.put_back(&mut earlier);
+        Some((earlier, beyond))
+    }
+
+    fn put_back(self, record: &mut Record) {
+        if let Record::Packet(kept) | Record::Keyed(kept, _) = record {
+            (kept.destination, kept.owed) = (self.destination, self.owed);
+        }
+    }
+}
+
 struct Segment {
     number: u64,
     bytes: u64,
@@ -148,7 +181,7 @@
 }
 
 fn encode(record: &Record) -> io::Result<Vec<u8>> {
-    let body = postcard::to_allocvec(record).map_err(io::Error::other)?;
+    let body = encode_body(record).map_err(io::Error::other)?;
     let mut out = Vec::with_capacity(HEADER + body.len());
     out.extend((body.len() as u32).to_le_bytes());
     out.extend(crc32fast::hash(&body).to_le_bytes());
@@ -156,6 +189,21 @@
     Ok(out)
 }
 
+fn encode_body(record: &Record) -> postcard::Result<Vec<u8>> {
+    match BeyondEarlier::split(record) {
+        Some((earlier, beyond)) => postcard::to_extend(&beyond, postcard::to_allocvec(&earlier)?),
+        None => postcard::to_allocvec(record),
+    }
+}
+
+fn decode_body(body: &[u8]) -> postcard::Result<Record> {
+    let (mut record, rest) = postcard::take_from_bytes::<Record>(body)?;
+    if !rest.is_empty() {
+        postcard::from_bytes::<BeyondEarlier>(rest)?.put_back(&mut record);
+    }
+    Ok(record)
+}
+
 /// The first record of some bytes and what it takes, or nothing where they are cut off or spoilt.
 fn decode(bytes: &[u8]) -> Option<(Record, usize)> {
     let len = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
@@ -164,7 +212,7 @@
     if crc32fast::hash(body) != sum {
         return None;
     }
-    Some((postcard::from_bytes(body).ok()?, HEADER + len))
+    Some((decode_body(body).ok()?, HEADER + len))
 }
 
 impl Journal {
--- a/crates/forwarder/src/journal/tests.rs
+++ b/crates/forwarder/src/journal/tests.rs
@@ -10,7 +10,7 @@
         request_id: format!("{n:016x}"),
         profile: 1,
         tenant: (n % 7 < 3).then_some(n as u32),
-        destination: 7,
+        destination: if n.is_multiple_of(6) { 70_000 } else { 7 },
         expires: 1_000_000 + n,
         mark: n.is_multiple_of(2).then(|| format!("mark-{n}")),
         again: n.is_multiple_of(3),
@@ -218,3 +218,130 @@
     journal.trip_taken_back(serial, 0).expect("room");
     assert_eq!(open(&dir).1, [Kept { serial, ..packet(1, 40) }]);
 }
+
+/// The records as versions wrote and read them whose destinations had 16 bits.
+mod earlier {
+    use super::*;
+
+    #[derive(Debug, PartialEq, Serialize, Deserialize)]
+    pub struct Kept {
+        pub serial: u64,
+        pub request_id: String,
+        pub profile: u16,
+        pub tenant: Option<u32>,
+        pub destination: u16,
+        pub expires: Micros,
+        pub mark: Option<String>,
+        pub again: bool,
+        pub orphan: bool,
+        pub body: Bytes,
+        pub trips: u32,
+        pub exposed: Option<(Micros, u16)>,
+        pub out: Vec<(u8, Micros, u16)>,
+        pub owed: Option<Ending>,
+    }
+
+    #[derive(Debug, PartialEq, Serialize, Deserialize)]
+    pub enum Record {
+        Packet(Kept),
+        TripStarted { serial: u64, trip: u8, at: Micros, zone: u16 },
+        TripEnded { serial: u64, trip: u8, may_have_run: bool },
+        Owes { serial: u64, ending: Ending },
+        Ended { serial: u64 },
+        Keyed(Kept, u64),
+    }
+
+    pub fn of(kept: &super::Kept, destination: u16, owed: Option<Ending>) -> Record {
+        let kept = kept.clone();
+        let old = Kept {
+            serial: kept.serial,
+            request_id: kept.request_id,
+            profile: kept.profile,
+            tenant: kept.tenant,
+            destination,
+            expires: kept.expires,
+            mark: kept.mark,
+            again: kept.again,
+            orphan: kept.orphan,
+            body: kept.body,
+            trips: kept.trips,
+            exposed: kept.exposed,
+            out: kept.out,
+            owed,
+        };
+        match kept.key {
+            Some(key) => Record::Keyed(old, key),
+            None => Record::Packet(old),
+        }
+    }
+
+    pub fn read(segment: &[u8]) -> Option<Record> {
+        let length = u32::from_le_bytes(segment[..4].try_into().ok()?) as usize;
+        postcard::from_bytes(&segment[HEADER..HEADER + length]).ok()
+    }
+
+    pub fn frame(record: &Record) -> Vec<u8> {
+        let body = postcard::to_allocvec(record).expect("it has a form");
+        [&(body.len() as u32).to_le_bytes()[..], &crc32fast::hash(&body).to_le_bytes(), &body].concat()
+    }
+}
+
+fn to(destination: u32, n: u64, owed: Option<Ending>) -> Kept {
+    Kept { destination, owed, trips: 2, exposed: Some((5, 1)), out: vec![(1, 6, 0)], ..packet(n, 40) }
+}
+
+/// Guards packets over the change of versions: both write the same bytes for the destinations that both have.
+#[test]
+fn destinations_of_16_bits_are_kept_as_earlier_versions_keep_them() {
+    for (destination, n) in [(0, 1), (127, 4), (128, 2), (16_384, 8), (65_535, 3), (65_535, 12)] {
+        for owed in [None, Some(Ending::WrittenOff), Some(Ending::Deferred { come_back: Some(9) })] {
+            let kept = to(destination, n, owed);
+            let bytes = earlier::frame(&earlier::of(&kept, destination as u16, owed));
+            assert_eq!(encode(&Record::packet(kept.clone())).expect("a form"), bytes);
+            let dir = TempDir::new().expect("a folder");
+            fs::write(path(dir.path(), 0), &bytes).expect("written");
+            let mut wanted = kept;
+            wanted.forget_out();
+            assert_eq!(open(&dir).1, [wanted]);
+        }
+    }
+}
+
+/// Guards rule 1 where an earlier version takes the folder over: it owes a packet that it can't send its end.
+#[test]
+fn larger_destinations_are_kept_and_earlier_versions_write_their_packets_off() {
+    for (destination, n) in [(65_536, 1), (70_000, 2), (70_000, 4), (u32::MAX, 8)] {
+        for (owed, theirs) in [
+            (None, Ending::WrittenOff),
+            (Some(Ending::WrittenOff), Ending::WrittenOff),
+            (Some(Ending::Deferred { come_back: None }), Ending::Deferred { come_back: None }),
+        ] {
+            let dir = TempDir::new().expect("a folder");
+            let (mut journal, _) = open(&dir);
+            let kept = to(destination, n, owed);
+            let serial = journal.accept(kept.clone()).expect("room");
+            drop(journal);
+            let segment = fs::read(path(dir.path(), 0)).expect("the segment");
+            assert_eq!(earlier::read(&segment), Some(earlier::of(&kept, u16::MAX, Some(theirs))));
+            let mut wanted = Kept { serial, ..kept };
+            wanted.forget_out();
+            assert_eq!(open(&dir).1, [wanted.clone()]);
+            // An earlier version that copies the packet on keeps the end that it owes.
+            let copied = earlier::frame(&earlier::of(&wanted, u16::MAX, Some(theirs)));
+            fs::write(path(dir.path(), 0), copied).expect("written");
+            assert_eq!(open(&dir).1, [Kept { destination: EARLIER_MOST, owed: Some(theirs), ..wanted }]);
+        }
+    }
+}
+
+/// Bytes behind a record that are none of ours end the segment, as a spoilt record does.
+#[test]
+fn what_stands_behind_a_record_is_read_whole_or_not_at_all() {
+    let kept = to(70_000, 1, None);
+    let body = encode_body(&Record::packet(kept.clone())).expect("a form");
+    let behind = postcard::to_allocvec(&BeyondEarlier { destination: 70_000, owed: None }).expect("a form");
+    for cut in 1..behind.len() {
+        assert!(decode_body(&body[..body.len() - cut]).is_err(), "{cut} bytes cut off");
+    }
+    assert!(matches!(decode_body(&body), Ok(Record::Packet(found)) if found == kept));
+}
--- a/crates/forwarder/src/protocol.rs
+++ b/crates/forwarder/src/protocol.rs
@@ -127,7 +127,6 @@
     let destination = parts.filter_map(|part| part.trim().strip_prefix("dest=")).next();
     let destination = destination.ok_or_else(|| wrong(format!("{ENVELOPE} has no dest")))?;
     let destination = number(destination)
-        .and_then(|number| u16::try_from(number).ok())
         .ok_or_else(|| wrong(format!("{ENVELOPE}: {destination} is no number of a destination")))?;
     let mark = text(MARK)?.map(str::to_owned);
     if form.marked && mark.as_ref().is_none_or(|m| m.is_empty()) {
@@ -253,7 +252,7 @@
     pub locality: String,
     #[serde(default)]
     pub flavor: String,
-    pub cell: u16,
+    pub cell: u32,
     pub phase: Phase,
     #[serde(default)]
     pub size: f32,
--- a/crates/forwarder/src/protocol/tests.rs
+++ b/crates/forwarder/src/protocol/tests.rs
@@ -75,7 +75,7 @@
         assert!(refusal.status == StatusCode::BAD_REQUEST && refusal.reason.contains("more than once"));
     }
     for (n, value) in
-        [(2, "+480"), (2, "-1"), (2, "1e3"), (2, "12001"), (5, "dest=+7"), (5, "dest=65536"), (3, "")]
+        [(2, "+480"), (2, "-1"), (2, "1e3"), (2, "12001"), (5, "dest=+7"), (5, "dest=4294967296"), (3, "")]
     {
         let mut odd = head("/notice", &PAGE);
         odd.headers.insert(name(n), value.parse().expect("a value"));
--- a/crates/forwarder/tests/program.rs
+++ b/crates/forwarder/tests/program.rs
@@ -294,6 +294,45 @@
     until("there is room again", || give(99) == 202);
 }
 
+/// Guards rules 1 and 2 for destinations whose number has more than 16 bits: taken, kept over a kill, delivered there.
+#[test]
+fn a_packet_to_the_seventy_thousandth_destination_outlives_a_kill() {
+    let (target, seen) = serve(|m, n| {
+        let hangs = n < 2 && m.headers.get("request-id").is_some_and(|i| i == "out");
+        if hangs {
+            None
+        } else {
+            plain("200 OK")
+        }
+    });
+    // The destination of the number's low 16 bits is another.
+    let (other, seen_other) = serve(|_, _| plain("200 OK"));
+    let platform =
+        platform(vec![member(target, 70_000, "Ready"), member(other, 70_000 - 65_536, "Ready")], 0);
+    let (_dir, state) = folder();
+    let text = config("notice", "free", 200, 3.0);
+    let mut forwarder = start(&state, &text, platform.address);
+    let hand_in = |forwarder: &Forwarder, id: &str, destination: &str| {
+        let head = hand_in_head(id, "notice", 4).replace("dest=7", &format!("dest={destination}"));
+        forwarder.ask(&head, b"body")
+    };
+    assert_eq!(hand_in(&forwarder, "done", "70000"), 202);
+    until("one is delivered", || calls(&seen, "done") == 1);
+    assert_eq!(hand_in(&forwarder, "out", "70000"), 202);
+    until("the other is out", || calls(&seen, "out") == 1);
+    assert_eq!(hand_in(&forwarder, "none", "70001"), 503);
+    assert_eq!(hand_in(&forwarder, "none", "4294967295"), 503);
+    assert_eq!(hand_in(&forwarder, "none", "4294967296"), 400);
+    forwarder.child.kill().expect("killed");
+    forwarder.child.wait().expect("ended");
+    let _forwarder = start(&state, &text, platform.address);
+    until("it is sent again", || calls(&seen, "out") == 2);
+    thread::sleep(Duration::from_millis(300));
+    assert_eq!((calls(&seen, "done"), calls(&seen, "out"), calls(&seen, "none")), (1, 2, 0));
+    assert!(seen_other.lock().expect("the log").is_empty());
+    assert!(platform.notices.lock().expect("the notices").is_empty());
+}
+
 /// Guards rule 3: a change that the watch tells is heeded at once.
 #[test]
 fn a_target_told_to_drain_gets_nothing_new() {
@@ -520,7 +559,7 @@
     let (targets, seens): (Vec<_>, Vec<_>) = (0..300).map(|_| serve(|_, _| plain("200 OK"))).unzip();
     let host = |net: usize, n: usize| format!("127.{net}.{}.{}:7946", n / 250, n % 250 + 1);
     let other = |n: usize, phase| {
-        member_named(&format!("o-{n}"), host(9, n).parse().expect("an address"), 1_000 + n as u16, phase)
+        member_named(&format!("o-{n}"), host(9, n).parse().expect("an address"), 1_000 + n as u32, phase)
     };
     let served = targets.iter().zip(0..).map(|(target, cell)| member(*target, cell, "Ready"));
     let members: Vec<String> = served.chain((300..1_024).map(|n| other(n, "Ready"))).collect();
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -13,7 +13,7 @@
 pub struct Due {
     /// µs from the start of the run.
     pub at: Micros,
-    pub destination: u16,
+    pub destination: u32,
     pub profile: u16,
     pub tenant: Option<u32>,
     pub key: u64,
@@ -28,11 +28,11 @@
     rng: Pcg64Mcg,
     pick: Pick,
     /// Numbers of the destinations that `pick` chooses from.
-    destinations: Vec<u16>,
+    destinations: Vec<u32>,
     profiles: Vec<u16>,
     tenant: Option<u32>,
-    replay: std::vec::IntoIter<(Micros, Option<u16>)>,
-    next: Option<(Micros, Option<u16>)>,
+    replay: std::vec::IntoIter<(Micros, Option<u32>)>,
+    next: Option<(Micros, Option<u32>)>,
 }
 
 /// All streams of a scenario, merged by time.
@@ -52,9 +52,9 @@
             let weights: Vec<f64> = groups
                 .flat_map(|d| vec![if named(&d.name) { d.weight } else { 0.0 }; d.count as usize])
                 .collect();
-            let destinations: Vec<u16> =
-                (0..weights.len()).filter(|d| weights[*d] > 0.0).map(|d| d as u16).collect();
-            let pick = Pick::new(destinations.iter().map(|d| weights[usize::from(*d)]), load.skew);
+            let destinations: Vec<u32> =
+                (0..weights.len()).filter(|d| weights[*d] > 0.0).map(|d| d as u32).collect();
+            let pick = Pick::new(destinations.iter().map(|d| weights[*d as usize]), load.skew);
             let profiles = (0..scenario.profiles.len())
                 .filter(|p| load.profiles.is_empty() || load.profiles.contains(&scenario.profiles[*p].name))
                 .map(|p| p as u16)
@@ -170,7 +170,7 @@
     }
 }
 
-fn read_times(file: &std::path::Path, destinations: usize) -> Result<Vec<(Micros, Option<u16>)>, String> {
+fn read_times(file: &std::path::Path, destinations: usize) -> Result<Vec<(Micros, Option<u32>)>, String> {
     let shown = file.display();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{shown}: {e}"))?;
     let mut times = Vec::new();
@@ -178,9 +178,9 @@
         let mut parts = line.split(',').map(str::trim);
         let bad = |what: &str| format!("{shown}:{}: {line}: {what}", n + 1);
         let at: f64 = parts.next().unwrap_or("").parse().map_err(|_| bad("write a time in seconds first"))?;
-        let destination: Option<u16> =
+        let destination: Option<u32> =
             parts.next().map(|d| d.parse().map_err(|_| bad("the destination is a number"))).transpose()?;
-        if !(0.0..1e9).contains(&at) || destination.is_some_and(|d| usize::from(d) >= destinations) {
+        if !(0.0..1e9).contains(&at) || destination.is_some_and(|d| d as usize >= destinations) {
             return Err(bad("the time or the destination is out of range"));
         }
         times.push(((at * 1e6) as Micros, destination));
--- a/crates/lab/src/load/tests.rs
+++ b/crates/lab/src/load/tests.rs
@@ -21,7 +21,7 @@
     assert!(a == b && a != c);
     assert!(a.windows(2).all(|w| w[0].at <= w[1].at));
     assert!((4600..5400).contains(&a.len()), "{}", a.len());
-    let of = |d: u16| a.iter().filter(|p| p.destination == d).count();
+    let of = |d: u32| a.iter().filter(|p| p.destination == d).count();
     assert!(of(0) > 2 * of(2) && of(2) > of(7), "Zipf");
 }
 
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -77,7 +77,7 @@
     pub forwarder: u32,
     pub expires: Micros,
     pub profile: u16,
-    pub destination: u16,
+    pub destination: u32,
     pub key: Option<u64>,
 }
 
@@ -87,7 +87,7 @@
     pub duty: u64,
     pub forwarder: u32,
     /// Whose target it is.
-    pub destination: u16,
+    pub destination: u32,
     pub target: usize,
     pub holder: u32,
     pub gate: usize,
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -125,12 +125,12 @@
 }
 
 /// One member of a list, as discovery writes it; it is named by its port.
-pub fn member(target: SocketAddr, cell: u16, phase: &str) -> String {
+pub fn member(target: SocketAddr, cell: u32, phase: &str) -> String {
     member_named(&format!("s-{}", target.port()), target, cell, phase)
 }
 
 /// One member under a name of its own.
-pub fn member_named(id: &str, target: SocketAddr, cell: u16, phase: &str) -> String {
+pub fn member_named(id: &str, target: SocketAddr, cell: u32, phase: &str) -> String {
     format!(
         r#"{{"id":"{id}","host_port":"{target}","locality":"a","flavor":"m","cell":{cell},"phase":"{phase}","size":50.0,"up_since_ms":0}}"#
     )
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -16,7 +16,7 @@
 /// One target: whose it is, its zone, and the gate (a limit and its waits) it stands behind.
 #[derive(Clone, Copy, Debug)]
 pub struct Spot {
-    pub destination: u16,
+    pub destination: u32,
     pub group: usize,
     pub place: u32,
     pub zone: u16,
@@ -36,7 +36,7 @@
         for (group, d) in scenario.destinations.iter().enumerate() {
             for number in 0..d.count {
                 let begin = layout.targets.len();
-                let destination = layout.destinations.len() as u16;
+                let destination = layout.destinations.len() as u32;
                 for place in 0..d.targets {
                     if place == 0 || d.routes_apart {
                         layout.gates += 1;
@@ -79,7 +79,7 @@
     pub fn struck(&self, scenario: &Scenario, on: &Where, seed: u64, trouble: usize) -> Vec<usize> {
         let mut rng = stream(seed, "struck", trouble as u64);
         let named = |spot: &Spot| {
-            let place = &self.destinations[usize::from(spot.destination)];
+            let place = &self.destinations[spot.destination as usize];
             let name = &scenario.destinations[spot.group].name;
             (on.destinations.is_empty() || on.destinations.contains(name))
                 && (on.numbers.is_empty() || on.numbers.contains(&place.number))
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -173,7 +173,7 @@
                 other => return Err(self.bad(format!("no readiness has the value {other}"))),
             },
             rate: self.f32()?,
-            destination: DestinationId(self.u16()?),
+            destination: DestinationId(self.u16()?.into()),
             kind: KindId(self.u16()?),
         })
     }
@@ -197,7 +197,7 @@
             key: (key != 0).then_some(OrderKey(key)),
             left,
             hint: (bits & 1 != 0).then_some(hint),
-            destination: DestinationId(dest as u16),
+            destination: DestinationId(dest as u32),
             again: bits & 2 != 0,
             write: bits & 4 != 0,
             orphan: bits & 16 != 0,
--- a/src/hearsay/note.rs
+++ b/src/hearsay/note.rs
@@ -1,10 +1,14 @@
 //! The notes between forwarders on the wire: version, subject, number of the destination (low byte first). A codec.
+//!
+//! A number of 16 bits takes two bytes, as forwarders of every version read it. A larger one takes four under a subject of
+//! its own, which earlier versions pass over.
 
 use crate::interface::DestinationId;
 use std::fmt;
 
 const VERSION: u8 = 1;
-const AT_ITS_LIMIT: u8 = 1;
+const AT_ITS_LIMIT: u8 = 1; // with two bytes of the number
+const AT_ITS_LIMIT_WIDE: u8 = 2; // with four
 
 /// Why a note can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,7 +21,7 @@
 impl fmt::Display for BadNote {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadNote::Length(bytes) => write!(f, "{bytes} bytes, 4 are wanted"),
+            BadNote::Length(bytes) => write!(f, "{bytes} bytes, not the length of its subject"),
             BadNote::Version(version) => write!(f, "version {version}, this is {VERSION}"),
             BadNote::Subject(subject) => write!(f, "subject {subject} is not known"),
         }
@@ -25,15 +29,19 @@
 }
 
 pub fn write(at: DestinationId) -> Vec<u8> {
-    let [low, high] = at.0.to_le_bytes();
-    vec![VERSION, AT_ITS_LIMIT, low, high]
+    match at.0.to_le_bytes() {
+        [low, high, 0, 0] => vec![VERSION, AT_ITS_LIMIT, low, high],
+        [a, b, c, d] => vec![VERSION, AT_ITS_LIMIT_WIDE, a, b, c, d],
+    }
 }
 
 pub fn read(note: &[u8]) -> Result<DestinationId, BadNote> {
     match *note {
-        [VERSION, AT_ITS_LIMIT, low, high] => Ok(DestinationId(u16::from_le_bytes([low, high]))),
-        [VERSION, subject, _, _] => Err(BadNote::Subject(subject)),
-        [version, _, _, _] => Err(BadNote::Version(version)),
+        [VERSION, AT_ITS_LIMIT, low, high] => Ok(DestinationId(u32::from_le_bytes([low, high, 0, 0]))),
+        [VERSION, AT_ITS_LIMIT_WIDE, a, b, c, d] => Ok(DestinationId(u32::from_le_bytes([a, b, c, d]))),
+        [VERSION, AT_ITS_LIMIT | AT_ITS_LIMIT_WIDE, ..] => Err(BadNote::Length(note.len())),
+        [VERSION, subject, _, ..] => Err(BadNote::Subject(subject)),
+        [version, _, _, ..] => Err(BadNote::Version(version)),
         _ => Err(BadNote::Length(note.len())),
     }
 }
--- a/src/hearsay/tests.rs
+++ b/src/hearsay/tests.rs
@@ -43,6 +43,15 @@
         (vec![1; 256], BadNote::Length(256)),
         (vec![2, 1, 0, 0], BadNote::Version(2)),
         (vec![1, 9, 0, 0], BadNote::Subject(9)),
+        (vec![1, 9, 0, 0, 0, 0], BadNote::Subject(9)),
+        (vec![2, 2, 0, 0, 0, 0], BadNote::Version(2)),
+        (vec![1], BadNote::Length(1)),
+        (vec![1, 1], BadNote::Length(2)),
+        (vec![1, 1, 0], BadNote::Length(3)),
+        (vec![1, 1, 0, 0, 1, 0], BadNote::Length(6)),
+        (vec![1, 2, 0, 0], BadNote::Length(4)),
+        (vec![1, 2, 0, 0, 1], BadNote::Length(5)),
+        (vec![1, 2, 0, 0, 1, 0, 0], BadNote::Length(7)),
     ] {
         assert_eq!(read(&bad), Err(why));
         assert_eq!(hear(&mut Hearsay::default(), 0, &bad), (None, true));
@@ -53,14 +62,32 @@
     assert!(hear(&mut hearsay, 60_000 * MS, &[]).1);
 }
 
+/// Forwarders of earlier versions read the numbers that they have, and pass over the others.
+#[test]
+fn numbers_of_16_bits_are_told_in_four_bytes_and_larger_ones_in_six() {
+    for (number, bytes) in [
+        (0, vec![1, 1, 0, 0]),
+        (700, vec![1, 1, 0xbc, 2]),
+        (65_535, vec![1, 1, 0xff, 0xff]),
+        (65_536, vec![1, 2, 0, 0, 1, 0]),
+        (70_000, vec![1, 2, 0x70, 0x11, 1, 0]),
+        (u32::MAX, vec![1, 2, 0xff, 0xff, 0xff, 0xff]),
+    ] {
+        assert_eq!(write(DestinationId(number)), bytes);
+        assert_eq!(read(&bytes), Ok(DestinationId(number)));
+    }
+    assert_eq!(read(&[1, 2, 7, 0, 0, 0]), Ok(DestinationId(7)));
+}
+
 /// Whatever comes: no panic, only destinations of the list, and a table no longer than what a second brings.
 #[test]
 fn any_bytes_leave_a_small_table() {
-    fn holds(notes: Vec<(u8, u16, Vec<u8>)>) -> bool {
+    fn holds(notes: Vec<(u8, u32, Vec<u8>)>) -> bool {
         let mut hearsay = Hearsay::default();
         let mut now = 0;
         notes.into_iter().all(|(gap, at, bytes)| {
             now += Micros::from(gap) * MS + AGAIN / 8;
+            let at = at >> (at % 32); // small numbers too
             let (heard, logged) = hear(&mut hearsay, now, &write(DestinationId(at)));
             hear(&mut hearsay, now, &bytes);
             !logged && heard.is_none_or(|d| d.0 == at && at < 1_000) && hearsay.spoken.len() <= 16
@@ -68,5 +95,5 @@
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(1_200, 20_261_201))
-        .quickcheck(holds as fn(Vec<(u8, u16, Vec<u8>)>) -> bool);
+        .quickcheck(holds as fn(Vec<(u8, u32, Vec<u8>)>) -> bool);
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -15,7 +15,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct DestinationId(pub u16);
+pub struct DestinationId(pub u32);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProfileId(pub u16);
--- a/tests/cases.rs
+++ b/tests/cases.rs
@@ -270,7 +270,7 @@
 /// Several destinations that hung at once once kept all slots with the calls they had taken while well.
 #[test]
 fn troubled_destinations_do_not_keep_all_slots() -> Checked {
-    let mut world = World::new(terms(), (0..4).map(|n| listing(n, u16::from(n), 50.0)).collect());
+    let mut world = World::new(terms(), (0..4).map(|n| listing(n, u32::from(n), 50.0)).collect());
     for destination in [1, 2, 1, 2, 1, 2, 1, 2, 1, 2, 1, 2] {
         world.arrive(0, destination, None, 8_000 * MS)?;
         world.pass(10 * MS)?;
@@ -646,7 +646,7 @@
     for apart in [false, true] {
         let kinds = vec![KindTerms { routes_apart: apart, per_call: 1 }];
         let terms = TermsOfCarriage { kinds, max_trips: 1, forwarders: 1, zone_fees: Vec::new(), ..terms() };
-        let mut world = World::new(terms, (1..4).map(|n| listing(n, u16::from(n / 3), 200.0)).collect());
+        let mut world = World::new(terms, (1..4).map(|n| listing(n, u32::from(n / 3), 200.0)).collect());
         good_times(&mut world, 1)?; // then answer times spread the calls
         let mut out = BTreeMap::new();
         for destination in [0, 0, 0, 0, 1] {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,7 +12,7 @@
     TargetId { address: [10, 0, 0, n], port: 80, holder: 0 }
 }
 
-pub fn listing(n: u8, destination: u16, rate: f32) -> Listing {
+pub fn listing(n: u8, destination: u32, rate: f32) -> Listing {
     let (target, zone) = (target(n), ZoneId(u16::from(n % 2)));
     let (standing, kind) = (Standing::Ready, KindId(0));
     Listing { target, zone, since: 0, standing, rate, destination: DestinationId(destination), kind }
@@ -166,7 +166,7 @@
     pub fn arrive(
         &mut self,
         profile: u16,
-        destination: u16,
+        destination: u32,
         key: Option<u64>,
         left: Micros,
     ) -> Result<PacketId, String> {
@@ -514,7 +514,7 @@
     let group = if chance.random() { RepeatGroup::Zone } else { RepeatGroup::All };
     terms.profiles[1].effect = Effect::Fingerprinted { group, window: chance.random_range(100..4_000) * MS };
     terms.profiles.iter_mut().for_each(|p| p.in_order = chance.random());
-    let list: Vec<Listing> = (0..6).map(|n| listing(n, u16::from(n / 2), 4.0 + f32::from(n))).collect();
+    let list: Vec<Listing> = (0..6).map(|n| listing(n, u32::from(n / 2), 4.0 + f32::from(n))).collect();
     let mut world = World::new(terms, list.clone());
     let mut mood = [0.1; 6];
     for _ in 0..steps {
