--- a/src/rules.rs
+++ b/src/rules.rs
@@ -662,7 +662,8 @@
             // Guards against taking a full connection table for an outage: others of our calls got through.
             Outcome::NoConnection if passing => return self.refusals += 1,
             Outcome::TakenBack => return self.budget.left = (self.budget.left + 1.0).min(1.0),
-            Outcome::CalledOff | Outcome::Moot { .. } => return,
+            Outcome::Moot { .. } => return,
+            Outcome::CalledOff if !self.even(desk.now, desk.terms).1 => return,
             Outcome::Delivered => {
                 (self.answered, self.failures) = (desk.now, 0);
                 self.times.learn(took as f64, NEW_ANSWER);
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -21,6 +21,7 @@
 enum Failure {
     Errors,
     Refused,
+    Silent,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -109,12 +110,13 @@
         (DOWN_AT..UP_AT).contains(&at)
     }
 
-    /// How a call or probe sent now ends, and after what time.
-    fn outcome(&self, time: Micros) -> (Outcome, Micros) {
+    /// How a call or probe sent now ends, and after what time; `limit` is how long it is waited for.
+    fn outcome(&self, time: Micros, limit: Micros) -> (Outcome, Micros) {
         match self.case.failure {
             _ if !self.down(self.now) => (Outcome::Delivered, time),
             Failure::Errors => (Outcome::Error, time),
             Failure::Refused => (Outcome::NoConnection, MS),
+            Failure::Silent => (Outcome::Timeout, limit),
         }
     }
 
@@ -159,7 +161,7 @@
         match action {
             Action::Send { id, target, limit, .. } => {
                 let limit = limit.unwrap_or(8_000 * MS);
-                let (outcome, took) = self.outcome(ANSWER_TIME);
+                let (outcome, took) = self.outcome(ANSWER_TIME, limit);
                 let number = self.calls_out.get(&(forwarder, id)).map_or(0, |(number, _)| number + 1);
                 let sent = self.now;
                 let ends = Happening::CallEnds { id, number, sent, target, outcome };
@@ -168,7 +170,7 @@
                 self.count(forwarder);
             }
             Action::Probe { target } => {
-                let (outcome, took) = self.outcome(PROBE_TIME);
+                let (outcome, took) = self.outcome(PROBE_TIME, 1_500 * MS);
                 let sent = self.now;
                 self.schedule(took, forwarder, Happening::ProbeEnds { sent, target, outcome });
                 self.count(forwarder);
@@ -277,3 +279,8 @@
 fn a_destination_that_refused_connections_is_not_pushed_over_by_the_fleet() {
     play_all(Failure::Refused);
 }
+
+#[test]
+fn a_destination_that_was_silent_is_not_pushed_over_by_the_fleet() {
+    play_all(Failure::Silent);
+}
