--- a/crates/lab/src/scenario/terms.rs
+++ b/crates/lab/src/scenario/terms.rs
@@ -55,6 +55,7 @@
                 order_pause: self.rules.order_pause.0,
             },
             round: 5_000,
+            full_destinations: None,
         }
     }
 
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -9,6 +9,9 @@
 const DEFAULT_IDLE: Micros = 5_000_000; // µs, where the start object does not say: as at the first deployments
 const DEFAULT_ASK: Micros = 10_000_000; // µs, the same
 const DEFAULT_CONNECT: Micros = 1_000_000; // µs, the same
+/// Destinations held in full at once: beyond any size deployed today, so that nothing changes there. A full one takes some
+/// 3 kB, so that these stay near 3 MB of a forwarder's memory.
+const FULL_DESTINATIONS: u32 = 1_024;
 
 /// What a front is told at start: terms for the core, names for its codec, figures of the links.
 #[derive(Clone, Debug, PartialEq)]
@@ -279,6 +282,7 @@
                 order_pause: start.rules.order_pause_us,
             },
             round: start.quantum_us,
+            full_destinations: Some(FULL_DESTINATIONS),
             profiles: start.profiles.into_iter().map(profile).collect(),
         }
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -347,4 +347,6 @@
     pub rules: RuleTerms,
     /// The shortest time between two rounds.
     pub round: Micros,
+    /// Destinations whose state is held in full before idle ones are held as summaries. None: all, always.
+    pub full_destinations: Option<u32>,
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -55,6 +55,7 @@
             order_pause: 300 * MS,
         },
         round: 5 * MS,
+        full_destinations: None,
     }
 }
 
