--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,4 +14,4 @@
 mod times;
 
 pub use interface::*;
-pub use rules::Forwarder;
+pub use rules::{Forwarder, StateCounts};
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -2,6 +2,10 @@
 //! &mut actions)` for each event, in order, and carries out the actions. Three parts talk by notes only:
 //! `Forwarder` (loop, packet book, slots), a `Destination` (line, cap, pace, hold) and its `Target`s (places,
 //! outcomes, probing, drain, cold ramp). `Post` keeps an inbox for each; `Forwarder::settle` empties them.
+//! `lists` applies the membership list; `idle` holds destinations out of use as summaries.
+
+mod idle;
+mod lists;
 
 use crate::bucket::Bucket;
 use crate::hearsay::Hearsay;
@@ -9,6 +13,8 @@
 use crate::line::{Entry, Line, Rank};
 use crate::membership::Asking;
 use crate::times::Times;
+use idle::IdleTable;
+pub use idle::StateCounts;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -273,6 +279,7 @@
     line: Line,                      // those of them that wait
     out: BTreeSet<PacketId>,         // the others
     pick: Option<TargetId>,
+    queued: Option<Micros>, // its place in the queue of those that may be summarised
 }
 
 impl Destination {
@@ -818,6 +825,7 @@
     hearsay: Hearsay,
     refused: f64, // part of the latest trips, over all targets, that got no connection
     times: Times, // answer times over all targets
+    idle: IdleTable,
 }
 
 impl Forwarder {
@@ -842,6 +850,7 @@
             hearsay: Hearsay::default(),
             refused: 0.0,
             times: Times::default(),
+            idle: IdleTable::default(),
         }
     }
 
@@ -851,8 +860,10 @@
             (self.look, self.still) = (Some(now), now + TICK);
         }
         self.asking.handle(now, &event, &self.terms, &mut self.rng, actions);
+        self.restore_for(now, &event);
+        let most_summarised = idle::most_for(&event);
         match event {
-            Event::List(news) => self.list(now, news),
+            Event::List(news) => self.list(now, news, actions),
             Event::Packet(arrival) => self.arrival(now, arrival),
             Event::TripEnded { id, target, outcome, took, closed, .. } => {
                 if outcome == Outcome::Delivered {
@@ -889,14 +900,16 @@
             Event::Alarm { token: Token(0) } => self.tick(now),
             Event::Closing => self.terms.slots = 0,
             Event::Neighbour { from, note } => {
-                let known = |at| self.destinations.contains_key(&at);
+                let known = |at| self.destinations.contains_key(&at) || self.idle.holds(at);
                 let at = self.hearsay.heard(now, from, &note, known, actions);
-                self.post.destinations.extend(at.map(|at| (at, ToDestination::AtLimit)));
+                let full = at.filter(|at| !self.limit_idle(now, *at));
+                self.post.destinations.extend(full.map(|at| (at, ToDestination::AtLimit)));
             }
             Event::Alarm { .. } | Event::TripBegun { .. } => {}
         }
         self.settle(now, actions);
         self.deal(now, actions);
+        self.summarise_idle(now, most_summarised);
         if !(self.look.is_some() || self.states.is_empty() && self.turns.is_empty()) {
             self.look = Some(now + TICK.max(self.terms.round));
             actions.push(Action::Wake { after: TICK.max(self.terms.round), token: Token(0) });
@@ -920,40 +933,6 @@
         keys.into_iter().for_each(|key| self.pass_turn(now, Some(key)));
     }
 
-    fn list(&mut self, now: Micros, news: ListNews) {
-        let (mut entries, whole) = match news {
-            ListNews::Changes(entries) => (entries, false),
-            ListNews::Whole(entries) | ListNews::Cached(entries) => (entries, true),
-            ListNews::Failed => return,
-        };
-        let named: BTreeSet<TargetId> = entries.iter().map(|e| e.target).collect();
-        for (target, t) in self.targets.iter().filter(|(id, _)| whole && !named.contains(id)) {
-            let (zone, destination, standing) = (ZoneId(t.card.zone), t.destination, Standing::Gone);
-            let (target, kind) = (*target, KindId(0));
-            entries.push(Listing { target, zone, since: 0, standing, rate: 0.0, destination, kind });
-        }
-        let idle = |t: &Target| t.calls.is_empty() && now >= t.next_probe;
-        let left = self.targets.extract_if(.., |_, t| t.standing == Standing::Gone && idle(t));
-        let notes = left.map(|(id, target)| (target.destination, ToDestination::Left(id)));
-        self.post.destinations.extend(notes);
-        for Listing { target, zone, standing, rate, destination, kind, .. } in entries {
-            let kind = self.terms.kinds.get(kind.0 as usize).or(self.terms.kinds.last());
-            let (apart, per_call) = kind.map_or((false, 1), |k| (k.routes_apart, k.per_call.max(1) as usize));
-            if standing != Standing::Gone {
-                let d = self.destinations.entry(destination).or_default();
-                if d.cards.is_empty() {
-                    (d.id, d.apart, d.per_call) = (destination, apart, per_call);
-                }
-                let fresh = Target { id: target, destination, per_call, answered: now, ..Target::default() };
-                self.targets.entry(target).or_insert(fresh);
-                let note = ToDestination::Listed { target, rate: rate.into() };
-                self.post.destinations.push_back((destination, note));
-            }
-            let fee = self.terms.zone_fees.get(zone.0 as usize).filter(|_| apart).copied().unwrap_or(0.0);
-            self.post.targets.push_back((target, ToTarget::Listed { zone, standing, fee }));
-        }
-    }
-
     fn arrival(&mut self, now: Micros, arrival: Arrival) {
         let profile = (arrival.profile.0 as usize).min(self.terms.profiles.len() - 1);
         let row = &self.terms.profiles[profile];
@@ -1045,13 +1024,18 @@
                 }
             }
             ToForwarder::Bid { destination, gain } => self.bids.push((gain, destination)),
-            ToForwarder::State { destination, state: Some(s) } => _ = self.states.insert(destination, s),
+            ToForwarder::State { destination, state: Some(s) } => {
+                self.states.insert(destination, s);
+                self.leave_queue(destination);
+            }
             ToForwarder::State { destination, state: None } => {
                 self.states.remove(&destination);
                 let empty = |d: &Destination| d.cards.is_empty() && d.packets.is_empty();
                 if self.destinations.get(&destination).is_some_and(empty) {
+                    self.leave_queue(destination);
                     self.destinations.remove(&destination);
                 }
+                self.join_queue(now, destination);
             }
         }
     }
--- a/src/times.rs
+++ b/src/times.rs
@@ -9,6 +9,16 @@
 }
 
 impl Times {
+    /// As they were learned before from so many answers.
+    pub fn of(mean: f64, deviation: f64, count: f64) -> Times {
+        Times { mean, deviation, count }
+    }
+
+    /// Answers learned from, up to what the short mean spans.
+    pub fn count(&self) -> f64 {
+        self.count
+    }
+
     /// Takes one answer in, `took` µs, by a weight between 0 and 1.
     pub fn learn(&mut self, took: f64, weight: f64) {
         if self.count == 0.0 {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -99,6 +99,8 @@
     pub packets: BTreeMap<PacketId, Held>,
     pub order: Vec<PacketId>,
     pub actions: Vec<Action>,
+    /// Those of its earlier lives.
+    pub earlier: Vec<Action>,
     pub probes: Vec<TargetId>,
     /// Ends given and not heard yet, where that counts.
     pub unheard: BTreeSet<PacketId>,
@@ -111,6 +113,7 @@
     rests: BTreeMap<OrderKey, Micros>,
     cold: BTreeMap<TargetId, Cold>,
     next: u32,
+    restored: u64,
 }
 
 impl World {
@@ -123,6 +126,7 @@
             packets: BTreeMap::new(),
             order: Vec::new(),
             actions: Vec::new(),
+            earlier: Vec::new(),
             probes: Vec::new(),
             unheard: BTreeSet::new(),
             late: 0,
@@ -133,15 +137,24 @@
             rests: BTreeMap::new(),
             cold: BTreeMap::new(),
             next: 0,
+            restored: 0,
         };
         world.list(ListNews::Cached(list)).expect("the first list breaks no rule");
         world
     }
 
+    /// Destinations that the forwarder has restored from summaries, in all its lives.
+    pub fn restored(&self) -> u64 {
+        self.restored + self.forwarder.state_counts().restored
+    }
+
     /// The forwarder dies: what it held is no longer its duty.
     pub fn die(&mut self) -> Result<(), String> {
         let list = ListNews::Cached(self.listed.values().cloned().collect());
-        *self = World { now: self.now, next: self.next, ..World::new(self.terms.clone(), Vec::new()) };
+        let mut earlier = std::mem::take(&mut self.earlier);
+        earlier.append(&mut self.actions);
+        let (now, next, restored) = (self.now, self.next, self.restored());
+        *self = World { now, next, earlier, restored, ..World::new(self.terms.clone(), Vec::new()) };
         self.list(list)
     }
 
@@ -499,10 +512,25 @@
     }
 }
 
+/// How a random history is played.
+#[derive(Clone, Copy, Debug)]
+pub struct Play {
+    pub steps: usize,
+    /// The longest pause between two steps.
+    pub pause: Micros,
+    /// The forwarder's setting of this name.
+    pub full_destinations: Option<u32>,
+}
+
 /// A random history from one seed: random terms, then events in legal but hostile orders.
 pub fn history(seed: u64, steps: usize) -> Result<(), String> {
+    play(seed, &Play { steps, pause: 200 * MS, full_destinations: None }).map(drop)
+}
+
+/// The same, played so; gives the world as it is in the end.
+pub fn play(seed: u64, play: &Play) -> Result<World, String> {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let mut terms = terms();
+    let mut terms = TermsOfCarriage { full_destinations: play.full_destinations, ..terms() };
     terms.slots = chance.random_range(1..12);
     terms.room = chance.random_range(3..60);
     terms.max_trips = chance.random_range(1..7);
@@ -518,7 +546,7 @@
     let list: Vec<Listing> = (0..6).map(|n| listing(n, u16::from(n / 2), 4.0 + f32::from(n))).collect();
     let mut world = World::new(terms, list.clone());
     let mut mood = [0.1; 6];
-    for _ in 0..steps {
+    for _ in 0..play.steps {
         world.late = if chance.random_bool(0.3) { chance.random_range(0..1_000) * MS } else { 0 };
         match chance.random_range(0..100) {
             0..30 => {
@@ -547,7 +575,7 @@
                     world.end(*id, outcome)?;
                 }
             }
-            60..90 => world.pass(chance.random_range(1..200) * MS)?,
+            60..90 => world.pass(chance.random_range(1..play.pause / MS) * MS)?,
             90..92 => {
                 let mut entry = list[chance.random_range(0..6)].clone();
                 let states = [Standing::Ready, Standing::Ready, Standing::Draining, Standing::Gone];
@@ -591,5 +619,6 @@
             }
         }
     }
-    world.pass(30_000 * MS)
+    world.pass(30_000 * MS)?;
+    Ok(world)
 }
