--- a/src/bucket.rs
+++ b/src/bucket.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::Micros;
 
-#[derive(Default)]
+#[derive(Clone, Default)]
 pub struct Bucket {
     pub left: f64,
     pub filled: Micros,
@@ -18,7 +18,7 @@
 
 /// Calls that a destination which may be cold still gets from this forwarder: an even part that comes with time, and what
 /// this forwarder's own arrivals add to it, at a bounded rate. Each bucket holds one call at most.
-#[derive(Default)]
+#[derive(Clone, Default)]
 pub struct ColdBudget {
     pub left: f64,
     filled: Micros,
--- a/src/rules/idle.rs
+++ b/src/rules/idle.rs
@@ -14,7 +14,7 @@
 use super::{
     Desk, Destination, Forwarder, Gate, Health, Target, CATCH_REST, CATCH_UP, LAST_FEW, SECOND, SILENCE,
 };
-use crate::bucket::Bucket;
+use crate::bucket::ColdBudget;
 use crate::interface::*;
 use crate::times::Times;
 use std::collections::{BTreeMap, BTreeSet};
@@ -84,7 +84,7 @@
     row_since: Micros,
     kept_until: Micros, // of a target that is gone: until when it is not forgotten
     health: Health,
-    budget: Bucket,
+    budget: ColdBudget,
     failures: u32,
     refusals: u32,
 }
@@ -413,7 +413,7 @@
                 row_since: t.row_since,
                 kept_until: if t.standing == Standing::Gone { t.next_probe } else { 0 },
                 health: t.health,
-                budget: Bucket { ..t.budget },
+                budget: t.budget.clone(),
                 failures: t.failures,
                 refusals: t.refusals,
             };
