--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -70,7 +70,7 @@
 fn where_nothing_fails_the_same_messages_are_delivered() {
     fn run(seed: u64, full_destinations: Option<u32>) -> Result<(Vec<PacketId>, Vec<Action>, u64), String> {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let list: Vec<Listing> = (0..6).map(|n| listing(n, u16::from(n / 2), 4.0)).collect();
+        let list: Vec<Listing> = (0..6).map(|n| listing(n, u32::from(n / 2), 4.0)).collect();
         let mut world = World::new(TermsOfCarriage { full_destinations, ..terms() }, list.clone());
         for _ in 0..200 {
             match chance.random_range(0..10) {
