--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -27,7 +27,7 @@
 use module::{Module, Ways};
 use notes::Note;
 use notices::Notices;
-use opalpulley::{Event, ListNews};
+use opalpulley::{Event, ListNews, Micros};
 use platform::Platform;
 use reload::Reread;
 use slog::{error, info, Logger};
@@ -46,6 +46,7 @@
 const LIST_NOTES: usize = 16; // to the list's actor
 const NEIGHBOUR_NOTES: usize = 256; // to the neighbours'
 const BACKLOG: u32 = 1024; // clients waiting to be accepted: one that finds it full waits a second
+const TOLD_WITHIN: Micros = 6_000_000; // µs: news count as told so long after discovery had them and could be reached
 const LAST_ANSWERS: Duration = Duration::from_millis(50); // for answers on their way when the process ends
 
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
@@ -69,7 +70,8 @@
 pub async fn run(mut papers: Papers, orders: Orders, log: Logger) -> io::Result<()> {
     let clock = Clock::start();
     let names = papers.waybill.names.clone();
-    let terms = papers.waybill.terms.clone();
+    let mut terms = papers.waybill.terms.clone();
+    terms.told_within = Some(TOLD_WITHIN);
     let (module_box, notes) = mpsc::channel(NOTES);
     let (client_box, hand_ins) = mpsc::channel(HAND_INS);
     let (list_box, list_notes) = mpsc::channel(LIST_NOTES);
--- a/crates/forwarder/src/list.rs
+++ b/crates/forwarder/src/list.rs
@@ -4,16 +4,23 @@
 use crate::platform::{AskFault, Platform};
 use crate::protocol::{list_path, ListText, Member, Phase};
 use hyper::{Method, StatusCode};
-use opalpulley::{Event, ListNews, Listing, Standing};
+use opalpulley::{Event, ListNews, Listing, Standing, LONGEST_SILENCE};
 use opalpulley_terms::Names;
 use slog::{info, warn, Logger};
 use std::collections::BTreeMap;
+use std::future::Future;
 use std::net::{SocketAddr, SocketAddrV4};
+use std::pin::Pin;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-const WATCH: Duration = Duration::from_secs(5); // a watch that is asked for: a silent agent is noticed soon after
+const WATCH: Duration = Duration::from_secs(5); // of a watch where changes come by themselves: silence is noticed soon after
+/// Of a watch where changes must be asked for: the next call comes later there, so silence is to be noticed sooner.
+const ASKED_WATCH: Duration = Duration::from_secs(2);
+/// For an answer there, beyond what was asked for: the two together are what the core counts on.
+const ASKED_PATIENCE: Duration = Duration::from_micros(LONGEST_SILENCE).saturating_sub(ASKED_WATCH);
 const PATIENCE: Duration = Duration::from_secs(2); // for an answer, beyond what was asked for: the agent is next door
+const OVERDUE: Duration = Duration::from_secs(7); // for a call that was given up: past any other that is made meanwhile
 const AGAIN: Duration = Duration::from_millis(150); // between tries: under the time after which a watch begins anew
 
 /// A member under the number by which the core knows it.
@@ -107,98 +114,178 @@
     pub log: Logger,
 }
 
+/// A call under way, with the connection that it goes over.
+type Call = Pin<Box<dyn Future<Output = (Platform, Result<ListText, AskFault>)> + Send>>;
+
+/// What the list's actor is to ask, and what it has out.
+struct Asking {
+    watching: bool,
+    fetch: bool,
+    /// The platform is silent or refuses: said once in the log.
+    down: bool,
+    /// A call that was given up, until it is answered or the next one has an end other than a refusal. A discovery that
+    /// has more calls than it can work off answers late: were that not heard, its work would be lost, and the calls
+    /// made again instead would keep it from ever answering in time.
+    overdue: Option<Call>,
+}
+
+impl Asking {
+    fn read(&mut self, note: ListNote) {
+        match note {
+            ListNote::Watch(on) => self.watching = on,
+            ListNote::Fetch => self.fetch = true,
+        }
+    }
+
+    /// The answer to the call that was given up; never, where there is none.
+    async fn late(&mut self) -> Result<ListText, AskFault> {
+        let Some(call) = &mut self.overdue else { return std::future::pending().await };
+        let (_, answer) = call.await;
+        self.overdue = None;
+        answer
+    }
+}
+
+/// How a call ended for the actor.
+enum Ending {
+    Answered(Result<ListText, AskFault>),
+    /// Something else is wanted, or wanted elsewhere.
+    NotWanted,
+    /// Nobody takes news any more.
+    Over,
+}
+
 impl List {
     pub async fn run(mut self, mut mailbox: mpsc::Receiver<ListNote>) {
-        let mut watching = !self.must_be_asked;
         // A watch tells what changed since the list that is known: the whole of it would cost as much once more.
-        let mut fetch = !self.must_be_asked || self.held.revision.is_none();
-        let mut down = false;
-        let mut moved = false;
+        let fetch = !self.must_be_asked || self.held.revision.is_none();
+        let mut asking = Asking { watching: !self.must_be_asked, fetch, down: false, overdue: None };
         loop {
-            if !watching && !fetch {
+            if !asking.watching && !asking.fetch {
                 tokio::select! {
                     note = mailbox.recv() => match note {
-                        Some(note) => Self::read(note, &mut watching, &mut fetch),
+                        Some(note) => asking.read(note),
                         None => return,
                     },
-                    Ok(()) = self.discovery.changed() => fetch = self.moved(),
+                    Ok(()) = self.discovery.changed() => self.moved(&mut asking),
+                    late = asking.late() => if !self.take_late(&mut asking, late).await { return },
                 }
                 continue;
             }
-            let watch = if fetch { None } else { self.held.revision.map(|r| (r, WATCH)) };
-            let path = list_path(watch);
-            let within = watch.map_or(PATIENCE, |(_, wait)| wait + PATIENCE);
-            let answer = {
-                let ask = self.platform.ask(Method::GET, &path, Default::default(), within);
-                tokio::pin!(ask);
-                // A note that changes nothing of what is asked leaves the call alone: it would be paid for twice.
-                loop {
-                    tokio::select! {
-                        answer = &mut ask => break Some(answer),
-                        note = mailbox.recv() => match note {
-                            Some(note) => Self::read(note, &mut watching, &mut fetch),
-                            None => return,
-                        },
-                        Ok(()) = self.discovery.changed() => {
-                            moved = true;
-                            break None;
-                        }
-                    }
-                    if fetch && watch.is_some() || !fetch && !watching {
-                        break None;
-                    }
+            let told = match self.ask(&mut asking, &mut mailbox).await {
+                Ending::Answered(Ok(text)) => {
+                    (asking.fetch, asking.overdue) = (false, None);
+                    self.tell(&mut asking, text).await
                 }
+                Ending::Answered(Err(problem)) => self.failed(&mut asking, problem).await,
+                Ending::NotWanted => true,
+                Ending::Over => return,
             };
-            if std::mem::take(&mut moved) {
-                fetch = self.moved();
+            if !told {
+                return;
             }
-            let Some(answer) = answer else { continue };
-            match answer.and_then(|(status, body)| read_list(status, &body)) {
-                Ok(text) => {
-                    if std::mem::take(&mut down) {
-                        info!(self.log, "the list is told again"; "revision" => text.revision);
-                    }
-                    fetch = false;
-                    if let Some(news) = self.held.take(text, &self.names) {
-                        if self.module.send(Note::Event(Event::List(news))).await.is_err() {
-                            return;
-                        }
-                    }
+        }
+    }
+
+    /// Makes one call, and gives how it ended. One that is not answered in time is kept as overdue where the list must be
+    /// asked for.
+    async fn ask(&mut self, asking: &mut Asking, mailbox: &mut mpsc::Receiver<ListNote>) -> Ending {
+        // Where the list must be asked for, the whole of it may take as long as a watch: a call given up is paid for.
+        let (wait, patience, whole) = match self.must_be_asked {
+            true => (ASKED_WATCH, ASKED_PATIENCE, ASKED_WATCH + ASKED_PATIENCE),
+            false => (WATCH, PATIENCE, PATIENCE),
+        };
+        let watch = if asking.fetch { None } else { self.held.revision.map(|r| (r, wait)) };
+        let within = watch.map_or(whole, |(_, wait)| wait + patience);
+        let mut call = self.begin(list_path(watch), if self.must_be_asked { OVERDUE } else { within });
+        let silent = tokio::time::sleep(within);
+        tokio::pin!(silent);
+        // A note that changes nothing of what is asked leaves the call alone: it would be paid for twice.
+        loop {
+            tokio::select! {
+                (platform, answer) = &mut call => {
+                    self.platform = platform;
+                    return Ending::Answered(answer);
+                }
+                () = &mut silent => {
+                    asking.overdue = self.must_be_asked.then_some(call);
+                    return Ending::Answered(Err(AskFault::OutOfTime));
                 }
-                Err(problem) => {
-                    let silent = matches!(problem, AskFault::OutOfTime);
-                    if !std::mem::replace(&mut down, true) {
-                        warn!(self.log, "the list is not told"; "problem" => %problem);
-                    }
-                    if self.must_be_asked {
-                        (watching, fetch) = (false, false);
-                        if self.module.send(Note::Event(Event::List(ListNews::Failed))).await.is_err() {
-                            return;
-                        }
-                    }
-                    // Guards drains against a watch that has fallen silent: it has been waited for already.
-                    if !silent {
-                        tokio::time::sleep(AGAIN).await;
-                    }
+                note = mailbox.recv() => match note {
+                    Some(note) => asking.read(note),
+                    None => return Ending::Over,
+                },
+                Ok(()) = self.discovery.changed() => {
+                    self.moved(asking);
+                    return Ending::NotWanted;
                 }
+                late = asking.late() => if !self.take_late(asking, late).await { return Ending::Over },
+            }
+            if asking.fetch && watch.is_some() || !asking.fetch && !asking.watching {
+                return Ending::NotWanted;
             }
         }
     }
 
-    /// What was asked of the old address is dropped; the new one counts its revisions as it likes. Gives that the
-    /// whole list is to be fetched there. Until it is in, the list as held stays.
-    fn moved(&mut self) -> bool {
-        let address = *self.discovery.borrow_and_update();
-        self.platform.move_to(address);
-        self.held.revision = None;
-        true
+    fn begin(&mut self, path: String, within: Duration) -> Call {
+        let another = self.platform.another();
+        let mut platform = std::mem::replace(&mut self.platform, another);
+        Box::pin(async move {
+            let answer = platform.ask(Method::GET, &path, Default::default(), within).await;
+            (platform, answer.and_then(|(status, body)| read_list(status, &body)))
+        })
     }
 
-    fn read(note: ListNote, watching: &mut bool, fetch: &mut bool) {
-        match note {
-            ListNote::Watch(on) => *watching = on,
-            ListNote::Fetch => *fetch = true,
+    /// Tells the module what is new. Gives whether it takes news.
+    async fn tell(&mut self, asking: &mut Asking, text: ListText) -> bool {
+        if std::mem::take(&mut asking.down) {
+            info!(self.log, "the list is told again"; "revision" => text.revision);
+        }
+        match self.held.take(text, &self.names) {
+            Some(news) => self.module.send(Note::Event(Event::List(news))).await.is_ok(),
+            None => true,
+        }
+    }
+
+    /// Takes the answer to a call that was given up, unless more is known by now. The watch goes on from it, which costs
+    /// discovery no call. Gives whether the module takes news.
+    async fn take_late(&mut self, asking: &mut Asking, late: Result<ListText, AskFault>) -> bool {
+        match late {
+            Ok(text) if self.held.revision.is_none_or(|held| held <= text.revision) => {
+                asking.watching = true;
+                self.tell(asking, text).await
+            }
+            // Its failure was told when it was given up.
+            Ok(_) | Err(_) => true,
+        }
+    }
+
+    /// Gives whether the module takes news.
+    async fn failed(&mut self, asking: &mut Asking, problem: AskFault) -> bool {
+        let silent = matches!(problem, AskFault::OutOfTime);
+        if !std::mem::replace(&mut asking.down, true) {
+            warn!(self.log, "the list is not told"; "problem" => %problem);
+        }
+        if self.must_be_asked {
+            (asking.watching, asking.fetch) = (false, false);
+            if self.module.send(Note::Event(Event::List(ListNews::Failed))).await.is_err() {
+                return false;
+            }
         }
+        // Guards drains against a watch that has fallen silent: it has been waited for already.
+        if !silent {
+            tokio::time::sleep(AGAIN).await;
+        }
+        true
+    }
+
+    /// What was asked of the old address is dropped; the new one counts its revisions as it likes. The whole list is
+    /// fetched there. Until it is in, the list as held stays.
+    fn moved(&mut self, asking: &mut Asking) {
+        let address = *self.discovery.borrow_and_update();
+        self.platform.move_to(address);
+        self.held.revision = None;
+        (asking.fetch, asking.overdue) = (true, None);
     }
 }
 
--- a/crates/forwarder/src/platform.rs
+++ b/crates/forwarder/src/platform.rs
@@ -50,6 +50,11 @@
         Platform { address, link: None }
     }
 
+    /// Another connection to the same place.
+    pub fn another(&self) -> Platform {
+        Platform::new(self.address)
+    }
+
     /// From now on the platform is asked there.
     pub fn move_to(&mut self, address: SocketAddr) {
         (self.address, self.link) = (address, None);
--- a/crates/lab/src/scenario/terms.rs
+++ b/crates/lab/src/scenario/terms.rs
@@ -45,6 +45,7 @@
             kinds: [false, true].map(|routes_apart| KindTerms { routes_apart, per_call: 1 }).to_vec(),
             zone_fees: vec![0.0, 0.0],
             ask_within: self.network.asked.as_ref().map(|a| a.within.0),
+            told_within: None,
             rules: RuleTerms {
                 answer_slack: self.rules.answer_slack.0,
                 drain_grace: self.rules.drain_grace.0,
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -269,6 +269,7 @@
                 Membership::Pushed => None,
                 Membership::OnRequest => Some(start.rules.ask_within_us),
             },
+            told_within: None, // the settings do not name it: the protocol of whoever carries out the calls does
             rules: RuleTerms {
                 answer_slack: start.rules.answer_slack_us,
                 drain_grace: start.rules.drain_grace_us,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -344,6 +344,9 @@
     pub zone_fees: Vec<f64>,
     /// Where the list must be asked for: the interval in which the rules want a call. None: it comes by itself.
     pub ask_within: Option<Micros>,
+    /// Where the list must be asked for: how long after discovery had news and could be reached they count as told, heard
+    /// or not. None: only the interval above holds.
+    pub told_within: Option<Micros>,
     pub rules: RuleTerms,
     /// The shortest time between two rounds.
     pub round: Micros,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,4 +14,5 @@
 mod times;
 
 pub use interface::*;
+pub use membership::LONGEST_SILENCE;
 pub use rules::Forwarder;
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -4,10 +4,17 @@
 //! Discovery is shared by the whole fleet and turns calls away, or answers too late, once more are out than it can work
 //! off. Calls that fail together and are made again together keep it there for good: nobody hears anything. So the first
 //! call of each forwarder comes by chance within a window that grows with the fleet, and each failed call doubles it.
+//!
+//! Where news count as told a fixed time after discovery had them and could be reached, heard or not, no window goes beyond
+//! what leaves room for the next answer by then: discovery may have come back right behind the failed call.
 
 use crate::interface::{Action, Event, ListNews, Micros, TermsOfCarriage, Token};
 use rand::Rng;
 
+/// µs within which whoever carries out a call has to say that it has failed, counted from the call or from its last answer.
+pub const LONGEST_SILENCE: Micros = 3_000_000;
+
+const ANSWER_TIME: Micros = 1_000_000; // µs left for the answer to the next call, of the time after which news count as told
 const CALL_TIME: Micros = 50_000; // µs of discovery's time that a call may take: some tens a second, until it is known
 const FIRST_PART: Micros = 2; // one in so many of the interval within which the rules want a call, the first window at most
 const MOST_DOUBLINGS: u32 = 16; // of a window: past any interval that the rules may want
@@ -35,7 +42,7 @@
         let failed = matches!(event, Event::List(ListNews::Failed));
         if failed || !self.begun {
             self.begun = true;
-            let after = self.put_off(now, failed, within, terms.forwarders, rng);
+            let after = self.put_off(now, failed, within, terms, rng);
             actions.push(Action::Wake { after, token: DUE });
         }
         if self.at.take_if(|at| now >= *at).is_some() {
@@ -50,17 +57,22 @@
         now: Micros,
         failed: bool,
         within: Micros,
-        fleet: u32,
+        terms: &TermsOfCarriage,
         rng: &mut impl Rng,
     ) -> Micros {
-        // A call that held for so long had been answered: the row is over.
-        let held = now.saturating_sub(self.asked) > within;
+        let out = now.saturating_sub(self.asked);
+        // A call that held for so long had been answered: the row is over. Twice the silence, for one that is told late.
+        let held = out > terms.told_within.map_or(within, |_| 2 * LONGEST_SILENCE);
         self.failures = if failed && !held { self.failures + 1 } else { u32::from(failed) };
         let doublings = self.failures.min(MOST_DOUBLINGS);
+        // Discovery may have been in reach, unheard, ever since the failed call: that time is spent.
+        let unheard = if failed { out.min(LONGEST_SILENCE) } else { 0 };
+        let left = terms.told_within.map(|told| told.saturating_sub(unheard + ANSWER_TIME));
+        let most = left.map_or(within, |left| left.min(within));
         // A lone forwarder has nobody to meet at discovery, but does not ask all the time where nobody answers.
-        let others = Micros::from(fleet.saturating_sub(1));
-        let window = ((CALL_TIME * others).min(within / FIRST_PART) << doublings).min(within);
-        let least = if failed { (CALL_TIME << doublings).min(within / FIRST_PART) } else { 0 };
+        let others = Micros::from(terms.forwarders.saturating_sub(1));
+        let window = ((CALL_TIME * others).min(within / FIRST_PART) << doublings).min(most);
+        let least = if failed { (CALL_TIME << doublings).min(most / FIRST_PART) } else { 0 };
         let wait = if window > least { rng.random_range(least..window) } else { least };
         self.at = Some(now + wait);
         wait
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -45,6 +45,7 @@
         kinds: vec![KindTerms { routes_apart: false, per_call: 1 }],
         zone_fees: vec![0.0, 0.05],
         ask_within: None,
+        told_within: None,
         rules: RuleTerms {
             answer_slack: 20 * MS,
             drain_grace: 500 * MS,
