--- a/crates/forwarder/src/reload.rs
+++ b/crates/forwarder/src/reload.rs
@@ -3,20 +3,26 @@
 use crate::papers::{BadPapers, Fixed, Papers};
 use slog::{error, info, warn, Logger};
 use std::net::SocketAddr;
+use std::time::Duration;
 use tokio::sync::{mpsc, watch};
+use tokio::time::Instant;
+
+const REREAD: Duration = Duration::from_millis(100); // between looks at papers that can't be used: someone may be writing them
+/// From the signal on, for papers to become whole. Half of what the platform gives until the new address's news count as told.
+const WRITTEN_WITHIN: Duration = Duration::from_secs(2);
 
 /// Where the papers are read again.
 pub type Reread = Box<dyn Fn() -> Result<Papers, BadPapers> + Send>;
 
 pub async fn run(
     mut hang_up: mpsc::Receiver<()>,
-    reread: Reread,
+    mut reread: Reread,
     fixed: Fixed,
     discovery: watch::Sender<SocketAddr>,
     log: Logger,
 ) {
     while hang_up.recv().await.is_some() {
-        let papers = match reread() {
+        let papers = match read_whole(&mut reread).await {
             Ok(papers) => papers,
             Err(problem) => {
                 error!(log, "the papers can't be used, the old ones stay"; "problem" => %problem);
@@ -33,3 +39,14 @@
         discovery.send_replace(address);
     }
 }
+
+/// Reads the papers, again and again while they can't be used, as where the signal came before the last byte of the file.
+async fn read_whole(reread: &mut Reread) -> Result<Papers, BadPapers> {
+    let last = Instant::now() + WRITTEN_WITHIN;
+    loop {
+        match reread() {
+            Err(_) if Instant::now() < last => tokio::time::sleep(REREAD).await,
+            read => return read,
+        }
+    }
+}
--- a/crates/forwarder/tests/endings.rs
+++ b/crates/forwarder/tests/endings.rs
@@ -234,3 +234,44 @@
     assert!(forwarder.child.wait().expect("it ends").success());
     assert!(begun.elapsed() < Duration::from_millis(3600), "{:?}", begun.elapsed());
 }
+
+/// Guards a reload against a file that is half written as the signal comes: it is read again until it is whole, with no
+/// second signal. One that never becomes whole, or is gone, changes nothing, and the next signal is heeded.
+#[test]
+fn a_reload_that_meets_a_half_written_file_reads_it_again() {
+    let (target, seen) = serve(|_, _| plain("200 OK"));
+    let (other, seen_other) = serve(|_, _| plain("200 OK"));
+    let old = platform(vec![member(target, 7, "Ready")], 0);
+    let new = platform(vec![member(other, 7, "Ready")], 0);
+    let (dir, state) = folder();
+    let text = config("notice", "free", 200, 3.0);
+    let mut forwarder = start(&state, &text, old.address);
+    let moved = text.replacen('{', &format!("{{\"discovery\":\"{}\",", new.address), 1);
+    let papers = dir.path().join("config.json");
+    let reload_with = |half: &str| {
+        match half {
+            "" => std::fs::remove_file(&papers).expect("removed"),
+            half => std::fs::write(&papers, half).expect("written"),
+        }
+        forwarder.signal("-HUP");
+    };
+    for (n, half) in [&moved[..moved.len() - 1], ""].iter().enumerate() {
+        reload_with(half);
+        thread::sleep(Duration::from_millis(2500)); // past any time for which it is read again
+        let id = format!("before-{n}");
+        assert_eq!(forwarder.hand_in(&id, "notice"), 202);
+        until("it goes on as before", || calls(&seen, &id) == 1);
+    }
+    reload_with(&moved[..moved.len() - 1]);
+    thread::sleep(Duration::from_millis(500));
+    std::fs::write(&papers, &moved).expect("written");
+    let whole = Instant::now();
+    let mut tries = 0;
+    until("the new list counts", || {
+        tries += 1;
+        forwarder.hand_in(&format!("after-{tries}"), "notice");
+        !seen_other.lock().expect("the log").is_empty()
+    });
+    assert!(whole.elapsed() < Duration::from_secs(2), "{:?}", whole.elapsed());
+    assert!(forwarder.child.try_wait().expect("its state").is_none());
+}
