--- /dev/null
+++ b/crates/lab/src/capacity/command.rs
@@ -0,0 +1,32 @@
+//! The command line of `opalpulley-lab capacity`: one variant for each thing that is measured.
+
+use super::{core, process};
+use clap::{Args, Subcommand};
+use std::path::PathBuf;
+
+#[derive(Subcommand, Clone, Debug)]
+pub enum Command {
+    /// The core alone, without sockets, on a simulated clock
+    Core(core::Options),
+    /// One real forwarder on loopback sockets
+    Process(process::Options),
+}
+
+/// Where the figures go beside the terminal.
+#[derive(Args, Clone, Debug)]
+pub struct Outputs {
+    /// Writes the figures and slopes as JSON
+    #[arg(long)]
+    pub json: Option<PathBuf>,
+    /// Writes a plot of each slope as SVG
+    #[arg(long)]
+    pub plot: Option<PathBuf>,
+}
+
+/// Runs what was asked for. The error is told to the person in these words.
+pub fn run(command: Command) -> Result<(), String> {
+    match command {
+        Command::Core(options) => core::run(&options),
+        Command::Process(options) => process::run(&options),
+    }
+}
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,7 @@
 //! The laboratory: one world for two clocks, an oracle of the rules, experiments and reports. Programs and tests use it; the
 //! product never does.
 
+pub mod capacity;
 pub mod chance;
 pub mod experiments;
 pub mod load;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -5,6 +5,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
+use opalpulley_lab::capacity;
 use opalpulley_lab::experiments::bids::{cost, Cost};
 use opalpulley_lab::experiments::compare::{compare, Verdict};
 use opalpulley_lab::experiments::hunt::hunt;
@@ -151,6 +152,9 @@
         #[arg(long, default_value_t = 2000)]
         rounds: u32,
     },
+    /// What the core and the program hold and use at several sizes, with the slope of each figure
+    #[command(subcommand)]
+    Capacity(capacity::command::Command),
     /// Plays every scenario of a folder
     Catalogue {
         #[arg(default_value = "lab/scenarios")]
@@ -455,6 +459,7 @@
             }
             Ok(ExitCode::SUCCESS)
         }
+        Command::Capacity(command) => Ok(capacity::command::run(command).map(|()| ExitCode::SUCCESS)?),
         Command::Catalogue { folder, clocks, world, reports, shorter_than } => {
             let say = |e: std::io::Error| format!("{}: {e}", folder.display());
             let mut files: Vec<PathBuf> =
