--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -6,3 +6,4 @@
 pub mod core;
 pub mod process;
 pub mod slope;
+pub mod usage;
--- a/crates/lab/src/capacity/command.rs
+++ b/crates/lab/src/capacity/command.rs
@@ -8,6 +8,9 @@
 pub enum Command {
     /// The core alone, without sockets, on a simulated clock
     Core(core::Options),
+    /// One size of `core`, as JSON: run by `core` itself, each in a fresh process
+    #[command(hide = true)]
+    CorePoint(core::point::Setup),
     /// One real forwarder on loopback sockets
     Process(process::Options),
 }
@@ -27,6 +30,11 @@
 pub fn run(command: Command) -> Result<(), String> {
     match command {
         Command::Core(options) => core::run(&options),
+        Command::CorePoint(setup) => {
+            let point = core::point::measure(&setup)?;
+            println!("{}", serde_json::to_string(&point).map_err(|e| e.to_string())?);
+            Ok(())
+        }
         Command::Process(options) => process::run(&options),
     }
 }
