--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -1,17 +1,138 @@
-//! One real forwarder process on loopback sockets.
+//! One real forwarder process on loopback sockets: what it holds and uses with so many listed targets, and what comes on
+//! top for those that get messages; see [`point`].
+
+pub mod point;
+pub mod standins;
 
 use super::command::Outputs;
+use super::slope::{show, Row, Table};
+use crate::sockets::run::program_beside;
 use clap::Args;
+use point::{measure, Point};
+use std::path::PathBuf;
+
+/// Where the forwarder has its list from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
+pub enum ListFrom {
+    /// Its start object; discovery can't be reached.
+    Known,
+    /// Discovery, which tells the whole list when it is asked.
+    Discovery,
+}
 
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// How many listed targets, one run each
+    /// How many listed targets, one process each
     #[arg(long, value_delimiter = ',', default_values_t = [1_000, 4_000, 16_000, 60_000, 91_000])]
     pub sizes: Vec<u32>,
+    /// How many of them get messages
+    #[arg(long, default_value_t = 4_000)]
+    pub in_use: u32,
+    /// How many get messages while the list stays at --listed, one process each
+    #[arg(long, value_delimiter = ',', default_values_t = [500, 2_000, 8_000])]
+    pub in_use_sizes: Vec<u32>,
+    /// Listed targets while the number of those in use differs
+    #[arg(long, default_value_t = 16_000)]
+    pub listed: u32,
+    /// Messages a second under load
+    #[arg(long, default_value_t = 200)]
+    pub rate: u64,
+    /// Seconds of load
+    #[arg(long, default_value_t = 30)]
+    pub seconds: u64,
+    /// Seconds of rest, before the load and after it
+    #[arg(long, default_value_t = 10)]
+    pub rest: u64,
+    /// Forwarders that the settings tell of
+    #[arg(long, default_value_t = 400)]
+    pub forwarders: u32,
+    #[arg(long, default_value_t = 192.0)]
+    pub memory_mb: f64,
+    #[arg(long, default_value_t = 256)]
+    pub descriptors: u32,
+    /// The forwarder's program; beside this one if not named
+    #[arg(long)]
+    pub forwarder: Option<PathBuf>,
+    #[arg(long, default_value_t = 1)]
+    pub seed: u64,
     #[command(flatten)]
     pub outputs: Outputs,
 }
 
-pub fn run(_options: &Options) -> Result<(), String> {
-    Err("capacity process is not measured yet".into())
+impl Options {
+    fn program(&self) -> PathBuf {
+        self.forwarder.clone().unwrap_or_else(program_beside)
+    }
+}
+
+type FigureOf = (&'static str, &'static str, fn(&Point) -> f64);
+
+const FIGURES: [FigureOf; 18] = [
+    ("time to ready", "s", |p| p.ready),
+    ("time until the last destination is taken", "s", |p| p.last_taken),
+    ("processor time at ready", "s", |p| p.at_ready.processor.as_secs_f64()),
+    ("memory at ready", "bytes", |p| p.at_ready.memory as f64),
+    ("memory at rest", "bytes", |p| p.at_rest.memory as f64),
+    ("memory after load", "bytes", |p| p.after_load.memory as f64),
+    ("memory, at rest after load", "bytes", |p| p.after_rest.memory as f64),
+    ("memory, highest", "bytes", |p| p.after_rest.memory_peak as f64),
+    ("at rest: part of a core", "cores", |p| p.rest.of_a_core()),
+    ("under load: part of a core", "cores", |p| p.load.of_a_core()),
+    ("under load: processor time a message", "us", |p| {
+        p.load.processor.as_secs_f64() * 1e6 / p.handed_in as f64
+    }),
+    ("at rest after load: part of a core", "cores", |p| p.rest_after.of_a_core()),
+    ("distinct targets in use", "targets", |p| p.used.into()),
+    ("messages handed in", "messages", |p| p.handed_in as f64),
+    ("messages taken", "messages", |p| p.taken as f64),
+    ("calls answered", "calls", |p| p.calls as f64),
+    ("descriptors, most under load", "descriptors", |p| p.most_descriptors as f64),
+    ("descriptors, at rest after load", "descriptors", |p| p.after_rest.descriptors as f64),
+];
+
+fn table(title: &str, size: &str, points: &[Point], size_of: fn(&Point) -> f64) -> Table {
+    let names: Vec<(&str, &str)> = FIGURES.iter().map(|(name, unit, _)| (*name, *unit)).collect();
+    let row = |p: &Point| Row { size: size_of(p), values: FIGURES.iter().map(|(_, _, of)| of(p)).collect() };
+    Table::new(title, size, &names, points.iter().map(row).collect())
+}
+
+/// One after the other, so that none disturbs another. A size that fails is told, and left out of the table.
+async fn points(options: &Options, cases: &[(u32, u32)], from: ListFrom) -> Vec<Point> {
+    let mut points = Vec::new();
+    for (listed, in_use) in cases {
+        match measure(options, *listed, *in_use, from).await {
+            Ok(point) => points.push(point),
+            Err(problem) => eprintln!("not measured, list from {from:?}: {problem}"),
+        }
+    }
+    points
+}
+
+pub fn tables(options: &Options) -> Result<Vec<Table>, String> {
+    let runtime =
+        || tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(|e| e.to_string());
+    let by_size: Vec<(u32, u32)> = options.sizes.iter().map(|listed| (*listed, options.in_use)).collect();
+    let by_use: Vec<(u32, u32)> = options.in_use_sizes.iter().map(|n| (options.listed, *n)).collect();
+    let listed = |points: &[Point], title: &str| table(title, "listed targets", points, |p| p.listed.into());
+    // A runtime each: the stand-ins of one end with it.
+    let known = runtime()?.block_on(points(options, &by_size, ListFrom::Known));
+    let told = runtime()?.block_on(points(options, &by_size, ListFrom::Discovery));
+    let used = runtime()?.block_on(points(options, &by_use, ListFrom::Known));
+    let title = format!("one forwarder, {} targets known at start, by those in use", options.listed);
+    Ok(vec![
+        listed(&known, "one forwarder, list known at start, discovery out of reach"),
+        listed(&told, "one forwarder, list told by discovery"),
+        table(&title, "targets in use", &used, |p| p.used.into()),
+    ])
+}
+
+pub fn run(options: &Options) -> Result<(), String> {
+    let program = options.program();
+    if !program.is_file() {
+        return Err(format!(
+            "{}: no such program; build it, or name one with --forwarder",
+            program.display()
+        ));
+    }
+    show(&tables(options)?, &options.outputs)
 }
--- /dev/null
+++ b/crates/lab/src/capacity/process/point.rs
@@ -0,0 +1,284 @@
+//! One forwarder process with one list: started, left at rest, put under load, left at rest again.
+
+use super::standins::{discovery, nowhere, targets, Listed};
+use super::{ListFrom, Options};
+use crate::capacity::usage::Usage;
+use crate::chance::stream;
+use crate::sockets::wire::Conn;
+use rand::Rng;
+use serde_json::{json, Value};
+use std::collections::BTreeSet;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::path::Path;
+use std::process::Stdio;
+use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::process::{Child, Command};
+
+const READY_WITHIN: Duration = Duration::from_secs(60);
+const LISTED_WITHIN: Duration = Duration::from_secs(20);
+const LOOK_AGAIN: Duration = Duration::from_millis(2); // between two questions whether it is ready
+const SAMPLE: Duration = Duration::from_millis(100); // between two looks at its descriptors under load
+const CLIENTS: u32 = 16; // connections that messages are handed in on: few beside the descriptors
+const SETTLED: Duration = Duration::from_secs(2); // after the load, for calls under way
+const BODY: usize = 512; // bytes of a message
+const PROFILE: &str = "notice";
+
+/// What was measured; a figure that was never reached is not a number.
+#[derive(Clone, Debug)]
+pub struct Point {
+    pub listed: u32,
+    /// Distinct targets that were called.
+    pub used: u32,
+    /// From the start until it is up, and until it takes a message for the last listed destination, s.
+    pub ready: f64,
+    pub last_taken: f64,
+    pub at_ready: Usage,
+    pub at_rest: Usage,
+    pub rest: Stretch,
+    pub load: Stretch,
+    pub after_load: Usage,
+    pub rest_after: Stretch,
+    pub after_rest: Usage,
+    pub most_descriptors: usize,
+    pub handed_in: u64,
+    pub taken: u64,
+    pub calls: u64,
+}
+
+#[derive(Clone, Copy, Debug)]
+pub struct Stretch {
+    pub lasted: Duration,
+    pub processor: Duration,
+}
+
+impl Stretch {
+    /// Part of a core.
+    pub fn of_a_core(&self) -> f64 {
+        self.processor.as_secs_f64() / self.lasted.as_secs_f64()
+    }
+}
+
+fn papers(options: &Options, listen: SocketAddr, discovery: SocketAddr, known: Option<Value>) -> Value {
+    let mut papers = json!({
+        "name": "n0", "seed": format!("{:016x}", options.seed),
+        "listen": listen.to_string(), "discovery": discovery.to_string(),
+        "limits": {"memory_mb": options.memory_mb, "sockets": options.descriptors, "disk_mb": 16.0},
+        "settings": {
+            "Azs": ["a"], "Balancers": options.forwarders, "Me": 0, "HostTypes": ["m"], "QuantumUs": 5000,
+            "Weights": "nominal",
+            "Domain": {"Fades": "halving", "Workers": 200, "PerCall": [1], "RoutesApart": [false]},
+            "Limits": {"Cancelling": true, "ConnIdleUs": 5_000_000, "ConnectTimeoutUs": 1_000_000, "MaxAttempts": 6,
+                "MaxOpen": 4000, "MaxRetryAfterUs": 2_000_000, "Probing": true, "RetryAfter": true},
+            "Profiles": [{"Name": PROFILE, "Effect": "free", "DedupWindowUs": 15_000_000, "GoalTimeUs": 2_500_000,
+                "HardLimitUs": 28_000_000, "LateShare": 0.5, "Points": 1.0}],
+            "Rules": {"AnswerSlackUs": 20_000, "ColdFrom": 0.2, "DrainGraceUs": 500_000, "FallMultiple": 2.0,
+                "OverloadForUs": 2_000_000, "WarmAfterUs": 10_000_000}
+        }
+    });
+    if let Some(known) = known {
+        papers["known"] = known;
+    }
+    papers
+}
+
+/// A forwarder that ends with this.
+struct Subject {
+    child: Child,
+    pid: u32,
+    listen: SocketAddr,
+}
+
+impl Subject {
+    fn start(program: &Path, folder: &Path, listen: SocketAddr, papers: &Value) -> Result<Subject, String> {
+        let say = |e: std::io::Error| format!("{}: {e}", program.display());
+        let (state, file) = (folder.join("state"), folder.join("papers.json"));
+        std::fs::create_dir_all(&state).map_err(say)?;
+        std::fs::write(&file, papers.to_string()).map_err(say)?;
+        let log = std::fs::File::create(folder.join("forwarder.log")).map_err(say)?;
+        let child = Command::new(program)
+            .env("GW_CONFIG", &file)
+            .env("GW_STATE", &state)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log)
+            .kill_on_drop(true)
+            .spawn()
+            .map_err(say)?;
+        let pid = child.id().ok_or_else(|| format!("{}: ended at once", program.display()))?;
+        Ok(Subject { child, pid, listen })
+    }
+
+    fn usage(&self) -> Result<Usage, String> {
+        Usage::of(self.pid)
+    }
+
+    async fn stretch(&self, work: impl std::future::Future<Output = ()>) -> Result<Stretch, String> {
+        let (before, begun) = (self.usage()?, Instant::now());
+        work.await;
+        let lasted = begun.elapsed();
+        Ok(Stretch { lasted, processor: self.usage()?.processor.saturating_sub(before.processor) })
+    }
+
+    /// The status of one request on a connection of its own; none where there was no answer.
+    async fn ask(&self, text: &str) -> Option<u16> {
+        let mut conn = Conn::new(TcpStream::connect(self.listen).await.ok()?);
+        conn.write(text.as_bytes()).await.ok()?;
+        conn.answer().await.ok().map(|answer| answer.status)
+    }
+
+    /// Asks again and again until the status comes; gives the time since `begun`, s.
+    async fn until(
+        &mut self,
+        begun: Instant,
+        within: Duration,
+        status: u16,
+        text: impl Fn(u32) -> String,
+    ) -> f64 {
+        for question in 0.. {
+            if self.ask(&text(question)).await == Some(status) {
+                break;
+            }
+            let ended = !matches!(self.child.try_wait(), Ok(None));
+            if ended || begun.elapsed() > within {
+                return f64::NAN;
+            }
+            tokio::time::sleep(LOOK_AGAIN).await;
+        }
+        begun.elapsed().as_secs_f64()
+    }
+}
+
+fn hand_in(id: &str, destination: u32) -> String {
+    format!(
+        "POST /{PROFILE} HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nRequest-Class: {PROFILE}\r\n\
+         Request-Timeout-Ms: 20000\r\nIdempotency-Key: k-{id}\r\nEnvelope: dest={destination}\r\n\
+         Content-Length: {BODY}\r\n\r\n{:b<BODY$}",
+        ""
+    )
+}
+
+/// Messages at an even pace from a few clients, each over the targets in use as chance has it.
+async fn load(
+    options: &Options,
+    listen: SocketAddr,
+    listed: Listed,
+    draws: Arc<[u32]>,
+    taken: Arc<AtomicU64>,
+) {
+    let next = Arc::new(AtomicUsize::new(0));
+    let (begun, rate) = (tokio::time::Instant::now(), options.rate);
+    let client = |_| {
+        let (draws, next, taken) = (draws.clone(), next.clone(), taken.clone());
+        tokio::spawn(async move {
+            let mut kept: Option<Conn> = None;
+            loop {
+                let number = next.fetch_add(1, Ordering::Relaxed);
+                let Some(target) = draws.get(number) else { return };
+                let due = begun + Duration::from_secs_f64(number as f64 / rate as f64);
+                tokio::time::sleep_until(due).await;
+                let text = hand_in(&format!("m{number}"), listed.destination(*target));
+                let answer = async {
+                    let mut conn = match kept.take() {
+                        Some(conn) => conn,
+                        None => Conn::new(TcpStream::connect(listen).await?),
+                    };
+                    conn.write(text.as_bytes()).await?;
+                    let answer = conn.answer().await?;
+                    kept = Some(conn);
+                    std::io::Result::Ok(answer.status)
+                };
+                // One that fails is a message that was not taken: it is counted as that.
+                taken.fetch_add(u64::from(matches!(answer.await, Ok(202))), Ordering::Relaxed);
+            }
+        })
+    };
+    for client in (0..CLIENTS).map(client).collect::<Vec<_>>() {
+        let _ = client.await; // one that panics has handed in less, which the count of those taken shows
+    }
+}
+
+/// Which targets get messages, in the order of the messages.
+fn draws(options: &Options, listed: u32, in_use: u32) -> Arc<[u32]> {
+    let mut chance = stream(options.seed, "capacity process", u64::from(in_use));
+    let (in_use, messages) = (in_use.clamp(1, listed), options.rate * options.seconds);
+    let target = |place: u32| (u64::from(place) * u64::from(listed) / u64::from(in_use)) as u32;
+    (0..messages).map(|_| target(chance.random_range(0..in_use))).collect()
+}
+
+pub async fn measure(options: &Options, listed: u32, in_use: u32, from: ListFrom) -> Result<Point, String> {
+    let say = |e: std::io::Error| e.to_string();
+    let folder = tempfile::tempdir().map_err(say)?;
+    let listen = nowhere().await.map_err(say)?;
+    let port = {
+        let free = TcpListener::bind((Ipv4Addr::new(127, 1, 0, 0), 0)).await.map_err(say)?;
+        free.local_addr().map_err(say)?.port()
+    };
+    let list = Listed { targets: listed, port };
+    let draws = draws(options, listed, in_use);
+    let last = listed - 1;
+    let mut used: BTreeSet<u32> = draws.iter().copied().collect();
+    let distinct = used.len() as u32;
+    // Where targets share a destination, all of them may get its messages.
+    let destinations: BTreeSet<u32> = used.iter().chain([&last]).map(|t| list.destination(*t)).collect();
+    used = (0..listed).filter(|t| destinations.contains(&list.destination(*t))).collect();
+    let calls = targets(list, &used).map_err(say)?;
+    let papers = match from {
+        ListFrom::Known => papers(options, listen, nowhere().await.map_err(say)?, Some(list.text())),
+        ListFrom::Discovery => {
+            let at = discovery(list.text().to_string()).await.map_err(say)?;
+            papers(options, listen, at, None)
+        }
+    };
+    let begun = Instant::now();
+    let mut subject = Subject::start(&options.program(), folder.path(), listen, &papers)?;
+    let up = |_| "GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".to_owned();
+    let ready = subject.until(begun, READY_WITHIN, 200, up).await;
+    if ready.is_nan() {
+        let log = std::fs::read_to_string(folder.path().join("forwarder.log")).unwrap_or_default();
+        return Err(format!("{listed} targets: not up within {READY_WITHIN:?}; its log: {log}"));
+    }
+    let at_ready = subject.usage()?;
+    let to_last = |question| hand_in(&format!("first-{question}"), list.destination(last));
+    let last_taken = subject.until(begun, LISTED_WITHIN, 202, to_last).await;
+    let rest = || tokio::time::sleep(Duration::from_secs(options.rest));
+    let first_rest = subject.stretch(rest()).await?;
+    let at_rest = subject.usage()?;
+    let calls_before = calls.load(Ordering::Relaxed);
+    let (taken, most_descriptors) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicUsize::new(0)));
+    let watch = {
+        let (pid, most) = (subject.pid, most_descriptors.clone());
+        tokio::spawn(async move {
+            while let Ok(usage) = Usage::of(pid) {
+                most.fetch_max(usage.descriptors, Ordering::Relaxed);
+                tokio::time::sleep(SAMPLE).await;
+            }
+        })
+    };
+    let under_load = subject.stretch(load(options, listen, list, draws.clone(), taken.clone())).await?;
+    tokio::time::sleep(SETTLED).await;
+    watch.abort();
+    let after_load = subject.usage()?;
+    let rest_after = subject.stretch(rest()).await?;
+    let after_rest = subject.usage()?;
+    subject.child.kill().await.map_err(say)?;
+    Ok(Point {
+        listed,
+        used: distinct,
+        ready,
+        last_taken,
+        at_ready,
+        at_rest,
+        rest: first_rest,
+        load: under_load,
+        after_load,
+        rest_after,
+        after_rest,
+        most_descriptors: most_descriptors.load(Ordering::Relaxed),
+        handed_in: draws.len() as u64,
+        taken: taken.load(Ordering::Relaxed),
+        calls: calls.load(Ordering::Relaxed) - calls_before,
+    })
+}
--- /dev/null
+++ b/crates/lab/src/capacity/process/standins.rs
@@ -0,0 +1,110 @@
+//! What stands round the forwarder: targets that answer 200, and discovery that tells one list. All of it listens on
+//! loopback addresses only.
+
+use crate::sockets::wire::Conn;
+use serde_json::{json, Value};
+use std::collections::BTreeSet;
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpSocket};
+
+const BACKLOG: u32 = 64; // connections that wait at one stand-in: one forwarder opens few
+const LONGEST_WATCH: u64 = 60_000; // ms
+/// The program's numbers of destinations are 16 bits wide: further targets share those that there are.
+const CELLS: u32 = 65_536;
+const RATE: f64 = 50.0; // calls a second that the list tells of each destination
+
+/// The list: so many targets, each at a loopback address of its own and at one port.
+#[derive(Clone, Copy, Debug)]
+pub struct Listed {
+    pub targets: u32,
+    pub port: u16,
+}
+
+impl Listed {
+    /// Addresses from 127.1.0.0 on: the first 65,536 are left to the other peers of the laboratory.
+    pub fn address(&self, target: u32) -> SocketAddrV4 {
+        let [_, b, c, d] = (target + (1 << 16)).to_be_bytes();
+        SocketAddrV4::new(Ipv4Addr::new(127, b, c, d), self.port)
+    }
+
+    pub fn destination(&self, target: u32) -> u32 {
+        target % CELLS
+    }
+
+    pub fn text(&self) -> Value {
+        let member = |n| {
+            json!({"id": format!("t{n}"), "host_port": self.address(n).to_string(), "locality": "a", "flavor": "m",
+                "cell": self.destination(n), "phase": "Ready", "size": RATE, "up_since_ms": 0})
+        };
+        json!({"revision": 1, "complete": true, "members": (0..self.targets).map(member).collect::<Vec<_>>()})
+    }
+}
+
+fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = TcpSocket::new_v4()?;
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(BACKLOG)
+}
+
+/// Listens at these targets and answers each call with 200. Gives the count of calls.
+pub fn targets(listed: Listed, used: &BTreeSet<u32>) -> io::Result<Arc<AtomicU64>> {
+    let calls = Arc::new(AtomicU64::new(0));
+    for target in used {
+        let (listener, calls) = (listen(listed.address(*target).into())?, calls.clone());
+        tokio::spawn(async move {
+            while let Ok((stream, _)) = listener.accept().await {
+                let (mut conn, calls) = (Conn::new(stream), calls.clone());
+                tokio::spawn(async move {
+                    while let Ok(Some(_)) = conn.request().await {
+                        calls.fetch_add(1, Ordering::Relaxed);
+                        if conn.reply("200 OK", "", "").await.is_err() {
+                            return;
+                        }
+                    }
+                });
+            }
+        });
+    }
+    Ok(calls)
+}
+
+/// Discovery: the whole list to whoever asks for it, no changes to whoever watches, 204 to notices. Gives its address.
+pub async fn discovery(list: String) -> io::Result<SocketAddr> {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
+    let address = listener.local_addr()?;
+    let list: Arc<str> = list.into();
+    tokio::spawn(async move {
+        while let Ok((stream, _)) = listener.accept().await {
+            let (mut conn, list) = (Conn::new(stream), list.clone());
+            tokio::spawn(async move {
+                while let Ok(Some(asked)) = conn.request().await {
+                    let wait = asked.path.split_once("wait=").map(|(_, wait)| wait.parse::<u64>());
+                    let answered = match wait {
+                        _ if asked.method == "POST" => conn.reply("204 No Content", "", "").await,
+                        Some(wait) => {
+                            let wait = wait.unwrap_or(0).min(LONGEST_WATCH);
+                            tokio::time::sleep(Duration::from_millis(wait)).await;
+                            let nothing = r#"{"revision":1,"complete":false,"members":[]}"#;
+                            conn.reply("200 OK", "", nothing).await
+                        }
+                        None => conn.reply("200 OK", "", &list).await,
+                    };
+                    if answered.is_err() {
+                        return;
+                    }
+                }
+            });
+        }
+    });
+    Ok(address)
+}
+
+/// An address of loopback where nobody listens.
+pub async fn nowhere() -> io::Result<SocketAddr> {
+    TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?.local_addr()
+}
--- a/crates/lab/src/capacity/slope.rs
+++ b/crates/lab/src/capacity/slope.rs
@@ -72,7 +72,10 @@
 
 impl Table {
     pub fn new(title: &str, size: &str, figures: &[(&str, &str)], rows: Vec<Row>) -> Table {
-        let points = |n: usize| -> Vec<(f64, f64)> { rows.iter().map(|r| (r.size, r.values[n])).collect() };
+        // A figure that was not reached at a size is not a number, and no point.
+        let points = |n: usize| -> Vec<(f64, f64)> {
+            rows.iter().map(|r| (r.size, r.values[n])).filter(|(_, value)| value.is_finite()).collect()
+        };
         let slopes = (0..figures.len()).map(|n| Slope::through(&points(n))).collect();
         let figures = figures
             .iter()
@@ -91,6 +94,7 @@
 /// A number with four digits that count, for people.
 fn short(value: f64) -> String {
     match value.abs() {
+        _ if value.is_nan() => "-".into(),
         0.0 => "0".into(),
         v if v >= 1e6 => format!("{value:.3e}"),
         v if v >= 1000.0 => format!("{value:.0}"),
@@ -132,7 +136,8 @@
         area.fill(&WHITE).map_err(say)?;
         for ((table, place), panel) in panels.iter().zip(area.split_evenly((rows, PANELS_A_ROW))) {
             let figure = &table.figures[*place];
-            let points: Vec<(f64, f64)> = table.rows.iter().map(|r| (r.size, r.values[*place])).collect();
+            let all = table.rows.iter().map(|r| (r.size, r.values[*place]));
+            let points: Vec<(f64, f64)> = all.filter(|(_, value)| value.is_finite()).collect();
             let widest = points.iter().map(|p| p.0).fold(1.0, f64::max);
             let slope = table.slopes[*place];
             let ends: Vec<(f64, f64)> =
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -8,7 +8,7 @@
 pub mod processes;
 pub mod run;
 pub mod targets;
-mod wire;
+pub(crate) mod wire;
 
 use crate::oracle::{Final, Oracle};
 use crate::receivers::Receivers;
