--- a/crates/lab/src/capacity/core.rs
+++ b/crates/lab/src/capacity/core.rs
@@ -8,13 +8,52 @@
 use super::slope::{show, Row, Table};
 use clap::Args;
 use point::{Point, Stretch};
+use std::fmt;
 use std::process::Command;
+use std::str::FromStr;
 use world::Spread;
 
+/// How many destinations the core holds in full before idle ones are summarised.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FullDestinations {
+    All,
+    UpTo(u32),
+}
+
+impl FullDestinations {
+    /// As the core's terms tell it.
+    pub fn limit(self) -> Option<u32> {
+        match self {
+            FullDestinations::All => None,
+            FullDestinations::UpTo(limit) => Some(limit),
+        }
+    }
+}
+
+impl FromStr for FullDestinations {
+    type Err = String;
+
+    fn from_str(text: &str) -> Result<Self, String> {
+        match text {
+            "all" => Ok(FullDestinations::All),
+            number => number.parse().map(FullDestinations::UpTo).map_err(|_| "`all` or a number".to_owned()),
+        }
+    }
+}
+
+impl fmt::Display for FullDestinations {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            FullDestinations::All => f.write_str("all"),
+            FullDestinations::UpTo(limit) => write!(f, "{limit}"),
+        }
+    }
+}
+
 #[derive(Args, Clone, Debug)]
 pub struct Options {
     /// How many destinations, one fresh process each
-    #[arg(long, value_delimiter = ',', default_values_t = [1_000, 4_000, 16_000, 60_000, 65_000])]
+    #[arg(long, value_delimiter = ',', default_values_t = [1_000, 4_000, 16_000, 60_000, 100_000])]
     pub sizes: Vec<u32>,
     /// Messages a second
     #[arg(long, default_value_t = 200)]
@@ -25,23 +64,35 @@
     /// Part of the destinations that is down
     #[arg(long, default_value_t = 0.041)]
     pub down: f64,
+    /// How many destinations the core holds in full: `all`, or a number, which is then also paired with `all`
+    #[arg(long, default_value = "1024")]
+    pub full_destinations: FullDestinations,
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     #[command(flatten)]
     pub outputs: Outputs,
 }
 
+/// What one size is measured with beside the options.
+#[derive(Clone, Copy)]
+struct Case {
+    targets_each: u32,
+    spread: Spread,
+    full: FullDestinations,
+}
+
 /// Measured beside one target a destination, to tell what a target takes from what a destination takes.
 const MORE_TARGETS: u32 = 3;
 
-fn fresh(options: &Options, destinations: u32, targets_each: u32, spread: Spread) -> Result<Point, String> {
+fn fresh(options: &Options, destinations: u32, case: Case) -> Result<Point, String> {
     let program = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
-    let spread = if spread == Spread::Uniform { "uniform" } else { "skewed" };
+    let spread = if case.spread == Spread::Uniform { "uniform" } else { "skewed" };
     let mut command = Command::new(program);
     command.args(["capacity", "core-point", "--spread", spread]);
     for (name, value) in [
         ("--destinations", destinations.to_string()),
-        ("--targets-each", targets_each.to_string()),
+        ("--targets-each", case.targets_each.to_string()),
+        ("--full-destinations", case.full.to_string()),
         ("--rate", options.rate.to_string()),
         ("--seconds", options.seconds.to_string()),
         ("--down", options.down.to_string()),
@@ -52,7 +103,10 @@
     let ended = command.output().map_err(|e| e.to_string())?;
     if !ended.status.success() {
         let words = String::from_utf8_lossy(&ended.stderr).trim().to_owned();
-        return Err(format!("{destinations} destinations with {targets_each} targets each: {words}"));
+        return Err(format!(
+            "{destinations} destinations, {} in full, {} targets each: {words}",
+            case.full, case.targets_each
+        ));
     }
     serde_json::from_slice(&ended.stdout).map_err(|e| e.to_string())
 }
@@ -76,8 +130,13 @@
     ("processor time, one changed line", "us", |p| p.one_change),
 ];
 
-const TRAFFIC_FIGURES: [FigureOf; 17] = [
+const TRAFFIC_FIGURES: [FigureOf; 22] = [
     ("memory after traffic", "bytes", |p| p.traffic.memory),
+    ("memory after all", "bytes", |p| p.down_rest.memory),
+    ("in full after traffic", "destinations", |p| p.traffic.held.full),
+    ("in full, most of all stretches", "destinations", |p| p.down_rest.held.most_full),
+    ("restored, in all", "destinations", |p| p.down_rest.held.restored),
+    ("summaries with bounds, share down", "targets", |p| p.down.held.bounds),
     ("traffic: events a message", "events", |p| a_message(&p.traffic, p.traffic.events)),
     ("traffic: delivered in the stretch", "part", |p| a_message(&p.traffic, p.traffic.delivered)),
     ("traffic: calls a message", "calls", |p| a_message(&p.traffic, p.traffic.calls)),
@@ -98,6 +157,35 @@
     ("share down, at rest: probes a second", "probes", |p| p.down_rest.probes / p.down_rest.seconds),
 ];
 
+/// The figures that are shown side by side for all destinations in full and for a limit.
+const PAIRED: [FigureOf; 10] = [
+    ("bytes a destination, list in", "bytes", |p| p.memory_listed / f64::from(p.destinations)),
+    ("bytes a destination, at the end", "bytes", |p| p.down_rest.memory / f64::from(p.destinations)),
+    ("memory, list in", "bytes", |p| p.memory_listed),
+    ("memory, at the end", "bytes", |p| p.down_rest.memory),
+    ("a listed target", "us", |p| p.listing / f64::from(p.targets)),
+    ("one changed line", "us", |p| p.one_change),
+    ("a message", "us", |p| a_message(&p.traffic, p.traffic.processor)),
+    ("a message, share down", "us", |p| a_message(&p.down, p.down.processor)),
+    ("share down", "cores", |p| of_a_core(&p.down)),
+    ("share down, at rest", "cores", |p| of_a_core(&p.down_rest)),
+];
+
+/// Both sides of each figure, one under the other; the sizes and seeds are the same.
+fn paired(all: &[Point], limited: &[Point], limit: FullDestinations) -> Table {
+    let named = |(name, unit, _): &FigureOf| {
+        [(format!("all in full: {name}"), *unit), (format!("{limit} in full: {name}"), *unit)]
+    };
+    let names: Vec<(String, &str)> = PAIRED.iter().flat_map(named).collect();
+    let names: Vec<(&str, &str)> = names.iter().map(|(name, unit)| (name.as_str(), *unit)).collect();
+    let rows = all.iter().zip(limited).map(|(all, limited)| Row {
+        size: all.destinations.into(),
+        values: PAIRED.iter().flat_map(|(_, _, of)| [of(all), of(limited)]).collect(),
+    });
+    let title = format!("the core alone, all destinations in full against {limit}");
+    Table::new(&title, "destinations", &names, rows.collect())
+}
+
 fn table(title: &str, points: &[Point], figures: &[&[FigureOf]]) -> Table {
     let figures: Vec<FigureOf> = figures.concat();
     let names: Vec<(&str, &str)> = figures.iter().map(|(name, unit, _)| (*name, *unit)).collect();
@@ -108,25 +196,35 @@
     Table::new(title, "destinations", &names, rows.collect())
 }
 
-/// The tables: one target each with uniform and with skewed traffic, and several targets each.
+/// The tables: one target each with uniform and with skewed traffic, several targets each, and where destinations are
+/// summarised the same once more beside all of them in full.
 pub fn tables(options: &Options) -> Result<Vec<Table>, String> {
-    let points = |targets_each, spread| -> Result<Vec<Point>, String> {
-        options.sizes.iter().map(|size| fresh(options, *size, targets_each, spread)).collect()
+    let full = options.full_destinations;
+    let points = |targets_each, spread, full| -> Result<Vec<Point>, String> {
+        let case = Case { targets_each, spread, full };
+        options.sizes.iter().map(|size| fresh(options, *size, case)).collect()
     };
-    let several = format!("the core alone, {MORE_TARGETS} targets a destination");
-    Ok(vec![
+    let title = |what: &str| format!("the core alone, {full} destinations in full, {what}");
+    let uniform = points(1, Spread::Uniform, full)?;
+    let both: [&[FigureOf]; 2] = [&LIST_FIGURES, &TRAFFIC_FIGURES];
+    let mut tables = vec![
+        table(&title("one target each, uniform traffic"), &uniform, &both),
         table(
-            "the core alone, one target a destination, uniform traffic",
-            &points(1, Spread::Uniform)?,
-            &[&LIST_FIGURES, &TRAFFIC_FIGURES],
+            &title("one target each, skewed traffic"),
+            &points(1, Spread::Skewed, full)?,
+            &[&TRAFFIC_FIGURES],
         ),
         table(
-            "the core alone, one target a destination, skewed traffic",
-            &points(1, Spread::Skewed)?,
-            &[&TRAFFIC_FIGURES],
+            &title(&format!("{MORE_TARGETS} targets each")),
+            &points(MORE_TARGETS, Spread::Uniform, full)?,
+            &[&LIST_FIGURES],
         ),
-        table(&several, &points(MORE_TARGETS, Spread::Uniform)?, &[&LIST_FIGURES]),
-    ])
+    ];
+    if full != FullDestinations::All {
+        let all = points(1, Spread::Uniform, FullDestinations::All)?;
+        tables.push(paired(&all, &uniform, full));
+    }
+    Ok(tables)
 }
 
 pub fn run(options: &Options) -> Result<(), String> {
--- a/crates/lab/src/capacity/core/point.rs
+++ b/crates/lab/src/capacity/core/point.rs
@@ -1,7 +1,8 @@
 //! The core at one size, measured in this process. It has to be a fresh one: memory that an earlier size has used would
 //! count as free.
 
-use super::world::{Counts, Spread, World};
+use super::world::{Counts, Plan, Spread, World};
+use super::FullDestinations;
 use crate::capacity::usage::{own_memory, own_processor_time};
 use clap::Args;
 use opalpulley::{Event, ListNews};
@@ -9,7 +10,8 @@
 use std::time::Duration;
 
 const CHUNK: u32 = 1_000; // listings in one step of building the list: what a step uses besides stays small
-const CHANGES: u32 = 200; // single changes of the list, to average over
+const CHANGED_RATE: f64 = 1.5; // of the listed rate, in a single change
+pub const CHANGES: u32 = 200; // single changes of the list, to average over
 
 /// What one size is measured with.
 #[derive(Args, Clone, Debug)]
@@ -30,9 +32,36 @@
     #[arg(long)]
     pub down: f64,
     #[arg(long)]
+    pub full_destinations: FullDestinations,
+    #[arg(long)]
     pub seed: u64,
 }
 
+/// `opalpulley::StateCounts`, as JSON.
+#[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
+pub struct Held {
+    pub full: f64,
+    pub most_full: f64,
+    pub summaries: f64,
+    pub bounds: f64,
+    pub restored: f64,
+    pub summarised: f64,
+}
+
+impl Held {
+    fn of(world: &World) -> Held {
+        let counts = world.state_counts();
+        Held {
+            full: counts.full as f64,
+            most_full: counts.most_full as f64,
+            summaries: counts.summaries as f64,
+            bounds: counts.bounds as f64,
+            restored: counts.restored as f64,
+            summarised: counts.summarised as f64,
+        }
+    }
+}
+
 /// One stretch of simulated time.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Stretch {
@@ -48,6 +77,8 @@
     pub processor: f64,
     /// Resident memory at its end beyond that before the core was made, bytes.
     pub memory: f64,
+    /// At its end.
+    pub held: Held,
 }
 
 /// The figures of one size.
@@ -62,6 +93,9 @@
     pub listing: f64,
     pub whole_list: f64,
     pub one_change: f64,
+    /// After the list was taken in by steps, and after the single changes.
+    pub held_listed: Held,
+    pub held_changed: Held,
     pub traffic: Stretch,
     pub rest: Stretch,
     pub down: Stretch,
@@ -73,47 +107,48 @@
 }
 
 /// Processor time of some work, us.
-fn timed(work: impl FnOnce() -> Result<(), String>) -> Result<f64, String> {
+fn timed(work: impl FnOnce()) -> Result<f64, String> {
     let begun = own_processor_time()?;
-    work()?;
+    work();
     Ok(microseconds(own_processor_time()? - begun))
 }
 
 pub fn measure(setup: &Setup) -> Result<Point, String> {
-    let mut world = World::new(setup.destinations, setup.targets_each, setup.seed);
+    let full = setup.full_destinations.limit();
+    let plan = Plan::new(setup.destinations, setup.spread, setup.rate, full, setup.seed);
+    let mut world = World::new(Plan { targets_each: setup.targets_each, ..plan });
     let targets = world.targets();
     let before = own_memory()?;
     let beyond = || own_memory().map(|memory| memory.saturating_sub(before) as f64);
     let listing = timed(|| {
         for from in (0..targets).step_by(CHUNK as usize) {
-            let lines = (from..targets.min(from + CHUNK)).map(|n| world.listing(n, 1.0));
-            let lines = lines.collect::<Result<_, _>>()?;
+            let lines = (from..targets.min(from + CHUNK)).map(|n| world.listing(n, 1.0)).collect();
             world.handle(Event::List(ListNews::Changes(lines)));
         }
-        Ok(())
-    })?;
-    let memory_listed = beyond()?;
-    let lines = (0..targets).map(|n| world.listing(n, 1.0)).collect::<Result<_, _>>()?;
-    let whole_list = timed(|| {
-        world.handle(Event::List(ListNews::Whole(lines)));
-        Ok(())
     })?;
+    let (memory_listed, held_listed) = (beyond()?, Held::of(&world));
+    let lines = (0..targets).map(|n| world.listing(n, 1.0)).collect();
+    let whole_list = timed(|| world.handle(Event::List(ListNews::Whole(lines))))?;
     let memory_whole = beyond()?;
     let changes = timed(|| {
         for change in 0..CHANGES {
             let target = (u64::from(targets) * u64::from(change) / u64::from(CHANGES)) as u32;
-            let line = world.listing(target, 1.5)?;
+            let line = world.listing(target, CHANGED_RATE);
             world.handle(Event::List(ListNews::Changes(vec![line])));
         }
-        Ok(())
     })?;
+    let held_changed = Held::of(&world);
     let mut stretch = |rate: u64, down: Option<f64>| -> Result<Stretch, String> {
         down.into_iter().for_each(|share| world.put_down(share));
         let mut counts = Counts::default();
-        let processor = timed(|| {
-            counts = world.run(setup.seconds, rate, setup.spread)?;
-            Ok(())
+        let mut problem = None;
+        let processor = timed(|| match world.run(setup.seconds, rate) {
+            Ok(counted) => counts = counted,
+            Err(words) => problem = Some(words),
         })?;
+        if let Some(words) = problem {
+            return Err(words);
+        }
         Ok(Stretch {
             seconds: setup.seconds as f64,
             messages: counts.messages as f64,
@@ -124,6 +159,7 @@
             given_up: counts.given_up as f64,
             processor,
             memory: beyond()?,
+            held: Held::of(&world),
         })
     };
     Ok(Point {
@@ -134,6 +170,8 @@
         listing,
         whole_list,
         one_change: changes / f64::from(CHANGES),
+        held_listed,
+        held_changed,
         traffic: stretch(setup.rate, None)?,
         rest: stretch(0, None)?,
         down: stretch(setup.rate, Some(setup.down))?,
--- a/crates/lab/src/capacity/core/world.rs
+++ b/crates/lab/src/capacity/core/world.rs
@@ -4,8 +4,8 @@
 use crate::chance::stream;
 use opalpulley::{
     Action, Arrival, DestinationId, Effect, Event, Forwarder, KindId, KindTerms, ListRates, Listing, Micros,
-    Outcome, PacketId, Past, ProfileId, ProfileTerms, RepeatGroup, RuleTerms, Standing, TargetId, TenantId,
-    TermsOfCarriage, Token, ZoneId,
+    Outcome, PacketId, Past, ProfileId, ProfileTerms, RepeatGroup, RuleTerms, Standing, StateCounts,
+    TargetId, TenantId, TermsOfCarriage, Token, ZoneId,
 };
 use rand::Rng;
 use rand_distr::{Distribution, Zipf};
@@ -16,8 +16,11 @@
 const ANSWER: Micros = 20_000; // until a target that works answers
 const REFUSAL: Micros = 1_000; // until a connection is refused
 const SILENCE: Micros = 1_500_000; // until a probe of a silent target is given up, as the program does
-const RATE: f32 = 50.0; // calls a second that a destination takes from all forwarders together
+const LEAST_RATE: f64 = 50.0; // calls a second that a destination takes from all forwarders together, at least
+const HEADROOM: f64 = 2.0; // of the listed rate over the traffic, so that what is measured is not an overload
 const FORWARDERS: u32 = 400; // the operators' size
+const ROOM: u32 = 4_000; // messages that the core holds at most
+const EXPIRY: Micros = 28 * SECOND; // of a message
 const SKEW: f64 = 1.0; // exponent of the Zipf law of skewed traffic: the usual one for popularity
 
 /// How messages are spread over the destinations.
@@ -57,12 +60,50 @@
     pub given_up: u64,
 }
 
+/// What a world is made of.
+#[derive(Clone, Copy, Debug)]
+pub struct Plan {
+    pub destinations: u32,
+    pub targets_each: u32,
+    /// How messages are spread, and how many come a second: the list tells rates that suit both.
+    pub spread: Spread,
+    pub rate: u64,
+    /// Destinations held in full; none holds all of them so.
+    pub full_destinations: Option<u32>,
+    /// Messages that the core holds at most, and the time that each has.
+    pub room: u32,
+    pub expiry: Micros,
+    pub seed: u64,
+}
+
+impl Plan {
+    /// A plan with the operators' room and expiry.
+    pub fn new(
+        destinations: u32,
+        spread: Spread,
+        rate: u64,
+        full_destinations: Option<u32>,
+        seed: u64,
+    ) -> Plan {
+        Plan {
+            destinations,
+            targets_each: 1,
+            spread,
+            rate,
+            full_destinations,
+            room: ROOM,
+            expiry: EXPIRY,
+            seed,
+        }
+    }
+}
+
 /// The terms of the operators' size, with the rules' usual figures.
-pub fn terms() -> TermsOfCarriage {
+fn terms(plan: &Plan) -> TermsOfCarriage {
     let profile = |effect, importance| ProfileTerms {
         effect,
         contract_time: 2_500_000,
-        expiry: 28 * SECOND,
+        expiry: plan.expiry,
         importance,
         late_share: 0.5,
         in_order: false,
@@ -72,7 +113,7 @@
         forwarder: 0,
         forwarders: FORWARDERS,
         slots: 116,
-        room: 4_000,
+        room: plan.room,
         max_trips: 6,
         may_probe: true,
         may_call_off: true,
@@ -97,15 +138,21 @@
             overload_for: 2 * SECOND,
             order_pause: SECOND,
         },
+        full_destinations: plan.full_destinations,
         ..TermsOfCarriage::default()
     }
 }
 
+/// Of n destinations, the part of the first in Zipf's law: the m-th gets an m-th of it.
+fn first_part(destinations: u32) -> f64 {
+    1.0 / (1..=destinations).map(|rank| f64::from(rank).powf(-SKEW)).sum::<f64>()
+}
+
 /// One core and what is round it.
 pub struct World {
     core: Forwarder,
-    destinations: u32,
-    targets_each: u32,
+    plan: Plan,
+    first_part: f64,
     health: Vec<Health>,
     now: Micros,
     due: BTreeMap<(Micros, u64), Due>,      // each leaves as its time comes
@@ -117,43 +164,59 @@
 }
 
 impl World {
-    pub fn new(destinations: u32, targets_each: u32, seed: u64) -> World {
+    pub fn new(plan: Plan) -> World {
         World {
-            core: Forwarder::new(terms(), seed),
-            destinations,
-            targets_each,
-            health: vec![Health::Works; destinations as usize],
+            core: Forwarder::new(terms(&plan), plan.seed),
+            plan,
+            first_part: first_part(plan.destinations),
+            health: vec![Health::Works; plan.destinations as usize],
             now: SECOND,
             due: BTreeMap::new(),
             out: BTreeMap::new(),
             next: 0,
-            chance: stream(seed, "capacity", 0),
+            chance: stream(plan.seed, "capacity", 0),
             actions: Vec::new(),
             counts: Counts::default(),
         }
     }
 
     pub fn targets(&self) -> u32 {
-        self.destinations * self.targets_each
+        self.plan.destinations * self.plan.targets_each
+    }
+
+    /// What the core holds in full and as summaries.
+    pub fn state_counts(&self) -> StateCounts {
+        self.core.state_counts()
+    }
+
+    /// Alarms and answers that these surroundings hold for the core.
+    pub fn due(&self) -> usize {
+        self.due.len()
+    }
+
+    /// Calls a second that the list tells of a destination: over its part of all forwarders' traffic.
+    fn listed_rate(&self, destination: u32) -> f64 {
+        let part = match self.plan.spread {
+            Spread::Uniform => 1.0 / f64::from(self.plan.destinations),
+            Spread::Skewed => self.first_part / f64::from(destination + 1).powf(SKEW),
+        };
+        let traffic = part * self.plan.rate as f64 * f64::from(FORWARDERS);
+        LEAST_RATE.max(HEADROOM * traffic)
     }
 
     /// One line of the list, by the number of its target.
-    pub fn listing(&self, target: u32, rate_factor: f32) -> Result<Listing, String> {
-        let destination = self.name(target / self.targets_each)?;
+    pub fn listing(&self, target: u32, rate_factor: f64) -> Listing {
+        let destination = target / self.plan.targets_each;
         let [_, b, c, d] = target.to_be_bytes();
-        Ok(Listing {
+        Listing {
             target: TargetId { address: [10, b, c, d], port: 80, holder: 0 },
             zone: ZoneId((target % 4) as u16),
             since: 0,
             standing: Standing::Ready,
-            rate: RATE * rate_factor,
-            destination,
+            rate: (self.listed_rate(destination) * rate_factor) as f32,
+            destination: DestinationId(destination),
             kind: KindId(0),
-        })
-    }
-
-    fn name(&self, destination: u32) -> Result<DestinationId, String> {
-        destination.try_into().map(DestinationId).map_err(|_| format!("destination {destination} has no id"))
+        }
     }
 
     /// Puts a share of the destinations down, half of them refusing connections and half silent; the others work.
@@ -167,6 +230,11 @@
         }
     }
 
+    /// From now on every destination refuses connections.
+    pub fn refuse_all(&mut self) {
+        self.health.fill(Health::RefusesConnections);
+    }
+
     pub fn handle(&mut self, event: Event) {
         self.counts.events += 1;
         let mut actions = std::mem::take(&mut self.actions);
@@ -183,7 +251,7 @@
 
     fn health(&self, target: TargetId) -> Health {
         let [_, b, c, d] = target.address;
-        self.health[(u32::from_be_bytes([0, b, c, d]) / self.targets_each) as usize]
+        self.health[(u32::from_be_bytes([0, b, c, d]) / self.plan.targets_each) as usize]
     }
 
     fn carry_out(&mut self, action: Action) {
@@ -250,17 +318,16 @@
     }
 
     /// So many seconds of messages, evenly spaced; a rate of 0 is rest. Gives what was counted.
-    pub fn run(&mut self, seconds: u64, rate: u64, spread: Spread) -> Result<Counts, String> {
+    pub fn run(&mut self, seconds: u64, rate: u64) -> Result<Counts, String> {
         self.counts = Counts::default();
-        let (begin, ranks) = (self.now, f64::from(self.destinations));
+        let (begin, ranks) = (self.now, f64::from(self.plan.destinations));
         let zipf = Zipf::new(ranks, SKEW).map_err(|e| e.to_string())?;
         for message in 0..seconds * rate {
             self.advance(begin + message * SECOND / rate);
-            let destination = match spread {
-                Spread::Uniform => self.chance.random_range(0..self.destinations),
+            let destination = match self.plan.spread {
+                Spread::Uniform => self.chance.random_range(0..self.plan.destinations),
                 Spread::Skewed => zipf.sample(&mut self.chance) as u32 - 1,
             };
-            let destination = self.name(destination)?;
             self.next += 1;
             self.counts.messages += 1;
             self.handle(Event::Packet(Arrival {
@@ -268,9 +335,9 @@
                 profile: ProfileId((message % 3) as u16),
                 tenant: TenantId(u32::MAX),
                 key: None,
-                left: 28 * SECOND,
+                left: self.plan.expiry,
                 hint: None,
-                destination,
+                destination: DestinationId(destination),
                 again: false,
                 write: true,
                 orphan: false,
