--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -2,6 +2,7 @@
 //! size. `docs/CAPACITY.md` rests on these figures. Each size is measured in a process of its own, so that none
 //! inherits the memory of the one before.
 
+pub mod backlog;
 pub mod command;
 pub mod core;
 pub mod process;
--- /dev/null
+++ b/crates/lab/src/capacity/backlog/process_point.rs
@@ -0,0 +1,95 @@
+//! One real forwarder with so many messages that wait: handed in, then killed and started again on the same folder.
+
+use crate::capacity::process::point::{load, papers, Load, Shape, Subject, READY_WITHIN};
+use crate::capacity::process::standins::{discovery, nowhere, Listed};
+use crate::capacity::usage::Usage;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Time that a message has: long beside the measurement, so that none ends in it.
+pub const EXPIRY: Duration = Duration::from_secs(3_600);
+const SETTLED: Duration = Duration::from_secs(3); // after the last message, until every destination is set aside
+
+pub struct Setup {
+    pub program: PathBuf,
+    pub messages: u32,
+    pub destinations: u32,
+    /// Messages a second
+    pub rate: u64,
+}
+
+/// What was measured; a time that was never reached is not a number.
+#[derive(Clone, Debug)]
+pub struct ProcessPoint {
+    pub handed_in: u64,
+    pub taken: u64,
+    /// Notices of a message's end that came before the kill.
+    pub notices: u64,
+    /// From a start with an empty folder until it is up, and from the one after the kill, s.
+    pub ready_empty: f64,
+    pub ready_again: f64,
+    pub before: Usage,
+    pub with_backlog: Usage,
+    pub at_ready_again: Usage,
+    /// Bytes of the files in its folder at the kill.
+    pub journal: u64,
+}
+
+impl ProcessPoint {
+    /// Messages that were taken and have not ended.
+    pub fn waiting(&self) -> f64 {
+        self.taken as f64 - self.notices as f64
+    }
+}
+
+fn folder_bytes(folder: &Path) -> std::io::Result<u64> {
+    let mut bytes = 0;
+    for entry in std::fs::read_dir(folder)? {
+        let entry = entry?;
+        let about = entry.metadata()?;
+        bytes += if about.is_dir() { folder_bytes(&entry.path())? } else { about.len() };
+    }
+    Ok(bytes)
+}
+
+pub async fn measure(setup: &Setup, shape: &Shape) -> Result<ProcessPoint, String> {
+    let say = |e: std::io::Error| e.to_string();
+    let folder = tempfile::tempdir().map_err(say)?;
+    let listen = nowhere().await.map_err(say)?;
+    // Nobody listens at the targets: each refuses connections.
+    let list = Listed { targets: setup.destinations, port: nowhere().await.map_err(say)?.port() };
+    let (discovery, notices) = discovery(list.text().to_string()).await.map_err(say)?;
+    let papers = papers(shape, listen, discovery, Some(list.text()));
+    let start = || Subject::start(&setup.program, folder.path(), listen, &papers);
+    let begun = Instant::now();
+    let mut subject = start()?;
+    let ready_empty = subject.ready(begun, READY_WITHIN).await?;
+    let before = subject.usage()?;
+    let draws = (0..setup.messages).map(|n| n % setup.destinations).collect();
+    let taken = Arc::new(AtomicU64::new(0));
+    let messages = Load { draws, rate: setup.rate, time: shape.expiry };
+    load(messages, listen, taken.clone()).await;
+    tokio::time::sleep(SETTLED).await;
+    let with_backlog = subject.usage()?;
+    let notices = notices.load(Ordering::Relaxed);
+    subject.child.kill().await.map_err(say)?;
+    let journal = folder_bytes(&folder.path().join("state")).map_err(say)?;
+    let begun = Instant::now();
+    let mut subject = start()?;
+    let ready_again = subject.ready(begun, READY_WITHIN).await?;
+    let at_ready_again = subject.usage()?;
+    subject.child.kill().await.map_err(say)?;
+    Ok(ProcessPoint {
+        handed_in: u64::from(setup.messages),
+        taken: taken.load(Ordering::Relaxed),
+        notices,
+        ready_empty,
+        ready_again,
+        before,
+        with_backlog,
+        at_ready_again,
+        journal,
+    })
+}
--- a/crates/lab/src/capacity/command.rs
+++ b/crates/lab/src/capacity/command.rs
@@ -1,6 +1,6 @@
 //! The command line of `opalpulley-lab capacity`: one variant for each thing that is measured.
 
-use super::{core, process};
+use super::{backlog, core, process};
 use clap::{Args, Subcommand};
 use std::path::PathBuf;
 
@@ -13,6 +13,11 @@
     CorePoint(core::point::Setup),
     /// One real forwarder on loopback sockets
     Process(process::Options),
+    /// Messages that wait: in the core, and in one real forwarder that is killed and started again
+    Backlog(backlog::Options),
+    /// One size of `backlog` in the core, as JSON: run by `backlog` itself, each in a fresh process
+    #[command(hide = true)]
+    BacklogPoint(backlog::core_point::Setup),
 }
 
 /// Where the figures go beside the terminal.
@@ -30,11 +35,14 @@
 pub fn run(command: Command) -> Result<(), String> {
     match command {
         Command::Core(options) => core::run(&options),
-        Command::CorePoint(setup) => {
-            let point = core::point::measure(&setup)?;
-            println!("{}", serde_json::to_string(&point).map_err(|e| e.to_string())?);
-            Ok(())
-        }
+        Command::CorePoint(setup) => print_json(&core::point::measure(&setup)?),
         Command::Process(options) => process::run(&options),
+        Command::Backlog(options) => backlog::run(&options),
+        Command::BacklogPoint(setup) => print_json(&backlog::core_point::measure(&setup)?),
     }
 }
+
+fn print_json(figures: &impl serde::Serialize) -> Result<(), String> {
+    println!("{}", serde_json::to_string(figures).map_err(|e| e.to_string())?);
+    Ok(())
+}
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -8,7 +8,7 @@
 use super::slope::{show, Row, Table};
 use crate::sockets::run::program_beside;
 use clap::Args;
-use point::{measure, Point};
+use point::{measure, Point, Shape};
 use std::path::PathBuf;
 
 /// Where the forwarder has its list from.
@@ -63,6 +63,16 @@
     fn program(&self) -> PathBuf {
         self.forwarder.clone().unwrap_or_else(program_beside)
     }
+
+    fn shape(&self) -> Shape {
+        Shape {
+            seed: self.seed,
+            forwarders: self.forwarders,
+            memory_mb: self.memory_mb,
+            descriptors: self.descriptors,
+            ..Shape::default()
+        }
+    }
 }
 
 type FigureOf = (&'static str, &'static str, fn(&Point) -> f64);
--- a/crates/lab/src/capacity/process/point.rs
+++ b/crates/lab/src/capacity/process/point.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -17,12 +17,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::process::{Child, Command};
 
-const READY_WITHIN: Duration = Duration::from_secs(60);
+pub const READY_WITHIN: Duration = Duration::from_secs(60);
 const LISTED_WITHIN: Duration = Duration::from_secs(20);
 const LOOK_AGAIN: Duration = Duration::from_millis(2); // between two questions whether it is ready
 const SAMPLE: Duration = Duration::from_millis(100); // between two looks at its descriptors under load
 const CLIENTS: u32 = 16; // connections that messages are handed in on: few beside the descriptors
 const SETTLED: Duration = Duration::from_secs(2); // after the load, for calls under way
+const MESSAGE_TIME: Duration = Duration::from_secs(20);
 const BODY: usize = 512; // bytes of a message
 const PROFILE: &str = "notice";
 
@@ -61,19 +62,48 @@
     }
 }
 
-fn papers(options: &Options, listen: SocketAddr, discovery: SocketAddr, known: Option<Value>) -> Value {
+/// What the papers of a forwarder say beside its list.
+#[derive(Clone, Copy, Debug)]
+pub struct Shape {
+    pub seed: u64,
+    pub forwarders: u32,
+    pub memory_mb: f64,
+    pub disk_mb: f64,
+    pub descriptors: u32,
+    /// Messages that it holds at most.
+    pub room: u32,
+    /// Time that a message has at most.
+    pub expiry: Duration,
+}
+
+impl Default for Shape {
+    /// The operators' figures.
+    fn default() -> Shape {
+        Shape {
+            seed: 1,
+            forwarders: 400,
+            memory_mb: 192.0,
+            disk_mb: 16.0,
+            descriptors: 256,
+            room: 4_000,
+            expiry: Duration::from_secs(28),
+        }
+    }
+}
+
+pub fn papers(shape: &Shape, listen: SocketAddr, discovery: SocketAddr, known: Option<Value>) -> Value {
     let mut papers = json!({
-        "name": "n0", "seed": format!("{:016x}", options.seed),
+        "name": "n0", "seed": format!("{:016x}", shape.seed),
         "listen": listen.to_string(), "discovery": discovery.to_string(),
-        "limits": {"memory_mb": options.memory_mb, "sockets": options.descriptors, "disk_mb": 16.0},
+        "limits": {"memory_mb": shape.memory_mb, "sockets": shape.descriptors, "disk_mb": shape.disk_mb},
         "settings": {
-            "Azs": ["a"], "Balancers": options.forwarders, "Me": 0, "HostTypes": ["m"], "QuantumUs": 5000,
+            "Azs": ["a"], "Balancers": shape.forwarders, "Me": 0, "HostTypes": ["m"], "QuantumUs": 5000,
             "Weights": "nominal",
             "Domain": {"Fades": "halving", "Workers": 200, "PerCall": [1], "RoutesApart": [false]},
             "Limits": {"Cancelling": true, "ConnIdleUs": 5_000_000, "ConnectTimeoutUs": 1_000_000, "MaxAttempts": 6,
-                "MaxOpen": 4000, "MaxRetryAfterUs": 2_000_000, "Probing": true, "RetryAfter": true},
+                "MaxOpen": shape.room, "MaxRetryAfterUs": 2_000_000, "Probing": true, "RetryAfter": true},
             "Profiles": [{"Name": PROFILE, "Effect": "free", "DedupWindowUs": 15_000_000, "GoalTimeUs": 2_500_000,
-                "HardLimitUs": 28_000_000, "LateShare": 0.5, "Points": 1.0}],
+                "HardLimitUs": shape.expiry.as_micros() as u64, "LateShare": 0.5, "Points": 1.0}],
             "Rules": {"AnswerSlackUs": 20_000, "ColdFrom": 0.2, "DrainGraceUs": 500_000, "FallMultiple": 2.0,
                 "OverloadForUs": 2_000_000, "WarmAfterUs": 10_000_000}
         }
@@ -85,33 +115,40 @@
 }
 
 /// A forwarder that ends with this.
-struct Subject {
-    child: Child,
+pub struct Subject {
+    pub child: Child,
     pid: u32,
     listen: SocketAddr,
+    log: PathBuf,
 }
 
 impl Subject {
-    fn start(program: &Path, folder: &Path, listen: SocketAddr, papers: &Value) -> Result<Subject, String> {
+    pub fn start(
+        program: &Path,
+        folder: &Path,
+        listen: SocketAddr,
+        papers: &Value,
+    ) -> Result<Subject, String> {
         let say = |e: std::io::Error| format!("{}: {e}", program.display());
         let (state, file) = (folder.join("state"), folder.join("papers.json"));
         std::fs::create_dir_all(&state).map_err(say)?;
         std::fs::write(&file, papers.to_string()).map_err(say)?;
-        let log = std::fs::File::create(folder.join("forwarder.log")).map_err(say)?;
+        let log = folder.join("forwarder.log");
+        let errors = std::fs::File::create(&log).map_err(say)?;
         let child = Command::new(program)
             .env("GW_CONFIG", &file)
             .env("GW_STATE", &state)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(log)
+            .stderr(errors)
             .kill_on_drop(true)
             .spawn()
             .map_err(say)?;
         let pid = child.id().ok_or_else(|| format!("{}: ended at once", program.display()))?;
-        Ok(Subject { child, pid, listen })
+        Ok(Subject { child, pid, listen, log })
     }
 
-    fn usage(&self) -> Result<Usage, String> {
+    pub fn usage(&self) -> Result<Usage, String> {
         Usage::of(self.pid)
     }
 
@@ -129,6 +166,17 @@
         conn.answer().await.ok().map(|answer| answer.status)
     }
 
+    /// Waits until it is up; gives the time since `begun`, s.
+    pub async fn ready(&mut self, begun: Instant, within: Duration) -> Result<f64, String> {
+        let up = |_| "GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".to_owned();
+        let ready = self.until(begun, within, 200, up).await;
+        if ready.is_nan() {
+            let log = std::fs::read_to_string(&self.log).unwrap_or_default();
+            return Err(format!("not up within {within:?}; its log: {log}"));
+        }
+        Ok(ready)
+    }
+
     /// Asks again and again until the status comes; gives the time since `begun`, s.
     async fn until(
         &mut self,
@@ -151,35 +199,38 @@
     }
 }
 
-fn hand_in(id: &str, destination: u32) -> String {
+fn hand_in(id: &str, destination: u32, time: Duration) -> String {
+    let time = time.as_millis();
     format!(
         "POST /{PROFILE} HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nRequest-Class: {PROFILE}\r\n\
-         Request-Timeout-Ms: 20000\r\nIdempotency-Key: k-{id}\r\nEnvelope: dest={destination}\r\n\
+         Request-Timeout-Ms: {time}\r\nIdempotency-Key: k-{id}\r\nEnvelope: dest={destination}\r\n\
          Content-Length: {BODY}\r\n\r\n{:b<BODY$}",
         ""
     )
 }
 
-/// Messages at an even pace from a few clients, each over the targets in use as chance has it.
-async fn load(
-    options: &Options,
-    listen: SocketAddr,
-    listed: Listed,
-    draws: Arc<[u32]>,
-    taken: Arc<AtomicU64>,
-) {
+/// Messages that are handed in: their destinations in order, how many a second, and the time that each has.
+#[derive(Clone)]
+pub struct Load {
+    pub draws: Arc<[u32]>,
+    pub rate: u64,
+    pub time: Duration,
+}
+
+/// Messages at an even pace from a few clients.
+pub async fn load(messages: Load, listen: SocketAddr, taken: Arc<AtomicU64>) {
     let next = Arc::new(AtomicUsize::new(0));
-    let (begun, rate) = (tokio::time::Instant::now(), options.rate);
+    let begun = tokio::time::Instant::now();
     let client = |_| {
-        let (draws, next, taken) = (draws.clone(), next.clone(), taken.clone());
+        let (Load { draws, rate, time }, next, taken) = (messages.clone(), next.clone(), taken.clone());
         tokio::spawn(async move {
             let mut kept: Option<Conn> = None;
             loop {
                 let number = next.fetch_add(1, Ordering::Relaxed);
-                let Some(target) = draws.get(number) else { return };
+                let Some(destination) = draws.get(number) else { return };
                 let due = begun + Duration::from_secs_f64(number as f64 / rate as f64);
                 tokio::time::sleep_until(due).await;
-                let text = hand_in(&format!("m{number}"), listed.destination(*target));
+                let text = hand_in(&format!("m{number}"), *destination, time);
                 let answer = async {
                     let mut conn = match kept.take() {
                         Some(conn) => conn,
@@ -221,27 +272,21 @@
     let last = listed - 1;
     let mut used: BTreeSet<u32> = draws.iter().copied().collect();
     let distinct = used.len() as u32;
-    // Where targets share a destination, all of them may get its messages.
-    let destinations: BTreeSet<u32> = used.iter().chain([&last]).map(|t| list.destination(*t)).collect();
-    used = (0..listed).filter(|t| destinations.contains(&list.destination(*t))).collect();
+    used.insert(last);
     let calls = targets(list, &used).map_err(say)?;
+    let shape = options.shape();
     let papers = match from {
-        ListFrom::Known => papers(options, listen, nowhere().await.map_err(say)?, Some(list.text())),
+        ListFrom::Known => papers(&shape, listen, nowhere().await.map_err(say)?, Some(list.text())),
         ListFrom::Discovery => {
-            let at = discovery(list.text().to_string()).await.map_err(say)?;
-            papers(options, listen, at, None)
+            let (at, _) = discovery(list.text().to_string()).await.map_err(say)?;
+            papers(&shape, listen, at, None)
         }
     };
     let begun = Instant::now();
     let mut subject = Subject::start(&options.program(), folder.path(), listen, &papers)?;
-    let up = |_| "GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".to_owned();
-    let ready = subject.until(begun, READY_WITHIN, 200, up).await;
-    if ready.is_nan() {
-        let log = std::fs::read_to_string(folder.path().join("forwarder.log")).unwrap_or_default();
-        return Err(format!("{listed} targets: not up within {READY_WITHIN:?}; its log: {log}"));
-    }
+    let ready = subject.ready(begun, READY_WITHIN).await.map_err(|e| format!("{listed} targets: {e}"))?;
     let at_ready = subject.usage()?;
-    let to_last = |question| hand_in(&format!("first-{question}"), list.destination(last));
+    let to_last = |question| hand_in(&format!("first-{question}"), last, MESSAGE_TIME);
     let last_taken = subject.until(begun, LISTED_WITHIN, 202, to_last).await;
     let rest = || tokio::time::sleep(Duration::from_secs(options.rest));
     let first_rest = subject.stretch(rest()).await?;
@@ -257,7 +302,8 @@
             }
         })
     };
-    let under_load = subject.stretch(load(options, listen, list, draws.clone(), taken.clone())).await?;
+    let messages = Load { draws: draws.clone(), rate: options.rate, time: MESSAGE_TIME };
+    let under_load = subject.stretch(load(messages, listen, taken.clone())).await?;
     tokio::time::sleep(SETTLED).await;
     watch.abort();
     let after_load = subject.usage()?;
--- a/crates/lab/src/capacity/process/standins.rs
+++ b/crates/lab/src/capacity/process/standins.rs
@@ -13,11 +13,10 @@
 
 const BACKLOG: u32 = 64; // connections that wait at one stand-in: one forwarder opens few
 const LONGEST_WATCH: u64 = 60_000; // ms
-/// The program's numbers of destinations are 16 bits wide: further targets share those that there are.
-const CELLS: u32 = 65_536;
 const RATE: f64 = 50.0; // calls a second that the list tells of each destination
 
-/// The list: so many targets, each at a loopback address of its own and at one port.
+/// The list: so many targets, each at a loopback address of its own and at one port, and with a destination of its own
+/// number.
 #[derive(Clone, Copy, Debug)]
 pub struct Listed {
     pub targets: u32,
@@ -31,14 +30,10 @@
         SocketAddrV4::new(Ipv4Addr::new(127, b, c, d), self.port)
     }
 
-    pub fn destination(&self, target: u32) -> u32 {
-        target % CELLS
-    }
-
     pub fn text(&self) -> Value {
         let member = |n| {
             json!({"id": format!("t{n}"), "host_port": self.address(n).to_string(), "locality": "a", "flavor": "m",
-                "cell": self.destination(n), "phase": "Ready", "size": RATE, "up_since_ms": 0})
+                "cell": n, "phase": "Ready", "size": RATE, "up_since_ms": 0})
         };
         json!({"revision": 1, "complete": true, "members": (0..self.targets).map(member).collect::<Vec<_>>()})
     }
@@ -73,19 +68,25 @@
     Ok(calls)
 }
 
-/// Discovery: the whole list to whoever asks for it, no changes to whoever watches, 204 to notices. Gives its address.
-pub async fn discovery(list: String) -> io::Result<SocketAddr> {
+/// Discovery: the whole list to whoever asks for it, no changes to whoever watches, 204 to notices. Gives its address
+/// and the count of notices.
+pub async fn discovery(list: String) -> io::Result<(SocketAddr, Arc<AtomicU64>)> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
     let list: Arc<str> = list.into();
+    let notices = Arc::new(AtomicU64::new(0));
+    let counted = notices.clone();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let (mut conn, list) = (Conn::new(stream), list.clone());
+            let (mut conn, list, notices) = (Conn::new(stream), list.clone(), counted.clone());
             tokio::spawn(async move {
                 while let Ok(Some(asked)) = conn.request().await {
                     let wait = asked.path.split_once("wait=").map(|(_, wait)| wait.parse::<u64>());
                     let answered = match wait {
-                        _ if asked.method == "POST" => conn.reply("204 No Content", "", "").await,
+                        _ if asked.method == "POST" => {
+                            notices.fetch_add(1, Ordering::Relaxed);
+                            conn.reply("204 No Content", "", "").await
+                        }
                         Some(wait) => {
                             let wait = wait.unwrap_or(0).min(LONGEST_WATCH);
                             tokio::time::sleep(Duration::from_millis(wait)).await;
@@ -101,7 +102,7 @@
             });
         }
     });
-    Ok(address)
+    Ok((address, notices))
 }
 
 /// An address of loopback where nobody listens.
