--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -4,5 +4,6 @@
 
 pub mod command;
 pub mod core;
+pub mod fleet;
 pub mod process;
 pub mod slope;
--- a/crates/lab/src/capacity/command.rs
+++ b/crates/lab/src/capacity/command.rs
@@ -1,6 +1,6 @@
 //! The command line of `opalpulley-lab capacity`: one variant for each thing that is measured.
 
-use super::{core, process};
+use super::{core, fleet, process};
 use clap::{Args, Subcommand};
 use std::path::PathBuf;
 
@@ -10,6 +10,8 @@
     Core(core::Options),
     /// One real forwarder on loopback sockets
     Process(process::Options),
+    /// A fleet of hollow forwarders in one process, on a simulated clock
+    Fleet(fleet::options::Options),
 }
 
 /// Where the figures go beside the terminal.
@@ -28,5 +30,6 @@
     match command {
         Command::Core(options) => core::run(&options),
         Command::Process(options) => process::run(&options),
+        Command::Fleet(options) => fleet::options::run(&options),
     }
 }
--- /dev/null
+++ b/crates/lab/src/capacity/fleet/config_changes.rs
@@ -0,0 +1,49 @@
+//! Changes of configuration: when the next one comes, and what it changes.
+
+use super::layout::Layout;
+use super::plan::{Plan, SECOND};
+use super::receivers::Receivers;
+use crate::chance::{exponential, stream};
+use opalpulley::{Listing, Micros, Standing};
+use rand::Rng;
+use rand_pcg::Pcg64Mcg;
+
+/// The part of the changes that move a destination to another address; the others tell another rate.
+const MOVES: f64 = 0.3;
+/// A told rate becomes so many times what it was.
+const RATE_CHANGE: std::ops::Range<f64> = 0.5..2.0;
+/// Seconds.
+const DAY: f64 = 86_400.0;
+
+pub struct ConfigChanges {
+    a_day: f64,
+    destinations: u32,
+    rng: Pcg64Mcg,
+}
+
+impl ConfigChanges {
+    pub fn new(plan: &Plan) -> ConfigChanges {
+        let rng = stream(plan.seed, "changes", 0);
+        ConfigChanges { a_day: plan.changes_a_day, destinations: plan.destinations, rng }
+    }
+
+    /// How long it is until the next one; none where none comes by itself.
+    pub fn next_after(&mut self) -> Option<Micros> {
+        let mean = DAY / self.a_day * SECOND as f64;
+        (self.a_day > 0.0).then(|| (exponential(&mut self.rng) * mean) as Micros + 1)
+    }
+
+    /// Draws one and has the destination follow it: another rate, or another address. Gives the lines of the list.
+    pub fn draw(&mut self, layout: &Layout, receivers: &mut Receivers) -> Vec<Listing> {
+        let destination = self.rng.random_range(0..self.destinations);
+        let (holder, rate) = receivers.place(destination);
+        if self.rng.random_bool(MOVES) {
+            let new = receivers.relocate(destination);
+            let gone = layout.listing(destination, holder, rate, Standing::Gone);
+            return vec![gone, layout.listing(destination, new, rate, Standing::Ready)];
+        }
+        let rate = rate * self.rng.random_range(RATE_CHANGE);
+        receivers.set_rate(destination, rate);
+        vec![layout.listing(destination, holder, rate, Standing::Ready)]
+    }
+}
--- /dev/null
+++ b/crates/lab/src/capacity/fleet/hollow.rs
@@ -0,0 +1,244 @@
+//! A hollow forwarder: the real decision core with its gossip codec, between an inbox of timed events and an outbox for the
+//! wire. It takes its own stream of messages, keeps the time-outs of attempts and probes, and counts what becomes of each
+//! message and what the core's work costs by kind of event.
+
+use super::layout::{destination_of, forwarder_zone, Layout};
+use super::messages::{Incoming, Outgoing};
+use super::plan::{destination_id, Plan, LATENCY_TARGET, SECOND};
+use super::queue::TimedQueue;
+use super::receivers::Receivers;
+use super::tally::{MessageCounts, Work, WorkDone, WORK_KINDS};
+use crate::chance::{exponential, stream};
+use opalpulley::{
+    Action, Arrival, Event, Forwarder, ListNews, Listing, Micros, Outcome, PacketId, Past, ProfileId,
+    TargetId, TenantId,
+};
+use rand::Rng;
+use rand_pcg::Pcg64Mcg;
+use std::collections::HashMap;
+
+/// A probe without answer has failed after this time.
+const PROBE_PATIENCE: Micros = 1_500_000;
+/// The deadline of a message, as the delivery classes have it.
+const DEADLINE: Micros = 28 * SECOND;
+
+struct OpenMessage {
+    arrived: Micros,
+    to_down: bool,
+    judged: bool,
+    /// Attempts so far.
+    attempts: u8,
+    /// The attempt that is out: its target and when it was sent.
+    out: Option<(TargetId, Micros)>,
+}
+
+pub struct HollowForwarder {
+    pub number: u32,
+    pub zone: u16,
+    pub inbox: TimedQueue<Incoming>,
+    pub outbox: Vec<(Micros, Outgoing)>,
+    pub counts: MessageCounts,
+    pub work: [WorkDone; WORK_KINDS.len()],
+    core: Forwarder,
+    actions: Vec<Action>,
+    open: HashMap<PacketId, OpenMessage>, // a message leaves with its end
+    probes: HashMap<TargetId, Micros>,    // a probe leaves with its answer or time-out
+    rng: Pcg64Mcg,
+    /// Messages a second that arrive here.
+    arrivals: f64,
+    stream: u32,
+    judged: std::ops::Range<Micros>,
+}
+
+impl HollowForwarder {
+    pub fn new(plan: &Plan, number: u32) -> HollowForwarder {
+        HollowForwarder {
+            number,
+            zone: forwarder_zone(number),
+            inbox: TimedQueue::default(),
+            outbox: Vec::new(),
+            counts: MessageCounts::default(),
+            work: Default::default(),
+            core: Forwarder::new(plan.settings(number), plan.seed << 20 ^ u64::from(number)),
+            actions: Vec::new(),
+            open: HashMap::new(),
+            probes: HashMap::new(),
+            rng: stream(plan.seed, "messages", u64::from(number)),
+            arrivals: 0.0,
+            stream: 0,
+            judged: plan.judged_from()..plan.judged_until(),
+        }
+    }
+
+    /// The whole list as it stands at the start.
+    pub fn start(&mut self, list: &[Listing]) {
+        self.give(0, Work::FirstList, Event::List(ListNews::Whole(list.to_vec())));
+    }
+
+    /// From now on so many messages a second arrive here.
+    pub fn set_arrivals(&mut self, now: Micros, a_second: f64) {
+        self.arrivals = a_second;
+        self.stream += 1;
+        self.next_message(now);
+    }
+
+    fn next_message(&mut self, now: Micros) {
+        if self.arrivals > 0.0 {
+            let gap = exponential(&mut self.rng) / self.arrivals * SECOND as f64;
+            self.inbox.push(now + gap.max(1.0) as Micros, Incoming::Message { stream: self.stream });
+        }
+    }
+
+    /// Handles all that comes before `until`. What is sent by that lies in the outbox.
+    pub fn advance(&mut self, until: Micros, layout: &Layout, receivers: &Receivers) {
+        while let Some((now, incoming)) = self.inbox.pop_before(until) {
+            self.take(now, incoming, layout, receivers);
+        }
+    }
+
+    fn take(&mut self, now: Micros, incoming: Incoming, layout: &Layout, receivers: &Receivers) {
+        match incoming {
+            Incoming::Message { stream } if stream == self.stream => {
+                self.next_message(now);
+                self.arrive(now, layout, receivers);
+            }
+            Incoming::Message { .. } => {}
+            Incoming::Alarm(token) => self.give(now, Work::Tick, Event::Alarm { token }),
+            Incoming::Answer { id, attempt, outcome } => self.answered(now, id, attempt, outcome, receivers),
+            Incoming::ProbeAnswer { target, sent, outcome } => {
+                if self.probes.get(&target) != Some(&sent) {
+                    return; // answered, or given up, already
+                }
+                self.probes.remove(&target);
+                if outcome != Outcome::Delivered {
+                    self.met(now, destination_of(target), receivers);
+                }
+                let took = now - sent;
+                let event = Event::ProbeAnswered { target, outcome, took, report: Vec::new() };
+                self.give(now, Work::Probe, event);
+            }
+            Incoming::Gossip { from, note } => {
+                self.give(now, Work::Gossip, Event::Neighbour { from, note: note.to_vec() });
+            }
+            Incoming::List { whole, revision, listings } => {
+                let entries = listings.to_vec();
+                let news = if whole { ListNews::Whole(entries) } else { ListNews::Changes(entries) };
+                self.give(now, Work::List, Event::List(news));
+                self.outbox.push((now, Outgoing::ListInForce { revision }));
+            }
+        }
+    }
+
+    fn arrive(&mut self, now: Micros, layout: &Layout, receivers: &Receivers) {
+        let number = layout.draw(&mut self.rng);
+        let Some(destination) = destination_id(number) else { return };
+        let id = PacketId(self.counts.arrived as u32);
+        let (judged, to_down) = (self.judged.contains(&now), receivers.is_down(number));
+        self.counts.arrived += 1;
+        self.counts.due_to_down += u64::from(judged && to_down);
+        self.counts.due_to_up += u64::from(judged && !to_down);
+        self.open.insert(id, OpenMessage { arrived: now, to_down, judged, attempts: 0, out: None });
+        let arrival = Arrival {
+            id,
+            profile: ProfileId(self.rng.random_range(0..2)),
+            tenant: TenantId(0),
+            key: None,
+            left: DEADLINE,
+            hint: None,
+            destination,
+            again: false,
+            write: false,
+            orphan: false,
+            past: Past::default(),
+        };
+        self.give(now, Work::Message, Event::Packet(arrival));
+    }
+
+    fn answered(&mut self, now: Micros, id: PacketId, attempt: u8, outcome: Outcome, receivers: &Receivers) {
+        let Some(message) = self.open.get_mut(&id).filter(|m| m.attempts == attempt + 1) else { return };
+        let Some((target, sent)) = message.out.take() else { return };
+        let (in_time, to_down) = (now <= message.arrived + LATENCY_TARGET, message.to_down);
+        let counted = message.judged && in_time;
+        match outcome {
+            Outcome::Delivered => {
+                self.open.remove(&id);
+                self.counts.delivered += 1;
+                self.counts.in_time_to_up += u64::from(counted && !to_down);
+                self.counts.in_time_to_down += u64::from(counted && to_down);
+            }
+            Outcome::Timeout => self.counts.timed_out += 1,
+            Outcome::NoConnection => self.counts.no_connection += 1,
+            Outcome::CalledOff => self.counts.called_off += 1,
+            _ => {}
+        }
+        if matches!(outcome, Outcome::Timeout | Outcome::NoConnection | Outcome::CalledOff) {
+            self.met(now, destination_of(target), receivers);
+        }
+        let (took, closed) = (now - sent, outcome == Outcome::Delivered);
+        let event = Event::TripEnded { id, trip: attempt, target, outcome, took, closed, report: Vec::new() };
+        self.give(now, Work::Message, event);
+    }
+
+    /// A call or probe has failed: where the destination is down, the forwarder has met that outage.
+    fn met(&mut self, now: Micros, destination: u32, receivers: &Receivers) {
+        if receivers.is_down(destination) {
+            self.outbox.push((now, Outgoing::MetOutage { destination }));
+        }
+    }
+
+    /// Has the core handle one event, books the time, and carries out its actions.
+    fn give(&mut self, now: Micros, work: Work, event: Event) {
+        let HollowForwarder { core, actions, .. } = self;
+        self.work[work as usize].measure(|| core.handle(now, event, actions));
+        let mut actions = std::mem::take(&mut self.actions);
+        actions.drain(..).for_each(|action| self.carry_out(now, action));
+        self.actions = actions;
+    }
+
+    fn carry_out(&mut self, now: Micros, action: Action) {
+        match action {
+            Action::Send { id, target, limit, .. } => {
+                let Some(message) = self.open.get_mut(&id) else { return };
+                let attempt = message.attempts;
+                message.attempts += 1;
+                message.out = Some((target, now));
+                self.counts.attempts += 1;
+                self.outbox.push((now, Outgoing::Call { id, attempt, target }));
+                if let Some(limit) = limit {
+                    let outcome = Outcome::Timeout;
+                    self.inbox.push(now + limit, Incoming::Answer { id, attempt, outcome });
+                }
+            }
+            Action::CallOff { id, trip } => {
+                let outcome = Outcome::CalledOff;
+                self.inbox.push(now, Incoming::Answer { id, attempt: trip, outcome });
+            }
+            Action::Probe { target } => {
+                self.counts.probes += 1;
+                self.probes.insert(target, now);
+                self.outbox.push((now, Outgoing::Probe { target }));
+                let outcome = Outcome::Timeout;
+                self.inbox.push(now + PROBE_PATIENCE, Incoming::ProbeAnswer { target, sent: now, outcome });
+            }
+            Action::WriteOff { id } => {
+                self.counts.failed += u64::from(self.open.remove(&id).is_some());
+            }
+            Action::Defer { id, .. } => {
+                self.counts.rejected += u64::from(self.open.remove(&id).is_some());
+            }
+            Action::Wake { after, token } => self.inbox.push(now + after, Incoming::Alarm(token)),
+            Action::Tell { neighbour, note } => {
+                self.outbox.push((now, Outgoing::Gossip { to: neighbour, note: note.into() }));
+            }
+            Action::Fault(_) => self.counts.faults += 1,
+            // A call goes whole as it is sent, and discovery holds a watch open for each forwarder.
+            Action::TakeBack { .. } | Action::CloseIdle { .. } | Action::Watch { .. } => {}
+            Action::FetchList | Action::Log(_) => {}
+        }
+    }
+
+    /// Messages that have no end yet.
+    pub fn open(&self) -> usize {
+        self.open.len()
+    }
+}
--- /dev/null
+++ b/crates/lab/src/capacity/fleet/onlooker.rs
@@ -0,0 +1,118 @@
+//! What only an onlooker can know of a fleet: which forwarders have met an outage and since when, and what all of them
+//! together send to a destination that has just come back, against its budget.
+
+use super::plan::{rules, SECOND};
+use opalpulley::Micros;
+use serde::Serialize;
+use std::collections::{BTreeMap, VecDeque};
+
+/// An outage, from its beginning until the destination is back.
+#[derive(Default)]
+pub struct Outage {
+    /// Forwarders that have met it, with the time at which each learned of it; one entry a forwarder at most.
+    met_by: BTreeMap<u32, Micros>,
+    /// The first two of them in time.
+    first: Option<(u32, Micros)>,
+    second: Option<(u32, Micros)>,
+}
+
+impl Outage {
+    pub fn learn(&mut self, forwarder: u32, at: Micros) {
+        if self.met_by.contains_key(&forwarder) {
+            return;
+        }
+        self.met_by.insert(forwarder, at);
+        match (self.first, self.second) {
+            (None, _) => self.first = Some((forwarder, at)),
+            (_, None) => self.second = Some((forwarder, at)),
+            _ => {}
+        }
+    }
+
+    pub fn known_to_another(&self, forwarder: u32, at: Micros) -> bool {
+        [self.first, self.second].into_iter().flatten().any(|(who, since)| who != forwarder && since <= at)
+    }
+
+    pub fn known_to(&self, forwarder: u32, at: Micros) -> bool {
+        self.met_by.get(&forwarder).is_some_and(|since| *since <= at)
+    }
+}
+
+/// What came to a destination since it came back, while it is cold.
+#[derive(Default)]
+pub struct Return {
+    /// Calls and probes within the last overload window.
+    recent: VecDeque<Micros>,
+    over_budget: bool,
+    over_allowed: bool,
+}
+
+impl Return {
+    /// Takes one call or probe in; `capacity` is what the destination takes at this moment, calls a second.
+    pub fn take(&mut self, now: Micros, destination: u32, capacity: f64) -> Overshoot {
+        let rules = rules();
+        self.recent.push_back(now);
+        while self.recent.front().is_some_and(|at| at + rules.overload_for < now) {
+            self.recent.pop_front();
+        }
+        let budget = rules.fall_multiple * capacity * rules.overload_for as f64 / SECOND as f64;
+        let allowed = budget + 2.0 * budget.sqrt() + 2.0;
+        Overshoot { destination, calls: self.recent.len(), budget, allowed }
+    }
+}
+
+impl ReceiverCounts {
+    /// Books what one call more has made of a return.
+    pub fn note_return(&mut self, back: &mut Return, seen: Overshoot) {
+        let over_budget = seen.calls as f64 > seen.budget;
+        let over_allowed = seen.excess() > 0.0;
+        self.returns_over_budget += u64::from(over_budget && !back.over_budget);
+        self.returns_over_allowed += u64::from(over_allowed && !back.over_allowed);
+        back.over_budget |= over_budget;
+        back.over_allowed |= over_allowed;
+        if self.worst.is_none_or(|worst| worst.excess() < seen.excess()) {
+            self.worst = Some(seen);
+        }
+    }
+}
+
+/// What the onlooker counts.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
+pub struct ReceiverCounts {
+    pub calls: u64,
+    pub probes: u64,
+    pub refused_full: u64,
+    /// Calls to an address that the destination has left.
+    pub calls_to_old_address: u64,
+    pub calls_while_down: u64,
+    pub probes_while_down: u64,
+    /// Of these calls, those sent when another forwarder had met the outage.
+    pub calls_another_knew: u64,
+    /// Of those, the ones whose sender had not: what telling could save.
+    pub calls_only_others_knew: u64,
+    pub probes_another_knew: u64,
+    pub probes_only_others_knew: u64,
+    /// Destinations that came back cold.
+    pub returns: u64,
+    /// Of these, where the calls and probes within an overload window passed the budget N of that moment.
+    pub returns_over_budget: u64,
+    /// Where they passed N + 2 x root of N + 2.
+    pub returns_over_allowed: u64,
+    /// The largest excess over N + 2 x root of N + 2; negative where none passed it.
+    pub worst: Option<Overshoot>,
+}
+
+/// The calls that came to a returning destination within one overload window.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize)]
+pub struct Overshoot {
+    pub destination: u32,
+    pub calls: usize,
+    pub budget: f64,
+    pub allowed: f64,
+}
+
+impl Overshoot {
+    fn excess(&self) -> f64 {
+        self.calls as f64 - self.allowed
+    }
+}
--- /dev/null
+++ b/crates/lab/src/capacity/fleet/outages.rs
@@ -0,0 +1,38 @@
+//! When destinations are down: each by itself, so that a fixed part of all is down at any time.
+
+use super::plan::{Plan, SECOND};
+use crate::chance::{exponential, stream};
+use opalpulley::Micros;
+use rand::Rng;
+use rand_pcg::Pcg64Mcg;
+
+pub struct Outages {
+    share: f64,
+    mean_down: f64, // µs
+    rng: Pcg64Mcg,
+}
+
+impl Outages {
+    pub fn new(plan: &Plan) -> Outages {
+        Outages {
+            share: plan.down_share,
+            mean_down: plan.outage_seconds * SECOND as f64,
+            rng: stream(plan.seed, "outages", 0),
+        }
+    }
+
+    /// When the first outage of a destination begins: at the first moment where one lasts from before the run.
+    pub fn first(&mut self) -> Option<Micros> {
+        if self.share <= 0.0 {
+            return None;
+        }
+        let down = self.rng.random_bool(self.share);
+        Some(if down { 0 } else { self.lasts(false) })
+    }
+
+    /// How long an outage lasts that begins now, or how long it is until the next where one has ended.
+    pub fn lasts(&mut self, down: bool) -> Micros {
+        let mean = if down { self.mean_down } else { self.mean_down * (1.0 - self.share) / self.share };
+        (mean * exponential(&mut self.rng)).max(1.0) as Micros
+    }
+}
--- /dev/null
+++ b/crates/lab/src/capacity/fleet/plan.rs
@@ -0,0 +1,187 @@
+//! What a fleet run is asked to do, and the fixed figures that all runs share.
+
+use opalpulley::{
+    DestinationId, Effect, Ends, Fading, KindTerms, ListRates, Micros, ProfileTerms, RepeatGroup, RuleTerms,
+    TermsOfCarriage,
+};
+use serde::Serialize;
+
+pub const SECOND: Micros = 1_000_000;
+/// Regions x zones of the deployment that is sized.
+pub const ZONES: u16 = 8;
+pub const ZONES_A_REGION: u16 = 4;
+/// Time from the arrival of a message to the end of its latency target.
+pub const LATENCY_TARGET: Micros = 2_500_000;
+/// Time from the arrival of a message to its deadline.
+const DEADLINE: Micros = 28_000_000;
+/// Calls out at once: what 256 descriptors leave for targets.
+const CONCURRENCY: u32 = 116;
+/// Messages held at once.
+const ROOM: u32 = 4_000;
+const MAX_ATTEMPTS: u32 = 6;
+/// Three bytes of an address name the destination.
+const MOST_ADDRESSES: u32 = 0xff_ffff;
+
+/// Something that happens to the whole fleet a quarter into the run and, where it lasts, ends at half of it.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, clap::ValueEnum)]
+#[serde(rename_all = "kebab-case")]
+pub enum Incident {
+    #[default]
+    None,
+    /// One zone is gone: an eighth of the forwarders and destinations. Its destinations come back cold.
+    ZoneCut,
+    /// The two regions lose each other: calls, gossip and discovery (which stands in the first) do not pass.
+    RegionCut,
+    /// One change of configuration beside those that are drawn.
+    Change,
+}
+
+/// What a run is asked to do. The same plan gives the same counts.
+#[derive(Clone, Debug, PartialEq, Serialize)]
+pub struct Plan {
+    pub forwarders: u32,
+    pub destinations: u32,
+    /// Simulated time.
+    pub seconds: u32,
+    /// Messages a second that the whole fleet takes.
+    pub events_a_second: f64,
+    /// Part of the destinations that is down at any time.
+    pub down_share: f64,
+    /// Mean length of an outage, seconds.
+    pub outage_seconds: f64,
+    /// Part of the destinations whose rate is under what is sent to them.
+    pub at_limit_share: f64,
+    /// Exponent of Zipf's law over the destinations.
+    pub skew: f64,
+    /// Changes of configuration, a day.
+    pub changes_a_day: f64,
+    pub incident: Incident,
+    pub seed: u64,
+    /// The number of forwarders that the settings name, where it is to be wrong: a check of the measurement.
+    pub configured_forwarders: Option<u32>,
+}
+
+/// Why a plan can't be run.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum BadPlan {
+    /// More destinations than ids.
+    Destinations { asked: u32 },
+    /// More forwarders than numbers, or fewer than two.
+    Forwarders { asked: u32 },
+    /// A share outside 0 to 1, or a rate or time that is not positive.
+    OutOfRange { option: &'static str, value: f64 },
+}
+
+impl std::fmt::Display for BadPlan {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            BadPlan::Destinations { asked } => {
+                write!(f, "--destinations {asked}: 1 is the fewest, and an id must fit its type")
+            }
+            BadPlan::Forwarders { asked } => write!(f, "--forwarders {asked}: 2 to {} can run", u16::MAX),
+            BadPlan::OutOfRange { option, value } => write!(f, "{option} {value} is out of range"),
+        }
+    }
+}
+
+impl std::error::Error for BadPlan {}
+
+/// The id of the destination with this index, where it fits.
+pub fn destination_id(index: u32) -> Option<DestinationId> {
+    index.try_into().ok().map(DestinationId)
+}
+
+impl Plan {
+    pub fn check(&self) -> Result<(), BadPlan> {
+        let fits = |last: u32| last <= MOST_ADDRESSES && destination_id(last).is_some();
+        if self.destinations == 0 || !fits(self.destinations - 1) {
+            return Err(BadPlan::Destinations { asked: self.destinations });
+        }
+        if !(2..=u32::from(u16::MAX)).contains(&self.forwarders) {
+            return Err(BadPlan::Forwarders { asked: self.forwarders });
+        }
+        let share = |value: f64| (0.0..=0.9).contains(&value);
+        let positive = |value: f64| value > 0.0 && value.is_finite();
+        let checks = [
+            ("--seconds", f64::from(self.seconds), self.seconds >= 4),
+            ("--events-a-second", self.events_a_second, positive(self.events_a_second)),
+            ("--down-share", self.down_share, share(self.down_share)),
+            ("--outage-seconds", self.outage_seconds, positive(self.outage_seconds)),
+            ("--at-limit-share", self.at_limit_share, share(self.at_limit_share)),
+            ("--skew", self.skew, (0.0..=3.0).contains(&self.skew)),
+            ("--changes-a-day", self.changes_a_day, self.changes_a_day >= 0.0),
+        ];
+        match checks.into_iter().find(|(_, _, fits)| !fits) {
+            Some((option, value, _)) => Err(BadPlan::OutOfRange { option, value }),
+            None => Ok(()),
+        }
+    }
+
+    pub fn end(&self) -> Micros {
+        Micros::from(self.seconds) * SECOND
+    }
+
+    /// When the incident begins and ends.
+    pub fn incident_span(&self) -> (Micros, Micros) {
+        (self.end() / 4, self.end() / 2)
+    }
+
+    /// Messages that arrive earlier meet forwarders that have only begun.
+    pub fn judged_from(&self) -> Micros {
+        (10 * SECOND).min(self.end() / 4)
+    }
+
+    /// Messages that arrive later have not had their whole latency target before the end.
+    pub fn judged_until(&self) -> Micros {
+        self.end().saturating_sub(LATENCY_TARGET + SECOND / 2)
+    }
+
+    /// The settings of one forwarder: those of a deployment that delivers to outside receivers.
+    pub fn settings(&self, forwarder: u32) -> TermsOfCarriage {
+        let class = |effect| ProfileTerms {
+            effect,
+            contract_time: LATENCY_TARGET,
+            expiry: DEADLINE,
+            importance: 1.0,
+            late_share: 0.5,
+            in_order: false,
+        };
+        let keyed = Effect::Fingerprinted { group: RepeatGroup::All, window: 15 * SECOND };
+        TermsOfCarriage {
+            forwarder: forwarder as u16,
+            forwarders: self.configured_forwarders.unwrap_or(self.forwarders),
+            slots: CONCURRENCY,
+            room: ROOM,
+            max_trips: MAX_ATTEMPTS,
+            ends: Ends::AtOnce,
+            may_probe: true,
+            may_call_off: true,
+            may_say_when: true,
+            may_tell: true,
+            longest_return: 2 * SECOND,
+            list_rates: ListRates::Nominal,
+            fading: Fading::Halving,
+            over_share_worth: 0.1,
+            profiles: vec![class(keyed), class(Effect::Retriable)],
+            tenants: Vec::new(),
+            kinds: vec![KindTerms { routes_apart: false, per_call: 1 }],
+            zone_fees: vec![0.0; usize::from(ZONES)],
+            ask_within: None,
+            rules: rules(),
+            round: 5_000,
+        }
+    }
+}
+
+/// The figures of the rules, as forwarders are told them and as receivers are judged by them.
+pub fn rules() -> RuleTerms {
+    RuleTerms {
+        answer_slack: 20_000,
+        drain_grace: SECOND,
+        cold_from: 0.25,
+        warm_after: 11 * SECOND,
+        fall_multiple: 2.0,
+        overload_for: 2 * SECOND,
+        order_pause: 300_000,
+    }
+}
--- /dev/null
+++ b/crates/lab/src/capacity/fleet/receivers.rs
@@ -0,0 +1,267 @@
+//! The destinations as the fleet meets them: they answer after a drawn time, take calls up to a rate, are down at times, and
+//! come back cold.
+
+use super::layout::Layout;
+use super::onlooker::{Outage, ReceiverCounts, Return};
+use super::plan::{rules, Plan, SECOND};
+use crate::chance::stream;
+use opalpulley::Micros;
+use rand::Rng;
+use rand_distr::{Distribution, LogNormal};
+use rand_pcg::Pcg64Mcg;
+
+/// Mean of the answer times, µs.
+const ANSWER_TIME: f64 = 60_000.0;
+/// Their spread: standard deviation of the logarithm.
+const ANSWER_SPREAD: f64 = 0.5;
+/// Told with a refusal above the rate.
+const RETRY_AFTER: Micros = 400_000;
+/// Calls over the rate that may come at once, in seconds of the rate.
+const BURST: f64 = 1.0;
+/// Of outages, the part in which connections are refused; in the others nothing is answered.
+const REFUSING_SHARE: f64 = 0.5;
+/// Least part of the rate that a cold destination takes.
+const LEAST_PART: f64 = 0.05;
+
+/// How a destination is down.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Down {
+    Refusing,
+    Silent,
+}
+
+/// What comes back for a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Reply {
+    /// After this time.
+    Served(Micros),
+    Full {
+        retry_after: Micros,
+    },
+    Refused,
+    Nothing,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Temperature {
+    Warm,
+    Cold { since: Micros },
+}
+
+struct Receiver {
+    rate: f64,
+    tokens: f64,
+    filled: Micros,
+    temperature: Temperature,
+    /// Its own outage.
+    down: Option<Down>,
+    /// Its zone is cut off.
+    zone_gone: bool,
+    /// Counts its addresses; calls to an older one are refused.
+    holder: u32,
+    outage: Option<Box<Outage>>,
+    back: Option<Box<Return>>,
+}
+
+pub struct Receivers {
+    all: Vec<Receiver>,
+    pub counts: ReceiverCounts,
+    answer_times: Option<LogNormal<f64>>,
+    rng: Pcg64Mcg,
+}
+
+impl Receivers {
+    pub fn new(plan: &Plan, layout: &Layout) -> Receivers {
+        let receiver = |rate: f64| Receiver {
+            rate,
+            tokens: (rate * BURST).max(1.0),
+            filled: 0,
+            temperature: Temperature::Warm,
+            down: None,
+            zone_gone: false,
+            holder: 0,
+            outage: None,
+            back: None,
+        };
+        let mean = ANSWER_TIME.ln() - ANSWER_SPREAD * ANSWER_SPREAD / 2.0;
+        Receivers {
+            all: layout.destinations.iter().map(|d| receiver(d.rate)).collect(),
+            counts: ReceiverCounts::default(),
+            answer_times: LogNormal::new(mean, ANSWER_SPREAD).ok(),
+            rng: stream(plan.seed, "receivers", 0),
+        }
+    }
+
+    pub fn is_down(&self, destination: u32) -> bool {
+        self.all[destination as usize].condition().is_some()
+    }
+
+    /// The destination's own outage begins.
+    pub fn fail(&mut self, destination: u32) {
+        let how = if self.rng.random_bool(REFUSING_SHARE) { Down::Refusing } else { Down::Silent };
+        self.all[destination as usize].change(0, |r| r.down = Some(how));
+    }
+
+    /// The destination's own outage ends.
+    pub fn recover(&mut self, now: Micros, destination: u32) {
+        let back = self.all[destination as usize].change(now, |r| r.down = None);
+        self.counts.returns += u64::from(back);
+    }
+
+    /// Its zone is cut off, or back.
+    pub fn cut_zone(&mut self, now: Micros, destination: u32, gone: bool) {
+        let back = self.all[destination as usize].change(now, |r| r.zone_gone = gone);
+        self.counts.returns += u64::from(back);
+    }
+
+    /// The destination has another rate from now on.
+    pub fn set_rate(&mut self, destination: u32, rate: f64) {
+        self.all[destination as usize].rate = rate;
+    }
+
+    /// The destination moves to another address; gives its number.
+    pub fn relocate(&mut self, destination: u32) -> u32 {
+        let receiver = &mut self.all[destination as usize];
+        receiver.holder += 1;
+        receiver.holder
+    }
+
+    /// The number of its address, and its rate.
+    pub fn place(&self, destination: u32) -> (u32, f64) {
+        let receiver = &self.all[destination as usize];
+        (receiver.holder, receiver.rate)
+    }
+
+    /// A forwarder has seen a call or probe fail there.
+    pub fn met(&mut self, destination: u32, forwarder: u32, at: Micros) {
+        let outage = self.all[destination as usize].outage.as_mut();
+        outage.into_iter().for_each(|outage| outage.learn(forwarder, at));
+    }
+
+    /// A call arrives that was sent at `sent`.
+    pub fn call(
+        &mut self,
+        now: Micros,
+        destination: u32,
+        holder: u32,
+        forwarder: u32,
+        sent: Micros,
+    ) -> Reply {
+        self.counts.calls += 1;
+        let receiver = &mut self.all[destination as usize];
+        if let Some(down) = receiver.condition() {
+            let (others, own) = receiver.known(forwarder, sent);
+            self.counts.calls_while_down += 1;
+            self.counts.calls_another_knew += u64::from(others);
+            self.counts.calls_only_others_knew += u64::from(others && !own);
+            return down.reply();
+        }
+        if holder != receiver.holder {
+            self.counts.calls_to_old_address += 1;
+            return Reply::Refused;
+        }
+        self.weigh(now, destination);
+        if !self.all[destination as usize].take(now) {
+            self.counts.refused_full += 1;
+            return Reply::Full { retry_after: RETRY_AFTER };
+        }
+        let time = self.answer_times.map_or(ANSWER_TIME, |times| times.sample(&mut self.rng));
+        Reply::Served(time.max(1.0) as Micros)
+    }
+
+    /// A probe arrives.
+    pub fn probe(
+        &mut self,
+        now: Micros,
+        destination: u32,
+        holder: u32,
+        forwarder: u32,
+        sent: Micros,
+    ) -> Reply {
+        self.counts.probes += 1;
+        let receiver = &mut self.all[destination as usize];
+        if let Some(down) = receiver.condition() {
+            let (others, own) = receiver.known(forwarder, sent);
+            self.counts.probes_while_down += 1;
+            self.counts.probes_another_knew += u64::from(others);
+            self.counts.probes_only_others_knew += u64::from(others && !own);
+            return down.reply();
+        }
+        if holder != receiver.holder {
+            return Reply::Refused;
+        }
+        self.weigh(now, destination);
+        Reply::Served(0)
+    }
+
+    /// Counts what reaches a destination that is not warm yet against its budget.
+    fn weigh(&mut self, now: Micros, destination: u32) {
+        let receiver = &mut self.all[destination as usize];
+        let part = receiver.part(now);
+        let rate = receiver.rate;
+        if let Some(back) = receiver.back.as_mut() {
+            let seen = back.take(now, destination, part * rate);
+            self.counts.note_return(back, seen);
+        }
+    }
+}
+
+impl Down {
+    fn reply(self) -> Reply {
+        match self {
+            Down::Refusing => Reply::Refused,
+            Down::Silent => Reply::Nothing,
+        }
+    }
+}
+
+impl Receiver {
+    fn condition(&self) -> Option<Down> {
+        self.down.or(self.zone_gone.then_some(Down::Silent))
+    }
+
+    /// Changes what keeps it down; says whether it has come back by that.
+    fn change(&mut self, now: Micros, change: impl FnOnce(&mut Receiver)) -> bool {
+        let before = self.condition().is_some();
+        change(self);
+        let after = self.condition().is_some();
+        match (before, after) {
+            (false, true) => (self.outage, self.back) = (Some(Box::default()), None),
+            (true, false) => {
+                (self.outage, self.back) = (None, Some(Box::default()));
+                self.temperature = Temperature::Cold { since: now };
+            }
+            _ => {}
+        }
+        before && !after
+    }
+
+    /// Whether others know of its outage, and whether the sender does.
+    fn known(&self, forwarder: u32, at: Micros) -> (bool, bool) {
+        let outage = self.outage.as_ref();
+        outage.map_or((false, false), |o| (o.known_to_another(forwarder, at), o.known_to(forwarder, at)))
+    }
+
+    /// The part of its rate that it takes now; from the end of its warm-up on it is warm.
+    fn part(&mut self, now: Micros) -> f64 {
+        let Temperature::Cold { since } = self.temperature else { return 1.0 };
+        let rules = rules();
+        let warmth = (now - since) as f64 / rules.warm_after as f64;
+        if warmth >= 1.0 {
+            (self.temperature, self.back) = (Temperature::Warm, None);
+            return 1.0;
+        }
+        rules.cold_from + (1.0 - rules.cold_from) * warmth
+    }
+
+    /// Whether its rate allows one more call.
+    fn take(&mut self, now: Micros) -> bool {
+        let rate = self.rate * self.part(now).max(LEAST_PART);
+        let passed = now.saturating_sub(self.filled) as f64 / SECOND as f64;
+        self.tokens = (self.tokens + passed * rate).min((self.rate * BURST).max(1.0));
+        self.filled = now;
+        let room = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(room));
+        room
+    }
+}
--- /dev/null
+++ b/crates/lab/src/capacity/fleet/report.rs
@@ -0,0 +1,232 @@
+//! What a run has shown: counts, which its plan decides alone, and what was measured on this machine. As text, JSON and plot.
+
+use super::discovery::{ConfigChange, Discovery};
+use super::hollow::HollowForwarder;
+use super::layout::{forwarder_zone, region};
+use super::onlooker::ReceiverCounts;
+use super::plan::{Plan, SECOND};
+use super::receivers::Receivers;
+use super::tally::{MessageCounts, Work, WORK_KINDS};
+use super::wire::{ControlTraffic, Wire};
+use opalpulley::Micros;
+use serde::Serialize;
+use std::time::Duration;
+
+/// Everything that the plan decides: two runs of one plan give the same.
+#[derive(Clone, Debug, PartialEq, Serialize)]
+pub struct Counts {
+    pub messages: MessageCounts,
+    /// Messages without an end as the run ended.
+    pub open: u64,
+    pub receivers: ReceiverCounts,
+    /// Sums over the fleet.
+    pub control: ControlTraffic,
+    pub control_bytes_a_second: ControlRates,
+    /// Calls and probes, and datagrams, that a cut kept from arriving.
+    pub attempts_lost: u64,
+    pub gossip_lost: u64,
+    pub changes: Vec<ChangeInForce>,
+}
+
+/// Bytes a second on the wire at one forwarder, after the start.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize)]
+pub struct ControlRates {
+    pub gossip_out: MeanAndWorst,
+    pub gossip_in: MeanAndWorst,
+    pub list_out: MeanAndWorst,
+    pub list_in: MeanAndWorst,
+    pub all: MeanAndWorst,
+}
+
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
+pub struct MeanAndWorst {
+    pub mean: f64,
+    pub worst: f64,
+}
+
+impl MeanAndWorst {
+    fn of(values: impl Iterator<Item = f64>) -> MeanAndWorst {
+        let (mut sum, mut count, mut worst) = (0.0, 0u32, 0.0);
+        for value in values {
+            (sum, count, worst) = (sum + value, count + 1, f64::max(worst, value));
+        }
+        MeanAndWorst { mean: sum / f64::from(count.max(1)), worst }
+    }
+}
+
+/// When a change of configuration was in force, in seconds after it was made.
+#[derive(Clone, Debug, PartialEq, Serialize)]
+pub struct ChangeInForce {
+    pub made_at: f64,
+    pub lines: usize,
+    /// Half of the forwarders had it, of those that had it at the end.
+    pub median: Option<f64>,
+    /// All that had it at the end.
+    pub last: Option<f64>,
+    /// The same in each region.
+    pub last_by_region: [Option<f64>; 2],
+    /// Forwarders that did not have it at the end.
+    pub missing: usize,
+}
+
+impl ChangeInForce {
+    fn of(change: &ConfigChange) -> ChangeInForce {
+        let after = |at: &Micros| (at - change.made) as f64 / SECOND as f64;
+        let mut times: Vec<f64> = change.in_force.iter().flatten().map(after).collect();
+        times.sort_by(f64::total_cmp);
+        let last_in = |wanted: u16| {
+            let there = |(at, forwarder): (&Option<Micros>, u32)| {
+                at.filter(|_| region(forwarder_zone(forwarder)) == wanted)
+            };
+            change.in_force.iter().zip(0..).filter_map(there).max().map(|at| after(&at))
+        };
+        ChangeInForce {
+            made_at: change.made as f64 / SECOND as f64,
+            lines: change.listings.len(),
+            median: times.get(times.len() / 2).copied(),
+            last: times.last().copied(),
+            last_by_region: [last_in(0), last_in(1)],
+            missing: change.in_force.len() - times.len(),
+        }
+    }
+}
+
+/// Counts of a finished run.
+pub fn counts(
+    plan: &Plan,
+    forwarders: &[HollowForwarder],
+    wire: &Wire,
+    receivers: &Receivers,
+    discovery: &Discovery,
+) -> Counts {
+    let mut messages = MessageCounts::default();
+    forwarders.iter().for_each(|f| messages += f.counts);
+    let mut control = ControlTraffic::default();
+    wire.control.iter().for_each(|c| control += *c);
+    let seconds = f64::from(plan.seconds);
+    let rate = |bytes: fn(&ControlTraffic) -> u64| {
+        MeanAndWorst::of(wire.control.iter().map(|c| bytes(c) as f64 / seconds))
+    };
+    Counts {
+        messages,
+        open: forwarders.iter().map(|f| f.open() as u64).sum(),
+        receivers: receivers.counts,
+        control,
+        control_bytes_a_second: ControlRates {
+            gossip_out: rate(|c| c.gossip_out.wire_bytes),
+            gossip_in: rate(|c| c.gossip_in.wire_bytes),
+            list_out: rate(|c| c.list_out.wire_bytes),
+            list_in: rate(|c| c.list_in.wire_bytes),
+            all: rate(ControlTraffic::running_bytes),
+        },
+        attempts_lost: wire.attempts_lost,
+        gossip_lost: wire.gossip_lost,
+        changes: discovery.changes.iter().map(ChangeInForce::of).collect(),
+    }
+}
+
+/// One second of the run, over the whole fleet.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
+pub struct Column {
+    pub arrived: u64,
+    pub delivered: u64,
+    pub gossip_in_bytes: u64,
+    pub list_in_bytes: u64,
+    pub attempts_while_down: u64,
+}
+
+impl Column {
+    /// What has come since the last column; `base` holds the sums up to it.
+    pub fn since(
+        base: &mut Option<Column>,
+        forwarders: &[HollowForwarder],
+        wire: &Wire,
+        receivers: &Receivers,
+    ) -> Column {
+        let sum = |of: fn(&ControlTraffic) -> u64| wire.control.iter().map(of).sum();
+        let now = Column {
+            arrived: forwarders.iter().map(|f| f.counts.arrived).sum(),
+            delivered: forwarders.iter().map(|f| f.counts.delivered).sum(),
+            gossip_in_bytes: sum(|c| c.gossip_in.wire_bytes),
+            list_in_bytes: sum(|c| c.list_in.wire_bytes),
+            attempts_while_down: receivers.counts.calls_while_down + receivers.counts.probes_while_down,
+        };
+        let before = base.replace(now).unwrap_or_default();
+        Column {
+            arrived: now.arrived - before.arrived,
+            delivered: now.delivered - before.delivered,
+            gossip_in_bytes: now.gossip_in_bytes - before.gossip_in_bytes,
+            list_in_bytes: now.list_in_bytes - before.list_in_bytes,
+            attempts_while_down: now.attempts_while_down - before.attempts_while_down,
+        }
+    }
+}
+
+/// The core's work of one kind at one forwarder.
+#[derive(Clone, Copy, Debug, Serialize)]
+pub struct WorkMeasured {
+    pub kind: Work,
+    pub events_a_second: f64,
+    pub microseconds_an_event: f64,
+    /// Part of one core.
+    pub core_share: MeanAndWorst,
+}
+
+/// What this machine spent. It differs from run to run and is never compared.
+#[derive(Clone, Debug, Serialize)]
+pub struct Measured {
+    pub wall_seconds: f64,
+    pub start_seconds: f64,
+    /// Resident memory that the run took, over the forwarders: with the lists in, and at the end.
+    pub resident_a_forwarder_at_start: f64,
+    pub resident_a_forwarder_at_end: f64,
+    pub work: Vec<WorkMeasured>,
+}
+
+impl Measured {
+    pub fn new(
+        plan: &Plan,
+        forwarders: &[HollowForwarder],
+        before: u64,
+        at_start: u64,
+        start: Duration,
+        wall: Duration,
+    ) -> Measured {
+        let seconds = f64::from(plan.seconds);
+        let share = |bytes: u64| bytes.saturating_sub(before) as f64 / forwarders.len() as f64;
+        let of = |kind: Work| {
+            let done = || forwarders.iter().map(|f| f.work[kind as usize]);
+            let events: u64 = done().map(|d| d.events).sum();
+            let time: f64 = done().map(|d| d.time.as_secs_f64()).sum();
+            WorkMeasured {
+                kind,
+                events_a_second: events as f64 / seconds / forwarders.len() as f64,
+                microseconds_an_event: time * 1e6 / events.max(1) as f64,
+                core_share: MeanAndWorst::of(done().map(|d| d.time.as_secs_f64() / seconds)),
+            }
+        };
+        Measured {
+            wall_seconds: wall.as_secs_f64(),
+            start_seconds: start.as_secs_f64(),
+            resident_a_forwarder_at_start: share(at_start),
+            resident_a_forwarder_at_end: share(resident_bytes()),
+            work: WORK_KINDS.into_iter().map(of).collect(),
+        }
+    }
+}
+
+#[derive(Clone, Debug, Serialize)]
+pub struct FleetOutcome {
+    pub plan: Plan,
+    pub counts: Counts,
+    pub columns: Vec<Column>,
+    pub measured: Measured,
+}
+
+/// Resident memory of this process; 0 where the system does not tell.
+pub fn resident_bytes() -> u64 {
+    let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
+    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
+    let kilobytes = line.and_then(|rest| rest.split_whitespace().next()?.parse::<u64>().ok());
+    kilobytes.unwrap_or(0) * 1024
+}
