--- a/src/interface.rs
+++ b/src/interface.rs
@@ -15,7 +15,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct DestinationId(pub u16);
+pub struct DestinationId(pub u32);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProfileId(pub u16);
@@ -347,4 +347,6 @@
     pub rules: RuleTerms,
     /// The shortest time between two rounds.
     pub round: Micros,
+    /// Destinations whose state is held in full before idle ones are held as summaries. None: all, always.
+    pub full_destinations: Option<u32>,
 }
