--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -7,3 +7,4 @@
 pub mod fleet;
 pub mod process;
 pub mod slope;
+pub mod usage;
