--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -19,6 +19,7 @@
 pub mod queue;
 pub mod receivers;
 pub mod report;
+pub mod states;
 pub mod tally;
 pub mod wire;
 
@@ -249,7 +250,9 @@
                     self.forwarders[peer as usize].inbox.push(arrives, gossip);
                 }
             }
-            Outgoing::MetOutage { destination } => self.receivers.met(destination, forwarder, sent),
+            Outgoing::MetFailure { destination, tried } => {
+                self.receivers.met(destination, forwarder, tried, sent)
+            }
             Outgoing::ListInForce { revision } => self.discovery.in_force(sent, forwarder, revision),
         }
     }
--- a/crates/lab/src/capacity/fleet/hollow.rs
+++ b/crates/lab/src/capacity/fleet/hollow.rs
@@ -11,7 +11,7 @@
 use crate::chance::{exponential, stream};
 use opalpulley::{
     Action, Arrival, Event, Forwarder, ListNews, Listing, Micros, Outcome, PacketId, Past, ProfileId,
-    TargetId, TenantId,
+    StateCounts, TargetId, TenantId,
 };
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -104,14 +104,14 @@
             }
             Incoming::Message { .. } => {}
             Incoming::Alarm(token) => self.give(now, Work::Tick, Event::Alarm { token }),
-            Incoming::Answer { id, attempt, outcome } => self.answered(now, id, attempt, outcome, receivers),
+            Incoming::Answer { id, attempt, outcome } => self.answered(now, id, attempt, outcome),
             Incoming::ProbeAnswer { target, sent, outcome } => {
                 if self.probes.get(&target) != Some(&sent) {
                     return; // answered, or given up, already
                 }
                 self.probes.remove(&target);
                 if outcome != Outcome::Delivered {
-                    self.met(now, destination_of(target), receivers);
+                    self.met(now, target, sent);
                 }
                 let took = now - sent;
                 let event = Event::ProbeAnswered { target, outcome, took, report: Vec::new() };
@@ -154,7 +154,7 @@
         self.give(now, Work::Message, Event::Packet(arrival));
     }
 
-    fn answered(&mut self, now: Micros, id: PacketId, attempt: u8, outcome: Outcome, receivers: &Receivers) {
+    fn answered(&mut self, now: Micros, id: PacketId, attempt: u8, outcome: Outcome) {
         let Some(message) = self.open.get_mut(&id).filter(|m| m.attempts == attempt + 1) else { return };
         let Some((target, sent)) = message.out.take() else { return };
         let (in_time, to_down) = (now <= message.arrived + LATENCY_TARGET, message.to_down);
@@ -172,18 +172,16 @@
             _ => {}
         }
         if matches!(outcome, Outcome::Timeout | Outcome::NoConnection | Outcome::CalledOff) {
-            self.met(now, destination_of(target), receivers);
+            self.met(now, target, sent);
         }
         let (took, closed) = (now - sent, outcome == Outcome::Delivered);
         let event = Event::TripEnded { id, trip: attempt, target, outcome, took, closed, report: Vec::new() };
         self.give(now, Work::Message, event);
     }
 
-    /// A call or probe has failed: where the destination is down, the forwarder has met that outage.
-    fn met(&mut self, now: Micros, destination: u32, receivers: &Receivers) {
-        if receivers.is_down(destination) {
-            self.outbox.push((now, Outgoing::MetOutage { destination }));
-        }
+    /// A call or probe has failed: where that was by an outage of the destination, the forwarder has met it.
+    fn met(&mut self, now: Micros, target: TargetId, tried: Micros) {
+        self.outbox.push((now, Outgoing::MetFailure { destination: destination_of(target), tried }));
     }
 
     /// Has the core handle one event, books the time, and carries out its actions.
@@ -237,6 +235,11 @@
         }
     }
 
+    /// How much the core holds in full and as summaries.
+    pub fn state_counts(&self) -> StateCounts {
+        self.core.state_counts()
+    }
+
     /// Messages that have no end yet.
     pub fn open(&self) -> usize {
         self.open.len()
--- a/crates/lab/src/capacity/fleet/messages.rs
+++ b/crates/lab/src/capacity/fleet/messages.rs
@@ -45,9 +45,10 @@
         to: Option<u16>,
         note: Arc<[u8]>,
     },
-    /// For the onlooker: it has seen a call or probe fail at a destination that is down.
-    MetOutage {
+    /// For the onlooker: it has seen a call or probe fail that was sent at `tried`.
+    MetFailure {
         destination: u32,
+        tried: Micros,
     },
     /// For the onlooker: what a list answer told is in force.
     ListInForce {
--- a/crates/lab/src/capacity/fleet/onlooker.rs
+++ b/crates/lab/src/capacity/fleet/onlooker.rs
@@ -38,26 +38,56 @@
     }
 }
 
+/// Part of the calls to a returning destination from which on the forwarders that had met the outage are to blame.
+const BLAME: (usize, usize) = (2, 3);
+
 /// What came to a destination since it came back, while it is cold.
-#[derive(Default)]
 pub struct Return {
-    /// Calls and probes within the last overload window.
-    recent: VecDeque<Micros>,
+    since: Micros,
+    /// Forwarders that met the outage, with the time at which each learned of it; one entry a forwarder at most.
+    met_by: BTreeMap<u32, Micros>,
+    /// Calls and probes within the last overload window: when, and whether the sender had met the outage by then.
+    recent: VecDeque<(Micros, bool)>,
     over_budget: bool,
     over_allowed: bool,
 }
 
+/// A call or probe as the onlooker sees it arrive.
+#[derive(Clone, Copy)]
+pub struct Arrived {
+    pub now: Micros,
+    pub destination: u32,
+    pub forwarder: u32,
+    pub sent: Micros,
+}
+
 impl Return {
+    /// The destination of this outage is back.
+    pub fn after(outage: Outage, since: Micros) -> Return {
+        let Outage { met_by, .. } = outage;
+        Return { since, met_by, recent: VecDeque::new(), over_budget: false, over_allowed: false }
+    }
+
+    /// A call or probe that was sent at `tried` has failed: it met the outage if that was before the return.
+    pub fn learn(&mut self, forwarder: u32, tried: Micros, at: Micros) {
+        if tried < self.since {
+            self.met_by.entry(forwarder).or_insert(at);
+        }
+    }
+
     /// Takes one call or probe in; `capacity` is what the destination takes at this moment, calls a second.
-    pub fn take(&mut self, now: Micros, destination: u32, capacity: f64) -> Overshoot {
+    pub fn take(&mut self, arrived: Arrived, capacity: f64) -> Overshoot {
+        let Arrived { now, destination, forwarder, sent } = arrived;
         let rules = rules();
-        self.recent.push_back(now);
-        while self.recent.front().is_some_and(|at| at + rules.overload_for < now) {
+        let witness = self.met_by.get(&forwarder).is_some_and(|since| *since <= sent);
+        self.recent.push_back((now, witness));
+        while self.recent.front().is_some_and(|(at, _)| at + rules.overload_for < now) {
             self.recent.pop_front();
         }
         let budget = rules.fall_multiple * capacity * rules.overload_for as f64 / SECOND as f64;
         let allowed = budget + 2.0 * budget.sqrt() + 2.0;
-        Overshoot { destination, calls: self.recent.len(), budget, allowed }
+        let from_witnesses = self.recent.iter().filter(|(_, witness)| *witness).count();
+        Overshoot { destination, calls: self.recent.len(), from_witnesses, budget, allowed }
     }
 }
 
@@ -67,7 +97,9 @@
         let over_budget = seen.calls as f64 > seen.budget;
         let over_allowed = seen.excess() > 0.0;
         self.returns_over_budget += u64::from(over_budget && !back.over_budget);
-        self.returns_over_allowed += u64::from(over_allowed && !back.over_allowed);
+        let falls = over_allowed && !back.over_allowed;
+        self.returns_over_allowed += u64::from(falls);
+        self.returns_pushed_over += u64::from(falls && seen.is_from_witnesses());
         back.over_budget |= over_budget;
         back.over_allowed |= over_allowed;
         if self.worst.is_none_or(|worst| worst.excess() < seen.excess()) {
@@ -98,6 +130,8 @@
     pub returns_over_budget: u64,
     /// Where they passed N + 2 x root of N + 2.
     pub returns_over_allowed: u64,
+    /// Of these, where two thirds of that came from forwarders that had met the outage as they sent it: the rule is broken.
+    pub returns_pushed_over: u64,
     /// The largest excess over N + 2 x root of N + 2; negative where none passed it.
     pub worst: Option<Overshoot>,
 }
@@ -107,6 +141,8 @@
 pub struct Overshoot {
     pub destination: u32,
     pub calls: usize,
+    /// Of these, from forwarders that had met the outage as they sent them.
+    pub from_witnesses: usize,
     pub budget: f64,
     pub allowed: f64,
 }
@@ -115,4 +151,8 @@
     fn excess(&self) -> f64 {
         self.calls as f64 - self.allowed
     }
+
+    fn is_from_witnesses(&self) -> bool {
+        self.from_witnesses * BLAME.1 >= self.calls * BLAME.0
+    }
 }
--- a/crates/lab/src/capacity/fleet/options.rs
+++ b/crates/lab/src/capacity/fleet/options.rs
@@ -1,6 +1,6 @@
 //! The command line of `capacity fleet`, and how one run is shown.
 
-use super::plan::{Incident, Plan, SECOND};
+use super::plan::{FullDestinations, Incident, Plan, SECOND};
 use super::report::{FleetOutcome, MeanAndWorst};
 use crate::capacity::command::Outputs;
 use crate::capacity::slope::{Row, Table};
@@ -16,7 +16,7 @@
 pub struct Options {
     #[arg(long, default_value_t = 400)]
     pub forwarders: u32,
-    /// Each with one target; 2,875 bytes a destination and forwarder are needed
+    /// Each with one target
     #[arg(long, default_value_t = 8_000)]
     pub destinations: u32,
     /// Simulated time, s
@@ -45,6 +45,9 @@
     pub event: Incident,
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
+    /// Destinations that a forwarder holds in full before it holds idle ones as summaries; `all` for no such bound
+    #[arg(long, value_name = "all|N", default_value_t = FullDestinations::Beyond(1_024))]
+    pub full_destinations: FullDestinations,
     /// Forwarders that the settings name, to see the measurement fail
     #[arg(long)]
     pub configured_forwarders: Option<u32>,
@@ -70,6 +73,7 @@
             changes_a_day: self.changes_a_day,
             incident: self.event,
             seed: self.seed,
+            full_destinations: self.full_destinations,
             configured_forwarders: self.configured_forwarders,
         }
     }
@@ -79,6 +83,7 @@
 pub fn run(options: &Options) -> Result<(), String> {
     let outcome = super::run(&options.plan(), options.threads).map_err(|e| e.to_string())?;
     println!("{}", table(&outcome));
+    println!("  held in full before idle ones are summarised: {}", outcome.plan.full_destinations);
     show_changes(&outcome);
     let write = |path: &Path, text: String| {
         std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
@@ -115,6 +120,12 @@
     both("gossip out", "bytes a second", rates.gossip_out);
     both("list in", "bytes a second", rates.list_in);
     both("list out", "bytes a second", rates.list_out);
+    let states = &counts.states;
+    both("destinations held in full", "at the end", states.full);
+    both("most held in full at once", "", states.most_full);
+    both("idle targets held as summaries", "at the end", states.summaries);
+    both("  of these with a bound in force", "", states.bounds);
+    both("destinations restored", "each", states.restored);
     for work in &measured.work {
         let kind = format!("{:?}", work.kind).to_lowercase();
         let what = format!("processor, {kind} events");
@@ -153,7 +164,9 @@
     say("destinations that came back", "", receivers.returns as f64);
     say("  over their budget N", "", receivers.returns_over_budget as f64);
     say("  over N + 2 sqrt(N) + 2", "", receivers.returns_over_allowed as f64);
+    say("    and two thirds from ones that had met the outage", "", receivers.returns_pushed_over as f64);
     say("  the worst of them: calls", "", worst.map_or(0.0, |w| w.calls as f64));
+    say("  of these from ones that had met the outage", "", worst.map_or(0.0, |w| w.from_witnesses as f64));
     say("  its budget N", "", worst.map_or(0.0, |w| w.budget));
     say("  its N + 2 sqrt(N) + 2", "", worst.map_or(0.0, |w| w.allowed));
     say("attempts lost in a cut", "", counts.attempts_lost as f64);
--- a/crates/lab/src/capacity/fleet/plan.rs
+++ b/crates/lab/src/capacity/fleet/plan.rs
@@ -36,6 +36,44 @@
     Change,
 }
 
+/// How many destinations a forwarder holds in full before it holds idle ones as summaries.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum FullDestinations {
+    All,
+    Beyond(u32),
+}
+
+impl FullDestinations {
+    /// As the settings of a forwarder have it.
+    pub fn setting(self) -> Option<u32> {
+        match self {
+            FullDestinations::All => None,
+            FullDestinations::Beyond(full) => Some(full),
+        }
+    }
+}
+
+impl std::fmt::Display for FullDestinations {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            FullDestinations::All => f.write_str("all"),
+            FullDestinations::Beyond(full) => full.fmt(f),
+        }
+    }
+}
+
+impl std::str::FromStr for FullDestinations {
+    type Err = std::num::ParseIntError;
+
+    fn from_str(text: &str) -> Result<FullDestinations, Self::Err> {
+        match text {
+            "all" => Ok(FullDestinations::All),
+            number => number.parse().map(FullDestinations::Beyond),
+        }
+    }
+}
+
 /// What a run is asked to do. The same plan gives the same counts.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Plan {
@@ -57,6 +95,7 @@
     pub changes_a_day: f64,
     pub incident: Incident,
     pub seed: u64,
+    pub full_destinations: FullDestinations,
     /// The number of forwarders that the settings name, where it is to be wrong: a check of the measurement.
     pub configured_forwarders: Option<u32>,
 }
@@ -169,6 +208,7 @@
             ask_within: None,
             rules: rules(),
             round: 5_000,
+            full_destinations: self.full_destinations.setting(),
         }
     }
 }
--- a/crates/lab/src/capacity/fleet/receivers.rs
+++ b/crates/lab/src/capacity/fleet/receivers.rs
@@ -2,7 +2,7 @@
 //! come back cold.
 
 use super::layout::Layout;
-use super::onlooker::{Outage, ReceiverCounts, Return};
+use super::onlooker::{Arrived, Outage, ReceiverCounts, Return};
 use super::plan::{rules, Plan, SECOND};
 use crate::chance::stream;
 use opalpulley::Micros;
@@ -132,10 +132,11 @@
         (receiver.holder, receiver.rate)
     }
 
-    /// A forwarder has seen a call or probe fail there.
-    pub fn met(&mut self, destination: u32, forwarder: u32, at: Micros) {
-        let outage = self.all[destination as usize].outage.as_mut();
-        outage.into_iter().for_each(|outage| outage.learn(forwarder, at));
+    /// A forwarder has seen a call or probe fail there that was sent at `tried`.
+    pub fn met(&mut self, destination: u32, forwarder: u32, tried: Micros, at: Micros) {
+        let Receiver { outage, back, .. } = &mut self.all[destination as usize];
+        outage.iter_mut().for_each(|outage| outage.learn(forwarder, at));
+        back.iter_mut().for_each(|back| back.learn(forwarder, tried, at));
     }
 
     /// A call arrives that was sent at `sent`.
@@ -160,7 +161,7 @@
             self.counts.calls_to_old_address += 1;
             return Reply::Refused;
         }
-        self.weigh(now, destination);
+        self.weigh(Arrived { now, destination, forwarder, sent });
         if !self.all[destination as usize].take(now) {
             self.counts.refused_full += 1;
             return Reply::Full { retry_after: RETRY_AFTER };
@@ -190,17 +191,17 @@
         if holder != receiver.holder {
             return Reply::Refused;
         }
-        self.weigh(now, destination);
+        self.weigh(Arrived { now, destination, forwarder, sent });
         Reply::Served(0)
     }
 
     /// Counts what reaches a destination that is not warm yet against its budget.
-    fn weigh(&mut self, now: Micros, destination: u32) {
-        let receiver = &mut self.all[destination as usize];
-        let part = receiver.part(now);
+    fn weigh(&mut self, arrived: Arrived) {
+        let receiver = &mut self.all[arrived.destination as usize];
+        let part = receiver.part(arrived.now);
         let rate = receiver.rate;
         if let Some(back) = receiver.back.as_mut() {
-            let seen = back.take(now, destination, part * rate);
+            let seen = back.take(arrived, part * rate);
             self.counts.note_return(back, seen);
         }
     }
@@ -228,7 +229,8 @@
         match (before, after) {
             (false, true) => (self.outage, self.back) = (Some(Box::default()), None),
             (true, false) => {
-                (self.outage, self.back) = (None, Some(Box::default()));
+                let outage = self.outage.take().map(|outage| *outage).unwrap_or_default();
+                self.back = Some(Box::new(Return::after(outage, now)));
                 self.temperature = Temperature::Cold { since: now };
             }
             _ => {}
--- a/crates/lab/src/capacity/fleet/report.rs
+++ b/crates/lab/src/capacity/fleet/report.rs
@@ -6,6 +6,7 @@
 use super::onlooker::ReceiverCounts;
 use super::plan::{Plan, SECOND};
 use super::receivers::Receivers;
+use super::states::States;
 use super::tally::{MessageCounts, Work, WORK_KINDS};
 use super::wire::{ControlTraffic, Wire};
 use opalpulley::Micros;
@@ -26,6 +27,7 @@
     pub attempts_lost: u64,
     pub gossip_lost: u64,
     pub changes: Vec<ChangeInForce>,
+    pub states: States,
 }
 
 /// Bytes a second on the wire at one forwarder, after the start.
@@ -45,7 +47,7 @@
 }
 
 impl MeanAndWorst {
-    fn of(values: impl Iterator<Item = f64>) -> MeanAndWorst {
+    pub fn of(values: impl Iterator<Item = f64>) -> MeanAndWorst {
         let (mut sum, mut count, mut worst) = (0.0, 0u32, 0.0);
         for value in values {
             (sum, count, worst) = (sum + value, count + 1, f64::max(worst, value));
@@ -122,6 +124,7 @@
         attempts_lost: wire.attempts_lost,
         gossip_lost: wire.gossip_lost,
         changes: discovery.changes.iter().map(ChangeInForce::of).collect(),
+        states: States::of(forwarders),
     }
 }
 
--- a/crates/lab/src/capacity/fleet/tests.rs
+++ b/crates/lab/src/capacity/fleet/tests.rs
@@ -1,4 +1,4 @@
-use super::plan::{BadPlan, Incident, Plan};
+use super::plan::{BadPlan, FullDestinations, Incident, Plan};
 use super::report::{Counts, FleetOutcome};
 use super::run;
 use super::wire::Cut;
@@ -20,6 +20,7 @@
         changes_a_day: 8_640.0,
         incident: Incident::None,
         seed,
+        full_destinations: FullDestinations::Beyond(1_024),
         configured_forwarders: None,
     }
 }
@@ -47,6 +48,7 @@
     assert!(receivers.calls_only_others_knew <= receivers.calls_another_knew);
     assert!(receivers.calls_another_knew <= receivers.calls_while_down);
     assert!(receivers.returns_over_allowed <= receivers.returns_over_budget);
+    assert!(receivers.returns_pushed_over <= receivers.returns_over_allowed);
 }
 
 #[test]
@@ -85,10 +87,41 @@
     assert_eq!(right.receivers.returns_over_allowed, 0, "{:?}", right.receivers);
     let wrong = played(&Plan { configured_forwarders: Some(1), ..busy });
     assert!(wrong.receivers.returns_over_allowed > 0, "{:?}", wrong.receivers);
+    assert!(wrong.receivers.returns_pushed_over > 0, "by ones that knew: {:?}", wrong.receivers);
     let worst = wrong.receivers.worst.expect("destinations came back");
     assert!(worst.calls as f64 > worst.allowed);
 }
 
+#[test]
+fn idle_destinations_held_as_summaries_change_nothing_that_a_destination_could_complain_of() {
+    let busy = Plan { events_a_second: 600.0, ..small(8) };
+    let held = |full_destinations| {
+        let plan = Plan { full_destinations, ..busy.clone() };
+        let counts = played(&plan);
+        assert_accounts_balance(&plan, &counts);
+        counts
+    };
+    let (all, none) = (held(FullDestinations::All), held(FullDestinations::Beyond(0)));
+    assert_eq!(all.messages.arrived, none.messages.arrived);
+    for counts in [&all, &none] {
+        assert!(counts.receivers.returns > 0, "some have come back");
+        assert_eq!(counts.receivers.returns_over_allowed, 0, "{:?}", counts.receivers);
+    }
+    assert_eq!((all.states.summaries.worst, all.states.restored.worst), (0.0, 0.0));
+    assert_eq!(all.states.full.mean, f64::from(busy.destinations));
+    assert!(none.states.summaries.mean > 0.0 && none.states.restored.mean > 0.0, "{:?}", none.states);
+    assert!(none.states.full.worst < f64::from(busy.destinations), "{:?}", none.states);
+}
+
+#[test]
+fn full_destinations_are_named_by_number_or_all() {
+    for (text, setting) in [("all", None), ("0", Some(0)), ("1024", Some(1_024))] {
+        let parsed: FullDestinations = text.parse().expect(text);
+        assert_eq!((parsed.setting(), parsed.to_string()), (setting, text.to_owned()));
+    }
+    assert!("most".parse::<FullDestinations>().is_err());
+}
+
 #[test]
 fn a_change_is_in_force_everywhere_within_its_spread_and_the_way() {
     let plan = Plan { incident: Incident::Change, changes_a_day: 0.0, ..small(5) };
