--- a/crates/lab/src/capacity/fleet/hollow.rs
+++ b/crates/lab/src/capacity/fleet/hollow.rs
@@ -4,14 +4,14 @@
 
 use super::layout::{destination_of, forwarder_zone, Layout};
 use super::messages::{Incoming, Outgoing};
-use super::plan::{destination_id, Plan, LATENCY_TARGET, SECOND};
+use super::plan::{Plan, LATENCY_TARGET, SECOND};
 use super::queue::TimedQueue;
 use super::receivers::Receivers;
 use super::tally::{MessageCounts, Work, WorkDone, WORK_KINDS};
 use crate::chance::{exponential, stream};
 use opalpulley::{
-    Action, Arrival, Event, Forwarder, ListNews, Listing, Micros, Outcome, PacketId, Past, ProfileId,
-    StateCounts, TargetId, TenantId,
+    Action, Arrival, DestinationId, Event, Forwarder, ListNews, Listing, Micros, Outcome, PacketId, Past,
+    ProfileId, StateCounts, TargetId, TenantId,
 };
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -131,7 +131,6 @@
 
     fn arrive(&mut self, now: Micros, layout: &Layout, receivers: &Receivers) {
         let number = layout.draw(&mut self.rng);
-        let Some(destination) = destination_id(number) else { return };
         let id = PacketId(self.counts.arrived as u32);
         let (judged, to_down) = (self.judged.contains(&now), receivers.is_down(number));
         self.counts.arrived += 1;
@@ -145,7 +144,7 @@
             key: None,
             left: DEADLINE,
             hint: None,
-            destination,
+            destination: DestinationId(number),
             again: false,
             write: false,
             orphan: false,
--- a/crates/lab/src/capacity/fleet/layout.rs
+++ b/crates/lab/src/capacity/fleet/layout.rs
@@ -1,8 +1,8 @@
 //! Who stands where: the destinations with their rates, zones and part of the traffic, drawn once from the seed.
 
-use super::plan::{destination_id, Plan, ZONES, ZONES_A_REGION};
+use super::plan::{Plan, ZONES, ZONES_A_REGION};
 use crate::chance::stream;
-use opalpulley::{KindId, Listing, Standing, TargetId, ZoneId};
+use opalpulley::{DestinationId, KindId, Listing, Standing, TargetId, ZoneId};
 use rand::seq::SliceRandom;
 use rand::Rng;
 use rand_distr::{Distribution, Zipf};
@@ -70,7 +70,7 @@
             since: 0,
             standing,
             rate: rate as f32,
-            destination: destination_id(destination).unwrap_or_default(),
+            destination: DestinationId(destination),
             kind: KindId(0),
         }
     }
--- a/crates/lab/src/capacity/fleet/plan.rs
+++ b/crates/lab/src/capacity/fleet/plan.rs
@@ -1,8 +1,7 @@
 //! What a fleet run is asked to do, and the fixed figures that all runs share.
 
 use opalpulley::{
-    DestinationId, Effect, Ends, Fading, KindTerms, ListRates, Micros, ProfileTerms, RepeatGroup, RuleTerms,
-    TermsOfCarriage,
+    Effect, Ends, Fading, KindTerms, ListRates, Micros, ProfileTerms, RepeatGroup, RuleTerms, TermsOfCarriage,
 };
 use serde::Serialize;
 
@@ -20,7 +19,7 @@
 const ROOM: u32 = 4_000;
 const MAX_ATTEMPTS: u32 = 6;
 /// Three bytes of an address name the destination.
-const MOST_ADDRESSES: u32 = 0xff_ffff;
+const MOST_DESTINATIONS: u32 = 1 << 24;
 
 /// Something that happens to the whole fleet a quarter into the run and, where it lasts, ends at half of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, clap::ValueEnum)]
@@ -103,7 +102,7 @@
 /// Why a plan can't be run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BadPlan {
-    /// More destinations than ids.
+    /// None, or more than addresses.
     Destinations { asked: u32 },
     /// More forwarders than numbers, or fewer than two.
     Forwarders { asked: u32 },
@@ -115,7 +114,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             BadPlan::Destinations { asked } => {
-                write!(f, "--destinations {asked}: 1 is the fewest, and an id must fit its type")
+                write!(f, "--destinations {asked}: 1 to {MOST_DESTINATIONS} can run")
             }
             BadPlan::Forwarders { asked } => write!(f, "--forwarders {asked}: 2 to {} can run", u16::MAX),
             BadPlan::OutOfRange { option, value } => write!(f, "{option} {value} is out of range"),
@@ -125,15 +124,9 @@
 
 impl std::error::Error for BadPlan {}
 
-/// The id of the destination with this index, where it fits.
-pub fn destination_id(index: u32) -> Option<DestinationId> {
-    index.try_into().ok().map(DestinationId)
-}
-
 impl Plan {
     pub fn check(&self) -> Result<(), BadPlan> {
-        let fits = |last: u32| last <= MOST_ADDRESSES && destination_id(last).is_some();
-        if self.destinations == 0 || !fits(self.destinations - 1) {
+        if !(1..=MOST_DESTINATIONS).contains(&self.destinations) {
             return Err(BadPlan::Destinations { asked: self.destinations });
         }
         if !(2..=u32::from(u16::MAX)).contains(&self.forwarders) {
--- a/crates/lab/src/capacity/fleet/tests.rs
+++ b/crates/lab/src/capacity/fleet/tests.rs
@@ -172,6 +172,8 @@
 fn plans_that_cannot_be_run_are_refused_with_the_option_to_mend() {
     let says = |plan: Plan| run(&plan, 1).map(|_| ()).expect_err("refused");
     assert_eq!(says(Plan { destinations: 0, ..small(1) }), BadPlan::Destinations { asked: 0 });
+    let beyond = (1 << 24) + 1;
+    assert_eq!(says(Plan { destinations: beyond, ..small(1) }), BadPlan::Destinations { asked: beyond });
     assert_eq!(says(Plan { forwarders: 1, ..small(1) }), BadPlan::Forwarders { asked: 1 });
     let bad = says(Plan { down_share: 1.0, ..small(1) });
     assert_eq!(bad, BadPlan::OutOfRange { option: "--down-share", value: 1.0 });
