--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -5,6 +5,7 @@
 pub mod backlog;
 pub mod command;
 pub mod core;
+pub mod fleet;
 pub mod process;
 pub mod slope;
 pub mod usage;
--- a/crates/lab/src/capacity/command.rs
+++ b/crates/lab/src/capacity/command.rs
@@ -1,6 +1,6 @@
 //! The command line of `opalpulley-lab capacity`: one variant for each thing that is measured.
 
-use super::{backlog, core, process};
+use super::{backlog, core, fleet, process};
 use clap::{Args, Subcommand};
 use std::path::PathBuf;
 
@@ -18,6 +18,8 @@
     /// One size of `backlog` in the core, as JSON: run by `backlog` itself, each in a fresh process
     #[command(hide = true)]
     BacklogPoint(backlog::core_point::Setup),
+    /// A fleet of hollow forwarders in one process, on a simulated clock
+    Fleet(fleet::options::Options),
 }
 
 /// Where the figures go beside the terminal.
@@ -39,6 +41,7 @@
         Command::Process(options) => process::run(&options),
         Command::Backlog(options) => backlog::run(&options),
         Command::BacklogPoint(setup) => print_json(&backlog::core_point::measure(&setup)?),
+        Command::Fleet(options) => fleet::options::run(&options),
     }
 }
 
