--- a/crates/forwarder/src/list.rs
+++ b/crates/forwarder/src/list.rs
@@ -2,13 +2,13 @@
 
 use crate::notes::{ListNote, Note};
 use crate::platform::{AskFault, Platform};
-use crate::protocol::{list_path, ListText, Member, Phase};
+use crate::protocol::{list_path, ListText};
+pub use held::Held;
 use hyper::{Method, StatusCode};
-use opalpulley::{Event, ListNews, Listing, Standing};
+use opalpulley::{Event, ListNews};
 use opalpulley_terms::Names;
 use slog::{info, warn, Logger};
-use std::collections::BTreeMap;
-use std::net::{SocketAddr, SocketAddrV4};
+use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
@@ -16,85 +16,6 @@
 const PATIENCE: Duration = Duration::from_secs(2); // for an answer, beyond what was asked for: the agent is next door
 const AGAIN: Duration = Duration::from_millis(150); // between tries: under the time after which a watch begins anew
 
-/// A member under the number by which the core knows it.
-type Numbered = (u32, Member);
-
-/// The list as last held: members by id. Each leaves as it goes.
-#[derive(Default)]
-pub struct Held {
-    revision: Option<u64>,
-    members: BTreeMap<String, Numbered>,
-    holders: BTreeMap<SocketAddrV4, String>, // who has an address; each leaves with its member
-    /// The number of the next member that is new. It comes round after four thousand million of them.
-    next: u32,
-}
-
-impl Held {
-    /// Takes news in and gives them in the core's terms; nothing where they are of before. The work follows what is
-    /// told, not what is held.
-    pub fn take(&mut self, text: ListText, names: &Names) -> Option<ListNews> {
-        if !text.complete && self.revision.is_some_and(|r| text.revision < r) {
-            return None;
-        }
-        self.revision = Some(text.revision);
-        // Those that are told of, as they stood before.
-        let mut before: BTreeMap<String, Option<Numbered>> = BTreeMap::new();
-        if text.complete {
-            self.holders.clear();
-            before = std::mem::take(&mut self.members).into_iter().map(|(id, old)| (id, Some(old))).collect();
-        }
-        for member in text.members {
-            let old =
-                before.entry(member.id.clone()).or_insert_with(|| self.members.get(&member.id).cloned());
-            // Guards an address that another holds by now against what is told late of the one before.
-            let takes = member.phase == Phase::Ready || old.is_some();
-            let other = self.holders.get(&member.host_port).filter(|id| **id != member.id).cloned();
-            if member.phase == Phase::Gone {
-                self.remove(&member.id);
-            } else if other.is_none() || takes && member.phase == Phase::Ready {
-                // Guards a new member against what was learned of another that had its address, or of itself elsewhere.
-                let place = |m: &Member| (m.host_port, m.cell);
-                let same =
-                    old.as_ref().filter(|(_, old)| place(old) == place(&member)).map(|(number, _)| *number);
-                if let Some(other) = other {
-                    let removed = self.remove(&other);
-                    before.entry(other).or_insert(removed);
-                }
-                let number = same.unwrap_or_else(|| self.new_number());
-                self.remove(&member.id);
-                self.holders.insert(member.host_port, member.id.clone());
-                self.members.insert(member.id.clone(), (number, member));
-            }
-        }
-        let listing = |(number, member): &Numbered| member.listing(*number, names);
-        if text.complete {
-            return Some(ListNews::Whole(self.members.values().map(listing).collect()));
-        }
-        let now = |id: &String| self.members.get(id);
-        let was = before.iter().filter_map(|(id, old)| Some((id, old.as_ref()?)));
-        let gone = was.filter(|(id, (number, _))| now(id).is_none_or(|(n, _)| n != number));
-        let gone = gone.map(|(_, old)| Listing { standing: Standing::Gone, ..listing(old) });
-        let told = before.iter().filter_map(|(id, old)| now(id).filter(|now| old.as_ref() != Some(now)));
-        let entries: Vec<Listing> = gone.chain(told.map(listing)).collect();
-        (!entries.is_empty()).then_some(ListNews::Changes(entries))
-    }
-
-    fn remove(&mut self, id: &str) -> Option<Numbered> {
-        let removed = self.members.remove(id);
-        if let Some((_, member)) =
-            removed.as_ref().filter(|(_, m)| self.holders.get(&m.host_port).is_some_and(|h| h == id))
-        {
-            self.holders.remove(&member.host_port);
-        }
-        removed
-    }
-
-    fn new_number(&mut self) -> u32 {
-        self.next = self.next.wrapping_add(1);
-        self.next
-    }
-}
-
 pub struct List {
     pub platform: Platform,
     /// Where the platform is asked, from each change on.
@@ -209,5 +130,7 @@
     serde_json::from_slice(body).map_err(AskFault::NotUnderstood)
 }
 
+mod held;
+
 #[cfg(test)]
 mod tests;
--- a/crates/forwarder/src/list/tests.rs
+++ b/crates/forwarder/src/list/tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use crate::protocol::{Member, Phase};
+use opalpulley::{Listing, Standing};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::time::Instant;
@@ -15,7 +17,7 @@
 
 fn text(revision: u64, complete: bool, members: &[(&str, u16, Phase)]) -> ListText {
     let member = |(id, port, phase): &(&str, u16, Phase)| Member {
-        id: id.to_string(),
+        id: (*id).into(),
         host_port: format!("10.0.0.1:{port}").parse().expect("an address"),
         locality: "a".into(),
         flavor: "m".into(),
@@ -80,7 +82,7 @@
     assert_eq!(numbers(held.take(other, &names())), [(3, Standing::Gone), (5, Standing::Ready)]);
     // Nothing is kept of those that have gone.
     held.take(text(8, false, &[("z", 2, Phase::Gone)]), &names());
-    assert!(held.members.is_empty());
+    assert!(held.is_empty());
 }
 
 /// Where the list must be asked for and one is known, nothing is asked before the core wants it, and then only once.
--- a/crates/forwarder/src/protocol.rs
+++ b/crates/forwarder/src/protocol.rs
@@ -1,6 +1,7 @@
 //! The platform's messages: each is decoded once to a small typed value and encoded once. Wire names stay here.
 
 use bytes::Bytes;
+use compact_str::CompactString;
 use http_body_util::Full;
 use hyper::header::TRANSFER_ENCODING;
 use hyper::http::request::Parts;
@@ -244,14 +245,15 @@
     pub members: Vec<Member>,
 }
 
+/// A line of the list. Short texts lie in the line itself: a list of a hundred thousand takes no allocation for each.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Member {
-    pub id: String,
+    pub id: CompactString,
     pub host_port: SocketAddrV4,
     #[serde(default)]
-    pub locality: String,
+    pub locality: CompactString,
     #[serde(default)]
-    pub flavor: String,
+    pub flavor: CompactString,
     pub cell: u32,
     pub phase: Phase,
     #[serde(default)]
