--- a/crates/forwarder/src/list/tests.rs
+++ b/crates/forwarder/src/list/tests.rs
@@ -187,3 +187,92 @@
     let counts = Duration::from_millis(wait) + Duration::from_secs(2);
     assert!(anew - opened < counts + Duration::from_millis(50), "{half}: {:?}", anew - opened);
 }
+
+/// Counts what is logged.
+struct Lines(std::sync::Arc<std::sync::atomic::AtomicUsize>);
+
+impl slog::Drain for Lines {
+    type Ok = ();
+    type Err = slog::Never;
+
+    fn log(&self, _: &slog::Record, _: &slog::OwnedKVList) -> Result<(), slog::Never> {
+        self.0.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        Ok(())
+    }
+}
+
+/// An agent that gives one answer a request, each to its last byte or to that many, then closes; then none.
+async fn agent(answers: Vec<(String, Option<usize>)>) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("its address");
+    tokio::spawn(async move {
+        let mut held = Vec::new();
+        for (body, cut) in answers {
+            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let mut head = vec![0; 1024];
+            assert!(stream.read(&mut head).await.expect("a request") > 0);
+            let head =
+                format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n", body.len());
+            stream.write_all(head.as_bytes()).await.expect("answered");
+            stream.write_all(&body.as_bytes()[..cut.unwrap_or(body.len())]).await.expect("answered");
+        }
+        loop {
+            held.push(listener.accept().await.expect("a connection"));
+        }
+    });
+    address
+}
+
+/// Guards the list as held, and the log, against a hundred thousand lines, half of them gone and back, and lists that are cut
+/// off or hold a line that can't be read: what is whole counts, what is not changes nothing and is told in one line.
+#[tokio::test]
+async fn long_lists_are_taken_and_spoilt_ones_are_one_line_of_the_log() {
+    const MANY: u32 = 100_000;
+    let line = |n: u32| {
+        let [a, b, c, d] = (0x0a00_0000 + n).to_be_bytes();
+        format!(
+            r#"{{"id":"target-{n:06}","host_port":"{a}.{b}.{c}.{d}:80","locality":"a","flavor":"m","cell":{n},"phase":"Ready"}}"#
+        )
+    };
+    let list =
+        |lines: Vec<String>| format!(r#"{{"revision":1,"complete":true,"members":[{}]}}"#, lines.join(","));
+    let all = list((0..MANY).map(line).collect());
+    let half = list((0..MANY).step_by(2).map(line).collect());
+    let spoilt = |from: &str, to: &str| list(vec![line(1), line(2).replace(from, to), line(3)]);
+    let mut answers = vec![(all.clone(), None), (half.clone(), None)];
+    answers.push((all[..all.len() / 2].to_owned(), None));
+    answers.push((all.clone(), Some(all.len() / 2)));
+    answers.extend(
+        [
+            ("Ready", "Sideways"),
+            (":80", ""),
+            (":2,", ":-2,"),
+            (":2,", ":4294967296,"),
+            ("\"id\"", "\"name\""),
+        ]
+        .map(|(from, to)| (spoilt(from, to), None)),
+    );
+    answers.extend([(half, None), (all, None)]);
+    let address = agent(answers).await;
+    let lines = std::sync::Arc::default();
+    let (module, mut events) = mpsc::channel(4);
+    let (_moves, discovery) = watch::channel(address);
+    let list = List {
+        platform: Platform::new(address),
+        discovery,
+        names: names(),
+        held: Held::default(),
+        must_be_asked: false,
+        module,
+        log: Logger::root(Lines(std::sync::Arc::clone(&lines)), slog::o!()),
+    };
+    let (_mailbox, notes) = mpsc::channel(1);
+    tokio::spawn(list.run(notes));
+    for wanted in [MANY, MANY / 2, MANY / 2, MANY] {
+        let news = tokio::time::timeout(Duration::from_secs(20), events.recv()).await.expect("in time");
+        let Some(Note::Event(Event::List(ListNews::Whole(entries)))) = news else { panic!("no whole list") };
+        assert_eq!(entries.len(), wanted as usize);
+    }
+    // That it is not told, and that it is told again.
+    assert_eq!(lines.load(std::sync::atomic::Ordering::Relaxed), 2);
+}
--- a/crates/forwarder/src/module.rs
+++ b/crates/forwarder/src/module.rs
@@ -5,12 +5,14 @@
 use crate::journal::{Journal, Kept};
 use crate::notes::{Answer, Call, HandIn, ListNote, NeighbourNote, Note, Owed, TargetNote};
 use crate::protocol::{Ending, Handed};
-use crate::targets::{Links, Target};
+use crate::targets::Links;
+use actors::Actors;
 use opalpulley::{
-    Action, Arrival, DestinationId, Event, Forwarder, ListNews, Listing, Micros, OrderKey, Outcome, PacketId,
-    Past, ProfileId, Standing, TargetId, TenantId, TermsOfCarriage, Token, ZoneId,
+    Action, Arrival, DestinationId, Event, Forwarder, KindId, ListNews, Listing, Micros, OrderKey, Outcome,
+    PacketId, Past, ProfileId, Standing, TargetId, TenantId, TermsOfCarriage, Token, ZoneId,
 };
 use slog::{crit, debug, error, info, warn, Logger};
+use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -24,12 +26,6 @@
 /// A tenant that no deployment has: the core finds no share for it.
 const NO_TENANT: TenantId = TenantId(u32::MAX);
 
-/// Notes to a target for each slot: a call, its call-off, and what a wait told by it takes back.
-const SLOT_NOTES: usize = 3;
-
-/// Notes to a target beyond those: probes, closings, what a list takes back.
-const TARGET_NOTES: usize = 64;
-
 /// A packet that is not over.
 struct Open {
     serial: u64,
@@ -41,15 +37,27 @@
     ended: bool,
 }
 
-struct Peer {
-    listing: Listing,
-    mailbox: Option<mpsc::Sender<TargetNote>>,
-    calls: usize,
+/// What the last list says of a target, beside its id.
+struct Listed {
+    zone: ZoneId,
+    kind: KindId,
+    standing: Standing,
+    rate: f32,
+    destination: DestinationId,
+    since: Micros,
 }
 
-impl Peer {
-    fn over(&self) -> bool {
-        self.calls == 0 && self.listing.standing == Standing::Gone
+impl Listed {
+    fn listing(&self, target: TargetId) -> Listing {
+        let Listed { zone, kind, standing, rate, destination, since } = *self;
+        Listing { target, zone, since, standing, rate, destination, kind }
+    }
+}
+
+impl From<&Listing> for Listed {
+    fn from(listing: &Listing) -> Listed {
+        let Listing { target: _, zone, since, standing, rate, destination, kind } = *listing;
+        Listed { zone, kind, standing, rate, destination, since }
     }
 }
 
@@ -59,7 +67,6 @@
     seed: u64,
     forwarder: Forwarder,
     journal: Journal,
-    links: Arc<Links>,
     list: mpsc::Sender<ListNote>,
     notices: mpsc::UnboundedSender<Owed>,
     neighbours: mpsc::Sender<NeighbourNote>,
@@ -69,7 +76,8 @@
     ids: BTreeMap<String, PacketId>, // that clients gave to open packets; each leaves with its packet
     named: BTreeSet<DestinationId>,  // that a list has named: as many as destinations have numbers at most
     open: BTreeMap<PacketId, Open>,  // each leaves with its end and its last outcome
-    peers: BTreeMap<TargetId, Peer>, // emptied of those gone without a call out
+    listed: BTreeMap<TargetId, Listed>, // by the last list; emptied of those gone without a call out
+    actors: Actors,                  // of the targets in use
     alarms: BTreeSet<(Micros, u64, Token)>, // each leaves as it rings
     later: VecDeque<Event>,          // emptied before the next note is read
     earlier: Option<Vec<Kept>>,      // packets of an earlier process, until the list is in
@@ -101,10 +109,10 @@
         Module {
             clock,
             forwarder: Forwarder::new(terms.clone(), seed),
+            actors: Actors::new(links, terms.slots),
             terms,
             seed,
             journal,
-            links,
             list,
             notices,
             neighbours,
@@ -113,7 +121,7 @@
             ids: BTreeMap::new(),
             named: BTreeSet::new(),
             open: BTreeMap::new(),
-            peers: BTreeMap::new(),
+            listed: BTreeMap::new(),
             alarms: BTreeSet::new(),
             later: VecDeque::new(),
             earlier: None,
@@ -144,6 +152,7 @@
                 return;
             }
             let next = self.alarms.first().map(|(at, ..)| self.clock.at(*at));
+            let rest = self.actors.next_look().map(|at| self.clock.at(at));
             tokio::select! {
                 biased;
                 () = &mut leave => return,
@@ -154,6 +163,9 @@
                 () = tokio::time::sleep_until(next.unwrap_or_else(tokio::time::Instant::now)), if next.is_some() => {
                     self.ring();
                 }
+                () = tokio::time::sleep_until(rest.unwrap_or_else(tokio::time::Instant::now)), if rest.is_some() => {
+                    self.actors.look(self.clock.now());
+                }
                 () = tokio::time::sleep_until(begin), if self.earlier.is_some() => self.begin(),
                 Some(hand_in) = clients.recv() => self.hand_in(hand_in),
             }
@@ -179,12 +191,8 @@
                     // Guards a packet whose answer came after its time: that delivers nothing, and its end is still owed.
                     let late = self.open.get(id).is_some_and(|o| self.clock.now() >= o.expires);
                     *closed &= !(late && *outcome == Outcome::Delivered);
-                    if let Some(peer) = self.peers.get_mut(target) {
-                        peer.calls = peer.calls.saturating_sub(1);
-                        if peer.over() {
-                            self.peers.remove(target);
-                        }
-                    }
+                    self.actors.call_ended(self.clock.now(), *target);
+                    self.forget_if_over(*target);
                     self.trip_ended(*id, *trip, *outcome, *closed);
                 }
                 self.handle(event);
@@ -207,30 +215,47 @@
     }
 
     fn list_news(&mut self, news: ListNews) {
-        if let ListNews::Whole(entries) | ListNews::Cached(entries) = &news {
-            let named: BTreeSet<TargetId> = entries.iter().map(|e| e.target).collect();
-            for (target, peer) in &mut self.peers {
-                if !named.contains(target) {
-                    peer.listing.standing = Standing::Gone;
-                }
-            }
-        }
-        if let ListNews::Whole(entries) | ListNews::Cached(entries) | ListNews::Changes(entries) = &news {
-            for entry in entries {
-                self.named.insert(entry.destination);
-                let peer = self.peers.entry(entry.target);
-                peer.and_modify(|p| p.listing = entry.clone()).or_insert_with(|| Peer {
-                    listing: entry.clone(),
-                    mailbox: None,
-                    calls: 0,
-                });
-            }
+        match &news {
+            ListNews::Whole(entries) | ListNews::Cached(entries) => self.list_whole(entries),
+            ListNews::Changes(entries) => self.list_changes(entries),
+            ListNews::Failed => {}
         }
-        self.peers.retain(|_, p| !p.over());
         self.handle(Event::List(news));
         self.begin();
     }
 
+    /// Both tables are built from the sorted whole, which packs them: line by line they would take twice the room.
+    fn list_whole(&mut self, entries: &[Listing]) {
+        self.named.append(&mut entries.iter().map(|e| e.destination).collect());
+        let now_listed = entries.iter().map(|e| (e.target, Listed::from(e))).collect();
+        let before = std::mem::replace(&mut self.listed, now_listed);
+        for (target, listing) in before {
+            if let Entry::Vacant(missing) = self.listed.entry(target) {
+                missing.insert(Listed { standing: Standing::Gone, ..listing });
+                self.forget_if_over(target);
+            }
+        }
+        entries.iter().for_each(|e| self.forget_if_over(e.target));
+    }
+
+    /// The work follows what is told, not what is listed.
+    fn list_changes(&mut self, entries: &[Listing]) {
+        for entry in entries {
+            self.named.insert(entry.destination);
+            self.listed.insert(entry.target, entry.into());
+            self.forget_if_over(entry.target);
+        }
+    }
+
+    /// A target that has gone stays as long as a call is out there.
+    fn forget_if_over(&mut self, target: TargetId) {
+        let gone = self.listed.get(&target).is_some_and(|l| l.standing == Standing::Gone);
+        if gone && self.actors.calls(target) == 0 {
+            self.listed.remove(&target);
+            self.actors.end(target);
+        }
+    }
+
     fn trip_ended(&mut self, id: PacketId, trip: u8, outcome: Outcome, over: bool) {
         let Some(open) = self.open.get_mut(&id) else { return };
         open.out.retain(|(t, _)| *t != trip);
@@ -328,7 +353,7 @@
     /// Takes over from an earlier process once the list is in: without one its packets have nowhere to go.
     pub fn take_over(&mut self, packets: Vec<Kept>) {
         self.earlier = Some(packets);
-        if !self.peers.is_empty() {
+        if !self.listed.is_empty() {
             self.begin();
         }
     }
@@ -430,7 +455,7 @@
             }
         }
         self.beginning = true;
-        let listed = self.peers.values().map(|p| p.listing.clone()).collect();
+        let listed = self.listed.iter().map(|(target, listed)| listed.listing(*target)).collect();
         self.decide(Event::List(ListNews::Cached(listed)), None);
         let packets = self.journal.after_restart();
         self.restore(packets);
@@ -488,29 +513,13 @@
 
     /// Where nothing ever went there is nothing to do.
     fn post_to_known(&mut self, target: TargetId, note: TargetNote) {
-        if self.peers.get(&target).is_some_and(|p| p.mailbox.is_some()) {
+        if self.actors.is_running(target) {
             self.post(target, note);
         }
     }
 
     fn post(&mut self, target: TargetId, note: TargetNote) -> bool {
-        let room = SLOT_NOTES * self.terms.slots as usize + TARGET_NOTES;
-        let Some(peer) = self.peers.get_mut(&target) else { return false };
-        let mailbox = peer.mailbox.get_or_insert_with(|| {
-            let (mailbox, notes) = mpsc::channel(room);
-            tokio::spawn(Target::new(target, self.links.clone()).run(notes));
-            mailbox
-        });
-        match mailbox.try_send(note) {
-            Ok(()) => true,
-            Err(problem) => {
-                error!(self.log, "a target's mailbox takes nothing"; "problem" => %problem);
-                if mailbox.is_closed() {
-                    peer.mailbox = None;
-                }
-                false
-            }
-        }
+        self.listed.contains_key(&target) && self.actors.post(self.clock.now(), target, note)
     }
 
     fn send(
@@ -521,7 +530,7 @@
         limit: Option<Micros>,
         begin_within: Duration,
     ) {
-        let zone = self.peers.get(&target).map_or(0, |p| p.listing.zone.0);
+        let zone = self.listed.get(&target).map_or(0, |l| l.zone.0);
         let Some(open) = self.open.get_mut(&id).filter(|o| !o.ended) else {
             error!(self.log, "the core sends a packet that is over");
             return;
@@ -542,10 +551,8 @@
         let kept = self.journal.trip_started(serial, trip, now, zone);
         let written = kept.is_ok();
         self.written(kept);
-        if written && self.post(target, TargetNote::Call(call)) {
-            if let Some(peer) = self.peers.get_mut(&target) {
-                peer.calls += 1;
-            }
+        if written && self.post(target, TargetNote::Call(Box::new(call))) {
+            self.actors.call_begun(target);
             self.open.entry(id).and_modify(|o| o.out.push((trip, target)));
             return;
         }
@@ -625,5 +632,7 @@
     }
 }
 
+mod actors;
+
 #[cfg(test)]
 mod tests;
--- a/crates/forwarder/src/module/tests.rs
+++ b/crates/forwarder/src/module/tests.rs
@@ -149,7 +149,7 @@
     assert_eq!(rig.hand_in("short", 1).await, Ok(Answer::Taken));
     rig.pass(100).await;
     let id = *rig.module.open.keys().next().expect("it is open");
-    let target = *rig.module.peers.keys().next().expect("a target");
+    let target = *rig.module.listed.keys().next().expect("a target");
     let ended = |outcome| Event::TripEnded {
         id,
         trip: 0,
--- a/crates/forwarder/src/notes.rs
+++ b/crates/forwarder/src/notes.rs
@@ -62,7 +62,8 @@
 
 /// To a target's actor.
 pub enum TargetNote {
-    Call(Call),
+    /// Boxed: a mailbox keeps room for some dozens of notes as soon as it has had one.
+    Call(Box<Call>),
     Probe,
     CallOff {
         id: PacketId,
--- a/crates/forwarder/src/targets.rs
+++ b/crates/forwarder/src/targets.rs
@@ -227,7 +227,7 @@
 
     fn read(&mut self, note: TargetNote) {
         match note {
-            TargetNote::Call(call) => self.call(call),
+            TargetNote::Call(call) => self.call(*call),
             TargetNote::Probe => {
                 let request = protocol::encode_probe(self.id);
                 let limit = Duration::from_micros(self.links.terms.connect_within).mul_f64(PROBE_TIME);
--- a/crates/forwarder/src/targets/tests.rs
+++ b/crates/forwarder/src/targets/tests.rs
@@ -56,7 +56,7 @@
             begin_within: Duration::from_millis(begin_within),
         };
         self.trips += 1;
-        self.mailbox.send(TargetNote::Call(call)).await.expect("the actor runs");
+        self.mailbox.send(TargetNote::Call(Box::new(call))).await.expect("the actor runs");
     }
 
     async fn outcome(&mut self) -> (Outcome, bool) {
