--- a/crates/forwarder/tests/program.rs
+++ b/crates/forwarder/tests/program.rs
@@ -590,39 +590,3 @@
     let (memory, open) = forwarder.holds();
     assert!(memory < 64 * 1024 && open < 256, "{memory} kB, {open} descriptors");
 }
-
-/// Guards rule 1 where the list has a hundred thousand lines, half of them come and go, and others are cut off or name what
-/// nobody knows: the target that is in each of them gets each packet once, and the program stays up.
-#[test]
-fn lists_that_are_long_flap_or_are_cut_off_lose_no_packet() {
-    const OTHERS: u32 = 100_000;
-    let (target, seen) = serve(|_, _| plain("200 OK"));
-    let other = |n: u32| {
-        let address = SocketAddr::from((std::net::Ipv4Addr::from(0x0a00_0000 + n), 80));
-        member_named(&format!("t-{n}"), address, 1_000 + n, "Ready")
-    };
-    let with_target = |others: &mut dyn Iterator<Item = u32>| {
-        others.map(other).chain([member(target, 7, "Ready")]).collect::<Vec<_>>()
-    };
-    let all = with_target(&mut (0..OTHERS));
-    let half = list(2, true, &with_target(&mut (0..OTHERS).step_by(2)));
-    let unknown = vec![member(target, 7, "Ready").replace(r#""a""#, r#""nowhere""#)];
-    let whole = list(2, true, &all);
-    let cut = whole[..whole.len() / 2].to_owned();
-    let platform = platform(all, 0);
-    let (_dir, state) = folder();
-    let forwarder = start(&state, &config("notice", "guarded", 200, 3.0), platform.address);
-    let told = [half.clone(), whole.clone(), cut, half, list(2, false, &unknown), whole];
-    for (round, text) in told.into_iter().enumerate() {
-        platform.changes.lock().expect("the changes").push(text);
-        let ids: Vec<String> = (0..10).map(|n| format!("p-{round}-{n}")).collect();
-        for id in &ids {
-            assert_eq!(forwarder.hand_in(id, "notice"), 202, "{id}");
-            thread::sleep(Duration::from_millis(100)); // so that the list comes amid them
-        }
-        until("each is delivered", || ids.iter().all(|id| calls(&seen, id) == 1));
-    }
-    assert!(platform.changes.lock().expect("the changes").is_empty(), "a list was not asked for");
-    assert!(platform.notices.lock().expect("the notices").is_empty());
-    assert_eq!(seen.lock().expect("the log").iter().filter(|m| m.first.starts_with("POST")).count(), 60);
-}
