--- a/crates/forwarder/src/clients/tests.rs
+++ b/crates/forwarder/src/clients/tests.rs
@@ -153,3 +153,39 @@
     });
     assert_eq!(ends.await.expect("they end"), vec!["HTTP/1.1 202 Accepted"; room]);
 }
+
+/// Guards requests that come in pieces, as slow or small writes make them: each is read whole and answered, also the second
+/// on a connection.
+#[tokio::test]
+async fn a_request_that_comes_byte_by_byte_is_answered() {
+    let Rig { clients, listener, mut hand_ins, .. } = Rig::new(16).await;
+    let address = listener.local_addr().expect("its address");
+    tokio::spawn(clients.run(listener));
+    let come = tokio::task::spawn_blocking(move || {
+        let mut stream = std::net::TcpStream::connect(address).expect("taken");
+        stream.set_nodelay(true).expect("set");
+        stream.set_read_timeout(Some(Duration::from_secs(5))).expect("set");
+        for _ in 0..2 {
+            for byte in REQUEST.bytes() {
+                stream.write_all(&[byte]).expect("written");
+                std::thread::sleep(Duration::from_millis(1));
+            }
+            let mut heard = [0; 12];
+            stream.read_exact(&mut heard).expect("answered");
+            assert_eq!(&heard, b"HTTP/1.1 202");
+            let mut rest = Vec::new();
+            while !rest.ends_with(b"\r\n\r\n") {
+                let mut byte = [0];
+                stream.read_exact(&mut byte).expect("the rest of its head");
+                rest.push(byte[0]);
+            }
+        }
+    });
+    tokio::spawn(async move {
+        while let Some(HandIn { handed, answer, .. }) = hand_ins.recv().await {
+            let whole = handed.body == Bytes::from_static(b"body");
+            let _ = answer.send(if whole { Answer::Taken } else { Answer::OtherContent });
+        }
+    });
+    come.await.expect("both are answered");
+}
--- a/crates/forwarder/src/module.rs
+++ b/crates/forwarder/src/module.rs
@@ -17,6 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
+use tokio::time::Instant;
 
 /// After the start, for a list where none was known: packets of an earlier process wait no longer than that.
 const LIST_WAIT: Duration = Duration::from_millis(1000);
@@ -138,7 +139,7 @@
     ) {
         tokio::pin!(leave);
         let mut closing = false;
-        let begin = tokio::time::Instant::now() + LIST_WAIT;
+        let begin = Instant::now() + LIST_WAIT;
         loop {
             if closing && !self.trips_out() && self.owing.is_empty() {
                 return;
@@ -151,7 +152,7 @@
                     closing |= matches!(note, Note::Event(Event::Closing));
                     self.read(note);
                 }
-                () = tokio::time::sleep_until(next.unwrap_or_else(tokio::time::Instant::now)), if next.is_some() => {
+                () = tokio::time::sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {
                     self.ring();
                 }
                 () = tokio::time::sleep_until(begin), if self.earlier.is_some() => self.begin(),
@@ -353,7 +354,10 @@
                 self.owe(kept.serial, kept.request_id, ending, ordered);
                 continue;
             }
-            let past = Past { trips: kept.trips, exposed: kept.exposed.map(|(at, zone)| (at, ZoneId(zone))) };
+            // Guards rule 2 against a clock that was set back: a trip that began later than now proves no window.
+            let began = |at: Micros| if at > now { 0 } else { at };
+            let exposed = kept.exposed.map(|(at, zone)| (began(at), ZoneId(zone)));
+            let past = Past { trips: kept.trips, exposed };
             let handed = Handed {
                 request_id: kept.request_id,
                 profile: ProfileId(kept.profile),
@@ -440,8 +444,7 @@
     fn carry_out(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { id, target, limit, begin_by } => {
-                let left = begin_by.saturating_sub(now);
-                self.send(now, id, target, limit, Duration::from_micros(left));
+                self.send(now, id, target, limit, self.clock.at(begin_by));
             }
             Action::WriteOff { id } => self.finish(id, Some(Ending::WrittenOff)),
             Action::Defer { id, come_back } => self.finish(id, Some(Ending::Deferred { come_back })),
@@ -519,7 +522,7 @@
         id: PacketId,
         target: TargetId,
         limit: Option<Micros>,
-        begin_within: Duration,
+        begin_by: Instant,
     ) {
         let zone = self.peers.get(&target).map_or(0, |p| p.listing.zone.0);
         let Some(open) = self.open.get_mut(&id).filter(|o| !o.ended) else {
@@ -536,7 +539,7 @@
             mark: open.handed.mark.clone(),
             body: open.handed.body.clone(),
             limit: Duration::from_micros(limit.map_or(left, |l| l.min(left))),
-            begin_within,
+            begin_by,
         };
         let serial = open.serial;
         let kept = self.journal.trip_started(serial, trip, now, zone);
--- a/crates/forwarder/src/module/tests.rs
+++ b/crates/forwarder/src/module/tests.rs
@@ -5,10 +5,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::{oneshot, Semaphore};
 
-fn terms() -> (TermsOfCarriage, opalpulley_terms::Names, LinkTerms) {
+fn terms(window: Micros) -> (TermsOfCarriage, opalpulley_terms::Names, LinkTerms) {
     let text = include_str!("../../../../examples/papers.json");
     let papers: serde_json::Value = serde_json::from_str(text).expect("the example");
     let mut settings = papers["settings"].clone();
+    settings["Profiles"][0]["DedupWindowUs"] = window.into();
     for effect in ["free", "single_shot"] {
         let mut profile = settings["Profiles"][0].clone();
         profile["Effect"] = effect.into();
@@ -28,7 +29,12 @@
 
 /// The module's actor with one target that takes calls and answers none.
 async fn rig() -> Rig {
-    let (terms, names, links) = terms();
+    rig_within(15_000_000).await
+}
+
+/// The same with another window for repeats, in µs.
+async fn rig_within(window: Micros) -> Rig {
+    let (terms, names, links) = terms(window);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let dir = TempDir::new().expect("a folder");
     let (journal, _) = Journal::open(dir.path(), 1_000_000).expect("a journal");
@@ -192,3 +198,57 @@
     let left = rig.module.open.values().map(|o| o.expires - rig.module.clock.now()).collect::<Vec<_>>();
     assert!(left.len() == 1 && left[0] <= 20_000_000 - micros(waited), "{left:?}");
 }
+
+impl Rig {
+    /// Takes over a packet of the profile with a window, as a restart finds it: with one call out that began then.
+    fn take_over_with_call_out(&mut self, began: Micros) {
+        let kept = super::kept(&handed("out", 0), self.module.clock.now() + 20_000_000);
+        let serial = self.module.journal.accept(kept).expect("it is kept");
+        self.module.journal.trip_started(serial, 0, began, 0).expect("it is kept");
+        let packets = self.module.journal.after_restart();
+        self.module.restore(packets);
+    }
+}
+
+/// Guards rule 2 over a restart with a short window: a repeat that was decided inside it is not begun outside, however long
+/// the process takes with the rest of what it found before the target's actor has its turn.
+#[tokio::test]
+async fn a_repeat_whose_target_reads_late_is_not_begun_outside_the_window() {
+    for (held_up, calls) in [(0, 1), (200, 0)] {
+        let mut rig = rig_within(1_000_000).await;
+        rig.take_over_with_call_out(rig.module.clock.now() - 900_000);
+        std::thread::sleep(Duration::from_millis(held_up)); // nobody else runs meanwhile
+        rig.pass(200).await;
+        assert_eq!(rig.calls().await, calls, "held up for {held_up} ms");
+    }
+}
+
+/// Guards rule 2 against a clock that was set back between two processes: when the call out began is not known then, and
+/// nothing proves that a repeat is inside the window.
+#[tokio::test]
+async fn a_call_that_began_in_the_future_is_not_repeated() {
+    let mut rig = rig_within(1_000_000).await;
+    rig.take_over_with_call_out(rig.module.clock.now() + 5_000_000);
+    rig.pass(200).await;
+    assert_eq!(rig.calls().await, 0);
+    let owed = rig.owed.try_recv().expect("an end");
+    assert_eq!((owed.request_id.as_str(), owed.ending), ("out", Ending::WrittenOff));
+}
+
+/// Guards rule 2 and a packet's tries where a target's mailbox is full: what could not be handed over has not run, whatever
+/// the journal was told before, and it goes once there is room.
+#[tokio::test]
+async fn a_packet_that_finds_its_targets_mailbox_full_has_not_run_and_goes_later() {
+    let mut rig = rig().await;
+    assert_eq!(rig.hand_in("first", 1).await, Ok(Answer::Taken));
+    let target = *rig.module.peers.keys().next().expect("a target");
+    // Nobody reads it meanwhile.
+    while rig.module.post(target, TargetNote::CloseIdle) {}
+    assert_eq!(rig.hand_in("binding", 2).await, Ok(Answer::Taken));
+    let kept = rig.module.journal.after_restart();
+    let binding = kept.iter().find(|k| k.request_id == "binding").expect("it is kept");
+    assert_eq!((binding.trips, binding.exposed), (1, None));
+    rig.pass(500).await;
+    assert!(rig.owed.try_recv().is_err(), "its end is told");
+    assert_eq!(rig.calls().await, 2);
+}
--- a/crates/forwarder/src/notes.rs
+++ b/crates/forwarder/src/notes.rs
@@ -81,6 +81,6 @@
     pub mark: Option<String>,
     pub body: Bytes,
     pub limit: Duration,
-    /// Its first byte goes out within this time, or none does.
-    pub begin_within: Duration,
+    /// Its first byte goes out before this moment, or none does.
+    pub begin_by: Instant,
 }
--- a/crates/forwarder/src/targets.rs
+++ b/crates/forwarder/src/targets.rs
@@ -231,7 +231,7 @@
             TargetNote::Probe => {
                 let request = protocol::encode_probe(self.id);
                 let limit = Duration::from_micros(self.links.terms.connect_within).mul_f64(PROBE_TIME);
-                self.start(Errand::Probe, request, limit, limit);
+                self.start(Errand::Probe, request, limit, Instant::now() + limit);
             }
             TargetNote::CallOff { id, trip } => {
                 let named = |e| matches!(e, Errand::Trip { id: i, trip: t } if (i, t) == (id, trip));
@@ -250,7 +250,7 @@
     fn call(&mut self, call: Call) {
         let mark = call.mark.as_deref();
         let request = protocol::encode_call(self.id, &call.request_id, mark, call.limit, &call.body);
-        self.start(Errand::Trip { id: call.id, trip: call.trip }, request, call.limit, call.begin_within);
+        self.start(Errand::Trip { id: call.id, trip: call.trip }, request, call.limit, call.begin_by);
     }
 
     fn start(
@@ -258,7 +258,7 @@
         errand: Errand,
         request: Result<Outgoing, hyper::http::Error>,
         limit: Duration,
-        begin_within: Duration,
+        begin_by: Instant,
     ) {
         let (orders, heard) = watch::channel(Order::GoOn);
         let began = Instant::now();
@@ -267,7 +267,7 @@
         let task = self.tasks.spawn(async move {
             let ended = match request {
                 Ok(call) => {
-                    let bounds = Bounds { begin: began + begin_within, end: began + limit };
+                    let bounds = Bounds { begin: begin_by, end: began + limit };
                     carry(target, idle, call, &links, bounds, heard).await
                 }
                 Err(problem) => {
@@ -419,6 +419,7 @@
             }
         }
         // Guards rule 2: a connection that comes up late must not carry a repeat out of the window of the first trip.
+        in_time()?;
         let open = Line::open(target, Duration::from_micros(links.terms.connect_within));
         let mut line = tokio::time::timeout_at(bounds.begin, open).await.map_err(|_| too_late)??;
         in_time()?;
--- a/crates/forwarder/src/targets/tests.rs
+++ b/crates/forwarder/src/targets/tests.rs
@@ -19,6 +19,11 @@
 
 impl Rig {
     async fn new() -> Rig {
+        Rig::prepared(|_| {}).await
+    }
+
+    /// With something done to the actor before it runs.
+    async fn prepared(prepare: impl FnOnce(&mut Target)) -> Rig {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let port = listener.local_addr().expect("its address").port();
         let (module, notes) = mpsc::channel(16);
@@ -37,7 +42,9 @@
             log: Logger::root(slog::Discard, slog::o!()),
         };
         let id = TargetId { address: [127, 0, 0, 1], port, holder: 0 };
-        tokio::spawn(Target::new(id, Arc::new(links)).run(inbox));
+        let mut target = Target::new(id, Arc::new(links));
+        prepare(&mut target);
+        tokio::spawn(target.run(inbox));
         Rig { listener, mailbox, notes, trips: 0 }
     }
 
@@ -53,7 +60,7 @@
             mark: Some("5c0f6e1a".into()),
             body: body.clone(),
             limit: Duration::from_millis(limit),
-            begin_within: Duration::from_millis(begin_within),
+            begin_by: Instant::now() + Duration::from_millis(begin_within),
         };
         self.trips += 1;
         self.mailbox.send(TargetNote::Call(call)).await.expect("the actor runs");
@@ -483,3 +490,22 @@
     rig.mailbox.try_send(TargetNote::CallOff { id: PacketId(1), trip: 0 }).expect("room");
     assert_eq!(rig.outcome().await, (Outcome::CalledOff, false));
 }
+
+/// Guards a packet against a fault in this program that ends its call: the call may have run, and the actor goes on.
+#[tokio::test]
+async fn a_call_whose_task_panics_may_have_run() {
+    let mut rig = Rig::prepared(|target| {
+        let task = target.tasks.spawn(async { panic!("as a fault would") });
+        let (orders, _) = watch::channel(Order::GoOn);
+        let errand = Errand::Trip { id: PacketId(1), trip: 0 };
+        target.underway.insert(task.id(), Underway { errand, began: Instant::now(), orders });
+    })
+    .await;
+    rig.trips = 1;
+    assert_eq!(rig.outcome().await, (Outcome::Reset, false));
+    rig.call(&Bytes::from_static(b"next"), 1_000).await;
+    let mut stream = rig.accept().await;
+    read_call(&mut stream).await;
+    stream.write_all(OK).await.expect("written");
+    assert_eq!(rig.outcome().await, (Outcome::Delivered, true));
+}
--- a/crates/forwarder/tests/endings.rs
+++ b/crates/forwarder/tests/endings.rs
@@ -234,3 +234,43 @@
     assert!(forwarder.child.wait().expect("it ends").success());
     assert!(begun.elapsed() < Duration::from_millis(3600), "{:?}", begun.elapsed());
 }
+
+/// Guards rule 2 on days of restarts whose window for repeats is a second: a process that is killed with a call out sends the
+/// packet again inside the window of its first attempt, and never outside, whenever the last attempt began.
+#[test]
+fn a_restart_repeats_only_inside_the_window_of_the_first_attempt() {
+    const WINDOW: Duration = Duration::from_secs(1);
+    // How many attempts before the kill, how long after the first of them the next process starts, and whether it may repeat.
+    for (attempts, down, repeats) in [(1, 0, true), (1, 1100, false), (2, 1050, false)] {
+        let begun: Arc<Mutex<Vec<Instant>>> = Arc::default();
+        let times = begun.clone();
+        let (target, seen) = serve(move |_, n| {
+            times.lock().expect("the times").push(Instant::now());
+            // All but the last attempt before the kill end with an error that comes late: they may have run.
+            if n + 1 < attempts {
+                thread::sleep(Duration::from_millis(400));
+                return plain("500 Oops");
+            }
+            (n >= attempts).then(|| plain("200 OK")).flatten()
+        });
+        let platform = platform(vec![member(target, 7, "Ready")], 0);
+        let (_dir, state) = folder();
+        let text = config("notice", "guarded", 200, 3.0).replace("WindowUs\":15000000", "WindowUs\":1000000");
+        let mut forwarder = start(&state, &text, platform.address);
+        assert_eq!(forwarder.hand_in("out", "notice"), 202);
+        until("the last attempt before the kill is out", || calls(&seen, "out") == attempts);
+        forwarder.child.kill().expect("killed");
+        forwarder.child.wait().expect("ended");
+        let first = begun.lock().expect("the times")[0];
+        thread::sleep((first + Duration::from_millis(down)).saturating_duration_since(Instant::now()));
+        let _forwarder = start(&state, &text, platform.address);
+        if repeats {
+            until("it is sent again", || calls(&seen, "out") == attempts + 1);
+            assert!(begun.lock().expect("the times")[attempts] < first + WINDOW);
+        } else {
+            until("its end is told", || !told(&platform).is_empty());
+            assert_eq!(told(&platform), ["{\"id\":\"out\",\"status\":\"undeliverable\"}"]);
+            assert_eq!(calls(&seen, "out"), attempts, "started {down} ms after the first attempt");
+        }
+    }
+}
