--- a/crates/forwarder/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -32,7 +32,7 @@
     let connect = |n: usize| {
         let stream = TcpStream::connect(forwarder).ok()?;
         stream.set_nonblocking(true).ok()?;
-        if n % 2 == 0 {
+        if n.is_multiple_of(2) {
             (&stream).write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").ok()?;
         }
         Some(stream)
