--- a/crates/forwarder/src/module/tests.rs
+++ b/crates/forwarder/src/module/tests.rs
@@ -155,7 +155,7 @@
     assert_eq!(rig.hand_in("short", 1).await, Ok(Answer::Taken));
     rig.pass(100).await;
     let id = *rig.module.open.keys().next().expect("it is open");
-    let target = *rig.module.peers.keys().next().expect("a target");
+    let target = *rig.module.listed.keys().next().expect("a target");
     let ended = |outcome| Event::TripEnded {
         id,
         trip: 0,
@@ -241,7 +241,7 @@
 async fn a_packet_that_finds_its_targets_mailbox_full_has_not_run_and_goes_later() {
     let mut rig = rig().await;
     assert_eq!(rig.hand_in("first", 1).await, Ok(Answer::Taken));
-    let target = *rig.module.peers.keys().next().expect("a target");
+    let target = *rig.module.listed.keys().next().expect("a target");
     // Nobody reads it meanwhile.
     while rig.module.post(target, TargetNote::CloseIdle) {}
     assert_eq!(rig.hand_in("binding", 2).await, Ok(Answer::Taken));
--- a/crates/forwarder/src/protocol.rs
+++ b/crates/forwarder/src/protocol.rs
@@ -1,6 +1,7 @@
 //! The platform's messages: each is decoded once to a small typed value and encoded once. Wire names stay here.
 
 use bytes::Bytes;
+use compact_str::CompactString;
 use http_body_util::Full;
 use hyper::header::TRANSFER_ENCODING;
 use hyper::http::request::Parts;
@@ -127,7 +128,6 @@
     let destination = parts.filter_map(|part| part.trim().strip_prefix("dest=")).next();
     let destination = destination.ok_or_else(|| wrong(format!("{ENVELOPE} has no dest")))?;
     let destination = number(destination)
-        .and_then(|number| u16::try_from(number).ok())
         .ok_or_else(|| wrong(format!("{ENVELOPE}: {destination} is no number of a destination")))?;
     let mark = text(MARK)?.map(str::to_owned);
     if form.marked && mark.as_ref().is_none_or(|m| m.is_empty()) {
@@ -245,15 +245,16 @@
     pub members: Vec<Member>,
 }
 
+/// A line of the list. Short texts lie in the line itself: a list of a hundred thousand takes no allocation for each.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Member {
-    pub id: String,
+    pub id: CompactString,
     pub host_port: SocketAddrV4,
     #[serde(default)]
-    pub locality: String,
+    pub locality: CompactString,
     #[serde(default)]
-    pub flavor: String,
-    pub cell: u16,
+    pub flavor: CompactString,
+    pub cell: u32,
     pub phase: Phase,
     #[serde(default)]
     pub size: f32,
--- /dev/null
+++ b/crates/lab/src/capacity/command.rs
@@ -0,0 +1,51 @@
+//! The command line of `opalpulley-lab capacity`: one variant for each thing that is measured.
+
+use super::{backlog, core, fleet, process};
+use clap::{Args, Subcommand};
+use std::path::PathBuf;
+
+#[derive(Subcommand, Clone, Debug)]
+pub enum Command {
+    /// The core alone, without sockets, on a simulated clock
+    Core(core::Options),
+    /// One size of `core`, as JSON: run by `core` itself, each in a fresh process
+    #[command(hide = true)]
+    CorePoint(core::point::Setup),
+    /// One real forwarder on loopback sockets
+    Process(process::Options),
+    /// Messages that wait: in the core, and in one real forwarder that is killed and started again
+    Backlog(backlog::Options),
+    /// One size of `backlog` in the core, as JSON: run by `backlog` itself, each in a fresh process
+    #[command(hide = true)]
+    BacklogPoint(backlog::core_point::Setup),
+    /// A fleet of hollow forwarders in one process, on a simulated clock
+    Fleet(fleet::options::Options),
+}
+
+/// Where the figures go beside the terminal.
+#[derive(Args, Clone, Debug)]
+pub struct Outputs {
+    /// Writes the figures and slopes as JSON
+    #[arg(long)]
+    pub json: Option<PathBuf>,
+    /// Writes a plot of each slope as SVG
+    #[arg(long)]
+    pub plot: Option<PathBuf>,
+}
+
+/// Runs what was asked for. The error is told to the person in these words.
+pub fn run(command: Command) -> Result<(), String> {
+    match command {
+        Command::Core(options) => core::run(&options),
+        Command::CorePoint(setup) => print_json(&core::point::measure(&setup)?),
+        Command::Process(options) => process::run(&options),
+        Command::Backlog(options) => backlog::run(&options),
+        Command::BacklogPoint(setup) => print_json(&backlog::core_point::measure(&setup)?),
+        Command::Fleet(options) => fleet::options::run(&options),
+    }
+}
+
+fn print_json(figures: &impl serde::Serialize) -> Result<(), String> {
+    println!("{}", serde_json::to_string(figures).map_err(|e| e.to_string())?);
+    Ok(())
+}
--- /dev/null
+++ b/crates/lab/src/capacity/core.rs
@@ -0,0 +1,239 @@
+//! The core alone: `opalpulley::Forwarder` without sockets, on a simulated clock. Each size is measured in a fresh process of
+//! this program; see [`point`].
+
+pub mod point;
+pub mod world;
+
+use super::command::Outputs;
+use super::slope::{show, Row, Table};
+use clap::Args;
+use point::{Point, Stretch};
+use std::fmt;
+use std::process::Command;
+use std::str::FromStr;
+use world::Spread;
+
+/// How many destinations the core holds in full before idle ones are summarised.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FullDestinations {
+    All,
+    UpTo(u32),
+}
+
+impl FullDestinations {
+    /// As the core's terms tell it.
+    pub fn limit(self) -> Option<u32> {
+        match self {
+            FullDestinations::All => None,
+            FullDestinations::UpTo(limit) => Some(limit),
+        }
+    }
+}
+
+impl FromStr for FullDestinations {
+    type Err = String;
+
+    fn from_str(text: &str) -> Result<Self, String> {
+        match text {
+            "all" => Ok(FullDestinations::All),
+            number => number.parse().map(FullDestinations::UpTo).map_err(|_| "`all` or a number".to_owned()),
+        }
+    }
+}
+
+impl fmt::Display for FullDestinations {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            FullDestinations::All => f.write_str("all"),
+            FullDestinations::UpTo(limit) => write!(f, "{limit}"),
+        }
+    }
+}
+
+#[derive(Args, Clone, Debug)]
+pub struct Options {
+    /// How many destinations, one fresh process each
+    #[arg(long, value_delimiter = ',', default_values_t = [1_000, 4_000, 16_000, 60_000, 100_000])]
+    pub sizes: Vec<u32>,
+    /// Messages a second
+    #[arg(long, default_value_t = 200)]
+    pub rate: u64,
+    /// Simulated seconds of each stretch: traffic, rest, traffic with a share down, rest with it
+    #[arg(long, default_value_t = 60)]
+    pub seconds: u64,
+    /// Part of the destinations that is down
+    #[arg(long, default_value_t = 0.041)]
+    pub down: f64,
+    /// How many destinations the core holds in full: `all`, or a number, which is then also paired with `all`
+    #[arg(long, default_value = "1024")]
+    pub full_destinations: FullDestinations,
+    #[arg(long, default_value_t = 1)]
+    pub seed: u64,
+    #[command(flatten)]
+    pub outputs: Outputs,
+}
+
+/// What one size is measured with beside the options.
+#[derive(Clone, Copy)]
+struct Case {
+    targets_each: u32,
+    spread: Spread,
+    full: FullDestinations,
+}
+
+/// Measured beside one target a destination, to tell what a target takes from what a destination takes.
+const MORE_TARGETS: u32 = 3;
+
+fn fresh(options: &Options, destinations: u32, case: Case) -> Result<Point, String> {
+    let program = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
+    let spread = if case.spread == Spread::Uniform { "uniform" } else { "skewed" };
+    let mut command = Command::new(program);
+    command.args(["capacity", "core-point", "--spread", spread]);
+    for (name, value) in [
+        ("--destinations", destinations.to_string()),
+        ("--targets-each", case.targets_each.to_string()),
+        ("--full-destinations", case.full.to_string()),
+        ("--rate", options.rate.to_string()),
+        ("--seconds", options.seconds.to_string()),
+        ("--down", options.down.to_string()),
+        ("--seed", options.seed.to_string()),
+    ] {
+        command.args([name, &value]);
+    }
+    let ended = command.output().map_err(|e| e.to_string())?;
+    if !ended.status.success() {
+        let words = String::from_utf8_lossy(&ended.stderr).trim().to_owned();
+        return Err(format!(
+            "{destinations} destinations, {} in full, {} targets each: {words}",
+            case.full, case.targets_each
+        ));
+    }
+    serde_json::from_slice(&ended.stdout).map_err(|e| e.to_string())
+}
+
+type FigureOf = (&'static str, &'static str, fn(&Point) -> f64);
+
+fn a_message(stretch: &Stretch, value: f64) -> f64 {
+    value / stretch.messages
+}
+
+/// Part of a core.
+fn of_a_core(stretch: &Stretch) -> f64 {
+    stretch.processor / (stretch.seconds * 1e6)
+}
+
+const LIST_FIGURES: [FigureOf; 5] = [
+    ("memory, list taken in by steps", "bytes", |p| p.memory_listed),
+    ("memory, after a whole list", "bytes", |p| p.memory_whole),
+    ("processor time, list taken in by steps", "us", |p| p.listing),
+    ("processor time, a whole list", "us", |p| p.whole_list),
+    ("processor time, one changed line", "us", |p| p.one_change),
+];
+
+const TRAFFIC_FIGURES: [FigureOf; 22] = [
+    ("memory after traffic", "bytes", |p| p.traffic.memory),
+    ("memory after all", "bytes", |p| p.down_rest.memory),
+    ("in full after traffic", "destinations", |p| p.traffic.held.full),
+    ("in full, most of all stretches", "destinations", |p| p.down_rest.held.most_full),
+    ("restored, in all", "destinations", |p| p.down_rest.held.restored),
+    ("summaries with bounds, share down", "targets", |p| p.down.held.bounds),
+    ("traffic: events a message", "events", |p| a_message(&p.traffic, p.traffic.events)),
+    ("traffic: delivered in the stretch", "part", |p| a_message(&p.traffic, p.traffic.delivered)),
+    ("traffic: calls a message", "calls", |p| a_message(&p.traffic, p.traffic.calls)),
+    ("traffic: processor time a message", "us", |p| a_message(&p.traffic, p.traffic.processor)),
+    ("traffic: processor time an event", "us", |p| p.traffic.processor / p.traffic.events),
+    ("traffic: events a second of processor time", "events", |p| {
+        p.traffic.events * 1e6 / p.traffic.processor
+    }),
+    ("traffic: part of a core", "cores", |p| of_a_core(&p.traffic)),
+    ("at rest: part of a core", "cores", |p| of_a_core(&p.rest)),
+    ("at rest: events a second", "events", |p| p.rest.events / p.rest.seconds),
+    ("share down: processor time a message", "us", |p| a_message(&p.down, p.down.processor)),
+    ("share down: part of a core", "cores", |p| of_a_core(&p.down)),
+    ("share down: calls a message", "calls", |p| a_message(&p.down, p.down.calls)),
+    ("share down: probes a second", "probes", |p| p.down.probes / p.down.seconds),
+    ("share down: delivered in the stretch", "part", |p| a_message(&p.down, p.down.delivered)),
+    ("share down, at rest: part of a core", "cores", |p| of_a_core(&p.down_rest)),
+    ("share down, at rest: probes a second", "probes", |p| p.down_rest.probes / p.down_rest.seconds),
+];
+
+/// The figures that are shown side by side for all destinations in full and for a limit.
+const PAIRED: [FigureOf; 10] = [
+    ("bytes a destination, list in", "bytes", |p| p.memory_listed / f64::from(p.destinations)),
+    ("bytes a destination, at the end", "bytes", |p| p.down_rest.memory / f64::from(p.destinations)),
+    ("memory, list in", "bytes", |p| p.memory_listed),
+    ("memory, at the end", "bytes", |p| p.down_rest.memory),
+    ("a listed target", "us", |p| p.listing / f64::from(p.targets)),
+    ("one changed line", "us", |p| p.one_change),
+    ("a message", "us", |p| a_message(&p.traffic, p.traffic.processor)),
+    ("a message, share down", "us", |p| a_message(&p.down, p.down.processor)),
+    ("share down", "cores", |p| of_a_core(&p.down)),
+    ("share down, at rest", "cores", |p| of_a_core(&p.down_rest)),
+];
+
+/// Both sides of each figure, one under the other; the sizes and seeds are the same.
+fn paired(all: &[Point], limited: &[Point], limit: FullDestinations) -> Table {
+    let named = |(name, unit, _): &FigureOf| {
+        [(format!("all in full: {name}"), *unit), (format!("{limit} in full: {name}"), *unit)]
+    };
+    let names: Vec<(String, &str)> = PAIRED.iter().flat_map(named).collect();
+    let names: Vec<(&str, &str)> = names.iter().map(|(name, unit)| (name.as_str(), *unit)).collect();
+    let rows = all.iter().zip(limited).map(|(all, limited)| Row {
+        size: all.destinations.into(),
+        values: PAIRED.iter().flat_map(|(_, _, of)| [of(all), of(limited)]).collect(),
+    });
+    let title = format!("the core alone, all destinations in full against {limit}");
+    Table::new(&title, "destinations", &names, rows.collect())
+}
+
+fn table(title: &str, points: &[Point], figures: &[&[FigureOf]]) -> Table {
+    let figures: Vec<FigureOf> = figures.concat();
+    let names: Vec<(&str, &str)> = figures.iter().map(|(name, unit, _)| (*name, *unit)).collect();
+    let rows = points.iter().map(|point| Row {
+        size: point.destinations.into(),
+        values: figures.iter().map(|(_, _, of)| of(point)).collect(),
+    });
+    Table::new(title, "destinations", &names, rows.collect())
+}
+
+/// The tables: one target each with uniform and with skewed traffic, several targets each, and where destinations are
+/// summarised the same once more beside all of them in full.
+pub fn tables(options: &Options) -> Result<Vec<Table>, String> {
+    let full = options.full_destinations;
+    let points = |targets_each, spread, full| -> Result<Vec<Point>, String> {
+        let case = Case { targets_each, spread, full };
+        options.sizes.iter().map(|size| fresh(options, *size, case)).collect()
+    };
+    let title = |what: &str| format!("the core alone, {full} destinations in full, {what}");
+    let uniform = points(1, Spread::Uniform, full)?;
+    let both: [&[FigureOf]; 2] = [&LIST_FIGURES, &TRAFFIC_FIGURES];
+    let mut tables = vec![
+        table(&title("one target each, uniform traffic"), &uniform, &both),
+        table(
+            &title("one target each, skewed traffic"),
+            &points(1, Spread::Skewed, full)?,
+            &[&TRAFFIC_FIGURES],
+        ),
+        table(
+            &title(&format!("{MORE_TARGETS} targets each")),
+            &points(MORE_TARGETS, Spread::Uniform, full)?,
+            &[&LIST_FIGURES],
+        ),
+    ];
+    if full != FullDestinations::All {
+        let all = points(1, Spread::Uniform, FullDestinations::All)?;
+        tables.push(paired(&all, &uniform, full));
+    }
+    Ok(tables)
+}
+
+pub fn run(options: &Options) -> Result<(), String> {
+    let tables = tables(options)?;
+    show(&tables, &options.outputs)?;
+    let name = LIST_FIGURES[0].0;
+    if let (Some(one), Some(several)) = (tables[0].slope(name), tables[2].slope(name)) {
+        let target = (several.slope - one.slope) / f64::from(MORE_TARGETS - 1);
+        println!("bytes a target {target:.0}, a destination without its targets {:.0}", one.slope - target);
+    }
+    Ok(())
+}
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -15,7 +15,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct DestinationId(pub u16);
+pub struct DestinationId(pub u32);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProfileId(pub u16);
@@ -344,7 +344,12 @@
     pub zone_fees: Vec<f64>,
     /// Where the list must be asked for: the interval in which the rules want a call. None: it comes by itself.
     pub ask_within: Option<Micros>,
+    /// Where the list must be asked for: how long after discovery had news and could be reached they count as told, heard
+    /// or not. None: only the interval above holds.
+    pub told_within: Option<Micros>,
     pub rules: RuleTerms,
     /// The shortest time between two rounds.
     pub round: Micros,
+    /// Destinations whose state is held in full before idle ones are held as summaries. None: all, always.
+    pub full_destinations: Option<u32>,
 }
