--- a/crates/forwarder/src/module/actors/tests.rs
+++ b/crates/forwarder/src/module/actors/tests.rs
@@ -39,7 +39,7 @@
         mark: None,
         body: bytes::Bytes::from_static(b"body"),
         limit: Duration::from_secs(5),
-        begin_within: Duration::from_secs(5),
+        begin_by: tokio::time::Instant::now() + Duration::from_secs(5),
     }))
 }
 
