--- a/crates/forwarder/src/neighbours.rs
+++ b/crates/forwarder/src/gossip_socket.rs
@@ -1,7 +1,7 @@
-//! Notes between forwarders: datagrams, which come late or not at all.
+//! The datagram socket of the gossip between forwarders: messages may come late, twice or not at all.
 
-use crate::notes::{NeighbourNote, Note};
-use crate::papers::Neighbours;
+use crate::notes::{GossipMessage, Note};
+use crate::papers::GossipPeers;
 use opalpulley::Event;
 use slog::{warn, Logger};
 use std::collections::HashMap;
@@ -12,13 +12,13 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-const MOST_NOTE: usize = 256; // bytes, the protocol's limit
+const MOST_MESSAGE: usize = 256; // bytes, the protocol's limit
 const LOG_AGAIN: Duration = Duration::from_secs(60); // between two lines on strangers: they fill no disk
 
-/// Carries notes both ways; where the deployment has no neighbours, it takes none.
+/// Carries gossip messages both ways; does nothing where the deployment names no peers.
 pub async fn run(
-    who: Neighbours,
-    mut mailbox: mpsc::Receiver<NeighbourNote>,
+    who: GossipPeers,
+    mut mailbox: mpsc::Receiver<GossipMessage>,
     module: mpsc::Sender<Note>,
     log: Logger,
 ) -> io::Result<()> {
@@ -26,18 +26,18 @@
     let socket = UdpSocket::bind(listen).await?;
     let numbers: HashMap<SocketAddr, u16> = who.each.iter().copied().zip(0..).collect();
     let (mut strangers, mut logged): (u64, Option<Instant>) = (0, None);
-    let mut buffer = [0; MOST_NOTE];
+    let mut buffer = [0; MOST_MESSAGE];
     loop {
         tokio::select! {
-            note = mailbox.recv() => {
-                let Some(NeighbourNote { neighbour, note }) = note else { return Ok(()) };
-                let to = match neighbour {
+            message = mailbox.recv() => {
+                let Some(GossipMessage { peer, message }) = message else { return Ok(()) };
+                let to = match peer {
                     Some(number) => who.each.get(usize::from(number)).copied(),
                     None => who.all,
                 };
                 match to {
-                    Some(to) if note.len() <= MOST_NOTE => drop(socket.try_send_to(&note, to)),
-                    _ => warn!(log, "a note to a neighbour can't be sent"; "bytes" => note.len()),
+                    Some(to) if message.len() <= MOST_MESSAGE => drop(socket.try_send_to(&message, to)),
+                    _ => warn!(log, "a gossip message to a peer can't be sent"; "bytes" => message.len()),
                 }
             }
             came = socket.recv_from(&mut buffer) => {
@@ -50,7 +50,7 @@
                     }
                     continue;
                 };
-                let event = Event::Neighbour { from: number, note: buffer[..length].to_vec() };
+                let event = Event::Gossip { from: number, message: buffer[..length].to_vec() };
                 if module.send(Note::Event(event)).await.is_err() {
                     return Ok(());
                 }
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -3,11 +3,11 @@
 
 mod clients;
 mod clock;
+mod gossip_socket;
 mod journal;
 mod link;
 mod list;
 mod module;
-mod neighbours;
 mod notes;
 mod notices;
 mod papers;
@@ -44,7 +44,7 @@
 const NOTES: usize = 1024; // waiting for the module's actor: those who send them wait when it is full
 const HAND_INS: usize = 256; // packets waiting for it: some milliseconds' work; more are refused
 const LIST_NOTES: usize = 16; // to the list's actor
-const NEIGHBOUR_NOTES: usize = 256; // to the neighbours'
+const GOSSIP_MESSAGES: usize = 256; // to the gossip socket
 const BACKLOG: u32 = 1024; // clients waiting to be accepted: one that finds it full waits a second
 const TOLD_WITHIN: Micros = 6_000_000; // µs: news count as told so long after discovery had them and could be reached
 const LAST_ANSWERS: Duration = Duration::from_millis(50); // for answers on their way when the process ends
@@ -76,7 +76,7 @@
     let (client_box, hand_ins) = mpsc::channel(HAND_INS);
     let (list_box, list_notes) = mpsc::channel(LIST_NOTES);
     let (notice_box, owed) = mpsc::unbounded_channel();
-    let (neighbour_box, neighbour_notes) = mpsc::channel(NEIGHBOUR_NOTES);
+    let (gossip_box, gossip_messages) = mpsc::channel(GOSSIP_MESSAGES);
     let (closing, closing_seen) = watch::channel(Closing::No);
     let links = Arc::new(Links {
         terms: papers.waybill.links.clone(),
@@ -93,13 +93,8 @@
     let (journal, packets) = Journal::open(&papers.state, papers.disk)?;
     info!(log, "started"; "name" => &papers.name, "packets" => packets.len(), "listen" => %papers.listen,
         "discovery" => %papers.discovery);
-    let ways = Ways {
-        links,
-        list: list_box,
-        notices: notice_box,
-        neighbours: neighbour_box,
-        up: door.ready.clone(),
-    };
+    let ways =
+        Ways { links, list: list_box, notices: notice_box, gossip: gossip_box, up: door.ready.clone() };
     let mut module = Module::new(terms.clone(), papers.seed, clock, journal, ways, log.clone());
     let mut held = Held::default();
     let known = papers.known.take().and_then(|text| held.take(text, &names));
@@ -123,11 +118,11 @@
     tokio::spawn(list.run(list_notes));
     let notices = Notices { platform: platform(), discovery, module: module_box.clone(), log: log.clone() };
     tokio::spawn(notices.run(owed));
-    let neighbours = neighbours::run(papers.neighbours, neighbour_notes, module_box.clone(), log.clone());
-    let neighbour_log = log.clone();
+    let gossip = gossip_socket::run(papers.gossip_peers, gossip_messages, module_box.clone(), log.clone());
+    let gossip_log = log.clone();
     tokio::spawn(async move {
-        if let Err(problem) = neighbours.await {
-            error!(neighbour_log, "neighbours can't be heard"; "problem" => %problem);
+        if let Err(problem) = gossip.await {
+            error!(gossip_log, "the gossip socket can't be used"; "problem" => %problem);
         }
     });
     let leave = shutdown::run(orders.end, &closing, module_box, log.clone());
--- a/crates/forwarder/src/module.rs
+++ b/crates/forwarder/src/module.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::{micros, Clock};
 use crate::journal::{Journal, Kept};
-use crate::notes::{Answer, Call, HandIn, ListNote, NeighbourNote, Note, Owed, TargetNote};
+use crate::notes::{Answer, Call, GossipMessage, HandIn, ListNote, Note, Owed, TargetNote};
 use crate::protocol::{Ending, Handed};
 use crate::targets::Links;
 use actors::Actors;
@@ -70,7 +70,7 @@
     journal: Journal,
     list: mpsc::Sender<ListNote>,
     notices: mpsc::UnboundedSender<Owed>,
-    neighbours: mpsc::Sender<NeighbourNote>,
+    gossip: mpsc::Sender<GossipMessage>,
     log: Logger,
     /// Set once the journal and the list are in.
     up: Arc<AtomicBool>,
@@ -93,7 +93,7 @@
     pub links: Arc<Links>,
     pub list: mpsc::Sender<ListNote>,
     pub notices: mpsc::UnboundedSender<Owed>,
-    pub neighbours: mpsc::Sender<NeighbourNote>,
+    pub gossip: mpsc::Sender<GossipMessage>,
     pub up: Arc<AtomicBool>,
 }
 
@@ -106,7 +106,7 @@
         ways: Ways,
         log: Logger,
     ) -> Module {
-        let Ways { links, list, notices, neighbours, up } = ways;
+        let Ways { links, list, notices, gossip, up } = ways;
         Module {
             clock,
             forwarder: Forwarder::new(terms.clone(), seed),
@@ -116,7 +116,7 @@
             journal,
             list,
             notices,
-            neighbours,
+            gossip,
             log,
             up,
             ids: BTreeMap::new(),
@@ -498,9 +498,9 @@
             Action::CloseIdle { target } => self.post_to_known(target, TargetNote::CloseIdle),
             Action::Watch { on } => self.ask_list(ListNote::Watch(on)),
             Action::FetchList => self.ask_list(ListNote::Fetch),
-            Action::Tell { neighbour, note } => {
-                if self.neighbours.try_send(NeighbourNote { neighbour, note }).is_err() {
-                    warn!(self.log, "a note to a neighbour is dropped");
+            Action::SendGossip { peer, message } => {
+                if self.gossip.try_send(GossipMessage { peer, message }).is_err() {
+                    warn!(self.log, "a gossip message to a peer is dropped");
                 }
             }
             Action::Log(words) => info!(self.log, "{}", words),
--- a/crates/forwarder/src/module/tests.rs
+++ b/crates/forwarder/src/module/tests.rs
@@ -41,11 +41,11 @@
     let log = Logger::root(slog::Discard, slog::o!());
     let (module, notes) = mpsc::channel(64);
     let (list, _) = mpsc::channel(1);
-    let (neighbours, _) = mpsc::channel(1);
+    let (gossip, _) = mpsc::channel(1);
     let (notices, owed) = mpsc::unbounded_channel();
     let idle = Arc::new(Semaphore::new(4));
     let links = Arc::new(Links { terms: links, names, idle, module, log: log.clone() });
-    let ways = Ways { links, list, notices, neighbours, up: Arc::default() };
+    let ways = Ways { links, list, notices, gossip, up: Arc::default() };
     let mut module = Module::new(terms, 1, Clock::start(), journal, ways, log);
     let port = listener.local_addr().expect("its address").port();
     let listing = Listing {
--- a/crates/forwarder/src/notes.rs
+++ b/crates/forwarder/src/notes.rs
@@ -45,11 +45,11 @@
     Fetch,
 }
 
-/// To the neighbours' socket.
-pub struct NeighbourNote {
+/// To the gossip socket: a message for one peer, or for all.
+pub struct GossipMessage {
     /// None for all.
-    pub neighbour: Option<u16>,
-    pub note: Vec<u8>,
+    pub peer: Option<u16>,
+    pub message: Vec<u8>,
 }
 
 /// An end to be told: the packet's serial number and id.
--- a/crates/forwarder/src/papers.rs
+++ b/crates/forwarder/src/papers.rs
@@ -30,13 +30,13 @@
     pub client_sockets: usize,
     /// Connections to targets that may stand idle, beside one for each slot.
     pub idle_sockets: usize,
-    pub neighbours: Neighbours,
+    pub gossip_peers: GossipPeers,
     pub known: Option<ListText>,
     pub waybill: Waybill,
 }
 
 #[derive(Default)]
-pub struct Neighbours {
+pub struct GossipPeers {
     pub listen: Option<SocketAddr>,
     pub each: Vec<SocketAddr>,
     pub all: Option<SocketAddr>,
@@ -155,8 +155,8 @@
         // A notice and a call go on connections of their own.
         waybill.terms.ends = Ends::WhenHeard;
         // Nothing can be told where nobody listens.
-        let (neighbours, all) = (file.peer_listen.is_some() && !file.peers.is_empty(), file.peers_all);
-        waybill.terms.may_tell &= neighbours && all.is_some();
+        let (gossip_peers, all) = (file.peer_listen.is_some() && !file.peers.is_empty(), file.peers_all);
+        waybill.terms.may_gossip &= gossip_peers && all.is_some();
         let state = var("GW_STATE").ok_or_else(|| bad("GW_STATE", "is not set"))?;
         if !std::path::Path::new(&state).is_dir() {
             return Err(bad("GW_STATE", format!("{state} is no folder")));
@@ -171,7 +171,7 @@
             disk: (disk_mb * 1e6) as u64,
             client_sockets: rest - rest / IDLE_PART,
             idle_sockets: rest / IDLE_PART,
-            neighbours: Neighbours { listen: file.peer_listen, each: file.peers, all: file.peers_all },
+            gossip_peers: GossipPeers { listen: file.peer_listen, each: file.peers, all: file.peers_all },
             known: file.known,
             waybill,
         })
--- a/crates/forwarder/tests/program.rs
+++ b/crates/forwarder/tests/program.rs
@@ -555,7 +555,7 @@
 /// The operators' fleets grow past hundreds: 1,024 forwarders and as many targets, known at the start, told in one answer
 /// and changed one by one, on 256 descriptors, with a list that is cut off and notes of nobody between.
 #[test]
-fn a_thousand_neighbours_and_targets_are_borne_with_a_quarter_as_many_descriptors() {
+fn a_thousand_peers_and_targets_are_borne_with_a_quarter_as_many_descriptors() {
     let (targets, seens): (Vec<_>, Vec<_>) = (0..300).map(|_| serve(|_, _| plain("200 OK"))).unzip();
     let host = |net: usize, n: usize| format!("127.{net}.{}.{}:7946", n / 250, n % 250 + 1);
     let other = |n: usize, phase| {
--- a/crates/lab/src/capacity/core/world.rs
+++ b/crates/lab/src/capacity/core/world.rs
@@ -118,7 +118,7 @@
         may_probe: true,
         may_call_off: true,
         may_say_when: true,
-        may_tell: true,
+        may_gossip: true,
         longest_return: 2 * SECOND,
         list_rates: ListRates::Nominal,
         over_share_worth: 0.1,
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -233,8 +233,8 @@
             Outgoing::Probe { target } => {
                 self.attempt(forwarder, sent, target, WorldEvent::Probe { forwarder, sent, target })
             }
-            Outgoing::Gossip { to, note } => {
-                self.wire.control[forwarder as usize].gossip_out.datagram(note.len());
+            Outgoing::Gossip { to, message } => {
+                self.wire.control[forwarder as usize].gossip_out.datagram(message.len());
                 let peers = match to {
                     Some(peer) => u32::from(peer)..u32::from(peer) + 1,
                     None => 0..self.plan.forwarders,
@@ -245,8 +245,8 @@
                         continue;
                     }
                     let arrives = sent + self.wire.gossip_delay();
-                    self.wire.control[peer as usize].gossip_in.datagram(note.len());
-                    let gossip = Incoming::Gossip { from: forwarder as u16, note: note.clone() };
+                    self.wire.control[peer as usize].gossip_in.datagram(message.len());
+                    let gossip = Incoming::Gossip { from: forwarder as u16, message: message.clone() };
                     self.forwarders[peer as usize].inbox.push(arrives, gossip);
                 }
             }
--- a/crates/lab/src/capacity/fleet/hollow.rs
+++ b/crates/lab/src/capacity/fleet/hollow.rs
@@ -117,8 +117,8 @@
                 let event = Event::ProbeAnswered { target, outcome, took, report: Vec::new() };
                 self.give(now, Work::Probe, event);
             }
-            Incoming::Gossip { from, note } => {
-                self.give(now, Work::Gossip, Event::Neighbour { from, note: note.to_vec() });
+            Incoming::Gossip { from, message } => {
+                self.give(now, Work::Gossip, Event::Gossip { from, message: message.to_vec() });
             }
             Incoming::List { whole, revision, listings } => {
                 let entries = listings.to_vec();
@@ -224,8 +224,8 @@
                 self.counts.rejected += u64::from(self.open.remove(&id).is_some());
             }
             Action::Wake { after, token } => self.inbox.push(now + after, Incoming::Alarm(token)),
-            Action::Tell { neighbour, note } => {
-                self.outbox.push((now, Outgoing::Gossip { to: neighbour, note: note.into() }));
+            Action::SendGossip { peer, message } => {
+                self.outbox.push((now, Outgoing::Gossip { to: peer, message: message.into() }));
             }
             Action::Fault(_) => self.counts.faults += 1,
             // A call goes whole as it is sent, and discovery holds a watch open for each forwarder.
--- a/crates/lab/src/capacity/fleet/messages.rs
+++ b/crates/lab/src/capacity/fleet/messages.rs
@@ -22,7 +22,7 @@
     },
     Gossip {
         from: u16,
-        note: Arc<[u8]>,
+        message: Arc<[u8]>,
     },
     List {
         whole: bool,
@@ -43,7 +43,7 @@
     },
     Gossip {
         to: Option<u16>,
-        note: Arc<[u8]>,
+        message: Arc<[u8]>,
     },
     /// For the onlooker: it has seen a call or probe fail that was sent at `tried`.
     MetFailure {
--- a/crates/lab/src/capacity/fleet/plan.rs
+++ b/crates/lab/src/capacity/fleet/plan.rs
@@ -189,7 +189,7 @@
             may_probe: true,
             may_call_off: true,
             may_say_when: true,
-            may_tell: true,
+            may_gossip: true,
             longest_return: 2 * SECOND,
             list_rates: ListRates::Nominal,
             fading: Fading::Halving,
--- a/crates/lab/src/scenario/terms.rs
+++ b/crates/lab/src/scenario/terms.rs
@@ -32,7 +32,7 @@
             may_probe: crew.may_probe,
             may_call_off: crew.may_call_off,
             may_say_when: crew.may_say_when,
-            may_tell: crew.may_tell,
+            may_gossip: crew.may_tell,
             longest_return: crew.longest_return.0,
             list_rates: ListRates::Nominal,
             fading: match crew.fading {
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -77,10 +77,10 @@
         life: u32,
         told: bool,
     },
-    Note {
+    Gossip {
         from: u32,
         to: u32,
-        note: Vec<u8>,
+        message: Vec<u8>,
     },
     Trouble {
         number: usize,
@@ -332,9 +332,9 @@
             }
             Happening::News { forwarder, news } => self.news(forwarder, news),
             Happening::Asked { forwarder, life, told } => self.asked(forwarder, life, told),
-            Happening::Note { from, to, note } => {
+            Happening::Gossip { from, to, message } => {
                 let life = self.stations[to as usize].life;
-                self.give(to, life, Event::Neighbour { from: from as u16, note });
+                self.give(to, life, Event::Gossip { from: from as u16, message });
             }
             Happening::Trouble { number, on } => self.trouble(number, on),
             Happening::Drains { target, gone } => self.drains(target, gone),
--- a/crates/lab/src/sim/stations.rs
+++ b/crates/lab/src/sim/stations.rs
@@ -193,13 +193,11 @@
                 self.connections[Layout::target(target)].idle.remove(&forwarder);
             }
             Action::Watch { on: true } => self.ask(forwarder),
-            Action::Tell { neighbour, note } => {
+            Action::SendGossip { peer, message } => {
                 let others = (0..self.stations.len() as u32).filter(|to| *to != forwarder);
-                for to in
-                    others.filter(|to| neighbour.is_none_or(|n| u32::from(n) == *to)).collect::<Vec<_>>()
-                {
-                    let (at, note) = (self.now + self.scenario.network.delay.0, note.clone());
-                    self.arrange(at, Happening::Note { from: forwarder, to, note });
+                for to in others.filter(|to| peer.is_none_or(|n| u32::from(n) == *to)).collect::<Vec<_>>() {
+                    let (at, message) = (self.now + self.scenario.network.delay.0, message.clone());
+                    self.arrange(at, Happening::Gossip { from: forwarder, to, message });
                 }
             }
             Action::TakeBack { target } => {
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -67,7 +67,7 @@
             6 => {
                 let from = fields.u16()?;
                 let n = fields.u16()?;
-                Event::Neighbour { from, note: fields.take(n.into())?.to_vec() }
+                Event::Gossip { from, message: fields.take(n.into())?.to_vec() }
             }
             2 => {
                 let target = fields.target()?;
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -10,7 +10,7 @@
 const BATCH_HEADER: usize = 20;
 const REPLY_HEADER: usize = 12;
 const LISTING_BYTES: usize = 25;
-const EVERY_NEIGHBOUR: u32 = u32::MAX;
+const EVERY_PEER: u32 = u32::MAX;
 
 #[derive(Debug)]
 pub enum WireError {
@@ -294,9 +294,9 @@
                 67
             }
             Action::FetchList => 74,
-            Action::Tell { neighbour, note } => {
-                fields.extend(neighbour.map_or(EVERY_NEIGHBOUR, u32::from).to_le_bytes());
-                put_bytes("Notify", &mut fields, note)?;
+            Action::SendGossip { peer, message } => {
+                fields.extend(peer.map_or(EVERY_PEER, u32::from).to_le_bytes());
+                put_bytes("Notify", &mut fields, message)?;
                 65
             }
             Action::Log(words) => {
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -253,7 +253,7 @@
             may_probe: start.limits.probing,
             may_call_off: start.limits.cancelling,
             may_say_when: start.limits.retry_after,
-            may_tell: start.limits.may_tell,
+            may_gossip: start.limits.may_tell,
             longest_return: start.limits.max_retry_after_us,
             list_rates: match start.weights {
                 Weights::Off => ListRates::Untold,
--- a/src/hearsay/note.rs
+++ b/src/gossip/message.rs
@@ -1,4 +1,4 @@
-//! The notes between forwarders on the wire: version, subject, number of the destination (low byte first). A codec.
+//! The messages between forwarders on the wire: version, subject, number of the destination (low byte first). A codec.
 //!
 //! A number of 16 bits takes two bytes, as forwarders of every version read it. A larger one takes four under a subject of
 //! its own, which earlier versions pass over.
@@ -10,20 +10,20 @@
 const AT_ITS_LIMIT: u8 = 1; // with two bytes of the number
 const AT_ITS_LIMIT_WIDE: u8 = 2; // with four
 
-/// Why a note can't be used.
+/// Why a message can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadNote {
+pub enum MessageError {
     Length(usize),
     Version(u8),
     Subject(u8),
 }
 
-impl fmt::Display for BadNote {
+impl fmt::Display for MessageError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadNote::Length(bytes) => write!(f, "{bytes} bytes, not the length of its subject"),
-            BadNote::Version(version) => write!(f, "version {version}, this is {VERSION}"),
-            BadNote::Subject(subject) => write!(f, "subject {subject} is not known"),
+            MessageError::Length(bytes) => write!(f, "{bytes} bytes, not the length of its subject"),
+            MessageError::Version(version) => write!(f, "version {version}, this is {VERSION}"),
+            MessageError::Subject(subject) => write!(f, "subject {subject} is not known"),
         }
     }
 }
@@ -35,13 +35,13 @@
     }
 }
 
-pub fn read(note: &[u8]) -> Result<DestinationId, BadNote> {
-    match *note {
+pub fn read(message: &[u8]) -> Result<DestinationId, MessageError> {
+    match *message {
         [VERSION, AT_ITS_LIMIT, low, high] => Ok(DestinationId(u32::from_le_bytes([low, high, 0, 0]))),
         [VERSION, AT_ITS_LIMIT_WIDE, a, b, c, d] => Ok(DestinationId(u32::from_le_bytes([a, b, c, d]))),
-        [VERSION, AT_ITS_LIMIT | AT_ITS_LIMIT_WIDE, ..] => Err(BadNote::Length(note.len())),
-        [VERSION, subject, _, ..] => Err(BadNote::Subject(subject)),
-        [version, _, _, ..] => Err(BadNote::Version(version)),
-        _ => Err(BadNote::Length(note.len())),
+        [VERSION, AT_ITS_LIMIT | AT_ITS_LIMIT_WIDE, ..] => Err(MessageError::Length(message.len())),
+        [VERSION, subject, _, ..] => Err(MessageError::Subject(subject)),
+        [version, _, _, ..] => Err(MessageError::Version(version)),
+        _ => Err(MessageError::Length(message.len())),
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -167,9 +167,9 @@
     Alarm {
         token: Token,
     },
-    Neighbour {
+    Gossip {
         from: u16,
-        note: Vec<u8>,
+        message: Vec<u8>,
     },
     ProbeAnswered {
         target: TargetId,
@@ -221,9 +221,9 @@
         on: bool,
     },
     FetchList,
-    Tell {
-        neighbour: Option<u16>,
-        note: Vec<u8>,
+    SendGossip {
+        peer: Option<u16>,
+        message: Vec<u8>,
     },
     Log(String),
     Fault(String),
@@ -330,8 +330,8 @@
     pub may_probe: bool,
     pub may_call_off: bool,
     pub may_say_when: bool,
-    /// Forwarders may send each other notes.
-    pub may_tell: bool,
+    /// Forwarders may send each other gossip messages.
+    pub may_gossip: bool,
     /// The longest return time that clients follow.
     pub longest_return: Micros,
     pub list_rates: ListRates,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! [`rules`] holds every decision on packets and targets (`line` keeps the order of those that wait, `bucket` and `times`
 //! the arithmetic of rates and answer times: none decides), `membership` when the list is asked for,
-//! `hearsay` what forwarders tell each other, [`interface`] the plain data that goes in and out. None knows of any
+//! `gossip` what forwarders tell their peers, [`interface`] the plain data that goes in and out. None knows of any
 //! wire: a front end translates its protocol into [`interface::Event`]s and carries out the [`interface::Action`]s.
 
 mod bucket;
-mod hearsay;
+mod gossip;
 pub mod interface;
 mod line;
 mod membership;
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -8,7 +8,7 @@
 mod lists;
 
 use crate::bucket::{Bucket, ColdBudget};
-use crate::hearsay::Hearsay;
+use crate::gossip::Gossip;
 use crate::interface::*;
 use crate::line::{Entry, Line, Rank};
 use crate::membership::Asking;
@@ -833,7 +833,7 @@
     look: Option<Micros>, // when the next look at all timers is due
     still: Micros,        // until when nothing is sent: it stood still
     asking: Asking,
-    hearsay: Hearsay,
+    gossip: Gossip,
     refused: f64, // part of the latest trips, over all targets, that got no connection
     times: Times, // answer times over all targets
     idle: IdleTable,
@@ -858,7 +858,7 @@
             look: None,
             still: 0,
             asking: Asking::default(),
-            hearsay: Hearsay::default(),
+            gossip: Gossip::default(),
             refused: 0.0,
             times: Times::default(),
             idle: IdleTable::default(),
@@ -885,7 +885,7 @@
                     self.refused += NEW_REFUSED * (refused - self.refused);
                 }
                 let full = self.targets.get(&target).filter(|_| matches!(outcome, Outcome::Full { .. }));
-                actions.extend(full.and_then(|t| self.hearsay.refused(now, t.destination, &self.terms)));
+                actions.extend(full.and_then(|t| self.gossip.refused(now, t.destination, &self.terms)));
                 self.pass_on(id, ToDestination::Over { id, target, outcome, took, closed });
             }
             Event::WaitTold { target, wait } => {
@@ -910,9 +910,9 @@
             }
             Event::Alarm { token: Token(0) } => self.tick(now),
             Event::Closing => self.terms.slots = 0,
-            Event::Neighbour { from, note } => {
+            Event::Gossip { from, message } => {
                 let known = |at| self.destinations.contains_key(&at) || self.idle.holds(at);
-                let at = self.hearsay.heard(now, from, &note, known, actions);
+                let at = self.gossip.heard(now, from, &message, known, actions);
                 let full = at.filter(|at| !self.limit_idle(now, *at));
                 self.post.destinations.extend(full.map(|at| (at, ToDestination::AtLimit)));
             }
--- a/tests/cases.rs
+++ b/tests/cases.rs
@@ -462,15 +462,15 @@
     let id = refused.arrive(0, 0, None, 8_000 * MS)?;
     refused.end(id, Outcome::Full { wait: None })?;
     let told = refused.actions.iter().find_map(|a| match a {
-        Action::Tell { neighbour: None, note } => Some(note.clone()),
+        Action::SendGossip { peer: None, message } => Some(message.clone()),
         _ => None,
     });
-    let note = told.ok_or("it tells nobody")?;
+    let message = told.ok_or("it tells nobody")?;
     let calls = |news: Option<&Vec<u8>>| -> Result<usize, String> {
         let mut calls = 0;
         for mut world in fleet() {
-            if let Some(note) = news {
-                (0..3).try_for_each(|_| world.give(Event::Neighbour { from: 7, note: note.clone() }))?;
+            if let Some(message) = news {
+                (0..3).try_for_each(|_| world.give(Event::Gossip { from: 7, message: message.clone() }))?;
             }
             (0..2).try_for_each(|_| world.arrive(0, 0, None, 8_000 * MS).map(drop))?;
             world.pass(200 * MS)?;
@@ -481,8 +481,8 @@
         }
         Ok(calls)
     };
-    let (without, with) = (calls(None)?, calls(Some(&note))?);
-    assert!(without >= 40 && with <= 8, "{without} calls of 40 forwarders, {with} after the note");
+    let (without, with) = (calls(None)?, calls(Some(&message))?);
+    assert!(without >= 40 && with <= 8, "{without} calls of 40 forwarders, {with} after the message");
     Ok(())
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -35,7 +35,7 @@
         may_probe: true,
         may_call_off: true,
         may_say_when: true,
-        may_tell: true,
+        may_gossip: true,
         longest_return: 2_000 * MS,
         list_rates: ListRates::Nominal,
         fading: Fading::Halving,
@@ -601,10 +601,10 @@
                 }
             }
             98 if chance.random_bool(0.5) => {
-                // Of any forwarder, true or false, of a known destination or not, or no note at all.
-                let mut note = vec![1, 1, chance.random_range(0..4), 0];
-                note.truncate(if chance.random_bool(0.8) { 4 } else { chance.random_range(0..4) });
-                world.give(Event::Neighbour { from: chance.random(), note })?;
+                // Of any forwarder, true or false, of a known destination or not, or no message at all.
+                let mut message = vec![1, 1, chance.random_range(0..4), 0];
+                message.truncate(if chance.random_bool(0.8) { 4 } else { chance.random_range(0..4) });
+                world.give(Event::Gossip { from: chance.random(), message })?;
             }
             98 if chance.random_bool(0.1) => world.die()?,
             98 if chance.random_bool(0.1) => world.restart()?,
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -194,10 +194,10 @@
     Ok(())
 }
 
-/// Guards against holding in full what is in use elsewhere: a note on an idle destination slows its next call only.
+/// Guards against holding in full what is in use elsewhere: a message on an idle destination slows its next call only.
 #[test]
 fn a_note_on_an_idle_destination_leaves_it_idle_and_slows_it() -> Checked {
-    let run = |full_destinations, note: Option<Vec<u8>>| -> Result<_, String> {
+    let run = |full_destinations, message: Option<Vec<u8>>| -> Result<_, String> {
         let mut world = one_target(full_destinations);
         send_one(&mut world, Outcome::Delivered)?;
         match full_destinations {
@@ -206,8 +206,8 @@
         }
         let restored = world.restored();
         let (begin, before) = (world.now, sends(&world).len());
-        let noted = note.is_some();
-        note.into_iter().try_for_each(|note| world.give(Event::Neighbour { from: 2, note }))?;
+        let noted = message.is_some();
+        message.into_iter().try_for_each(|message| world.give(Event::Gossip { from: 2, message }))?;
         if full_destinations.is_some() {
             let counts = world.forwarder.state_counts();
             assert_eq!((counts.full, counts.restored, counts.bounds), (0, restored, usize::from(noted)));
@@ -231,11 +231,11 @@
         }
         Ok(sent)
     };
-    let (note, unknown) = (Some(vec![1, 1, 0, 0]), Some(vec![1, 1, 9, 0]));
-    let slowed = run(Some(0), note.clone())?;
-    assert_eq!(slowed, run(None, note)?, "as with all state in full");
+    let (message, unknown) = (Some(vec![1, 1, 0, 0]), Some(vec![1, 1, 9, 0]));
+    let slowed = run(Some(0), message.clone())?;
+    assert_eq!(slowed, run(None, message)?, "as with all state in full");
     let free = run(Some(0), None)?;
-    assert!(slowed.len() < free.len(), "{slowed:?}, without a note {free:?}");
+    assert!(slowed.len() < free.len(), "{slowed:?}, without a message {free:?}");
     assert_eq!(run(None, unknown)?, free);
     Ok(())
 }
