--- a/crates/forwarder/src/list.rs
+++ b/crates/forwarder/src/list.rs
@@ -39,7 +39,7 @@
 type Call = Pin<Box<dyn Future<Output = (Platform, Result<ListText, AskFault>)> + Send>>;
 
 /// What the list's actor is to ask, and what it has out.
-struct Asking {
+struct PollState {
     watching: bool,
     fetch: bool,
     /// The platform is silent or refuses: said once in the log.
@@ -50,7 +50,7 @@
     overdue: Option<Call>,
 }
 
-impl Asking {
+impl PollState {
     fn read(&mut self, note: ListNote) {
         match note {
             ListNote::Watch(on) => self.watching = on,
@@ -80,25 +80,25 @@
     pub async fn run(mut self, mut mailbox: mpsc::Receiver<ListNote>) {
         // A watch tells what changed since the list that is known: the whole of it would cost as much once more.
         let fetch = !self.must_be_asked || self.held.revision.is_none();
-        let mut asking = Asking { watching: !self.must_be_asked, fetch, down: false, overdue: None };
+        let mut polling = PollState { watching: !self.must_be_asked, fetch, down: false, overdue: None };
         loop {
-            if !asking.watching && !asking.fetch {
+            if !polling.watching && !polling.fetch {
                 tokio::select! {
                     note = mailbox.recv() => match note {
-                        Some(note) => asking.read(note),
+                        Some(note) => polling.read(note),
                         None => return,
                     },
-                    Ok(()) = self.discovery.changed() => self.moved(&mut asking),
-                    late = asking.late() => if !self.take_late(&mut asking, late).await { return },
+                    Ok(()) = self.discovery.changed() => self.moved(&mut polling),
+                    late = polling.late() => if !self.take_late(&mut polling, late).await { return },
                 }
                 continue;
             }
-            let told = match self.ask(&mut asking, &mut mailbox).await {
+            let told = match self.ask(&mut polling, &mut mailbox).await {
                 Ending::Answered(Ok(text)) => {
-                    (asking.fetch, asking.overdue) = (false, None);
-                    self.tell(&mut asking, text).await
+                    (polling.fetch, polling.overdue) = (false, None);
+                    self.tell(&mut polling, text).await
                 }
-                Ending::Answered(Err(problem)) => self.failed(&mut asking, problem).await,
+                Ending::Answered(Err(problem)) => self.failed(&mut polling, problem).await,
                 Ending::NotWanted => true,
                 Ending::Over => return,
             };
@@ -110,13 +110,13 @@
 
     /// Makes one call, and gives how it ended. One that is not answered in time is kept as overdue where the list must be
     /// asked for.
-    async fn ask(&mut self, asking: &mut Asking, mailbox: &mut mpsc::Receiver<ListNote>) -> Ending {
+    async fn ask(&mut self, polling: &mut PollState, mailbox: &mut mpsc::Receiver<ListNote>) -> Ending {
         // Where the list must be asked for, the whole of it may take as long as a watch: a call given up is paid for.
         let (wait, patience, whole) = match self.must_be_asked {
             true => (ASKED_WATCH, ASKED_PATIENCE, ASKED_WATCH + ASKED_PATIENCE),
             false => (WATCH, PATIENCE, PATIENCE),
         };
-        let watch = if asking.fetch { None } else { self.held.revision.map(|r| (r, wait)) };
+        let watch = if polling.fetch { None } else { self.held.revision.map(|r| (r, wait)) };
         let within = watch.map_or(whole, |(_, wait)| wait + patience);
         let mut call = self.begin(list_path(watch), if self.must_be_asked { OVERDUE } else { within });
         let silent = tokio::time::sleep(within);
@@ -129,20 +129,20 @@
                     return Ending::Answered(answer);
                 }
                 () = &mut silent => {
-                    asking.overdue = self.must_be_asked.then_some(call);
+                    polling.overdue = self.must_be_asked.then_some(call);
                     return Ending::Answered(Err(AskFault::OutOfTime));
                 }
                 note = mailbox.recv() => match note {
-                    Some(note) => asking.read(note),
+                    Some(note) => polling.read(note),
                     None => return Ending::Over,
                 },
                 Ok(()) = self.discovery.changed() => {
-                    self.moved(asking);
+                    self.moved(polling);
                     return Ending::NotWanted;
                 }
-                late = asking.late() => if !self.take_late(asking, late).await { return Ending::Over },
+                late = polling.late() => if !self.take_late(polling, late).await { return Ending::Over },
             }
-            if asking.fetch && watch.is_some() || !asking.fetch && !asking.watching {
+            if polling.fetch && watch.is_some() || !polling.fetch && !polling.watching {
                 return Ending::NotWanted;
             }
         }
@@ -158,8 +158,8 @@
     }
 
     /// Tells the module what is new. Gives whether it takes news.
-    async fn tell(&mut self, asking: &mut Asking, text: ListText) -> bool {
-        if std::mem::take(&mut asking.down) {
+    async fn tell(&mut self, polling: &mut PollState, text: ListText) -> bool {
+        if std::mem::take(&mut polling.down) {
             info!(self.log, "the list is told again"; "revision" => text.revision);
         }
         match self.held.take(text, &self.names) {
@@ -170,11 +170,11 @@
 
     /// Takes the answer to a call that was given up, unless more is known by now. The watch goes on from it, which costs
     /// discovery no call. Gives whether the module takes news.
-    async fn take_late(&mut self, asking: &mut Asking, late: Result<ListText, AskFault>) -> bool {
+    async fn take_late(&mut self, polling: &mut PollState, late: Result<ListText, AskFault>) -> bool {
         match late {
             Ok(text) if self.held.revision.is_none_or(|held| held <= text.revision) => {
-                asking.watching = true;
-                self.tell(asking, text).await
+                polling.watching = true;
+                self.tell(polling, text).await
             }
             // Its failure was told when it was given up.
             Ok(_) | Err(_) => true,
@@ -182,13 +182,13 @@
     }
 
     /// Gives whether the module takes news.
-    async fn failed(&mut self, asking: &mut Asking, problem: AskFault) -> bool {
+    async fn failed(&mut self, polling: &mut PollState, problem: AskFault) -> bool {
         let silent = matches!(problem, AskFault::OutOfTime);
-        if !std::mem::replace(&mut asking.down, true) {
+        if !std::mem::replace(&mut polling.down, true) {
             warn!(self.log, "the list is not told"; "problem" => %problem);
         }
         if self.must_be_asked {
-            (asking.watching, asking.fetch) = (false, false);
+            (polling.watching, polling.fetch) = (false, false);
             if self.module.send(Note::Event(Event::List(ListNews::Failed))).await.is_err() {
                 return false;
             }
@@ -202,11 +202,11 @@
 
     /// What was asked of the old address is dropped; the new one counts its revisions as it likes. The whole list is
     /// fetched there. Until it is in, the list as held stays.
-    fn moved(&mut self, asking: &mut Asking) {
+    fn moved(&mut self, polling: &mut PollState) {
         let address = *self.discovery.borrow_and_update();
         self.platform.move_to(address);
         self.held.revision = None;
-        (asking.fetch, asking.overdue) = (true, None);
+        (polling.fetch, polling.overdue) = (true, None);
     }
 }
 
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,5 +1,5 @@
 //! When a forwarder asks discovery for the list, where the list must be asked for: decided without I/O or clock. The
-//! `Forwarder` owns one [`Asking`] and shows it every event; it holds no table.
+//! `Forwarder` owns one [`ListPoller`] and passes it every event; it holds no table.
 //!
 //! Discovery is shared by the whole fleet and turns calls away, or answers too late, once more are out than it can work
 //! off. Calls that fail together and are made again together keep it there for good: nobody hears anything. So the first
@@ -21,14 +21,14 @@
 const DUE: Token = Token(1); // of the alarm for a call; the core's own have 0
 
 #[derive(Debug, Default)]
-pub struct Asking {
+pub struct ListPoller {
     begun: bool,
     at: Option<Micros>,
     asked: Micros,
     failures: u32, // calls in a row, none of which held for long
 }
 
-impl Asking {
+impl ListPoller {
     /// Adds the call for the list to the actions when it is due, and the alarm for it when it is put off.
     pub fn handle(
         &mut self,
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -10,31 +10,31 @@
     TermsOfCarriage { forwarders, ask_within: Some(WITHIN), ..TermsOfCarriage::default() }
 }
 
-/// One forwarder's asking, with its alarms.
-struct Asker {
-    asking: Asking,
+/// The list poller of one forwarder, with its alarms.
+struct PollingForwarder {
+    list_poller: ListPoller,
     terms: TermsOfCarriage,
     rng: Pcg64Mcg,
     alarm: Option<Micros>,
 }
 
-impl Asker {
-    fn new(forwarders: u32, seed: u64) -> Asker {
-        Asker::under(terms(forwarders), seed)
+impl PollingForwarder {
+    fn new(forwarders: u32, seed: u64) -> PollingForwarder {
+        PollingForwarder::under(terms(forwarders), seed)
     }
 
-    fn under(terms: TermsOfCarriage, seed: u64) -> Asker {
+    fn under(terms: TermsOfCarriage, seed: u64) -> PollingForwarder {
         let (rng, forwarders) = (Pcg64Mcg::seed_from_u64(seed), terms.forwarders);
-        let mut asker = Asker { asking: Asking::default(), terms, rng, alarm: None };
-        let asked = asker.show(0, Event::List(ListNews::Cached(Vec::new())));
-        assert!(forwarders == 1 || !asked || asker.alarm == Some(0));
-        asker
+        let mut poller = PollingForwarder { list_poller: ListPoller::default(), terms, rng, alarm: None };
+        let asked = poller.show(0, Event::List(ListNews::Cached(Vec::new())));
+        assert!(forwarders == 1 || !asked || poller.alarm == Some(0));
+        poller
     }
 
     /// Whether it asks.
     fn show(&mut self, now: Micros, event: Event) -> bool {
         let mut actions = Vec::new();
-        self.asking.handle(now, &event, &self.terms, &mut self.rng, &mut actions);
+        self.list_poller.handle(now, &event, &self.terms, &mut self.rng, &mut actions);
         for action in &actions {
             if let Action::Wake { after, .. } = action {
                 self.alarm = Some(now + after);
@@ -51,14 +51,14 @@
 /// A discovery that works off one call after the other, turns away what would wait longer than three time-outs, and
 /// spends its time on calls that nobody waits for any more. Gives when each forwarder was answered.
 fn told(forwarders: u32, call: Micros, seed: u64, until: Micros) -> Vec<Option<Micros>> {
-    let mut fleet: Vec<Asker> =
-        (0..forwarders).map(|n| Asker::new(forwarders, seed << 32 | u64::from(n))).collect();
+    let mut fleet: Vec<PollingForwarder> =
+        (0..forwarders).map(|n| PollingForwarder::new(forwarders, seed << 32 | u64::from(n))).collect();
     let mut answered = vec![None; fleet.len()];
     let mut fails = vec![None; fleet.len()];
     let mut free = 0;
     for now in (0..until).step_by(MS as usize) {
-        for (n, asker) in fleet.iter_mut().enumerate() {
-            if asker.rings(now) {
+        for (n, poller) in fleet.iter_mut().enumerate() {
+            if poller.rings(now) {
                 let done = free.max(now) + call;
                 if done - now > 3 * TIMEOUT {
                     fails[n] = Some(now + 20 * MS);
@@ -71,7 +71,7 @@
                 }
             }
             if fails[n].take_if(|at| *at <= now).is_some() {
-                asker.show(now, Event::List(ListNews::Failed));
+                poller.show(now, Event::List(ListNews::Failed));
             }
         }
     }
@@ -93,7 +93,7 @@
 #[test]
 fn the_first_call_comes_within_what_the_rules_want_and_a_lone_one_at_once() {
     for forwarders in [1, 2, 50, 100_000] {
-        let wait = Asker::new(forwarders, 1).alarm.expect("it is put off");
+        let wait = PollingForwarder::new(forwarders, 1).alarm.expect("it is put off");
         assert!(wait <= WITHIN / 2 && (forwarders > 1 || wait == 0), "{forwarders}: {wait}");
     }
 }
@@ -101,21 +101,21 @@
 #[test]
 fn failures_in_a_row_lengthen_the_wait_up_to_the_interval_and_a_call_that_held_ends_the_row() {
     for forwarders in [1, 100] {
-        let mut asker = Asker::new(forwarders, 2);
-        let mut now = asker.alarm.expect("it is put off");
+        let mut poller = PollingForwarder::new(forwarders, 2);
+        let mut now = poller.alarm.expect("it is put off");
         let mut waits = Vec::new();
         for _ in 0..40 {
-            asker.rings(now);
+            poller.rings(now);
             now += TIMEOUT;
-            asker.show(now, Event::List(ListNews::Failed));
-            waits.push(asker.alarm.expect("it is put off") - now);
+            poller.show(now, Event::List(ListNews::Failed));
+            waits.push(poller.alarm.expect("it is put off") - now);
             now += waits[waits.len() - 1];
         }
         assert!(waits.iter().all(|w| *w <= WITHIN && *w > 0), "{waits:?}");
         assert!(waits.iter().any(|w| *w >= WITHIN / 2), "{waits:?}");
-        asker.rings(now);
-        asker.show(now + 2 * WITHIN, Event::List(ListNews::Failed));
-        assert_eq!(asker.asking.failures, 1);
+        poller.rings(now);
+        poller.show(now + 2 * WITHIN, Event::List(ListNews::Failed));
+        assert_eq!(poller.list_poller.failures, 1);
     }
 }
 
@@ -153,13 +153,14 @@
     let silent_from = 2 * WITHIN;
     let back = silent_from + outage.down;
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut fleet: Vec<Asker> =
-        (0..outage.forwarders).map(|n| Asker::new(outage.forwarders, seed << 32 | u64::from(n))).collect();
+    let mut fleet: Vec<PollingForwarder> = (0..outage.forwarders)
+        .map(|n| PollingForwarder::new(outage.forwarders, seed << 32 | u64::from(n)))
+        .collect();
     let mut fails = Vec::new();
-    for asker in &mut fleet {
-        asker.terms.told_within = outage.told_within;
-        asker.alarm = None;
-        asker.asking.at = None;
+    for poller in &mut fleet {
+        poller.terms.told_within = outage.told_within;
+        poller.alarm = None;
+        poller.list_poller.at = None;
         fails.push(Some(silent_from + rng.random_range(MS..=outage.silence)));
     }
     // When the call under way is answered, and the last that was given up.
@@ -168,12 +169,12 @@
     let (mut called, mut calls_at) = (vec![None; fleet.len()], Vec::new());
     let mut free = 0;
     for now in (silent_from..back + 30_000 * MS).step_by(MS as usize) {
-        for (n, asker) in fleet.iter_mut().enumerate() {
+        for (n, poller) in fleet.iter_mut().enumerate() {
             answered[n] = [due[n], overdue[n]].into_iter().flatten().find(|at| *at <= now);
             if answered[n].is_some() {
                 continue;
             }
-            if asker.rings(now) {
+            if poller.rings(now) {
                 if now < back {
                     fails[n] = Some(now + outage.silence);
                     continue;
@@ -192,7 +193,7 @@
             if fails[n].take_if(|at| *at <= now).is_some() {
                 // Only the last that was given up is still heard; a refusal leaves it.
                 overdue[n] = due[n].take().or(overdue[n]);
-                asker.show(now, Event::List(ListNews::Failed));
+                poller.show(now, Event::List(ListNews::Failed));
             }
         }
     }
@@ -216,16 +217,16 @@
         .flat_map(|(f, w)| [20 * MS, 1_000 * MS, LONGEST_SILENCE].map(|fails| (f, w, fails)))
     {
         for seed in 0..200 {
-            let mut asker = Asker::new(forwarders, seed);
-            (asker.terms.ask_within, asker.terms.told_within) = (Some(within), Some(TOLD));
-            let mut now = asker.alarm.expect("it is put off");
+            let mut poller = PollingForwarder::new(forwarders, seed);
+            (poller.terms.ask_within, poller.terms.told_within) = (Some(within), Some(TOLD));
+            let mut now = poller.alarm.expect("it is put off");
             for failures in 1..=20 {
                 // A lone one has made its first call as it began.
-                assert!(asker.rings(now) || forwarders == 1 && failures == 1);
+                assert!(poller.rings(now) || forwarders == 1 && failures == 1);
                 let called = now;
                 now += fails_after;
-                asker.show(now, Event::List(ListNews::Failed));
-                now = asker.alarm.expect("it is put off");
+                poller.show(now, Event::List(ListNews::Failed));
+                now = poller.alarm.expect("it is put off");
                 let next = now - called;
                 assert!(
                     next + ANSWER_TIME <= TOLD,
@@ -234,10 +235,10 @@
                 assert!(next > fails_after, "{forwarders}: asked again at once");
             }
             // A watch that held falls silent: it is noticed so long after its last answer.
-            assert!(asker.rings(now));
+            assert!(poller.rings(now));
             now += 2 * WITHIN + LONGEST_SILENCE;
-            asker.show(now, Event::List(ListNews::Failed));
-            let next = LONGEST_SILENCE + asker.alarm.expect("it is put off") - now;
+            poller.show(now, Event::List(ListNews::Failed));
+            let next = LONGEST_SILENCE + poller.alarm.expect("it is put off") - now;
             assert!(next + ANSWER_TIME <= TOLD, "{forwarders}: {next} µs from a silent watch to a new one");
         }
     }
@@ -249,15 +250,15 @@
     for (forwarders, fails_after) in
         [(1, 20 * MS), (1, LONGEST_SILENCE + 30 * MS), (3, LONGEST_SILENCE + 30 * MS)]
     {
-        let mut asker = Asker::new(forwarders, 2);
-        asker.terms.told_within = Some(TOLD);
-        let (mut now, mut waits) = (asker.alarm.expect("it is put off"), Vec::new());
+        let mut poller = PollingForwarder::new(forwarders, 2);
+        poller.terms.told_within = Some(TOLD);
+        let (mut now, mut waits) = (poller.alarm.expect("it is put off"), Vec::new());
         for _ in 0..8 {
-            asker.rings(now);
+            poller.rings(now);
             now += fails_after;
-            asker.show(now, Event::List(ListNews::Failed));
-            waits.push(asker.alarm.expect("it is put off") - now);
-            now = asker.alarm.expect("it is put off");
+            poller.show(now, Event::List(ListNews::Failed));
+            waits.push(poller.alarm.expect("it is put off") - now);
+            now = poller.alarm.expect("it is put off");
         }
         assert!(waits[0] < 300 * MS && waits[7] >= 1_000 * MS, "{forwarders}: {waits:?}");
     }
@@ -268,8 +269,8 @@
 fn the_first_call_comes_by_the_time_that_counts() {
     for seed in 0..200 {
         let long = TermsOfCarriage { ask_within: Some(60 * WITHIN), told_within: Some(TOLD), ..terms(350) };
-        let asker = Asker::under(long, seed);
-        assert!(asker.alarm.expect("it is put off") + ANSWER_TIME <= TOLD);
+        let poller = PollingForwarder::under(long, seed);
+        assert!(poller.alarm.expect("it is put off") + ANSWER_TIME <= TOLD);
     }
 }
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -11,7 +11,7 @@
 use crate::gossip::Gossip;
 use crate::interface::*;
 use crate::line::{Entry, Line, Rank};
-use crate::membership::Asking;
+use crate::membership::ListPoller;
 use crate::times::Times;
 use idle::IdleTable;
 pub use idle::StateCounts;
@@ -832,7 +832,7 @@
     bids: Vec<(f64, DestinationId)>,
     look: Option<Micros>, // when the next look at all timers is due
     still: Micros,        // until when nothing is sent: it stood still
-    asking: Asking,
+    list_poller: ListPoller,
     gossip: Gossip,
     refused: f64, // part of the latest trips, over all targets, that got no connection
     times: Times, // answer times over all targets
@@ -857,7 +857,7 @@
             bids: Vec::new(),
             look: None,
             still: 0,
-            asking: Asking::default(),
+            list_poller: ListPoller::default(),
             gossip: Gossip::default(),
             refused: 0.0,
             times: Times::default(),
@@ -870,7 +870,7 @@
         if self.look.is_some_and(|due| now > due + self.terms.rules.drain_grace / 2) {
             (self.look, self.still) = (Some(now), now + TICK);
         }
-        self.asking.handle(now, &event, &self.terms, &mut self.rng, actions);
+        self.list_poller.handle(now, &event, &self.terms, &mut self.rng, actions);
         self.restore_for(now, &event);
         let most_summarised = idle::most_for(&event);
         match event {
