--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! The decision core of opalpulley: a dispatcher of notifications to outside receivers.
 //!
-//! [`rules`] holds every decision on packets and targets (`line` keeps the order of those that wait, `bucket` and `times`
+//! [`rules`] holds every decision on packets and targets (`queue` keeps the order of those that wait, `bucket` and `times`
 //! the arithmetic of rates and answer times: none decides), `membership` when the list is asked for,
 //! `gossip` what forwarders tell their peers, [`interface`] the plain data that goes in and out. None knows of any
 //! wire: a front end translates its protocol into [`interface::Event`]s and carries out the [`interface::Action`]s.
@@ -8,8 +8,8 @@
 mod bucket;
 mod gossip;
 pub mod interface;
-mod line;
 mod membership;
+mod queue;
 pub mod rules;
 mod times;
 
--- a/src/line.rs
+++ b/src/queue.rs
@@ -1,11 +1,11 @@
-//! The line of a destination: packets that wait there, ordered so that looking for the next costs little however many wait.
+//! The dispatch queue of a destination: packets that wait there, ordered so that finding the next costs little however many wait.
 //! It decides nothing. Packets that are alike in all that decides what is lost by waiting, but for when they were due, form
 //! a rank, ordered by that time. Within a rank the loss is a smooth curve of the due time between a few cuts, and rises or
 //! falls all the way from one cut to the next: the greatest and the least of each piece stand at its ends. So whoever looks
-//! for the best of a rank needs to weigh two packets a piece, not all (`Line::ends`).
+//! for the best of a rank needs to weigh two packets a piece, not all (`DispatchQueue::ends`).
 //!
 //! Invariant: a packet that waits is in `expiring`; it is in its rank as well once it is its turn and its rest is over, in
-//! `resting` while only the rest is missing. It leaves all of them as it leaves the line.
+//! `resting` while only the rest is missing. It leaves all of them as it leaves the queue.
 
 use crate::interface::{Micros, PacketId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,7 +28,7 @@
     pub zone: Option<u16>,
 }
 
-/// One packet as the line sees it. It must not change while the packet waits, but for `turn`.
+/// One packet as the queue sees it. It must not change while the packet waits, but for `turn`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Entry {
     pub id: PacketId,
@@ -43,13 +43,13 @@
 pub type Ranked = BTreeSet<(Micros, PacketId)>;
 
 #[derive(Debug, Default)]
-pub struct Line {
+pub struct DispatchQueue {
     ranks: BTreeMap<Rank, Ranked>,          // emptied of ranks without packets
     resting: BTreeSet<(Micros, PacketId)>,  // by the end of their rest
     expiring: BTreeSet<(Micros, PacketId)>, // all that wait, by when they can be sent last
 }
 
-impl Line {
+impl DispatchQueue {
     pub fn len(&self) -> usize {
         self.expiring.len()
     }
@@ -175,18 +175,18 @@
 
     quickcheck! {
         fn the_best_of_the_ends_is_the_best_of_all(dues: Vec<u8>, cuts: Vec<u8>, steps: Vec<i8>, from: u8, to: u8) -> TestResult {
-            let mut line = Line::default();
+            let mut queue = DispatchQueue::default();
             let entry = |(n, due): (usize, &u8)| {
                 let (id, due) = (PacketId(n as u32), u64::from(*due));
                 Entry { id, due, last_send: 1000, turn: true, ..Entry::default() }
             };
             let entries: Vec<Entry> = dues.iter().enumerate().map(entry).collect();
-            entries.iter().for_each(|e| line.join(e));
-            line.wake(0, |id| entries.get(id.0 as usize).copied());
+            entries.iter().for_each(|e| queue.join(e));
+            queue.wake(0, |id| entries.get(id.0 as usize).copied());
             let mut cuts: Vec<i64> = cuts.into_iter().map(i64::from).collect();
             cuts.sort_unstable();
             let (from, to) = (i64::from(from.min(to)), i64::from(from.max(to)));
-            let Some((_, ranked)) = line.ranks().next() else { return TestResult::discard() };
+            let Some((_, ranked)) = queue.ranks().next() else { return TestResult::discard() };
             let best = |ids: Vec<PacketId>| {
                 let of = |id: PacketId| entries[id.0 as usize].due;
                 let order = |id: &PacketId| (value(of(*id), &cuts, &steps), std::cmp::Reverse((of(*id), *id)));
@@ -195,14 +195,14 @@
             let within = |e: &&Entry| (from..=to).contains(&(e.due as i64));
             let all = entries.iter().filter(within).map(|e| e.id).collect();
             let mut ends = Vec::new();
-            Line::ends(ranked, from..=to, || cuts.clone(), &mut ends);
+            DispatchQueue::ends(ranked, from..=to, || cuts.clone(), &mut ends);
             TestResult::from_bool(best(all) == best(ends))
         }
     }
 
     #[test]
     fn what_leaves_is_in_none_of_its_tables() {
-        let mut line = Line::default();
+        let mut queue = DispatchQueue::default();
         let entry = |n: u32| Entry {
             id: PacketId(n),
             last_send: u64::from(n),
@@ -210,14 +210,14 @@
             turn: n.is_multiple_of(2),
             ..Entry::default()
         };
-        (0..50).for_each(|n| line.join(&entry(n)));
-        line.wake(3, |id| Some(entry(id.0)));
-        assert_eq!((line.len(), line.expiring_by(9).len()), (50, 10));
-        line.turn(&Entry { turn: true, ..entry(7) });
-        (0..50).for_each(|n| line.leave(&Entry { turn: true, ..entry(n) }));
-        assert!(line.len() == 0 && line.ranks.is_empty() && line.resting.is_empty(), "{line:?}");
-        line.leave(&entry(3));
-        line.turn(&entry(3));
-        assert!(line.resting.is_empty(), "it does not wait");
+        (0..50).for_each(|n| queue.join(&entry(n)));
+        queue.wake(3, |id| Some(entry(id.0)));
+        assert_eq!((queue.len(), queue.expiring_by(9).len()), (50, 10));
+        queue.turn(&Entry { turn: true, ..entry(7) });
+        (0..50).for_each(|n| queue.leave(&Entry { turn: true, ..entry(n) }));
+        assert!(queue.len() == 0 && queue.ranks.is_empty() && queue.resting.is_empty(), "{queue:?}");
+        queue.leave(&entry(3));
+        queue.turn(&entry(3));
+        assert!(queue.resting.is_empty(), "it does not wait");
     }
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,6 +1,6 @@
 //! Every decision of opalpulley. A front calls `Forwarder::new(terms, seed)` once, then `handle(now, event,
 //! &mut actions)` for each event, in order, and carries out the actions. Three parts talk by notes only:
-//! `Forwarder` (loop, packet book, slots), a `Destination` (line, cap, pace, hold) and its `Target`s (places,
+//! `Forwarder` (loop, packet book, slots), `Destination` (queue, cap, pace, hold) and its `Target`s (places,
 //! outcomes, probing, drain, cold ramp). `Post` keeps an inbox for each; `Forwarder::settle` empties them.
 //! `lists` applies the membership list; `idle` holds destinations out of use as summaries.
 
@@ -10,8 +10,8 @@
 use crate::bucket::{Bucket, ColdBudget};
 use crate::gossip::Gossip;
 use crate::interface::*;
-use crate::line::{Entry, Line, Rank};
 use crate::membership::ListPoller;
+use crate::queue::{DispatchQueue, Entry, Rank};
 use crate::times::Times;
 use idle::IdleTable;
 pub use idle::StateCounts;
@@ -215,7 +215,7 @@
 struct Gate {
     capacity: f64, // calls a second that it takes from all forwarders together, as told last
     rest: f64,     // µs between calls
-    short: bool,   // a line waited for the rest to pass
+    short: bool,   // a queue waited for the rest to pass
     eased: Micros,
     grown: Micros, // when it grew last
     next: Micros,  // when the next call may go
@@ -283,7 +283,7 @@
     cards: BTreeMap<TargetId, Card>, // a card a target; emptied as targets go
     gates: BTreeMap<Option<TargetId>, Gate>, // by route where apart; emptied as targets go and holds end
     packets: BTreeMap<PacketId, Packet>, // packets waiting or out; each leaves with its final answer
-    line: Line,                      // those of them that wait
+    queue: DispatchQueue,            // those of them that wait
     out: BTreeSet<PacketId>,         // the others
     pick: Option<TargetId>,
     queued: Option<Micros>, // its place in the queue of those that may be summarised
@@ -293,13 +293,13 @@
     fn read(&mut self, note: ToDestination, desk: &mut Desk) {
         match note {
             ToDestination::Take(packet) => {
-                self.line.join(&packet.entry(desk.terms));
+                self.queue.join(&packet.entry(desk.terms));
                 self.packets.insert(packet.id, packet);
                 self.tick(1.0, LONE, desk); // at once: it may have less time than the next look takes
             }
             ToDestination::Turn(id) => self.packets.get_mut(&id).into_iter().for_each(|packet| {
                 packet.turn = true;
-                self.line.turn(&packet.entry(desk.terms));
+                self.queue.turn(&packet.entry(desk.terms));
             }),
             ToDestination::Over { id, target, outcome, took, closed } => {
                 let out = self.packets.get_mut(&id).and_then(|p| p.out.take_if(|o| o.0 == target));
@@ -341,7 +341,7 @@
         let state = (!still).then(|| State {
             calls: self.cards.values().map(|c| c.calls).sum(),
             troubled: self.troubled(),
-            waiting: self.line.len(),
+            waiting: self.queue.len(),
         });
         desk.tell(ToForwarder::State { destination: self.id, state });
     }
@@ -361,7 +361,7 @@
     fn end(&mut self, id: PacketId, answer: Option<Action>, desk: &mut Desk) {
         self.out.remove(&id);
         if let Some(packet) = self.packets.remove(&id) {
-            self.line.leave(&packet.entry(desk.terms));
+            self.queue.leave(&packet.entry(desk.terms));
         }
         let answered = answer.is_some();
         answer.into_iter().for_each(|answer| desk.tell(ToForwarder::Do(answer)));
@@ -389,15 +389,15 @@
             return self.end(id, owed, desk);
         }
         if outcome == Outcome::TakenBack {
-            packet.trips -= 1; // it keeps its place in the line
-            return self.line.join(&packet.entry(desk.terms));
+            packet.trips -= 1; // it keeps its place in the queue
+            return self.queue.join(&packet.entry(desk.terms));
         }
         let longest = (LONGEST_WAIT * desk.row(packet.profile).expiry as f64) as Micros;
         let wait = (BASE_WAIT << packet.trips.saturating_sub(1).min(20)).min(longest);
         // Guards against clumps that come due together: chance spreads them, and the waits still grow.
         packet.ready_at = desk.now + wait + (wait as f64 * JITTER * desk.rng.random::<f64>()) as Micros;
         let entry = packet.entry(desk.terms);
-        self.line.join(&entry);
+        self.queue.join(&entry);
         if entry.ready_at >= entry.last_send {
             self.end(id, Some(Action::WriteOff { id }), desk);
         }
@@ -432,7 +432,7 @@
         let over = |p: &&Packet| held >= p.expires || desk.now + 2 * TICK >= p.last_send(desk.terms);
         let by = held.max(desk.now + 2 * TICK);
         let over: Vec<PacketId> =
-            self.waiting(self.line.expiring_by(by)).filter(over).map(|p| p.id).collect();
+            self.waiting(self.queue.expiring_by(by)).filter(over).map(|p| p.id).collect();
         over.into_iter().for_each(|id| self.give_up(id, desk));
     }
 
@@ -468,7 +468,7 @@
 
     fn shed(&mut self, desk: &mut Desk) {
         let worth = |p: &Packet| p.worth_at(desk.now as f64, desk.terms);
-        let all = self.waiting(self.line.expiring_by(Micros::MAX));
+        let all = self.waiting(self.queue.expiring_by(Micros::MAX));
         let least = all.min_by(|a, b| worth(a).total_cmp(&worth(b)).then(b.due.cmp(&a.due)));
         least.map(|p| p.id).into_iter().for_each(|id| self.give_up(id, desk));
     }
@@ -476,7 +476,7 @@
     /// The packet that a target should get next, and what is lost by leaving it.
     fn next_for(&self, card: &Card, desk: &Desk) -> Option<(PacketId, f64)> {
         let mut ids = Vec::new();
-        for (rank, ranked) in self.line.ranks().filter(|(r, _)| r.zone.is_none_or(|zone| zone == card.zone)) {
+        for (rank, ranked) in self.queue.ranks().filter(|(r, _)| r.zone.is_none_or(|z| z == card.zone)) {
             let row = desk.row(rank.profile);
             // Guards binding packets against targets that lose what they take, while time remains.
             let late = desk.now as i64 + (row.expiry / 4) as i64 - rank.span;
@@ -484,7 +484,7 @@
             let from = (desk.now + 2 * TICK) as i64 - rank.last + 1;
             let fade = -row.late_share.max(f64::MIN_POSITIVE).log2() * row.contract_time as f64;
             let cuts = || rank.cuts(desk.now as f64, card.answer_time, Packet::ahead(desk.terms), fade);
-            Line::ends(ranked, from..=to, cuts, &mut ids);
+            DispatchQueue::ends(ranked, from..=to, cuts, &mut ids);
         }
         self.waiting(ids)
             .map(|p| (p, p.loss(desk.now, card.answer_time, desk.terms)))
@@ -494,7 +494,7 @@
 
     fn bid(&mut self, desk: &mut Desk) {
         self.pick = None;
-        self.line.wake(desk.now, |id| self.packets.get(&id).map(|p| p.entry(desk.terms)));
+        self.queue.wake(desk.now, |id| self.packets.get(&id).map(|p| p.entry(desk.terms)));
         let share = if self.troubled() { CAP_TROUBLED } else { CAP_WELL };
         let cap = ((share * f64::from(desk.terms.slots)) as usize).max(1);
         if self.cards.values().map(|c| c.calls).sum::<usize>() >= cap {
@@ -537,7 +537,7 @@
         for _ in 0..self.per_call {
             let Some((id, _)) = self.next_for(&card, desk) else { break };
             let Some(packet) = self.packets.get_mut(&id) else { break };
-            self.line.leave(&packet.entry(desk.terms));
+            self.queue.leave(&packet.entry(desk.terms));
             self.out.insert(id);
             packet.trips += 1;
             packet.out = Some((target, desk.now));
@@ -814,7 +814,7 @@
 
 #[derive(Default)]
 struct Turns {
-    line: VecDeque<(PacketId, DestinationId)>,
+    queue: VecDeque<(PacketId, DestinationId)>,
     rest: Micros,
 }
 
@@ -825,7 +825,7 @@
     book: BTreeMap<PacketId, (DestinationId, Option<OrderKey>)>, // an entry leaves with its packet
     destinations: BTreeMap<DestinationId, Destination>, // emptied of those without targets, packets and holds
     targets: BTreeMap<TargetId, Target>,                // emptied of those gone for the warm-up time and idle
-    turns: BTreeMap<OrderKey, Turns>, // emptied of a key once its line is empty and its rest over
+    turns: BTreeMap<OrderKey, Turns>, // emptied of a key once its queue is empty and its rest over
     unheard: BTreeMap<PacketId, OrderKey>, // of ends told and not heard yet; each leaves as it is heard
     shares: Vec<Bucket>,              // what is left of each tenant's share
     states: BTreeMap<DestinationId, State>, // only where anything is under way: work follows these
@@ -904,7 +904,7 @@
             Event::Owed { id, profile, key } => {
                 let row = self.terms.profiles.get(profile.0 as usize).filter(|row| row.in_order);
                 if let Some(turns) = row.map(|_| self.turns.entry(key).or_default()) {
-                    turns.line.push_back((id, DestinationId::default()));
+                    turns.queue.push_back((id, DestinationId::default()));
                     self.unheard.insert(id, key);
                 }
             }
@@ -939,7 +939,7 @@
         let patiences = if self.calls_out().0 >= self.terms.slots as usize { 1.0 } else { LONE };
         let tick = |id: &DestinationId| (*id, ToDestination::Tick { patiences });
         self.post.destinations.extend(self.states.keys().map(tick));
-        self.turns.retain(|_, t| !t.line.is_empty() || t.rest > now);
+        self.turns.retain(|_, t| !t.queue.is_empty() || t.rest > now);
         let keys: Vec<OrderKey> = self.turns.keys().copied().collect();
         keys.into_iter().for_each(|key| self.pass_turn(now, Some(key)));
     }
@@ -968,7 +968,7 @@
         let past = Packet { trips, exposed: exposed.map(|(at, zone)| (at, zone.0)), ..Packet::default() };
         let packet = Packet { id, profile, worth, due, expires, key, turn, ready_at, ..past };
         if let Some(turns) = key.map(|key| self.turns.entry(key).or_default()) {
-            turns.line.push_back((id, destination));
+            turns.queue.push_back((id, destination));
             // Guards the order over a restart: a trip of an earlier life may still run.
             let rest = if exposed.is_some() { now + self.terms.rules.order_pause } else { 0 };
             turns.rest = turns.rest.max(rest);
@@ -977,7 +977,7 @@
         self.destinations.entry(destination).or_default().id = destination;
         self.post.destinations.push_back((destination, ToDestination::Take(packet)));
         self.pass_turn(now, key);
-        // Guards against a full room, whose door is blind: the longest line gives up its least worth.
+        // Guards against a full room, whose door is blind: the longest queue gives up its least worth.
         if self.book.len() as f64 > ROOM_USED * f64::from(self.terms.room) {
             let longest = self.states.iter().max_by_key(|(_, s)| s.waiting).map(|(id, _)| *id);
             self.post.destinations.extend(longest.map(|id| (id, ToDestination::Shed)));
@@ -986,14 +986,14 @@
 
     fn leave_turns(&mut self, now: Micros, id: PacketId, key: Option<OrderKey>) {
         if let Some(turns) = key.and_then(|key| self.turns.get_mut(&key)) {
-            turns.line.retain(|(waiting, _)| *waiting != id);
+            turns.queue.retain(|(waiting, _)| *waiting != id);
         }
         self.pass_turn(now, key);
     }
 
     fn pass_turn(&mut self, now: Micros, key: Option<OrderKey>) {
         let Some(turns) = key.and_then(|k| self.turns.get(&k)) else { return };
-        if let (true, Some((id, destination))) = (turns.rest <= now, turns.line.front()) {
+        if let (true, Some((id, destination))) = (turns.rest <= now, turns.queue.front()) {
             self.post.destinations.push_back((*destination, ToDestination::Turn(*id)));
         }
     }
@@ -1057,7 +1057,7 @@
             .fold((0, 0), |(all, bad), s| (all + s.calls, bad + if s.troubled { s.calls } else { 0 }))
     }
 
-    /// Offers free slots to the lines until none wants one: the packet that loses most by waiting goes first.
+    /// Offers free slots until no queue wants one: the packet that loses most by waiting goes first.
     fn deal(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let slots = if now < self.still { 0 } else { self.terms.slots as usize };
         let troubled_cap = ((CAP_ALL_TROUBLED * slots as f64) as usize).max(1);
