--- a/crates/terms/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' start object: JSON to terms, for every front. Unknown keys are skipped.
+//! The operators' start object: JSON to the configuration of the core, for every front. Unknown keys are skipped.
 
 use opalpulley::{
-    Effect, Ends, Fading, KindTerms, ListRates, Micros, ProfileTerms, RepeatGroup, RuleTerms, TenantTerms,
-    TermsOfCarriage,
+    Config, Effect, Ends, Fading, KindConfig, ListRates, Micros, ProfileConfig, RepeatGroup, RuleConfig,
+    TenantConfig,
 };
 use serde::Deserialize;
 
@@ -13,12 +13,12 @@
 /// 3 kB, so that these stay near 3 MB of a forwarder's memory.
 const FULL_DESTINATIONS: u32 = 1_024;
 
-/// What a front is told at start: terms for the core, names for its codec, figures of the links.
+/// What a front is told at start: the configuration of the core, the names of its codec and the figures of the connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Waybill {
-    pub terms: TermsOfCarriage,
+    pub config: Config,
     pub names: Names,
-    pub links: LinkTerms,
+    pub links: ConnectionConfig,
 }
 
 /// Names in the order of the numbers that the core uses.
@@ -32,7 +32,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct LinkTerms {
+pub struct ConnectionConfig {
     /// A target closes a connection that has been idle for so long.
     pub idle_closed_after: Micros,
     /// A connection that takes longer to come up counts as none.
@@ -208,11 +208,11 @@
             kinds: start.host_types.clone(),
             reports: start.load_report.names.clone(),
         };
-        let links = LinkTerms {
+        let links = ConnectionConfig {
             idle_closed_after: start.limits.conn_idle_us.unwrap_or(DEFAULT_IDLE),
             connect_within: start.limits.connect_timeout_us.unwrap_or(DEFAULT_CONNECT),
         };
-        Ok(Waybill { terms: start.into_terms(), names, links })
+        Ok(Waybill { config: start.into_config(), names, links })
     }
 }
 
@@ -235,15 +235,15 @@
         }
     }
 
-    fn into_terms(self) -> TermsOfCarriage {
+    fn into_config(self) -> Config {
         let start = self;
         let kinds = (0..start.host_types.len())
-            .map(|k| KindTerms {
+            .map(|k| KindConfig {
                 routes_apart: start.domain.routes_apart.get(k).copied().unwrap_or(false),
                 per_call: start.domain.per_call.get(k).copied().unwrap_or(1),
             })
             .collect();
-        TermsOfCarriage {
+        Config {
             forwarder: start.me,
             forwarders: start.balancers,
             slots: start.domain.workers,
@@ -265,7 +265,7 @@
                 Fades::Halving => Fading::Halving,
             },
             over_share_worth: start.over_share_worth,
-            tenants: start.accounts.into_iter().map(|a| TenantTerms { quota: a.quota_per_s }).collect(),
+            tenants: start.accounts.into_iter().map(|a| TenantConfig { quota: a.quota_per_s }).collect(),
             kinds,
             zone_fees: start.domain.zone_fee,
             ask_within: match start.membership_mode {
@@ -273,7 +273,7 @@
                 Membership::OnRequest => Some(start.rules.ask_within_us),
             },
             told_within: None, // the settings do not name it: the protocol of whoever carries out the calls does
-            rules: RuleTerms {
+            rules: RuleConfig {
                 answer_slack: start.rules.answer_slack_us,
                 drain_grace: start.rules.drain_grace_us,
                 cold_from: start.rules.cold_from,
@@ -289,13 +289,13 @@
     }
 }
 
-fn profile(p: Profile) -> ProfileTerms {
+fn profile(p: Profile) -> ProfileConfig {
     let group = match p.group {
         Group::All => RepeatGroup::All,
         Group::Zone => RepeatGroup::Zone,
         Group::Cell => RepeatGroup::Destination,
     };
-    ProfileTerms {
+    ProfileConfig {
         effect: match p.effect {
             ProfileEffect::Free => Effect::Retriable,
             ProfileEffect::Guarded => Effect::Fingerprinted { group, window: p.dedup_window_us },
--- a/crates/forwarder/src/clients.rs
+++ b/crates/forwarder/src/clients.rs
@@ -10,8 +10,8 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
-use opalpulley::{Effect, ProfileTerms, TermsOfCarriage};
-use opalpulley_terms::Names;
+use opalpulley::{Config, Effect, ProfileConfig};
+use opalpulley_config::Names;
 use slog::{debug, error, warn, Logger};
 use socket2::SockRef;
 use std::collections::BTreeMap;
@@ -49,13 +49,13 @@
 }
 
 impl Door {
-    pub fn new(names: Names, terms: &TermsOfCarriage, module: mpsc::Sender<HandIn>, log: Logger) -> Door {
-        let form = |(name, row): (&String, &ProfileTerms)| Form {
+    pub fn new(names: Names, config: &Config, module: mpsc::Sender<HandIn>, log: Logger) -> Door {
+        let form = |(name, row): (&String, &ProfileConfig)| Form {
             name: name.clone(),
             marked: matches!(row.effect, Effect::Fingerprinted { .. }),
             longest: row.expiry,
         };
-        let forms = names.profiles.iter().zip(&terms.profiles).map(form).collect();
+        let forms = names.profiles.iter().zip(&config.profiles).map(form).collect();
         Door { names, forms, ready: Arc::default(), closing: AtomicBool::new(false), module, log }
     }
 
--- a/crates/forwarder/src/clients/tests.rs
+++ b/crates/forwarder/src/clients/tests.rs
@@ -27,9 +27,9 @@
             kinds: Vec::new(),
             reports: Vec::new(),
         };
-        let row = ProfileTerms { effect: Effect::Retriable, expiry: 1_000_000, ..ProfileTerms::default() };
-        let terms = TermsOfCarriage { profiles: vec![row], ..TermsOfCarriage::default() };
-        let door = Arc::new(Door::new(names, &terms, module, Logger::root(slog::Discard, slog::o!())));
+        let row = ProfileConfig { effect: Effect::Retriable, expiry: 1_000_000, ..ProfileConfig::default() };
+        let config = Config { profiles: vec![row], ..Config::default() };
+        let door = Arc::new(Door::new(names, &config, module, Logger::root(slog::Discard, slog::o!())));
         door.ready.store(true, Ordering::Relaxed);
         let (closing, seen) = watch::channel(Closing::No);
         Rig { clients: Clients { door, most, closing: seen }, listener, closing, hand_ins }
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -70,8 +70,8 @@
 pub async fn run(mut papers: Papers, orders: Orders, log: Logger) -> io::Result<()> {
     let clock = Clock::start();
     let names = papers.waybill.names.clone();
-    let mut terms = papers.waybill.terms.clone();
-    terms.told_within = Some(TOLD_WITHIN);
+    let mut config = papers.waybill.config.clone();
+    config.told_within = Some(TOLD_WITHIN);
     let (module_box, notes) = mpsc::channel(NOTES);
     let (client_box, hand_ins) = mpsc::channel(HAND_INS);
     let (list_box, list_notes) = mpsc::channel(LIST_NOTES);
@@ -79,14 +79,14 @@
     let (gossip_box, gossip_messages) = mpsc::channel(GOSSIP_MESSAGES);
     let (closing, closing_seen) = watch::channel(Closing::No);
     let links = Arc::new(Links {
-        terms: papers.waybill.links.clone(),
+        config: papers.waybill.links.clone(),
         names: names.clone(),
         idle: Arc::new(Semaphore::new(papers.idle_sockets)),
         module: module_box.clone(),
         log: log.clone(),
     });
     let listener = listen(papers.listen)?;
-    let door = Arc::new(Door::new(names.clone(), &terms, client_box, log.clone()));
+    let door = Arc::new(Door::new(names.clone(), &config, client_box, log.clone()));
     let clients = Clients { door: door.clone(), most: papers.client_sockets, closing: closing_seen };
     tokio::spawn(clients.run(listener));
 
@@ -95,7 +95,7 @@
         "discovery" => %papers.discovery);
     let ways =
         Ways { links, list: list_box, notices: notice_box, gossip: gossip_box, up: door.ready.clone() };
-    let mut module = Module::new(terms.clone(), papers.seed, clock, journal, ways, log.clone());
+    let mut module = Module::new(config.clone(), papers.seed, clock, journal, ways, log.clone());
     let mut held = Held::default();
     let known = papers.known.take().and_then(|text| held.take(text, &names));
     if let Some(ListNews::Whole(known) | ListNews::Changes(known)) = known {
@@ -111,7 +111,7 @@
         discovery: discovery.clone(),
         names,
         held,
-        must_be_asked: terms.ask_within.is_some(),
+        must_be_asked: config.ask_within.is_some(),
         module: module_box.clone(),
         log: log.clone(),
     };
--- a/crates/forwarder/src/list.rs
+++ b/crates/forwarder/src/list.rs
@@ -6,7 +6,7 @@
 pub use held::Held;
 use hyper::{Method, StatusCode};
 use opalpulley::{Event, ListNews, LONGEST_SILENCE};
-use opalpulley_terms::Names;
+use opalpulley_config::Names;
 use slog::{info, warn, Logger};
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/forwarder/src/list/held.rs
+++ b/crates/forwarder/src/list/held.rs
@@ -4,7 +4,7 @@
 use compact_str::CompactString;
 use hashbrown::HashTable;
 use opalpulley::{ListNews, Listing, Standing};
-use opalpulley_terms::Names;
+use opalpulley_config::Names;
 use slab::Slab;
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
--- a/crates/forwarder/src/module.rs
+++ b/crates/forwarder/src/module.rs
@@ -8,8 +8,8 @@
 use crate::targets::Links;
 use actors::Actors;
 use opalpulley::{
-    Action, Arrival, DestinationId, Event, Forwarder, KindId, ListNews, Listing, Micros, OrderKey, Outcome,
-    PacketId, Past, ProfileId, Standing, TargetId, TenantId, TermsOfCarriage, Token, ZoneId,
+    Action, Arrival, Config, DestinationId, Event, Forwarder, KindId, ListNews, Listing, Micros, OrderKey,
+    Outcome, PacketId, Past, ProfileId, Standing, TargetId, TenantId, Token, ZoneId,
 };
 use slog::{crit, debug, error, info, warn, Logger};
 use std::collections::btree_map::Entry;
@@ -64,7 +64,7 @@
 
 pub struct Module {
     clock: Clock,
-    terms: TermsOfCarriage,
+    config: Config,
     seed: u64,
     forwarder: Forwarder,
     journal: Journal,
@@ -98,20 +98,13 @@
 }
 
 impl Module {
-    pub fn new(
-        terms: TermsOfCarriage,
-        seed: u64,
-        clock: Clock,
-        journal: Journal,
-        ways: Ways,
-        log: Logger,
-    ) -> Module {
+    pub fn new(config: Config, seed: u64, clock: Clock, journal: Journal, ways: Ways, log: Logger) -> Module {
         let Ways { links, list, notices, gossip, up } = ways;
         Module {
             clock,
-            forwarder: Forwarder::new(terms.clone(), seed),
-            actors: Actors::new(links, terms.slots),
-            terms,
+            forwarder: Forwarder::new(config.clone(), seed),
+            actors: Actors::new(links, config.slots),
+            config,
             seed,
             journal,
             list,
@@ -306,8 +299,8 @@
         handed.left = handed.left.saturating_sub(micros(came.elapsed()));
         let (expires, ordered) = (self.clock.now() + handed.left, handed.key.is_some());
         let kept = kept(&handed, expires);
-        // The room of the terms counts at the door, as it does before the core on the simulator's wire.
-        if self.open.len() >= self.terms.room as usize || !self.journal.has_room(&kept) {
+        // The room of the configuration counts at the door, as it does before the core on the simulator's wire.
+        if self.open.len() >= self.config.room as usize || !self.journal.has_room(&kept) {
             // A client that has left hears nothing, and nothing is owed to it.
             let _ = answer.send(Answer::NoRoom);
             return;
@@ -445,7 +438,7 @@
     fn begin_anew(&mut self) {
         self.panics += 1;
         crit!(self.log, "the core panicked, a new one takes over"; "times" => self.panics);
-        self.forwarder = Forwarder::new(self.terms.clone(), self.seed.wrapping_add(self.panics));
+        self.forwarder = Forwarder::new(self.config.clone(), self.seed.wrapping_add(self.panics));
         self.alarms.clear();
         self.later.clear();
         // The journal has them too: with them taken over the process is up.
--- a/crates/forwarder/src/module/actors.rs
+++ b/crates/forwarder/src/module/actors.rs
@@ -43,9 +43,9 @@
         let mailbox_room = SLOT_NOTES * slots as usize + TARGET_NOTES;
         // By then each connection has been retired, and each probe is over.
         let rest = links
-            .terms
+            .config
             .idle_closed_after
-            .saturating_add(PROBE_TIMES.saturating_mul(links.terms.connect_within));
+            .saturating_add(PROBE_TIMES.saturating_mul(links.config.connect_within));
         Actors { links, mailbox_room, rest, running: BTreeMap::new(), looks: BTreeSet::new() }
     }
 
--- a/crates/forwarder/src/module/actors/tests.rs
+++ b/crates/forwarder/src/module/actors/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::notes::{Call, Note};
 use opalpulley::{Event, Outcome, PacketId};
-use opalpulley_terms::{LinkTerms, Names};
+use opalpulley_config::{ConnectionConfig, Names};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -18,7 +18,7 @@
     let (module, notes) = mpsc::channel(64);
     let (profiles, tenants, zones, kinds, reports) = Default::default();
     let links = Links {
-        terms: LinkTerms { idle_closed_after: IDLE, connect_within: CONNECT },
+        config: ConnectionConfig { idle_closed_after: IDLE, connect_within: CONNECT },
         names: Names { profiles, tenants, zones, kinds, reports },
         idle: Arc::new(Semaphore::new(64)),
         module,
--- a/crates/forwarder/src/module/tests.rs
+++ b/crates/forwarder/src/module/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::protocol::Handed;
-use opalpulley_terms::LinkTerms;
+use opalpulley_config::ConnectionConfig;
 use tempfile::TempDir;
 use tokio::net::TcpListener;
 use tokio::sync::{oneshot, Semaphore};
 
-fn terms(window: Micros) -> (TermsOfCarriage, opalpulley_terms::Names, LinkTerms) {
+fn config(window: Micros) -> (Config, opalpulley_config::Names, ConnectionConfig) {
     let text = include_str!("../../../../examples/papers.json");
     let papers: serde_json::Value = serde_json::from_str(text).expect("the example");
     let mut settings = papers["settings"].clone();
@@ -15,8 +15,8 @@
         profile["Effect"] = effect.into();
         settings["Profiles"].as_array_mut().expect("profiles").push(profile);
     }
-    let start = opalpulley_terms::read(settings.to_string().as_bytes()).expect("good terms");
-    (start.terms, start.names, start.links)
+    let start = opalpulley_config::read(settings.to_string().as_bytes()).expect("a good configuration");
+    (start.config, start.names, start.links)
 }
 
 struct Rig {
@@ -34,7 +34,7 @@
 
 /// The same with another window for repeats, in µs.
 async fn rig_within(window: Micros) -> Rig {
-    let (terms, names, links) = terms(window);
+    let (config, names, links) = config(window);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let dir = TempDir::new().expect("a folder");
     let (journal, _) = Journal::open(dir.path(), 1_000_000).expect("a journal");
@@ -44,9 +44,9 @@
     let (gossip, _) = mpsc::channel(1);
     let (notices, owed) = mpsc::unbounded_channel();
     let idle = Arc::new(Semaphore::new(4));
-    let links = Arc::new(Links { terms: links, names, idle, module, log: log.clone() });
+    let links = Arc::new(Links { config: links, names, idle, module, log: log.clone() });
     let ways = Ways { links, list, notices, gossip, up: Arc::default() };
-    let mut module = Module::new(terms, 1, Clock::start(), journal, ways, log);
+    let mut module = Module::new(config, 1, Clock::start(), journal, ways, log);
     let port = listener.local_addr().expect("its address").port();
     let listing = Listing {
         target: TargetId { address: [127, 0, 0, 1], port, holder: 0 },
@@ -173,11 +173,11 @@
     assert!(rig.module.open.is_empty() && rig.module.owing.is_empty());
 }
 
-/// Guards the room that the terms give: what comes beyond it is refused at the door, and the tenant goes along.
+/// Guards the room that the configuration gives: what comes beyond it is refused at the door, and the tenant goes along.
 #[tokio::test]
-async fn the_room_of_the_terms_is_kept() {
+async fn the_room_of_the_configuration_is_kept() {
     let mut rig = rig().await;
-    rig.module.terms.room = 2;
+    rig.module.config.room = 2;
     for (id, answer) in [("one", Answer::Taken), ("two", Answer::Taken), ("three", Answer::NoRoom)] {
         assert_eq!(rig.hand_in(id, 1).await, Ok(answer));
     }
--- a/crates/forwarder/src/notes.rs
+++ b/crates/forwarder/src/notes.rs
@@ -16,7 +16,7 @@
         come_back: Option<Micros>,
     },
     WrittenOff,
-    /// The room of the terms is taken, or the journal can't hold it.
+    /// The room of the configuration is taken, or the journal can't hold it.
     NoRoom,
     /// A packet with this id is open, and it is another one.
     OtherContent,
--- a/crates/forwarder/src/papers.rs
+++ b/crates/forwarder/src/papers.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::ListText;
 use opalpulley::Ends;
-use opalpulley_terms::{Start, Waybill};
+use opalpulley_config::{Start, Waybill};
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
@@ -148,15 +148,15 @@
         let mut waybill = Waybill::try_from(file.settings).map_err(|e| bad("GW_CONFIG settings", e))?;
         // No call may lack a descriptor: the core is told of no more slots than there are.
         let room = sockets - OWN_SOCKETS;
-        waybill.terms.slots = waybill.terms.slots.min((room / SLOT_PART) as u32);
-        let rest = room - waybill.terms.slots as usize;
+        waybill.config.slots = waybill.config.slots.min((room / SLOT_PART) as u32);
+        let rest = room - waybill.config.slots as usize;
         // The protocol on sockets carries one packet in a call.
-        waybill.terms.kinds.iter_mut().for_each(|k| k.per_call = 1);
+        waybill.config.kinds.iter_mut().for_each(|k| k.per_call = 1);
         // A notice and a call go on connections of their own.
-        waybill.terms.ends = Ends::WhenHeard;
+        waybill.config.ends = Ends::WhenHeard;
         // Nothing can be told where nobody listens.
         let (gossip_peers, all) = (file.peer_listen.is_some() && !file.peers.is_empty(), file.peers_all);
-        waybill.terms.may_gossip &= gossip_peers && all.is_some();
+        waybill.config.may_gossip &= gossip_peers && all.is_some();
         let state = var("GW_STATE").ok_or_else(|| bad("GW_STATE", "is not set"))?;
         if !std::path::Path::new(&state).is_dir() {
             return Err(bad("GW_STATE", format!("{state} is no folder")));
--- a/crates/forwarder/src/papers/tests.rs
+++ b/crates/forwarder/src/papers/tests.rs
@@ -31,7 +31,7 @@
             .replace(r#""Workers": 16"#, &format!(r#""Workers": {}"#, slots.max(1)));
         match read(&text, &[]) {
             Ok(papers) => {
-                let told = papers.waybill.terms.slots as usize;
+                let told = papers.waybill.config.slots as usize;
                 let all = OWN_SOCKETS + told + papers.idle_sockets + papers.client_sockets;
                 all <= usize::from(sockets) && told >= 1 && papers.client_sockets >= 1
             }
--- a/crates/forwarder/src/protocol.rs
+++ b/crates/forwarder/src/protocol.rs
@@ -9,7 +9,7 @@
 use opalpulley::{
     DestinationId, KindId, Listing, Micros, Outcome, ProfileId, Standing, TargetId, TenantId, ZoneId,
 };
-use opalpulley_terms::Names;
+use opalpulley_config::Names;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
--- a/crates/forwarder/src/targets.rs
+++ b/crates/forwarder/src/targets.rs
@@ -11,7 +11,7 @@
 use hyper::client::conn::http1::Builder;
 use hyper::Response;
 use opalpulley::{Event, Micros, Outcome, PacketId, TargetId};
-use opalpulley_terms::{LinkTerms, Names};
+use opalpulley_config::{ConnectionConfig, Names};
 use slog::{debug, error, Logger};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -84,7 +84,7 @@
 
 /// What all target actors share.
 pub struct Links {
-    pub terms: LinkTerms,
+    pub config: ConnectionConfig,
     pub names: Names,
     /// One permit for each connection that may stand idle.
     pub idle: Arc<Semaphore>,
@@ -191,7 +191,7 @@
     }
 
     fn rest(&self) -> Duration {
-        let whole = Duration::from_micros(self.links.terms.idle_closed_after);
+        let whole = Duration::from_micros(self.links.config.idle_closed_after);
         whole - whole / RETIRE_AHEAD
     }
 
@@ -230,7 +230,7 @@
             TargetNote::Call(call) => self.call(*call),
             TargetNote::Probe => {
                 let request = protocol::encode_probe(self.id);
-                let limit = Duration::from_micros(self.links.terms.connect_within).mul_f64(PROBE_TIME);
+                let limit = Duration::from_micros(self.links.config.connect_within).mul_f64(PROBE_TIME);
                 self.start(Errand::Probe, request, limit, Instant::now() + limit);
             }
             TargetNote::CallOff { id, trip } => {
@@ -420,7 +420,7 @@
         }
         // Guards rule 2: a connection that comes up late must not carry a repeat out of the window of the first trip.
         in_time()?;
-        let open = Line::open(target, Duration::from_micros(links.terms.connect_within));
+        let open = Line::open(target, Duration::from_micros(links.config.connect_within));
         let mut line = tokio::time::timeout_at(bounds.begin, open).await.map_err(|_| too_late)??;
         in_time()?;
         show(&line);
--- a/crates/forwarder/src/targets/tests.rs
+++ b/crates/forwarder/src/targets/tests.rs
@@ -29,7 +29,7 @@
         let (module, notes) = mpsc::channel(16);
         let (mailbox, inbox) = mpsc::channel(16);
         let links = Links {
-            terms: LinkTerms { idle_closed_after: IDLE, connect_within: 300_000 },
+            config: ConnectionConfig { idle_closed_after: IDLE, connect_within: 300_000 },
             names: Names {
                 profiles: Vec::new(),
                 tenants: Vec::new(),
--- a/crates/lab/src/capacity/core/world.rs
+++ b/crates/lab/src/capacity/core/world.rs
@@ -3,9 +3,9 @@
 
 use crate::chance::stream;
 use opalpulley::{
-    Action, Arrival, DestinationId, Effect, Event, Forwarder, KindId, KindTerms, ListRates, Listing, Micros,
-    Outcome, PacketId, Past, ProfileId, ProfileTerms, RepeatGroup, RuleTerms, Standing, StateCounts,
-    TargetId, TenantId, TermsOfCarriage, Token, ZoneId,
+    Action, Arrival, Config, DestinationId, Effect, Event, Forwarder, KindConfig, KindId, ListRates, Listing,
+    Micros, Outcome, PacketId, Past, ProfileConfig, ProfileId, RepeatGroup, RuleConfig, Standing,
+    StateCounts, TargetId, TenantId, Token, ZoneId,
 };
 use rand::Rng;
 use rand_distr::{Distribution, Zipf};
@@ -98,9 +98,9 @@
     }
 }
 
-/// The terms of the operators' size, with the rules' usual figures.
-fn terms(plan: &Plan) -> TermsOfCarriage {
-    let profile = |effect, importance| ProfileTerms {
+/// The configuration of the operators' size, with the rules' usual figures.
+fn config(plan: &Plan) -> Config {
+    let profile = |effect, importance| ProfileConfig {
         effect,
         contract_time: 2_500_000,
         expiry: plan.expiry,
@@ -109,7 +109,7 @@
         in_order: false,
     };
     let window = 15 * SECOND;
-    TermsOfCarriage {
+    Config {
         forwarder: 0,
         forwarders: FORWARDERS,
         slots: 116,
@@ -127,9 +127,9 @@
             profile(Effect::Fingerprinted { group: RepeatGroup::All, window }, 2.0),
             profile(Effect::Binding, 4.0),
         ],
-        kinds: vec![KindTerms { routes_apart: false, per_call: 1 }],
+        kinds: vec![KindConfig { routes_apart: false, per_call: 1 }],
         zone_fees: vec![0.0; 4],
-        rules: RuleTerms {
+        rules: RuleConfig {
             answer_slack: 20_000,
             drain_grace: 500_000,
             cold_from: 0.2,
@@ -139,7 +139,7 @@
             order_pause: SECOND,
         },
         full_destinations: plan.full_destinations,
-        ..TermsOfCarriage::default()
+        ..Config::default()
     }
 }
 
@@ -166,7 +166,7 @@
 impl World {
     pub fn new(plan: Plan) -> World {
         World {
-            core: Forwarder::new(terms(&plan), plan.seed),
+            core: Forwarder::new(config(&plan), plan.seed),
             plan,
             first_part: first_part(plan.destinations),
             health: vec![Health::Works; plan.destinations as usize],
--- a/crates/lab/src/capacity/fleet/plan.rs
+++ b/crates/lab/src/capacity/fleet/plan.rs
@@ -1,7 +1,7 @@
 //! What a fleet run is asked to do, and the fixed figures that all runs share.
 
 use opalpulley::{
-    Effect, Ends, Fading, KindTerms, ListRates, Micros, ProfileTerms, RepeatGroup, RuleTerms, TermsOfCarriage,
+    Config, Effect, Ends, Fading, KindConfig, ListRates, Micros, ProfileConfig, RepeatGroup, RuleConfig,
 };
 use serde::Serialize;
 
@@ -169,8 +169,8 @@
     }
 
     /// The settings of one forwarder: those of a deployment that delivers to outside receivers.
-    pub fn settings(&self, forwarder: u32) -> TermsOfCarriage {
-        let class = |effect| ProfileTerms {
+    pub fn settings(&self, forwarder: u32) -> Config {
+        let class = |effect| ProfileConfig {
             effect,
             contract_time: LATENCY_TARGET,
             expiry: DEADLINE,
@@ -179,7 +179,7 @@
             in_order: false,
         };
         let keyed = Effect::Fingerprinted { group: RepeatGroup::All, window: 15 * SECOND };
-        TermsOfCarriage {
+        Config {
             forwarder: forwarder as u16,
             forwarders: self.configured_forwarders.unwrap_or(self.forwarders),
             slots: CONCURRENCY,
@@ -196,7 +196,7 @@
             over_share_worth: 0.1,
             profiles: vec![class(keyed), class(Effect::Retriable)],
             tenants: Vec::new(),
-            kinds: vec![KindTerms { routes_apart: false, per_call: 1 }],
+            kinds: vec![KindConfig { routes_apart: false, per_call: 1 }],
             zone_fees: vec![0.0; usize::from(ZONES)],
             ask_within: None,
             rules: rules(),
@@ -208,8 +208,8 @@
 }
 
 /// The figures of the rules, as forwarders are told them and as receivers are judged by them.
-pub fn rules() -> RuleTerms {
-    RuleTerms {
+pub fn rules() -> RuleConfig {
+    RuleConfig {
         answer_slack: 20_000,
         drain_grace: SECOND,
         cold_from: 0.25,
--- a/crates/lab/src/experiments/bids.rs
+++ b/crates/lab/src/experiments/bids.rs
@@ -46,7 +46,7 @@
     let target = TargetId { address: [10, 0, 0, 1], port: 80, holder: 0 };
     let (zone, standing, destination, kind) = (ZoneId(0), Standing::Ready, DestinationId(0), KindId(0));
     let listing = Listing { target, zone, since: 0, standing, rate: 1e6, destination, kind };
-    let mut core = Forwarder::new(scenario.terms(0), 1);
+    let mut core = Forwarder::new(scenario.config(0), 1);
     let (mut now, mut actions) = (1_000_000, Vec::new());
     core.handle(now, Event::List(ListNews::Cached(vec![listing])), &mut actions);
     let mut next = 0;
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,7 +1,7 @@
 //! The scenario file: one world, for both clocks. TOML, read by serde; what is wrong is told with key, line, value and mend.
 //! Called by the programs; owns nothing at run time.
 
-mod terms;
+mod config;
 mod units;
 
 pub use units::{Span, Spans};
--- a/crates/lab/src/scenario/terms.rs
+++ b/crates/lab/src/scenario/config.rs
@@ -1,13 +1,13 @@
-//! A scenario in the core's terms, and in the start papers of the program on sockets.
+//! A scenario as the core's configuration, and as the start papers of the program on sockets.
 
 use super::{Effect, Fading, Scenario};
-use opalpulley::{KindTerms, ListRates, ProfileTerms, RepeatGroup, RuleTerms, TenantTerms, TermsOfCarriage};
+use opalpulley::{Config, KindConfig, ListRates, ProfileConfig, RepeatGroup, RuleConfig, TenantConfig};
 use serde_json::{json, Value};
 
 impl Scenario {
     /// What forwarder `number` is told at its start.
-    pub fn terms(&self, number: u32) -> TermsOfCarriage {
-        let profile = |p: &super::Profile| ProfileTerms {
+    pub fn config(&self, number: u32) -> Config {
+        let profile = |p: &super::Profile| ProfileConfig {
             effect: match p.effect {
                 Effect::Retriable => opalpulley::Effect::Retriable,
                 Effect::Fingerprinted => {
@@ -22,7 +22,7 @@
             in_order: p.in_order,
         };
         let crew = &self.forwarders;
-        TermsOfCarriage {
+        Config {
             forwarder: number as u16,
             forwarders: crew.count,
             slots: crew.slots,
@@ -41,12 +41,12 @@
             },
             over_share_worth: 0.1,
             profiles: self.profiles.iter().map(profile).collect(),
-            tenants: self.tenants.iter().map(|t| TenantTerms { quota: t.quota }).collect(),
-            kinds: [false, true].map(|routes_apart| KindTerms { routes_apart, per_call: 1 }).to_vec(),
+            tenants: self.tenants.iter().map(|t| TenantConfig { quota: t.quota }).collect(),
+            kinds: [false, true].map(|routes_apart| KindConfig { routes_apart, per_call: 1 }).to_vec(),
             zone_fees: vec![0.0, 0.0],
             ask_within: self.network.asked.as_ref().map(|a| a.within.0),
             told_within: None,
-            rules: RuleTerms {
+            rules: RuleConfig {
                 answer_slack: self.rules.answer_slack.0,
                 drain_grace: self.rules.drain_grace.0,
                 cold_from: self.rules.cold_from,
--- a/crates/lab/src/sim/stations.rs
+++ b/crates/lab/src/sim/stations.rs
@@ -89,7 +89,7 @@
             u64::from(forwarder) << 32 | u64::from(self.stations[forwarder as usize].life),
         )
         .random();
-        let subject = self.make.build(self.scenario.terms(forwarder), seed);
+        let subject = self.make.build(self.scenario.config(forwarder), seed);
         let station = &mut self.stations[forwarder as usize];
         station.subject = Some(subject);
         station.hears = self.scenario.network.asked.is_none();
--- a/crates/lab/src/subject.rs
+++ b/crates/lab/src/subject.rs
@@ -1,8 +1,8 @@
 //! What a simulated forwarder is: the true core, or one that is broken on purpose so that the oracle has something to catch.
 
 use opalpulley::{
-    Action, Effect, Event, Forwarder, ListNews, Listing, Micros, Outcome, PacketId, Standing, TargetId,
-    TermsOfCarriage,
+    Action, Config, Effect, Event, Forwarder, ListNews, Listing, Micros, Outcome, PacketId, Standing,
+    TargetId,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -67,18 +67,18 @@
         (Make::SendsTwice, "two-trips-out"),
     ];
 
-    pub fn build(self, mut terms: TermsOfCarriage, seed: u64) -> Box<dyn Subject> {
+    pub fn build(self, mut config: Config, seed: u64) -> Box<dyn Subject> {
         match self {
-            Make::True => return Box::new(Forwarder::new(terms, seed)),
-            Make::OneTry => terms.max_trips = 1,
+            Make::True => return Box::new(Forwarder::new(config, seed)),
+            Make::OneTry => config.max_trips = 1,
             Make::PushesOver => {
-                (terms.forwarders, terms.may_probe) = (1, false);
-                (terms.rules.fall_multiple, terms.rules.warm_after, terms.rules.cold_from) = (1e3, 1, 1.0);
+                (config.forwarders, config.may_probe) = (1, false);
+                (config.rules.fall_multiple, config.rules.warm_after, config.rules.cold_from) = (1e3, 1, 1.0);
             }
             _ => {}
         }
-        let effects = terms.profiles.iter().map(|p| p.effect).collect();
-        let inner = Forwarder::new(terms, seed);
+        let effects = config.profiles.iter().map(|p| p.effect).collect();
+        let inner = Forwarder::new(config, seed);
         Box::new(Broken {
             make: self,
             inner,
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -41,9 +41,9 @@
         if code == 10 {
             let seed = fields.u64()?;
             let n = fields.u32()? as usize;
-            let terms =
-                opalpulley_terms::read(fields.take(n)?).map(|w| w.terms).map_err(|e| fields.bad(e))?;
-            self.instances.insert(instance, Forwarder::new(terms, seed));
+            let config =
+                opalpulley_config::read(fields.take(n)?).map(|w| w.config).map_err(|e| fields.bad(e))?;
+            self.instances.insert(instance, Forwarder::new(config, seed));
             return Ok(());
         }
         if !self.instances.contains_key(&instance) {
--- a/examples/resident.rs
+++ b/examples/resident.rs
@@ -14,8 +14,8 @@
 const BETWEEN: Micros = 5_000; // µs between messages: 200 a second
 const ANSWER: Micros = 30_000; // µs until each is delivered
 
-fn config(full_destinations: Option<u32>) -> TermsOfCarriage {
-    let profile = ProfileTerms {
+fn config(full_destinations: Option<u32>) -> Config {
+    let profile = ProfileConfig {
         effect: Effect::Retriable,
         contract_time: 1_000_000,
         expiry: 30_000_000,
@@ -23,7 +23,7 @@
         late_share: 0.5,
         in_order: false,
     };
-    TermsOfCarriage {
+    Config {
         forwarders: FORWARDERS,
         slots: 64,
         room: 10_000,
@@ -34,8 +34,8 @@
         longest_return: 2_000_000,
         list_rates: ListRates::Nominal,
         profiles: vec![profile],
-        kinds: vec![KindTerms { routes_apart: false, per_call: 1 }],
-        rules: RuleTerms {
+        kinds: vec![KindConfig { routes_apart: false, per_call: 1 }],
+        rules: RuleConfig {
             answer_slack: 20_000,
             drain_grace: 500_000,
             cold_from: 0.2,
@@ -46,7 +46,7 @@
         },
         round: 5_000,
         full_destinations,
-        ..TermsOfCarriage::default()
+        ..Config::default()
     }
 }
 
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip between forwarders about destinations at their limit: decided without I/O or clock, and only where the terms
+//! Gossip between forwarders about destinations at their limit: decided without I/O or clock, and only where the configuration
 //! allow it. The `Forwarder` owns one [`Gossip`]; its table holds the destinations of the list that were spoken of
 //! within the last second, and is emptied of the others as it is used.
 //!
@@ -10,7 +10,7 @@
 
 mod message;
 
-use crate::interface::{Action, DestinationId, Micros, TermsOfCarriage};
+use crate::interface::{Action, Config, DestinationId, Micros};
 use std::collections::BTreeMap;
 
 const AGAIN: Micros = 1_000_000; // µs between two messages on a destination, whoever tells: all have heard the first by then
@@ -24,8 +24,8 @@
 
 impl Gossip {
     /// A call there was refused: the message to all, unless one went round within the last second.
-    pub fn refused(&mut self, now: Micros, at: DestinationId, terms: &TermsOfCarriage) -> Option<Action> {
-        let sends = terms.may_gossip && terms.forwarders > 1 && self.news(now, at);
+    pub fn refused(&mut self, now: Micros, at: DestinationId, config: &Config) -> Option<Action> {
+        let sends = config.may_gossip && config.forwarders > 1 && self.news(now, at);
         sends.then(|| Action::SendGossip { peer: None, message: message::write(at) })
     }
 
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -1,12 +1,12 @@
 use super::message::{read, write, MessageError};
 use super::*;
-use crate::membership::tests::terms;
+use crate::membership::tests::config;
 use quickcheck::{Gen, QuickCheck};
 
 const MS: Micros = 1_000;
 
-fn gossiping(forwarders: u32) -> TermsOfCarriage {
-    TermsOfCarriage { may_gossip: true, ..terms(forwarders) }
+fn gossiping(forwarders: u32) -> Config {
+    Config { may_gossip: true, ..config(forwarders) }
 }
 
 /// What it makes of a message, and whether it logs a line.
@@ -33,7 +33,7 @@
     assert!(other.refused(500 * MS, DestinationId(1), &gossiping(3)).is_some());
     assert!(other.refused(1_100 * MS, at, &gossiping(3)).is_some());
     assert!(Gossip::default().refused(0, at, &gossiping(1)).is_none());
-    assert!(Gossip::default().refused(0, at, &terms(3)).is_none());
+    assert!(Gossip::default().refused(0, at, &config(3)).is_none());
 }
 
 #[test]
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -262,7 +262,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ProfileTerms {
+pub struct ProfileConfig {
     pub effect: Effect,
     pub contract_time: Micros,
     pub expiry: Micros,
@@ -272,13 +272,13 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct TenantTerms {
+pub struct TenantConfig {
     /// Packets a second within its share, for all forwarders together.
     pub quota: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct KindTerms {
+pub struct KindConfig {
     /// Targets of one destination are routes apart, each with its own limit, pace and outages.
     pub routes_apart: bool,
     /// Packets in one call at most.
@@ -296,7 +296,7 @@
 
 /// The figures of the rules.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RuleTerms {
+pub struct RuleConfig {
     pub answer_slack: Micros,
     pub drain_grace: Micros,
     pub cold_from: f64,
@@ -318,7 +318,7 @@
 
 /// What a forwarder is told at its start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct TermsOfCarriage {
+pub struct Config {
     pub forwarder: u16,
     pub forwarders: u32,
     /// Calls out at once.
@@ -337,9 +337,9 @@
     pub list_rates: ListRates,
     pub fading: Fading,
     pub over_share_worth: f64,
-    pub profiles: Vec<ProfileTerms>,
-    pub tenants: Vec<TenantTerms>,
-    pub kinds: Vec<KindTerms>,
+    pub profiles: Vec<ProfileConfig>,
+    pub tenants: Vec<TenantConfig>,
+    pub kinds: Vec<KindConfig>,
     /// For each zone, the fee of a packet that a route apart there takes on.
     pub zone_fees: Vec<f64>,
     /// Where the list must be asked for: the interval in which the rules want a call. None: it comes by itself.
@@ -347,7 +347,7 @@
     /// Where the list must be asked for: how long after discovery had news and could be reached they count as told, heard
     /// or not. None: only the interval above holds.
     pub told_within: Option<Micros>,
-    pub rules: RuleTerms,
+    pub rules: RuleConfig,
     /// The shortest time between two rounds.
     pub round: Micros,
     /// Destinations whose state is held in full before idle ones are held as summaries. None: all, always.
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -8,7 +8,7 @@
 //! Where news count as told a fixed time after discovery had them and could be reached, heard or not, no window goes beyond
 //! what leaves room for the next answer by then: discovery may have come back right behind the failed call.
 
-use crate::interface::{Action, Event, ListNews, Micros, TermsOfCarriage, Token};
+use crate::interface::{Action, Config, Event, ListNews, Micros, Token};
 use rand::Rng;
 
 /// µs within which whoever carries out a call has to say that it has failed, counted from the call or from its last answer.
@@ -34,15 +34,15 @@
         &mut self,
         now: Micros,
         event: &Event,
-        terms: &TermsOfCarriage,
+        config: &Config,
         rng: &mut impl Rng,
         actions: &mut Vec<Action>,
     ) {
-        let Some(within) = terms.ask_within else { return };
+        let Some(within) = config.ask_within else { return };
         let failed = matches!(event, Event::List(ListNews::Failed));
         if failed || !self.begun {
             self.begun = true;
-            let after = self.put_off(now, failed, within, terms, rng);
+            let after = self.put_off(now, failed, within, config, rng);
             actions.push(Action::Wake { after, token: DUE });
         }
         if self.at.take_if(|at| now >= *at).is_some() {
@@ -57,20 +57,20 @@
         now: Micros,
         failed: bool,
         within: Micros,
-        terms: &TermsOfCarriage,
+        config: &Config,
         rng: &mut impl Rng,
     ) -> Micros {
         let out = now.saturating_sub(self.asked);
         // A call that held for so long had been answered: the row is over. Twice the silence, for one that is told late.
-        let held = out > terms.told_within.map_or(within, |_| 2 * LONGEST_SILENCE);
+        let held = out > config.told_within.map_or(within, |_| 2 * LONGEST_SILENCE);
         self.failures = if failed && !held { self.failures + 1 } else { u32::from(failed) };
         let doublings = self.failures.min(MOST_DOUBLINGS);
         // Discovery may have been in reach, unheard, ever since the failed call: that time is spent.
         let unheard = if failed { out.min(LONGEST_SILENCE) } else { 0 };
-        let left = terms.told_within.map(|told| told.saturating_sub(unheard + ANSWER_TIME));
+        let left = config.told_within.map(|told| told.saturating_sub(unheard + ANSWER_TIME));
         let most = left.map_or(within, |left| left.min(within));
         // A lone forwarder has nobody to meet at discovery, but does not ask all the time where nobody answers.
-        let others = Micros::from(terms.forwarders.saturating_sub(1));
+        let others = Micros::from(config.forwarders.saturating_sub(1));
         let window = ((CALL_TIME * others).min(within / FIRST_PART) << doublings).min(most);
         let least = if failed { (CALL_TIME << doublings).min(most / FIRST_PART) } else { 0 };
         let wait = if window > least { rng.random_range(least..window) } else { least };
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -6,26 +6,26 @@
 const TIMEOUT: Micros = 2_000 * MS;
 const WITHIN: Micros = 10_000 * MS;
 
-pub(crate) fn terms(forwarders: u32) -> TermsOfCarriage {
-    TermsOfCarriage { forwarders, ask_within: Some(WITHIN), ..TermsOfCarriage::default() }
+pub(crate) fn config(forwarders: u32) -> Config {
+    Config { forwarders, ask_within: Some(WITHIN), ..Config::default() }
 }
 
 /// The list poller of one forwarder, with its alarms.
 struct PollingForwarder {
     list_poller: ListPoller,
-    terms: TermsOfCarriage,
+    config: Config,
     rng: Pcg64Mcg,
     alarm: Option<Micros>,
 }
 
 impl PollingForwarder {
     fn new(forwarders: u32, seed: u64) -> PollingForwarder {
-        PollingForwarder::under(terms(forwarders), seed)
+        PollingForwarder::under(config(forwarders), seed)
     }
 
-    fn under(terms: TermsOfCarriage, seed: u64) -> PollingForwarder {
-        let (rng, forwarders) = (Pcg64Mcg::seed_from_u64(seed), terms.forwarders);
-        let mut poller = PollingForwarder { list_poller: ListPoller::default(), terms, rng, alarm: None };
+    fn under(config: Config, seed: u64) -> PollingForwarder {
+        let (rng, forwarders) = (Pcg64Mcg::seed_from_u64(seed), config.forwarders);
+        let mut poller = PollingForwarder { list_poller: ListPoller::default(), config, rng, alarm: None };
         let asked = poller.show(0, Event::List(ListNews::Cached(Vec::new())));
         assert!(forwarders == 1 || !asked || poller.alarm == Some(0));
         poller
@@ -34,7 +34,7 @@
     /// Whether it asks.
     fn show(&mut self, now: Micros, event: Event) -> bool {
         let mut actions = Vec::new();
-        self.list_poller.handle(now, &event, &self.terms, &mut self.rng, &mut actions);
+        self.list_poller.handle(now, &event, &self.config, &mut self.rng, &mut actions);
         for action in &actions {
             if let Action::Wake { after, .. } = action {
                 self.alarm = Some(now + after);
@@ -158,7 +158,7 @@
         .collect();
     let mut fails = Vec::new();
     for poller in &mut fleet {
-        poller.terms.told_within = outage.told_within;
+        poller.config.told_within = outage.told_within;
         poller.alarm = None;
         poller.list_poller.at = None;
         fails.push(Some(silent_from + rng.random_range(MS..=outage.silence)));
@@ -218,7 +218,7 @@
     {
         for seed in 0..200 {
             let mut poller = PollingForwarder::new(forwarders, seed);
-            (poller.terms.ask_within, poller.terms.told_within) = (Some(within), Some(TOLD));
+            (poller.config.ask_within, poller.config.told_within) = (Some(within), Some(TOLD));
             let mut now = poller.alarm.expect("it is put off");
             for failures in 1..=20 {
                 // A lone one has made its first call as it began.
@@ -251,7 +251,7 @@
         [(1, 20 * MS), (1, LONGEST_SILENCE + 30 * MS), (3, LONGEST_SILENCE + 30 * MS)]
     {
         let mut poller = PollingForwarder::new(forwarders, 2);
-        poller.terms.told_within = Some(TOLD);
+        poller.config.told_within = Some(TOLD);
         let (mut now, mut waits) = (poller.alarm.expect("it is put off"), Vec::new());
         for _ in 0..8 {
             poller.rings(now);
@@ -268,7 +268,7 @@
 #[test]
 fn the_first_call_comes_by_the_time_that_counts() {
     for seed in 0..200 {
-        let long = TermsOfCarriage { ask_within: Some(60 * WITHIN), told_within: Some(TOLD), ..terms(350) };
+        let long = Config { ask_within: Some(60 * WITHIN), told_within: Some(TOLD), ..config(350) };
         let poller = PollingForwarder::under(long, seed);
         assert!(poller.alarm.expect("it is put off") + ANSWER_TIME <= TOLD);
     }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,4 +1,4 @@
-//! Every decision of opalpulley. A front calls `Forwarder::new(terms, seed)` once, then `handle(now, event,
+//! Every decision of opalpulley. A front calls `Forwarder::new(config, seed)` once, then `handle(now, event,
 //! &mut actions)` for each event, in order, and carries out the actions. Three parts talk by notes only:
 //! `Forwarder` (loop, packet book, slots), `Destination` (queue, cap, pace, hold) and its `Target`s (places,
 //! outcomes, probing, drain, cold ramp). `Post` keeps an inbox for each; `Forwarder::settle` empties them.
@@ -62,7 +62,7 @@
 
 struct Desk<'a> {
     now: Micros,
-    terms: &'a TermsOfCarriage,
+    config: &'a Config,
     rng: &'a mut Pcg64Mcg,
     post: &'a mut Post,
     scarce: bool,     // connections are refused here and there
@@ -70,8 +70,8 @@
 }
 
 impl<'a> Desk<'a> {
-    fn row(&self, profile: usize) -> &'a ProfileTerms {
-        &self.terms.profiles[profile]
+    fn row(&self, profile: usize) -> &'a ProfileConfig {
+        &self.config.profiles[profile]
     }
     fn tell(&mut self, note: ToForwarder) {
         self.post.forwarder.push_back(note);
@@ -159,11 +159,11 @@
 }
 
 impl Packet {
-    fn worth_at(&self, at: f64, terms: &TermsOfCarriage) -> f64 {
-        let row = &terms.profiles[self.profile];
+    fn worth_at(&self, at: f64, config: &Config) -> f64 {
+        let row = &config.profiles[self.profile];
         let late = (at - self.due as f64).max(0.0);
         let span = (self.expires.saturating_sub(self.due) as f64).max(1.0);
-        let kept = match terms.fading {
+        let kept = match config.fading {
             _ if at >= self.expires as f64 => 0.0,
             Fading::Halving => (-late / (row.contract_time as f64).max(1.0)).exp2().max(row.late_share),
             Fading::Evenly => 1.0 - (1.0 - row.late_share) * late / span,
@@ -171,9 +171,9 @@
         self.worth * kept
     }
 
-    fn last_send(&self, terms: &TermsOfCarriage) -> Micros {
-        match (terms.profiles[self.profile].effect, self.exposed) {
-            _ if self.trips >= terms.max_trips => 0, // also those of an earlier life
+    fn last_send(&self, config: &Config) -> Micros {
+        match (config.profiles[self.profile].effect, self.exposed) {
+            _ if self.trips >= config.max_trips => 0, // also those of an earlier life
             (Effect::Fingerprinted { window, .. }, Some((first, _))) => {
                 self.expires.min(first.saturating_add(window))
             }
@@ -182,8 +182,8 @@
         }
     }
 
-    fn entry(&self, terms: &TermsOfCarriage) -> Entry {
-        let (last_send, row) = (self.last_send(terms), &terms.profiles[self.profile]);
+    fn entry(&self, config: &Config) -> Entry {
+        let (last_send, row) = (self.last_send(config), &config.profiles[self.profile]);
         let bound = matches!(row.effect, Effect::Fingerprinted { group: RepeatGroup::Zone, .. });
         let zone = self.exposed.map(|(_, zone)| zone).filter(|_| bound);
         let [span, last] = [self.expires, last_send].map(|t| t as i64 - self.due as i64);
@@ -197,16 +197,16 @@
     }
 
     /// How far ahead the loss is looked at: now, and on the scale of the shortest contract time.
-    fn ahead(terms: &TermsOfCarriage) -> [f64; 4] {
-        let ahead = terms.profiles.iter().map(|r| r.contract_time).min().unwrap_or(0) as f64;
+    fn ahead(config: &Config) -> [f64; 4] {
+        let ahead = config.profiles.iter().map(|r| r.contract_time).min().unwrap_or(0) as f64;
         [0.0, ahead / 4.0, ahead, 3.0 * ahead]
     }
 
     /// What is lost by sending it somewhat later, on the scale of the shortest contract time.
-    fn loss(&self, now: Micros, answer_time: f64, terms: &TermsOfCarriage) -> f64 {
-        let (now, last) = (now as f64, self.last_send(terms) as f64);
-        let at = |t| if now + t < last { self.worth_at(now + t + answer_time, terms) } else { 0.0 };
-        let [first, soon, later, late] = Packet::ahead(terms).map(at);
+    fn loss(&self, now: Micros, answer_time: f64, config: &Config) -> f64 {
+        let (now, last) = (now as f64, self.last_send(config) as f64);
+        let at = |t| if now + t < last { self.worth_at(now + t + answer_time, config) } else { 0.0 };
+        let [first, soon, later, late] = Packet::ahead(config).map(at);
         first - (soon + later + late) / 3.0
     }
 }
@@ -224,13 +224,13 @@
 
 impl Gate {
     /// The capacity by a list's rate, and whether the list knows it.
-    fn listed(rate: f64, terms: &TermsOfCarriage) -> (f64, bool) {
-        let known = terms.list_rates != ListRates::Untold && rate.is_finite() && rate > 0.0;
-        (if known { rate } else { terms.slots.max(1).into() }, known)
+    fn listed(rate: f64, config: &Config) -> (f64, bool) {
+        let known = config.list_rates != ListRates::Untold && rate.is_finite() && rate > 0.0;
+        (if known { rate } else { config.slots.max(1).into() }, known)
     }
 
-    fn even(&self, terms: &TermsOfCarriage) -> f64 {
-        f64::from(terms.forwarders.max(1)) * SECOND / self.capacity
+    fn even(&self, config: &Config) -> f64 {
+        f64::from(config.forwarders.max(1)) * SECOND / self.capacity
     }
 
     fn ease(&mut self, now: Micros) {
@@ -249,13 +249,13 @@
         self.next = self.next.max(desk.now.saturating_sub(missed)) + rest as Micros;
     }
 
-    fn longest(terms: &TermsOfCarriage) -> f64 {
-        LONGEST_WAIT * terms.profiles.iter().map(|p| p.expiry).max().unwrap_or(0) as f64
+    fn longest(config: &Config) -> f64 {
+        LONGEST_WAIT * config.profiles.iter().map(|p| p.expiry).max().unwrap_or(0) as f64
     }
 
     /// Guards a limit against all who have yet to learn of it, each by a refusal: another has met one.
     fn heard(&mut self, desk: &mut Desk) {
-        let rest = (EVEN_REST * self.even(desk.terms)).min(Gate::longest(desk.terms));
+        let rest = (EVEN_REST * self.even(desk.config)).min(Gate::longest(desk.config));
         if self.rest < rest {
             (self.rest, self.grown) = (rest, desk.now);
             self.next = self.next.max(desk.now + (rest * desk.rng.random::<f64>()) as Micros);
@@ -265,9 +265,9 @@
     /// Guards against refusals that breed refusals: each lengthens the rest between our calls.
     fn refused(&mut self, sent: Micros, desk: &mut Desk) {
         if sent >= self.grown {
-            let first = (FIRST_REST * SECOND / self.capacity).max(FIRST_SHARE * self.even(desk.terms));
-            let most = (MOST_REST * self.even(desk.terms)).min(Gate::longest(desk.terms)).max(first);
-            let mild = self.rest.max(EVEN_REST * self.even(desk.terms)) / CUT;
+            let first = (FIRST_REST * SECOND / self.capacity).max(FIRST_SHARE * self.even(desk.config));
+            let most = (MOST_REST * self.even(desk.config)).min(Gate::longest(desk.config)).max(first);
+            let mild = self.rest.max(EVEN_REST * self.even(desk.config)) / CUT;
             self.rest = (2.0 * self.rest).min(mild).clamp(first, most);
             self.grown = desk.now;
         }
@@ -293,13 +293,13 @@
     fn read(&mut self, note: ToDestination, desk: &mut Desk) {
         match note {
             ToDestination::Take(packet) => {
-                self.queue.join(&packet.entry(desk.terms));
+                self.queue.join(&packet.entry(desk.config));
                 self.packets.insert(packet.id, packet);
                 self.tick(1.0, LONE, desk); // at once: it may have less time than the next look takes
             }
             ToDestination::Turn(id) => self.packets.get_mut(&id).into_iter().for_each(|packet| {
                 packet.turn = true;
-                self.queue.turn(&packet.entry(desk.terms));
+                self.queue.turn(&packet.entry(desk.config));
             }),
             ToDestination::Over { id, target, outcome, took, closed } => {
                 let out = self.packets.get_mut(&id).and_then(|p| p.out.take_if(|o| o.0 == target));
@@ -319,11 +319,11 @@
             ToDestination::Listed { target, rate } => {
                 self.cards.entry(target).or_default();
                 let gate = self.gates.entry(self.apart.then_some(target)).or_default();
-                let (capacity, known) = Gate::listed(rate, desk.terms);
+                let (capacity, known) = Gate::listed(rate, desk.config);
                 gate.capacity = capacity;
                 // Guards small destinations against the first packets of many: a wait so long loses nothing.
                 if std::mem::replace(&mut gate.eased, desk.now) == 0 {
-                    let (rest, most) = (EVEN_REST * gate.even(desk.terms), Packet::ahead(desk.terms)[2]);
+                    let (rest, most) = (EVEN_REST * gate.even(desk.config), Packet::ahead(desk.config)[2]);
                     gate.rest = if known || rest < most { rest.min(most) } else { 0.0 };
                 }
             }
@@ -361,7 +361,7 @@
     fn end(&mut self, id: PacketId, answer: Option<Action>, desk: &mut Desk) {
         self.out.remove(&id);
         if let Some(packet) = self.packets.remove(&id) {
-            self.queue.leave(&packet.entry(desk.terms));
+            self.queue.leave(&packet.entry(desk.config));
         }
         let answered = answer.is_some();
         answer.into_iter().for_each(|answer| desk.tell(ToForwarder::Do(answer)));
@@ -390,13 +390,13 @@
         }
         if outcome == Outcome::TakenBack {
             packet.trips -= 1; // it keeps its place in the queue
-            return self.queue.join(&packet.entry(desk.terms));
+            return self.queue.join(&packet.entry(desk.config));
         }
         let longest = (LONGEST_WAIT * desk.row(packet.profile).expiry as f64) as Micros;
         let wait = (BASE_WAIT << packet.trips.saturating_sub(1).min(20)).min(longest);
         // Guards against clumps that come due together: chance spreads them, and the waits still grow.
         packet.ready_at = desk.now + wait + (wait as f64 * JITTER * desk.rng.random::<f64>()) as Micros;
-        let entry = packet.entry(desk.terms);
+        let entry = packet.entry(desk.config);
         self.queue.join(&entry);
         if entry.ready_at >= entry.last_send {
             self.end(id, Some(Action::WriteOff { id }), desk);
@@ -410,7 +410,7 @@
         gate.held = gate.held.max(desk.now.saturating_add(wait));
         gate.next = gate.next.max(gate.held);
         // Guards a destination that is shut, for longer than a limit holds: all behind its gate are cold.
-        let shut = wait > desk.terms.rules.overload_for;
+        let shut = wait > desk.config.rules.overload_for;
         for t in self.cards.keys().filter(|t| !self.apart || **t == target) {
             desk.post.targets.push_back((*t, ToTarget::Held { shut }));
         }
@@ -429,7 +429,7 @@
         }
         let held = self.held();
         self.call_off(patiences, desk);
-        let over = |p: &&Packet| held >= p.expires || desk.now + 2 * TICK >= p.last_send(desk.terms);
+        let over = |p: &&Packet| held >= p.expires || desk.now + 2 * TICK >= p.last_send(desk.config);
         let by = held.max(desk.now + 2 * TICK);
         let over: Vec<PacketId> =
             self.waiting(self.queue.expiring_by(by)).filter(over).map(|p| p.id).collect();
@@ -438,7 +438,7 @@
 
     /// Guards against trips that get lost on the way; where nothing is answered they go on for longer.
     fn call_off(&mut self, patiences: f64, desk: &mut Desk) {
-        let may = desk.terms.may_call_off;
+        let may = desk.config.may_call_off;
         for id in self.out.iter().filter(|_| may) {
             let packet = self.packets.get_mut(id).filter(|p| !p.called_off && !p.over);
             let Some((packet, (target, sent))) = packet.and_then(|p| p.out.map(|o| (p, o))) else { continue };
@@ -457,17 +457,17 @@
         let Some(packet) = self.packets.get(&id) else { return };
         let harmless = packet.exposed.is_none() || desk.row(packet.profile).effect == Effect::Retriable;
         let wait = COME_BACK.max(self.held().saturating_sub(desk.now));
-        let come_back = wait.min(desk.terms.longest_return);
+        let come_back = wait.min(desk.config.longest_return);
         // What was never sent on has not failed, however late it is.
         let answer = match harmless && (packet.trips == 0 || desk.now + wait < packet.expires) {
-            true => Action::Defer { id, come_back: desk.terms.may_say_when.then_some(come_back) },
+            true => Action::Defer { id, come_back: desk.config.may_say_when.then_some(come_back) },
             false => Action::WriteOff { id },
         };
         self.end(id, Some(answer), desk);
     }
 
     fn shed(&mut self, desk: &mut Desk) {
-        let worth = |p: &Packet| p.worth_at(desk.now as f64, desk.terms);
+        let worth = |p: &Packet| p.worth_at(desk.now as f64, desk.config);
         let all = self.waiting(self.queue.expiring_by(Micros::MAX));
         let least = all.min_by(|a, b| worth(a).total_cmp(&worth(b)).then(b.due.cmp(&a.due)));
         least.map(|p| p.id).into_iter().for_each(|id| self.give_up(id, desk));
@@ -483,20 +483,20 @@
             let to = if row.effect == Effect::Binding && card.troubled { late - 1 } else { i64::MAX };
             let from = (desk.now + 2 * TICK) as i64 - rank.last + 1;
             let fade = -row.late_share.max(f64::MIN_POSITIVE).log2() * row.contract_time as f64;
-            let cuts = || rank.cuts(desk.now as f64, card.answer_time, Packet::ahead(desk.terms), fade);
+            let cuts = || rank.cuts(desk.now as f64, card.answer_time, Packet::ahead(desk.config), fade);
             DispatchQueue::ends(ranked, from..=to, cuts, &mut ids);
         }
         self.waiting(ids)
-            .map(|p| (p, p.loss(desk.now, card.answer_time, desk.terms)))
+            .map(|p| (p, p.loss(desk.now, card.answer_time, desk.config)))
             .max_by(|(a, x), (b, y)| x.total_cmp(y).then(b.due.cmp(&a.due)).then(b.id.cmp(&a.id)))
             .map(|(p, loss)| (p.id, loss))
     }
 
     fn bid(&mut self, desk: &mut Desk) {
         self.pick = None;
-        self.queue.wake(desk.now, |id| self.packets.get(&id).map(|p| p.entry(desk.terms)));
+        self.queue.wake(desk.now, |id| self.packets.get(&id).map(|p| p.entry(desk.config)));
         let share = if self.troubled() { CAP_TROUBLED } else { CAP_WELL };
-        let cap = ((share * f64::from(desk.terms.slots)) as usize).max(1);
+        let cap = ((share * f64::from(desk.config.slots)) as usize).max(1);
         if self.cards.values().map(|c| c.calls).sum::<usize>() >= cap {
             return;
         }
@@ -537,7 +537,7 @@
         for _ in 0..self.per_call {
             let Some((id, _)) = self.next_for(&card, desk) else { break };
             let Some(packet) = self.packets.get_mut(&id) else { break };
-            self.queue.leave(&packet.entry(desk.terms));
+            self.queue.leave(&packet.entry(desk.config));
             self.out.insert(id);
             packet.trips += 1;
             packet.out = Some((target, desk.now));
@@ -553,7 +553,7 @@
             };
             let limit = limit.map(|l| l.clamp(1, packet.expires - desk.now));
             desk.post.targets.push_back((target, ToTarget::Board));
-            let begin_by = packet.last_send(desk.terms).saturating_sub(2 * TICK);
+            let begin_by = packet.last_send(desk.config).saturating_sub(2 * TICK);
             desk.tell(ToForwarder::Do(Action::Send { id, target, limit, begin_by }));
         }
     }
@@ -606,7 +606,7 @@
             ToTarget::Listed { zone, standing, fee } => {
                 self.take_back(standing != Standing::Ready, desk);
                 // Guards a target that goes and comes back while it may be cold: it is not forgotten so soon.
-                let rest = if standing == Standing::Gone { desk.terms.rules.warm_after } else { 0 };
+                let rest = if standing == Standing::Gone { desk.config.rules.warm_after } else { 0 };
                 self.next_probe = desk.now.saturating_add(rest);
                 (self.card.zone, self.standing, self.card.fee) = (zone.0, standing, fee);
                 self.card.leaning = Target::leaning(desk.rng);
@@ -619,7 +619,7 @@
                 _ => {
                     self.calls.push(Call { sent: desk.now, riders: 1, judged: false });
                     self.budget.left -= 1.0;
-                    if self.health == Health::Probed && desk.terms.may_probe {
+                    if self.health == Health::Probed && desk.config.may_probe {
                         self.health = Health::Aside;
                     }
                 }
@@ -680,7 +680,7 @@
             Outcome::NoConnection if passing => return self.refusals += 1,
             Outcome::TakenBack => return self.budget.left = (self.budget.left + 1.0).min(1.0),
             Outcome::Moot { .. } => return,
-            Outcome::CalledOff if !self.even(desk.now, desk.terms).1 => return,
+            Outcome::CalledOff if !self.even(desk.now, desk.config).1 => return,
             Outcome::Delivered => {
                 (self.answered, self.failures) = (desk.now, 0);
                 self.times.learn(took as f64, NEW_ANSWER);
@@ -700,9 +700,9 @@
         let successes = self.recent.iter().filter(|s| **s).count();
         let most_fail = self.recent.len() == LAST_FEW && successes < ASIDE_SUCCESSES;
         let full = matches!(outcome, Outcome::Full { .. });
-        let scant = !full && self.even(desk.now, desk.terms).1;
+        let scant = !full && self.even(desk.now, desk.config).1;
         // Guards a destination at its limit against being taken for a shut one: that lasts longer.
-        let span = if full { desk.terms.rules.overload_for } else { 0 };
+        let span = if full { desk.config.rules.overload_for } else { 0 };
         let row = self.failures.max(self.refusals) >= ASIDE_ROW && desk.now >= self.row_since + span;
         if row || scant && self.failures >= SCANT_ROW || most_fail {
             self.set_aside("most calls fail", desk);
@@ -715,7 +715,7 @@
             // By chance, for forwarders that set it aside together are not to try it together.
             self.budget = ColdBudget::new(desk.rng.random(), desk.now);
         }
-        self.health = if desk.terms.may_probe { Health::Aside } else { Health::Probed };
+        self.health = if desk.config.may_probe { Health::Aside } else { Health::Probed };
         self.recent.clear();
     }
 
@@ -727,7 +727,7 @@
 
     /// Part of its capacity that it may get from all forwarders while it may be cold.
     /// Guards a returning destination against being pushed over: nobody sees it return.
-    fn cold(&self, now: Micros, rules: &RuleTerms) -> f64 {
+    fn cold(&self, now: Micros, rules: &RuleConfig) -> f64 {
         let warmth = match self.health {
             Health::Warming(since) => (now - since) as f64 / rules.warm_after.max(1) as f64,
             _ => 0.0,
@@ -736,33 +736,33 @@
     }
 
     /// An even part of that, calls a second, and whether it is scant: then half of it goes with own arrivals.
-    fn even(&self, now: Micros, terms: &TermsOfCarriage) -> (f64, bool) {
-        let even = self.cold(now, &terms.rules) * self.capacity / f64::from(terms.forwarders.max(1));
-        let scant = even * (terms.rules.overload_for as f64) < SCANT * SECOND;
+    fn even(&self, now: Micros, config: &Config) -> (f64, bool) {
+        let even = self.cold(now, &config.rules) * self.capacity / f64::from(config.forwarders.max(1));
+        let scant = even * (config.rules.overload_for as f64) < SCANT * SECOND;
         (if scant { even / 2.0 } else { even }, scant)
     }
 
     fn tick(&mut self, demand: f64, held: bool, desk: &mut Desk) {
-        let (even, scant) = self.even(desk.now, desk.terms);
+        let (even, scant) = self.even(desk.now, desk.config);
         if self.health != Health::Well {
-            let own = if scant { demand / 2.0 * self.cold(desk.now, &desk.terms.rules) } else { 0.0 };
+            let own = if scant { demand / 2.0 * self.cold(desk.now, &desk.config.rules) } else { 0.0 };
             self.budget.fill(desk.now, even, own, EARNED * even);
         }
         // Guards against all that a hold has kept back: they must not come at once when it ends.
         if held && self.budget.left >= 1.0 {
             self.budget.left = desk.rng.random();
         }
-        if matches!(self.health, Health::Warming(s) if desk.now >= s + desk.terms.rules.warm_after) {
+        if matches!(self.health, Health::Warming(s) if desk.now >= s + desk.config.rules.warm_after) {
             self.health = Health::Well;
         }
         // Guards against work sunk into a target that takes calls and answers none.
         if self.health == Health::Well && self.silent(desk.now, self.card.trip_time) >= 2 {
             self.set_aside("it keeps silent", desk);
         }
-        let may = desk.terms.may_probe && self.standing == Standing::Ready && !held;
+        let may = desk.config.may_probe && self.standing == Standing::Ready && !held;
         if may && self.health == Health::Aside && desk.now >= self.next_probe && self.budget.left >= 1.0 {
             // A packet serves as the probe where a second call would come late, else by chance.
-            let late = even * Packet::ahead(desk.terms)[2] < SECOND;
+            let late = even * Packet::ahead(desk.config)[2] < SECOND;
             if scant || late || desk.rng.random_bool(PACKET_TRIES) {
                 return self.health = Health::Probed;
             }
@@ -803,7 +803,7 @@
             aside: self.aside(),
             troubled: self.aside() || slow || failed >= TROUBLED_FAILURES,
             still: self.calls.is_empty()
-                && (self.health == Health::Well || self.even(desk.now, desk.terms).1),
+                && (self.health == Health::Well || self.even(desk.now, desk.config).1),
             answer_time: self.times.with(desk.times, FEW, |t| t.mean),
             trip_time: self.times.with(desk.times, FEW, |t| t.mean + TAIL * t.deviation).max(SILENCE as f64),
             ..self.card
@@ -819,7 +819,7 @@
 }
 
 pub struct Forwarder {
-    terms: TermsOfCarriage,
+    config: Config,
     rng: Pcg64Mcg,
     post: Post,
     book: BTreeMap<PacketId, (DestinationId, Option<OrderKey>)>, // an entry leaves with its packet
@@ -840,11 +840,11 @@
 }
 
 impl Forwarder {
-    pub fn new(mut terms: TermsOfCarriage, seed: u64) -> Forwarder {
-        terms.profiles.resize_with(terms.profiles.len().max(1), ProfileTerms::default);
-        let shares = terms.tenants.iter().map(|_| Bucket { left: f64::MAX, filled: 0 }).collect();
+    pub fn new(mut config: Config, seed: u64) -> Forwarder {
+        config.profiles.resize_with(config.profiles.len().max(1), ProfileConfig::default);
+        let shares = config.tenants.iter().map(|_| Bucket { left: f64::MAX, filled: 0 }).collect();
         Forwarder {
-            terms,
+            config,
             rng: Pcg64Mcg::seed_from_u64(seed),
             post: Post::default(),
             book: BTreeMap::new(),
@@ -867,10 +867,10 @@
 
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         // Guards drains against a process that stood still: what it was told is read before it sends.
-        if self.look.is_some_and(|due| now > due + self.terms.rules.drain_grace / 2) {
+        if self.look.is_some_and(|due| now > due + self.config.rules.drain_grace / 2) {
             (self.look, self.still) = (Some(now), now + TICK);
         }
-        self.list_poller.handle(now, &event, &self.terms, &mut self.rng, actions);
+        self.list_poller.handle(now, &event, &self.config, &mut self.rng, actions);
         self.restore_for(now, &event);
         let most_summarised = idle::most_for(&event);
         match event {
@@ -885,7 +885,7 @@
                     self.refused += NEW_REFUSED * (refused - self.refused);
                 }
                 let full = self.targets.get(&target).filter(|_| matches!(outcome, Outcome::Full { .. }));
-                actions.extend(full.and_then(|t| self.gossip.refused(now, t.destination, &self.terms)));
+                actions.extend(full.and_then(|t| self.gossip.refused(now, t.destination, &self.config)));
                 self.pass_on(id, ToDestination::Over { id, target, outcome, took, closed });
             }
             Event::WaitTold { target, wait } => {
@@ -902,14 +902,14 @@
                 self.leave_turns(now, id, key);
             }
             Event::Owed { id, profile, key } => {
-                let row = self.terms.profiles.get(profile.0 as usize).filter(|row| row.in_order);
+                let row = self.config.profiles.get(profile.0 as usize).filter(|row| row.in_order);
                 if let Some(turns) = row.map(|_| self.turns.entry(key).or_default()) {
                     turns.queue.push_back((id, DestinationId::default()));
                     self.unheard.insert(id, key);
                 }
             }
             Event::Alarm { token: Token(0) } => self.tick(now),
-            Event::Closing => self.terms.slots = 0,
+            Event::Closing => self.config.slots = 0,
             Event::Gossip { from, message } => {
                 let known = |at| self.destinations.contains_key(&at) || self.idle.holds(at);
                 let at = self.gossip.heard(now, from, &message, known, actions);
@@ -922,8 +922,8 @@
         self.deal(now, actions);
         self.summarise_idle(now, most_summarised);
         if !(self.look.is_some() || self.states.is_empty() && self.turns.is_empty()) {
-            self.look = Some(now + TICK.max(self.terms.round));
-            actions.push(Action::Wake { after: TICK.max(self.terms.round), token: Token(0) });
+            self.look = Some(now + TICK.max(self.config.round));
+            actions.push(Action::Wake { after: TICK.max(self.config.round), token: Token(0) });
         }
     }
 
@@ -936,7 +936,7 @@
     fn tick(&mut self, now: Micros) {
         self.look = None;
         // Guards the slots: while none is free, patience is shorter.
-        let patiences = if self.calls_out().0 >= self.terms.slots as usize { 1.0 } else { LONE };
+        let patiences = if self.calls_out().0 >= self.config.slots as usize { 1.0 } else { LONE };
         let tick = |id: &DestinationId| (*id, ToDestination::Tick { patiences });
         self.post.destinations.extend(self.states.keys().map(tick));
         self.turns.retain(|_, t| !t.queue.is_empty() || t.rest > now);
@@ -945,17 +945,17 @@
     }
 
     fn arrival(&mut self, now: Micros, arrival: Arrival) {
-        let profile = (arrival.profile.0 as usize).min(self.terms.profiles.len() - 1);
-        let row = &self.terms.profiles[profile];
+        let profile = (arrival.profile.0 as usize).min(self.config.profiles.len() - 1);
+        let row = &self.config.profiles[profile];
         let mut worth = row.importance;
         let tenant = arrival.tenant.0 as usize;
-        if let (Some(share), Some(told)) = (self.shares.get_mut(tenant), self.terms.tenants.get(tenant)) {
+        if let (Some(share), Some(told)) = (self.shares.get_mut(tenant), self.config.tenants.get(tenant)) {
             // Traffic over a tenant's share is worth little: its part here is taken as an even one.
-            let rate = told.quota / f64::from(self.terms.forwarders.max(1));
+            let rate = told.quota / f64::from(self.config.forwarders.max(1));
             share.fill(now, rate, rate * SHARE_BURST);
             match share.left >= 1.0 {
                 true => share.left -= 1.0,
-                false => worth *= self.terms.over_share_worth,
+                false => worth *= self.config.over_share_worth,
             }
         }
         let key = arrival.key.filter(|_| row.in_order);
@@ -970,7 +970,7 @@
         if let Some(turns) = key.map(|key| self.turns.entry(key).or_default()) {
             turns.queue.push_back((id, destination));
             // Guards the order over a restart: a trip of an earlier life may still run.
-            let rest = if exposed.is_some() { now + self.terms.rules.order_pause } else { 0 };
+            let rest = if exposed.is_some() { now + self.config.rules.order_pause } else { 0 };
             turns.rest = turns.rest.max(rest);
         }
         self.book.insert(id, (destination, key));
@@ -978,7 +978,7 @@
         self.post.destinations.push_back((destination, ToDestination::Take(packet)));
         self.pass_turn(now, key);
         // Guards against a full room, whose door is blind: the longest queue gives up its least worth.
-        if self.book.len() as f64 > ROOM_USED * f64::from(self.terms.room) {
+        if self.book.len() as f64 > ROOM_USED * f64::from(self.config.room) {
             let longest = self.states.iter().max_by_key(|(_, s)| s.waiting).map(|(id, _)| *id);
             self.post.destinations.extend(longest.map(|id| (id, ToDestination::Shed)));
         }
@@ -1000,15 +1000,15 @@
 
     fn settle(&mut self, now: Micros, actions: &mut Vec<Action>) {
         loop {
-            let Forwarder { terms, rng, post, targets, destinations, refused, times, .. } = self;
+            let Forwarder { config, rng, post, targets, destinations, refused, times, .. } = self;
             let scarce = *refused > SCARCE;
             if let Some((id, note)) = post.targets.pop_front() {
                 if let Some(target) = targets.get_mut(&id) {
-                    target.read(note, &mut Desk { now, terms, rng, post, scarce, times });
+                    target.read(note, &mut Desk { now, config, rng, post, scarce, times });
                 }
             } else if let Some((id, note)) = post.destinations.pop_front() {
                 if let Some(destination) = destinations.get_mut(&id) {
-                    destination.read(note, &mut Desk { now, terms, rng, post, scarce, times });
+                    destination.read(note, &mut Desk { now, config, rng, post, scarce, times });
                 }
             } else if let Some(note) = post.forwarder.pop_front() {
                 self.read(now, note, actions);
@@ -1024,14 +1024,14 @@
             ToForwarder::Ended { id, answered } => {
                 let key = self.book.remove(&id).and_then(|(_, key)| key);
                 // Guards the order against a call that overtakes the end of the packet before it.
-                match key.filter(|_| answered && self.terms.ends == Ends::WhenHeard) {
+                match key.filter(|_| answered && self.config.ends == Ends::WhenHeard) {
                     Some(key) => _ = self.unheard.insert(id, key),
                     None => self.leave_turns(now, id, key),
                 }
             }
             ToForwarder::Unclear { key } => {
                 if let Some(turns) = self.turns.get_mut(&key) {
-                    turns.rest = turns.rest.max(now + self.terms.rules.order_pause);
+                    turns.rest = turns.rest.max(now + self.config.rules.order_pause);
                 }
             }
             ToForwarder::Bid { destination, gain } => self.bids.push((gain, destination)),
@@ -1059,7 +1059,7 @@
 
     /// Offers free slots until no queue wants one: the packet that loses most by waiting goes first.
     fn deal(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let slots = if now < self.still { 0 } else { self.terms.slots as usize };
+        let slots = if now < self.still { 0 } else { self.config.slots as usize };
         let troubled_cap = ((CAP_ALL_TROUBLED * slots as f64) as usize).max(1);
         loop {
             let (out, out_troubled) = self.calls_out();
--- a/src/rules/idle.rs
+++ b/src/rules/idle.rs
@@ -1,6 +1,6 @@
 //! Destinations out of use, held as summaries: one short record a target in place of some 3 kB.
 //!
-//! `Forwarder` owns one [`IdleTable`]. Where its terms name a number of destinations to hold in full, it holds no more than
+//! `Forwarder` owns one [`IdleTable`]. Where its configuration names a number of destinations to hold in full, it holds no more than
 //! these and those in use: whatever is beyond is summarised once nothing is under way there and no timer of it runs any
 //! more, oldest first. Before an event that concerns it a destination is restored. No destination is held both ways.
 //!
@@ -272,7 +272,7 @@
 
     /// Whether so many destinations more than now are more than are to be held in full.
     pub(super) fn is_beyond_full(&self, more: usize) -> bool {
-        self.terms.full_destinations.is_some_and(|full| self.destinations.len() + more > full as usize)
+        self.config.full_destinations.is_some_and(|full| self.destinations.len() + more > full as usize)
     }
 
     /// Restores the destination that the event concerns. A list restores those that it names itself.
@@ -306,15 +306,15 @@
             destination.cards.insert(target, super::Card::default());
             self.targets.insert(target, summary.target(target, id, bounds));
         }
-        let Forwarder { terms, rng, post, targets, times, .. } = self;
-        let desk = Desk { now, terms, rng, post, scarce: false, times };
+        let Forwarder { config, rng, post, targets, times, .. } = self;
+        let desk = Desk { now, config, rng, post, scarce: false, times };
         let standing = |target| targets.get(target).map(|t| t.standing);
         let ready = destination.cards.keys().filter(|t| standing(t) == Some(Standing::Ready)).count().max(1);
         for (target, card) in &mut destination.cards {
             let Some(t) = targets.get_mut(target) else { continue };
             let gate = destination.gates.get(&apart.then_some(*target));
             t.capacity = gate.map_or(0.0, |g| g.capacity) / if apart { 1.0 } else { ready as f64 };
-            let fee = terms.zone_fees.get(usize::from(t.card.zone)).filter(|_| apart);
+            let fee = config.zone_fees.get(usize::from(t.card.zone)).filter(|_| apart);
             t.card.fee = fee.copied().unwrap_or(0.0);
             *card = t.card(&desk);
         }
@@ -327,7 +327,7 @@
     /// would hold in full what is in use elsewhere.
     pub(super) fn limit_idle(&mut self, now: Micros, id: DestinationId) -> bool {
         let held: Vec<TargetId> = self.idle.targets_of(id).collect();
-        let Forwarder { terms, rng, post, times, idle, .. } = self;
+        let Forwarder { config, rng, post, times, idle, .. } = self;
         let Some(first) = held.first().and_then(|target| idle.summaries.get(&(id, *target))) else {
             return false;
         };
@@ -335,7 +335,7 @@
             return true; // each is at a limit of its own
         }
         let mut gate = first.gate(held.first().and_then(|target| idle.bounds.get(target)), now);
-        gate.heard(&mut Desk { now, terms, rng, post, scarce: false, times });
+        gate.heard(&mut Desk { now, config, rng, post, scarce: false, times });
         for target in held {
             let bounds = idle.bounds.entry(target).or_default();
             (bounds.next, bounds.paced_until) = (gate.next, gate.paced_until());
@@ -352,7 +352,7 @@
         if *target != entry.target || [entry.standing, summary.standing].contains(&Standing::Gone) {
             return false;
         }
-        summary.capacity = Gate::listed(entry.rate.into(), &self.terms).0 as f32;
+        summary.capacity = Gate::listed(entry.rate.into(), &self.config).0 as f32;
         (summary.zone, summary.standing) = (entry.zone.0, entry.standing);
         summary.leaning = Target::leaning(&mut self.rng) as f32;
         true
@@ -360,10 +360,10 @@
 
     /// A destination has nothing under way: it may be summarised once its timers have run out.
     pub(super) fn join_queue(&mut self, now: Micros, id: DestinationId) {
-        if self.terms.full_destinations.is_none() {
+        if self.config.full_destinations.is_none() {
             return;
         }
-        let longest = Gate::longest(&self.terms) as Micros;
+        let longest = Gate::longest(&self.config) as Micros;
         let targets = &self.targets;
         let Some(destination) = self.destinations.get_mut(&id).filter(|d| d.queued.is_none()) else { return };
         let paced = destination.gates.values().map(|g| g.paced_until().min(now + longest));
@@ -375,7 +375,7 @@
     }
 
     pub(super) fn leave_queue(&mut self, id: DestinationId) {
-        if self.terms.full_destinations.is_some() {
+        if self.config.full_destinations.is_some() {
             let queued = self.destinations.get_mut(&id).and_then(|d| d.queued.take());
             queued.into_iter().for_each(|at| _ = self.idle.queue.remove(&(at, id)));
         }
@@ -383,11 +383,11 @@
 
     /// Summarises destinations whose time has come, oldest first, while more are held in full than are to be.
     pub(super) fn summarise_idle(&mut self, now: Micros, most: usize) {
-        if self.terms.full_destinations.is_none() {
+        if self.config.full_destinations.is_none() {
             return;
         }
         self.idle.most_full = self.idle.most_full.max(self.destinations.len());
-        self.idle.sweep(now, self.terms.rules.warm_after);
+        self.idle.sweep(now, self.config.rules.warm_after);
         for _ in 0..most {
             let first = self.idle.queue.first().copied().filter(|(at, _)| *at <= now);
             let Some((_, id)) = first.filter(|_| self.is_beyond_full(0)) else { return };
@@ -433,7 +433,7 @@
         if !unused || destination.cards.is_empty() || destination.gates.len() != gates {
             return None;
         }
-        let warm_after = self.terms.rules.warm_after;
+        let warm_after = self.config.rules.warm_after;
         let summary = |target: &TargetId| {
             let gate = destination.gates.get(&destination.apart.then_some(*target))?;
             let t = self.targets.get(target).filter(|t| t.destination == id && t.calls.is_empty())?;
--- a/src/rules/lists.rs
+++ b/src/rules/lists.rs
@@ -63,9 +63,9 @@
 
     fn apply(&mut self, now: Micros, entry: Listing) {
         let Listing { target, zone, standing, rate, destination, kind, .. } = entry;
-        let kind = self.terms.kinds.get(kind.0 as usize).or(self.terms.kinds.last());
+        let kind = self.config.kinds.get(kind.0 as usize).or(self.config.kinds.last());
         let (apart, per_call) = kind.map_or((false, 1), |k| (k.routes_apart, k.per_call.max(1) as usize));
-        let fee = self.terms.zone_fees.get(zone.0 as usize).filter(|_| apart).copied().unwrap_or(0.0);
+        let fee = self.config.zone_fees.get(zone.0 as usize).filter(|_| apart).copied().unwrap_or(0.0);
         if standing != Standing::Gone {
             let beyond = self.is_beyond_full(1);
             let d = self.destinations.entry(destination).or_default();
--- a/tests/cases.rs
+++ b/tests/cases.rs
@@ -9,13 +9,13 @@
 type Checked = Result<(), String>;
 
 fn one_target() -> World {
-    World::new(terms(), vec![listing(1, 0, 20.0)])
+    World::new(config(), vec![listing(1, 0, 20.0)])
 }
 
 /// Two routes apart in two zones.
-fn routes(terms: TermsOfCarriage) -> World {
-    let kinds = vec![KindTerms { routes_apart: true, per_call: 1 }];
-    World::new(TermsOfCarriage { kinds, ..terms }, vec![listing(1, 0, 20.0), listing(2, 0, 20.0)])
+fn routes(config: Config) -> World {
+    let kinds = vec![KindConfig { routes_apart: true, per_call: 1 }];
+    World::new(Config { kinds, ..config }, vec![listing(1, 0, 20.0), listing(2, 0, 20.0)])
 }
 
 fn sends(world: &World, id: PacketId) -> Vec<Micros> {
@@ -60,7 +60,7 @@
 
 #[test]
 fn waits_between_trips_double_up_to_a_quarter_of_expiry() -> Checked {
-    let mut world = World::new(terms(), (1..7).map(|n| listing(n, 0, 200.0)).collect());
+    let mut world = World::new(config(), (1..7).map(|n| listing(n, 0, 200.0)).collect());
     let id = world.arrive(0, 0, None, 8_000 * MS)?;
     let mut ended = Vec::new();
     for _ in 0..5 {
@@ -81,7 +81,7 @@
 
 #[test]
 fn one_destination_keeps_under_its_share_of_slots() -> Checked {
-    let mut world = World::new(terms(), (1..5).map(|n| listing(n, 0, 500.0)).collect());
+    let mut world = World::new(config(), (1..5).map(|n| listing(n, 0, 500.0)).collect());
     (0..30).try_for_each(|_| world.arrive(0, 0, None, 8_000 * MS).map(drop))?;
     world.pass(100 * MS)?;
     assert_eq!(world.out().len(), 6, "three quarters of eight while it answers well");
@@ -96,8 +96,8 @@
 #[test]
 fn a_told_wait_binds_the_destination_and_a_route_only_itself() -> Checked {
     let full = Outcome::Full { wait: Some(1_500 * MS) };
-    let mut shared = World::new(terms(), vec![listing(1, 0, 20.0), listing(2, 0, 20.0)]);
-    let mut apart = routes(terms());
+    let mut shared = World::new(config(), vec![listing(1, 0, 20.0), listing(2, 0, 20.0)]);
+    let mut apart = routes(config());
     for (world, bound) in [(&mut shared, true), (&mut apart, false)] {
         let first = world.arrive(0, 0, None, 8_000 * MS)?;
         world.end(first, full)?;
@@ -270,7 +270,7 @@
 /// Several destinations that hung at once once kept all slots with the calls they had taken while well.
 #[test]
 fn troubled_destinations_do_not_keep_all_slots() -> Checked {
-    let mut world = World::new(terms(), (0..4).map(|n| listing(n, u32::from(n), 50.0)).collect());
+    let mut world = World::new(config(), (0..4).map(|n| listing(n, u32::from(n), 50.0)).collect());
     for destination in [1, 2, 1, 2, 1, 2, 1, 2, 1, 2, 1, 2] {
         world.arrive(0, destination, None, 8_000 * MS)?;
         world.pass(10 * MS)?;
@@ -295,9 +295,9 @@
 /// With many forwarders the pace of each once grew by whole listed rates, and a third of all calls was refused.
 #[test]
 fn the_pace_grows_by_even_shares() -> Checked {
-    let mut terms = terms();
-    (terms.forwarders, terms.slots, terms.room) = (10, 100, 1_000);
-    let mut world = World::new(terms, vec![listing(1, 0, 20.0)]);
+    let mut config = config();
+    (config.forwarders, config.slots, config.room) = (10, 100, 1_000);
+    let mut world = World::new(config, vec![listing(1, 0, 20.0)]);
     let mut sent = 0;
     for _ in 0..100 {
         (0..2).try_for_each(|_| world.arrive(0, 0, None, 8_000 * MS).map(drop))?;
@@ -314,10 +314,10 @@
 /// A packet bound to the dearer zone once kept the whole line from the cheaper route.
 #[test]
 fn a_line_is_not_kept_by_a_packet_for_another_route() -> Checked {
-    let mut terms = terms();
+    let mut config = config();
     let window = 8_000 * MS;
-    terms.profiles[1].effect = Effect::Fingerprinted { group: RepeatGroup::Zone, window };
-    let mut world = routes(terms);
+    config.profiles[1].effect = Effect::Fingerprinted { group: RepeatGroup::Zone, window };
+    let mut world = routes(config);
     let entry = Listing { standing: Standing::Draining, ..listing(2, 0, 20.0) };
     world.list(ListNews::Changes(vec![entry]))?;
     let bound = world.arrive(1, 0, None, 8_000 * MS)?;
@@ -333,9 +333,9 @@
 
 #[test]
 fn near_a_full_room_the_least_worth_is_deferred_at_once() -> Checked {
-    let mut terms = terms();
-    terms.room = 20;
-    let mut world = World::new(terms, vec![listing(1, 0, 2.0)]);
+    let mut config = config();
+    config.room = 20;
+    let mut world = World::new(config, vec![listing(1, 0, 2.0)]);
     (0..20).try_for_each(|_| world.arrive(0, 0, None, 8_000 * MS).map(drop))?;
     world.pass(50 * MS)?;
     assert!(world.actions.iter().any(|a| matches!(a, Action::Defer { come_back: Some(_), .. })));
@@ -344,17 +344,17 @@
 }
 
 #[test]
-fn odd_terms_and_packets_end_in_one_answer_each() -> Checked {
-    let mut odd = terms();
+fn odd_configurations_and_packets_end_in_one_answer_each() -> Checked {
+    let mut odd = config();
     (odd.slots, odd.room, odd.max_trips, odd.forwarders) = (1, 1, 1, 0);
     (odd.profiles[0].contract_time, odd.kinds[0].per_call) = (0, 0);
     odd.list_rates = ListRates::Untold;
     let list = vec![listing(1, 0, f32::NAN), listing(2, 0, f32::INFINITY), listing(3, 1, -1.0)];
-    let mut bare = terms();
+    let mut bare = config();
     (bare.slots, bare.profiles, bare.kinds) =
-        (0, vec![profile(Effect::Binding)], vec![KindTerms { routes_apart: true, per_call: 1 }]);
-    for terms in [odd, bare] {
-        let mut world = World::new(terms, list.clone());
+        (0, vec![profile(Effect::Binding)], vec![KindConfig { routes_apart: true, per_call: 1 }]);
+    for config in [odd, bare] {
+        let mut world = World::new(config, list.clone());
         for (destination, left) in [(0, 8_000), (0, 0), (1, 1), (9, 8_000), (1, 8_000)] {
             world.arrive(0, destination, None, left * MS)?;
         }
@@ -367,7 +367,7 @@
 #[test]
 fn the_same_events_give_the_same_actions() -> Checked {
     let run = || -> Result<Vec<Action>, String> {
-        let mut world = World::new(terms(), vec![listing(1, 0, 20.0), listing(2, 1, 5.0)]);
+        let mut world = World::new(config(), vec![listing(1, 0, 20.0), listing(2, 1, 5.0)]);
         good_times(&mut world, 3)?;
         outage(&mut world)?;
         world.pass(5_000 * MS)?;
@@ -380,7 +380,7 @@
 /// The first answers of a target once set its time-out alone, and slow targets were called off at first meeting.
 #[test]
 fn a_target_never_met_gets_the_time_that_others_take() -> Checked {
-    let mut world = World::new(terms(), vec![listing(1, 0, 20.0), listing(2, 1, 20.0)]);
+    let mut world = World::new(config(), vec![listing(1, 0, 20.0), listing(2, 1, 20.0)]);
     for _ in 0..5 {
         let id = world.arrive(0, 0, None, 8_000 * MS)?;
         world.pass(1_500 * MS)?;
@@ -395,9 +395,9 @@
 /// Packets with far less time than usual once counted as late and waited behind the others.
 #[test]
 fn a_packet_with_little_time_goes_first() -> Checked {
-    let mut terms = terms();
-    (terms.slots, terms.profiles[0].late_share) = (1, 0.1);
-    let mut world = World::new(terms, vec![listing(1, 0, 20.0)]);
+    let mut config = config();
+    (config.slots, config.profiles[0].late_share) = (1, 0.1);
+    let mut world = World::new(config, vec![listing(1, 0, 20.0)]);
     world.pass(9_000 * MS)?;
     let first = world.arrive(0, 0, None, 8_000 * MS)?;
     let (long, short) = (world.arrive(0, 0, None, 8_000 * MS)?, world.arrive(0, 0, None, 600 * MS)?);
@@ -422,8 +422,8 @@
 
 /// Forty of three hundred forwarders: an even share of a pace or of a cold budget is next to nothing.
 fn fleet() -> impl Iterator<Item = World> {
-    let terms = |n| TermsOfCarriage { forwarder: n, forwarders: 300, ..terms() };
-    (0..40).map(move |n| World::new(terms(n), vec![listing(1, 0, 20.0), listing(2, 0, 20.0)]))
+    let config = |n| Config { forwarder: n, forwarders: 300, ..config() };
+    (0..40).map(move |n| World::new(config(n), vec![listing(1, 0, 20.0), listing(2, 0, 20.0)]))
 }
 
 /// An even share, a call in fifteen seconds, once held packets back that nobody had refused; the first packets of many
@@ -434,7 +434,7 @@
     for mut world in fleet() {
         (0..2).try_for_each(|_| world.arrive(0, 0, None, 8_000 * MS).map(drop))?;
         at_once += world.out().len();
-        world.pass(world.terms.profiles.iter().map(|p| p.contract_time).min().unwrap_or(0) * 3 / 2)?;
+        world.pass(world.config.profiles.iter().map(|p| p.contract_time).min().unwrap_or(0) * 3 / 2)?;
         assert_eq!(world.out().len(), 2);
     }
     assert!(at_once < 60, "{at_once} of 80 packets of 40 forwarders went at once");
@@ -444,7 +444,7 @@
 /// A process that stood still once sent to targets that had been drained meanwhile, before it read the news that waited.
 #[test]
 fn after_standing_still_it_reads_before_it_sends() -> Checked {
-    let mut world = World::new(terms(), vec![listing(1, 0, 200.0), listing(2, 0, 200.0)]);
+    let mut world = World::new(config(), vec![listing(1, 0, 200.0), listing(2, 0, 200.0)]);
     world.arrive(0, 0, None, 8_000 * MS)?;
     world.now += 3_000 * MS;
     let id = world.arrive(0, 0, None, 8_000 * MS)?;
@@ -489,8 +489,8 @@
 /// A probe takes a call of the cold budget; the next one came seconds later, and the packets waited on.
 #[test]
 fn at_size_a_packet_serves_as_the_probe() -> Checked {
-    let terms = TermsOfCarriage { forwarders: 60, ..terms() };
-    let mut world = World::new(terms, vec![listing(1, 0, 60.0)]);
+    let config = Config { forwarders: 60, ..config() };
+    let mut world = World::new(config, vec![listing(1, 0, 60.0)]);
     for _ in 0..4 {
         let id = world.arrive(0, 0, None, 60_000 * MS)?;
         world.pass(1_500 * MS)?;
@@ -572,7 +572,7 @@
 
 #[test]
 fn trips_of_an_earlier_life_count() -> Checked {
-    let mut world = World::new(TermsOfCarriage { max_trips: 1, ..terms() }, vec![listing(1, 0, 20.0)]);
+    let mut world = World::new(Config { max_trips: 1, ..config() }, vec![listing(1, 0, 20.0)]);
     let id = world.arrive(0, 0, None, 8_000 * MS)?;
     world.pass(300 * MS)?;
     assert_eq!(world.out(), [id]);
@@ -598,7 +598,7 @@
 /// With 300 forwarders one refusal is enough for a rest on the scale of an even share (3 s here), not of one call's time.
 #[test]
 fn at_size_a_refused_forwarder_rests_on_the_scale_of_an_even_share() -> Checked {
-    let mut world = World::new(TermsOfCarriage { forwarders: 300, ..terms() }, vec![listing(1, 0, 100.0)]);
+    let mut world = World::new(Config { forwarders: 300, ..config() }, vec![listing(1, 0, 100.0)]);
     let first = world.arrive(0, 0, None, 8_000 * MS)?;
     world.end(first, Outcome::Full { wait: None })?;
     let next = world.arrive(0, 0, None, 8_000 * MS)?;
@@ -612,7 +612,7 @@
 /// A late packet leaves the first call that the pace allows to one in time, and goes when a whole rest more has passed.
 #[test]
 fn at_size_a_late_packet_waits_until_a_call_is_to_spare() -> Checked {
-    let mut world = World::new(TermsOfCarriage { forwarders: 300, ..terms() }, vec![listing(1, 0, 100.0)]);
+    let mut world = World::new(Config { forwarders: 300, ..config() }, vec![listing(1, 0, 100.0)]);
     let refused = world.arrive(0, 0, None, 8_000 * MS)?;
     world.end(refused, Outcome::Full { wait: None })?;
     world.withdraw(refused)?;
@@ -627,7 +627,7 @@
 /// Two refusals are a destination at its limit, also where the cold budget of hundreds of forwarders is scant.
 #[test]
 fn at_size_two_refusals_set_nothing_aside() -> Checked {
-    let mut world = World::new(TermsOfCarriage { forwarders: 300, ..terms() }, vec![listing(1, 0, 100.0)]);
+    let mut world = World::new(Config { forwarders: 300, ..config() }, vec![listing(1, 0, 100.0)]);
     let id = world.arrive(0, 0, None, 8_000 * MS)?;
     for trip in 1..=2 {
         assert_eq!(sends(&world, id).len(), trip);
@@ -644,9 +644,9 @@
 fn a_wait_or_a_drain_takes_back_what_has_not_gone_and_costs_it_no_trip() -> Checked {
     let taken_back = |world: &World, n| world.actions.contains(&Action::TakeBack { target: target(n) });
     for apart in [false, true] {
-        let kinds = vec![KindTerms { routes_apart: apart, per_call: 1 }];
-        let terms = TermsOfCarriage { kinds, max_trips: 1, forwarders: 1, zone_fees: Vec::new(), ..terms() };
-        let mut world = World::new(terms, (1..4).map(|n| listing(n, u32::from(n / 3), 200.0)).collect());
+        let kinds = vec![KindConfig { routes_apart: apart, per_call: 1 }];
+        let config = Config { kinds, max_trips: 1, forwarders: 1, zone_fees: Vec::new(), ..config() };
+        let mut world = World::new(config, (1..4).map(|n| listing(n, u32::from(n / 3), 200.0)).collect());
         good_times(&mut world, 1)?; // then answer times spread the calls
         let mut out = BTreeMap::new();
         for destination in [0, 0, 0, 0, 1] {
@@ -689,9 +689,9 @@
 /// An end travels to the platform apart from calls: one of the same key may not overtake it, nor one of an earlier life.
 #[test]
 fn a_key_waits_until_the_end_before_is_heard() -> Checked {
-    let mut terms = TermsOfCarriage { ends: Ends::WhenHeard, ..terms() };
-    terms.profiles.iter_mut().for_each(|p| p.in_order = true);
-    let mut world = World::new(terms, vec![listing(1, 0, 20.0)]);
+    let mut config = Config { ends: Ends::WhenHeard, ..config() };
+    config.profiles.iter_mut().for_each(|p| p.in_order = true);
+    let mut world = World::new(config, vec![listing(1, 0, 20.0)]);
     let (earlier, key) = (PacketId(900), OrderKey(5));
     world.give(Event::Owed { id: earlier, profile: ProfileId(0), key })?;
     let first = world.arrive(0, 0, Some(5), 300 * MS)?;
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{listing, terms, MS};
+use common::{config, listing, MS};
 use opalpulley::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -44,7 +44,7 @@
 /// The forwarders on one clock, and the destination.
 struct Fleet {
     case: Case,
-    terms: TermsOfCarriage,
+    config: Config,
     now: Micros,
     chance: Pcg64Mcg,
     forwarders: Vec<Forwarder>,
@@ -61,19 +61,19 @@
 
 impl Fleet {
     fn new(case: Case) -> Fleet {
-        let of = |n: usize| TermsOfCarriage {
+        let of = |n: usize| Config {
             forwarder: n as u16,
             forwarders: FORWARDERS as u32,
             may_probe: case.may_probe,
             max_trips: 20,
             room: 400,
-            ..terms()
+            ..config()
         };
         let forwarders =
             (0..FORWARDERS).map(|n| Forwarder::new(of(n), case.seed * 1_000 + n as u64)).collect();
         let mut fleet = Fleet {
             case,
-            terms: of(0),
+            config: of(0),
             now: 1_000,
             chance: Pcg64Mcg::seed_from_u64(case.seed),
             forwarders,
@@ -122,7 +122,7 @@
 
     /// Counts a call or probe to the cold destination, and notes where the fleet pushes it over.
     fn count(&mut self, forwarder: usize) {
-        let rules = &self.terms.rules;
+        let rules = &self.config.rules;
         if !(UP_AT..UP_AT + rules.warm_after).contains(&self.now) {
             return;
         }
@@ -230,7 +230,7 @@
 
     /// Plays until the destination is warm.
     fn play(&mut self) {
-        let end = UP_AT + self.terms.rules.warm_after;
+        let end = UP_AT + self.config.rules.warm_after;
         while let Some(((at, _), (forwarder, happening))) = self.agenda.pop_first() {
             if at > end {
                 return;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -18,14 +18,14 @@
     Listing { target, zone, since: 0, standing, rate, destination: DestinationId(destination), kind }
 }
 
-pub fn profile(effect: Effect) -> ProfileTerms {
+pub fn profile(effect: Effect) -> ProfileConfig {
     let (contract_time, expiry) = (1_000 * MS, 8_000 * MS);
-    ProfileTerms { effect, contract_time, expiry, importance: 1.0, late_share: 0.5, in_order: false }
+    ProfileConfig { effect, contract_time, expiry, importance: 1.0, late_share: 0.5, in_order: false }
 }
 
-pub fn terms() -> TermsOfCarriage {
+pub fn config() -> Config {
     let fingerprinted = Effect::Fingerprinted { group: RepeatGroup::All, window: 3_000 * MS };
-    TermsOfCarriage {
+    Config {
         forwarder: 0,
         forwarders: 2,
         slots: 8,
@@ -42,11 +42,11 @@
         over_share_worth: 0.1,
         profiles: vec![profile(Effect::Retriable), profile(fingerprinted), profile(Effect::Binding)],
         tenants: Vec::new(),
-        kinds: vec![KindTerms { routes_apart: false, per_call: 1 }],
+        kinds: vec![KindConfig { routes_apart: false, per_call: 1 }],
         zone_fees: vec![0.0, 0.05],
         ask_within: None,
         told_within: None,
-        rules: RuleTerms {
+        rules: RuleConfig {
             answer_slack: 20 * MS,
             drain_grace: 500 * MS,
             cold_from: 0.2,
@@ -95,7 +95,7 @@
 
 pub struct World {
     pub now: Micros,
-    pub terms: TermsOfCarriage,
+    pub config: Config,
     pub forwarder: Forwarder,
     pub packets: BTreeMap<PacketId, Held>,
     pub order: Vec<PacketId>,
@@ -118,11 +118,11 @@
 }
 
 impl World {
-    pub fn new(terms: TermsOfCarriage, list: Vec<Listing>) -> World {
-        let forwarder = Forwarder::new(terms.clone(), 7 + u64::from(terms.forwarder));
+    pub fn new(config: Config, list: Vec<Listing>) -> World {
+        let forwarder = Forwarder::new(config.clone(), 7 + u64::from(config.forwarder));
         let mut world = World {
             now: 1_000_000,
-            terms,
+            config,
             forwarder,
             packets: BTreeMap::new(),
             order: Vec::new(),
@@ -155,7 +155,7 @@
         let mut earlier = std::mem::take(&mut self.earlier);
         earlier.append(&mut self.actions);
         let (now, next, restored) = (self.now, self.next, self.restored());
-        *self = World { now, next, earlier, restored, ..World::new(self.terms.clone(), Vec::new()) };
+        *self = World { now, next, earlier, restored, ..World::new(self.config.clone(), Vec::new()) };
         self.list(list)
     }
 
@@ -228,7 +228,7 @@
 
     /// The key by which the packet takes its turn.
     fn key(&self, held: &Held) -> Option<OrderKey> {
-        held.arrival.key.filter(|_| self.terms.profiles[usize::from(held.arrival.profile.0)].in_order)
+        held.arrival.key.filter(|_| self.config.profiles[usize::from(held.arrival.profile.0)].in_order)
     }
 
     pub fn out(&self) -> Vec<PacketId> {
@@ -261,7 +261,7 @@
         }
         let cold = self.cold.entry(trip.target).or_default();
         // Packets of one call are judged as one.
-        let first = cold.judged.insert(trip.sent) || self.terms.kinds[0].per_call == 1;
+        let first = cold.judged.insert(trip.sent) || self.config.kinds[0].per_call == 1;
         match outcome {
             Outcome::Delivered if first => {
                 if std::mem::take(&mut cold.sick) {
@@ -284,7 +284,7 @@
         held.over |= outcome == Outcome::Delivered;
         let (closed, key) = (held.over, self.key(&self.packets[&id]));
         if let (Outcome::Timeout | Outcome::Reset | Outcome::CalledOff, Some(key)) = (outcome, key) {
-            let until = self.now + self.terms.rules.order_pause;
+            let until = self.now + self.config.rules.order_pause;
             self.rests.entry(key).and_modify(|r| *r = until.max(*r)).or_insert(until);
         }
         let (took, report) = (self.now - trip.sent, Vec::new());
@@ -293,7 +293,7 @@
 
     fn wait_binds(&mut self, id: PacketId, wait: Micros) {
         let held = &self.packets[&id];
-        let route = held.trips.last().map(|t| t.target).filter(|_| self.terms.kinds[0].routes_apart);
+        let route = held.trips.last().map(|t| t.target).filter(|_| self.config.kinds[0].routes_apart);
         let until = self.waits.entry((held.arrival.destination, route)).or_default();
         *until = (*until).max(self.now + wait);
     }
@@ -342,7 +342,7 @@
             }
         }
         self.now = until;
-        let slack = self.terms.rules.answer_slack;
+        let slack = self.config.rules.answer_slack;
         match self.packets.iter().find(|(_, h)| !h.over && h.expires + slack < self.now) {
             Some((id, held)) => Err(format!("{id:?} lost at {}: {held:?}", self.now)),
             None => Ok(()),
@@ -385,7 +385,7 @@
                 let held = self.packets.get_mut(id).ok_or("unknown packet")?;
                 let open = held.trips.last().is_some_and(|t| t.outcome.is_none());
                 let ran = open || held.trips.iter().any(|t| t.outcome.is_some_and(Outcome::may_have_run));
-                let harmless = match self.terms.profiles[usize::from(held.arrival.profile.0)].effect {
+                let harmless = match self.config.profiles[usize::from(held.arrival.profile.0)].effect {
                     Effect::Retriable => true,
                     Effect::Fingerprinted { group, .. } => !ran || group == RepeatGroup::All,
                     Effect::Binding => !ran,
@@ -393,7 +393,7 @@
                 if std::mem::replace(&mut held.over, true) {
                     return Err("a second final answer".into());
                 }
-                self.unheard.extend((self.terms.ends == Ends::WhenHeard).then_some(*id));
+                self.unheard.extend((self.config.ends == Ends::WhenHeard).then_some(*id));
                 match harmless || matches!(action, Action::WriteOff { .. }) {
                     true => Ok(()),
                     false => Err("deferred though it may have run".into()),
@@ -401,7 +401,7 @@
             }
             Action::Probe { target } => {
                 self.probes.push(*target);
-                if !self.terms.may_probe {
+                if !self.config.may_probe {
                     return Err("no probe allowed".into());
                 }
                 self.check_target(*target)
@@ -427,9 +427,9 @@
 
     fn check_send(&mut self, id: PacketId, target: TargetId) -> Result<(), String> {
         let held = self.packets.get(&id).ok_or("unknown packet")?;
-        let row = &self.terms.profiles[usize::from(held.arrival.profile.0)];
+        let row = &self.config.profiles[usize::from(held.arrival.profile.0)];
         let zone = |t: TargetId| self.listed.get(&t).map(|l| l.zone);
-        if held.over || held.trips.len() >= self.terms.max_trips as usize {
+        if held.over || held.trips.len() >= self.config.max_trips as usize {
             return Err(format!("over, or out of trips: {held:?}"));
         }
         if held.trips.last().is_some_and(|t| t.outcome.is_none()) {
@@ -466,11 +466,11 @@
 
     /// Drains and waits: they hold for calls and probes alike, when they are decided and when they go.
     fn check_bound(&self, target: TargetId) -> Result<(), String> {
-        let (listing, rules) = (&self.listed[&target], &self.terms.rules);
+        let (listing, rules) = (&self.listed[&target], &self.config.rules);
         if self.told_off.get(&target).is_some_and(|t| self.now > t + rules.drain_grace) {
             return Err("the target drains or is gone".into());
         }
-        let route = self.terms.kinds[0].routes_apart.then_some(target);
+        let route = self.config.kinds[0].routes_apart.then_some(target);
         if self.waits.get(&(listing.destination, route)).is_some_and(|w| self.now < *w) {
             return Err("told to wait".into());
         }
@@ -480,10 +480,10 @@
     /// What binds, and the cold budget.
     fn check_target(&mut self, target: TargetId) -> Result<(), String> {
         self.check_bound(target)?;
-        let (listing, rules) = (&self.listed[&target], &self.terms.rules);
+        let (listing, rules) = (&self.listed[&target], &self.config.rules);
         let cold = self.cold.entry(target).or_default();
         cold.sends.retain(|s| s + rules.overload_for > self.now);
-        if self.terms.kinds[0].per_call == 1 || cold.sends.last() != Some(&self.now) {
+        if self.config.kinds[0].per_call == 1 || cold.sends.last() != Some(&self.now) {
             cold.sends.push(self.now);
         }
         let since = cold.back.map(|b| self.now - b).filter(|_| !cold.sick);
@@ -493,7 +493,7 @@
             let window = rules.overload_for as f64 / 1e6;
             let budget = rules.fall_multiple * share * f64::from(listing.rate) * window;
             // A part of the budget, and the calls that were out before the row of failures was known.
-            let most = budget / f64::from(self.terms.forwarders) + 2.0;
+            let most = budget / f64::from(self.config.forwarders) + 2.0;
             let known = cold.sends.iter().filter(|s| **s >= cold.known).count();
             if known as f64 > most {
                 return Err(format!("{known} calls to a cold target, at most {most}"));
@@ -505,10 +505,10 @@
     fn check_slots(&self) -> Result<(), String> {
         let trips = || self.packets.values().filter_map(|h| h.trips.last()).filter(|t| t.outcome.is_none());
         let calls: BTreeSet<_> = trips().map(|t| (t.target, t.sent)).collect();
-        let out = if self.terms.kinds[0].per_call > 1 { calls.len() } else { trips().count() };
-        match out <= self.terms.slots as usize {
+        let out = if self.config.kinds[0].per_call > 1 { calls.len() } else { trips().count() };
+        match out <= self.config.slots as usize {
             true => Ok(()),
-            false => Err(format!("{out} calls out, {} slots", self.terms.slots)),
+            false => Err(format!("{out} calls out, {} slots", self.config.slots)),
         }
     }
 }
@@ -525,7 +525,7 @@
     pub full_destinations: Option<u32>,
 }
 
-/// A random history from one seed: random terms, then events in legal but hostile orders.
+/// A random history from one seed: a random configuration, then events in legal but hostile orders.
 pub fn history(seed: u64, steps: usize) -> Result<(), String> {
     play(seed, &Play { steps, pause: 200 * MS, targets: 2, full_destinations: None }).map(drop)
 }
@@ -533,22 +533,22 @@
 /// The same, played so; gives the world as it is in the end.
 pub fn play(seed: u64, play: &Play) -> Result<World, String> {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let mut terms = TermsOfCarriage { full_destinations: play.full_destinations, ..terms() };
-    terms.slots = chance.random_range(1..12);
-    terms.room = chance.random_range(3..60);
-    terms.max_trips = chance.random_range(1..7);
-    terms.ends = if chance.random() { Ends::WhenHeard } else { Ends::AtOnce };
-    terms.may_probe = chance.random();
-    terms.may_call_off = chance.random();
-    terms.fading = if chance.random() { Fading::Evenly } else { Fading::Halving };
-    terms.kinds[0] =
-        KindTerms { routes_apart: chance.random(), per_call: if chance.random_bool(0.3) { 4 } else { 1 } };
+    let mut config = Config { full_destinations: play.full_destinations, ..config() };
+    config.slots = chance.random_range(1..12);
+    config.room = chance.random_range(3..60);
+    config.max_trips = chance.random_range(1..7);
+    config.ends = if chance.random() { Ends::WhenHeard } else { Ends::AtOnce };
+    config.may_probe = chance.random();
+    config.may_call_off = chance.random();
+    config.fading = if chance.random() { Fading::Evenly } else { Fading::Halving };
+    config.kinds[0] =
+        KindConfig { routes_apart: chance.random(), per_call: if chance.random_bool(0.3) { 4 } else { 1 } };
     let group = if chance.random() { RepeatGroup::Zone } else { RepeatGroup::All };
-    terms.profiles[1].effect = Effect::Fingerprinted { group, window: chance.random_range(100..4_000) * MS };
-    terms.profiles.iter_mut().for_each(|p| p.in_order = chance.random());
+    config.profiles[1].effect = Effect::Fingerprinted { group, window: chance.random_range(100..4_000) * MS };
+    config.profiles.iter_mut().for_each(|p| p.in_order = chance.random());
     let list: Vec<Listing> =
         (0..6).map(|n| listing(n, u32::from(n / play.targets), 4.0 + f32::from(n))).collect();
-    let mut world = World::new(terms, list.clone());
+    let mut world = World::new(config, list.clone());
     let mut mood = [0.1; 6];
     for _ in 0..play.steps {
         world.late = if chance.random_bool(0.3) { chance.random_range(0..1_000) * MS } else { 0 };
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -12,8 +12,8 @@
 type Checked = Result<(), String>;
 
 /// Of a fleet so large that an ejected target is tried by messages only and is idle between them.
-fn at_size(full_destinations: Option<u32>) -> TermsOfCarriage {
-    TermsOfCarriage { forwarders: 300, full_destinations, ..terms() }
+fn at_size(full_destinations: Option<u32>) -> Config {
+    Config { forwarders: 300, full_destinations, ..config() }
 }
 
 fn one_target(full_destinations: Option<u32>) -> World {
@@ -74,7 +74,7 @@
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let targets = if seed.is_multiple_of(2) { 1 } else { 2 };
         let list: Vec<Listing> = (0..6).map(|n| listing(n, u32::from(n / targets), 4.0)).collect();
-        let mut world = World::new(TermsOfCarriage { full_destinations, ..terms() }, list.clone());
+        let mut world = World::new(Config { full_destinations, ..config() }, list.clone());
         for _ in 0..200 {
             match chance.random_range(0..10) {
                 0 => {
