--- a/crates/forwarder/src/clients.rs
+++ b/crates/forwarder/src/clients.rs
@@ -44,19 +44,19 @@
     pub forms: Vec<Form>,
     pub ready: Arc<AtomicBool>,
     pub closing: AtomicBool,
-    pub module: mpsc::Sender<HandIn>,
+    pub dispatcher: mpsc::Sender<HandIn>,
     pub log: Logger,
 }
 
 impl Door {
-    pub fn new(names: Names, config: &Config, module: mpsc::Sender<HandIn>, log: Logger) -> Door {
+    pub fn new(names: Names, config: &Config, dispatcher: mpsc::Sender<HandIn>, log: Logger) -> Door {
         let form = |(name, row): (&String, &ProfileConfig)| Form {
             name: name.clone(),
             marked: matches!(row.effect, Effect::Fingerprinted { .. }),
             longest: row.expiry,
         };
         let forms = names.profiles.iter().zip(&config.profiles).map(form).collect();
-        Door { names, forms, ready: Arc::default(), closing: AtomicBool::new(false), module, log }
+        Door { names, forms, ready: Arc::default(), closing: AtomicBool::new(false), dispatcher, log }
     }
 
     async fn answer(&self, request: Request<Incoming>, crowded: bool) -> Response<Full<Bytes>> {
@@ -115,7 +115,7 @@
         }
         let (answer, answered) = oneshot::channel();
         let came = Instant::now();
-        self.module
+        self.dispatcher
             .try_send(HandIn { handed, came, answer })
             .map_err(|_| busy("too many packets at once"))?;
         // The actor that ends the process drops what it has not read: that was not taken on.
--- a/crates/forwarder/src/clients/tests.rs
+++ b/crates/forwarder/src/clients/tests.rs
@@ -19,7 +19,7 @@
 impl Rig {
     async fn new(most: usize) -> Rig {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let (module, hand_ins) = mpsc::channel(64);
+        let (dispatcher, hand_ins) = mpsc::channel(64);
         let names = Names {
             profiles: vec!["notice".into()],
             tenants: Vec::new(),
@@ -29,7 +29,7 @@
         };
         let row = ProfileConfig { effect: Effect::Retriable, expiry: 1_000_000, ..ProfileConfig::default() };
         let config = Config { profiles: vec![row], ..Config::default() };
-        let door = Arc::new(Door::new(names, &config, module, Logger::root(slog::Discard, slog::o!())));
+        let door = Arc::new(Door::new(names, &config, dispatcher, Logger::root(slog::Discard, slog::o!())));
         door.ready.store(true, Ordering::Relaxed);
         let (closing, seen) = watch::channel(Closing::No);
         Rig { clients: Clients { door, most, closing: seen }, listener, closing, hand_ins }
@@ -125,7 +125,7 @@
     let Rig { clients, listener, mut hand_ins, .. } = rig;
     let door = clients.door.clone();
     tokio::spawn(clients.run(listener));
-    while door.module.capacity() > 0 {
+    while door.dispatcher.capacity() > 0 {
         tokio::task::yield_now().await;
     }
     // Those beyond it are refused before anybody reads the inbox.
--- a/crates/forwarder/src/module.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The actor of the decision module. It turns what the other actors report into the core's events, writes what
+//! The actor around the decision core. It turns what the other actors report into the core's events, writes what
 //! must outlive the process to the journal first, and then carries out the core's actions. It decides nothing.
 
 use crate::clock::{micros, Clock};
@@ -62,7 +62,7 @@
     }
 }
 
-pub struct Module {
+pub struct Dispatcher {
     clock: Clock,
     config: Config,
     seed: u64,
@@ -97,10 +97,17 @@
     pub up: Arc<AtomicBool>,
 }
 
-impl Module {
-    pub fn new(config: Config, seed: u64, clock: Clock, journal: Journal, ways: Ways, log: Logger) -> Module {
+impl Dispatcher {
+    pub fn new(
+        config: Config,
+        seed: u64,
+        clock: Clock,
+        journal: Journal,
+        ways: Ways,
+        log: Logger,
+    ) -> Dispatcher {
         let Ways { links, list, notices, gossip, up } = ways;
-        Module {
+        Dispatcher {
             clock,
             forwarder: Forwarder::new(config.clone(), seed),
             actors: Actors::new(links, config.slots),
--- a/crates/forwarder/src/module/actors/tests.rs
+++ b/crates/forwarder/src/dispatcher/actors/tests.rs
@@ -15,13 +15,13 @@
 const SLOTS: u32 = 8;
 
 fn actors() -> (Actors, mpsc::Receiver<Note>) {
-    let (module, notes) = mpsc::channel(64);
+    let (dispatcher, notes) = mpsc::channel(64);
     let (profiles, tenants, zones, kinds, reports) = Default::default();
     let links = Links {
         config: ConnectionConfig { idle_closed_after: IDLE, connect_within: CONNECT },
         names: Names { profiles, tenants, zones, kinds, reports },
         idle: Arc::new(Semaphore::new(64)),
-        module,
+        dispatcher,
         log: slog::Logger::root(slog::Discard, slog::o!()),
     };
     (Actors::new(Arc::new(links), SLOTS), notes)
--- a/crates/forwarder/src/module/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -20,14 +20,14 @@
 }
 
 struct Rig {
-    module: Module,
+    dispatcher: Dispatcher,
     owed: mpsc::UnboundedReceiver<Owed>,
     notes: mpsc::Receiver<Note>,
     listener: TcpListener,
     _dir: TempDir,
 }
 
-/// The module's actor with one target that takes calls and answers none.
+/// The dispatcher with one target that takes calls and answers none.
 async fn rig() -> Rig {
     rig_within(15_000_000).await
 }
@@ -39,14 +39,14 @@
     let dir = TempDir::new().expect("a folder");
     let (journal, _) = Journal::open(dir.path(), 1_000_000).expect("a journal");
     let log = Logger::root(slog::Discard, slog::o!());
-    let (module, notes) = mpsc::channel(64);
+    let (dispatcher, notes) = mpsc::channel(64);
     let (list, _) = mpsc::channel(1);
     let (gossip, _) = mpsc::channel(1);
     let (notices, owed) = mpsc::unbounded_channel();
     let idle = Arc::new(Semaphore::new(4));
-    let links = Arc::new(Links { config: links, names, idle, module, log: log.clone() });
+    let links = Arc::new(Links { config: links, names, idle, dispatcher, log: log.clone() });
     let ways = Ways { links, list, notices, gossip, up: Arc::default() };
-    let mut module = Module::new(config, 1, Clock::start(), journal, ways, log);
+    let mut dispatcher = Dispatcher::new(config, 1, Clock::start(), journal, ways, log);
     let port = listener.local_addr().expect("its address").port();
     let listing = Listing {
         target: TargetId { address: [127, 0, 0, 1], port, holder: 0 },
@@ -57,26 +57,26 @@
         destination: DestinationId(7),
         kind: opalpulley::KindId(0),
     };
-    module.read(Note::Event(Event::List(ListNews::Cached(vec![listing]))));
-    module.take_over(Vec::new());
-    Rig { module, owed, notes, listener, _dir: dir }
+    dispatcher.read(Note::Event(Event::List(ListNews::Cached(vec![listing]))));
+    dispatcher.take_over(Vec::new());
+    Rig { dispatcher, owed, notes, listener, _dir: dir }
 }
 
 impl Rig {
     fn hand_in(&mut self, id: &str, profile: u16) -> oneshot::Receiver<Answer> {
         let (answer, answered) = oneshot::channel();
         let came = tokio::time::Instant::now();
-        self.module.hand_in(HandIn { handed: handed(id, profile), came, answer });
+        self.dispatcher.hand_in(HandIn { handed: handed(id, profile), came, answer });
         answered
     }
 
-    /// Lets time pass for the module and its targets.
+    /// Lets time pass for the dispatcher and its targets.
     async fn pass(&mut self, ms: u64) {
         let until = tokio::time::Instant::now() + Duration::from_millis(ms);
         while tokio::time::Instant::now() < until {
-            self.module.ring();
+            self.dispatcher.ring();
             while let Ok(note) = self.notes.try_recv() {
-                self.module.read(note);
+                self.dispatcher.read(note);
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -115,25 +115,25 @@
     }
     rig.pass(100).await;
     assert_eq!(rig.calls().await, 3);
-    rig.module.begin_anew();
+    rig.dispatcher.begin_anew();
     rig.pass(300).await;
     assert_eq!(rig.calls().await, 2); // not the binding one
     let owed = rig.owed.try_recv().expect("an end");
     assert_eq!((owed.request_id.as_str(), owed.ending), ("binding", Ending::WrittenOff));
     assert!(rig.owed.try_recv().is_err());
-    assert_eq!(rig.module.open.len(), 2);
-    rig.module.read(Note::Heard(vec![owed.serial]));
-    assert_eq!(rig.module.journal.after_restart().len(), 2);
+    assert_eq!(rig.dispatcher.open.len(), 2);
+    rig.dispatcher.read(Note::Heard(vec![owed.serial]));
+    assert_eq!(rig.dispatcher.journal.after_restart().len(), 2);
 }
 
 /// Guards the start where the core panics before a list is in: the process is up with the packets of the journal, not never.
 #[tokio::test]
 async fn a_panic_before_the_list_is_in_leaves_the_process_up() {
     let mut rig = rig().await;
-    rig.module.up.store(false, Ordering::Relaxed);
-    rig.module.earlier = Some(Vec::new());
-    rig.module.begin_anew();
-    assert!(rig.module.up.load(Ordering::Relaxed));
+    rig.dispatcher.up.store(false, Ordering::Relaxed);
+    rig.dispatcher.earlier = Some(Vec::new());
+    rig.dispatcher.begin_anew();
+    assert!(rig.dispatcher.up.load(Ordering::Relaxed));
 }
 
 /// Guards against work for nobody: a client that leaves before its answer withdraws the packet.
@@ -143,9 +143,12 @@
     drop(rig.hand_in("early", 1)); // the answer was in before it left: taken on
     let (answer, answered) = oneshot::channel();
     drop(answered);
-    rig.module.hand_in(HandIn { handed: handed("late", 1), came: tokio::time::Instant::now(), answer });
-    assert_eq!(rig.module.open.values().map(|o| o.handed.request_id.as_str()).collect::<Vec<_>>(), ["early"]);
-    assert_eq!(rig.module.journal.after_restart().len(), 1);
+    rig.dispatcher.hand_in(HandIn { handed: handed("late", 1), came: tokio::time::Instant::now(), answer });
+    assert_eq!(
+        rig.dispatcher.open.values().map(|o| o.handed.request_id.as_str()).collect::<Vec<_>>(),
+        ["early"]
+    );
+    assert_eq!(rig.dispatcher.journal.after_restart().len(), 1);
 }
 
 /// Guards memory and rule 1: tables follow what is open, and an end owed stays until it is heard.
@@ -154,8 +157,8 @@
     let mut rig = rig().await;
     assert_eq!(rig.hand_in("short", 1).await, Ok(Answer::Taken));
     rig.pass(100).await;
-    let id = *rig.module.open.keys().next().expect("it is open");
-    let target = *rig.module.listed.keys().next().expect("a target");
+    let id = *rig.dispatcher.open.keys().next().expect("it is open");
+    let target = *rig.dispatcher.listed.keys().next().expect("a target");
     let ended = |outcome| Event::TripEnded {
         id,
         trip: 0,
@@ -165,19 +168,19 @@
         closed: outcome == Outcome::Delivered,
         report: Vec::new(),
     };
-    rig.module.read(Note::Event(ended(Outcome::Delivered)));
-    assert!(rig.module.open.is_empty() && rig.module.ids.is_empty());
-    assert!(rig.module.journal.after_restart().is_empty());
+    rig.dispatcher.read(Note::Event(ended(Outcome::Delivered)));
+    assert!(rig.dispatcher.open.is_empty() && rig.dispatcher.ids.is_empty());
+    assert!(rig.dispatcher.journal.after_restart().is_empty());
     // A second outcome of the same trip changes nothing.
-    rig.module.read(Note::Event(ended(Outcome::Error)));
-    assert!(rig.module.open.is_empty() && rig.module.owing.is_empty());
+    rig.dispatcher.read(Note::Event(ended(Outcome::Error)));
+    assert!(rig.dispatcher.open.is_empty() && rig.dispatcher.owing.is_empty());
 }
 
 /// Guards the room that the configuration gives: what comes beyond it is refused at the door, and the tenant goes along.
 #[tokio::test]
 async fn the_room_of_the_configuration_is_kept() {
     let mut rig = rig().await;
-    rig.module.config.room = 2;
+    rig.dispatcher.config.room = 2;
     for (id, answer) in [("one", Answer::Taken), ("two", Answer::Taken), ("three", Answer::NoRoom)] {
         assert_eq!(rig.hand_in(id, 1).await, Ok(answer));
     }
@@ -194,19 +197,20 @@
     let waited = Duration::from_millis(150);
     let (answer, _answered) = oneshot::channel();
     let came = tokio::time::Instant::now() - waited;
-    rig.module.hand_in(HandIn { handed: handed("queued", 1), came, answer });
-    let left = rig.module.open.values().map(|o| o.expires - rig.module.clock.now()).collect::<Vec<_>>();
+    rig.dispatcher.hand_in(HandIn { handed: handed("queued", 1), came, answer });
+    let left =
+        rig.dispatcher.open.values().map(|o| o.expires - rig.dispatcher.clock.now()).collect::<Vec<_>>();
     assert!(left.len() == 1 && left[0] <= 20_000_000 - micros(waited), "{left:?}");
 }
 
 impl Rig {
     /// Takes over a packet of the profile with a window, as a restart finds it: with one call out that began then.
     fn take_over_with_call_out(&mut self, began: Micros) {
-        let kept = super::kept(&handed("out", 0), self.module.clock.now() + 20_000_000);
-        let serial = self.module.journal.accept(kept).expect("it is kept");
-        self.module.journal.trip_started(serial, 0, began, 0).expect("it is kept");
-        let packets = self.module.journal.after_restart();
-        self.module.restore(packets);
+        let kept = super::kept(&handed("out", 0), self.dispatcher.clock.now() + 20_000_000);
+        let serial = self.dispatcher.journal.accept(kept).expect("it is kept");
+        self.dispatcher.journal.trip_started(serial, 0, began, 0).expect("it is kept");
+        let packets = self.dispatcher.journal.after_restart();
+        self.dispatcher.restore(packets);
     }
 }
 
@@ -216,7 +220,7 @@
 async fn a_repeat_whose_target_reads_late_is_not_begun_outside_the_window() {
     for (held_up, calls) in [(0, 1), (200, 0)] {
         let mut rig = rig_within(1_000_000).await;
-        rig.take_over_with_call_out(rig.module.clock.now() - 900_000);
+        rig.take_over_with_call_out(rig.dispatcher.clock.now() - 900_000);
         std::thread::sleep(Duration::from_millis(held_up)); // nobody else runs meanwhile
         rig.pass(200).await;
         assert_eq!(rig.calls().await, calls, "held up for {held_up} ms");
@@ -228,7 +232,7 @@
 #[tokio::test]
 async fn a_call_that_began_in_the_future_is_not_repeated() {
     let mut rig = rig_within(1_000_000).await;
-    rig.take_over_with_call_out(rig.module.clock.now() + 5_000_000);
+    rig.take_over_with_call_out(rig.dispatcher.clock.now() + 5_000_000);
     rig.pass(200).await;
     assert_eq!(rig.calls().await, 0);
     let owed = rig.owed.try_recv().expect("an end");
@@ -241,11 +245,11 @@
 async fn a_packet_that_finds_its_targets_mailbox_full_has_not_run_and_goes_later() {
     let mut rig = rig().await;
     assert_eq!(rig.hand_in("first", 1).await, Ok(Answer::Taken));
-    let target = *rig.module.listed.keys().next().expect("a target");
+    let target = *rig.dispatcher.listed.keys().next().expect("a target");
     // Nobody reads it meanwhile.
-    while rig.module.post(target, TargetNote::CloseIdle) {}
+    while rig.dispatcher.post(target, TargetNote::CloseIdle) {}
     assert_eq!(rig.hand_in("binding", 2).await, Ok(Answer::Taken));
-    let kept = rig.module.journal.after_restart();
+    let kept = rig.dispatcher.journal.after_restart();
     let binding = kept.iter().find(|k| k.request_id == "binding").expect("it is kept");
     assert_eq!((binding.trips, binding.exposed), (1, None));
     rig.pass(500).await;
--- a/crates/forwarder/src/gossip_socket.rs
+++ b/crates/forwarder/src/gossip_socket.rs
@@ -19,7 +19,7 @@
 pub async fn run(
     who: GossipPeers,
     mut mailbox: mpsc::Receiver<GossipMessage>,
-    module: mpsc::Sender<Note>,
+    dispatcher: mpsc::Sender<Note>,
     log: Logger,
 ) -> io::Result<()> {
     let Some(listen) = who.listen else { return Ok(()) };
@@ -51,7 +51,7 @@
                     continue;
                 };
                 let event = Event::Gossip { from: number, message: buffer[..length].to_vec() };
-                if module.send(Note::Event(event)).await.is_err() {
+                if dispatcher.send(Note::Event(event)).await.is_err() {
                     return Ok(());
                 }
             }
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -3,11 +3,11 @@
 
 mod clients;
 mod clock;
+mod dispatcher;
 mod gossip_socket;
 mod journal;
 mod link;
 mod list;
-mod module;
 mod notes;
 mod notices;
 mod papers;
@@ -22,9 +22,9 @@
 
 use clients::{Clients, Closing, Door};
 use clock::Clock;
+use dispatcher::{Dispatcher, Ways};
 use journal::Journal;
 use list::{Held, List};
-use module::{Module, Ways};
 use notes::Note;
 use notices::Notices;
 use opalpulley::{Event, ListNews, Micros};
@@ -41,7 +41,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{mpsc, watch, Semaphore};
 
-const NOTES: usize = 1024; // waiting for the module's actor: those who send them wait when it is full
+const NOTES: usize = 1024; // waiting for the dispatcher: those who send them wait when it is full
 const HAND_INS: usize = 256; // packets waiting for it: some milliseconds' work; more are refused
 const LIST_NOTES: usize = 16; // to the list's actor
 const GOSSIP_MESSAGES: usize = 256; // to the gossip socket
@@ -72,7 +72,7 @@
     let names = papers.waybill.names.clone();
     let mut config = papers.waybill.config.clone();
     config.told_within = Some(TOLD_WITHIN);
-    let (module_box, notes) = mpsc::channel(NOTES);
+    let (dispatcher_box, notes) = mpsc::channel(NOTES);
     let (client_box, hand_ins) = mpsc::channel(HAND_INS);
     let (list_box, list_notes) = mpsc::channel(LIST_NOTES);
     let (notice_box, owed) = mpsc::unbounded_channel();
@@ -82,7 +82,7 @@
         config: papers.waybill.links.clone(),
         names: names.clone(),
         idle: Arc::new(Semaphore::new(papers.idle_sockets)),
-        module: module_box.clone(),
+        dispatcher: dispatcher_box.clone(),
         log: log.clone(),
     });
     let listener = listen(papers.listen)?;
@@ -95,13 +95,13 @@
         "discovery" => %papers.discovery);
     let ways =
         Ways { links, list: list_box, notices: notice_box, gossip: gossip_box, up: door.ready.clone() };
-    let mut module = Module::new(config.clone(), papers.seed, clock, journal, ways, log.clone());
+    let mut dispatcher = Dispatcher::new(config.clone(), papers.seed, clock, journal, ways, log.clone());
     let mut held = Held::default();
     let known = papers.known.take().and_then(|text| held.take(text, &names));
     if let Some(ListNews::Whole(known) | ListNews::Changes(known)) = known {
-        module.read(Note::Event(Event::List(ListNews::Cached(known))));
+        dispatcher.read(Note::Event(Event::List(ListNews::Cached(known))));
     }
-    module.take_over(packets);
+    dispatcher.take_over(packets);
 
     let platform = || Platform::new(papers.discovery);
     let (moves, discovery) = watch::channel(papers.discovery);
@@ -112,21 +112,23 @@
         names,
         held,
         must_be_asked: config.ask_within.is_some(),
-        module: module_box.clone(),
+        dispatcher: dispatcher_box.clone(),
         log: log.clone(),
     };
     tokio::spawn(list.run(list_notes));
-    let notices = Notices { platform: platform(), discovery, module: module_box.clone(), log: log.clone() };
+    let notices =
+        Notices { platform: platform(), discovery, dispatcher: dispatcher_box.clone(), log: log.clone() };
     tokio::spawn(notices.run(owed));
-    let gossip = gossip_socket::run(papers.gossip_peers, gossip_messages, module_box.clone(), log.clone());
+    let gossip =
+        gossip_socket::run(papers.gossip_peers, gossip_messages, dispatcher_box.clone(), log.clone());
     let gossip_log = log.clone();
     tokio::spawn(async move {
         if let Err(problem) = gossip.await {
             error!(gossip_log, "the gossip socket can't be used"; "problem" => %problem);
         }
     });
-    let leave = shutdown::run(orders.end, &closing, module_box, log.clone());
-    module.run(notes, hand_ins, leave).await;
+    let leave = shutdown::run(orders.end, &closing, dispatcher_box, log.clone());
+    dispatcher.run(notes, hand_ins, leave).await;
     tokio::time::sleep(LAST_ANSWERS).await;
     info!(log, "ended");
     Ok(())
--- a/crates/forwarder/src/list.rs
+++ b/crates/forwarder/src/list.rs
@@ -31,7 +31,7 @@
     pub held: Held,
     /// Changes come only after they are asked for.
     pub must_be_asked: bool,
-    pub module: mpsc::Sender<Note>,
+    pub dispatcher: mpsc::Sender<Note>,
     pub log: Logger,
 }
 
@@ -163,7 +163,7 @@
             info!(self.log, "the list is told again"; "revision" => text.revision);
         }
         match self.held.take(text, &self.names) {
-            Some(news) => self.module.send(Note::Event(Event::List(news))).await.is_ok(),
+            Some(news) => self.dispatcher.send(Note::Event(Event::List(news))).await.is_ok(),
             None => true,
         }
     }
@@ -189,7 +189,7 @@
         }
         if self.must_be_asked {
             (polling.watching, polling.fetch) = (false, false);
-            if self.module.send(Note::Event(Event::List(ListNews::Failed))).await.is_err() {
+            if self.dispatcher.send(Note::Event(Event::List(ListNews::Failed))).await.is_err() {
                 return false;
             }
         }
--- a/crates/forwarder/src/list/tests.rs
+++ b/crates/forwarder/src/list/tests.rs
@@ -93,12 +93,12 @@
     let address = agent.local_addr().expect("an address");
     let (_moves, discovery) = watch::channel(address);
     let (notes, mailbox) = mpsc::channel(4);
-    let (module, _events) = mpsc::channel(4);
+    let (dispatcher, _events) = mpsc::channel(4);
     let mut held = Held::default();
     held.take(text(7, true, &[("x", 1, Phase::Ready)]), &names());
     let log = Logger::root(slog::Discard, slog::o!());
     let platform = Platform::new(address);
-    let list = List { platform, discovery, names: names(), held, must_be_asked: true, module, log };
+    let list = List { platform, discovery, names: names(), held, must_be_asked: true, dispatcher, log };
     tokio::spawn(list.run(mailbox));
     let early = tokio::time::timeout(Duration::from_millis(100), agent.accept()).await;
     assert!(early.is_err(), "asked before it was wanted");
@@ -169,7 +169,7 @@
             }
         }
     });
-    let (module, _news) = mpsc::channel(8);
+    let (dispatcher, _news) = mpsc::channel(8);
     let (_moves, discovery) = watch::channel(address);
     let list = List {
         platform: Platform::new(address),
@@ -177,7 +177,7 @@
         names: names(),
         held: Held::default(),
         must_be_asked: false,
-        module,
+        dispatcher,
         log: Logger::root(slog::Discard, slog::o!()),
     };
     let (_mailbox, notes) = mpsc::channel(1);
@@ -255,7 +255,7 @@
     answers.extend([(half, None), (all, None)]);
     let address = agent(answers).await;
     let lines = std::sync::Arc::default();
-    let (module, mut events) = mpsc::channel(4);
+    let (dispatcher, mut events) = mpsc::channel(4);
     let (_moves, discovery) = watch::channel(address);
     let list = List {
         platform: Platform::new(address),
@@ -263,7 +263,7 @@
         names: names(),
         held: Held::default(),
         must_be_asked: false,
-        module,
+        dispatcher,
         log: Logger::root(Lines(std::sync::Arc::clone(&lines)), slog::o!()),
     };
     let (_mailbox, notes) = mpsc::channel(1);
--- a/crates/forwarder/src/notes.rs
+++ b/crates/forwarder/src/notes.rs
@@ -32,7 +32,7 @@
     pub answer: oneshot::Sender<Answer>,
 }
 
-/// To the module's actor.
+/// To the dispatcher.
 pub enum Note {
     Event(Event),
     /// The platform knows of these ends.
--- a/crates/forwarder/src/notices.rs
+++ b/crates/forwarder/src/notices.rs
@@ -19,7 +19,7 @@
     pub platform: Platform,
     /// Where the platform is told, from each change on.
     pub discovery: watch::Receiver<SocketAddr>,
-    pub module: mpsc::Sender<Note>,
+    pub dispatcher: mpsc::Sender<Note>,
     pub log: Logger,
 }
 
@@ -61,7 +61,7 @@
                         info!(self.log, "notices are heard again");
                     }
                     let heard = waiting.drain(..lines).map(|o| o.serial).collect();
-                    if self.module.send(Note::Heard(heard)).await.is_err() {
+                    if self.dispatcher.send(Note::Heard(heard)).await.is_err() {
                         return;
                     }
                 }
@@ -70,7 +70,7 @@
                 Ok((StatusCode::BAD_REQUEST, _)) => {
                     if let Some(owed) = waiting.pop_front() {
                         error!(self.log, "a notice is not understood"; "id" => owed.request_id);
-                        if self.module.send(Note::Heard(vec![owed.serial])).await.is_err() {
+                        if self.dispatcher.send(Note::Heard(vec![owed.serial])).await.is_err() {
                             return;
                         }
                     }
--- a/crates/forwarder/src/shutdown.rs
+++ b/crates/forwarder/src/shutdown.rs
@@ -16,7 +16,7 @@
 pub async fn run(
     term: impl Future<Output = ()>,
     closing: &watch::Sender<Closing>,
-    module: mpsc::Sender<Note>,
+    dispatcher: mpsc::Sender<Note>,
     log: Logger,
 ) {
     term.await;
@@ -26,7 +26,7 @@
     tokio::time::sleep_until(begun + SHUT).await;
     closing.send_replace(Closing::Shut);
     tokio::time::sleep_until(begun + CEASE).await;
-    if module.send(Note::Event(Event::Closing)).await.is_ok() {
+    if dispatcher.send(Note::Event(Event::Closing)).await.is_ok() {
         tokio::time::sleep_until(begun + LEAVE).await;
     }
 }
--- a/crates/forwarder/src/targets.rs
+++ b/crates/forwarder/src/targets.rs
@@ -88,7 +88,7 @@
     pub names: Names,
     /// One permit for each connection that may stand idle.
     pub idle: Arc<Semaphore>,
-    pub module: mpsc::Sender<Note>,
+    pub dispatcher: mpsc::Sender<Note>,
     pub log: Logger,
 }
 
@@ -370,7 +370,7 @@
     }
 
     async fn say(&self, event: Event) {
-        if self.module.send(Note::Event(event)).await.is_err() {
+        if self.dispatcher.send(Note::Event(event)).await.is_err() {
             debug!(self.log, "an outcome came after the end");
         }
     }
--- a/crates/forwarder/src/targets/tests.rs
+++ b/crates/forwarder/src/targets/tests.rs
@@ -26,7 +26,7 @@
     async fn prepared(prepare: impl FnOnce(&mut Target)) -> Rig {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let port = listener.local_addr().expect("its address").port();
-        let (module, notes) = mpsc::channel(16);
+        let (dispatcher, notes) = mpsc::channel(16);
         let (mailbox, inbox) = mpsc::channel(16);
         let links = Links {
             config: ConnectionConfig { idle_closed_after: IDLE, connect_within: 300_000 },
@@ -38,7 +38,7 @@
                 reports: vec!["x0".into()],
             },
             idle: Arc::new(Semaphore::new(4)),
-            module,
+            dispatcher,
             log: Logger::root(slog::Discard, slog::o!()),
         };
         let id = TargetId { address: [127, 0, 0, 1], port, holder: 0 };
