--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -7,8 +7,8 @@
 
 fn config(window: Micros) -> (Config, opalpulley_config::Names, ConnectionConfig) {
     let text = include_str!("../../../../examples/papers.json");
-    let papers: serde_json::Value = serde_json::from_str(text).expect("the example");
-    let mut settings = papers["settings"].clone();
+    let startup: serde_json::Value = serde_json::from_str(text).expect("the example");
+    let mut settings = startup["settings"].clone();
     settings["Profiles"][0]["DedupWindowUs"] = window.into();
     for effect in ["free", "single_shot"] {
         let mut profile = settings["Profiles"][0].clone();
--- a/crates/forwarder/src/gossip_socket.rs
+++ b/crates/forwarder/src/gossip_socket.rs
@@ -1,7 +1,7 @@
 //! The datagram socket of the gossip between forwarders: messages may come late, twice or not at all.
 
 use crate::notes::{GossipMessage, Note};
-use crate::papers::GossipPeers;
+use crate::startup_config::GossipPeers;
 use opalpulley::Event;
 use slog::{warn, Logger};
 use std::collections::HashMap;
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -10,15 +10,15 @@
 mod list;
 mod notes;
 mod notices;
-mod papers;
 mod platform;
 mod protocol;
 mod reload;
 mod shutdown;
+mod startup_config;
 mod stream;
 mod targets;
 
-pub use papers::{BadPapers, Papers};
+pub use startup_config::{ConfigError, StartupConfig};
 
 use clients::{Clients, Closing, Door};
 use clock::Clock;
@@ -60,17 +60,17 @@
 pub struct Orders {
     /// Falls when it is to end: in order, within 3.3 s.
     pub end: Pin<Box<dyn Future<Output = ()> + Send>>,
-    /// One for each time that the papers are to be read again.
+    /// One for each time that the start-up configuration is to be read again.
     pub reload: mpsc::Receiver<()>,
     /// Where they are read.
     pub reread: Reread,
 }
 
 /// Runs one forwarder to its end. Fails where its address or its folder can't be used.
-pub async fn run(mut papers: Papers, orders: Orders, log: Logger) -> io::Result<()> {
+pub async fn run(mut startup: StartupConfig, orders: Orders, log: Logger) -> io::Result<()> {
     let clock = Clock::start();
-    let names = papers.waybill.names.clone();
-    let mut config = papers.waybill.config.clone();
+    let names = startup.waybill.names.clone();
+    let mut config = startup.waybill.config.clone();
     config.told_within = Some(TOLD_WITHIN);
     let (dispatcher_box, notes) = mpsc::channel(NOTES);
     let (client_box, hand_ins) = mpsc::channel(HAND_INS);
@@ -79,33 +79,33 @@
     let (gossip_box, gossip_messages) = mpsc::channel(GOSSIP_MESSAGES);
     let (closing, closing_seen) = watch::channel(Closing::No);
     let links = Arc::new(Links {
-        config: papers.waybill.links.clone(),
+        config: startup.waybill.links.clone(),
         names: names.clone(),
-        idle: Arc::new(Semaphore::new(papers.idle_sockets)),
+        idle: Arc::new(Semaphore::new(startup.idle_sockets)),
         dispatcher: dispatcher_box.clone(),
         log: log.clone(),
     });
-    let listener = listen(papers.listen)?;
+    let listener = listen(startup.listen)?;
     let door = Arc::new(Door::new(names.clone(), &config, client_box, log.clone()));
-    let clients = Clients { door: door.clone(), most: papers.client_sockets, closing: closing_seen };
+    let clients = Clients { door: door.clone(), most: startup.client_sockets, closing: closing_seen };
     tokio::spawn(clients.run(listener));
 
-    let (journal, packets) = Journal::open(&papers.state, papers.disk)?;
-    info!(log, "started"; "name" => &papers.name, "packets" => packets.len(), "listen" => %papers.listen,
-        "discovery" => %papers.discovery);
+    let (journal, packets) = Journal::open(&startup.state, startup.disk)?;
+    info!(log, "started"; "name" => &startup.name, "packets" => packets.len(), "listen" => %startup.listen,
+        "discovery" => %startup.discovery);
     let ways =
         Ways { links, list: list_box, notices: notice_box, gossip: gossip_box, up: door.ready.clone() };
-    let mut dispatcher = Dispatcher::new(config.clone(), papers.seed, clock, journal, ways, log.clone());
+    let mut dispatcher = Dispatcher::new(config.clone(), startup.seed, clock, journal, ways, log.clone());
     let mut held = Held::default();
-    let known = papers.known.take().and_then(|text| held.take(text, &names));
+    let known = startup.known.take().and_then(|text| held.take(text, &names));
     if let Some(ListNews::Whole(known) | ListNews::Changes(known)) = known {
         dispatcher.read(Note::Event(Event::List(ListNews::Cached(known))));
     }
     dispatcher.take_over(packets);
 
-    let platform = || Platform::new(papers.discovery);
-    let (moves, discovery) = watch::channel(papers.discovery);
-    tokio::spawn(reload::run(orders.reload, orders.reread, papers.fixed(), moves, log.clone()));
+    let platform = || Platform::new(startup.discovery);
+    let (moves, discovery) = watch::channel(startup.discovery);
+    tokio::spawn(reload::run(orders.reload, orders.reread, startup.fixed(), moves, log.clone()));
     let list = List {
         platform: platform(),
         discovery: discovery.clone(),
@@ -120,7 +120,7 @@
         Notices { platform: platform(), discovery, dispatcher: dispatcher_box.clone(), log: log.clone() };
     tokio::spawn(notices.run(owed));
     let gossip =
-        gossip_socket::run(papers.gossip_peers, gossip_messages, dispatcher_box.clone(), log.clone());
+        gossip_socket::run(startup.gossip_peers, gossip_messages, dispatcher_box.clone(), log.clone());
     let gossip_log = log.clone();
     tokio::spawn(async move {
         if let Err(problem) = gossip.await {
--- a/crates/forwarder/src/main.rs
+++ b/crates/forwarder/src/main.rs
@@ -1,6 +1,6 @@
-//! The program on the platform: start papers from the environment, orders from signals, the log to standard error.
+//! The program on the platform: start-up configuration from the environment, orders from signals, the log to standard error.
 
-use opalpulley_forwarder::{run, Orders, Papers};
+use opalpulley_forwarder::{run, Orders, StartupConfig};
 use slog::{error, o, Drain, Logger};
 use std::io;
 use std::process::ExitCode;
@@ -36,12 +36,12 @@
             std::future::pending::<()>().await;
         }
     };
-    Ok(Orders { end: Box::pin(end), reload, reread: Box::new(Papers::from_env) })
+    Ok(Orders { end: Box::pin(end), reload, reread: Box::new(StartupConfig::from_env) })
 }
 
 fn main() -> ExitCode {
-    let papers = match Papers::from_env() {
-        Ok(papers) => papers,
+    let startup = match StartupConfig::from_env() {
+        Ok(startup) => startup,
         Err(problem) => {
             eprintln!("opalpulley: {problem}");
             return ExitCode::from(2);
@@ -50,7 +50,7 @@
     let (log, _guard) = logger();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let ended =
-        runtime.and_then(|runtime| runtime.block_on(async { run(papers, orders()?, log.clone()).await }));
+        runtime.and_then(|runtime| runtime.block_on(async { run(startup, orders()?, log.clone()).await }));
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
--- a/crates/forwarder/src/papers.rs
+++ b/crates/forwarder/src/startup_config.rs
@@ -1,4 +1,4 @@
-//! The start papers: environment and configuration file, read, checked and given defaults here and nowhere else.
+//! The start-up configuration: environment and configuration file, read, checked and given defaults here and nowhere else.
 
 use crate::protocol::ListText;
 use opalpulley::Ends;
@@ -18,7 +18,7 @@
 const IDLE_PART: usize = 3; // one in so many of what is left to idle connections to targets, the others to clients
 const FEWEST_SOCKETS: usize = 40; // under this hardly a client and a target fit beside the program itself
 
-pub struct Papers {
+pub struct StartupConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -44,19 +44,19 @@
 
 /// What is wrong, and at which key.
 #[derive(Debug)]
-pub struct BadPapers {
+pub struct ConfigError {
     pub key: String,
     pub problem: String,
 }
 
-impl fmt::Display for BadPapers {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.key, self.problem)
     }
 }
 
-fn bad(key: impl Into<String>, problem: impl fmt::Display) -> BadPapers {
-    BadPapers { key: key.into(), problem: problem.to_string() }
+fn bad(key: impl Into<String>, problem: impl fmt::Display) -> ConfigError {
+    ConfigError { key: key.into(), problem: problem.to_string() }
 }
 
 #[derive(Deserialize)]
@@ -92,7 +92,7 @@
     waybill: Waybill,
 }
 
-impl Papers {
+impl StartupConfig {
     pub fn fixed(&self) -> Fixed {
         Fixed {
             listen: self.listen,
@@ -102,15 +102,15 @@
         }
     }
 
-    pub fn from_env() -> Result<Papers, BadPapers> {
+    pub fn from_env() -> Result<StartupConfig, ConfigError> {
         let var = |key: &str| std::env::var(key).ok().filter(|v| !v.is_empty());
         let path = var("GW_CONFIG").ok_or_else(|| bad("GW_CONFIG", "is not set"))?;
         let text = std::fs::read(&path).map_err(|e| bad("GW_CONFIG", format!("{path}: {e}")))?;
-        Papers::read(&text, var)
+        StartupConfig::parse(&text, var)
     }
 
     /// A variable goes before the key of the file that says the same.
-    pub fn read(text: &[u8], var: impl Fn(&str) -> Option<String>) -> Result<Papers, BadPapers> {
+    pub fn parse(text: &[u8], var: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, ConfigError> {
         let text = &mut serde_json::Deserializer::from_slice(text);
         let file: File = serde_path_to_error::deserialize(text)
             .map_err(|e| bad(format!("GW_CONFIG {}", e.path()), e.inner()))?;
@@ -161,7 +161,7 @@
         if !std::path::Path::new(&state).is_dir() {
             return Err(bad("GW_STATE", format!("{state} is no folder")));
         }
-        Ok(Papers {
+        Ok(StartupConfig {
             name: var("GW_NAME").or(file.name).unwrap_or_else(|| "forwarder".into()),
             listen: address("GW_LISTEN", "listen", file.listen)?,
             discovery: address("GW_DISCOVERY", "discovery", file.discovery)?,
--- a/crates/forwarder/tests/asked_list.rs
+++ b/crates/forwarder/tests/asked_list.rs
@@ -87,7 +87,7 @@
         let begin = |number: usize| {
             let discovery = Discovery::start(mood.clone(), Vec::new());
             let (dir, state) = folder();
-            let text = papers(number, ask_within);
+            let text = config_file(number, ask_within);
             let forwarder = scripted::start(PROGRAM, &state, &text, discovery.address);
             (discovery, forwarder, dir)
         };
@@ -112,7 +112,7 @@
 }
 
 /// The start papers of one of the fleet's forwarders.
-fn papers(number: usize, ask_within: u64) -> String {
+fn config_file(number: usize, ask_within: u64) -> String {
     config("notice", "free", 200, 3.0)
         .replace("\"seed\":\"8c1f30d27a5be964\"", &format!("\"seed\":\"8c1f30d27a5be9{number:02x}\""))
         .replace("\"Balancers\":1", "\"Balancers\":350,\"MembershipMode\":\"on_request\"")
@@ -175,7 +175,7 @@
         None
     });
     let (_dir, state) = folder();
-    let forwarder = scripted::start(PROGRAM, &state, &papers(1, 10), discovery);
+    let forwarder = scripted::start(PROGRAM, &state, &config_file(1, 10), discovery);
     let mut tries = 0;
     // Turned away until a list names the destination.
     until("the list is heard", || {
@@ -205,7 +205,7 @@
     let mood_now = Arc::new(AtomicU8::new(Mood::Answers as u8));
     let discovery = Discovery::start(mood_now, vec![member(target, 7, "Ready")]);
     let (_dir, state) = folder();
-    let text = papers(1, 10).replace("on_request", mode);
+    let text = config_file(1, 10).replace("on_request", mode);
     let mut forwarder = scripted::start(PROGRAM, &state, &text, discovery.address);
     until("the list is in", || discovery.calls() >= 1);
     until("a packet is taken on", || forwarder.hand_in("held", "notice") == 202);
--- a/crates/forwarder/tests/endings.rs
+++ b/crates/forwarder/tests/endings.rs
@@ -247,11 +247,11 @@
     let text = config("notice", "free", 200, 3.0);
     let mut forwarder = start(&state, &text, old.address);
     let moved = text.replacen('{', &format!("{{\"discovery\":\"{}\",", new.address), 1);
-    let papers = dir.path().join("config.json");
+    let config_file = dir.path().join("config.json");
     let reload_with = |half: &str| {
         match half {
-            "" => std::fs::remove_file(&papers).expect("removed"),
-            half => std::fs::write(&papers, half).expect("written"),
+            "" => std::fs::remove_file(&config_file).expect("removed"),
+            half => std::fs::write(&config_file, half).expect("written"),
         }
         forwarder.signal("-HUP");
     };
@@ -264,7 +264,7 @@
     }
     reload_with(&moved[..moved.len() - 1]);
     thread::sleep(Duration::from_millis(500));
-    std::fs::write(&papers, &moved).expect("written");
+    std::fs::write(&config_file, &moved).expect("written");
     let whole = Instant::now();
     let mut tries = 0;
     until("the new list counts", || {
--- a/crates/forwarder/tests/program.rs
+++ b/crates/forwarder/tests/program.rs
@@ -394,14 +394,14 @@
     let short = hand_in_head("short", "notice", 4).replace("20000", "300").replace("dest=7", "dest=9");
     assert_eq!(forwarder.ask(&short, b"body"), 202);
     until("its end is told in vain", || !old.notices.lock().expect("the notices").is_empty());
-    let papers = dir.path().join("config.json");
-    std::fs::write(&papers, "{\"name\":").expect("written");
+    let config_file = dir.path().join("config.json");
+    std::fs::write(&config_file, "{\"name\":").expect("written");
     forwarder.signal("-HUP");
     thread::sleep(Duration::from_millis(200));
     assert_eq!(forwarder.hand_in("one", "notice"), 202);
     until("it goes on as before", || calls(&seen, "one") == 1);
     let moved = text.replacen('{', &format!("{{\"discovery\":\"{}\",", new.address), 1);
-    std::fs::write(&papers, moved).expect("written");
+    std::fs::write(&config_file, moved).expect("written");
     forwarder.signal("-HUP");
     until("the notice is repeated at the new one", || !new.notices.lock().expect("the notices").is_empty());
     until("the new list counts", || {
--- a/crates/lab/src/capacity/backlog/process_point.rs
+++ b/crates/lab/src/capacity/backlog/process_point.rs
@@ -1,6 +1,6 @@
 //! One real forwarder with so many messages that wait: handed in, then killed and started again on the same folder.
 
-use crate::capacity::process::point::{load, papers, Load, Shape, Subject, READY_WITHIN};
+use crate::capacity::process::point::{load, startup_config, Load, Shape, Subject, READY_WITHIN};
 use crate::capacity::process::standins::{discovery, nowhere, Listed};
 use crate::capacity::usage::Usage;
 use std::path::{Path, PathBuf};
@@ -61,7 +61,7 @@
     // Nobody listens at the targets: each refuses connections.
     let list = Listed { targets: setup.destinations, port: nowhere().await.map_err(say)?.port() };
     let (discovery, notices) = discovery(list.text().to_string()).await.map_err(say)?;
-    let papers = papers(shape, listen, discovery, Some(list.text()));
+    let papers = startup_config(shape, listen, discovery, Some(list.text()));
     let start = || Subject::start(&setup.program, folder.path(), listen, &papers);
     let begun = Instant::now();
     let mut subject = start()?;
--- a/crates/lab/src/capacity/process/point.rs
+++ b/crates/lab/src/capacity/process/point.rs
@@ -91,7 +91,12 @@
     }
 }
 
-pub fn papers(shape: &Shape, listen: SocketAddr, discovery: SocketAddr, known: Option<Value>) -> Value {
+pub fn startup_config(
+    shape: &Shape,
+    listen: SocketAddr,
+    discovery: SocketAddr,
+    known: Option<Value>,
+) -> Value {
     let mut papers = json!({
         "name": "n0", "seed": format!("{:016x}", shape.seed),
         "listen": listen.to_string(), "discovery": discovery.to_string(),
@@ -276,10 +281,10 @@
     let calls = targets(list, &used).map_err(say)?;
     let shape = options.shape();
     let papers = match from {
-        ListFrom::Known => papers(&shape, listen, nowhere().await.map_err(say)?, Some(list.text())),
+        ListFrom::Known => startup_config(&shape, listen, nowhere().await.map_err(say)?, Some(list.text())),
         ListFrom::Discovery => {
             let (at, _) = discovery(list.text().to_string()).await.map_err(say)?;
-            papers(&shape, listen, at, None)
+            startup_config(&shape, listen, at, None)
         }
     };
     let begun = Instant::now();
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -67,7 +67,7 @@
         /// The port of discovery on loopback
         #[arg(long, default_value_t = 8500)]
         discovery_port: u16,
-        /// Writes start papers for a forwarder in this world
+        /// Writes the start-up configuration of a forwarder in this world
         #[arg(long)]
         papers: Option<PathBuf>,
         /// Where that forwarder is to listen
@@ -337,7 +337,7 @@
             runtime()?.block_on(async {
                 let (discovery, targets) = stand_ins(&scenario, seed, discovery_port).await?;
                 if let Some(path) = &papers {
-                    let mut text = scenario.papers(0, seed);
+                    let mut text = scenario.startup_config(0, seed);
                     text["listen"] = listen.to_string().into();
                     text["discovery"] = discovery.to_string().into();
                     text["settings"]["Balancers"] = 1.into();
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,5 +1,5 @@
 //! A bare relay over hyper, to hold a forwarder's ceiling against: it takes a packet, answers 202 and calls the target once.
-//! No journal, no rules, no retries, no second thought. It reads the same start papers, so that the laboratory can play a
+//! No journal, no rules, no retries, no second thought. It reads the same start-up configuration, so that the laboratory can play a
 //! scenario round it: `opalpulley-lab run ... --sockets --forwarder target/release/opalpulley-relay`.
 
 use http_body_util::{BodyExt, Full};
--- a/crates/lab/src/scenario/config.rs
+++ b/crates/lab/src/scenario/config.rs
@@ -1,4 +1,4 @@
-//! A scenario as the core's configuration, and as the start papers of the program on sockets.
+//! A scenario as the core's configuration, and as the start-up configuration of the program on sockets.
 
 use super::{Effect, Fading, Scenario};
 use opalpulley::{Config, KindConfig, ListRates, ProfileConfig, RepeatGroup, RuleConfig, TenantConfig};
@@ -60,8 +60,8 @@
         }
     }
 
-    /// The start papers of forwarder `number` on sockets, as the platform's deployment writes them.
-    pub fn papers(&self, number: u32, seed: u64) -> Value {
+    /// The start-up configuration of forwarder `number` on sockets, as the platform's deployment writes it.
+    pub fn startup_config(&self, number: u32, seed: u64) -> Value {
         let effect = |e| match e {
             Effect::Retriable => "free",
             Effect::Fingerprinted => "guarded",
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -189,7 +189,7 @@
     }
 }
 
-/// Start papers with one profile; effects by their names on the wire.
+/// Start-up configuration with one profile; effects by their names on the wire.
 pub fn config(profile: &str, effect: &str, sockets: usize, disk_mb: f64) -> String {
     format!(
         r#"{{"name":"n0","seed":"8c1f30d27a5be964","limits":{{"memory_mb":192,"sockets":{sockets},"disk_mb":{disk_mb}}},
@@ -204,15 +204,15 @@
     )
 }
 
-/// These papers with further keys, a JSON text of pairs.
+/// This configuration with further keys, a JSON text of pairs.
 pub fn with_keys(papers: &str, pairs: &str) -> String {
     papers.replacen("\"settings\"", &format!("{pairs},\"settings\""), 1)
 }
 
-/// The program with these papers, not started yet. `SHOW` in the environment shows its log.
+/// The program with this configuration, not started yet. `SHOW` in the environment shows its log.
 pub fn command(program: &str, state: &Path, text: &str, listen: &str, discovery: SocketAddr) -> Command {
     let papers = state.parent().expect("a folder round it").join("config.json");
-    std::fs::write(&papers, text).expect("the papers are written");
+    std::fs::write(&papers, text).expect("the configuration is written");
     let mut command = Command::new(program);
     command
         .env("GW_CONFIG", papers)
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/lab/src/sockets/processes.rs
@@ -1,4 +1,4 @@
-//! Forwarder processes: started with papers of the scenario, killed, stopped, continued and started again.
+//! Forwarder processes: started with the configuration of the scenario, killed, stopped, continued and started again.
 
 use crate::scenario::Scenario;
 use nix::sys::signal::{kill, Signal};
@@ -61,7 +61,7 @@
         std::fs::create_dir_all(&state).map_err(told)?;
         let papers = self.folder.join("papers.json");
         let seed = self.seed.wrapping_mul(1000).wrapping_add(u64::from(self.number) + 100 * self.life);
-        let mut text = self.scenario.papers(self.number, seed);
+        let mut text = self.scenario.startup_config(self.number, seed);
         text["listen"] = self.listen.to_string().into();
         text["discovery"] = self.discovery.to_string().into();
         std::fs::write(&papers, text.to_string()).map_err(told)?;
