--- a/crates/forwarder/src/notices.rs
+++ b/crates/forwarder/src/completion_reports.rs
@@ -1,8 +1,8 @@
-//! Notices: the ends that the platform has still to hear of, repeated until it has.
+//! Completion reports to the platform, repeated until it has acknowledged them.
 
-use crate::notes::{Note, Owed};
+use crate::notes::{Note, PendingReport};
 use crate::platform::{AskFault, Platform};
-use crate::protocol::{encode_notices, OUTCOMES};
+use crate::protocol::{encode_completion_reports, OUTCOMES};
 use hyper::{Method, StatusCode};
 use slog::{error, info, warn, Logger};
 use std::collections::VecDeque;
@@ -10,12 +10,12 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-const MOST_LINES: usize = 200; // packets in one notice: some 20 KB, under a third of a message's limit
-const PATIENCE: Duration = Duration::from_millis(150); // for an answer: the agent answers at once, and a notice may be 300 ms late
+const MOST_LINES: usize = 200; // packets in one completion report: some 20 KB, under a third of a message's limit
+const PATIENCE: Duration = Duration::from_millis(150); // for an answer: the agent answers at once, and a report may be 300 ms late
 const LONGEST: Duration = Duration::from_secs(1); // the same after silences: an agent that is slow must be heard in the end
 const AGAIN: Duration = Duration::from_millis(50); // between tries, after any answer but silence
 
-pub struct Notices {
+pub struct CompletionReports {
     pub platform: Platform,
     /// Where the platform is told, from each change on.
     pub discovery: watch::Receiver<SocketAddr>,
@@ -23,25 +23,27 @@
     pub log: Logger,
 }
 
-impl Notices {
+impl CompletionReports {
     /// The mailbox has no bound of its own: each entry is a packet that takes room in the journal until it is heard.
-    pub async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<Owed>) {
-        let mut waiting: VecDeque<Owed> = VecDeque::new();
+    pub async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<PendingReport>) {
+        let mut waiting: VecDeque<PendingReport> = VecDeque::new();
         let mut most = MOST_LINES;
         let mut down = false;
         let mut patience = PATIENCE;
         loop {
             if waiting.is_empty() {
                 match mailbox.recv().await {
-                    Some(owed) => waiting.push_back(owed),
+                    Some(pending_report) => waiting.push_back(pending_report),
                     None => return,
                 }
             }
-            while let Ok(owed) = mailbox.try_recv() {
-                waiting.push_back(owed);
+            while let Ok(pending_report) = mailbox.try_recv() {
+                waiting.push_back(pending_report);
             }
             let lines = waiting.len().min(most);
-            let text = encode_notices(waiting.iter().take(lines).map(|o| (o.request_id.as_str(), o.ending)));
+            let text = encode_completion_reports(
+                waiting.iter().take(lines).map(|o| (o.request_id.as_str(), o.ending)),
+            );
             let answer = tokio::select! {
                 answer = self.platform.ask(Method::POST, OUTCOMES, text, patience) => answer,
                 // What the old address has not answered for is told to the new one.
@@ -68,9 +70,9 @@
                 // One line that can't be read must not keep back the others: they go one at a time.
                 Ok((StatusCode::BAD_REQUEST, _)) if lines > 1 => most = 1,
                 Ok((StatusCode::BAD_REQUEST, _)) => {
-                    if let Some(owed) = waiting.pop_front() {
-                        error!(self.log, "a notice is not understood"; "id" => owed.request_id);
-                        if self.dispatcher.send(Note::Heard(vec![owed.serial])).await.is_err() {
+                    if let Some(pending_report) = waiting.pop_front() {
+                        error!(self.log, "a notice is not understood"; "id" => pending_report.request_id);
+                        if self.dispatcher.send(Note::Heard(vec![pending_report.serial])).await.is_err() {
                             return;
                         }
                     }
--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::{micros, Clock};
 use crate::journal::{Journal, Kept};
-use crate::notes::{Answer, Call, GossipMessage, HandIn, ListNote, Note, Owed, TargetNote};
+use crate::notes::{Answer, Call, GossipMessage, HandIn, ListNote, Note, PendingReport, TargetNote};
 use crate::protocol::{Ending, Handed};
 use crate::targets::Links;
 use actors::Actors;
@@ -69,7 +69,7 @@
     forwarder: Forwarder,
     journal: Journal,
     list: mpsc::Sender<ListNote>,
-    notices: mpsc::UnboundedSender<Owed>,
+    completion_reports: mpsc::UnboundedSender<PendingReport>,
     gossip: mpsc::Sender<GossipMessage>,
     log: Logger,
     /// Set once the journal and the list are in.
@@ -82,7 +82,7 @@
     alarms: BTreeSet<(Micros, u64, Token)>, // each leaves as it rings
     later: VecDeque<Event>,          // emptied before the next note is read
     earlier: Option<Vec<Kept>>,      // packets of an earlier process, until the list is in
-    owing: BTreeMap<u64, Option<PacketId>>, // ends that the platform has not heard of, with those that keep an order; each leaves as it has
+    pending_reports: BTreeMap<u64, Option<PacketId>>, // ends that the platform has not heard of, with those that keep an order; each leaves as it has
     next_id: u32,
     next_alarm: u64,
     panics: u64,
@@ -92,7 +92,7 @@
 pub struct Ways {
     pub links: Arc<Links>,
     pub list: mpsc::Sender<ListNote>,
-    pub notices: mpsc::UnboundedSender<Owed>,
+    pub completion_reports: mpsc::UnboundedSender<PendingReport>,
     pub gossip: mpsc::Sender<GossipMessage>,
     pub up: Arc<AtomicBool>,
 }
@@ -106,7 +106,7 @@
         ways: Ways,
         log: Logger,
     ) -> Dispatcher {
-        let Ways { links, list, notices, gossip, up } = ways;
+        let Ways { links, list, completion_reports, gossip, up } = ways;
         Dispatcher {
             clock,
             forwarder: Forwarder::new(config.clone(), seed),
@@ -115,7 +115,7 @@
             seed,
             journal,
             list,
-            notices,
+            completion_reports,
             gossip,
             log,
             up,
@@ -126,7 +126,7 @@
             alarms: BTreeSet::new(),
             later: VecDeque::new(),
             earlier: None,
-            owing: BTreeMap::new(),
+            pending_reports: BTreeMap::new(),
             next_id: 0,
             next_alarm: 0,
             panics: 0,
@@ -149,7 +149,7 @@
         let mut closing = false;
         let begin = Instant::now() + LIST_WAIT;
         loop {
-            if closing && !self.trips_out() && self.owing.is_empty() {
+            if closing && !self.trips_out() && self.pending_reports.is_empty() {
                 return;
             }
             let next = self.alarms.first().map(|(at, ..)| self.clock.at(*at));
@@ -200,7 +200,7 @@
             }
             Note::Heard(serials) => {
                 for serial in serials {
-                    let heard = self.owing.remove(&serial);
+                    let heard = self.pending_reports.remove(&serial);
                     let written = self.journal.ended(serial);
                     self.written(written);
                     heard.flatten().into_iter().for_each(|id| self.handle(Event::Heard { id }));
@@ -371,9 +371,9 @@
         let now = self.clock.now();
         for kept in packets {
             let id = self.new_id();
-            if let Some(ending) = kept.owed {
+            if let Some(ending) = kept.pending_report {
                 let ordered = kept.key.map(OrderKey).map(|key| {
-                    self.handle(Event::Owed { id, profile: ProfileId(kept.profile), key });
+                    self.handle(Event::PendingReport { id, profile: ProfileId(kept.profile), key });
                     id
                 });
                 self.owe(kept.serial, kept.request_id, ending, ordered);
@@ -592,8 +592,8 @@
     /// An end to be told; `ordered` is the packet's id where the core waits for it to be heard.
     fn owe(&mut self, serial: u64, request_id: String, ending: Ending, ordered: Option<PacketId>) {
         // One that is owed already goes on being told.
-        let known = self.owing.insert(serial, ordered).is_some();
-        if !known && self.notices.send(Owed { serial, request_id, ending }).is_err() {
+        let known = self.pending_reports.insert(serial, ordered).is_some();
+        if !known && self.completion_reports.send(PendingReport { serial, request_id, ending }).is_err() {
             error!(self.log, "nobody carries notices");
         }
     }
@@ -615,7 +615,7 @@
         trips: 0,
         exposed: None,
         out: Vec::new(),
-        owed: None,
+        pending_report: None,
     }
 }
 
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -21,7 +21,7 @@
 
 struct Rig {
     dispatcher: Dispatcher,
-    owed: mpsc::UnboundedReceiver<Owed>,
+    pending_report: mpsc::UnboundedReceiver<PendingReport>,
     notes: mpsc::Receiver<Note>,
     listener: TcpListener,
     _dir: TempDir,
@@ -42,10 +42,10 @@
     let (dispatcher, notes) = mpsc::channel(64);
     let (list, _) = mpsc::channel(1);
     let (gossip, _) = mpsc::channel(1);
-    let (notices, owed) = mpsc::unbounded_channel();
+    let (completion_reports, pending_report) = mpsc::unbounded_channel();
     let idle = Arc::new(Semaphore::new(4));
     let links = Arc::new(Links { config: links, names, idle, dispatcher, log: log.clone() });
-    let ways = Ways { links, list, notices, gossip, up: Arc::default() };
+    let ways = Ways { links, list, completion_reports, gossip, up: Arc::default() };
     let mut dispatcher = Dispatcher::new(config, 1, Clock::start(), journal, ways, log);
     let port = listener.local_addr().expect("its address").port();
     let listing = Listing {
@@ -59,7 +59,7 @@
     };
     dispatcher.read(Note::Event(Event::List(ListNews::Cached(vec![listing]))));
     dispatcher.take_over(Vec::new());
-    Rig { dispatcher, owed, notes, listener, _dir: dir }
+    Rig { dispatcher, pending_report, notes, listener, _dir: dir }
 }
 
 impl Rig {
@@ -118,11 +118,11 @@
     rig.dispatcher.begin_anew();
     rig.pass(300).await;
     assert_eq!(rig.calls().await, 2); // not the binding one
-    let owed = rig.owed.try_recv().expect("an end");
-    assert_eq!((owed.request_id.as_str(), owed.ending), ("binding", Ending::WrittenOff));
-    assert!(rig.owed.try_recv().is_err());
+    let pending_report = rig.pending_report.try_recv().expect("an end");
+    assert_eq!((pending_report.request_id.as_str(), pending_report.ending), ("binding", Ending::WrittenOff));
+    assert!(rig.pending_report.try_recv().is_err());
     assert_eq!(rig.dispatcher.open.len(), 2);
-    rig.dispatcher.read(Note::Heard(vec![owed.serial]));
+    rig.dispatcher.read(Note::Heard(vec![pending_report.serial]));
     assert_eq!(rig.dispatcher.journal.after_restart().len(), 2);
 }
 
@@ -173,7 +173,7 @@
     assert!(rig.dispatcher.journal.after_restart().is_empty());
     // A second outcome of the same trip changes nothing.
     rig.dispatcher.read(Note::Event(ended(Outcome::Error)));
-    assert!(rig.dispatcher.open.is_empty() && rig.dispatcher.owing.is_empty());
+    assert!(rig.dispatcher.open.is_empty() && rig.dispatcher.pending_reports.is_empty());
 }
 
 /// Guards the room that the configuration gives: what comes beyond it is refused at the door, and the tenant goes along.
@@ -235,8 +235,8 @@
     rig.take_over_with_call_out(rig.dispatcher.clock.now() + 5_000_000);
     rig.pass(200).await;
     assert_eq!(rig.calls().await, 0);
-    let owed = rig.owed.try_recv().expect("an end");
-    assert_eq!((owed.request_id.as_str(), owed.ending), ("out", Ending::WrittenOff));
+    let pending_report = rig.pending_report.try_recv().expect("an end");
+    assert_eq!((pending_report.request_id.as_str(), pending_report.ending), ("out", Ending::WrittenOff));
 }
 
 /// Guards rule 2 and a packet's tries where a target's mailbox is full: what could not be handed over has not run, whatever
@@ -253,6 +253,6 @@
     let binding = kept.iter().find(|k| k.request_id == "binding").expect("it is kept");
     assert_eq!((binding.trips, binding.exposed), (1, None));
     rig.pass(500).await;
-    assert!(rig.owed.try_recv().is_err(), "its end is told");
+    assert!(rig.pending_report.try_recv().is_err(), "its end is told");
     assert_eq!(rig.calls().await, 2);
 }
--- a/crates/forwarder/src/journal.rs
+++ b/crates/forwarder/src/journal.rs
@@ -44,7 +44,7 @@
     /// Trips without an outcome: number, start, zone.
     pub out: Vec<(u8, Micros, u16)>,
     /// Decided, and not yet heard by the platform.
-    pub owed: Option<Ending>,
+    pub pending_report: Option<Ending>,
 }
 
 impl Kept {
@@ -75,7 +75,7 @@
                     }
                 }
             }
-            Record::Owes { ending, .. } => self.owed = Some(*ending),
+            Record::PendingReport { ending, .. } => self.pending_report = Some(*ending),
             Record::Packet(_) | Record::Keyed(..) | Record::Ended { .. } => {}
         }
     }
@@ -95,7 +95,7 @@
         trip: u8,
         may_have_run: bool,
     },
-    Owes {
+    PendingReport {
         serial: u64,
         ending: Ending,
     },
@@ -119,7 +119,7 @@
             Record::Packet(kept) | Record::Keyed(kept, _) => kept.serial,
             Record::TripStarted { serial, .. }
             | Record::TripEnded { serial, .. }
-            | Record::Owes { serial, .. }
+            | Record::PendingReport { serial, .. }
             | Record::Ended { serial } => *serial,
         }
     }
@@ -131,7 +131,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct BeyondEarlier {
     destination: u32,
-    owed: Option<Ending>,
+    pending_report: Option<Ending>,
 }
 
 impl BeyondEarlier {
@@ -141,17 +141,19 @@
         if kept.destination <= EARLIER_MOST {
             return None;
         }
-        let beyond = BeyondEarlier { destination: kept.destination, owed: kept.owed };
+        let beyond = BeyondEarlier { destination: kept.destination, pending_report: kept.pending_report };
         let mut earlier = record.clone();
-        let written_off =
-            BeyondEarlier { destination: EARLIER_MOST, owed: kept.owed.or(Some(Ending::WrittenOff)) };
+        let written_off = BeyondEarlier {
+            destination: EARLIER_MOST,
+            pending_report: kept.pending_report.or(Some(Ending::WrittenOff)),
+        };
         written_off.put_back(&mut earlier);
         Some((earlier, beyond))
     }
 
     fn put_back(self, record: &mut Record) {
         if let Record::Packet(kept) | Record::Keyed(kept, _) = record {
-            (kept.destination, kept.owed) = (self.destination, self.owed);
+            (kept.destination, kept.pending_report) = (self.destination, self.pending_report);
         }
     }
 }
@@ -401,7 +403,7 @@
 
     /// The packet's end is decided; the platform has still to hear of it.
     pub fn owes(&mut self, serial: u64, ending: Ending) -> io::Result<()> {
-        self.append(Record::Owes { serial, ending })
+        self.append(Record::PendingReport { serial, ending })
     }
 
     /// Nothing more is owed.
--- a/crates/forwarder/src/journal/tests.rs
+++ b/crates/forwarder/src/journal/tests.rs
@@ -20,7 +20,7 @@
         trips: 0,
         exposed: None,
         out: Vec::new(),
-        owed: None,
+        pending_report: None,
     }
 }
 
@@ -179,7 +179,7 @@
                 Step::Owe(n) => {
                     let Some(serial) = pick(n) else { continue };
                     journal.owes(serial, Ending::WrittenOff).map_err(|e| format!("owe: {e}"))?;
-                    wanted.entry(serial).and_modify(|k| k.owed = Some(Ending::WrittenOff));
+                    wanted.entry(serial).and_modify(|k| k.pending_report = Some(Ending::WrittenOff));
                 }
                 Step::End(n) => {
                     let Some(serial) = pick(n) else { continue };
@@ -238,7 +238,7 @@
         pub trips: u32,
         pub exposed: Option<(Micros, u16)>,
         pub out: Vec<(u8, Micros, u16)>,
-        pub owed: Option<Ending>,
+        pub pending_report: Option<Ending>,
     }
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
@@ -251,7 +251,7 @@
         Keyed(Kept, u64),
     }
 
-    pub fn of(kept: &super::Kept, destination: u16, owed: Option<Ending>) -> Record {
+    pub fn of(kept: &super::Kept, destination: u16, pending_report: Option<Ending>) -> Record {
         let kept = kept.clone();
         let old = Kept {
             serial: kept.serial,
@@ -267,7 +267,7 @@
             trips: kept.trips,
             exposed: kept.exposed,
             out: kept.out,
-            owed,
+            pending_report,
         };
         match kept.key {
             Some(key) => Record::Keyed(old, key),
@@ -286,17 +286,25 @@
     }
 }
 
-fn to(destination: u32, n: u64, owed: Option<Ending>) -> Kept {
-    Kept { destination, owed, trips: 2, exposed: Some((5, 1)), out: vec![(1, 6, 0)], ..packet(n, 40) }
+fn to(destination: u32, n: u64, pending_report: Option<Ending>) -> Kept {
+    Kept {
+        destination,
+        pending_report,
+        trips: 2,
+        exposed: Some((5, 1)),
+        out: vec![(1, 6, 0)],
+        ..packet(n, 40)
+    }
 }
 
 /// Guards packets over the change of versions: both write the same bytes for the destinations that both have.
 #[test]
 fn destinations_of_16_bits_are_kept_as_earlier_versions_keep_them() {
     for (destination, n) in [(0, 1), (127, 4), (128, 2), (16_384, 8), (65_535, 3), (65_535, 12)] {
-        for owed in [None, Some(Ending::WrittenOff), Some(Ending::Deferred { come_back: Some(9) })] {
-            let kept = to(destination, n, owed);
-            let bytes = earlier::frame(&earlier::of(&kept, destination as u16, owed));
+        for pending_report in [None, Some(Ending::WrittenOff), Some(Ending::Deferred { come_back: Some(9) })]
+        {
+            let kept = to(destination, n, pending_report);
+            let bytes = earlier::frame(&earlier::of(&kept, destination as u16, pending_report));
             assert_eq!(encode(&Record::packet(kept.clone())).expect("a form"), bytes);
             let dir = TempDir::new().expect("a folder");
             fs::write(path(dir.path(), 0), &bytes).expect("written");
@@ -311,14 +319,14 @@
 #[test]
 fn larger_destinations_are_kept_and_earlier_versions_write_their_packets_off() {
     for (destination, n) in [(65_536, 1), (70_000, 2), (70_000, 4), (u32::MAX, 8)] {
-        for (owed, theirs) in [
+        for (pending_report, theirs) in [
             (None, Ending::WrittenOff),
             (Some(Ending::WrittenOff), Ending::WrittenOff),
             (Some(Ending::Deferred { come_back: None }), Ending::Deferred { come_back: None }),
         ] {
             let dir = TempDir::new().expect("a folder");
             let (mut journal, _) = open(&dir);
-            let kept = to(destination, n, owed);
+            let kept = to(destination, n, pending_report);
             let serial = journal.accept(kept.clone()).expect("room");
             drop(journal);
             let segment = fs::read(path(dir.path(), 0)).expect("the segment");
@@ -329,7 +337,10 @@
             // An earlier version that copies the packet on keeps the end that it owes.
             let copied = earlier::frame(&earlier::of(&wanted, u16::MAX, Some(theirs)));
             fs::write(path(dir.path(), 0), copied).expect("written");
-            assert_eq!(open(&dir).1, [Kept { destination: EARLIER_MOST, owed: Some(theirs), ..wanted }]);
+            assert_eq!(
+                open(&dir).1,
+                [Kept { destination: EARLIER_MOST, pending_report: Some(theirs), ..wanted }]
+            );
         }
     }
 }
@@ -339,7 +350,8 @@
 fn what_stands_behind_a_record_is_read_whole_or_not_at_all() {
     let kept = to(70_000, 1, None);
     let body = encode_body(&Record::packet(kept.clone())).expect("a form");
-    let behind = postcard::to_allocvec(&BeyondEarlier { destination: 70_000, owed: None }).expect("a form");
+    let behind =
+        postcard::to_allocvec(&BeyondEarlier { destination: 70_000, pending_report: None }).expect("a form");
     for cut in 1..behind.len() {
         assert!(decode_body(&body[..body.len() - cut]).is_err(), "{cut} bytes cut off");
     }
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -3,13 +3,13 @@
 
 mod clients;
 mod clock;
+mod completion_reports;
 mod dispatcher;
 mod gossip_socket;
 mod journal;
 mod link;
 mod list;
 mod notes;
-mod notices;
 mod platform;
 mod protocol;
 mod reload;
@@ -22,11 +22,11 @@
 
 use clients::{Clients, Closing, Door};
 use clock::Clock;
+use completion_reports::CompletionReports;
 use dispatcher::{Dispatcher, Ways};
 use journal::Journal;
 use list::{Held, List};
 use notes::Note;
-use notices::Notices;
 use opalpulley::{Event, ListNews, Micros};
 use platform::Platform;
 use reload::Reread;
@@ -75,7 +75,7 @@
     let (dispatcher_box, notes) = mpsc::channel(NOTES);
     let (client_box, hand_ins) = mpsc::channel(HAND_INS);
     let (list_box, list_notes) = mpsc::channel(LIST_NOTES);
-    let (notice_box, owed) = mpsc::unbounded_channel();
+    let (report_box, pending_report) = mpsc::unbounded_channel();
     let (gossip_box, gossip_messages) = mpsc::channel(GOSSIP_MESSAGES);
     let (closing, closing_seen) = watch::channel(Closing::No);
     let links = Arc::new(Links {
@@ -93,8 +93,13 @@
     let (journal, packets) = Journal::open(&startup.state, startup.disk)?;
     info!(log, "started"; "name" => &startup.name, "packets" => packets.len(), "listen" => %startup.listen,
         "discovery" => %startup.discovery);
-    let ways =
-        Ways { links, list: list_box, notices: notice_box, gossip: gossip_box, up: door.ready.clone() };
+    let ways = Ways {
+        links,
+        list: list_box,
+        completion_reports: report_box,
+        gossip: gossip_box,
+        up: door.ready.clone(),
+    };
     let mut dispatcher = Dispatcher::new(config.clone(), startup.seed, clock, journal, ways, log.clone());
     let mut held = Held::default();
     let known = startup.known.take().and_then(|text| held.take(text, &names));
@@ -116,9 +121,13 @@
         log: log.clone(),
     };
     tokio::spawn(list.run(list_notes));
-    let notices =
-        Notices { platform: platform(), discovery, dispatcher: dispatcher_box.clone(), log: log.clone() };
-    tokio::spawn(notices.run(owed));
+    let completion_reports = CompletionReports {
+        platform: platform(),
+        discovery,
+        dispatcher: dispatcher_box.clone(),
+        log: log.clone(),
+    };
+    tokio::spawn(completion_reports.run(pending_report));
     let gossip =
         gossip_socket::run(startup.gossip_peers, gossip_messages, dispatcher_box.clone(), log.clone());
     let gossip_log = log.clone();
--- a/crates/forwarder/src/notes.rs
+++ b/crates/forwarder/src/notes.rs
@@ -52,9 +52,9 @@
     pub message: Vec<u8>,
 }
 
-/// An end to be told: the packet's serial number and id.
+/// A completion report to be sent: the serial number, id and end of a packet.
 #[derive(Clone, Debug)]
-pub struct Owed {
+pub struct PendingReport {
     pub serial: u64,
     pub request_id: String,
     pub ending: Ending,
--- a/crates/forwarder/src/protocol.rs
+++ b/crates/forwarder/src/protocol.rs
@@ -313,15 +313,15 @@
 pub const OUTCOMES: &str = "/v1/outcomes";
 
 #[derive(Serialize)]
-struct NoticeText<'a> {
+struct CompletionReportText<'a> {
     id: &'a str,
     status: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
     again_ms: Option<u64>,
 }
 
-/// The lines of a notice, one packet each.
-pub fn encode_notices<'a>(ends: impl Iterator<Item = (&'a str, Ending)>) -> Bytes {
+/// The lines of a completion report, one packet each.
+pub fn encode_completion_reports<'a>(ends: impl Iterator<Item = (&'a str, Ending)>) -> Bytes {
     let mut text = Vec::new();
     for (id, ending) in ends {
         let (status, again_ms) = match ending {
@@ -329,7 +329,7 @@
             Ending::Deferred { come_back } => ("deferred", come_back.map(|us| us.div_ceil(1000))),
         };
         // Writing plain strings and numbers to memory has no way to fail.
-        if serde_json::to_writer(&mut text, &NoticeText { id, status, again_ms }).is_ok() {
+        if serde_json::to_writer(&mut text, &CompletionReportText { id, status, again_ms }).is_ok() {
             text.push(b'\n');
         }
     }
--- a/crates/forwarder/src/protocol/tests.rs
+++ b/crates/forwarder/src/protocol/tests.rs
@@ -140,9 +140,9 @@
     assert_eq!((list.revision, list.complete, list.members[0].listing(5, &names())), (43, false, wanted));
     let ends = [("a", Ending::WrittenOff), ("b", Ending::Deferred { come_back: Some(499_001) })];
     let lines = "{\"id\":\"a\",\"status\":\"undeliverable\"}\n{\"id\":\"b\",\"status\":\"deferred\",\"again_ms\":500}\n";
-    assert_eq!(encode_notices(ends.into_iter()), lines);
+    assert_eq!(encode_completion_reports(ends.into_iter()), lines);
     let untold = [("c", Ending::Deferred { come_back: None })];
-    assert_eq!(encode_notices(untold.into_iter()), "{\"id\":\"c\",\"status\":\"deferred\"}\n");
+    assert_eq!(encode_completion_reports(untold.into_iter()), "{\"id\":\"c\",\"status\":\"deferred\"}\n");
 }
 
 #[test]
--- a/crates/forwarder/src/startup_config.rs
+++ b/crates/forwarder/src/startup_config.rs
@@ -152,7 +152,7 @@
         let rest = room - waybill.config.slots as usize;
         // The protocol on sockets carries one packet in a call.
         waybill.config.kinds.iter_mut().for_each(|k| k.per_call = 1);
-        // A notice and a call go on connections of their own.
+        // A completion report and a call go on connections of their own.
         waybill.config.ends = Ends::WhenHeard;
         // Nothing can be told where nobody listens.
         let (gossip_peers, all) = (file.peer_listen.is_some() && !file.peers.is_empty(), file.peers_all);
--- a/crates/forwarder/tests/endings.rs
+++ b/crates/forwarder/tests/endings.rs
@@ -18,8 +18,8 @@
 
 /// The lines of the notices that the platform has got.
 fn told(platform: &Platform) -> Vec<String> {
-    let notices = platform.notices.lock().expect("the notices");
-    notices
+    let completion_reports = platform.completion_reports.lock().expect("the notices");
+    completion_reports
         .iter()
         .flat_map(|m| String::from_utf8_lossy(&m.body).lines().map(str::to_owned).collect::<Vec<_>>())
         .collect()
@@ -105,13 +105,13 @@
     let head = hand_in_head("short", "notice", 4).replace("20000", "300");
     assert_eq!(forwarder.ask(&head, b"body"), 202);
     until("its call is out", || calls(&seen, "short") >= 1);
-    let notices = || {
+    let completion_reports = || {
         let asked = asked.lock().expect("the log");
         asked.iter().filter(|m| m.first.contains("/v1/outcomes")).count()
     };
-    until("its end is told", || notices() == 1);
+    until("its end is told", || completion_reports() == 1);
     let first = Instant::now();
-    until("it is told again", || notices() >= 2);
+    until("it is told again", || completion_reports() >= 2);
     assert!(first.elapsed() < Duration::from_millis(300), "{:?}", first.elapsed());
 }
 
@@ -166,9 +166,11 @@
         serve(|m, _| plain(if m.headers["request-id"] == "first" { "503 Full" } else { "200 OK" }));
     let members = vec![member(target, 7, "Ready")];
     let (platform, asked) = serve(move |m, _| {
-        let (notice, watch) = (m.first.contains("/v1/outcomes"), m.first.contains("index="));
-        thread::sleep(Duration::from_millis(if notice { 450 } else { 0 } + if watch { 300 } else { 0 }));
-        match (notice, watch) {
+        let (completion_report, watch) = (m.first.contains("/v1/outcomes"), m.first.contains("index="));
+        thread::sleep(Duration::from_millis(
+            if completion_report { 450 } else { 0 } + if watch { 300 } else { 0 },
+        ));
+        match (completion_report, watch) {
             (true, _) => plain("204 No Content"),
             (false, true) => with_body(&list(1, false, &[])),
             (false, false) => with_body(&list(1, true, &members)),
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -41,6 +41,6 @@
         until("each is delivered", || ids.iter().all(|id| calls(&seen, id) == 1));
     }
     assert!(platform.changes.lock().expect("the changes").is_empty(), "a list was not asked for");
-    assert!(platform.notices.lock().expect("the notices").is_empty());
+    assert!(platform.completion_reports.lock().expect("the notices").is_empty());
     assert_eq!(seen.lock().expect("the log").iter().filter(|m| m.first.starts_with("POST")).count(), 60);
 }
--- a/crates/forwarder/tests/program.rs
+++ b/crates/forwarder/tests/program.rs
@@ -91,8 +91,11 @@
         forwarder.child.wait().expect("ended");
         let _forwarder = start(&state, &text, platform.address);
         let told = || {
-            let notices = platform.notices.lock().expect("the notices");
-            notices.iter().map(|m| String::from_utf8_lossy(&m.body).into_owned()).collect::<Vec<_>>()
+            let completion_reports = platform.completion_reports.lock().expect("the notices");
+            completion_reports
+                .iter()
+                .map(|m| String::from_utf8_lossy(&m.body).into_owned())
+                .collect::<Vec<_>>()
         };
         if effect == "single_shot" {
             let line = "{\"id\":\"out\",\"status\":\"undeliverable\"}\n";
@@ -330,7 +333,7 @@
     thread::sleep(Duration::from_millis(300));
     assert_eq!((calls(&seen, "done"), calls(&seen, "out"), calls(&seen, "none")), (1, 2, 0));
     assert!(seen_other.lock().expect("the log").is_empty());
-    assert!(platform.notices.lock().expect("the notices").is_empty());
+    assert!(platform.completion_reports.lock().expect("the notices").is_empty());
 }
 
 /// Guards rule 3: a change that the watch tells is heeded at once.
@@ -393,7 +396,7 @@
     until("the change is told", || old.changes.lock().expect("the changes").is_empty());
     let short = hand_in_head("short", "notice", 4).replace("20000", "300").replace("dest=7", "dest=9");
     assert_eq!(forwarder.ask(&short, b"body"), 202);
-    until("its end is told in vain", || !old.notices.lock().expect("the notices").is_empty());
+    until("its end is told in vain", || !old.completion_reports.lock().expect("the notices").is_empty());
     let config_file = dir.path().join("config.json");
     std::fs::write(&config_file, "{\"name\":").expect("written");
     forwarder.signal("-HUP");
@@ -403,7 +406,9 @@
     let moved = text.replacen('{', &format!("{{\"discovery\":\"{}\",", new.address), 1);
     std::fs::write(&config_file, moved).expect("written");
     forwarder.signal("-HUP");
-    until("the notice is repeated at the new one", || !new.notices.lock().expect("the notices").is_empty());
+    until("the notice is repeated at the new one", || {
+        !new.completion_reports.lock().expect("the notices").is_empty()
+    });
     until("the new list counts", || {
         forwarder.hand_in("two", "notice") == 202 && calls(&seen_other, "two") > 0
     });
@@ -470,8 +475,8 @@
         assert!(taken.len() > 30, "{} taken", taken.len());
         let told = |id: &str| {
             let line = format!("{{\"id\":\"{id}\",");
-            let notices = platform.notices.lock().expect("the notices");
-            notices.iter().any(|m| String::from_utf8_lossy(&m.body).contains(&line))
+            let completion_reports = platform.completion_reports.lock().expect("the notices");
+            completion_reports.iter().any(|m| String::from_utf8_lossy(&m.body).contains(&line))
         };
         // Every eighth call was refused; the last call of a packet that is not told of was served.
         let over = |id: &String| {
--- a/crates/lab/src/capacity/backlog.rs
+++ b/crates/lab/src/capacity/backlog.rs
@@ -89,7 +89,7 @@
 type ProcessFigure = (&'static str, &'static str, fn(&ProcessPoint) -> f64);
 const PROCESS_FIGURES: [ProcessFigure; 12] = [
     ("messages handed in", "messages", |p| p.handed_in as f64),
-    ("notices of an end, before the kill", "notices", |p| p.notices as f64),
+    ("notices of an end, before the kill", "notices", |p| p.completion_reports as f64),
     ("memory before the messages", "bytes", |p| p.before.memory as f64),
     ("memory with them", "bytes", |p| p.with_backlog.memory as f64),
     ("memory a waiting message", "bytes", |p| {
--- a/crates/lab/src/capacity/backlog/process_point.rs
+++ b/crates/lab/src/capacity/backlog/process_point.rs
@@ -26,7 +26,7 @@
     pub handed_in: u64,
     pub taken: u64,
     /// Notices of a message's end that came before the kill.
-    pub notices: u64,
+    pub completion_reports: u64,
     /// From a start with an empty folder until it is up, and from the one after the kill, s.
     pub ready_empty: f64,
     pub ready_again: f64,
@@ -40,7 +40,7 @@
 impl ProcessPoint {
     /// Messages that were taken and have not ended.
     pub fn waiting(&self) -> f64 {
-        self.taken as f64 - self.notices as f64
+        self.taken as f64 - self.completion_reports as f64
     }
 }
 
@@ -60,7 +60,7 @@
     let listen = nowhere().await.map_err(say)?;
     // Nobody listens at the targets: each refuses connections.
     let list = Listed { targets: setup.destinations, port: nowhere().await.map_err(say)?.port() };
-    let (discovery, notices) = discovery(list.text().to_string()).await.map_err(say)?;
+    let (discovery, completion_reports) = discovery(list.text().to_string()).await.map_err(say)?;
     let papers = startup_config(shape, listen, discovery, Some(list.text()));
     let start = || Subject::start(&setup.program, folder.path(), listen, &papers);
     let begun = Instant::now();
@@ -73,7 +73,7 @@
     load(messages, listen, taken.clone()).await;
     tokio::time::sleep(SETTLED).await;
     let with_backlog = subject.usage()?;
-    let notices = notices.load(Ordering::Relaxed);
+    let completion_reports = completion_reports.load(Ordering::Relaxed);
     subject.child.kill().await.map_err(say)?;
     let journal = folder_bytes(&folder.path().join("state")).map_err(say)?;
     let begun = Instant::now();
@@ -84,7 +84,7 @@
     Ok(ProcessPoint {
         handed_in: u64::from(setup.messages),
         taken: taken.load(Ordering::Relaxed),
-        notices,
+        completion_reports,
         ready_empty,
         ready_again,
         before,
--- a/crates/lab/src/capacity/process/standins.rs
+++ b/crates/lab/src/capacity/process/standins.rs
@@ -74,17 +74,17 @@
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
     let list: Arc<str> = list.into();
-    let notices = Arc::new(AtomicU64::new(0));
-    let counted = notices.clone();
+    let completion_reports = Arc::new(AtomicU64::new(0));
+    let counted = completion_reports.clone();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let (mut conn, list, notices) = (Conn::new(stream), list.clone(), counted.clone());
+            let (mut conn, list, completion_reports) = (Conn::new(stream), list.clone(), counted.clone());
             tokio::spawn(async move {
                 while let Ok(Some(asked)) = conn.request().await {
                     let wait = asked.path.split_once("wait=").map(|(_, wait)| wait.parse::<u64>());
                     let answered = match wait {
                         _ if asked.method == "POST" => {
-                            notices.fetch_add(1, Ordering::Relaxed);
+                            completion_reports.fetch_add(1, Ordering::Relaxed);
                             conn.reply("204 No Content", "", "").await
                         }
                         Some(wait) => {
@@ -102,7 +102,7 @@
             });
         }
     });
-    Ok((address, notices))
+    Ok((address, completion_reports))
 }
 
 /// An address of loopback where nobody listens.
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -141,20 +141,20 @@
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#, members.join(","))
 }
 
-/// A platform: its list, changes to be told to the next watches, and the notices that it gets.
+/// A platform: its list, changes to be told to the next watches, and the completion reports that it gets.
 pub struct Platform {
     pub address: SocketAddr,
     /// What it was told of ends.
-    pub notices: Log,
+    pub completion_reports: Log,
     /// The next watches are told these, the last one first.
     pub changes: Arc<Mutex<Vec<String>>>,
 }
 
-/// `deaf` notices are answered with an error first.
+/// `deaf` completion reports are answered with an error first.
 pub fn platform(members: Vec<String>, deaf: usize) -> Platform {
     let changes: Arc<Mutex<Vec<String>>> = Arc::default();
-    let notices = Log::default();
-    let (pending, heard) = (changes.clone(), notices.clone());
+    let completion_reports = Log::default();
+    let (pending, heard) = (changes.clone(), completion_reports.clone());
     let (address, _) = serve(move |message, _| {
         if message.first.starts_with("POST /v1/outcomes") {
             let mut heard = heard.lock().expect("the notices");
@@ -173,7 +173,7 @@
         }
         with_body(&list(1, false, &[]))
     });
-    Platform { address, notices, changes }
+    Platform { address, completion_reports, changes }
 }
 
 /// A forwarder process; it is killed as this is dropped.
--- a/crates/lab/src/sockets/agents.rs
+++ b/crates/lab/src/sockets/agents.rs
@@ -47,7 +47,7 @@
 }
 
 #[derive(Deserialize)]
-struct Notice {
+struct CompletionReport {
     id: String,
     status: String,
     #[serde(default)]
@@ -163,7 +163,7 @@
 
     async fn answer(&self, stage: &Arc<Stage>, conn: &mut Conn, request: Message) -> io::Result<()> {
         if request.method == "POST" && request.path == "/v1/outcomes" {
-            return match self.notices(stage, &request.body) {
+            return match self.completion_reports(stage, &request.body) {
                 Ok(()) => conn.reply("204 No Content", "", "").await,
                 Err(problem) => conn.reply("400 Bad Request", "", &problem).await,
             };
@@ -186,24 +186,29 @@
         conn.reply("200 OK", "", &text).await
     }
 
-    fn notices(&self, stage: &Arc<Stage>, body: &[u8]) -> Result<(), String> {
+    fn completion_reports(&self, stage: &Arc<Stage>, body: &[u8]) -> Result<(), String> {
         let lines = body.split(|b| *b == b'\n').filter(|l| !l.is_empty());
-        let notices: Vec<Notice> =
+        let completion_reports: Vec<CompletionReport> =
             lines.map(serde_json::from_slice).collect::<Result<_, _>>().map_err(|e| e.to_string())?;
         let now = stage.now();
-        for notice in notices {
-            let duty = notice.id.strip_prefix('p').and_then(|n| n.parse::<u64>().ok());
+        for completion_report in completion_reports {
+            let duty = completion_report.id.strip_prefix('p').and_then(|n| n.parse::<u64>().ok());
             if stage.alone {
-                println!("notice to forwarder {}: {} {}", self.forwarder, notice.id, notice.status);
+                println!(
+                    "notice to forwarder {}: {} {}",
+                    self.forwarder, completion_report.id, completion_report.status
+                );
                 continue;
             }
-            let Some(duty) = duty else { return Err(format!("{}: nobody handed that in", notice.id)) };
-            let end = match notice.status.as_str() {
+            let Some(duty) = duty else {
+                return Err(format!("{}: nobody handed that in", completion_report.id));
+            };
+            let end = match completion_report.status.as_str() {
                 "undeliverable" => Final::WrittenOff,
                 "deferred" => Final::Deferred,
                 other => return Err(format!("{other}: no such status")),
             };
-            let come_back: Option<Micros> = notice.again_ms.map(|ms| (ms * 1e3) as Micros);
+            let come_back: Option<Micros> = completion_report.again_ms.map(|ms| (ms * 1e3) as Micros);
             let mut state = stage.lock();
             // A notice for a packet that is over does no harm if it is the same again: it was not heard the first time.
             if !state.oracle.heard_before(duty, end) {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -158,8 +158,8 @@
     Heard {
         id: PacketId,
     },
-    /// An end of an earlier life that has still to be heard; packets of its key come after it. Heard under this id.
-    Owed {
+    /// A completion report of a previous run that is not acknowledged yet; packets of its key come after it. `Heard` has this id.
+    PendingReport {
         id: PacketId,
         profile: ProfileId,
         key: OrderKey,
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -901,7 +901,7 @@
                 let key = self.unheard.remove(&id);
                 self.leave_turns(now, id, key);
             }
-            Event::Owed { id, profile, key } => {
+            Event::PendingReport { id, profile, key } => {
                 let row = self.config.profiles.get(profile.0 as usize).filter(|row| row.in_order);
                 if let Some(turns) = row.map(|_| self.turns.entry(key).or_default()) {
                     turns.queue.push_back((id, DestinationId::default()));
--- a/tests/cases.rs
+++ b/tests/cases.rs
@@ -693,7 +693,7 @@
     config.profiles.iter_mut().for_each(|p| p.in_order = true);
     let mut world = World::new(config, vec![listing(1, 0, 20.0)]);
     let (earlier, key) = (PacketId(900), OrderKey(5));
-    world.give(Event::Owed { id: earlier, profile: ProfileId(0), key })?;
+    world.give(Event::PendingReport { id: earlier, profile: ProfileId(0), key })?;
     let first = world.arrive(0, 0, Some(5), 300 * MS)?;
     let second = world.arrive(0, 0, Some(5), 8_000 * MS)?;
     world.pass(200 * MS)?;
