--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -18,7 +18,7 @@
 pub struct Waybill {
     pub config: Config,
     pub names: Names,
-    pub links: ConnectionConfig,
+    pub connections: ConnectionConfig,
 }
 
 /// Names in the order of the numbers that the core uses.
@@ -208,11 +208,11 @@
             kinds: start.host_types.clone(),
             reports: start.load_report.names.clone(),
         };
-        let links = ConnectionConfig {
+        let connections = ConnectionConfig {
             idle_closed_after: start.limits.conn_idle_us.unwrap_or(DEFAULT_IDLE),
             connect_within: start.limits.connect_timeout_us.unwrap_or(DEFAULT_CONNECT),
         };
-        Ok(Waybill { config: start.into_config(), names, links })
+        Ok(Waybill { config: start.into_config(), names, connections })
     }
 }
 
--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -5,7 +5,7 @@
 use crate::journal::{Journal, Kept};
 use crate::notes::{Answer, Call, GossipMessage, HandIn, ListNote, Note, PendingReport, TargetNote};
 use crate::protocol::{Ending, Handed};
-use crate::targets::Links;
+use crate::targets::TargetContext;
 use actors::Actors;
 use opalpulley::{
     Action, Arrival, Config, DestinationId, Event, Forwarder, KindId, ListNews, Listing, Micros, OrderKey,
@@ -90,7 +90,7 @@
 }
 
 pub struct Ways {
-    pub links: Arc<Links>,
+    pub context: Arc<TargetContext>,
     pub list: mpsc::Sender<ListNote>,
     pub completion_reports: mpsc::UnboundedSender<PendingReport>,
     pub gossip: mpsc::Sender<GossipMessage>,
@@ -106,11 +106,11 @@
         ways: Ways,
         log: Logger,
     ) -> Dispatcher {
-        let Ways { links, list, completion_reports, gossip, up } = ways;
+        let Ways { context, list, completion_reports, gossip, up } = ways;
         Dispatcher {
             clock,
             forwarder: Forwarder::new(config.clone(), seed),
-            actors: Actors::new(links, config.slots),
+            actors: Actors::new(context, config.slots),
             config,
             seed,
             journal,
--- a/crates/forwarder/src/dispatcher/actors.rs
+++ b/crates/forwarder/src/dispatcher/actors.rs
@@ -2,7 +2,7 @@
 //! for so long that no connection of it could still serve.
 
 use crate::notes::TargetNote;
-use crate::targets::{Links, Target};
+use crate::targets::{Target, TargetContext};
 use opalpulley::{Micros, TargetId};
 use slog::error;
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,7 +31,7 @@
 
 /// The actors that run; each leaves once it has rested, or with its target.
 pub struct Actors {
-    links: Arc<Links>,
+    context: Arc<TargetContext>,
     mailbox_room: usize,
     rest: Micros,
     running: BTreeMap<TargetId, Running>,
@@ -39,34 +39,34 @@
 }
 
 impl Actors {
-    pub fn new(links: Arc<Links>, slots: u32) -> Actors {
+    pub fn new(context: Arc<TargetContext>, slots: u32) -> Actors {
         let mailbox_room = SLOT_NOTES * slots as usize + TARGET_NOTES;
         // By then each connection has been retired, and each probe is over.
-        let rest = links
+        let rest = context
             .config
             .idle_closed_after
-            .saturating_add(PROBE_TIMES.saturating_mul(links.config.connect_within));
-        Actors { links, mailbox_room, rest, running: BTreeMap::new(), looks: BTreeSet::new() }
+            .saturating_add(PROBE_TIMES.saturating_mul(context.config.connect_within));
+        Actors { context, mailbox_room, rest, running: BTreeMap::new(), looks: BTreeSet::new() }
     }
 
     /// Gives a note to the target's actor, which begins if none runs. False where it takes no more.
     pub fn post(&mut self, now: Micros, target: TargetId, note: TargetNote) -> bool {
-        let (links, room, look) = (&self.links, self.mailbox_room, now.saturating_add(self.rest));
+        let (context, room, look) = (&self.context, self.mailbox_room, now.saturating_add(self.rest));
         let running = self.running.entry(target).or_insert_with(|| {
             self.looks.insert((look, target));
-            Running { mailbox: begin(target, links, room), calls: 0, used: now, look }
+            Running { mailbox: begin(target, context, room), calls: 0, used: now, look }
         });
         running.used = now;
         let sent = match running.mailbox.try_send(note) {
             // An actor that has ended took nothing of this.
             Err(TrySendError::Closed(note)) => {
-                running.mailbox = begin(target, links, room);
+                running.mailbox = begin(target, context, room);
                 running.mailbox.try_send(note)
             }
             sent => sent,
         };
         if let Err(problem) = &sent {
-            error!(links.log, "a target's mailbox takes nothing"; "problem" => %problem);
+            error!(context.log, "a target's mailbox takes nothing"; "problem" => %problem);
         }
         sent.is_ok()
     }
@@ -120,9 +120,9 @@
 }
 
 /// Dropping the mailbox ends the actor: it takes what lies there, waits for what is under way, and closes its connections.
-fn begin(target: TargetId, links: &Arc<Links>, room: usize) -> mpsc::Sender<TargetNote> {
+fn begin(target: TargetId, context: &Arc<TargetContext>, room: usize) -> mpsc::Sender<TargetNote> {
     let (mailbox, notes) = mpsc::channel(room);
-    tokio::spawn(Target::new(target, links.clone()).run(notes));
+    tokio::spawn(Target::new(target, context.clone()).run(notes));
     mailbox
 }
 
--- a/crates/forwarder/src/dispatcher/actors/tests.rs
+++ b/crates/forwarder/src/dispatcher/actors/tests.rs
@@ -17,14 +17,14 @@
 fn actors() -> (Actors, mpsc::Receiver<Note>) {
     let (dispatcher, notes) = mpsc::channel(64);
     let (profiles, tenants, zones, kinds, reports) = Default::default();
-    let links = Links {
+    let context = TargetContext {
         config: ConnectionConfig { idle_closed_after: IDLE, connect_within: CONNECT },
         names: Names { profiles, tenants, zones, kinds, reports },
         idle: Arc::new(Semaphore::new(64)),
         dispatcher,
         log: slog::Logger::root(slog::Discard, slog::o!()),
     };
-    (Actors::new(Arc::new(links), SLOTS), notes)
+    (Actors::new(Arc::new(context), SLOTS), notes)
 }
 
 fn target(number: u32) -> TargetId {
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -16,7 +16,7 @@
         settings["Profiles"].as_array_mut().expect("profiles").push(profile);
     }
     let start = opalpulley_config::read(settings.to_string().as_bytes()).expect("a good configuration");
-    (start.config, start.names, start.links)
+    (start.config, start.names, start.connections)
 }
 
 struct Rig {
@@ -34,7 +34,7 @@
 
 /// The same with another window for repeats, in µs.
 async fn rig_within(window: Micros) -> Rig {
-    let (config, names, links) = config(window);
+    let (config, names, context) = config(window);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let dir = TempDir::new().expect("a folder");
     let (journal, _) = Journal::open(dir.path(), 1_000_000).expect("a journal");
@@ -44,8 +44,8 @@
     let (gossip, _) = mpsc::channel(1);
     let (completion_reports, pending_report) = mpsc::unbounded_channel();
     let idle = Arc::new(Semaphore::new(4));
-    let links = Arc::new(Links { config: links, names, idle, dispatcher, log: log.clone() });
-    let ways = Ways { links, list, completion_reports, gossip, up: Arc::default() };
+    let context = Arc::new(TargetContext { config: connections, names, idle, dispatcher, log: log.clone() });
+    let ways = Ways { context, list, completion_reports, gossip, up: Arc::default() };
     let mut dispatcher = Dispatcher::new(config, 1, Clock::start(), journal, ways, log);
     let port = listener.local_addr().expect("its address").port();
     let listing = Listing {
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -37,7 +37,7 @@
 use std::pin::Pin;
 use std::sync::Arc;
 use std::time::Duration;
-use targets::Links;
+use targets::TargetContext;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{mpsc, watch, Semaphore};
 
@@ -78,8 +78,8 @@
     let (report_box, pending_report) = mpsc::unbounded_channel();
     let (gossip_box, gossip_messages) = mpsc::channel(GOSSIP_MESSAGES);
     let (closing, closing_seen) = watch::channel(Closing::No);
-    let links = Arc::new(Links {
-        config: startup.waybill.links.clone(),
+    let context = Arc::new(TargetContext {
+        config: startup.waybill.connections.clone(),
         names: names.clone(),
         idle: Arc::new(Semaphore::new(startup.idle_sockets)),
         dispatcher: dispatcher_box.clone(),
@@ -94,7 +94,7 @@
     info!(log, "started"; "name" => &startup.name, "packets" => packets.len(), "listen" => %startup.listen,
         "discovery" => %startup.discovery);
     let ways = Ways {
-        links,
+        context,
         list: list_box,
         completion_reports: report_box,
         gossip: gossip_box,
--- a/crates/forwarder/src/stream.rs
+++ b/crates/forwarder/src/stream.rs
@@ -30,13 +30,13 @@
 }
 
 /// What the stream shows to those who use the connection.
-pub struct Sight {
+pub struct StreamState {
     written: AtomicU64,
     before: AtomicU64, // written before the call that is out
     answer: watch::Sender<Answer>,
 }
 
-impl Sight {
+impl StreamState {
     pub fn written(&self) -> u64 {
         self.written.load(Ordering::Relaxed)
     }
@@ -79,29 +79,33 @@
 
 pub struct Stream {
     stream: TcpStream,
-    sight: Arc<Sight>,
+    stream_state: Arc<StreamState>,
     reading: Reading,
     dropped: usize, // bytes of 1xx heads before the answer to this call
 }
 
 impl Stream {
-    pub fn new(stream: TcpStream) -> (Stream, Arc<Sight>) {
+    pub fn new(stream: TcpStream) -> (Stream, Arc<StreamState>) {
         let [written, before] = [0, 0].map(AtomicU64::new);
-        let sight = Arc::new(Sight { written, before, answer: watch::Sender::new(Answer::Unasked) });
-        (Stream { stream, sight: sight.clone(), reading: Reading::Through, dropped: 0 }, sight)
+        let stream_state =
+            Arc::new(StreamState { written, before, answer: watch::Sender::new(Answer::Unasked) });
+        (
+            Stream { stream, stream_state: stream_state.clone(), reading: Reading::Through, dropped: 0 },
+            stream_state,
+        )
     }
 
     /// Guards the next call against bytes behind the last answer: they must not answer it. Asked of the socket
     /// itself, for the runtime may not have heard of them yet.
     fn begin(&mut self) -> io::Result<()> {
-        if self.sight.answer() != Answer::Unasked {
+        if self.stream_state.answer() != Answer::Unasked {
             return Ok(());
         }
         match (&*SockRef::from(&self.stream)).read(&mut [0]) {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
             _ => return Err(io::ErrorKind::ConnectionReset.into()),
         }
-        self.sight.answer.send_replace(Answer::Awaited);
+        self.stream_state.answer.send_replace(Answer::Awaited);
         self.reading = Reading::FirstLine(Vec::with_capacity(STATUS));
         self.dropped = 0;
         Ok(())
@@ -109,7 +113,7 @@
 
     fn count(&self, poll: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(n)) = &poll {
-            self.sight.written.fetch_add(*n as u64, Ordering::Relaxed);
+            self.stream_state.written.fetch_add(*n as u64, Ordering::Relaxed);
         }
         poll
     }
@@ -128,7 +132,7 @@
                     line.extend(more);
                     bytes = rest;
                     if end.is_none() && line.len() < MOST_LINE {
-                        self.sight
+                        self.stream_state
                             .answer
                             .send_if_modified(|a| std::mem::replace(a, Answer::Begun) != Answer::Begun);
                         return Ok(());
@@ -136,12 +140,12 @@
                     // Guards rule 1 against half a line: whatever it begins with, only a whole one is true.
                     let status = end.and_then(|_| status(line.get(..STATUS)?));
                     if let Some(100..=199) = status {
-                        self.sight.answer.send_replace(Answer::Awaited);
+                        self.stream_state.answer.send_replace(Answer::Awaited);
                         self.reading = Reading::Interim { line_ends: 1 };
                         continue;
                     }
                     let said = status.map_or(Answer::Begun, Answer::Says);
-                    self.sight.answer.send_replace(said);
+                    self.stream_state.answer.send_replace(said);
                     out.put_slice(line);
                     self.reading = Reading::Through;
                 }
@@ -190,7 +194,7 @@
             let before = buf.filled().len();
             ready!(Pin::new(&mut this.stream).poll_read(cx, buf))?;
             let came = buf.filled().len() > before;
-            return Poll::Ready(match came && this.sight.answer() == Answer::Unasked {
+            return Poll::Ready(match came && this.stream_state.answer() == Answer::Unasked {
                 true => Err(io::ErrorKind::InvalidData.into()),
                 false => Ok(()),
             });
--- a/crates/forwarder/src/targets.rs
+++ b/crates/forwarder/src/targets.rs
@@ -5,7 +5,7 @@
 use crate::link::Link;
 use crate::notes::{Call, Note, TargetNote};
 use crate::protocol::{self, Outgoing, MOST_AHEAD};
-use crate::stream::{Answer, Sight, Stream};
+use crate::stream::{Answer, Stream, StreamState};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::Builder;
@@ -83,7 +83,7 @@
 }
 
 /// What all target actors share.
-pub struct Links {
+pub struct TargetContext {
     pub config: ConnectionConfig,
     pub names: Names,
     /// One permit for each connection that may stand idle.
@@ -92,24 +92,24 @@
     pub log: Logger,
 }
 
-/// A connection to a target, with what is seen of its stream.
-struct Line {
+/// A connection to a target, with the state of its stream.
+struct Connection {
     link: Link,
-    sight: Arc<Sight>,
+    stream_state: Arc<StreamState>,
 }
 
-impl Line {
-    async fn open(target: TargetId, within: Duration) -> Result<Line, CallFault> {
+impl Connection {
+    async fn open(target: TargetId, within: Duration) -> Result<Connection, CallFault> {
         let fault = |why| CallFault { stage: Stage::Connecting, why };
         let up = async {
             let stream = TcpStream::connect(protocol::address(target)).await.ok()?;
             stream.set_nodelay(true).ok()?;
-            let (stream, sight) = Stream::new(stream);
+            let (stream, stream_state) = Stream::new(stream);
             let link = Link::over(stream, Builder::new().max_buf_size(MOST_AHEAD)).await.ok()?;
-            Some(Line { link, sight })
+            Some(Connection { link, stream_state })
         };
         match tokio::time::timeout(within, up).await {
-            Ok(line) => line.ok_or(fault(Why::Broken)),
+            Ok(connection) => connection.ok_or(fault(Why::Broken)),
             Err(_) => Err(fault(Why::OutOfTime)),
         }
     }
@@ -119,13 +119,13 @@
     }
 
     /// After an answer: gives itself back if it can serve again.
-    async fn served(mut self, whole: bool) -> Option<Line> {
-        self.sight.rest();
+    async fn served(mut self, whole: bool) -> Option<Connection> {
+        self.stream_state.rest();
         (whole && self.link.usable().await).then_some(self)
     }
 }
 
-impl Service<Outgoing> for Line {
+impl Service<Outgoing> for Connection {
     type Response = Response<Incoming>;
     type Error = CallFault;
     type Future = Pin<Box<dyn std::future::Future<Output = Result<Response<Incoming>, CallFault>> + Send>>;
@@ -135,11 +135,11 @@
     }
 
     fn call(&mut self, call: Outgoing) -> Self::Future {
-        let sight = self.sight.clone();
+        let stream_state = self.stream_state.clone();
         let answer = self.link.sender.send_request(call.request);
         Box::pin(async move {
             answer.await.map_err(|_| CallFault {
-                stage: match sight.sent() {
+                stage: match stream_state.sent() {
                     0 => Stage::Connecting,
                     some if some < call.length => Stage::Writing,
                     _ => Stage::Written,
@@ -151,7 +151,7 @@
 }
 
 struct Idle {
-    line: Line,
+    connection: Connection,
     since: Instant,
     _permit: OwnedSemaphorePermit,
 }
@@ -179,19 +179,19 @@
 
 pub struct Target {
     id: TargetId,
-    links: Arc<Links>,
-    idle: Vec<Idle>,              // the latest used last; emptied as they are used or retired
-    tasks: JoinSet<Option<Line>>, // one for each errand; each leaves as it ends
+    context: Arc<TargetContext>,
+    idle: Vec<Idle>, // the latest used last; emptied as they are used or retired
+    tasks: JoinSet<Option<Connection>>, // one for each errand; each leaves as it ends
     underway: BTreeMap<Id, Underway>, // the same
 }
 
 impl Target {
-    pub fn new(id: TargetId, links: Arc<Links>) -> Target {
-        Target { id, links, idle: Vec::new(), tasks: JoinSet::new(), underway: BTreeMap::new() }
+    pub fn new(id: TargetId, context: Arc<TargetContext>) -> Target {
+        Target { id, context, idle: Vec::new(), tasks: JoinSet::new(), underway: BTreeMap::new() }
     }
 
     fn rest(&self) -> Duration {
-        let whole = Duration::from_micros(self.links.config.idle_closed_after);
+        let whole = Duration::from_micros(self.context.config.idle_closed_after);
         whole - whole / RETIRE_AHEAD
     }
 
@@ -209,10 +209,10 @@
                     }
                 },
                 Some(done) = self.tasks.join_next_with_id(), if !self.tasks.is_empty() => match done {
-                    Ok((task, line)) => {
+                    Ok((task, connection)) => {
                         self.underway.remove(&task);
-                        if let Some(line) = line.filter(|_| open) {
-                            self.keep(line);
+                        if let Some(connection) = connection.filter(|_| open) {
+                            self.keep(connection);
                         }
                     }
                     Err(problem) => self.broken(problem).await,
@@ -230,7 +230,7 @@
             TargetNote::Call(call) => self.call(*call),
             TargetNote::Probe => {
                 let request = protocol::encode_probe(self.id);
-                let limit = Duration::from_micros(self.links.config.connect_within).mul_f64(PROBE_TIME);
+                let limit = Duration::from_micros(self.context.config.connect_within).mul_f64(PROBE_TIME);
                 self.start(Errand::Probe, request, limit, Instant::now() + limit);
             }
             TargetNote::CallOff { id, trip } => {
@@ -263,33 +263,33 @@
         let (orders, heard) = watch::channel(Order::GoOn);
         let began = Instant::now();
         let idle = self.take_idle();
-        let (links, target) = (self.links.clone(), self.id);
+        let (context, target) = (self.context.clone(), self.id);
         let task = self.tasks.spawn(async move {
             let ended = match request {
                 Ok(call) => {
                     let bounds = Bounds { begin: begin_by, end: began + limit };
-                    carry(target, idle, call, &links, bounds, heard).await
+                    carry(target, idle, call, &context, bounds, heard).await
                 }
                 Err(problem) => {
-                    error!(links.log, "a call could not be written"; "problem" => %problem);
+                    error!(context.log, "a call could not be written"; "problem" => %problem);
                     Err(CallFault { stage: Stage::Writing, why: Why::Broken })
                 }
             };
-            let (answer, line) = match ended {
-                Ok(Came::Head(answer, line)) => (answer, line),
+            let (answer, connection) = match ended {
+                Ok(Came::Head(answer, connection)) => (answer, connection),
                 Ok(Came::Yes) => {
-                    links.tell(target, errand, Outcome::Delivered, true, Vec::new(), began).await;
+                    context.tell(target, errand, Outcome::Delivered, true, Vec::new(), began).await;
                     return None;
                 }
                 Err(fault) => {
-                    debug!(links.log, "a call failed"; "target" => %protocol::address(target), "fault" => %fault);
-                    links.tell(target, errand, fault.into(), false, Vec::new(), began).await;
+                    debug!(context.log, "a call failed"; "target" => %protocol::address(target), "fault" => %fault);
+                    context.tell(target, errand, fault.into(), false, Vec::new(), began).await;
                     return None;
                 }
             };
             let wait = protocol::decode_wait(answer.headers());
             let (outcome, over) = protocol::decode_answer(answer.status(), answer.headers(), wait);
-            let report = protocol::decode_report(answer.headers(), &links.names);
+            let report = protocol::decode_report(answer.headers(), &context.names);
             let rest = Limited::new(answer.into_body(), protocol::MOST_BODY).collect();
             let mut rest =
                 pin!(async { matches!(tokio::time::timeout(DRAIN, rest).await, Ok(Ok(_))) });
@@ -301,12 +301,12 @@
             // A wait binds from its head on, whatever comes of the rest; a refusal that is whole tells it with its end.
             let refused = matches!(outcome, Outcome::Full { .. }) && at_once == Some(true);
             if let Some(wait) = wait.filter(|_| !refused) {
-                links.say(Event::WaitTold { target, wait }).await;
+                context.say(Event::WaitTold { target, wait }).await;
             }
             // What ran, or may have, is told by the head. That it did not run is believed of a whole answer only.
             let head_tells = outcome.may_have_run();
             if head_tells {
-                links.tell(target, errand, outcome, over, report.clone(), began).await;
+                context.tell(target, errand, outcome, over, report.clone(), began).await;
             }
             let whole = match at_once {
                 Some(whole) => whole,
@@ -314,42 +314,42 @@
             };
             if !head_tells {
                 let (outcome, over) = if whole { (outcome, over) } else { (Outcome::Reset, false) };
-                links.tell(target, errand, outcome, over, report, began).await;
+                context.tell(target, errand, outcome, over, report, began).await;
             }
-            line.served(whole).await
+            connection.served(whole).await
         });
         self.underway.insert(task.id(), Underway { errand, began, orders });
     }
 
     /// The connection used last that has settled; where none has, the one used last.
-    fn take_idle(&mut self) -> Option<(Line, Instant)> {
+    fn take_idle(&mut self) -> Option<(Connection, Instant)> {
         let rest = self.rest();
         while !self.idle.is_empty() {
             let settled = self.idle.iter().rposition(|i| i.since.elapsed() >= SETTLE);
             let idle = self.idle.remove(settled.unwrap_or(self.idle.len() - 1));
-            if idle.since.elapsed() < rest && !idle.line.link.sender.is_closed() {
-                return Some((idle.line, idle.since));
+            if idle.since.elapsed() < rest && !idle.connection.link.sender.is_closed() {
+                return Some((idle.connection, idle.since));
             }
         }
         None
     }
 
-    fn keep(&mut self, line: Line) {
-        if let Ok(permit) = self.links.idle.clone().try_acquire_owned() {
-            self.idle.push(Idle { line, since: Instant::now(), _permit: permit });
+    fn keep(&mut self, connection: Connection) {
+        if let Ok(permit) = self.context.idle.clone().try_acquire_owned() {
+            self.idle.push(Idle { connection, since: Instant::now(), _permit: permit });
         }
     }
 
     /// A panic ends its own call only; how far that had come is not known.
     async fn broken(&mut self, problem: tokio::task::JoinError) {
-        error!(self.links.log, "a call broke off"; "problem" => %problem);
+        error!(self.context.log, "a call broke off"; "problem" => %problem);
         if let Some(Underway { errand, began, .. }) = self.underway.remove(&problem.id()) {
-            self.links.tell(self.id, errand, Outcome::Reset, false, Vec::new(), began).await;
+            self.context.tell(self.id, errand, Outcome::Reset, false, Vec::new(), began).await;
         }
     }
 }
 
-impl Links {
+impl TargetContext {
     async fn tell(
         &self,
         target: TargetId,
@@ -378,7 +378,7 @@
 
 /// What a call brought.
 enum Came {
-    Head(Response<Incoming>, Line),
+    Head(Response<Incoming>, Connection),
     /// A first line that says 200; the rest of the head never came, or was spoilt.
     Yes,
 }
@@ -392,27 +392,27 @@
 /// One call from its connection to the head of its answer.
 async fn carry(
     target: TargetId,
-    idle: Option<(Line, Instant)>,
+    idle: Option<(Connection, Instant)>,
     call: Outgoing,
-    links: &Links,
+    context: &TargetContext,
     bounds: Bounds,
     mut orders: watch::Receiver<Order>,
 ) -> Result<Came, CallFault> {
     // The stream on which the call goes now.
-    let (show, shown) = watch::channel::<Option<Arc<Sight>>>(None);
-    let show = |line: &Line| _ = show.send_replace(Some(line.sight.clone()));
+    let (show, shown) = watch::channel::<Option<Arc<StreamState>>>(None);
+    let show = |connection: &Connection| _ = show.send_replace(Some(connection.stream_state.clone()));
     let length = call.length;
     let too_late = CallFault { stage: Stage::Connecting, why: Why::TooLate };
     let in_time = || if Instant::now() < bounds.begin { Ok(()) } else { Err(too_late) };
     let work = async {
         // An idle connection that took no byte of this call carries none of it: a new one begins it.
-        if let Some((mut line, since)) = idle {
+        if let Some((mut connection, since)) = idle {
             tokio::time::sleep_until(since + SETTLE).await;
-            if line.link.usable().await {
+            if connection.link.usable().await {
                 in_time()?;
-                show(&line);
-                match line.send(call.clone()).await {
-                    Ok(answer) => return Ok(Came::Head(answer, line)),
+                show(&connection);
+                match connection.send(call.clone()).await {
+                    Ok(answer) => return Ok(Came::Head(answer, connection)),
                     Err(CallFault { stage: Stage::Connecting, .. }) => {}
                     Err(fault) => return Err(fault),
                 }
@@ -420,21 +420,21 @@
         }
         // Guards rule 2: a connection that comes up late must not carry a repeat out of the window of the first trip.
         in_time()?;
-        let open = Line::open(target, Duration::from_micros(links.config.connect_within));
-        let mut line = tokio::time::timeout_at(bounds.begin, open).await.map_err(|_| too_late)??;
+        let open = Connection::open(target, Duration::from_micros(context.config.connect_within));
+        let mut connection = tokio::time::timeout_at(bounds.begin, open).await.map_err(|_| too_late)??;
         in_time()?;
-        show(&line);
-        let answer = line.send(call).await?;
-        Ok(Came::Head(answer, line))
+        show(&connection);
+        let answer = connection.send(call).await?;
+        Ok(Came::Head(answer, connection))
     };
-    let sight = || shown.borrow().clone();
+    let stream_state = || shown.borrow().clone();
     let spoilt = async {
         let mut shown = shown.clone();
         loop {
             let now = shown.borrow_and_update().clone();
             let stuck = async {
                 match &now {
-                    Some(sight) => sight.stuck(HEAD_TIME).await,
+                    Some(stream_state) => stream_state.stuck(HEAD_TIME).await,
                     None => pending().await,
                 }
             };
@@ -445,7 +445,7 @@
         }
     };
     // Looked at in the same turn in which the work goes on: a call handed to a connection has no byte there before that.
-    let whole = || sight().is_some_and(|s| s.sent() >= length);
+    let whole = || stream_state().is_some_and(|s| s.sent() >= length);
     let ordered = async {
         while orders.changed().await.is_ok() {
             match *orders.borrow_and_update() {
@@ -466,7 +466,7 @@
     };
     // Dropping the work closes its connection: that is how a call is given up.
     let gone = |why| {
-        let begun = sight().is_some_and(|s| s.answer() != Answer::Unasked);
+        let begun = stream_state().is_some_and(|s| s.answer() != Answer::Unasked);
         let stage = if begun { Stage::Written } else { Stage::Connecting };
         Err(CallFault { stage, why })
     };
@@ -483,7 +483,7 @@
     };
     // A first line that says 200 is true, whatever came of the rest.
     match ended {
-        Err(_) if sight().is_some_and(|s| s.answer() == Answer::Says(200)) => Ok(Came::Yes),
+        Err(_) if stream_state().is_some_and(|s| s.answer() == Answer::Says(200)) => Ok(Came::Yes),
         ended => ended,
     }
 }
--- a/crates/forwarder/src/targets/tests.rs
+++ b/crates/forwarder/src/targets/tests.rs
@@ -28,7 +28,7 @@
         let port = listener.local_addr().expect("its address").port();
         let (dispatcher, notes) = mpsc::channel(16);
         let (mailbox, inbox) = mpsc::channel(16);
-        let links = Links {
+        let context = TargetContext {
             config: ConnectionConfig { idle_closed_after: IDLE, connect_within: 300_000 },
             names: Names {
                 profiles: Vec::new(),
@@ -42,7 +42,7 @@
             log: Logger::root(slog::Discard, slog::o!()),
         };
         let id = TargetId { address: [127, 0, 0, 1], port, holder: 0 };
-        let mut target = Target::new(id, Arc::new(links));
+        let mut target = Target::new(id, Arc::new(context));
         prepare(&mut target);
         tokio::spawn(target.run(inbox));
         Rig { listener, mailbox, notes, trips: 0 }
