--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,7 +1,7 @@
 //! Every decision of opalpulley. A front calls `Forwarder::new(config, seed)` once, then `handle(now, event,
 //! &mut actions)` for each event, in order, and carries out the actions. Three parts talk by notes only:
 //! `Forwarder` (loop, packet book, slots), `Destination` (queue, cap, pace, hold) and its `Target`s (places,
-//! outcomes, probing, drain, cold ramp). `Post` keeps an inbox for each; `Forwarder::settle` empties them.
+//! outcomes, probing, drain, cold ramp). `Mailboxes` has one for each; `Forwarder::settle` empties them.
 //! `lists` applies the membership list; `idle` holds destinations out of use as summaries.
 
 mod idle;
@@ -59,28 +59,29 @@
 const ROOM_USED: f64 = 0.95; // of the room that is used: the door must not turn work away blindly
 const SHARE_BURST: f64 = 2.0; // seconds of a tenant's share that may come at once: arrivals are uneven
 const COME_BACK: Micros = 1_000_000; // µs that a client is asked to stay away where no hold tells better
+type Attempt = (TargetId, Micros); // its target, and when it was sent
 
-struct Desk<'a> {
+struct DecisionContext<'a> {
     now: Micros,
     config: &'a Config,
     rng: &'a mut Pcg64Mcg,
-    post: &'a mut Post,
+    mailboxes: &'a mut Mailboxes,
     scarce: bool,     // connections are refused here and there
     times: &'a Times, // answer times over all targets
 }
 
-impl<'a> Desk<'a> {
+impl<'a> DecisionContext<'a> {
     fn row(&self, profile: usize) -> &'a ProfileConfig {
         &self.config.profiles[profile]
     }
     fn tell(&mut self, note: ToForwarder) {
-        self.post.forwarder.push_back(note);
+        self.mailboxes.forwarder.push_back(note);
     }
 }
 
-/// The inboxes of all parts; `Forwarder::settle` empties them within the event that filled them.
+/// The mailboxes of all parts; `Forwarder::settle` empties them within the event that filled them.
 #[derive(Default)]
-struct Post {
+struct Mailboxes {
     forwarder: VecDeque<ToForwarder>,
     destinations: VecDeque<(DestinationId, ToDestination)>,
     targets: VecDeque<(TargetId, ToTarget)>,
@@ -153,7 +154,7 @@
     turn: bool,
     exposed: Option<(Micros, u16)>, // the earliest trip that may have run: when sent, in which zone
     ready_at: Micros,
-    out: Option<(TargetId, Micros)>,
+    out: Option<Attempt>,
     called_off: bool,
     over: bool,
 }
@@ -243,10 +244,10 @@
     }
 
     /// Takes one call on: the next goes after the rest, give or take half, so that senders fall out of step.
-    fn pass(&mut self, desk: &mut Desk) {
-        let rest = self.rest * (0.5 + desk.rng.random::<f64>());
+    fn pass(&mut self, context: &mut DecisionContext) {
+        let rest = self.rest * (0.5 + context.rng.random::<f64>());
         let missed = (CATCH_UP * SECOND).max(CATCH_REST * self.rest) as Micros;
-        self.next = self.next.max(desk.now.saturating_sub(missed)) + rest as Micros;
+        self.next = self.next.max(context.now.saturating_sub(missed)) + rest as Micros;
     }
 
     fn longest(config: &Config) -> f64 {
@@ -254,24 +255,24 @@
     }
 
     /// Guards a limit against all who have yet to learn of it, each by a refusal: another has met one.
-    fn heard(&mut self, desk: &mut Desk) {
-        let rest = (EVEN_REST * self.even(desk.config)).min(Gate::longest(desk.config));
+    fn heard(&mut self, context: &mut DecisionContext) {
+        let rest = (EVEN_REST * self.even(context.config)).min(Gate::longest(context.config));
         if self.rest < rest {
-            (self.rest, self.grown) = (rest, desk.now);
-            self.next = self.next.max(desk.now + (rest * desk.rng.random::<f64>()) as Micros);
+            (self.rest, self.grown) = (rest, context.now);
+            self.next = self.next.max(context.now + (rest * context.rng.random::<f64>()) as Micros);
         }
     }
 
     /// Guards against refusals that breed refusals: each lengthens the rest between our calls.
-    fn refused(&mut self, sent: Micros, desk: &mut Desk) {
+    fn refused(&mut self, sent: Micros, context: &mut DecisionContext) {
         if sent >= self.grown {
-            let first = (FIRST_REST * SECOND / self.capacity).max(FIRST_SHARE * self.even(desk.config));
-            let most = (MOST_REST * self.even(desk.config)).min(Gate::longest(desk.config)).max(first);
-            let mild = self.rest.max(EVEN_REST * self.even(desk.config)) / CUT;
+            let first = (FIRST_REST * SECOND / self.capacity).max(FIRST_SHARE * self.even(context.config));
+            let most = (MOST_REST * self.even(context.config)).min(Gate::longest(context.config)).max(first);
+            let mild = self.rest.max(EVEN_REST * self.even(context.config)) / CUT;
             self.rest = (2.0 * self.rest).min(mild).clamp(first, most);
-            self.grown = desk.now;
+            self.grown = context.now;
         }
-        self.pass(desk);
+        self.pass(context);
     }
 }
 
@@ -290,51 +291,52 @@
 }
 
 impl Destination {
-    fn read(&mut self, note: ToDestination, desk: &mut Desk) {
+    fn read(&mut self, note: ToDestination, context: &mut DecisionContext) {
         match note {
             ToDestination::Take(packet) => {
-                self.queue.join(&packet.entry(desk.config));
+                self.queue.join(&packet.entry(context.config));
                 self.packets.insert(packet.id, packet);
-                self.tick(1.0, LONE, desk); // at once: it may have less time than the next look takes
+                self.tick(1.0, LONE, context); // at once: it may have less time than the next look takes
             }
             ToDestination::Turn(id) => self.packets.get_mut(&id).into_iter().for_each(|packet| {
                 packet.turn = true;
-                self.queue.turn(&packet.entry(desk.config));
+                self.queue.turn(&packet.entry(context.config));
             }),
             ToDestination::Over { id, target, outcome, took, closed } => {
                 let out = self.packets.get_mut(&id).and_then(|p| p.out.take_if(|o| o.0 == target));
                 let Some((_, sent)) = out else { return };
                 self.out.remove(&id);
                 self.packets.entry(id).and_modify(|p| p.over |= closed);
-                desk.post.targets.push_back((target, ToTarget::Over { sent, outcome, took }));
-                self.trip_over(id, (target, sent), outcome, desk);
+                context.mailboxes.targets.push_back((target, ToTarget::Over { sent, outcome, took }));
+                self.trip_over(id, (target, sent), outcome, context);
             }
             ToDestination::Withdrawn(id) => match self.packets.get_mut(&id) {
                 // Its trip still runs: it keeps its turn and its place until the outcome has come.
                 Some(packet) if packet.out.is_some() => packet.over = true,
-                Some(_) => self.end(id, None, desk),
+                Some(_) => self.end(id, None, context),
                 None => {}
             },
             ToDestination::Left(target) => drop(self.cards.remove(&target)),
             ToDestination::Listed { target, rate } => {
                 self.cards.entry(target).or_default();
                 let gate = self.gates.entry(self.apart.then_some(target)).or_default();
-                let (capacity, known) = Gate::listed(rate, desk.config);
+                let (capacity, known) = Gate::listed(rate, context.config);
                 gate.capacity = capacity;
                 // Guards small destinations against the first packets of many: a wait so long loses nothing.
-                if std::mem::replace(&mut gate.eased, desk.now) == 0 {
-                    let (rest, most) = (EVEN_REST * gate.even(desk.config), Packet::ahead(desk.config)[2]);
+                if std::mem::replace(&mut gate.eased, context.now) == 0 {
+                    let (rest, most) =
+                        (EVEN_REST * gate.even(context.config), Packet::ahead(context.config)[2]);
                     gate.rest = if known || rest < most { rest.min(most) } else { 0.0 };
                 }
             }
             ToDestination::Card { target, card } => _ = self.cards.entry(target).and_modify(|c| *c = card),
-            ToDestination::Tick { patiences } => self.tick(0.0, patiences, desk),
+            ToDestination::Tick { patiences } => self.tick(0.0, patiences, context),
             // Not where routes are apart: each is at a limit of its own.
-            ToDestination::AtLimit => self.gates.get_mut(&None).into_iter().for_each(|g| g.heard(desk)),
-            ToDestination::WaitTold { target, wait } => self.heed(target, wait, desk),
-            ToDestination::Offer => self.bid(desk),
-            ToDestination::Award => self.carry(desk),
-            ToDestination::Shed => self.shed(desk),
+            ToDestination::AtLimit => self.gates.get_mut(&None).into_iter().for_each(|g| g.heard(context)),
+            ToDestination::WaitTold { target, wait } => self.heed(target, wait, context),
+            ToDestination::Offer => self.bid(context),
+            ToDestination::Award => self.carry(context),
+            ToDestination::Shed => self.shed(context),
         }
         let known = !self.cards.is_empty() || self.gates.is_empty();
         let still = known && self.packets.is_empty() && self.cards.values().all(|c| c.still);
@@ -343,7 +345,7 @@
             troubled: self.troubled(),
             waiting: self.queue.len(),
         });
-        desk.tell(ToForwarder::State { destination: self.id, state });
+        context.tell(ToForwarder::State { destination: self.id, state });
     }
 
     fn waiting(&self, ids: Vec<PacketId>) -> impl Iterator<Item = &Packet> {
@@ -358,27 +360,27 @@
         self.cards.values().any(|c| c.troubled)
     }
 
-    fn end(&mut self, id: PacketId, answer: Option<Action>, desk: &mut Desk) {
+    fn end(&mut self, id: PacketId, answer: Option<Action>, context: &mut DecisionContext) {
         self.out.remove(&id);
         if let Some(packet) = self.packets.remove(&id) {
-            self.queue.leave(&packet.entry(desk.config));
+            self.queue.leave(&packet.entry(context.config));
         }
         let answered = answer.is_some();
-        answer.into_iter().for_each(|answer| desk.tell(ToForwarder::Do(answer)));
-        desk.tell(ToForwarder::Ended { id, answered });
+        answer.into_iter().for_each(|answer| context.tell(ToForwarder::Do(answer)));
+        context.tell(ToForwarder::Ended { id, answered });
     }
 
-    fn trip_over(&mut self, id: PacketId, trip: (TargetId, Micros), outcome: Outcome, desk: &mut Desk) {
+    fn trip_over(&mut self, id: PacketId, trip: Attempt, outcome: Outcome, context: &mut DecisionContext) {
         let (target, sent) = trip;
         if let Outcome::Full { wait } = outcome {
-            self.heed(target, wait.unwrap_or(0), desk);
+            self.heed(target, wait.unwrap_or(0), context);
             let gate = self.gates.get_mut(&self.apart.then_some(target));
-            gate.into_iter().for_each(|gate| gate.refused(sent, desk));
+            gate.into_iter().for_each(|gate| gate.refused(sent, context));
         }
         let Some(packet) = self.packets.get_mut(&id) else { return };
         let zone = self.cards.get(&target).map_or(0, |c| c.zone);
         if let (Outcome::Timeout | Outcome::Reset | Outcome::CalledOff, Some(key)) = (outcome, packet.key) {
-            desk.tell(ToForwarder::Unclear { key });
+            context.tell(ToForwarder::Unclear { key });
         }
         if outcome.may_have_run() && packet.exposed.is_none() {
             packet.exposed = Some((sent, zone));
@@ -386,128 +388,125 @@
         if packet.over || outcome == Outcome::Delivered {
             // What a target did too late is over for it alone: the packet's end is still owed.
             let owed = (!packet.over).then_some(Action::WriteOff { id });
-            return self.end(id, owed, desk);
+            return self.end(id, owed, context);
         }
         if outcome == Outcome::TakenBack {
             packet.trips -= 1; // it keeps its place in the queue
-            return self.queue.join(&packet.entry(desk.config));
+            return self.queue.join(&packet.entry(context.config));
         }
-        let longest = (LONGEST_WAIT * desk.row(packet.profile).expiry as f64) as Micros;
+        let longest = (LONGEST_WAIT * context.row(packet.profile).expiry as f64) as Micros;
         let wait = (BASE_WAIT << packet.trips.saturating_sub(1).min(20)).min(longest);
         // Guards against clumps that come due together: chance spreads them, and the waits still grow.
-        packet.ready_at = desk.now + wait + (wait as f64 * JITTER * desk.rng.random::<f64>()) as Micros;
-        let entry = packet.entry(desk.config);
+        packet.ready_at = context.now + wait + (wait as f64 * JITTER * context.rng.random::<f64>()) as Micros;
+        let entry = packet.entry(context.config);
         self.queue.join(&entry);
         if entry.ready_at >= entry.last_send {
-            self.end(id, Some(Action::WriteOff { id }), desk);
+            self.end(id, Some(Action::WriteOff { id }), context);
         }
     }
 
     /// A told wait binds all behind the gate from when it is heard: also calls chosen before it.
-    fn heed(&mut self, target: TargetId, wait: Micros, desk: &mut Desk) {
+    fn heed(&mut self, target: TargetId, wait: Micros, context: &mut DecisionContext) {
         let gate = self.gates.get_mut(&self.apart.then_some(target)).filter(|_| wait > 0);
         let Some(gate) = gate else { return };
-        gate.held = gate.held.max(desk.now.saturating_add(wait));
+        gate.held = gate.held.max(context.now.saturating_add(wait));
         gate.next = gate.next.max(gate.held);
         // Guards a destination that is shut, for longer than a limit holds: all behind its gate are cold.
-        let shut = wait > desk.config.rules.overload_for;
+        let shut = wait > context.config.rules.overload_for;
         for t in self.cards.keys().filter(|t| !self.apart || **t == target) {
-            desk.post.targets.push_back((*t, ToTarget::Held { shut }));
+            context.mailboxes.targets.push_back((*t, ToTarget::Held { shut }));
         }
     }
 
-    fn tick(&mut self, demand: f64, patiences: f64, desk: &mut Desk) {
+    fn tick(&mut self, demand: f64, patiences: f64, context: &mut DecisionContext) {
         let listed = |t: Option<TargetId>| t.map_or(!self.cards.is_empty(), |t| self.cards.contains_key(&t));
-        self.gates.retain(|t, gate| listed(*t) || gate.held > desk.now);
-        self.gates.values_mut().for_each(|gate| gate.ease(desk.now));
+        self.gates.retain(|t, gate| listed(*t) || gate.held > context.now);
+        self.gates.values_mut().for_each(|gate| gate.ease(context.now));
         let ready = self.cards.values().filter(|c| c.ready).count().max(1) as f64;
         for target in self.cards.keys() {
             let Some(gate) = self.gates.get(&self.apart.then_some(*target)) else { continue };
             let capacity = gate.capacity / if self.apart { 1.0 } else { ready };
-            let note = ToTarget::Tick { capacity, demand: demand / ready, held: desk.now < gate.held };
-            desk.post.targets.push_back((*target, note));
+            let note = ToTarget::Tick { capacity, demand: demand / ready, held: context.now < gate.held };
+            context.mailboxes.targets.push_back((*target, note));
         }
         let held = self.held();
-        self.call_off(patiences, desk);
-        let over = |p: &&Packet| held >= p.expires || desk.now + 2 * TICK >= p.last_send(desk.config);
-        let by = held.max(desk.now + 2 * TICK);
-        let over: Vec<PacketId> =
-            self.waiting(self.queue.expiring_by(by)).filter(over).map(|p| p.id).collect();
-        over.into_iter().for_each(|id| self.give_up(id, desk));
+        self.call_off(patiences, context);
+        let over = |p: &&Packet| held >= p.expires || context.now + 2 * TICK >= p.last_send(context.config);
+        let by = held.max(context.now + 2 * TICK);
+        let over: Vec<_> = self.waiting(self.queue.expiring_by(by)).filter(over).map(|p| p.id).collect();
+        over.into_iter().for_each(|id| self.give_up(id, context));
     }
 
     /// Guards against trips that get lost on the way; where nothing is answered they go on for longer.
-    fn call_off(&mut self, patiences: f64, desk: &mut Desk) {
-        let may = desk.config.may_call_off;
-        for id in self.out.iter().filter(|_| may) {
+    fn call_off(&mut self, patiences: f64, context: &mut DecisionContext) {
+        for id in self.out.iter().filter(|_| context.config.may_call_off) {
             let packet = self.packets.get_mut(id).filter(|p| !p.called_off && !p.over);
             let Some((packet, (target, sent))) = packet.and_then(|p| p.out.map(|o| (p, o))) else { continue };
             let Some(card) = self.cards.get(&target) else { continue };
-            let late = (desk.now - sent) as f64 / packet.patience(card);
-            let binding = desk.row(packet.profile).effect == Effect::Binding;
+            let late = (context.now - sent) as f64 / packet.patience(card);
+            let binding = context.row(packet.profile).effect == Effect::Binding;
             if !card.aside && late > if binding { LONE * patiences } else { patiences } {
                 packet.called_off = true;
-                desk.tell(ToForwarder::Do(Action::CallOff { id: packet.id, trip: (packet.trips - 1) as u8 }));
+                context.tell(ToForwarder::Do(Action::CallOff { id: *id, trip: (packet.trips - 1) as u8 }));
             }
         }
     }
 
     /// A final answer for a packet that waits: deferred where trying again is harmless, else written off.
-    fn give_up(&mut self, id: PacketId, desk: &mut Desk) {
+    fn give_up(&mut self, id: PacketId, context: &mut DecisionContext) {
         let Some(packet) = self.packets.get(&id) else { return };
-        let harmless = packet.exposed.is_none() || desk.row(packet.profile).effect == Effect::Retriable;
-        let wait = COME_BACK.max(self.held().saturating_sub(desk.now));
-        let come_back = wait.min(desk.config.longest_return);
+        let harmless = packet.exposed.is_none() || context.row(packet.profile).effect == Effect::Retriable;
+        let wait = COME_BACK.max(self.held().saturating_sub(context.now));
+        let come_back = wait.min(context.config.longest_return);
         // What was never sent on has not failed, however late it is.
-        let answer = match harmless && (packet.trips == 0 || desk.now + wait < packet.expires) {
-            true => Action::Defer { id, come_back: desk.config.may_say_when.then_some(come_back) },
+        let answer = match harmless && (packet.trips == 0 || context.now + wait < packet.expires) {
+            true => Action::Defer { id, come_back: context.config.may_say_when.then_some(come_back) },
             false => Action::WriteOff { id },
         };
-        self.end(id, Some(answer), desk);
+        self.end(id, Some(answer), context);
     }
 
-    fn shed(&mut self, desk: &mut Desk) {
-        let worth = |p: &Packet| p.worth_at(desk.now as f64, desk.config);
+    fn shed(&mut self, context: &mut DecisionContext) {
+        let worth = |p: &Packet| p.worth_at(context.now as f64, context.config);
         let all = self.waiting(self.queue.expiring_by(Micros::MAX));
         let least = all.min_by(|a, b| worth(a).total_cmp(&worth(b)).then(b.due.cmp(&a.due)));
-        least.map(|p| p.id).into_iter().for_each(|id| self.give_up(id, desk));
+        least.map(|p| p.id).into_iter().for_each(|id| self.give_up(id, context));
     }
 
     /// The packet that a target should get next, and what is lost by leaving it.
-    fn next_for(&self, card: &Card, desk: &Desk) -> Option<(PacketId, f64)> {
+    fn next_for(&self, card: &Card, context: &DecisionContext) -> Option<(PacketId, f64)> {
         let mut ids = Vec::new();
         for (rank, ranked) in self.queue.ranks().filter(|(r, _)| r.zone.is_none_or(|z| z == card.zone)) {
-            let row = desk.row(rank.profile);
+            let (row, config) = (context.row(rank.profile), context.config);
             // Guards binding packets against targets that lose what they take, while time remains.
-            let late = desk.now as i64 + (row.expiry / 4) as i64 - rank.span;
+            let late = context.now as i64 + (row.expiry / 4) as i64 - rank.span;
             let to = if row.effect == Effect::Binding && card.troubled { late - 1 } else { i64::MAX };
-            let from = (desk.now + 2 * TICK) as i64 - rank.last + 1;
+            let from = (context.now + 2 * TICK) as i64 - rank.last + 1;
             let fade = -row.late_share.max(f64::MIN_POSITIVE).log2() * row.contract_time as f64;
-            let cuts = || rank.cuts(desk.now as f64, card.answer_time, Packet::ahead(desk.config), fade);
+            let cuts = || rank.cuts(context.now as f64, card.answer_time, Packet::ahead(config), fade);
             DispatchQueue::ends(ranked, from..=to, cuts, &mut ids);
         }
         self.waiting(ids)
-            .map(|p| (p, p.loss(desk.now, card.answer_time, desk.config)))
+            .map(|p| (p, p.loss(context.now, card.answer_time, context.config)))
             .max_by(|(a, x), (b, y)| x.total_cmp(y).then(b.due.cmp(&a.due)).then(b.id.cmp(&a.id)))
             .map(|(p, loss)| (p.id, loss))
     }
 
-    fn bid(&mut self, desk: &mut Desk) {
+    fn bid(&mut self, context: &mut DecisionContext) {
         self.pick = None;
-        self.queue.wake(desk.now, |id| self.packets.get(&id).map(|p| p.entry(desk.config)));
+        self.queue.wake(context.now, |id| self.packets.get(&id).map(|p| p.entry(context.config)));
         let share = if self.troubled() { CAP_TROUBLED } else { CAP_WELL };
-        let cap = ((share * f64::from(desk.config.slots)) as usize).max(1);
+        let cap = ((share * f64::from(context.config.slots)) as usize).max(1);
         if self.cards.values().map(|c| c.calls).sum::<usize>() >= cap {
             return;
         }
         let mut able: Vec<(f64, TargetId)> = Vec::new();
         for (target, card) in self.cards.iter().filter(|(_, card)| card.ready && card.open > 0) {
             match self.gates.get_mut(&self.apart.then_some(*target)) {
-                Some(gate) if desk.now >= gate.held.max(gate.next) => {
+                Some(gate) if context.now >= gate.held.max(gate.next) => {
                     // Cheapest route first, then the one with the most room for its pace.
-                    let cost =
-                        card.fee * SECOND * SECOND + card.answer_time * (card.calls as f64 + card.leaning);
-                    able.push((cost, *target));
+                    let busy = card.calls as f64 + card.leaning;
+                    able.push((card.fee * SECOND * SECOND + card.answer_time * busy, *target));
                 }
                 Some(gate) => gate.short = true,
                 None => {}
@@ -517,32 +516,32 @@
         // Slots are what is short: what is lost counts by the time that the call will hold one.
         // Guards packets in time against late ones, which lose no more by waiting: until a call is to spare.
         let spare = |t: TargetId| {
-            self.gates.get(&self.apart.then_some(t)).is_none_or(|g| desk.now >= g.next + g.rest as Micros)
+            self.gates.get(&self.apart.then_some(t)).is_none_or(|g| context.now >= g.next + g.rest as Micros)
         };
         let next = |t: TargetId| {
-            let (id, loss) = self.next_for(&self.cards[&t], desk)?;
-            let goes = spare(t) || self.packets[&id].due > desk.now;
+            let (id, loss) = self.next_for(&self.cards[&t], context)?;
+            let goes = spare(t) || self.packets[&id].due > context.now;
             goes.then(|| (t, loss / self.cards[&t].answer_time.max(1.0)))
         };
         if let Some((target, gain)) = able.into_iter().find_map(|(_, target)| next(target)) {
             self.pick = Some(target);
-            desk.tell(ToForwarder::Bid { destination: self.id, gain });
+            context.tell(ToForwarder::Bid { destination: self.id, gain });
         }
     }
 
-    fn carry(&mut self, desk: &mut Desk) {
+    fn carry(&mut self, context: &mut DecisionContext) {
         let Some(target) = self.pick.take() else { return };
         let Some(card) = self.cards.get(&target).copied() else { return };
-        self.gates.entry(self.apart.then_some(target)).and_modify(|gate| gate.pass(desk));
+        self.gates.entry(self.apart.then_some(target)).and_modify(|gate| gate.pass(context));
         for _ in 0..self.per_call {
-            let Some((id, _)) = self.next_for(&card, desk) else { break };
+            let Some((id, _)) = self.next_for(&card, context) else { break };
             let Some(packet) = self.packets.get_mut(&id) else { break };
-            self.queue.leave(&packet.entry(desk.config));
+            self.queue.leave(&packet.entry(context.config));
             self.out.insert(id);
             packet.trips += 1;
-            packet.out = Some((target, desk.now));
+            packet.out = Some((target, context.now));
             packet.called_off = false;
-            let row = desk.row(packet.profile);
+            let row = context.row(packet.profile);
             // Guards the slots against calls that hang: they take twice as long as one that is called off.
             let most = (LONE * LONE * packet.patience(&card)).min(row.expiry as f64 / 2.0);
             let limit = match row.effect {
@@ -551,10 +550,10 @@
                 Effect::Retriable => Some(most as Micros),
                 Effect::Fingerprinted { window, .. } => Some((most as Micros).min(window / 2)),
             };
-            let limit = limit.map(|l| l.clamp(1, packet.expires - desk.now));
-            desk.post.targets.push_back((target, ToTarget::Board));
-            let begin_by = packet.last_send(desk.config).saturating_sub(2 * TICK);
-            desk.tell(ToForwarder::Do(Action::Send { id, target, limit, begin_by }));
+            let limit = limit.map(|l| l.clamp(1, packet.expires - context.now));
+            context.mailboxes.targets.push_back((target, ToTarget::Board));
+            let begin_by = packet.last_send(context.config).saturating_sub(2 * TICK);
+            context.tell(ToForwarder::Do(Action::Send { id, target, limit, begin_by }));
         }
     }
 }
@@ -600,26 +599,26 @@
         rng.random_range(0.5..1.5)
     }
 
-    fn read(&mut self, note: ToTarget, desk: &mut Desk) {
+    fn read(&mut self, note: ToTarget, context: &mut DecisionContext) {
         let before = self.card;
         match note {
             ToTarget::Listed { zone, standing, fee } => {
-                self.take_back(standing != Standing::Ready, desk);
+                self.take_back(standing != Standing::Ready, context);
                 // Guards a target that goes and comes back while it may be cold: it is not forgotten so soon.
-                let rest = if standing == Standing::Gone { desk.config.rules.warm_after } else { 0 };
-                self.next_probe = desk.now.saturating_add(rest);
+                let rest = if standing == Standing::Gone { context.config.rules.warm_after } else { 0 };
+                self.next_probe = context.now.saturating_add(rest);
                 (self.card.zone, self.standing, self.card.fee) = (zone.0, standing, fee);
-                self.card.leaning = Target::leaning(desk.rng);
+                self.card.leaning = Target::leaning(context.rng);
             }
             ToTarget::Board => match self.calls.last_mut() {
-                Some(call) if call.sent == desk.now && call.riders < self.per_call => {
+                Some(call) if call.sent == context.now && call.riders < self.per_call => {
                     call.riders += 1;
                     self.budget.left -= RIDER;
                 }
                 _ => {
-                    self.calls.push(Call { sent: desk.now, riders: 1, judged: false });
+                    self.calls.push(Call { sent: context.now, riders: 1, judged: false });
                     self.budget.left -= 1.0;
-                    if self.health == Health::Probed && desk.config.may_probe {
+                    if self.health == Health::Probed && context.config.may_probe {
                         self.health = Health::Aside;
                     }
                 }
@@ -633,64 +632,64 @@
                     self.calls.remove(place);
                 }
                 // Guards a target's connections against many forwarders that each keep one and seldom use it.
-                if self.calls.is_empty() && desk.scarce {
-                    desk.tell(ToForwarder::Do(Action::CloseIdle { target: self.id }));
+                if self.calls.is_empty() && context.scarce {
+                    context.tell(ToForwarder::Do(Action::CloseIdle { target: self.id }));
                 }
                 if first {
-                    self.judge(outcome, took, desk);
+                    self.judge(outcome, took, context);
                 }
             }
             ToTarget::Probed { outcome } => {
-                self.next_probe = if self.standing == Standing::Gone { self.next_probe } else { desk.now };
+                self.next_probe = if self.standing == Standing::Gone { self.next_probe } else { context.now };
                 if self.health == Health::Aside && outcome == Outcome::Delivered {
                     self.health = Health::Probed;
                 }
             }
             ToTarget::Held { shut } => {
-                self.take_back(true, desk);
+                self.take_back(true, context);
                 if shut {
-                    self.set_aside("it is shut", desk);
+                    self.set_aside("it is shut", context);
                 }
             }
             ToTarget::Tick { capacity, demand, held } => {
                 self.capacity = capacity;
-                self.tick(demand, held, desk);
+                self.tick(demand, held, context);
             }
         }
-        let card = self.card(desk);
+        let card = self.card(context);
         if card != before {
             let note = ToDestination::Card { target: self.id, card };
-            desk.post.destinations.push_back((self.destination, note));
+            context.mailboxes.destinations.push_back((self.destination, note));
         }
     }
 
     /// Guards what binds from now on against calls and probes chosen before: what has yet to go comes back.
-    fn take_back(&self, bound: bool, desk: &mut Desk) {
+    fn take_back(&self, bound: bool, context: &mut DecisionContext) {
         if bound && (!self.calls.is_empty() || self.next_probe == Micros::MAX) {
-            desk.tell(ToForwarder::Do(Action::TakeBack { target: self.id }));
+            context.tell(ToForwarder::Do(Action::TakeBack { target: self.id }));
         }
     }
 
-    fn judge(&mut self, outcome: Outcome, took: Micros, desk: &mut Desk) {
-        self.row_since = if self.failures == 0 { desk.now } else { self.row_since };
+    fn judge(&mut self, outcome: Outcome, took: Micros, context: &mut DecisionContext) {
+        self.row_since = if self.failures == 0 { context.now } else { self.row_since };
         self.refusals *= u32::from(!matches!(outcome, Outcome::Delivered | Outcome::Full { .. }));
-        let passing = desk.now < self.answered + 2 * SILENCE && self.refusals < REFUSED_ROW;
+        let passing = context.now < self.answered + 2 * SILENCE && self.refusals < REFUSED_ROW;
         match outcome {
             // Guards against taking a full connection table for an outage: others of our calls got through.
             Outcome::NoConnection if passing => return self.refusals += 1,
             Outcome::TakenBack => return self.budget.left = (self.budget.left + 1.0).min(1.0),
             Outcome::Moot { .. } => return,
-            Outcome::CalledOff if !self.even(desk.now, desk.config).1 => return,
+            Outcome::CalledOff if !self.even(context.now, context.config).1 => return,
             Outcome::Delivered => {
-                (self.answered, self.failures) = (desk.now, 0);
+                (self.answered, self.failures) = (context.now, 0);
                 self.times.learn(took as f64, NEW_ANSWER);
                 if self.aside() {
-                    self.health = Health::Warming(desk.now);
+                    self.health = Health::Warming(context.now);
                     self.recent.clear();
-                    self.log("taken back: it answers", desk);
+                    self.log("taken back: it answers", context);
                 }
             }
-            Outcome::Full { .. } => (self.answered, self.failures) = (desk.now, self.failures + 1),
+            Outcome::Full { .. } => (self.answered, self.failures) = (context.now, self.failures + 1),
             _ => self.failures += 1,
         }
         if !matches!(outcome, Outcome::Full { .. }) {
@@ -700,29 +699,29 @@
         let successes = self.recent.iter().filter(|s| **s).count();
         let most_fail = self.recent.len() == LAST_FEW && successes < ASIDE_SUCCESSES;
         let full = matches!(outcome, Outcome::Full { .. });
-        let scant = !full && self.even(desk.now, desk.config).1;
+        let scant = !full && self.even(context.now, context.config).1;
         // Guards a destination at its limit against being taken for a shut one: that lasts longer.
-        let span = if full { desk.config.rules.overload_for } else { 0 };
-        let row = self.failures.max(self.refusals) >= ASIDE_ROW && desk.now >= self.row_since + span;
+        let span = if full { context.config.rules.overload_for } else { 0 };
+        let row = self.failures.max(self.refusals) >= ASIDE_ROW && context.now >= self.row_since + span;
         if row || scant && self.failures >= SCANT_ROW || most_fail {
-            self.set_aside("most calls fail", desk);
+            self.set_aside("most calls fail", context);
         }
     }
 
-    fn set_aside(&mut self, why: &str, desk: &mut Desk) {
+    fn set_aside(&mut self, why: &str, context: &mut DecisionContext) {
         if !self.aside() {
-            self.log(&format!("set aside: {why}"), desk);
+            self.log(&format!("set aside: {why}"), context);
             // By chance, for forwarders that set it aside together are not to try it together.
-            self.budget = ColdBudget::new(desk.rng.random(), desk.now);
+            self.budget = ColdBudget::new(context.rng.random(), context.now);
         }
-        self.health = if desk.config.may_probe { Health::Aside } else { Health::Probed };
+        self.health = if context.config.may_probe { Health::Aside } else { Health::Probed };
         self.recent.clear();
     }
 
-    fn log(&self, what: &str, desk: &mut Desk) {
+    fn log(&self, what: &str, context: &mut DecisionContext) {
         let (destination, [a, b, c, d]) = (self.destination.0, self.id.address);
         let words = format!("destination {destination} target {a}.{b}.{c}.{d} {what}");
-        desk.tell(ToForwarder::Do(Action::Log(words)));
+        context.tell(ToForwarder::Do(Action::Log(words)));
     }
 
     /// Part of its capacity that it may get from all forwarders while it may be cold.
@@ -742,33 +741,33 @@
         (if scant { even / 2.0 } else { even }, scant)
     }
 
-    fn tick(&mut self, demand: f64, held: bool, desk: &mut Desk) {
-        let (even, scant) = self.even(desk.now, desk.config);
+    fn tick(&mut self, demand: f64, held: bool, context: &mut DecisionContext) {
+        let (even, scant) = self.even(context.now, context.config);
         if self.health != Health::Well {
-            let own = if scant { demand / 2.0 * self.cold(desk.now, &desk.config.rules) } else { 0.0 };
-            self.budget.fill(desk.now, even, own, EARNED * even);
+            let own = if scant { demand / 2.0 * self.cold(context.now, &context.config.rules) } else { 0.0 };
+            self.budget.fill(context.now, even, own, EARNED * even);
         }
         // Guards against all that a hold has kept back: they must not come at once when it ends.
         if held && self.budget.left >= 1.0 {
-            self.budget.left = desk.rng.random();
+            self.budget.left = context.rng.random();
         }
-        if matches!(self.health, Health::Warming(s) if desk.now >= s + desk.config.rules.warm_after) {
+        if matches!(self.health, Health::Warming(s) if context.now >= s + context.config.rules.warm_after) {
             self.health = Health::Well;
         }
         // Guards against work sunk into a target that takes calls and answers none.
-        if self.health == Health::Well && self.silent(desk.now, self.card.trip_time) >= 2 {
-            self.set_aside("it keeps silent", desk);
+        if self.health == Health::Well && self.silent(context.now, self.card.trip_time) >= 2 {
+            self.set_aside("it keeps silent", context);
         }
-        let may = desk.config.may_probe && self.standing == Standing::Ready && !held;
-        if may && self.health == Health::Aside && desk.now >= self.next_probe && self.budget.left >= 1.0 {
+        let may = context.config.may_probe && self.standing == Standing::Ready && !held;
+        if may && self.health == Health::Aside && context.now >= self.next_probe && self.budget.left >= 1.0 {
             // A packet serves as the probe where a second call would come late, else by chance.
-            let late = even * Packet::ahead(desk.config)[2] < SECOND;
-            if scant || late || desk.rng.random_bool(PACKET_TRIES) {
+            let late = even * Packet::ahead(context.config)[2] < SECOND;
+            if scant || late || context.rng.random_bool(PACKET_TRIES) {
                 return self.health = Health::Probed;
             }
             self.budget.left -= 1.0;
             self.next_probe = Micros::MAX; // until this one is answered
-            desk.tell(ToForwarder::Do(Action::Probe { target: self.id }));
+            context.tell(ToForwarder::Do(Action::Probe { target: self.id }));
         }
     }
 
@@ -785,8 +784,9 @@
         ((1.0 + PLACES * busy).ceil() as usize).max(FIRST_PLACES)
     }
 
-    fn card(&mut self, desk: &Desk) -> Card {
-        let room = self.places(desk.times).saturating_sub(self.calls.len());
+    fn card(&mut self, context: &DecisionContext) -> Card {
+        let all = context.times;
+        let room = self.places(all).saturating_sub(self.calls.len());
         let cold = self.budget.left as usize; // no less than nought
         let open = match self.health {
             Health::Well => room,
@@ -794,8 +794,8 @@
             Health::Probed | Health::Warming(_) => room.min(cold),
         };
         let failed = self.recent.iter().filter(|s| !**s).count();
-        let late = self.times.with(desk.times, FEW, |t| t.mean + TAIL / 2.0 * t.deviation);
-        let slow = late > 0.0 && self.silent(desk.now, late) > 0;
+        let late = self.times.with(all, FEW, |t| t.mean + TAIL / 2.0 * t.deviation);
+        let slow = late > 0.0 && self.silent(context.now, late) > 0;
         self.card = Card {
             open,
             calls: self.calls.len(),
@@ -803,9 +803,9 @@
             aside: self.aside(),
             troubled: self.aside() || slow || failed >= TROUBLED_FAILURES,
             still: self.calls.is_empty()
-                && (self.health == Health::Well || self.even(desk.now, desk.config).1),
-            answer_time: self.times.with(desk.times, FEW, |t| t.mean),
-            trip_time: self.times.with(desk.times, FEW, |t| t.mean + TAIL * t.deviation).max(SILENCE as f64),
+                && (self.health == Health::Well || self.even(context.now, context.config).1),
+            answer_time: self.times.with(all, FEW, |t| t.mean),
+            trip_time: self.times.with(all, FEW, |t| t.mean + TAIL * t.deviation).max(SILENCE as f64),
             ..self.card
         };
         self.card
@@ -821,7 +821,7 @@
 pub struct Forwarder {
     config: Config,
     rng: Pcg64Mcg,
-    post: Post,
+    mailboxes: Mailboxes,
     book: BTreeMap<PacketId, (DestinationId, Option<OrderKey>)>, // an entry leaves with its packet
     destinations: BTreeMap<DestinationId, Destination>, // emptied of those without targets, packets and holds
     targets: BTreeMap<TargetId, Target>,                // emptied of those gone for the warm-up time and idle
@@ -846,7 +846,7 @@
         Forwarder {
             config,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            post: Post::default(),
+            mailboxes: Mailboxes::default(),
             book: BTreeMap::new(),
             destinations: BTreeMap::new(),
             targets: BTreeMap::new(),
@@ -889,13 +889,12 @@
                 self.pass_on(id, ToDestination::Over { id, target, outcome, took, closed });
             }
             Event::WaitTold { target, wait } => {
-                let at = self.targets.get(&target).map(|t| t.destination);
-                let note = ToDestination::WaitTold { target, wait };
-                self.post.destinations.extend(at.map(|at| (at, note)));
+                let to = self.targets.get(&target).map(|t| t.destination);
+                self.mailboxes.destinations.extend(to.map(|d| (d, ToDestination::WaitTold { target, wait })));
             }
             Event::Withdrawn { id } => self.pass_on(id, ToDestination::Withdrawn(id)),
             Event::ProbeAnswered { target, outcome, .. } => {
-                self.post.targets.push_back((target, ToTarget::Probed { outcome }));
+                self.mailboxes.targets.push_back((target, ToTarget::Probed { outcome }));
             }
             Event::Heard { id } => {
                 let key = self.unheard.remove(&id);
@@ -914,7 +913,7 @@
                 let known = |at| self.destinations.contains_key(&at) || self.idle.holds(at);
                 let at = self.gossip.heard(now, from, &message, known, actions);
                 let full = at.filter(|at| !self.limit_idle(now, *at));
-                self.post.destinations.extend(full.map(|at| (at, ToDestination::AtLimit)));
+                self.mailboxes.destinations.extend(full.map(|at| (at, ToDestination::AtLimit)));
             }
             Event::Alarm { .. } | Event::TripBegun { .. } => {}
         }
@@ -929,7 +928,7 @@
 
     fn pass_on(&mut self, id: PacketId, note: ToDestination) {
         if let Some((destination, _)) = self.book.get(&id) {
-            self.post.destinations.push_back((*destination, note));
+            self.mailboxes.destinations.push_back((*destination, note));
         }
     }
 
@@ -938,7 +937,7 @@
         // Guards the slots: while none is free, patience is shorter.
         let patiences = if self.calls_out().0 >= self.config.slots as usize { 1.0 } else { LONE };
         let tick = |id: &DestinationId| (*id, ToDestination::Tick { patiences });
-        self.post.destinations.extend(self.states.keys().map(tick));
+        self.mailboxes.destinations.extend(self.states.keys().map(tick));
         self.turns.retain(|_, t| !t.queue.is_empty() || t.rest > now);
         let keys: Vec<OrderKey> = self.turns.keys().copied().collect();
         keys.into_iter().for_each(|key| self.pass_turn(now, Some(key)));
@@ -975,12 +974,12 @@
         }
         self.book.insert(id, (destination, key));
         self.destinations.entry(destination).or_default().id = destination;
-        self.post.destinations.push_back((destination, ToDestination::Take(packet)));
+        self.mailboxes.destinations.push_back((destination, ToDestination::Take(packet)));
         self.pass_turn(now, key);
         // Guards against a full room, whose door is blind: the longest queue gives up its least worth.
         if self.book.len() as f64 > ROOM_USED * f64::from(self.config.room) {
             let longest = self.states.iter().max_by_key(|(_, s)| s.waiting).map(|(id, _)| *id);
-            self.post.destinations.extend(longest.map(|id| (id, ToDestination::Shed)));
+            self.mailboxes.destinations.extend(longest.map(|id| (id, ToDestination::Shed)));
         }
     }
 
@@ -994,23 +993,24 @@
     fn pass_turn(&mut self, now: Micros, key: Option<OrderKey>) {
         let Some(turns) = key.and_then(|k| self.turns.get(&k)) else { return };
         if let (true, Some((id, destination))) = (turns.rest <= now, turns.queue.front()) {
-            self.post.destinations.push_back((*destination, ToDestination::Turn(*id)));
+            self.mailboxes.destinations.push_back((*destination, ToDestination::Turn(*id)));
         }
     }
 
     fn settle(&mut self, now: Micros, actions: &mut Vec<Action>) {
         loop {
-            let Forwarder { config, rng, post, targets, destinations, refused, times, .. } = self;
-            let scarce = *refused > SCARCE;
-            if let Some((id, note)) = post.targets.pop_front() {
+            let Forwarder { config, rng, mailboxes, targets, destinations, refused, times, .. } = self;
+            let mut context =
+                DecisionContext { now, config, rng, mailboxes, scarce: *refused > SCARCE, times };
+            if let Some((id, note)) = context.mailboxes.targets.pop_front() {
                 if let Some(target) = targets.get_mut(&id) {
-                    target.read(note, &mut Desk { now, config, rng, post, scarce, times });
+                    target.read(note, &mut context);
                 }
-            } else if let Some((id, note)) = post.destinations.pop_front() {
+            } else if let Some((id, note)) = context.mailboxes.destinations.pop_front() {
                 if let Some(destination) = destinations.get_mut(&id) {
-                    destination.read(note, &mut Desk { now, config, rng, post, scarce, times });
+                    destination.read(note, &mut context);
                 }
-            } else if let Some(note) = post.forwarder.pop_front() {
+            } else if let Some(note) = context.mailboxes.forwarder.pop_front() {
                 self.read(now, note, actions);
             } else {
                 return;
@@ -1052,9 +1052,8 @@
     }
 
     fn calls_out(&self) -> (usize, usize) {
-        self.states
-            .values()
-            .fold((0, 0), |(all, bad), s| (all + s.calls, bad + if s.troubled { s.calls } else { 0 }))
+        let calls = |s: &State| (s.calls, if s.troubled { s.calls } else { 0 });
+        self.states.values().map(calls).fold((0, 0), |(all, bad), (a, b)| (all + a, bad + b))
     }
 
     /// Offers free slots until no queue wants one: the packet that loses most by waiting goes first.
@@ -1066,7 +1065,7 @@
             let mut free = slots.saturating_sub(out);
             let mut free_troubled = troubled_cap.saturating_sub(out_troubled).min(free);
             let waiting = self.states.iter().filter(|(_, s)| free > 0 && s.waiting > 0);
-            self.post.destinations.extend(waiting.map(|(id, _)| (*id, ToDestination::Offer)));
+            self.mailboxes.destinations.extend(waiting.map(|(id, _)| (*id, ToDestination::Offer)));
             self.settle(now, actions);
             let mut bids = std::mem::take(&mut self.bids);
             bids.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
@@ -1078,7 +1077,7 @@
                 }
                 free -= 1;
                 free_troubled -= usize::from(troubled);
-                self.post.destinations.push_back((id, ToDestination::Award));
+                self.mailboxes.destinations.push_back((id, ToDestination::Award));
             }
             if free == before {
                 return;
--- a/src/rules/idle.rs
+++ b/src/rules/idle.rs
@@ -12,7 +12,8 @@
 //! only, each until it is used, removed or summarised.
 
 use super::{
-    Desk, Destination, Forwarder, Gate, Health, Target, CATCH_REST, CATCH_UP, LAST_FEW, SECOND, SILENCE,
+    DecisionContext, Destination, Forwarder, Gate, Health, Target, CATCH_REST, CATCH_UP, LAST_FEW, SECOND,
+    SILENCE,
 };
 use crate::bucket::ColdBudget;
 use crate::interface::*;
@@ -306,8 +307,8 @@
             destination.cards.insert(target, super::Card::default());
             self.targets.insert(target, summary.target(target, id, bounds));
         }
-        let Forwarder { config, rng, post, targets, times, .. } = self;
-        let desk = Desk { now, config, rng, post, scarce: false, times };
+        let Forwarder { config, rng, mailboxes, targets, times, .. } = self;
+        let context = DecisionContext { now, config, rng, mailboxes, scarce: false, times };
         let standing = |target| targets.get(target).map(|t| t.standing);
         let ready = destination.cards.keys().filter(|t| standing(t) == Some(Standing::Ready)).count().max(1);
         for (target, card) in &mut destination.cards {
@@ -316,7 +317,7 @@
             t.capacity = gate.map_or(0.0, |g| g.capacity) / if apart { 1.0 } else { ready as f64 };
             let fee = config.zone_fees.get(usize::from(t.card.zone)).filter(|_| apart);
             t.card.fee = fee.copied().unwrap_or(0.0);
-            *card = t.card(&desk);
+            *card = t.card(&context);
         }
         self.destinations.insert(id, destination);
         self.idle.restored += 1;
@@ -327,7 +328,7 @@
     /// would hold in full what is in use elsewhere.
     pub(super) fn limit_idle(&mut self, now: Micros, id: DestinationId) -> bool {
         let held: Vec<TargetId> = self.idle.targets_of(id).collect();
-        let Forwarder { config, rng, post, times, idle, .. } = self;
+        let Forwarder { config, rng, mailboxes, times, idle, .. } = self;
         let Some(first) = held.first().and_then(|target| idle.summaries.get(&(id, *target))) else {
             return false;
         };
@@ -335,7 +336,7 @@
             return true; // each is at a limit of its own
         }
         let mut gate = first.gate(held.first().and_then(|target| idle.bounds.get(target)), now);
-        gate.heard(&mut Desk { now, config, rng, post, scarce: false, times });
+        gate.heard(&mut DecisionContext { now, config, rng, mailboxes, scarce: false, times });
         for target in held {
             let bounds = idle.bounds.entry(target).or_default();
             (bounds.next, bounds.paced_until) = (gate.next, gate.paced_until());
--- a/src/rules/lists.rs
+++ b/src/rules/lists.rs
@@ -46,7 +46,7 @@
         let idle = |t: &Target| t.calls.is_empty() && now >= t.next_probe;
         let left = self.targets.extract_if(.., |_, t| t.standing == Standing::Gone && idle(t));
         let notes = left.map(|(id, target)| (target.destination, ToDestination::Left(id)));
-        self.post.destinations.extend(notes);
+        self.mailboxes.destinations.extend(notes);
         self.idle.forget_gone(now, entries);
     }
 
@@ -77,9 +77,9 @@
             let fresh = Target { id: target, destination, per_call, answered, ..Target::default() };
             self.targets.entry(target).or_insert(fresh);
             let note = ToDestination::Listed { target, rate: rate.into() };
-            self.post.destinations.push_back((destination, note));
+            self.mailboxes.destinations.push_back((destination, note));
         }
-        self.post.targets.push_back((target, ToTarget::Listed { zone, standing, fee }));
+        self.mailboxes.targets.push_back((target, ToTarget::Listed { zone, standing, fee }));
     }
 }
 
