--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -159,7 +159,7 @@
                 () = &mut leave => return,
                 Some(note) = notes.recv() => {
                     closing |= matches!(note, Note::Event(Event::Closing));
-                    self.read(note);
+                    self.handle_message(note);
                 }
                 () = tokio::time::sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {
                     self.ring();
@@ -184,7 +184,7 @@
         }
     }
 
-    pub fn read(&mut self, note: Note) {
+    pub fn handle_message(&mut self, note: Note) {
         match note {
             Note::Event(Event::List(news)) => self.list_news(news),
             Note::Event(mut event) => {
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -57,7 +57,7 @@
         destination: DestinationId(7),
         kind: opalpulley::KindId(0),
     };
-    dispatcher.read(Note::Event(Event::List(ListNews::Cached(vec![listing]))));
+    dispatcher.handle_message(Note::Event(Event::List(ListNews::Cached(vec![listing]))));
     dispatcher.take_over(Vec::new());
     Rig { dispatcher, pending_report, notes, listener, _dir: dir }
 }
@@ -76,7 +76,7 @@
         while tokio::time::Instant::now() < until {
             self.dispatcher.ring();
             while let Ok(note) = self.notes.try_recv() {
-                self.dispatcher.read(note);
+                self.dispatcher.handle_message(note);
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -122,7 +122,7 @@
     assert_eq!((pending_report.request_id.as_str(), pending_report.ending), ("binding", Ending::WrittenOff));
     assert!(rig.pending_report.try_recv().is_err());
     assert_eq!(rig.dispatcher.open.len(), 2);
-    rig.dispatcher.read(Note::Heard(vec![pending_report.serial]));
+    rig.dispatcher.handle_message(Note::Heard(vec![pending_report.serial]));
     assert_eq!(rig.dispatcher.journal.after_restart().len(), 2);
 }
 
@@ -168,11 +168,11 @@
         closed: outcome == Outcome::Delivered,
         report: Vec::new(),
     };
-    rig.dispatcher.read(Note::Event(ended(Outcome::Delivered)));
+    rig.dispatcher.handle_message(Note::Event(ended(Outcome::Delivered)));
     assert!(rig.dispatcher.open.is_empty() && rig.dispatcher.ids.is_empty());
     assert!(rig.dispatcher.journal.after_restart().is_empty());
     // A second outcome of the same trip changes nothing.
-    rig.dispatcher.read(Note::Event(ended(Outcome::Error)));
+    rig.dispatcher.handle_message(Note::Event(ended(Outcome::Error)));
     assert!(rig.dispatcher.open.is_empty() && rig.dispatcher.pending_reports.is_empty());
 }
 
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -104,7 +104,7 @@
     let mut held = Held::default();
     let known = startup.known.take().and_then(|text| held.take(text, &names));
     if let Some(ListNews::Whole(known) | ListNews::Changes(known)) = known {
-        dispatcher.read(Note::Event(Event::List(ListNews::Cached(known))));
+        dispatcher.handle_message(Note::Event(Event::List(ListNews::Cached(known))));
     }
     dispatcher.take_over(packets);
 
--- a/crates/forwarder/src/list.rs
+++ b/crates/forwarder/src/list.rs
@@ -51,7 +51,7 @@
 }
 
 impl PollState {
-    fn read(&mut self, note: ListNote) {
+    fn handle_command(&mut self, note: ListNote) {
         match note {
             ListNote::Watch(on) => self.watching = on,
             ListNote::Fetch => self.fetch = true,
@@ -96,7 +96,7 @@
             let told = match self.ask(&mut polling, &mut mailbox).await {
                 Ending::Answered(Ok(text)) => {
                     (polling.fetch, polling.overdue) = (false, None);
-                    self.tell(&mut polling, text).await
+                    self.pass_on_list(&mut polling, text).await
                 }
                 Ending::Answered(Err(problem)) => self.failed(&mut polling, problem).await,
                 Ending::NotWanted => true,
@@ -158,7 +158,7 @@
     }
 
     /// Tells the module what is new. Gives whether it takes news.
-    async fn tell(&mut self, polling: &mut PollState, text: ListText) -> bool {
+    async fn pass_on_list(&mut self, polling: &mut PollState, text: ListText) -> bool {
         if std::mem::take(&mut polling.down) {
             info!(self.log, "the list is told again"; "revision" => text.revision);
         }
@@ -174,7 +174,7 @@
         match late {
             Ok(text) if self.held.revision.is_none_or(|held| held <= text.revision) => {
                 polling.watching = true;
-                self.tell(polling, text).await
+                self.pass_on_list(polling, text).await
             }
             // Its failure was told when it was given up.
             Ok(_) | Err(_) => true,
--- a/crates/forwarder/src/targets.rs
+++ b/crates/forwarder/src/targets.rs
@@ -202,7 +202,7 @@
             let retire = self.idle.first().map(|i| i.since + self.rest());
             tokio::select! {
                 note = mailbox.recv(), if open => match note {
-                    Some(note) => self.read(note),
+                    Some(note) => self.handle_command(note),
                     None => {
                         open = false;
                         self.idle.clear();
@@ -225,7 +225,7 @@
         }
     }
 
-    fn read(&mut self, note: TargetNote) {
+    fn handle_command(&mut self, note: TargetNote) {
         match note {
             TargetNote::Call(call) => self.call(*call),
             TargetNote::Probe => {
@@ -278,12 +278,12 @@
             let (answer, connection) = match ended {
                 Ok(Came::Head(answer, connection)) => (answer, connection),
                 Ok(Came::Yes) => {
-                    context.tell(target, errand, Outcome::Delivered, true, Vec::new(), began).await;
+                    context.report_outcome(target, errand, Outcome::Delivered, true, Vec::new(), began).await;
                     return None;
                 }
                 Err(fault) => {
                     debug!(context.log, "a call failed"; "target" => %protocol::address(target), "fault" => %fault);
-                    context.tell(target, errand, fault.into(), false, Vec::new(), began).await;
+                    context.report_outcome(target, errand, fault.into(), false, Vec::new(), began).await;
                     return None;
                 }
             };
@@ -301,12 +301,12 @@
             // A wait binds from its head on, whatever comes of the rest; a refusal that is whole tells it with its end.
             let refused = matches!(outcome, Outcome::Full { .. }) && at_once == Some(true);
             if let Some(wait) = wait.filter(|_| !refused) {
-                context.say(Event::WaitTold { target, wait }).await;
+                context.send_event(Event::WaitTold { target, wait }).await;
             }
             // What ran, or may have, is told by the head. That it did not run is believed of a whole answer only.
             let head_tells = outcome.may_have_run();
             if head_tells {
-                context.tell(target, errand, outcome, over, report.clone(), began).await;
+                context.report_outcome(target, errand, outcome, over, report.clone(), began).await;
             }
             let whole = match at_once {
                 Some(whole) => whole,
@@ -314,7 +314,7 @@
             };
             if !head_tells {
                 let (outcome, over) = if whole { (outcome, over) } else { (Outcome::Reset, false) };
-                context.tell(target, errand, outcome, over, report, began).await;
+                context.report_outcome(target, errand, outcome, over, report, began).await;
             }
             connection.served(whole).await
         });
@@ -344,13 +344,13 @@
     async fn broken(&mut self, problem: tokio::task::JoinError) {
         error!(self.context.log, "a call broke off"; "problem" => %problem);
         if let Some(Underway { errand, began, .. }) = self.underway.remove(&problem.id()) {
-            self.context.tell(self.id, errand, Outcome::Reset, false, Vec::new(), began).await;
+            self.context.report_outcome(self.id, errand, Outcome::Reset, false, Vec::new(), began).await;
         }
     }
 }
 
 impl TargetContext {
-    async fn tell(
+    async fn report_outcome(
         &self,
         target: TargetId,
         errand: Errand,
@@ -366,10 +366,10 @@
             }
             Errand::Probe => Event::ProbeAnswered { target, outcome, took, report },
         };
-        self.say(event).await;
+        self.send_event(event).await;
     }
 
-    async fn say(&self, event: Event) {
+    async fn send_event(&self, event: Event) {
         if self.dispatcher.send(Note::Event(event)).await.is_err() {
             debug!(self.log, "an outcome came after the end");
         }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -26,7 +26,7 @@
     /// A call there was refused: the message to all, unless one went round within the last second.
     pub fn refused(&mut self, now: Micros, at: DestinationId, config: &Config) -> Option<Action> {
         let sends = config.may_gossip && config.forwarders > 1 && self.news(now, at);
-        sends.then(|| Action::SendGossip { peer: None, message: message::write(at) })
+        sends.then(|| Action::SendGossip { peer: None, message: message::encode(at) })
     }
 
     /// Reads a message: the destination that is at its limit, if it is news and `known`. Adds a line for the
@@ -39,7 +39,7 @@
         known: impl Fn(DestinationId) -> bool,
         actions: &mut Vec<Action>,
     ) -> Option<DestinationId> {
-        match message::read(message) {
+        match message::decode(message) {
             Ok(at) => return (known(at) && self.news(now, at)).then_some(at),
             Err(_) if self.logged.is_some_and(|l| now < l + LOG_AGAIN) => {}
             Err(problem) => {
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -28,14 +28,14 @@
     }
 }
 
-pub fn write(at: DestinationId) -> Vec<u8> {
+pub fn encode(at: DestinationId) -> Vec<u8> {
     match at.0.to_le_bytes() {
         [low, high, 0, 0] => vec![VERSION, AT_ITS_LIMIT, low, high],
         [a, b, c, d] => vec![VERSION, AT_ITS_LIMIT_WIDE, a, b, c, d],
     }
 }
 
-pub fn read(message: &[u8]) -> Result<DestinationId, MessageError> {
+pub fn decode(message: &[u8]) -> Result<DestinationId, MessageError> {
     match *message {
         [VERSION, AT_ITS_LIMIT, low, high] => Ok(DestinationId(u32::from_le_bytes([low, high, 0, 0]))),
         [VERSION, AT_ITS_LIMIT_WIDE, a, b, c, d] => Ok(DestinationId(u32::from_le_bytes([a, b, c, d]))),
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -1,4 +1,4 @@
-use super::message::{read, write, MessageError};
+use super::message::{decode, encode, MessageError};
 use super::*;
 use crate::membership::tests::config;
 use quickcheck::{Gen, QuickCheck};
@@ -53,7 +53,7 @@
         (vec![1, 2, 0, 0, 1], MessageError::Length(5)),
         (vec![1, 2, 0, 0, 1, 0, 0], MessageError::Length(7)),
     ] {
-        assert_eq!(read(&bad), Err(why));
+        assert_eq!(decode(&bad), Err(why));
         assert_eq!(hear(&mut Gossip::default(), 0, &bad), (None, true));
     }
     let mut gossip = Gossip::default();
@@ -73,10 +73,10 @@
         (70_000, vec![1, 2, 0x70, 0x11, 1, 0]),
         (u32::MAX, vec![1, 2, 0xff, 0xff, 0xff, 0xff]),
     ] {
-        assert_eq!(write(DestinationId(number)), bytes);
-        assert_eq!(read(&bytes), Ok(DestinationId(number)));
+        assert_eq!(encode(DestinationId(number)), bytes);
+        assert_eq!(decode(&bytes), Ok(DestinationId(number)));
     }
-    assert_eq!(read(&[1, 2, 7, 0, 0, 0]), Ok(DestinationId(7)));
+    assert_eq!(decode(&[1, 2, 7, 0, 0, 0]), Ok(DestinationId(7)));
 }
 
 /// Whatever comes: no panic, only destinations of the list, and a table no longer than what a second brings.
@@ -88,7 +88,7 @@
         messages.into_iter().all(|(gap, at, bytes)| {
             now += Micros::from(gap) * MS + AGAIN / 8;
             let at = at >> (at % 32); // small numbers too
-            let (heard, logged) = hear(&mut gossip, now, &write(DestinationId(at)));
+            let (heard, logged) = hear(&mut gossip, now, &encode(DestinationId(at)));
             hear(&mut gossip, now, &bytes);
             !logged && heard.is_none_or(|d| d.0 == at && at < 1_000) && gossip.spoken.len() <= 16
         })
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -74,7 +74,7 @@
     fn row(&self, profile: usize) -> &'a ProfileConfig {
         &self.config.profiles[profile]
     }
-    fn tell(&mut self, note: ToForwarder) {
+    fn enqueue(&mut self, note: ToForwarder) {
         self.mailboxes.forwarder.push_back(note);
     }
 }
@@ -204,7 +204,7 @@
     }
 
     /// What is lost by sending it somewhat later, on the scale of the shortest contract time.
-    fn loss(&self, now: Micros, answer_time: f64, config: &Config) -> f64 {
+    fn expected_loss(&self, now: Micros, answer_time: f64, config: &Config) -> f64 {
         let (now, last) = (now as f64, self.last_send(config) as f64);
         let at = |t| if now + t < last { self.worth_at(now + t + answer_time, config) } else { 0.0 };
         let [first, soon, later, late] = Packet::ahead(config).map(at);
@@ -230,7 +230,7 @@
         (if known { rate } else { config.slots.max(1).into() }, known)
     }
 
-    fn even(&self, config: &Config) -> f64 {
+    fn fair_share(&self, config: &Config) -> f64 {
         f64::from(config.forwarders.max(1)) * SECOND / self.capacity
     }
 
@@ -256,7 +256,7 @@
 
     /// Guards a limit against all who have yet to learn of it, each by a refusal: another has met one.
     fn heard(&mut self, context: &mut DecisionContext) {
-        let rest = (EVEN_REST * self.even(context.config)).min(Gate::longest(context.config));
+        let rest = (EVEN_REST * self.fair_share(context.config)).min(Gate::longest(context.config));
         if self.rest < rest {
             (self.rest, self.grown) = (rest, context.now);
             self.next = self.next.max(context.now + (rest * context.rng.random::<f64>()) as Micros);
@@ -266,9 +266,10 @@
     /// Guards against refusals that breed refusals: each lengthens the rest between our calls.
     fn refused(&mut self, sent: Micros, context: &mut DecisionContext) {
         if sent >= self.grown {
-            let first = (FIRST_REST * SECOND / self.capacity).max(FIRST_SHARE * self.even(context.config));
-            let most = (MOST_REST * self.even(context.config)).min(Gate::longest(context.config)).max(first);
-            let mild = self.rest.max(EVEN_REST * self.even(context.config)) / CUT;
+            let fair_share = self.fair_share(context.config);
+            let first = (FIRST_REST * SECOND / self.capacity).max(FIRST_SHARE * fair_share);
+            let most = (MOST_REST * fair_share).min(Gate::longest(context.config)).max(first);
+            let mild = self.rest.max(EVEN_REST * fair_share) / CUT;
             self.rest = (2.0 * self.rest).min(mild).clamp(first, most);
             self.grown = context.now;
         }
@@ -291,7 +292,7 @@
 }
 
 impl Destination {
-    fn read(&mut self, note: ToDestination, context: &mut DecisionContext) {
+    fn handle_message(&mut self, note: ToDestination, context: &mut DecisionContext) {
         match note {
             ToDestination::Take(packet) => {
                 self.queue.join(&packet.entry(context.config));
@@ -325,7 +326,7 @@
                 // Guards small destinations against the first packets of many: a wait so long loses nothing.
                 if std::mem::replace(&mut gate.eased, context.now) == 0 {
                     let (rest, most) =
-                        (EVEN_REST * gate.even(context.config), Packet::ahead(context.config)[2]);
+                        (EVEN_REST * gate.fair_share(context.config), Packet::ahead(context.config)[2]);
                     gate.rest = if known || rest < most { rest.min(most) } else { 0.0 };
                 }
             }
@@ -333,7 +334,7 @@
             ToDestination::Tick { patiences } => self.tick(0.0, patiences, context),
             // Not where routes are apart: each is at a limit of its own.
             ToDestination::AtLimit => self.gates.get_mut(&None).into_iter().for_each(|g| g.heard(context)),
-            ToDestination::WaitTold { target, wait } => self.heed(target, wait, context),
+            ToDestination::WaitTold { target, wait } => self.honour_retry_after(target, wait, context),
             ToDestination::Offer => self.bid(context),
             ToDestination::Award => self.carry(context),
             ToDestination::Shed => self.shed(context),
@@ -345,7 +346,7 @@
             troubled: self.troubled(),
             waiting: self.queue.len(),
         });
-        context.tell(ToForwarder::State { destination: self.id, state });
+        context.enqueue(ToForwarder::State { destination: self.id, state });
     }
 
     fn waiting(&self, ids: Vec<PacketId>) -> impl Iterator<Item = &Packet> {
@@ -366,21 +367,21 @@
             self.queue.leave(&packet.entry(context.config));
         }
         let answered = answer.is_some();
-        answer.into_iter().for_each(|answer| context.tell(ToForwarder::Do(answer)));
-        context.tell(ToForwarder::Ended { id, answered });
+        answer.into_iter().for_each(|answer| context.enqueue(ToForwarder::Do(answer)));
+        context.enqueue(ToForwarder::Ended { id, answered });
     }
 
     fn trip_over(&mut self, id: PacketId, trip: Attempt, outcome: Outcome, context: &mut DecisionContext) {
         let (target, sent) = trip;
         if let Outcome::Full { wait } = outcome {
-            self.heed(target, wait.unwrap_or(0), context);
+            self.honour_retry_after(target, wait.unwrap_or(0), context);
             let gate = self.gates.get_mut(&self.apart.then_some(target));
             gate.into_iter().for_each(|gate| gate.refused(sent, context));
         }
         let Some(packet) = self.packets.get_mut(&id) else { return };
         let zone = self.cards.get(&target).map_or(0, |c| c.zone);
         if let (Outcome::Timeout | Outcome::Reset | Outcome::CalledOff, Some(key)) = (outcome, packet.key) {
-            context.tell(ToForwarder::Unclear { key });
+            context.enqueue(ToForwarder::Unclear { key });
         }
         if outcome.may_have_run() && packet.exposed.is_none() {
             packet.exposed = Some((sent, zone));
@@ -406,7 +407,7 @@
     }
 
     /// A told wait binds all behind the gate from when it is heard: also calls chosen before it.
-    fn heed(&mut self, target: TargetId, wait: Micros, context: &mut DecisionContext) {
+    fn honour_retry_after(&mut self, target: TargetId, wait: Micros, context: &mut DecisionContext) {
         let gate = self.gates.get_mut(&self.apart.then_some(target)).filter(|_| wait > 0);
         let Some(gate) = gate else { return };
         gate.held = gate.held.max(context.now.saturating_add(wait));
@@ -447,7 +448,7 @@
             let binding = context.row(packet.profile).effect == Effect::Binding;
             if !card.aside && late > if binding { LONE * patiences } else { patiences } {
                 packet.called_off = true;
-                context.tell(ToForwarder::Do(Action::CallOff { id: *id, trip: (packet.trips - 1) as u8 }));
+                context.enqueue(ToForwarder::Do(Action::CallOff { id: *id, trip: (packet.trips - 1) as u8 }));
             }
         }
     }
@@ -487,7 +488,7 @@
             DispatchQueue::ends(ranked, from..=to, cuts, &mut ids);
         }
         self.waiting(ids)
-            .map(|p| (p, p.loss(context.now, card.answer_time, context.config)))
+            .map(|p| (p, p.expected_loss(context.now, card.answer_time, context.config)))
             .max_by(|(a, x), (b, y)| x.total_cmp(y).then(b.due.cmp(&a.due)).then(b.id.cmp(&a.id)))
             .map(|(p, loss)| (p.id, loss))
     }
@@ -525,7 +526,7 @@
         };
         if let Some((target, gain)) = able.into_iter().find_map(|(_, target)| next(target)) {
             self.pick = Some(target);
-            context.tell(ToForwarder::Bid { destination: self.id, gain });
+            context.enqueue(ToForwarder::Bid { destination: self.id, gain });
         }
     }
 
@@ -553,7 +554,7 @@
             let limit = limit.map(|l| l.clamp(1, packet.expires - context.now));
             context.mailboxes.targets.push_back((target, ToTarget::Board));
             let begin_by = packet.last_send(context.config).saturating_sub(2 * TICK);
-            context.tell(ToForwarder::Do(Action::Send { id, target, limit, begin_by }));
+            context.enqueue(ToForwarder::Do(Action::Send { id, target, limit, begin_by }));
         }
     }
 }
@@ -599,7 +600,7 @@
         rng.random_range(0.5..1.5)
     }
 
-    fn read(&mut self, note: ToTarget, context: &mut DecisionContext) {
+    fn handle_message(&mut self, note: ToTarget, context: &mut DecisionContext) {
         let before = self.card;
         match note {
             ToTarget::Listed { zone, standing, fee } => {
@@ -633,7 +634,7 @@
                 }
                 // Guards a target's connections against many forwarders that each keep one and seldom use it.
                 if self.calls.is_empty() && context.scarce {
-                    context.tell(ToForwarder::Do(Action::CloseIdle { target: self.id }));
+                    context.enqueue(ToForwarder::Do(Action::CloseIdle { target: self.id }));
                 }
                 if first {
                     self.judge(outcome, took, context);
@@ -666,7 +667,7 @@
     /// Guards what binds from now on against calls and probes chosen before: what has yet to go comes back.
     fn take_back(&self, bound: bool, context: &mut DecisionContext) {
         if bound && (!self.calls.is_empty() || self.next_probe == Micros::MAX) {
-            context.tell(ToForwarder::Do(Action::TakeBack { target: self.id }));
+            context.enqueue(ToForwarder::Do(Action::TakeBack { target: self.id }));
         }
     }
 
@@ -679,7 +680,7 @@
             Outcome::NoConnection if passing => return self.refusals += 1,
             Outcome::TakenBack => return self.budget.left = (self.budget.left + 1.0).min(1.0),
             Outcome::Moot { .. } => return,
-            Outcome::CalledOff if !self.even(context.now, context.config).1 => return,
+            Outcome::CalledOff if !self.fair_share(context.now, context.config).1 => return,
             Outcome::Delivered => {
                 (self.answered, self.failures) = (context.now, 0);
                 self.times.learn(took as f64, NEW_ANSWER);
@@ -699,7 +700,7 @@
         let successes = self.recent.iter().filter(|s| **s).count();
         let most_fail = self.recent.len() == LAST_FEW && successes < ASIDE_SUCCESSES;
         let full = matches!(outcome, Outcome::Full { .. });
-        let scant = !full && self.even(context.now, context.config).1;
+        let scant = !full && self.fair_share(context.now, context.config).1;
         // Guards a destination at its limit against being taken for a shut one: that lasts longer.
         let span = if full { context.config.rules.overload_for } else { 0 };
         let row = self.failures.max(self.refusals) >= ASIDE_ROW && context.now >= self.row_since + span;
@@ -721,7 +722,7 @@
     fn log(&self, what: &str, context: &mut DecisionContext) {
         let (destination, [a, b, c, d]) = (self.destination.0, self.id.address);
         let words = format!("destination {destination} target {a}.{b}.{c}.{d} {what}");
-        context.tell(ToForwarder::Do(Action::Log(words)));
+        context.enqueue(ToForwarder::Do(Action::Log(words)));
     }
 
     /// Part of its capacity that it may get from all forwarders while it may be cold.
@@ -735,14 +736,14 @@
     }
 
     /// An even part of that, calls a second, and whether it is scant: then half of it goes with own arrivals.
-    fn even(&self, now: Micros, config: &Config) -> (f64, bool) {
+    fn fair_share(&self, now: Micros, config: &Config) -> (f64, bool) {
         let even = self.cold(now, &config.rules) * self.capacity / f64::from(config.forwarders.max(1));
         let scant = even * (config.rules.overload_for as f64) < SCANT * SECOND;
         (if scant { even / 2.0 } else { even }, scant)
     }
 
     fn tick(&mut self, demand: f64, held: bool, context: &mut DecisionContext) {
-        let (even, scant) = self.even(context.now, context.config);
+        let (even, scant) = self.fair_share(context.now, context.config);
         if self.health != Health::Well {
             let own = if scant { demand / 2.0 * self.cold(context.now, &context.config.rules) } else { 0.0 };
             self.budget.fill(context.now, even, own, EARNED * even);
@@ -767,7 +768,7 @@
             }
             self.budget.left -= 1.0;
             self.next_probe = Micros::MAX; // until this one is answered
-            context.tell(ToForwarder::Do(Action::Probe { target: self.id }));
+            context.enqueue(ToForwarder::Do(Action::Probe { target: self.id }));
         }
     }
 
@@ -803,7 +804,7 @@
             aside: self.aside(),
             troubled: self.aside() || slow || failed >= TROUBLED_FAILURES,
             still: self.calls.is_empty()
-                && (self.health == Health::Well || self.even(context.now, context.config).1),
+                && (self.health == Health::Well || self.fair_share(context.now, context.config).1),
             answer_time: self.times.with(all, FEW, |t| t.mean),
             trip_time: self.times.with(all, FEW, |t| t.mean + TAIL * t.deviation).max(SILENCE as f64),
             ..self.card
@@ -1004,21 +1005,21 @@
                 DecisionContext { now, config, rng, mailboxes, scarce: *refused > SCARCE, times };
             if let Some((id, note)) = context.mailboxes.targets.pop_front() {
                 if let Some(target) = targets.get_mut(&id) {
-                    target.read(note, &mut context);
+                    target.handle_message(note, &mut context);
                 }
             } else if let Some((id, note)) = context.mailboxes.destinations.pop_front() {
                 if let Some(destination) = destinations.get_mut(&id) {
-                    destination.read(note, &mut context);
+                    destination.handle_message(note, &mut context);
                 }
             } else if let Some(note) = context.mailboxes.forwarder.pop_front() {
-                self.read(now, note, actions);
+                self.handle_message(now, note, actions);
             } else {
                 return;
             }
         }
     }
 
-    fn read(&mut self, now: Micros, note: ToForwarder, actions: &mut Vec<Action>) {
+    fn handle_message(&mut self, now: Micros, note: ToForwarder, actions: &mut Vec<Action>) {
         match note {
             ToForwarder::Do(action) => actions.push(action),
             ToForwarder::Ended { id, answered } => {
