--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -626,3 +626,13 @@
     world.pass(30_000 * MS)?;
     Ok(world)
 }
+
+/// When each attempt of a message was sent.
+pub fn sends(world: &World, id: PacketId) -> Vec<Micros> {
+    world.packets[&id].trips.iter().map(|t| t.sent).collect()
+}
+
+/// Whether a log line holds these words.
+pub fn logged(world: &World, words: &str) -> bool {
+    world.actions.iter().any(|a| matches!(a, Action::Log(l) if l.contains(words)))
+}
