--- a/crates/forwarder/src/list.rs
+++ b/crates/forwarder/src/list.rs
@@ -85,7 +85,7 @@
             if !polling.watching && !polling.fetch {
                 tokio::select! {
                     note = mailbox.recv() => match note {
-                        Some(note) => polling.read(note),
+                        Some(note) => polling.handle_command(note),
                         None => return,
                     },
                     Ok(()) = self.discovery.changed() => self.moved(&mut polling),
@@ -133,7 +133,7 @@
                     return Ending::Answered(Err(AskFault::OutOfTime));
                 }
                 note = mailbox.recv() => match note {
-                    Some(note) => polling.read(note),
+                    Some(note) => polling.handle_command(note),
                     None => return Ending::Over,
                 },
                 Ok(()) = self.discovery.changed() => {
