--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -34,7 +34,7 @@
 
 /// The same with another window for repeats, in µs.
 async fn rig_within(window: Micros) -> Rig {
-    let (config, names, context) = config(window);
+    let (config, names, connections) = config(window);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let dir = TempDir::new().expect("a folder");
     let (journal, _) = Journal::open(dir.path(), 1_000_000).expect("a journal");
