--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operators' start object: JSON to the configuration of the core, for every front. Unknown keys are skipped.
 
 use opalpulley::{
-    Config, Effect, Ends, Fading, KindConfig, ListRates, Micros, ProfileConfig, RepeatGroup, RuleConfig,
-    TenantConfig,
+    Config, Effect, Ends, Fading, KindConfig, ListRates, Micros, ProfileConfig, RepeatGroup,
+    RuleConfig, TenantConfig,
 };
 use serde::Deserialize;
 
@@ -191,8 +191,13 @@
 
 pub fn read(text: &[u8]) -> Result<Waybill, String> {
     let text = &mut serde_json::Deserializer::from_slice(text);
-    let start: Start = serde_path_to_error::deserialize(text)
-        .map_err(|e| format!("the start object is not valid at {}: {}", e.path(), e.inner()))?;
+    let start: Start = serde_path_to_error::deserialize(text).map_err(|e| {
+        format!(
+            "the start object is not valid at {}: {}",
+            e.path(),
+            e.inner()
+        )
+    })?;
     Waybill::try_from(start)
 }
 
@@ -212,7 +217,11 @@
             idle_closed_after: start.limits.conn_idle_us.unwrap_or(DEFAULT_IDLE),
             connect_within: start.limits.connect_timeout_us.unwrap_or(DEFAULT_CONNECT),
         };
-        Ok(Waybill { config: start.into_config(), names, connections })
+        Ok(Waybill {
+            config: start.into_config(),
+            names,
+            connections,
+        })
     }
 }
 
@@ -226,8 +235,14 @@
             ("Limits.MaxAttempts", self.limits.max_attempts == 0),
             ("Limits.MaxOpen", self.limits.max_open == 0),
             ("Profiles", self.profiles.is_empty()),
-            ("Profiles[].HardLimitUs", profiles.clone().any(|p| p.hard_limit_us == 0)),
-            ("Profiles[].GoalTimeUs", profiles.clone().any(|p| p.goal_time_us == 0)),
+            (
+                "Profiles[].HardLimitUs",
+                profiles.clone().any(|p| p.hard_limit_us == 0),
+            ),
+            (
+                "Profiles[].GoalTimeUs",
+                profiles.clone().any(|p| p.goal_time_us == 0),
+            ),
         ];
         match faults.iter().find(|(_, fault)| *fault) {
             Some((key, _)) => Err(format!("{key}: must be above 0")),
@@ -265,7 +280,13 @@
                 Fades::Halving => Fading::Halving,
             },
             over_share_worth: start.over_share_worth,
-            tenants: start.accounts.into_iter().map(|a| TenantConfig { quota: a.quota_per_s }).collect(),
+            tenants: start
+                .accounts
+                .into_iter()
+                .map(|a| TenantConfig {
+                    quota: a.quota_per_s,
+                })
+                .collect(),
             kinds,
             zone_fees: start.domain.zone_fee,
             ask_within: match start.membership_mode {
@@ -298,7 +319,10 @@
     ProfileConfig {
         effect: match p.effect {
             ProfileEffect::Free => Effect::Retriable,
-            ProfileEffect::Guarded => Effect::Fingerprinted { group, window: p.dedup_window_us },
+            ProfileEffect::Guarded => Effect::Fingerprinted {
+                group,
+                window: p.dedup_window_us,
+            },
             ProfileEffect::SingleShot => Effect::Binding,
         },
         contract_time: p.goal_time_us,
--- a/crates/forwarder/src/clients.rs
+++ b/crates/forwarder/src/clients.rs
@@ -49,14 +49,31 @@
 }
 
 impl Door {
-    pub fn new(names: Names, config: &Config, dispatcher: mpsc::Sender<HandIn>, log: Logger) -> Door {
+    pub fn new(
+        names: Names,
+        config: &Config,
+        dispatcher: mpsc::Sender<HandIn>,
+        log: Logger,
+    ) -> Door {
         let form = |(name, row): (&String, &ProfileConfig)| Form {
             name: name.clone(),
             marked: matches!(row.effect, Effect::Fingerprinted { .. }),
             longest: row.expiry,
         };
-        let forms = names.profiles.iter().zip(&config.profiles).map(form).collect();
-        Door { names, forms, ready: Arc::default(), closing: AtomicBool::new(false), dispatcher, log }
+        let forms = names
+            .profiles
+            .iter()
+            .zip(&config.profiles)
+            .map(form)
+            .collect();
+        Door {
+            names,
+            forms,
+            ready: Arc::default(),
+            closing: AtomicBool::new(false),
+            dispatcher,
+            log,
+        }
     }
 
     async fn answer(&self, request: Request<Incoming>, crowded: bool) -> Response<Full<Bytes>> {
@@ -75,12 +92,16 @@
             let mut answer = Response::new(Full::from(reason + "\n"));
             *answer.status_mut() = status;
             if status == StatusCode::METHOD_NOT_ALLOWED {
-                answer.headers_mut().insert(ALLOW, HeaderValue::from_static("POST"));
+                answer
+                    .headers_mut()
+                    .insert(ALLOW, HeaderValue::from_static("POST"));
             }
             answer
         });
         if last || crowded || self.closing.load(Ordering::Relaxed) {
-            answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            answer
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         answer
     }
@@ -89,13 +110,19 @@
         match (method, self.ready.load(Ordering::Relaxed)) {
             (&Method::GET, true) => Ok(Response::new(Full::default())),
             (&Method::GET, false) => Err(busy("not ready yet")),
-            _ => Err(BadRequest::new(StatusCode::METHOD_NOT_ALLOWED, "this is read with GET")),
+            _ => Err(BadRequest::new(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "this is read with GET",
+            )),
         }
     }
 
     async fn take(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, BadRequest> {
         let too_large = || {
-            BadRequest::last(StatusCode::PAYLOAD_TOO_LARGE, format!("a body holds {MOST_BODY} bytes at most"))
+            BadRequest::last(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                format!("a body holds {MOST_BODY} bytes at most"),
+            )
         };
         let (head, body) = request.into_parts();
         let mut handed = decode_head(&head, &self.names, &self.forms)?;
@@ -107,8 +134,18 @@
             // A copy of its own: a small body would keep all that was read with it.
             Ok(Ok(body)) => Bytes::copy_from_slice(&body.to_bytes()),
             Ok(Err(problem)) if problem.is::<LengthLimitError>() => return Err(too_large()),
-            Ok(Err(problem)) => return Err(BadRequest::last(StatusCode::BAD_REQUEST, problem.to_string())),
-            Err(_) => return Err(BadRequest::last(StatusCode::REQUEST_TIMEOUT, "the body did not come")),
+            Ok(Err(problem)) => {
+                return Err(BadRequest::last(
+                    StatusCode::BAD_REQUEST,
+                    problem.to_string(),
+                ))
+            }
+            Err(_) => {
+                return Err(BadRequest::last(
+                    StatusCode::REQUEST_TIMEOUT,
+                    "the body did not come",
+                ))
+            }
         };
         if !self.ready.load(Ordering::Relaxed) {
             return Err(busy("not ready yet"));
@@ -116,7 +153,11 @@
         let (answer, answered) = oneshot::channel();
         let came = Instant::now();
         self.dispatcher
-            .try_send(HandIn { handed, came, answer })
+            .try_send(HandIn {
+                handed,
+                came,
+                answer,
+            })
             .map_err(|_| busy("too many packets at once"))?;
         // The actor that ends the process drops what it has not read: that was not taken on.
         let answer = answered.await.map_err(|_| busy("going down"))?;
@@ -132,7 +173,10 @@
             // The list may be older than the client's: coming again does no harm.
             Answer::Unlisted => return Err(busy("no list has named this destination")),
         };
-        if let Answer::Deferred { come_back: Some(come_back) } = answer {
+        if let Answer::Deferred {
+            come_back: Some(come_back),
+        } = answer
+        {
             if let Ok(value) = HeaderValue::from_str(&retry_after(come_back)) {
                 response.headers_mut().insert(RETRY_AFTER, value);
             }
@@ -170,7 +214,12 @@
     fn new(turn: Arc<AtomicU64>) -> Presence {
         let since = turn.fetch_add(1, Ordering::Relaxed);
         let state = Mutex::new((Phase::Silent, since));
-        Presence { state, closed: AtomicBool::new(false), close: Notify::new(), turn }
+        Presence {
+            state,
+            closed: AtomicBool::new(false),
+            close: Notify::new(),
+            turn,
+        }
     }
 
     fn state(&self) -> (Phase, u64) {
@@ -234,7 +283,11 @@
 }
 
 impl AsyncWrite for Heard {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
 
@@ -365,7 +418,11 @@
         let crowded = full && !Self::close_one(present);
         Self::close_idle(present, self.most / IDLE_PART);
         let presence = Arc::new(Presence::new(turn.clone()));
-        let desk = Desk { door: self.door.clone(), presence: presence.clone(), crowded };
+        let desk = Desk {
+            door: self.door.clone(),
+            presence: presence.clone(),
+            crowded,
+        };
         let task = tasks.spawn(serve(stream, desk));
         present.insert(task.id(), presence);
     }
@@ -373,7 +430,8 @@
     /// Guards clients that may hold only so many connections together against those among them that ask once and
     /// keep theirs for good: beyond `most` idle ones, those idle longest are closed.
     fn close_idle(present: &BTreeMap<Id, Arc<Presence>>, most: usize) {
-        let idle = |p: &&Arc<Presence>| p.state().0 == Phase::Idle && !p.closed.load(Ordering::Relaxed);
+        let idle =
+            |p: &&Arc<Presence>| p.state().0 == Phase::Idle && !p.closed.load(Ordering::Relaxed);
         for _ in most..present.values().filter(idle).count() {
             let longest = present.values().filter(idle).min_by_key(|p| p.state());
             longest.into_iter().for_each(|presence| presence.close());
@@ -383,8 +441,13 @@
     /// Guards new clients against those that keep connections and seldom use them, or never: closes the one that has
     /// been silent longest, else idle, else within a head. One with a request fully in is never closed (rule 1).
     fn close_one(present: &BTreeMap<Id, Arc<Presence>>) -> bool {
-        let open = present.values().filter(|p| !p.closed.load(Ordering::Relaxed)).map(|p| (p.state(), p));
-        let least = open.min_by_key(|(state, _)| *state).filter(|((phase, _), _)| *phase != Phase::Busy);
+        let open = present
+            .values()
+            .filter(|p| !p.closed.load(Ordering::Relaxed))
+            .map(|p| (p.state(), p));
+        let least = open
+            .min_by_key(|(state, _)| *state)
+            .filter(|((phase, _), _)| *phase != Phase::Busy);
         least.map(|(_, presence)| presence.close()).is_some()
     }
 }
@@ -410,7 +473,10 @@
         .header_read_timeout(head_time)
         .max_buf_size(MOST_AHEAD)
         .serve_connection(
-            TokioIo::new(Heard { stream, presence: presence.clone() }),
+            TokioIo::new(Heard {
+                stream,
+                presence: presence.clone(),
+            }),
             TowerToHyperService::new(desk),
         );
     tokio::pin!(connection);
--- a/crates/forwarder/src/clients/tests.rs
+++ b/crates/forwarder/src/clients/tests.rs
@@ -27,12 +27,33 @@
             kinds: Vec::new(),
             reports: Vec::new(),
         };
-        let row = ProfileConfig { effect: Effect::Retriable, expiry: 1_000_000, ..ProfileConfig::default() };
-        let config = Config { profiles: vec![row], ..Config::default() };
-        let door = Arc::new(Door::new(names, &config, dispatcher, Logger::root(slog::Discard, slog::o!())));
+        let row = ProfileConfig {
+            effect: Effect::Retriable,
+            expiry: 1_000_000,
+            ..ProfileConfig::default()
+        };
+        let config = Config {
+            profiles: vec![row],
+            ..Config::default()
+        };
+        let door = Arc::new(Door::new(
+            names,
+            &config,
+            dispatcher,
+            Logger::root(slog::Discard, slog::o!()),
+        ));
         door.ready.store(true, Ordering::Relaxed);
         let (closing, seen) = watch::channel(Closing::No);
-        Rig { clients: Clients { door, most, closing: seen }, listener, closing, hand_ins }
+        Rig {
+            clients: Clients {
+                door,
+                most,
+                closing: seen,
+            },
+            listener,
+            closing,
+            hand_ins,
+        }
     }
 
     /// Clients whose connections stand in line, each with a request written; what each hears comes with its end.
@@ -44,7 +65,11 @@
             spawn(move || {
                 let mut heard = Vec::new();
                 let _ = stream.read_to_end(&mut heard); // a reset ends it too
-                String::from_utf8_lossy(&heard).lines().next().unwrap_or("nothing").to_owned()
+                String::from_utf8_lossy(&heard)
+                    .lines()
+                    .next()
+                    .unwrap_or("nothing")
+                    .to_owned()
             })
         };
         (0..many).map(come).collect()
@@ -52,15 +77,23 @@
 
     /// Runs the door until all these have heard their ends; each packet is taken on.
     async fn heard(self, come: Vec<JoinHandle<String>>) -> Vec<String> {
-        let Rig { clients, listener, mut hand_ins, .. } = self;
+        let Rig {
+            clients,
+            listener,
+            mut hand_ins,
+            ..
+        } = self;
         tokio::spawn(clients.run(listener));
         tokio::spawn(async move {
             while let Some(HandIn { answer, .. }) = hand_ins.recv().await {
                 let _ = answer.send(Answer::Taken);
             }
         });
-        let ends =
-            tokio::task::spawn_blocking(|| come.into_iter().map(|c| c.join().expect("it ends")).collect());
+        let ends = tokio::task::spawn_blocking(|| {
+            come.into_iter()
+                .map(|c| c.join().expect("it ends"))
+                .collect()
+        });
         ends.await.expect("they end")
     }
 }
@@ -79,13 +112,24 @@
 #[tokio::test]
 async fn a_request_in_the_socket_goes_before_the_close_of_its_connection() {
     for before in 0..2 {
-        let Rig { clients, listener, mut hand_ins, .. } = Rig::new(16).await;
+        let Rig {
+            clients,
+            listener,
+            mut hand_ins,
+            ..
+        } = Rig::new(16).await;
         let presence = Arc::new(Presence::new(Arc::default()));
-        let client = TcpStream::connect(listener.local_addr().expect("its address")).await.expect("in line");
+        let client = TcpStream::connect(listener.local_addr().expect("its address"))
+            .await
+            .expect("in line");
         let mut client = client.into_std().expect("a stream");
         client.set_nonblocking(false).expect("it blocks");
         let (stream, _) = listener.accept().await.expect("a client");
-        let desk = Desk { door: clients.door.clone(), presence: presence.clone(), crowded: false };
+        let desk = Desk {
+            door: clients.door.clone(),
+            presence: presence.clone(),
+            crowded: false,
+        };
         let served = tokio::spawn(serve(stream, desk));
         tokio::spawn(async move {
             while let Some(HandIn { answer, .. }) = hand_ins.recv().await {
@@ -122,7 +166,12 @@
     let (room, over) = (rig.hand_ins.max_capacity(), 3);
     let come = rig.come(room + over);
     rig.closing.send_replace(Closing::Shut); // each answer is the last on its connection
-    let Rig { clients, listener, mut hand_ins, .. } = rig;
+    let Rig {
+        clients,
+        listener,
+        mut hand_ins,
+        ..
+    } = rig;
     let door = clients.door.clone();
     tokio::spawn(clients.run(listener));
     while door.dispatcher.capacity() > 0 {
@@ -132,11 +181,15 @@
     let refused = tokio::task::spawn_blocking(move || {
         let (mut done, mut waiting) = (0, come);
         while done < over {
-            let (ended, open): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|c| c.is_finished());
+            let (ended, open): (Vec<_>, Vec<_>) =
+                waiting.into_iter().partition(|c| c.is_finished());
             done += ended.len();
-            ended
-                .into_iter()
-                .for_each(|c| assert_eq!(c.join().expect("it ends"), "HTTP/1.1 503 Service Unavailable"));
+            ended.into_iter().for_each(|c| {
+                assert_eq!(
+                    c.join().expect("it ends"),
+                    "HTTP/1.1 503 Service Unavailable"
+                )
+            });
             waiting = open;
         }
         (done, waiting)
@@ -149,22 +202,35 @@
         }
     });
     let ends = tokio::task::spawn_blocking(|| {
-        waiting.into_iter().map(|c| c.join().expect("it ends")).collect::<Vec<_>>()
+        waiting
+            .into_iter()
+            .map(|c| c.join().expect("it ends"))
+            .collect::<Vec<_>>()
     });
-    assert_eq!(ends.await.expect("they end"), vec!["HTTP/1.1 202 Accepted"; room]);
+    assert_eq!(
+        ends.await.expect("they end"),
+        vec!["HTTP/1.1 202 Accepted"; room]
+    );
 }
 
 /// Guards requests that come in pieces, as slow or small writes make them: each is read whole and answered, also the second
 /// on a connection.
 #[tokio::test]
 async fn a_request_that_comes_byte_by_byte_is_answered() {
-    let Rig { clients, listener, mut hand_ins, .. } = Rig::new(16).await;
+    let Rig {
+        clients,
+        listener,
+        mut hand_ins,
+        ..
+    } = Rig::new(16).await;
     let address = listener.local_addr().expect("its address");
     tokio::spawn(clients.run(listener));
     let come = tokio::task::spawn_blocking(move || {
         let mut stream = std::net::TcpStream::connect(address).expect("taken");
         stream.set_nodelay(true).expect("set");
-        stream.set_read_timeout(Some(Duration::from_secs(5))).expect("set");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .expect("set");
         for _ in 0..2 {
             for byte in REQUEST.bytes() {
                 stream.write_all(&[byte]).expect("written");
@@ -184,7 +250,11 @@
     tokio::spawn(async move {
         while let Some(HandIn { handed, answer, .. }) = hand_ins.recv().await {
             let whole = handed.body == Bytes::from_static(b"body");
-            let _ = answer.send(if whole { Answer::Taken } else { Answer::OtherContent });
+            let _ = answer.send(if whole {
+                Answer::Taken
+            } else {
+                Answer::OtherContent
+            });
         }
     });
     come.await.expect("both are answered");
--- a/crates/forwarder/src/clock.rs
+++ b/crates/forwarder/src/clock.rs
@@ -13,8 +13,13 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { origin: Instant::now(), wall: micros(wall) }
+        let wall = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            origin: Instant::now(),
+            wall: micros(wall),
+        }
     }
 
     pub fn now(&self) -> Micros {
--- a/crates/forwarder/src/completion_reports.rs
+++ b/crates/forwarder/src/completion_reports.rs
@@ -42,7 +42,10 @@
             }
             let lines = waiting.len().min(most);
             let text = encode_completion_reports(
-                waiting.iter().take(lines).map(|o| (o.request_id.as_str(), o.ending)),
+                waiting
+                    .iter()
+                    .take(lines)
+                    .map(|o| (o.request_id.as_str(), o.ending)),
             );
             let answer = tokio::select! {
                 answer = self.platform.ask(Method::POST, OUTCOMES, text, patience) => answer,
@@ -55,7 +58,11 @@
             };
             // Guards ends against a connection that has fallen silent, which is left soon, and against an agent that is only slow.
             let silent = matches!(answer, Err(AskFault::OutOfTime));
-            patience = if silent { LONGEST.min(2 * patience) } else { PATIENCE };
+            patience = if silent {
+                LONGEST.min(2 * patience)
+            } else {
+                PATIENCE
+            };
             match answer {
                 Ok((StatusCode::NO_CONTENT, _)) => {
                     most = MOST_LINES;
@@ -72,14 +79,20 @@
                 Ok((StatusCode::BAD_REQUEST, _)) => {
                     if let Some(pending_report) = waiting.pop_front() {
                         error!(self.log, "a notice is not understood"; "id" => pending_report.request_id);
-                        if self.dispatcher.send(Note::Heard(vec![pending_report.serial])).await.is_err() {
+                        if self
+                            .dispatcher
+                            .send(Note::Heard(vec![pending_report.serial]))
+                            .await
+                            .is_err()
+                        {
                             return;
                         }
                     }
                 }
                 other => {
                     if !std::mem::replace(&mut down, true) {
-                        let fault = other.map_or_else(|fault| fault, |(status, _)| AskFault::Refused(status));
+                        let fault = other
+                            .map_or_else(|fault| fault, |(status, _)| AskFault::Refused(status));
                         warn!(self.log, "notices are not heard"; "problem" => %fault);
                     }
                     if !silent {
--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -3,13 +3,15 @@
 
 use crate::clock::{micros, Clock};
 use crate::journal::{Journal, Kept};
-use crate::notes::{Answer, Call, GossipMessage, HandIn, ListNote, Note, PendingReport, TargetNote};
+use crate::notes::{
+    Answer, Call, GossipMessage, HandIn, ListNote, Note, PendingReport, TargetNote,
+};
 use crate::protocol::{Ending, Handed};
 use crate::targets::TargetContext;
 use actors::Actors;
 use opalpulley::{
-    Action, Arrival, Config, DestinationId, Event, Forwarder, KindId, ListNews, Listing, Micros, OrderKey,
-    Outcome, PacketId, Past, ProfileId, Standing, TargetId, TenantId, Token, ZoneId,
+    Action, Arrival, Config, DestinationId, Event, Forwarder, KindId, ListNews, Listing, Micros,
+    OrderKey, Outcome, PacketId, Past, ProfileId, Standing, TargetId, TenantId, Token, ZoneId,
 };
 use slog::{crit, debug, error, info, warn, Logger};
 use std::collections::btree_map::Entry;
@@ -50,15 +52,45 @@
 
 impl Listed {
     fn listing(&self, target: TargetId) -> Listing {
-        let Listed { zone, kind, standing, rate, destination, since } = *self;
-        Listing { target, zone, since, standing, rate, destination, kind }
+        let Listed {
+            zone,
+            kind,
+            standing,
+            rate,
+            destination,
+            since,
+        } = *self;
+        Listing {
+            target,
+            zone,
+            since,
+            standing,
+            rate,
+            destination,
+            kind,
+        }
     }
 }
 
 impl From<&Listing> for Listed {
     fn from(listing: &Listing) -> Listed {
-        let Listing { target: _, zone, since, standing, rate, destination, kind } = *listing;
-        Listed { zone, kind, standing, rate, destination, since }
+        let Listing {
+            target: _,
+            zone,
+            since,
+            standing,
+            rate,
+            destination,
+            kind,
+        } = *listing;
+        Listed {
+            zone,
+            kind,
+            standing,
+            rate,
+            destination,
+            since,
+        }
     }
 }
 
@@ -75,13 +107,13 @@
     /// Set once the journal and the list are in.
     up: Arc<AtomicBool>,
     ids: BTreeMap<String, PacketId>, // that clients gave to open packets; each leaves with its packet
-    named: BTreeSet<DestinationId>,  // that a list has named: as many as destinations have numbers at most
-    open: BTreeMap<PacketId, Open>,  // each leaves with its end and its last outcome
+    named: BTreeSet<DestinationId>, // that a list has named: as many as destinations have numbers at most
+    open: BTreeMap<PacketId, Open>, // each leaves with its end and its last outcome
     listed: BTreeMap<TargetId, Listed>, // by the last list; emptied of those gone without a call out
-    actors: Actors,                  // of the targets in use
+    actors: Actors,                     // of the targets in use
     alarms: BTreeSet<(Micros, u64, Token)>, // each leaves as it rings
-    later: VecDeque<Event>,          // emptied before the next note is read
-    earlier: Option<Vec<Kept>>,      // packets of an earlier process, until the list is in
+    later: VecDeque<Event>,             // emptied before the next note is read
+    earlier: Option<Vec<Kept>>,         // packets of an earlier process, until the list is in
     pending_reports: BTreeMap<u64, Option<PacketId>>, // ends that the platform has not heard of, with those that keep an order; each leaves as it has
     next_id: u32,
     next_alarm: u64,
@@ -106,7 +138,13 @@
         ways: Ways,
         log: Logger,
     ) -> Dispatcher {
-        let Ways { context, list, completion_reports, gossip, up } = ways;
+        let Ways {
+            context,
+            list,
+            completion_reports,
+            gossip,
+            up,
+        } = ways;
         Dispatcher {
             clock,
             forwarder: Forwarder::new(config.clone(), seed),
@@ -188,9 +226,20 @@
         match note {
             Note::Event(Event::List(news)) => self.list_news(news),
             Note::Event(mut event) => {
-                if let Event::TripEnded { id, trip, target, outcome, closed, .. } = &mut event {
+                if let Event::TripEnded {
+                    id,
+                    trip,
+                    target,
+                    outcome,
+                    closed,
+                    ..
+                } = &mut event
+                {
                     // Guards a packet whose answer came after its time: that delivers nothing, and its end is still owed.
-                    let late = self.open.get(id).is_some_and(|o| self.clock.now() >= o.expires);
+                    let late = self
+                        .open
+                        .get(id)
+                        .is_some_and(|o| self.clock.now() >= o.expires);
                     *closed &= !(late && *outcome == Outcome::Delivered);
                     self.actors.call_ended(self.clock.now(), *target);
                     self.forget_if_over(*target);
@@ -203,7 +252,10 @@
                     let heard = self.pending_reports.remove(&serial);
                     let written = self.journal.ended(serial);
                     self.written(written);
-                    heard.flatten().into_iter().for_each(|id| self.handle(Event::Heard { id }));
+                    heard
+                        .flatten()
+                        .into_iter()
+                        .for_each(|id| self.handle(Event::Heard { id }));
                 }
             }
         }
@@ -227,12 +279,19 @@
 
     /// Both tables are built from the sorted whole, which packs them: line by line they would take twice the room.
     fn list_whole(&mut self, entries: &[Listing]) {
-        self.named.append(&mut entries.iter().map(|e| e.destination).collect());
-        let now_listed = entries.iter().map(|e| (e.target, Listed::from(e))).collect();
+        self.named
+            .append(&mut entries.iter().map(|e| e.destination).collect());
+        let now_listed = entries
+            .iter()
+            .map(|e| (e.target, Listed::from(e)))
+            .collect();
         let before = std::mem::replace(&mut self.listed, now_listed);
         for (target, listing) in before {
             if let Entry::Vacant(missing) = self.listed.entry(target) {
-                missing.insert(Listed { standing: Standing::Gone, ..listing });
+                missing.insert(Listed {
+                    standing: Standing::Gone,
+                    ..listing
+                });
                 self.forget_if_over(target);
             }
         }
@@ -250,7 +309,10 @@
 
     /// A target that has gone stays as long as a call is out there.
     fn forget_if_over(&mut self, target: TargetId) {
-        let gone = self.listed.get(&target).is_some_and(|l| l.standing == Standing::Gone);
+        let gone = self
+            .listed
+            .get(&target)
+            .is_some_and(|l| l.standing == Standing::Gone);
         if gone && self.actors.calls(target) == 0 {
             self.listed.remove(&target);
             self.actors.end(target);
@@ -258,7 +320,9 @@
     }
 
     fn trip_ended(&mut self, id: PacketId, trip: u8, outcome: Outcome, over: bool) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         open.out.retain(|(t, _)| *t != trip);
         let serial = open.serial;
         let written = match over && !open.ended {
@@ -271,7 +335,9 @@
                 open.trips = u32::from(trip);
                 self.journal.trip_taken_back(serial, trip)
             }
-            false => self.journal.trip_ended(serial, trip, outcome.may_have_run()),
+            false => self
+                .journal
+                .trip_ended(serial, trip, outcome.may_have_run()),
         };
         self.written(written);
         self.close(id);
@@ -279,23 +345,50 @@
 
     /// Forgets a packet once it is over and none of its trips is out.
     fn close(&mut self, id: PacketId) {
-        if self.open.get(&id).is_some_and(|o| o.ended && o.out.is_empty()) {
+        if self
+            .open
+            .get(&id)
+            .is_some_and(|o| o.ended && o.out.is_empty())
+        {
             if let Some(open) = self.open.remove(&id) {
                 self.ids.remove(&open.handed.request_id);
             }
         }
     }
 
-    fn hand_in(&mut self, HandIn { mut handed, came, answer }: HandIn) {
+    fn hand_in(
+        &mut self,
+        HandIn {
+            mut handed,
+            came,
+            answer,
+        }: HandIn,
+    ) {
         // Guards against work for a client that has left: nothing is taken on yet.
         if answer.is_closed() {
             return;
         }
         // Guards against two packets from one: a client whose answer was lost on the way sends the same id again.
-        if let Some(open) = self.ids.get(&handed.request_id).and_then(|id| self.open.get(id)) {
-            let of = |h: &Handed| (h.profile, h.destination, h.key, h.mark.clone(), h.body.clone());
+        if let Some(open) = self
+            .ids
+            .get(&handed.request_id)
+            .and_then(|id| self.open.get(id))
+        {
+            let of = |h: &Handed| {
+                (
+                    h.profile,
+                    h.destination,
+                    h.key,
+                    h.mark.clone(),
+                    h.body.clone(),
+                )
+            };
             let same = of(&open.handed) == of(&handed);
-            let _ = answer.send(if same { Answer::Taken } else { Answer::OtherContent });
+            let _ = answer.send(if same {
+                Answer::Taken
+            } else {
+                Answer::OtherContent
+            });
             return;
         }
         if !self.named.contains(&handed.destination) {
@@ -322,7 +415,17 @@
         };
         let id = self.new_id();
         let arrival = arrival(id, &handed, Past::default());
-        self.keep(id, Open { serial, handed, expires, trips: 0, out: Vec::new(), ended: false });
+        self.keep(
+            id,
+            Open {
+                serial,
+                handed,
+                expires,
+                trips: 0,
+                out: Vec::new(),
+                ended: false,
+            },
+        );
         let refused = self.decide(Event::Packet(arrival), Some(id));
         if refused.is_some() {
             // Its end is the client's own answer: nothing is owed to the platform.
@@ -373,7 +476,11 @@
             let id = self.new_id();
             if let Some(ending) = kept.pending_report {
                 let ordered = kept.key.map(OrderKey).map(|key| {
-                    self.handle(Event::PendingReport { id, profile: ProfileId(kept.profile), key });
+                    self.handle(Event::PendingReport {
+                        id,
+                        profile: ProfileId(kept.profile),
+                        key,
+                    });
                     id
                 });
                 self.owe(kept.serial, kept.request_id, ending, ordered);
@@ -382,7 +489,10 @@
             // Guards rule 2 against a clock that was set back: a trip that began later than now proves no window.
             let began = |at: Micros| if at > now { 0 } else { at };
             let exposed = kept.exposed.map(|(at, zone)| (began(at), ZoneId(zone)));
-            let past = Past { trips: kept.trips, exposed };
+            let past = Past {
+                trips: kept.trips,
+                exposed,
+            };
             let handed = Handed {
                 request_id: kept.request_id,
                 profile: ProfileId(kept.profile),
@@ -395,9 +505,22 @@
                 orphan: kept.orphan,
                 body: kept.body,
             };
-            let arrival = Arrival { again: true, ..arrival(id, &handed, past) };
+            let arrival = Arrival {
+                again: true,
+                ..arrival(id, &handed, past)
+            };
             let (serial, expires, trips) = (kept.serial, kept.expires, kept.trips);
-            self.keep(id, Open { serial, handed, expires, trips, out: Vec::new(), ended: false });
+            self.keep(
+                id,
+                Open {
+                    serial,
+                    handed,
+                    expires,
+                    trips,
+                    out: Vec::new(),
+                    ended: false,
+                },
+            );
             self.handle(Event::Packet(arrival));
         }
     }
@@ -418,8 +541,16 @@
         let now = self.clock.now();
         let mut actions = Vec::new();
         let forwarder = &mut self.forwarder;
-        let packet = if let Event::Packet(arrival) = &event { Some(arrival.id) } else { None };
-        if catch_unwind(AssertUnwindSafe(|| forwarder.handle(now, event, &mut actions))).is_err() {
+        let packet = if let Event::Packet(arrival) = &event {
+            Some(arrival.id)
+        } else {
+            None
+        };
+        if catch_unwind(AssertUnwindSafe(|| {
+            forwarder.handle(now, event, &mut actions)
+        }))
+        .is_err()
+        {
             match (self.beginning, packet) {
                 (false, _) => self.begin_anew(),
                 // The packet itself is what the core can't bear.
@@ -431,7 +562,9 @@
         let mut refused = None;
         for action in actions {
             match action {
-                Action::WriteOff { id } if Some(id) == handed_in => refused = Some(Answer::WrittenOff),
+                Action::WriteOff { id } if Some(id) == handed_in => {
+                    refused = Some(Answer::WrittenOff)
+                }
                 Action::Defer { id, come_back } if Some(id) == handed_in => {
                     refused = Some(Answer::Deferred { come_back });
                 }
@@ -459,7 +592,11 @@
             }
         }
         self.beginning = true;
-        let listed = self.listed.iter().map(|(target, listed)| listed.listing(*target)).collect();
+        let listed = self
+            .listed
+            .iter()
+            .map(|(target, listed)| listed.listing(*target))
+            .collect();
         self.decide(Event::List(ListNews::Cached(listed)), None);
         let packets = self.journal.after_restart();
         self.restore(packets);
@@ -468,11 +605,18 @@
 
     fn carry_out(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { id, target, limit, begin_by } => {
+            Action::Send {
+                id,
+                target,
+                limit,
+                begin_by,
+            } => {
                 self.send(now, id, target, limit, self.clock.at(begin_by));
             }
             Action::WriteOff { id } => self.finish(id, Some(Ending::WrittenOff)),
-            Action::Defer { id, come_back } => self.finish(id, Some(Ending::Deferred { come_back })),
+            Action::Defer { id, come_back } => {
+                self.finish(id, Some(Ending::Deferred { come_back }))
+            }
             Action::Wake { after, token } => {
                 self.next_alarm += 1;
                 self.alarms.insert((now + after, self.next_alarm, token));
@@ -489,7 +633,10 @@
                 }
             }
             Action::CallOff { id, trip } => {
-                let out = self.open.get(&id).and_then(|o| o.out.iter().find(|(t, _)| *t == trip));
+                let out = self
+                    .open
+                    .get(&id)
+                    .and_then(|o| o.out.iter().find(|(t, _)| *t == trip));
                 if let Some((_, target)) = out.copied() {
                     self.post(target, TargetNote::CallOff { id, trip });
                 }
@@ -499,7 +646,11 @@
             Action::Watch { on } => self.ask_list(ListNote::Watch(on)),
             Action::FetchList => self.ask_list(ListNote::Fetch),
             Action::SendGossip { peer, message } => {
-                if self.gossip.try_send(GossipMessage { peer, message }).is_err() {
+                if self
+                    .gossip
+                    .try_send(GossipMessage { peer, message })
+                    .is_err()
+                {
                     warn!(self.log, "a gossip message to a peer is dropped");
                 }
             }
@@ -556,7 +707,9 @@
         self.written(kept);
         if written && self.post(target, TargetNote::Call(Box::new(call))) {
             self.actors.call_begun(target);
-            self.open.entry(id).and_modify(|o| o.out.push((trip, target)));
+            self.open
+                .entry(id)
+                .and_modify(|o| o.out.push((trip, target)));
             return;
         }
         // Nothing has gone out.
@@ -566,12 +719,22 @@
             self.written(ended);
         }
         let (took, closed, report) = (0, false, Vec::new());
-        self.later.push_back(Event::TripEnded { id, trip, target, outcome, took, closed, report });
+        self.later.push_back(Event::TripEnded {
+            id,
+            trip,
+            target,
+            outcome,
+            took,
+            closed,
+            report,
+        });
     }
 
     /// The end of a packet, told to the platform unless its client hears it in its own answer.
     fn finish(&mut self, id: PacketId, ending: Option<Ending>) {
-        let Some(open) = self.open.get_mut(&id).filter(|o| !o.ended) else { return };
+        let Some(open) = self.open.get_mut(&id).filter(|o| !o.ended) else {
+            return;
+        };
         open.ended = true;
         let (serial, request_id) = (open.serial, open.handed.request_id.clone());
         let ordered = open.handed.key.is_some();
@@ -593,7 +756,16 @@
     fn owe(&mut self, serial: u64, request_id: String, ending: Ending, ordered: Option<PacketId>) {
         // One that is owed already goes on being told.
         let known = self.pending_reports.insert(serial, ordered).is_some();
-        if !known && self.completion_reports.send(PendingReport { serial, request_id, ending }).is_err() {
+        if !known
+            && self
+                .completion_reports
+                .send(PendingReport {
+                    serial,
+                    request_id,
+                    ending,
+                })
+                .is_err()
+        {
             error!(self.log, "nobody carries notices");
         }
     }
--- a/crates/forwarder/src/dispatcher/actors.rs
+++ b/crates/forwarder/src/dispatcher/actors.rs
@@ -46,15 +46,30 @@
             .config
             .idle_closed_after
             .saturating_add(PROBE_TIMES.saturating_mul(context.config.connect_within));
-        Actors { context, mailbox_room, rest, running: BTreeMap::new(), looks: BTreeSet::new() }
+        Actors {
+            context,
+            mailbox_room,
+            rest,
+            running: BTreeMap::new(),
+            looks: BTreeSet::new(),
+        }
     }
 
     /// Gives a note to the target's actor, which begins if none runs. False where it takes no more.
     pub fn post(&mut self, now: Micros, target: TargetId, note: TargetNote) -> bool {
-        let (context, room, look) = (&self.context, self.mailbox_room, now.saturating_add(self.rest));
+        let (context, room, look) = (
+            &self.context,
+            self.mailbox_room,
+            now.saturating_add(self.rest),
+        );
         let running = self.running.entry(target).or_insert_with(|| {
             self.looks.insert((look, target));
-            Running { mailbox: begin(target, context, room), calls: 0, used: now, look }
+            Running {
+                mailbox: begin(target, context, room),
+                calls: 0,
+                used: now,
+                look,
+            }
         });
         running.used = now;
         let sent = match running.mailbox.try_send(note) {
@@ -107,7 +122,9 @@
     pub fn look(&mut self, now: Micros) {
         while let Some((at, target)) = self.looks.first().copied().filter(|(at, _)| *at <= now) {
             self.looks.remove(&(at, target));
-            let Some(running) = self.running.get_mut(&target) else { continue };
+            let Some(running) = self.running.get_mut(&target) else {
+                continue;
+            };
             let since = if running.calls > 0 { now } else { running.used };
             if since.saturating_add(self.rest) <= now {
                 self.running.remove(&target);
--- a/crates/forwarder/src/dispatcher/actors/tests.rs
+++ b/crates/forwarder/src/dispatcher/actors/tests.rs
@@ -18,8 +18,17 @@
     let (dispatcher, notes) = mpsc::channel(64);
     let (profiles, tenants, zones, kinds, reports) = Default::default();
     let context = TargetContext {
-        config: ConnectionConfig { idle_closed_after: IDLE, connect_within: CONNECT },
-        names: Names { profiles, tenants, zones, kinds, reports },
+        config: ConnectionConfig {
+            idle_closed_after: IDLE,
+            connect_within: CONNECT,
+        },
+        names: Names {
+            profiles,
+            tenants,
+            zones,
+            kinds,
+            reports,
+        },
         idle: Arc::new(Semaphore::new(64)),
         dispatcher,
         log: slog::Logger::root(slog::Discard, slog::o!()),
@@ -28,7 +37,11 @@
 }
 
 fn target(number: u32) -> TargetId {
-    TargetId { address: [127, 0, 0, 1], port: 9, holder: number }
+    TargetId {
+        address: [127, 0, 0, 1],
+        port: 9,
+        holder: number,
+    }
 }
 
 fn call(trip: u8) -> TargetNote {
@@ -44,7 +57,9 @@
 }
 
 fn tasks() -> usize {
-    tokio::runtime::Handle::current().metrics().num_alive_tasks()
+    tokio::runtime::Handle::current()
+        .metrics()
+        .num_alive_tasks()
 }
 
 /// Lets the actors run until so many tasks are left.
@@ -131,19 +146,35 @@
     assert!(actors.post(REST, there, call(2)));
     let mut delivered = Vec::new();
     while delivered.len() < 3 {
-        let note = tokio::time::timeout(Duration::from_secs(5), notes.recv()).await.expect("in time");
-        let Some(Note::Event(Event::TripEnded { trip, outcome: Outcome::Delivered, .. })) = note else {
+        let note = tokio::time::timeout(Duration::from_secs(5), notes.recv())
+            .await
+            .expect("in time");
+        let Some(Note::Event(Event::TripEnded {
+            trip,
+            outcome: Outcome::Delivered,
+            ..
+        })) = note
+        else {
             panic!("not delivered")
         };
         delivered.push(trip);
     }
     delivered.sort_unstable();
     assert_eq!(delivered, [0, 1, 2]);
-    assert!(tokio::time::timeout(Duration::from_millis(200), notes.recv()).await.is_err(), "once is enough");
+    assert!(
+        tokio::time::timeout(Duration::from_millis(200), notes.recv())
+            .await
+            .is_err(),
+        "once is enough"
+    );
 }
 
 /// Guards memory: what one visited target costs beside its connection. A mailbox holds its notes in blocks of 32.
 #[test]
 fn a_note_is_small_for_mailboxes_keep_room_for_dozens() {
-    assert!(std::mem::size_of::<TargetNote>() <= 16, "{} bytes", std::mem::size_of::<TargetNote>());
+    assert!(
+        std::mem::size_of::<TargetNote>() <= 16,
+        "{} bytes",
+        std::mem::size_of::<TargetNote>()
+    );
 }
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -13,9 +13,13 @@
     for effect in ["free", "single_shot"] {
         let mut profile = settings["Profiles"][0].clone();
         profile["Effect"] = effect.into();
-        settings["Profiles"].as_array_mut().expect("profiles").push(profile);
+        settings["Profiles"]
+            .as_array_mut()
+            .expect("profiles")
+            .push(profile);
     }
-    let start = opalpulley_config::read(settings.to_string().as_bytes()).expect("a good configuration");
+    let start =
+        opalpulley_config::read(settings.to_string().as_bytes()).expect("a good configuration");
     (start.config, start.names, start.connections)
 }
 
@@ -44,12 +48,28 @@
     let (gossip, _) = mpsc::channel(1);
     let (completion_reports, pending_report) = mpsc::unbounded_channel();
     let idle = Arc::new(Semaphore::new(4));
-    let context = Arc::new(TargetContext { config: connections, names, idle, dispatcher, log: log.clone() });
-    let ways = Ways { context, list, completion_reports, gossip, up: Arc::default() };
+    let context = Arc::new(TargetContext {
+        config: connections,
+        names,
+        idle,
+        dispatcher,
+        log: log.clone(),
+    });
+    let ways = Ways {
+        context,
+        list,
+        completion_reports,
+        gossip,
+        up: Arc::default(),
+    };
     let mut dispatcher = Dispatcher::new(config, 1, Clock::start(), journal, ways, log);
     let port = listener.local_addr().expect("its address").port();
     let listing = Listing {
-        target: TargetId { address: [127, 0, 0, 1], port, holder: 0 },
+        target: TargetId {
+            address: [127, 0, 0, 1],
+            port,
+            holder: 0,
+        },
         zone: ZoneId(0),
         since: 0,
         standing: Standing::Ready,
@@ -59,14 +79,24 @@
     };
     dispatcher.handle_message(Note::Event(Event::List(ListNews::Cached(vec![listing]))));
     dispatcher.take_over(Vec::new());
-    Rig { dispatcher, pending_report, notes, listener, _dir: dir }
+    Rig {
+        dispatcher,
+        pending_report,
+        notes,
+        listener,
+        _dir: dir,
+    }
 }
 
 impl Rig {
     fn hand_in(&mut self, id: &str, profile: u16) -> oneshot::Receiver<Answer> {
         let (answer, answered) = oneshot::channel();
         let came = tokio::time::Instant::now();
-        self.dispatcher.hand_in(HandIn { handed: handed(id, profile), came, answer });
+        self.dispatcher.hand_in(HandIn {
+            handed: handed(id, profile),
+            came,
+            answer,
+        });
         answered
     }
 
@@ -84,7 +114,10 @@
 
     async fn calls(&self) -> usize {
         let mut calls = 0;
-        while tokio::time::timeout(Duration::from_millis(20), self.listener.accept()).await.is_ok() {
+        while tokio::time::timeout(Duration::from_millis(20), self.listener.accept())
+            .await
+            .is_ok()
+        {
             calls += 1;
         }
         calls
@@ -119,10 +152,14 @@
     rig.pass(300).await;
     assert_eq!(rig.calls().await, 2); // not the binding one
     let pending_report = rig.pending_report.try_recv().expect("an end");
-    assert_eq!((pending_report.request_id.as_str(), pending_report.ending), ("binding", Ending::WrittenOff));
+    assert_eq!(
+        (pending_report.request_id.as_str(), pending_report.ending),
+        ("binding", Ending::WrittenOff)
+    );
     assert!(rig.pending_report.try_recv().is_err());
     assert_eq!(rig.dispatcher.open.len(), 2);
-    rig.dispatcher.handle_message(Note::Heard(vec![pending_report.serial]));
+    rig.dispatcher
+        .handle_message(Note::Heard(vec![pending_report.serial]));
     assert_eq!(rig.dispatcher.journal.after_restart().len(), 2);
 }
 
@@ -143,9 +180,17 @@
     drop(rig.hand_in("early", 1)); // the answer was in before it left: taken on
     let (answer, answered) = oneshot::channel();
     drop(answered);
-    rig.dispatcher.hand_in(HandIn { handed: handed("late", 1), came: tokio::time::Instant::now(), answer });
+    rig.dispatcher.hand_in(HandIn {
+        handed: handed("late", 1),
+        came: tokio::time::Instant::now(),
+        answer,
+    });
     assert_eq!(
-        rig.dispatcher.open.values().map(|o| o.handed.request_id.as_str()).collect::<Vec<_>>(),
+        rig.dispatcher
+            .open
+            .values()
+            .map(|o| o.handed.request_id.as_str())
+            .collect::<Vec<_>>(),
         ["early"]
     );
     assert_eq!(rig.dispatcher.journal.after_restart().len(), 1);
@@ -168,11 +213,13 @@
         closed: outcome == Outcome::Delivered,
         report: Vec::new(),
     };
-    rig.dispatcher.handle_message(Note::Event(ended(Outcome::Delivered)));
+    rig.dispatcher
+        .handle_message(Note::Event(ended(Outcome::Delivered)));
     assert!(rig.dispatcher.open.is_empty() && rig.dispatcher.ids.is_empty());
     assert!(rig.dispatcher.journal.after_restart().is_empty());
     // A second outcome of the same trip changes nothing.
-    rig.dispatcher.handle_message(Note::Event(ended(Outcome::Error)));
+    rig.dispatcher
+        .handle_message(Note::Event(ended(Outcome::Error)));
     assert!(rig.dispatcher.open.is_empty() && rig.dispatcher.pending_reports.is_empty());
 }
 
@@ -181,10 +228,18 @@
 async fn the_room_of_the_configuration_is_kept() {
     let mut rig = rig().await;
     rig.dispatcher.config.room = 2;
-    for (id, answer) in [("one", Answer::Taken), ("two", Answer::Taken), ("three", Answer::NoRoom)] {
+    for (id, answer) in [
+        ("one", Answer::Taken),
+        ("two", Answer::Taken),
+        ("three", Answer::NoRoom),
+    ] {
         assert_eq!(rig.hand_in(id, 1).await, Ok(answer));
     }
-    let tenant = Handed { tenant: Some(TenantId(1)), left: 5, ..handed("x", 1) };
+    let tenant = Handed {
+        tenant: Some(TenantId(1)),
+        left: 5,
+        ..handed("x", 1)
+    };
     let arrival = arrival(PacketId(9), &tenant, Past::default());
     assert_eq!((arrival.tenant, arrival.left), (TenantId(1), 5));
     assert_eq!(super::kept(&tenant, 7).tenant, Some(1));
@@ -197,10 +252,21 @@
     let waited = Duration::from_millis(150);
     let (answer, _answered) = oneshot::channel();
     let came = tokio::time::Instant::now() - waited;
-    rig.dispatcher.hand_in(HandIn { handed: handed("queued", 1), came, answer });
-    let left =
-        rig.dispatcher.open.values().map(|o| o.expires - rig.dispatcher.clock.now()).collect::<Vec<_>>();
-    assert!(left.len() == 1 && left[0] <= 20_000_000 - micros(waited), "{left:?}");
+    rig.dispatcher.hand_in(HandIn {
+        handed: handed("queued", 1),
+        came,
+        answer,
+    });
+    let left = rig
+        .dispatcher
+        .open
+        .values()
+        .map(|o| o.expires - rig.dispatcher.clock.now())
+        .collect::<Vec<_>>();
+    assert!(
+        left.len() == 1 && left[0] <= 20_000_000 - micros(waited),
+        "{left:?}"
+    );
 }
 
 impl Rig {
@@ -208,7 +274,10 @@
     fn take_over_with_call_out(&mut self, began: Micros) {
         let kept = super::kept(&handed("out", 0), self.dispatcher.clock.now() + 20_000_000);
         let serial = self.dispatcher.journal.accept(kept).expect("it is kept");
-        self.dispatcher.journal.trip_started(serial, 0, began, 0).expect("it is kept");
+        self.dispatcher
+            .journal
+            .trip_started(serial, 0, began, 0)
+            .expect("it is kept");
         let packets = self.dispatcher.journal.after_restart();
         self.dispatcher.restore(packets);
     }
@@ -236,7 +305,10 @@
     rig.pass(200).await;
     assert_eq!(rig.calls().await, 0);
     let pending_report = rig.pending_report.try_recv().expect("an end");
-    assert_eq!((pending_report.request_id.as_str(), pending_report.ending), ("out", Ending::WrittenOff));
+    assert_eq!(
+        (pending_report.request_id.as_str(), pending_report.ending),
+        ("out", Ending::WrittenOff)
+    );
 }
 
 /// Guards rule 2 and a packet's tries where a target's mailbox is full: what could not be handed over has not run, whatever
@@ -250,7 +322,10 @@
     while rig.dispatcher.post(target, TargetNote::CloseIdle) {}
     assert_eq!(rig.hand_in("binding", 2).await, Ok(Answer::Taken));
     let kept = rig.dispatcher.journal.after_restart();
-    let binding = kept.iter().find(|k| k.request_id == "binding").expect("it is kept");
+    let binding = kept
+        .iter()
+        .find(|k| k.request_id == "binding")
+        .expect("it is kept");
     assert_eq!((binding.trips, binding.exposed), (1, None));
     rig.pass(500).await;
     assert!(rig.pending_report.try_recv().is_err(), "its end is told");
--- a/crates/forwarder/src/gossip_socket.rs
+++ b/crates/forwarder/src/gossip_socket.rs
@@ -22,7 +22,9 @@
     dispatcher: mpsc::Sender<Note>,
     log: Logger,
 ) -> io::Result<()> {
-    let Some(listen) = who.listen else { return Ok(()) };
+    let Some(listen) = who.listen else {
+        return Ok(());
+    };
     let socket = UdpSocket::bind(listen).await?;
     let numbers: HashMap<SocketAddr, u16> = who.each.iter().copied().zip(0..).collect();
     let (mut strangers, mut logged): (u64, Option<Instant>) = (0, None);
--- a/crates/forwarder/src/journal.rs
+++ b/crates/forwarder/src/journal.rs
@@ -67,7 +67,9 @@
                 self.trips = self.trips.max(u32::from(*trip) + 1);
                 self.out.push((*trip, *at, *zone));
             }
-            Record::TripEnded { trip, may_have_run, .. } => {
+            Record::TripEnded {
+                trip, may_have_run, ..
+            } => {
                 if let Some(place) = self.out.iter().position(|(t, ..)| t == trip) {
                     let (_, at, zone) = self.out.remove(place);
                     if *may_have_run {
@@ -137,11 +139,16 @@
 impl BeyondEarlier {
     /// A record as earlier versions are to read it, and what stands behind it; none where they read it as it is.
     fn split(record: &Record) -> Option<(Record, BeyondEarlier)> {
-        let (Record::Packet(kept) | Record::Keyed(kept, _)) = record else { return None };
+        let (Record::Packet(kept) | Record::Keyed(kept, _)) = record else {
+            return None;
+        };
         if kept.destination <= EARLIER_MOST {
             return None;
         }
-        let beyond = BeyondEarlier { destination: kept.destination, pending_report: kept.pending_report };
+        let beyond = BeyondEarlier {
+            destination: kept.destination,
+            pending_report: kept.pending_report,
+        };
         let mut earlier = record.clone();
         let written_off = BeyondEarlier {
             destination: EARLIER_MOST,
@@ -223,8 +230,10 @@
         let mut numbers = Vec::new();
         for entry in fs::read_dir(dir)? {
             let name = entry?.file_name();
-            let number =
-                name.to_str().and_then(|n| n.strip_suffix(".journal")).and_then(|n| n.parse::<u64>().ok());
+            let number = name
+                .to_str()
+                .and_then(|n| n.strip_suffix(".journal"))
+                .and_then(|n| n.parse::<u64>().ok());
             numbers.extend(number);
         }
         numbers.sort_unstable();
@@ -248,7 +257,9 @@
 
     /// The packets that are not over, as they stand once nobody hears of their trips any more.
     pub fn after_restart(&mut self) -> Vec<Kept> {
-        self.live.values_mut().for_each(|(kept, _)| kept.forget_out());
+        self.live
+            .values_mut()
+            .for_each(|(kept, _)| kept.forget_out());
         self.live.values().map(|(kept, _)| kept.clone()).collect()
     }
 
@@ -266,7 +277,10 @@
             segment.bytes = at as u64;
         }
         if at < bytes.len() {
-            OpenOptions::new().write(true).open(&file)?.set_len(at as u64)?;
+            OpenOptions::new()
+                .write(true)
+                .open(&file)?
+                .set_len(at as u64)?;
         }
         Ok(())
     }
@@ -274,7 +288,13 @@
     /// Carries a record over into memory.
     fn note(&mut self, record: Record, number: u64) {
         match record {
-            Record::Keyed(kept, key) => self.note(Record::Packet(Kept { key: Some(key), ..kept }), number),
+            Record::Keyed(kept, key) => self.note(
+                Record::Packet(Kept {
+                    key: Some(key),
+                    ..kept
+                }),
+                number,
+            ),
             Record::Packet(kept) => {
                 self.forget(kept.serial);
                 self.live_bytes += weight(&kept);
@@ -296,13 +316,19 @@
     }
 
     fn begin(&mut self, number: u64) -> io::Result<()> {
-        self.active = OpenOptions::new().create(true).append(true).open(path(&self.dir, number))?;
+        self.active = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(path(&self.dir, number))?;
         self.segments.push_back(Segment { number, bytes: 0 });
         Ok(())
     }
 
     fn used(&self) -> u64 {
-        self.segments.iter().map(|s| s.bytes.div_ceil(BLOCK) * BLOCK).sum()
+        self.segments
+            .iter()
+            .map(|s| s.bytes.div_ceil(BLOCK) * BLOCK)
+            .sum()
     }
 
     fn segment_size(&self) -> u64 {
@@ -340,7 +366,9 @@
             let next = self.segments.back().map_or(0, |s| s.number + 1);
             self.begin(next)?;
         }
-        let Some(segment) = self.segments.back_mut() else { return Err(io::Error::other("no segment")) };
+        let Some(segment) = self.segments.back_mut() else {
+            return Err(io::Error::other("no segment"));
+        };
         let (number, before) = (segment.number, segment.bytes);
         if let Err(problem) = self.active.write_all(bytes) {
             // Half a record would hide all that follow it.
@@ -359,7 +387,9 @@
             if self.used() + bytes + spare <= self.limit || self.segments.len() < 2 {
                 return Ok(());
             }
-            let Some(oldest) = self.segments.front() else { return Ok(()) };
+            let Some(oldest) = self.segments.front() else {
+                return Ok(());
+            };
             let number = oldest.number;
             let here = self.live.values().filter(|(_, copy)| *copy == number);
             let records: Vec<Record> = here.map(|(kept, _)| Record::packet(kept.clone())).collect();
@@ -371,7 +401,10 @@
         }
         match self.used() + bytes <= self.limit {
             true => Ok(()),
-            false => Err(io::Error::new(io::ErrorKind::StorageFull, "the journal is full")),
+            false => Err(io::Error::new(
+                io::ErrorKind::StorageFull,
+                "the journal is full",
+            )),
         }
     }
 
@@ -385,17 +418,28 @@
     }
 
     pub fn trip_started(&mut self, serial: u64, trip: u8, at: Micros, zone: u16) -> io::Result<()> {
-        self.append(Record::TripStarted { serial, trip, at, zone })
+        self.append(Record::TripStarted {
+            serial,
+            trip,
+            at,
+            zone,
+        })
     }
 
     pub fn trip_ended(&mut self, serial: u64, trip: u8, may_have_run: bool) -> io::Result<()> {
-        self.append(Record::TripEnded { serial, trip, may_have_run })
+        self.append(Record::TripEnded {
+            serial,
+            trip,
+            may_have_run,
+        })
     }
 
     /// The trip never went: its number is free again. The packet is written anew as it stood before, for earlier versions
     /// read this journal too.
     pub fn trip_taken_back(&mut self, serial: u64, trip: u8) -> io::Result<()> {
-        let Some((mut kept, _)) = self.live.get(&serial).cloned() else { return Ok(()) };
+        let Some((mut kept, _)) = self.live.get(&serial).cloned() else {
+            return Ok(());
+        };
         kept.out.retain(|(t, ..)| *t != trip);
         kept.trips = u32::from(trip);
         self.append(Record::packet(kept))
--- a/crates/forwarder/src/journal/tests.rs
+++ b/crates/forwarder/src/journal/tests.rs
@@ -25,8 +25,12 @@
 }
 
 fn on_disk(dir: &TempDir) -> u64 {
-    let files = fs::read_dir(dir.path()).expect("the folder").map(|f| f.expect("a file").metadata());
-    files.map(|m| m.expect("its size").len().div_ceil(BLOCK) * BLOCK).sum()
+    let files = fs::read_dir(dir.path())
+        .expect("the folder")
+        .map(|f| f.expect("a file").metadata());
+    files
+        .map(|m| m.expect("its size").len().div_ceil(BLOCK) * BLOCK)
+        .sum()
 }
 
 fn open(dir: &TempDir) -> (Journal, Vec<Kept>) {
@@ -61,7 +65,9 @@
     note(&mut journal);
     journal.trip_started(first, 1, 900, 0).expect("room");
     note(&mut journal);
-    journal.owes(second, Ending::Deferred { come_back: Some(9) }).expect("room");
+    journal
+        .owes(second, Ending::Deferred { come_back: Some(9) })
+        .expect("room");
     note(&mut journal);
     journal.ended(first).expect("room");
     note(&mut journal);
@@ -71,7 +77,10 @@
         let dir = TempDir::new().expect("a folder");
         fs::write(path(dir.path(), 0), &whole[..cut]).expect("written");
         let (mut journal, found) = open(&dir);
-        let (_, wanted) = stages.iter().rfind(|(end, _)| *end <= cut as u64).expect("a stage");
+        let (_, wanted) = stages
+            .iter()
+            .rfind(|(end, _)| *end <= cut as u64)
+            .expect("a stage");
         assert_eq!(&found, wanted, "cut at {cut}");
         let serial = journal.accept(packet(9, 10)).expect("room");
         assert!(found.iter().all(|k| k.serial != serial));
@@ -86,7 +95,9 @@
     let (mut journal, _) = open(&dir);
     let serial = journal.accept(packet(1, 5)).expect("room");
     for (trip, at) in [(0, 100), (1, 200), (2, 300)] {
-        journal.trip_started(serial, trip, at, trip.into()).expect("room");
+        journal
+            .trip_started(serial, trip, at, trip.into())
+            .expect("room");
         if trip != 1 {
             journal.trip_ended(serial, trip, false).expect("room");
         }
@@ -116,9 +127,16 @@
         spoilt[at] ^= 0x10;
         fs::write(&file, spoilt).expect("written");
         let (_, found) = open(&dir);
-        assert!(found.iter().any(|k| k.request_id == format!("{:016x}", 3)), "byte {at}");
         assert!(
-            found.iter().all(|k| *k == Kept { serial: k.serial, ..packet(k.serial + 1, 10) }),
+            found.iter().any(|k| k.request_id == format!("{:016x}", 3)),
+            "byte {at}"
+        );
+        assert!(
+            found.iter().all(|k| *k
+                == Kept {
+                    serial: k.serial,
+                    ..packet(k.serial + 1, 10)
+                }),
             "byte {at}"
         );
     }
@@ -161,13 +179,19 @@
                     if !journal.has_room(&kept) {
                         continue;
                     }
-                    let serial = journal.accept(kept.clone()).map_err(|e| format!("accept: {e}"))?;
+                    let serial = journal
+                        .accept(kept.clone())
+                        .map_err(|e| format!("accept: {e}"))?;
                     wanted.insert(serial, Kept { serial, ..kept });
                 }
                 Step::Trip(n) => {
-                    let Some(kept) = pick(n).and_then(|s| wanted.get_mut(&s)) else { continue };
+                    let Some(kept) = pick(n).and_then(|s| wanted.get_mut(&s)) else {
+                        continue;
+                    };
                     let trip = kept.trips as u8;
-                    journal.trip_started(kept.serial, trip, n.into(), 0).map_err(|e| format!("trip: {e}"))?;
+                    journal
+                        .trip_started(kept.serial, trip, n.into(), 0)
+                        .map_err(|e| format!("trip: {e}"))?;
                     journal
                         .trip_ended(kept.serial, trip, n.is_multiple_of(2))
                         .map_err(|e| format!("trip: {e}"))?;
@@ -178,8 +202,12 @@
                 }
                 Step::Owe(n) => {
                     let Some(serial) = pick(n) else { continue };
-                    journal.owes(serial, Ending::WrittenOff).map_err(|e| format!("owe: {e}"))?;
-                    wanted.entry(serial).and_modify(|k| k.pending_report = Some(Ending::WrittenOff));
+                    journal
+                        .owes(serial, Ending::WrittenOff)
+                        .map_err(|e| format!("owe: {e}"))?;
+                    wanted
+                        .entry(serial)
+                        .and_modify(|k| k.pending_report = Some(Ending::WrittenOff));
                 }
                 Step::End(n) => {
                     let Some(serial) = pick(n) else { continue };
@@ -192,7 +220,11 @@
                     (journal, found) = open_within(&dir, limit);
                     let all: Vec<Kept> = wanted.values().cloned().collect();
                     if found != all {
-                        return Err(format!("{} packets found, {} wanted", found.len(), all.len()));
+                        return Err(format!(
+                            "{} packets found, {} wanted",
+                            found.len(),
+                            all.len()
+                        ));
                     }
                 }
             }
@@ -216,7 +248,13 @@
     let serial = journal.accept(packet(1, 40)).expect("room");
     journal.trip_started(serial, 0, 900, 1).expect("room");
     journal.trip_taken_back(serial, 0).expect("room");
-    assert_eq!(open(&dir).1, [Kept { serial, ..packet(1, 40) }]);
+    assert_eq!(
+        open(&dir).1,
+        [Kept {
+            serial,
+            ..packet(1, 40)
+        }]
+    );
 }
 
 /// The records as versions wrote and read them whose destinations had 16 bits.
@@ -244,10 +282,24 @@
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
     pub enum Record {
         Packet(Kept),
-        TripStarted { serial: u64, trip: u8, at: Micros, zone: u16 },
-        TripEnded { serial: u64, trip: u8, may_have_run: bool },
-        Owes { serial: u64, ending: Ending },
-        Ended { serial: u64 },
+        TripStarted {
+            serial: u64,
+            trip: u8,
+            at: Micros,
+            zone: u16,
+        },
+        TripEnded {
+            serial: u64,
+            trip: u8,
+            may_have_run: bool,
+        },
+        Owes {
+            serial: u64,
+            ending: Ending,
+        },
+        Ended {
+            serial: u64,
+        },
         Keyed(Kept, u64),
     }
 
@@ -282,7 +334,12 @@
 
     pub fn frame(record: &Record) -> Vec<u8> {
         let body = postcard::to_allocvec(record).expect("it has a form");
-        [&(body.len() as u32).to_le_bytes()[..], &crc32fast::hash(&body).to_le_bytes(), &body].concat()
+        [
+            &(body.len() as u32).to_le_bytes()[..],
+            &crc32fast::hash(&body).to_le_bytes(),
+            &body,
+        ]
+        .concat()
     }
 }
 
@@ -300,12 +357,25 @@
 /// Guards packets over the change of versions: both write the same bytes for the destinations that both have.
 #[test]
 fn destinations_of_16_bits_are_kept_as_earlier_versions_keep_them() {
-    for (destination, n) in [(0, 1), (127, 4), (128, 2), (16_384, 8), (65_535, 3), (65_535, 12)] {
-        for pending_report in [None, Some(Ending::WrittenOff), Some(Ending::Deferred { come_back: Some(9) })]
-        {
+    for (destination, n) in [
+        (0, 1),
+        (127, 4),
+        (128, 2),
+        (16_384, 8),
+        (65_535, 3),
+        (65_535, 12),
+    ] {
+        for pending_report in [
+            None,
+            Some(Ending::WrittenOff),
+            Some(Ending::Deferred { come_back: Some(9) }),
+        ] {
             let kept = to(destination, n, pending_report);
             let bytes = earlier::frame(&earlier::of(&kept, destination as u16, pending_report));
-            assert_eq!(encode(&Record::packet(kept.clone())).expect("a form"), bytes);
+            assert_eq!(
+                encode(&Record::packet(kept.clone())).expect("a form"),
+                bytes
+            );
             let dir = TempDir::new().expect("a folder");
             fs::write(path(dir.path(), 0), &bytes).expect("written");
             let mut wanted = kept;
@@ -322,7 +392,10 @@
         for (pending_report, theirs) in [
             (None, Ending::WrittenOff),
             (Some(Ending::WrittenOff), Ending::WrittenOff),
-            (Some(Ending::Deferred { come_back: None }), Ending::Deferred { come_back: None }),
+            (
+                Some(Ending::Deferred { come_back: None }),
+                Ending::Deferred { come_back: None },
+            ),
         ] {
             let dir = TempDir::new().expect("a folder");
             let (mut journal, _) = open(&dir);
@@ -330,7 +403,10 @@
             let serial = journal.accept(kept.clone()).expect("room");
             drop(journal);
             let segment = fs::read(path(dir.path(), 0)).expect("the segment");
-            assert_eq!(earlier::read(&segment), Some(earlier::of(&kept, u16::MAX, Some(theirs))));
+            assert_eq!(
+                earlier::read(&segment),
+                Some(earlier::of(&kept, u16::MAX, Some(theirs)))
+            );
             let mut wanted = Kept { serial, ..kept };
             wanted.forget_out();
             assert_eq!(open(&dir).1, [wanted.clone()]);
@@ -339,7 +415,11 @@
             fs::write(path(dir.path(), 0), copied).expect("written");
             assert_eq!(
                 open(&dir).1,
-                [Kept { destination: EARLIER_MOST, pending_report: Some(theirs), ..wanted }]
+                [Kept {
+                    destination: EARLIER_MOST,
+                    pending_report: Some(theirs),
+                    ..wanted
+                }]
             );
         }
     }
@@ -350,10 +430,16 @@
 fn what_stands_behind_a_record_is_read_whole_or_not_at_all() {
     let kept = to(70_000, 1, None);
     let body = encode_body(&Record::packet(kept.clone())).expect("a form");
-    let behind =
-        postcard::to_allocvec(&BeyondEarlier { destination: 70_000, pending_report: None }).expect("a form");
+    let behind = postcard::to_allocvec(&BeyondEarlier {
+        destination: 70_000,
+        pending_report: None,
+    })
+    .expect("a form");
     for cut in 1..behind.len() {
-        assert!(decode_body(&body[..body.len() - cut]).is_err(), "{cut} bytes cut off");
+        assert!(
+            decode_body(&body[..body.len() - cut]).is_err(),
+            "{cut} bytes cut off"
+        );
     }
     assert!(matches!(decode_body(&body), Ok(Record::Packet(found)) if found == kept));
 }
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -50,7 +50,11 @@
 const LAST_ANSWERS: Duration = Duration::from_millis(50); // for answers on their way when the process ends
 
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
     socket.set_reuseaddr(true)?; // connections of an earlier process may still be fading
     socket.bind(address)?;
     socket.listen(BACKLOG)
@@ -87,7 +91,11 @@
     });
     let listener = listen(startup.listen)?;
     let door = Arc::new(Door::new(names.clone(), &config, client_box, log.clone()));
-    let clients = Clients { door: door.clone(), most: startup.client_sockets, closing: closing_seen };
+    let clients = Clients {
+        door: door.clone(),
+        most: startup.client_sockets,
+        closing: closing_seen,
+    };
     tokio::spawn(clients.run(listener));
 
     let (journal, packets) = Journal::open(&startup.state, startup.disk)?;
@@ -100,9 +108,19 @@
         gossip: gossip_box,
         up: door.ready.clone(),
     };
-    let mut dispatcher = Dispatcher::new(config.clone(), startup.seed, clock, journal, ways, log.clone());
+    let mut dispatcher = Dispatcher::new(
+        config.clone(),
+        startup.seed,
+        clock,
+        journal,
+        ways,
+        log.clone(),
+    );
     let mut held = Held::default();
-    let known = startup.known.take().and_then(|text| held.take(text, &names));
+    let known = startup
+        .known
+        .take()
+        .and_then(|text| held.take(text, &names));
     if let Some(ListNews::Whole(known) | ListNews::Changes(known)) = known {
         dispatcher.handle_message(Note::Event(Event::List(ListNews::Cached(known))));
     }
@@ -110,7 +128,13 @@
 
     let platform = || Platform::new(startup.discovery);
     let (moves, discovery) = watch::channel(startup.discovery);
-    tokio::spawn(reload::run(orders.reload, orders.reread, startup.fixed(), moves, log.clone()));
+    tokio::spawn(reload::run(
+        orders.reload,
+        orders.reread,
+        startup.fixed(),
+        moves,
+        log.clone(),
+    ));
     let list = List {
         platform: platform(),
         discovery: discovery.clone(),
@@ -128,8 +152,12 @@
         log: log.clone(),
     };
     tokio::spawn(completion_reports.run(pending_report));
-    let gossip =
-        gossip_socket::run(startup.gossip_peers, gossip_messages, dispatcher_box.clone(), log.clone());
+    let gossip = gossip_socket::run(
+        startup.gossip_peers,
+        gossip_messages,
+        dispatcher_box.clone(),
+        log.clone(),
+    );
     let gossip_log = log.clone();
     tokio::spawn(async move {
         if let Err(problem) = gossip.await {
--- a/crates/forwarder/src/list.rs
+++ b/crates/forwarder/src/list.rs
@@ -60,7 +60,9 @@
 
     /// The answer to the call that was given up; never, where there is none.
     async fn late(&mut self) -> Result<ListText, AskFault> {
-        let Some(call) = &mut self.overdue else { return std::future::pending().await };
+        let Some(call) = &mut self.overdue else {
+            return std::future::pending().await;
+        };
         let (_, answer) = call.await;
         self.overdue = None;
         answer
@@ -80,7 +82,12 @@
     pub async fn run(mut self, mut mailbox: mpsc::Receiver<ListNote>) {
         // A watch tells what changed since the list that is known: the whole of it would cost as much once more.
         let fetch = !self.must_be_asked || self.held.revision.is_none();
-        let mut polling = PollState { watching: !self.must_be_asked, fetch, down: false, overdue: None };
+        let mut polling = PollState {
+            watching: !self.must_be_asked,
+            fetch,
+            down: false,
+            overdue: None,
+        };
         loop {
             if !polling.watching && !polling.fetch {
                 tokio::select! {
@@ -110,15 +117,26 @@
 
     /// Makes one call, and gives how it ended. One that is not answered in time is kept as overdue where the list must be
     /// asked for.
-    async fn ask(&mut self, polling: &mut PollState, mailbox: &mut mpsc::Receiver<ListNote>) -> Ending {
+    async fn ask(
+        &mut self,
+        polling: &mut PollState,
+        mailbox: &mut mpsc::Receiver<ListNote>,
+    ) -> Ending {
         // Where the list must be asked for, the whole of it may take as long as a watch: a call given up is paid for.
         let (wait, patience, whole) = match self.must_be_asked {
             true => (ASKED_WATCH, ASKED_PATIENCE, ASKED_WATCH + ASKED_PATIENCE),
             false => (WATCH, PATIENCE, PATIENCE),
         };
-        let watch = if polling.fetch { None } else { self.held.revision.map(|r| (r, wait)) };
+        let watch = if polling.fetch {
+            None
+        } else {
+            self.held.revision.map(|r| (r, wait))
+        };
         let within = watch.map_or(whole, |(_, wait)| wait + patience);
-        let mut call = self.begin(list_path(watch), if self.must_be_asked { OVERDUE } else { within });
+        let mut call = self.begin(
+            list_path(watch),
+            if self.must_be_asked { OVERDUE } else { within },
+        );
         let silent = tokio::time::sleep(within);
         tokio::pin!(silent);
         // A note that changes nothing of what is asked leaves the call alone: it would be paid for twice.
@@ -152,8 +170,13 @@
         let another = self.platform.another();
         let mut platform = std::mem::replace(&mut self.platform, another);
         Box::pin(async move {
-            let answer = platform.ask(Method::GET, &path, Default::default(), within).await;
-            (platform, answer.and_then(|(status, body)| read_list(status, &body)))
+            let answer = platform
+                .ask(Method::GET, &path, Default::default(), within)
+                .await;
+            (
+                platform,
+                answer.and_then(|(status, body)| read_list(status, &body)),
+            )
         })
     }
 
@@ -163,14 +186,22 @@
             info!(self.log, "the list is told again"; "revision" => text.revision);
         }
         match self.held.take(text, &self.names) {
-            Some(news) => self.dispatcher.send(Note::Event(Event::List(news))).await.is_ok(),
+            Some(news) => self
+                .dispatcher
+                .send(Note::Event(Event::List(news)))
+                .await
+                .is_ok(),
             None => true,
         }
     }
 
     /// Takes the answer to a call that was given up, unless more is known by now. The watch goes on from it, which costs
     /// discovery no call. Gives whether the module takes news.
-    async fn take_late(&mut self, polling: &mut PollState, late: Result<ListText, AskFault>) -> bool {
+    async fn take_late(
+        &mut self,
+        polling: &mut PollState,
+        late: Result<ListText, AskFault>,
+    ) -> bool {
         match late {
             Ok(text) if self.held.revision.is_none_or(|held| held <= text.revision) => {
                 polling.watching = true;
@@ -189,7 +220,12 @@
         }
         if self.must_be_asked {
             (polling.watching, polling.fetch) = (false, false);
-            if self.dispatcher.send(Note::Event(Event::List(ListNews::Failed))).await.is_err() {
+            if self
+                .dispatcher
+                .send(Note::Event(Event::List(ListNews::Failed)))
+                .await
+                .is_err()
+            {
                 return false;
             }
         }
--- a/crates/forwarder/src/list/held.rs
+++ b/crates/forwarder/src/list/held.rs
@@ -49,16 +49,26 @@
         let mut before: BTreeMap<CompactString, Option<Listing>> = BTreeMap::new();
         for member in members {
             let old = before.entry(member.id.clone());
-            let old = old.or_insert_with(|| self.table.get(&member.id).cloned()).clone();
+            let old = old
+                .or_insert_with(|| self.table.get(&member.id).cloned())
+                .clone();
             if let Some(sent_off) = self.take_member(member, old.as_ref(), names) {
                 before.entry(sent_off.id).or_insert(Some(sent_off.listing));
             }
         }
         let now = |id: &CompactString| self.table.get(id);
-        let was = before.iter().filter_map(|(id, old)| Some((id, old.as_ref()?)));
-        let gone = was.filter(|(id, old)| now(id).is_none_or(|n| n.target.holder != old.target.holder));
-        let gone = gone.map(|(_, old)| Listing { standing: Standing::Gone, ..old.clone() });
-        let told = before.iter().filter_map(|(id, old)| now(id).filter(|now| old.as_ref() != Some(now)));
+        let was = before
+            .iter()
+            .filter_map(|(id, old)| Some((id, old.as_ref()?)));
+        let gone =
+            was.filter(|(id, old)| now(id).is_none_or(|n| n.target.holder != old.target.holder));
+        let gone = gone.map(|(_, old)| Listing {
+            standing: Standing::Gone,
+            ..old.clone()
+        });
+        let told = before
+            .iter()
+            .filter_map(|(id, old)| now(id).filter(|now| old.as_ref() != Some(now)));
         let entries: Vec<Listing> = gone.chain(told.cloned()).collect();
         (!entries.is_empty()).then_some(ListNews::Changes(entries))
     }
@@ -70,7 +80,10 @@
             return None;
         }
         let mut listing = member.listing(0, names);
-        let other = self.table.holder(address(&listing)).filter(|row| row.id != member.id);
+        let other = self
+            .table
+            .holder(address(&listing))
+            .filter(|row| row.id != member.id);
         let other = other.map(|row| row.id.clone());
         // Guards an address that another holds by now against what is told late of the one before.
         if other.is_some() && member.phase != Phase::Ready {
@@ -79,10 +92,15 @@
         let sent_off = other.and_then(|id| self.table.remove(&id));
         // Guards a new member against what was learned of another that had its address, or of itself elsewhere.
         let place = |l: &Listing| (address(l), l.destination);
-        let same = old.filter(|old| place(old) == place(&listing)).map(|old| old.target.holder);
+        let same = old
+            .filter(|old| place(old) == place(&listing))
+            .map(|old| old.target.holder);
         listing.target.holder = same.unwrap_or_else(|| self.new_number());
         self.table.remove(&member.id);
-        self.table.insert(Row { id: member.id, listing });
+        self.table.insert(Row {
+            id: member.id,
+            listing,
+        });
         sent_off
     }
 
@@ -93,7 +111,9 @@
 
     #[cfg(test)]
     pub(super) fn is_empty(&self) -> bool {
-        self.table.rows.is_empty() && self.table.by_id.is_empty() && self.table.by_address.is_empty()
+        self.table.rows.is_empty()
+            && self.table.by_id.is_empty()
+            && self.table.by_address.is_empty()
     }
 }
 
@@ -131,7 +151,9 @@
     }
 
     fn get(&self, id: &str) -> Option<&Listing> {
-        let place = self.by_id.find(self.hasher.hash_one(id), |place| self.rows[*place as usize].id == id)?;
+        let place = self.by_id.find(self.hasher.hash_one(id), |place| {
+            self.rows[*place as usize].id == id
+        })?;
         Some(&self.rows[*place as usize].listing)
     }
 
@@ -143,16 +165,27 @@
 
     /// Takes a row whose id and address no other has.
     fn insert(&mut self, row: Row) {
-        let (id, at) = (self.hasher.hash_one(row.id.as_str()), self.hasher.hash_one(address(&row.listing)));
+        let (id, at) = (
+            self.hasher.hash_one(row.id.as_str()),
+            self.hasher.hash_one(address(&row.listing)),
+        );
         let place = self.rows.insert(row) as u32;
         let (rows, hasher) = (&self.rows, &self.hasher);
-        self.by_id.insert_unique(id, place, |p| hasher.hash_one(rows[*p as usize].id.as_str()));
-        self.by_address.insert_unique(at, place, |p| hasher.hash_one(address(&rows[*p as usize].listing)));
+        self.by_id.insert_unique(id, place, |p| {
+            hasher.hash_one(rows[*p as usize].id.as_str())
+        });
+        self.by_address.insert_unique(at, place, |p| {
+            hasher.hash_one(address(&rows[*p as usize].listing))
+        });
     }
 
     fn remove(&mut self, id: &str) -> Option<Row> {
         let is = |place: &u32| self.rows[*place as usize].id == id;
-        let (place, _) = self.by_id.find_entry(self.hasher.hash_one(id), is).ok()?.remove();
+        let (place, _) = self
+            .by_id
+            .find_entry(self.hasher.hash_one(id), is)
+            .ok()?
+            .remove();
         let row = self.rows.remove(place as usize);
         let at = self.hasher.hash_one(address(&row.listing));
         if let Ok(found) = self.by_address.find_entry(at, |p| *p == place) {
--- a/crates/forwarder/src/list/held/tests.rs
+++ b/crates/forwarder/src/list/held/tests.rs
@@ -9,7 +9,13 @@
 
 fn names() -> Names {
     let (zones, kinds) = (vec!["a".into(), "b".into()], vec!["m".into()]);
-    Names { profiles: Vec::new(), tenants: Vec::new(), zones, kinds, reports: Vec::new() }
+    Names {
+        profiles: Vec::new(),
+        tenants: Vec::new(),
+        zones,
+        kinds,
+        reports: Vec::new(),
+    }
 }
 
 /// The same by two plain maps, each with whole ids and members: what the compact table must not differ from.
@@ -30,12 +36,22 @@
         let mut before: BTreeMap<String, Option<Listing>> = BTreeMap::new();
         if text.complete {
             self.holders.clear();
-            before = std::mem::take(&mut self.members).into_iter().map(|(id, old)| (id, Some(old))).collect();
+            before = std::mem::take(&mut self.members)
+                .into_iter()
+                .map(|(id, old)| (id, Some(old)))
+                .collect();
         }
         for member in text.members {
             let id = member.id.to_string();
-            let old = before.entry(id.clone()).or_insert_with(|| self.members.get(&id).cloned()).clone();
-            let other = self.holders.get(&member.host_port).filter(|holder| **holder != id).cloned();
+            let old = before
+                .entry(id.clone())
+                .or_insert_with(|| self.members.get(&id).cloned())
+                .clone();
+            let other = self
+                .holders
+                .get(&member.host_port)
+                .filter(|holder| **holder != id)
+                .cloned();
             if member.phase == Phase::Gone {
                 self.remove(&id);
             } else if other.is_none() || member.phase == Phase::Ready {
@@ -62,9 +78,15 @@
         if text.complete {
             return Some(ListNews::Whole(self.members.values().cloned().collect()));
         }
-        let was = before.iter().filter_map(|(id, old)| Some((id, old.as_ref()?)));
-        let gone = was.filter(|(id, old)| self.members.get(*id).is_none_or(|n| n.target != old.target));
-        let gone = gone.map(|(_, old)| Listing { standing: Standing::Gone, ..old.clone() });
+        let was = before
+            .iter()
+            .filter_map(|(id, old)| Some((id, old.as_ref()?)));
+        let gone =
+            was.filter(|(id, old)| self.members.get(*id).is_none_or(|n| n.target != old.target));
+        let gone = gone.map(|(_, old)| Listing {
+            standing: Standing::Gone,
+            ..old.clone()
+        });
         let told = before
             .iter()
             .filter_map(|(id, old)| self.members.get(id).filter(|now| old.as_ref() != Some(now)));
@@ -89,8 +111,14 @@
 impl Arbitrary for AnyText {
     fn arbitrary(g: &mut Gen) -> AnyText {
         let member = |g: &mut Gen| {
-            let id =
-                *g.choose(&["x", "y", "z", "an-id-that-is-longer-than-what-lies-in-a-row"]).expect("one");
+            let id = *g
+                .choose(&[
+                    "x",
+                    "y",
+                    "z",
+                    "an-id-that-is-longer-than-what-lies-in-a-row",
+                ])
+                .expect("one");
             Member {
                 id: id.into(),
                 host_port: SocketAddrV4::new([10, 0, 0, 1].into(), u16::arbitrary(g) % 4),
@@ -105,7 +133,11 @@
             }
         };
         let members = (0..usize::arbitrary(g) % 6).map(|_| member(g)).collect();
-        AnyText(ListText { revision: u64::arbitrary(g) % 8, complete: bool::arbitrary(g), members })
+        AnyText(ListText {
+            revision: u64::arbitrary(g) % 8,
+            complete: bool::arbitrary(g),
+            members,
+        })
     }
 }
 
@@ -123,7 +155,9 @@
                 && sizes == [plain.members.len(); 3]
         })
     }
-    QuickCheck::new().tests(2_000).quickcheck(equal as fn(Vec<AnyText>) -> bool);
+    QuickCheck::new()
+        .tests(2_000)
+        .quickcheck(equal as fn(Vec<AnyText>) -> bool);
 }
 
 fn many(revision: u64, complete: bool, numbers: impl Iterator<Item = u32>) -> ListText {
@@ -137,7 +171,11 @@
         size: 50.0,
         up_since_ms: 0,
     };
-    ListText { revision, complete, members: numbers.map(member).collect() }
+    ListText {
+        revision,
+        complete,
+        members: numbers.map(member).collect(),
+    }
 }
 
 fn whole(news: Option<ListNews>) -> Vec<Listing> {
@@ -150,8 +188,15 @@
 impl Held {
     /// What the table takes in memory; ids of up to 24 bytes lie in their rows.
     fn bytes(&self) -> usize {
-        let Table { rows, by_id, by_address, .. } = &self.table;
-        rows.capacity() * std::mem::size_of::<Row>() + by_id.allocation_size() + by_address.allocation_size()
+        let Table {
+            rows,
+            by_id,
+            by_address,
+            ..
+        } = &self.table;
+        rows.capacity() * std::mem::size_of::<Row>()
+            + by_id.allocation_size()
+            + by_address.allocation_size()
     }
 }
 
@@ -162,22 +207,35 @@
     let first = whole(held.take(many(1, true, 0..MANY), &names()));
     assert_eq!(first.len(), MANY as usize);
     let room = held.bytes();
-    assert!(room <= MANY as usize * MOST_BYTES, "{room} bytes for {MANY} members");
+    assert!(
+        room <= MANY as usize * MOST_BYTES,
+        "{room} bytes for {MANY} members"
+    );
     for revision in 1..6 {
         let half = whole(held.take(many(2 * revision, true, (0..MANY).step_by(2)), &names()));
         assert_eq!(half.len(), MANY as usize / 2);
         let all = whole(held.take(many(2 * revision + 1, true, 0..MANY), &names()));
         // Who stayed is whom it was; who went and came is new.
         assert!(all.iter().step_by(2).eq(first.iter().step_by(2)));
-        assert!(all.iter().zip(&first).skip(1).step_by(2).all(|(now, then)| now.target != then.target));
+        assert!(all
+            .iter()
+            .zip(&first)
+            .skip(1)
+            .step_by(2)
+            .all(|(now, then)| now.target != then.target));
         assert_eq!(held.bytes(), room);
     }
     for revision in 20..30 {
         let mut change = many(revision, false, (0..MANY).step_by(2));
         if revision % 2 == 0 {
-            change.members.iter_mut().for_each(|member| member.phase = Phase::Gone);
+            change
+                .members
+                .iter_mut()
+                .for_each(|member| member.phase = Phase::Gone);
         }
-        let Some(ListNews::Changes(entries)) = held.take(change, &names()) else { panic!("no changes") };
+        let Some(ListNews::Changes(entries)) = held.take(change, &names()) else {
+            panic!("no changes")
+        };
         assert_eq!(entries.len(), MANY as usize / 2);
         assert_eq!(held.bytes(), room);
     }
--- a/crates/forwarder/src/list/tests.rs
+++ b/crates/forwarder/src/list/tests.rs
@@ -26,7 +26,11 @@
         size: 1.0,
         up_since_ms: 0,
     };
-    ListText { revision, complete, members: members.iter().map(member).collect() }
+    ListText {
+        revision,
+        complete,
+        members: members.iter().map(member).collect(),
+    }
 }
 
 /// What some news say of each target by that key, in order of keys.
@@ -53,10 +57,15 @@
 fn changes_build_on_the_list_and_old_ones_are_passed_over() {
     let mut held = Held::default();
     let whole = text(5, true, &[("x", 1, Phase::Ready), ("y", 2, Phase::Ready)]);
-    assert_eq!(told(held.take(whole, &names())), [(1, Standing::Ready), (2, Standing::Ready)]);
+    assert_eq!(
+        told(held.take(whole, &names())),
+        [(1, Standing::Ready), (2, Standing::Ready)]
+    );
     let change = text(6, false, &[("y", 2, Phase::Terminating)]);
     assert_eq!(told(held.take(change, &names())), [(2, Standing::Draining)]);
-    assert!(held.take(text(4, false, &[("y", 2, Phase::Ready)]), &names()).is_none());
+    assert!(held
+        .take(text(4, false, &[("y", 2, Phase::Ready)]), &names())
+        .is_none());
     assert!(held.take(text(7, false, &[]), &names()).is_none());
     assert_eq!(held.revision, Some(7));
 }
@@ -72,14 +81,24 @@
     let taken = held.take(text(3, false, &[("z", 2, Phase::Ready)]), &names());
     assert_eq!(numbers(taken), [(2, Standing::Gone), (3, Standing::Ready)]);
     // The drain and the end of the first, told late, are not those of the second.
-    assert!(held.take(text(4, false, &[("x", 2, Phase::Terminating)]), &names()).is_none());
-    assert!(held.take(text(5, false, &[("x", 2, Phase::Gone)]), &names()).is_none());
+    assert!(held
+        .take(text(4, false, &[("x", 2, Phase::Terminating)]), &names())
+        .is_none());
+    assert!(held
+        .take(text(5, false, &[("x", 2, Phase::Gone)]), &names())
+        .is_none());
     let both = &[("x", 2, Phase::Terminating), ("z", 2, Phase::Ready)];
-    assert_eq!(numbers(held.take(text(6, true, both), &names())), [(3, Standing::Ready)]);
+    assert_eq!(
+        numbers(held.take(text(6, true, both), &names())),
+        [(3, Standing::Ready)]
+    );
     // The same address for another destination is another target.
     let mut other = text(7, false, &[("z", 2, Phase::Ready)]);
     other.members[0].cell = 4;
-    assert_eq!(numbers(held.take(other, &names())), [(3, Standing::Gone), (5, Standing::Ready)]);
+    assert_eq!(
+        numbers(held.take(other, &names())),
+        [(3, Standing::Gone), (5, Standing::Ready)]
+    );
     // Nothing is kept of those that have gone.
     held.take(text(8, false, &[("z", 2, Phase::Gone)]), &names());
     assert!(held.is_empty());
@@ -89,7 +108,9 @@
 #[tokio::test]
 async fn a_known_list_is_watched_from_its_revision_by_one_call() {
     use tokio::io::AsyncReadExt;
-    let agent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let agent = tokio::net::TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a port");
     let address = agent.local_addr().expect("an address");
     let (_moves, discovery) = watch::channel(address);
     let (notes, mailbox) = mpsc::channel(4);
@@ -98,18 +119,37 @@
     held.take(text(7, true, &[("x", 1, Phase::Ready)]), &names());
     let log = Logger::root(slog::Discard, slog::o!());
     let platform = Platform::new(address);
-    let list = List { platform, discovery, names: names(), held, must_be_asked: true, dispatcher, log };
+    let list = List {
+        platform,
+        discovery,
+        names: names(),
+        held,
+        must_be_asked: true,
+        dispatcher,
+        log,
+    };
     tokio::spawn(list.run(mailbox));
     let early = tokio::time::timeout(Duration::from_millis(100), agent.accept()).await;
     assert!(early.is_err(), "asked before it was wanted");
-    notes.send(ListNote::Watch(true)).await.expect("the actor runs");
+    notes
+        .send(ListNote::Watch(true))
+        .await
+        .expect("the actor runs");
     let (mut stream, _) = agent.accept().await.expect("a call");
     let mut head = vec![0; 4096];
     let read = stream.read(&mut head).await.expect("a request");
     assert!(String::from_utf8_lossy(&head[..read]).starts_with("GET /discovery/hosts?index=7&"));
     // The same wish once more while the call is out: it is left alone.
-    notes.send(ListNote::Watch(true)).await.expect("the actor runs");
-    assert!(tokio::time::timeout(Duration::from_millis(100), agent.accept()).await.is_err(), "asked again");
+    notes
+        .send(ListNote::Watch(true))
+        .await
+        .expect("the actor runs");
+    assert!(
+        tokio::time::timeout(Duration::from_millis(100), agent.accept())
+            .await
+            .is_err(),
+        "asked again"
+    );
     let more = tokio::time::timeout(Duration::from_millis(50), stream.read(&mut head)).await;
     assert!(more.is_err(), "the call was dropped or made again");
 }
@@ -119,28 +159,52 @@
 fn thousands_of_members_and_of_changes_are_taken_as_they_are_told() {
     let mut held = Held::default();
     let ids: Vec<String> = (0..4_096).map(|n| format!("s-{n}")).collect();
-    let whole: Vec<_> = ids.iter().zip(1..).map(|(id, port)| (id.as_str(), port, Phase::Ready)).collect();
+    let whole: Vec<_> = ids
+        .iter()
+        .zip(1..)
+        .map(|(id, port)| (id.as_str(), port, Phase::Ready))
+        .collect();
     let begun = std::time::Instant::now();
-    assert_eq!(told(held.take(text(1, true, &whole), &names())).len(), ids.len());
+    assert_eq!(
+        told(held.take(text(1, true, &whole), &names())).len(),
+        ids.len()
+    );
     for (id, port, _) in whole {
         let news = held.take(text(2, false, &[(id, port, Phase::Terminating)]), &names());
         assert_eq!(told(news), [(port, Standing::Draining)]);
     }
     // 25 s, where each change looks at all.
-    assert!(begun.elapsed() < std::time::Duration::from_secs(2), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < std::time::Duration::from_secs(2),
+        "{:?}",
+        begun.elapsed()
+    );
     // One named twice counts as it is told last; one that takes another's address sends that one off.
-    let twice = [("s-0", 1, Phase::Gone), ("s-0", 1, Phase::Ready), ("new", 2, Phase::Ready)];
+    let twice = [
+        ("s-0", 1, Phase::Gone),
+        ("s-0", 1, Phase::Ready),
+        ("new", 2, Phase::Ready),
+    ];
     let news = numbers(held.take(text(3, false, &twice), &names()));
-    assert_eq!(news, [(1, Standing::Ready), (2, Standing::Gone), (4_097, Standing::Ready)]);
+    assert_eq!(
+        news,
+        [
+            (1, Standing::Ready),
+            (2, Standing::Gone),
+            (4_097, Standing::Ready)
+        ]
+    );
 }
 
 /// Guards drains against a watch that falls silent as soon as it is opened, or within its answer: what it misses counts as
 /// told two seconds after the wait that was asked for, and the next watch is opened by then.
 #[tokio::test(start_paused = true)]
 async fn a_watch_that_falls_silent_is_opened_anew_by_the_time_that_counts() {
-    for answer in
-        ["", "HTTP/1.1 200 OK\r\nContent-", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"revision\":2,"]
-    {
+    for answer in [
+        "",
+        "HTTP/1.1 200 OK\r\nContent-",
+        "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"revision\":2,",
+    ] {
         opened_anew(answer).await;
     }
 }
@@ -158,13 +222,24 @@
                 let n = stream.read(&mut head).await.expect("a request");
                 let asked = String::from_utf8_lossy(&head[..n]).into_owned();
                 if asked.contains("index=") {
-                    let wait = asked.split("wait=").nth(1).and_then(|w| w.split(' ').next()?.parse().ok());
-                    seen.send((Instant::now(), wait.expect("a wait"))).await.expect("it is awaited");
-                    stream.write_all(half.as_bytes()).await.expect("half an answer");
+                    let wait = asked
+                        .split("wait=")
+                        .nth(1)
+                        .and_then(|w| w.split(' ').next()?.parse().ok());
+                    seen.send((Instant::now(), wait.expect("a wait")))
+                        .await
+                        .expect("it is awaited");
+                    stream
+                        .write_all(half.as_bytes())
+                        .await
+                        .expect("half an answer");
                     break silent.push(stream);
                 }
                 let list = r#"{"revision":1,"complete":true,"members":[]}"#;
-                let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+                let answer = format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+                    list.len()
+                );
                 stream.write_all(answer.as_bytes()).await.expect("answered");
             }
         }
@@ -185,7 +260,11 @@
     let (opened, wait) = watches.recv().await.expect("a watch");
     let (anew, _) = watches.recv().await.expect("another");
     let counts = Duration::from_millis(wait) + Duration::from_secs(2);
-    assert!(anew - opened < counts + Duration::from_millis(50), "{half}: {:?}", anew - opened);
+    assert!(
+        anew - opened < counts + Duration::from_millis(50),
+        "{half}: {:?}",
+        anew - opened
+    );
 }
 
 /// Counts what is logged.
@@ -211,10 +290,15 @@
             let (mut stream, _) = listener.accept().await.expect("a connection");
             let mut head = vec![0; 1024];
             assert!(stream.read(&mut head).await.expect("a request") > 0);
-            let head =
-                format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n", body.len());
+            let head = format!(
+                "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
+                body.len()
+            );
             stream.write_all(head.as_bytes()).await.expect("answered");
-            stream.write_all(&body.as_bytes()[..cut.unwrap_or(body.len())]).await.expect("answered");
+            stream
+                .write_all(&body.as_bytes()[..cut.unwrap_or(body.len())])
+                .await
+                .expect("answered");
         }
         loop {
             held.push(listener.accept().await.expect("a connection"));
@@ -234,8 +318,12 @@
             r#"{{"id":"target-{n:06}","host_port":"{a}.{b}.{c}.{d}:80","locality":"a","flavor":"m","cell":{n},"phase":"Ready"}}"#
         )
     };
-    let list =
-        |lines: Vec<String>| format!(r#"{{"revision":1,"complete":true,"members":[{}]}}"#, lines.join(","));
+    let list = |lines: Vec<String>| {
+        format!(
+            r#"{{"revision":1,"complete":true,"members":[{}]}}"#,
+            lines.join(",")
+        )
+    };
     let all = list((0..MANY).map(line).collect());
     let half = list((0..MANY).step_by(2).map(line).collect());
     let spoilt = |from: &str, to: &str| list(vec![line(1), line(2).replace(from, to), line(3)]);
@@ -269,8 +357,12 @@
     let (_mailbox, notes) = mpsc::channel(1);
     tokio::spawn(list.run(notes));
     for wanted in [MANY, MANY / 2, MANY / 2, MANY] {
-        let news = tokio::time::timeout(Duration::from_secs(20), events.recv()).await.expect("in time");
-        let Some(Note::Event(Event::List(ListNews::Whole(entries)))) = news else { panic!("no whole list") };
+        let news = tokio::time::timeout(Duration::from_secs(20), events.recv())
+            .await
+            .expect("in time");
+        let Some(Note::Event(Event::List(ListNews::Whole(entries)))) = news else {
+            panic!("no whole list")
+        };
         assert_eq!(entries.len(), wanted as usize);
     }
     // That it is not told, and that it is told again.
--- a/crates/forwarder/src/main.rs
+++ b/crates/forwarder/src/main.rs
@@ -11,7 +11,10 @@
 
 fn logger() -> (Logger, slog_async::AsyncGuard) {
     let decorator = slog_term::PlainDecorator::new(io::stderr());
-    let lines = slog_term::FullFormat::new(decorator).use_utc_timestamp().build().fuse();
+    let lines = slog_term::FullFormat::new(decorator)
+        .use_utc_timestamp()
+        .build()
+        .fuse();
     let (drain, guard) = slog_async::Async::new(lines)
         .chan_size(LOG_LINES)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
@@ -36,7 +39,11 @@
             std::future::pending::<()>().await;
         }
     };
-    Ok(Orders { end: Box::pin(end), reload, reread: Box::new(StartupConfig::from_env) })
+    Ok(Orders {
+        end: Box::pin(end),
+        reload,
+        reread: Box::new(StartupConfig::from_env),
+    })
 }
 
 fn main() -> ExitCode {
@@ -48,9 +55,11 @@
         }
     };
     let (log, _guard) = logger();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let ended =
-        runtime.and_then(|runtime| runtime.block_on(async { run(startup, orders()?, log.clone()).await }));
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
+    let ended = runtime
+        .and_then(|runtime| runtime.block_on(async { run(startup, orders()?, log.clone()).await }));
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
--- a/crates/forwarder/src/platform.rs
+++ b/crates/forwarder/src/platform.rs
@@ -47,7 +47,10 @@
 
 impl Platform {
     pub fn new(address: SocketAddr) -> Platform {
-        Platform { address, link: None }
+        Platform {
+            address,
+            link: None,
+        }
     }
 
     /// Another connection to the same place.
@@ -78,11 +81,15 @@
             let mut link = match usable {
                 Some(link) => link,
                 None => {
-                    let stream = TcpStream::connect(address).await.map_err(AskFault::Connecting)?;
+                    let stream = TcpStream::connect(address)
+                        .await
+                        .map_err(AskFault::Connecting)?;
                     // Nothing may be held back that a close would take along.
                     // A connection that refuses the option serves all the same.
                     let _ = stream.set_nodelay(true);
-                    Link::over(stream, &Builder::new()).await.map_err(AskFault::Asking)?
+                    Link::over(stream, &Builder::new())
+                        .await
+                        .map_err(AskFault::Asking)?
                 }
             };
             let request = Request::builder()
@@ -91,14 +98,21 @@
                 .header("host", address.to_string())
                 .body(Full::new(body))
                 .map_err(|e| AskFault::Connecting(io::Error::other(e)))?;
-            let answer = link.sender.send_request(request).await.map_err(AskFault::Asking)?;
+            let answer = link
+                .sender
+                .send_request(request)
+                .await
+                .map_err(AskFault::Asking)?;
             let status = answer.status();
-            let body =
-                Limited::new(answer.into_body(), MOST_ANSWER).collect().await.map_err(AskFault::Reading)?;
+            let body = Limited::new(answer.into_body(), MOST_ANSWER)
+                .collect()
+                .await
+                .map_err(AskFault::Reading)?;
             Ok((status, body.to_bytes(), link))
         };
-        let (status, body, link) =
-            tokio::time::timeout(within, ask).await.map_err(|_| AskFault::OutOfTime)??;
+        let (status, body, link) = tokio::time::timeout(within, ask)
+            .await
+            .map_err(|_| AskFault::OutOfTime)??;
         self.link = Some(link);
         Ok((status, body))
     }
--- a/crates/forwarder/src/protocol.rs
+++ b/crates/forwarder/src/protocol.rs
@@ -7,7 +7,8 @@
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, Request, StatusCode};
 use opalpulley::{
-    DestinationId, KindId, Listing, Micros, Outcome, ProfileId, Standing, TargetId, TenantId, ZoneId,
+    DestinationId, KindId, Listing, Micros, Outcome, ProfileId, Standing, TargetId, TenantId,
+    ZoneId,
 };
 use opalpulley_config::Names;
 use serde::{Deserialize, Serialize};
@@ -59,11 +60,18 @@
 
 impl BadRequest {
     pub fn new(status: StatusCode, reason: impl Into<String>) -> BadRequest {
-        BadRequest { status, reason: reason.into(), last: false }
+        BadRequest {
+            status,
+            reason: reason.into(),
+            last: false,
+        }
     }
 
     pub fn last(status: StatusCode, reason: impl Into<String>) -> BadRequest {
-        BadRequest { last: true, ..BadRequest::new(status, reason) }
+        BadRequest {
+            last: true,
+            ..BadRequest::new(status, reason)
+        }
     }
 }
 
@@ -88,12 +96,20 @@
         ));
     }
     let path = head.uri.path();
-    let profile = path.strip_prefix('/').and_then(|class| forms.iter().position(|f| f.name == class));
+    let profile = path
+        .strip_prefix('/')
+        .and_then(|class| forms.iter().position(|f| f.name == class));
     let Some(profile) = profile else {
-        return Err(BadRequest::new(StatusCode::NOT_FOUND, format!("no profile is handed in at {path}")));
+        return Err(BadRequest::new(
+            StatusCode::NOT_FOUND,
+            format!("no profile is handed in at {path}"),
+        ));
     };
     if head.method != Method::POST {
-        return Err(BadRequest::new(StatusCode::METHOD_NOT_ALLOWED, "a packet is handed in with POST"));
+        return Err(BadRequest::new(
+            StatusCode::METHOD_NOT_ALLOWED,
+            "a packet is handed in with POST",
+        ));
     }
     let form = &forms[profile];
     let text = |name: &str| {
@@ -102,14 +118,18 @@
         match (value, values.next()) {
             (_, Some(_)) => Err(wrong(format!("{name} comes more than once"))),
             (Some(Ok(value)), None) if value.len() <= LONGEST_NAME => Ok(Some(value.trim())),
-            (Some(_), None) => {
-                Err(wrong(format!("{name} is no plain text of at most {LONGEST_NAME} characters")))
-            }
+            (Some(_), None) => Err(wrong(format!(
+                "{name} is no plain text of at most {LONGEST_NAME} characters"
+            ))),
             (None, None) => Ok(None),
         }
     };
-    let number =
-        |text: &str| text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse::<u32>().ok()).flatten();
+    let number = |text: &str| {
+        text.bytes()
+            .all(|b| b.is_ascii_digit())
+            .then(|| text.parse::<u32>().ok())
+            .flatten()
+    };
     let needed = |name: &str| match text(name)? {
         Some(value) if !value.is_empty() => Ok(value),
         _ => Err(wrong(format!("{name} is missing"))),
@@ -118,20 +138,32 @@
         return Err(wrong(format!("{CLASS} says {class}, the path {path}")));
     }
     let left = needed(TIME_LEFT)?;
-    let left = number(left).ok_or_else(|| wrong(format!("{TIME_LEFT}: {left} is no whole number of ms")))?;
+    let left = number(left)
+        .ok_or_else(|| wrong(format!("{TIME_LEFT}: {left} is no whole number of ms")))?;
     let left = Micros::from(left) * 1000;
     if left > form.longest {
         let longest = form.longest / 1000;
-        return Err(wrong(format!("{TIME_LEFT} is over what {} packets have: {longest} ms", form.name)));
+        return Err(wrong(format!(
+            "{TIME_LEFT} is over what {} packets have: {longest} ms",
+            form.name
+        )));
     }
     let parts = needed(ENVELOPE)?.split([';', ',', ' ']);
-    let destination = parts.filter_map(|part| part.trim().strip_prefix("dest=")).next();
+    let destination = parts
+        .filter_map(|part| part.trim().strip_prefix("dest="))
+        .next();
     let destination = destination.ok_or_else(|| wrong(format!("{ENVELOPE} has no dest")))?;
-    let destination = number(destination)
-        .ok_or_else(|| wrong(format!("{ENVELOPE}: {destination} is no number of a destination")))?;
+    let destination = number(destination).ok_or_else(|| {
+        wrong(format!(
+            "{ENVELOPE}: {destination} is no number of a destination"
+        ))
+    })?;
     let mark = text(MARK)?.map(str::to_owned);
     if form.marked && mark.as_ref().is_none_or(|m| m.is_empty()) {
-        return Err(wrong(format!("{MARK} is missing, and {} needs one", form.name)));
+        return Err(wrong(format!(
+            "{MARK} is missing, and {} needs one",
+            form.name
+        )));
     }
     let retry = text(RETRY)?;
     let key = text(KEY)?.filter(|key| !key.is_empty()).map(order_key);
@@ -153,7 +185,9 @@
 /// The number by which a key of order is kept: its own, where it is written as the platform does, else one that its text
 /// gives, the same in each version. Two texts may share one, which keeps an order that nobody asked for.
 fn order_key(text: &str) -> u64 {
-    let own = (text.len() == KEY_DIGITS).then(|| u64::from_str_radix(text, 16).ok()).flatten();
+    let own = (text.len() == KEY_DIGITS)
+        .then(|| u64::from_str_radix(text, 16).ok())
+        .flatten();
     own.unwrap_or_else(|| crc32fast::hash(text.as_bytes()).into())
 }
 
@@ -171,7 +205,9 @@
     limit: Duration,
     body: &Bytes,
 ) -> Result<Outgoing, hyper::http::Error> {
-    let mut call = Request::post("/inbox").header("host", address(target).to_string()).header(ID, request_id);
+    let mut call = Request::post("/inbox")
+        .header("host", address(target).to_string())
+        .header(ID, request_id);
     if let Some(mark) = mark {
         call = call.header(MARK, mark);
     }
@@ -185,32 +221,48 @@
 
 pub fn encode_probe(target: TargetId) -> Result<Outgoing, hyper::http::Error> {
     let host = address(target).to_string();
-    let request = Request::get("/alive").header("host", host).body(Full::new(Bytes::new()))?;
+    let request = Request::get("/alive")
+        .header("host", host)
+        .body(Full::new(Bytes::new()))?;
     let length = on_the_wire(&request);
     Ok(Outgoing { request, length })
 }
 
 /// The bytes of a request's head: its first line and a line a header.
 fn on_the_wire<B>(request: &Request<B>) -> u64 {
-    let first =
-        request.method().as_str().len() + request.uri().path().len() + " ".len() + " HTTP/1.1\r\n".len();
-    let lines =
-        request.headers().iter().map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len());
+    let first = request.method().as_str().len()
+        + request.uri().path().len()
+        + " ".len()
+        + " HTTP/1.1\r\n".len();
+    let lines = request
+        .headers()
+        .iter()
+        .map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len());
     (first + lines.sum::<usize>() + "\r\n".len()) as u64
 }
 
 /// The wait that an answer asks for, whatever its status: the longest of those that can be read, a day at most. One
 /// that is no number of milliseconds above nought is none.
 pub fn decode_wait(headers: &HeaderMap) -> Option<Micros> {
-    let told = headers.get_all("wait-ms").iter().filter_map(|v| v.to_str().ok()?.trim().parse::<f64>().ok());
+    let told = headers
+        .get_all("wait-ms")
+        .iter()
+        .filter_map(|v| v.to_str().ok()?.trim().parse::<f64>().ok());
     let longest = told.filter(|ms| *ms > 0.0).max_by(f64::total_cmp)?;
     Some((longest.min(LONGEST_WAIT_MS) * 1000.0).ceil() as Micros)
 }
 
 /// How a call or probe went, by the answer's head and the wait that it tells: its outcome, and whether the packet is over.
-pub fn decode_answer(status: StatusCode, headers: &HeaderMap, wait: Option<Micros>) -> (Outcome, bool) {
+pub fn decode_answer(
+    status: StatusCode,
+    headers: &HeaderMap,
+    wait: Option<Micros>,
+) -> (Outcome, bool) {
     let number = |name: &str| {
-        headers.get(name).and_then(|v| v.to_str().ok()).and_then(|v| v.trim().parse::<f64>().ok())
+        headers
+            .get(name)
+            .and_then(|v| v.to_str().ok())
+            .and_then(|v| v.trim().parse::<f64>().ok())
     };
     match status.as_u16() {
         200 => (Outcome::Delivered, true),
@@ -227,14 +279,22 @@
 /// lacks a figure is none.
 pub fn decode_report(headers: &HeaderMap, names: &Names) -> Vec<f32> {
     let mut texts = headers.get_all("server-load").iter();
-    let (Some(text), None) = (texts.next(), texts.next()) else { return Vec::new() };
+    let (Some(text), None) = (texts.next(), texts.next()) else {
+        return Vec::new();
+    };
     let values: BTreeMap<String, f32> = serde_json::from_slice(text.as_bytes()).unwrap_or_default();
-    let figures = names.reports.iter().map(|n| values.get(n).copied().filter(|v| v.is_finite()));
+    let figures = names
+        .reports
+        .iter()
+        .map(|n| values.get(n).copied().filter(|v| v.is_finite()));
     figures.collect::<Option<_>>().unwrap_or_default()
 }
 
 pub fn address(target: TargetId) -> SocketAddr {
-    SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::from(target.address), target.port))
+    SocketAddr::V4(SocketAddrV4::new(
+        Ipv4Addr::from(target.address),
+        target.port,
+    ))
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -271,13 +331,19 @@
 
 impl Member {
     pub fn target(&self, holder: u32) -> TargetId {
-        TargetId { address: self.host_port.ip().octets(), port: self.host_port.port(), holder }
+        TargetId {
+            address: self.host_port.ip().octets(),
+            port: self.host_port.port(),
+            holder,
+        }
     }
 
     /// A zone or kind without a name in the settings counts as the last one.
     pub fn listing(&self, holder: u32, names: &Names) -> Listing {
         let place = |all: &[String], name: &str| {
-            all.iter().position(|n| n == name).unwrap_or(all.len().saturating_sub(1)) as u16
+            all.iter()
+                .position(|n| n == name)
+                .unwrap_or(all.len().saturating_sub(1)) as u16
         };
         Listing {
             target: self.target(holder),
@@ -329,7 +395,16 @@
             Ending::Deferred { come_back } => ("deferred", come_back.map(|us| us.div_ceil(1000))),
         };
         // Writing plain strings and numbers to memory has no way to fail.
-        if serde_json::to_writer(&mut text, &CompletionReportText { id, status, again_ms }).is_ok() {
+        if serde_json::to_writer(
+            &mut text,
+            &CompletionReportText {
+                id,
+                status,
+                again_ms,
+            },
+        )
+        .is_ok()
+        {
             text.push(b'\n');
         }
     }
--- a/crates/forwarder/src/protocol/tests.rs
+++ b/crates/forwarder/src/protocol/tests.rs
@@ -14,7 +14,11 @@
 }
 
 fn forms(marked: bool) -> Vec<Form> {
-    let form = |(name, marked): (&str, bool)| Form { name: name.into(), marked, longest: 12_000_000 };
+    let form = |(name, marked): (&str, bool)| Form {
+        name: name.into(),
+        marked,
+        longest: 12_000_000,
+    };
     [("record", false), ("notice", marked)].map(form).into()
 }
 
@@ -53,13 +57,18 @@
     assert_eq!(handed, wanted);
     for (value, again, orphan) in [("1", true, false), ("again", false, true)] {
         let headers = [PAGE.as_slice(), &[("Client-Retry", value)]].concat();
-        let handed = decode_head(&head("/notice", &headers), &names(), &forms(false)).expect("good");
+        let handed =
+            decode_head(&head("/notice", &headers), &names(), &forms(false)).expect("good");
         assert_eq!((handed.again, handed.orphan), (again, orphan));
     }
     let long = crc32fast::hash(b"account 000b832b68ec333d").into();
-    for (text, key) in [("000b832b68ec333d", 0x000b_832b_68ec_333d), ("account 000b832b68ec333d", long)] {
+    for (text, key) in [
+        ("000b832b68ec333d", 0x000b_832b_68ec_333d),
+        ("account 000b832b68ec333d", long),
+    ] {
         let headers = [PAGE.as_slice(), &[("Affinity-Key", text)]].concat();
-        let handed = decode_head(&head("/notice", &headers), &names(), &forms(false)).expect("good");
+        let handed =
+            decode_head(&head("/notice", &headers), &names(), &forms(false)).expect("good");
         assert_eq!(handed.key, Some(key));
     }
 }
@@ -70,31 +79,56 @@
     let name = |n: usize| HeaderName::from_bytes(PAGE[n].0.as_bytes()).expect("a name");
     for n in [0, 1, 2, 3, 5] {
         let mut twice = head("/notice", &PAGE);
-        twice.headers.append(name(n), PAGE[n].1.parse().expect("a value"));
+        twice
+            .headers
+            .append(name(n), PAGE[n].1.parse().expect("a value"));
         let refusal = decode_head(&twice, &names(), &forms(true)).expect_err("refused");
-        assert!(refusal.status == StatusCode::BAD_REQUEST && refusal.reason.contains("more than once"));
+        assert!(
+            refusal.status == StatusCode::BAD_REQUEST && refusal.reason.contains("more than once")
+        );
     }
-    for (n, value) in
-        [(2, "+480"), (2, "-1"), (2, "1e3"), (2, "12001"), (5, "dest=+7"), (5, "dest=4294967296"), (3, "")]
-    {
+    for (n, value) in [
+        (2, "+480"),
+        (2, "-1"),
+        (2, "1e3"),
+        (2, "12001"),
+        (5, "dest=+7"),
+        (5, "dest=4294967296"),
+        (3, ""),
+    ] {
         let mut odd = head("/notice", &PAGE);
         odd.headers.insert(name(n), value.parse().expect("a value"));
         let refusal = decode_head(&odd, &names(), &forms(true)).expect_err(value);
-        assert_eq!((refusal.status, refusal.last), (StatusCode::BAD_REQUEST, false));
+        assert_eq!(
+            (refusal.status, refusal.last),
+            (StatusCode::BAD_REQUEST, false)
+        );
     }
     // A length may have stood beside it: what follows on the connection may be anything.
-    let chunked = head("/notice", &[PAGE.as_slice(), &[("Transfer-Encoding", "chunked")]].concat());
+    let chunked = head(
+        "/notice",
+        &[PAGE.as_slice(), &[("Transfer-Encoding", "chunked")]].concat(),
+    );
     let refusal = decode_head(&chunked, &names(), &forms(true)).expect_err("refused");
-    assert_eq!((refusal.status, refusal.last), (StatusCode::LENGTH_REQUIRED, true));
+    assert_eq!(
+        (refusal.status, refusal.last),
+        (StatusCode::LENGTH_REQUIRED, true)
+    );
 }
 
 /// Guards a tenant's share against being counted with another's: all of plzen-delivery counted as its first tenant.
 #[test]
 fn a_tenant_is_known_by_its_name() {
-    for (name, tenant) in [("plain", Some(TenantId(0))), ("campus", Some(TenantId(1))), ("other", None)] {
+    for (name, tenant) in [
+        ("plain", Some(TenantId(0))),
+        ("campus", Some(TenantId(1))),
+        ("other", None),
+    ] {
         let headers = [PAGE.as_slice(), &[("Tenant", name)]].concat();
         assert_eq!(
-            decode_head(&head("/notice", &headers), &names(), &forms(false)).expect("good").tenant,
+            decode_head(&head("/notice", &headers), &names(), &forms(false))
+                .expect("good")
+                .tenant,
             tenant
         );
     }
@@ -109,7 +143,8 @@
             head.uri = path;
         }
         if let Ok(value) = hyper::header::HeaderValue::from_bytes(&value) {
-            let name = HeaderName::from_bytes(PAGE[which % PAGE.len()].0.as_bytes()).expect("a name");
+            let name =
+                HeaderName::from_bytes(PAGE[which % PAGE.len()].0.as_bytes()).expect("a name");
             head.headers.insert(name, value);
         }
         match decode_head(&head, &names(), &forms(true)) {
@@ -129,7 +164,11 @@
       {"id":"s-5be2a07c","host_port":"10.1.0.18:7070","locality":"b","flavor":"m2","cell":3,"phase":"Terminating","size":1.5,"up_since_ms":7}]}"#;
     let list: ListText = serde_json::from_str(text).expect("a list");
     let wanted = Listing {
-        target: TargetId { address: [10, 1, 0, 18], port: 7070, holder: 5 },
+        target: TargetId {
+            address: [10, 1, 0, 18],
+            port: 7070,
+            holder: 5,
+        },
         zone: ZoneId(1),
         since: 7000,
         standing: Standing::Draining,
@@ -137,38 +176,73 @@
         destination: DestinationId(3),
         kind: KindId(1),
     };
-    assert_eq!((list.revision, list.complete, list.members[0].listing(5, &names())), (43, false, wanted));
-    let ends = [("a", Ending::WrittenOff), ("b", Ending::Deferred { come_back: Some(499_001) })];
+    assert_eq!(
+        (
+            list.revision,
+            list.complete,
+            list.members[0].listing(5, &names())
+        ),
+        (43, false, wanted)
+    );
+    let ends = [
+        ("a", Ending::WrittenOff),
+        (
+            "b",
+            Ending::Deferred {
+                come_back: Some(499_001),
+            },
+        ),
+    ];
     let lines = "{\"id\":\"a\",\"status\":\"undeliverable\"}\n{\"id\":\"b\",\"status\":\"deferred\",\"again_ms\":500}\n";
     assert_eq!(encode_completion_reports(ends.into_iter()), lines);
     let untold = [("c", Ending::Deferred { come_back: None })];
-    assert_eq!(encode_completion_reports(untold.into_iter()), "{\"id\":\"c\",\"status\":\"deferred\"}\n");
+    assert_eq!(
+        encode_completion_reports(untold.into_iter()),
+        "{\"id\":\"c\",\"status\":\"deferred\"}\n"
+    );
 }
 
 #[test]
 fn a_report_is_read_by_its_names() {
     let mut headers = HeaderMap::new();
     assert!(decode_report(&headers, &names()).is_empty());
-    headers.insert("server-load", hyper::header::HeaderValue::from_static("{\"x1\":25,\"x0\":0.4}"));
+    headers.insert(
+        "server-load",
+        hyper::header::HeaderValue::from_static("{\"x1\":25,\"x0\":0.4}"),
+    );
     assert_eq!(decode_report(&headers, &names()), [0.4, 25.0]);
     // One that can't be read, lacks a figure or comes twice is no report: nought would mean an idle target.
-    for text in ["{\"x0\":0.4}", "{\"x0\":0.4,\"x1\":", "{\"x0\":0.4,\"x1\":\"25\"}", "0.4"] {
+    for text in [
+        "{\"x0\":0.4}",
+        "{\"x0\":0.4,\"x1\":",
+        "{\"x0\":0.4,\"x1\":\"25\"}",
+        "0.4",
+    ] {
         headers.insert("server-load", hyper::header::HeaderValue::from_static(text));
         assert!(decode_report(&headers, &names()).is_empty(), "{text}");
     }
-    headers.append("server-load", hyper::header::HeaderValue::from_static("{\"x1\":25,\"x0\":0.4}"));
+    headers.append(
+        "server-load",
+        hyper::header::HeaderValue::from_static("{\"x1\":25,\"x0\":0.4}"),
+    );
     assert!(decode_report(&headers, &names()).is_empty());
 }
 
 /// Guards against waits without end: one beyond a day is taken for none.
 #[test]
 fn the_longest_wait_that_can_be_read_is_told() {
-    let cases = [("250", 250_000), (" 0.0004 ", 1), ("1;300;soon", 300_000), ("99999999999", 86_400_000_000)];
+    let cases = [
+        ("250", 250_000),
+        (" 0.0004 ", 1),
+        ("1;300;soon", 300_000),
+        ("99999999999", 86_400_000_000),
+    ];
     let none = ["-5", "0", "NaN", "soon"].map(|text| (text, 0));
     let much = ["1e300", "inf"].map(|text| (text, 86_400_000_000));
     for (text, wait) in cases.into_iter().chain(none).chain(much) {
         let mut headers = HeaderMap::new();
-        text.split(';').for_each(|v| _ = headers.append("wait-ms", v.parse().expect("a value")));
+        text.split(';')
+            .for_each(|v| _ = headers.append("wait-ms", v.parse().expect("a value")));
         assert_eq!(decode_wait(&headers), (wait > 0).then_some(wait), "{text}");
     }
 }
--- a/crates/forwarder/src/reload.rs
+++ b/crates/forwarder/src/reload.rs
@@ -33,7 +33,10 @@
         let address = startup.discovery_in_file.unwrap_or(startup.discovery);
         info!(log, "papers read again"; "discovery" => %address);
         if startup.fixed() != fixed {
-            warn!(log, "other keys than discovery have changed: they count from the next start");
+            warn!(
+                log,
+                "other keys than discovery have changed: they count from the next start"
+            );
         }
         // Told also where it is the same: a platform that asks for a reload has reasons to be asked anew.
         discovery.send_replace(address);
--- a/crates/forwarder/src/startup_config.rs
+++ b/crates/forwarder/src/startup_config.rs
@@ -56,7 +56,10 @@
 }
 
 fn bad(key: impl Into<String>, problem: impl fmt::Display) -> ConfigError {
-    ConfigError { key: key.into(), problem: problem.to_string() }
+    ConfigError {
+        key: key.into(),
+        problem: problem.to_string(),
+    }
 }
 
 #[derive(Deserialize)]
@@ -110,18 +113,29 @@
     }
 
     /// A variable goes before the key of the file that says the same.
-    pub fn parse(text: &[u8], var: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, ConfigError> {
+    pub fn parse(
+        text: &[u8],
+        var: impl Fn(&str) -> Option<String>,
+    ) -> Result<StartupConfig, ConfigError> {
         let text = &mut serde_json::Deserializer::from_slice(text);
         let file: File = serde_path_to_error::deserialize(text)
             .map_err(|e| bad(format!("GW_CONFIG {}", e.path()), e.inner()))?;
         let address = |key: &str, name: &str, other: Option<String>| {
-            let value = var(key).or(other).ok_or_else(|| bad(key, format!("is not set, nor is {name}")))?;
-            value.parse::<SocketAddr>().map_err(|e| bad(key, format!("{value}: {e}")))
+            let value = var(key)
+                .or(other)
+                .ok_or_else(|| bad(key, format!("is not set, nor is {name}")))?;
+            value
+                .parse::<SocketAddr>()
+                .map_err(|e| bad(key, format!("{value}: {e}")))
         };
         let discovery_in_file = file
             .discovery
             .as_deref()
-            .map(|value| value.parse().map_err(|e| bad("GW_CONFIG discovery", format!("{value}: {e}"))))
+            .map(|value| {
+                value
+                    .parse()
+                    .map_err(|e| bad("GW_CONFIG discovery", format!("{value}: {e}")))
+            })
             .transpose()?;
         let sockets = file.limits.sockets.unwrap_or(DEFAULT_SOCKETS);
         if sockets < FEWEST_SOCKETS {
@@ -132,12 +146,18 @@
         }
         let disk_mb = file.limits.disk_mb.unwrap_or(DEFAULT_DISK_MB);
         if !(disk_mb >= LEAST_DISK_MB && disk_mb.is_finite()) {
-            return Err(bad("GW_CONFIG limits.disk_mb", format!("{disk_mb} is under {LEAST_DISK_MB}")));
+            return Err(bad(
+                "GW_CONFIG limits.disk_mb",
+                format!("{disk_mb} is under {LEAST_DISK_MB}"),
+            ));
         }
         let memory_mb = file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB);
         let disk_mb = disk_mb.min(JOURNAL_PART * memory_mb);
         if disk_mb < LEAST_DISK_MB {
-            return Err(bad("GW_CONFIG limits.memory_mb", format!("{memory_mb} is too little")));
+            return Err(bad(
+                "GW_CONFIG limits.memory_mb",
+                format!("{memory_mb} is too little"),
+            ));
         }
         let seed = if file.seed.is_empty() {
             Err(bad("GW_CONFIG seed", "is not set"))
@@ -145,7 +165,8 @@
             u64::from_str_radix(&file.seed, 16)
                 .map_err(|e| bad("GW_CONFIG seed", format!("{}: {e}", file.seed)))
         };
-        let mut waybill = Waybill::try_from(file.settings).map_err(|e| bad("GW_CONFIG settings", e))?;
+        let mut waybill =
+            Waybill::try_from(file.settings).map_err(|e| bad("GW_CONFIG settings", e))?;
         // No call may lack a descriptor: the core is told of no more slots than there are.
         let room = sockets - OWN_SOCKETS;
         waybill.config.slots = waybill.config.slots.min((room / SLOT_PART) as u32);
@@ -155,14 +176,19 @@
         // A completion report and a call go on connections of their own.
         waybill.config.ends = Ends::WhenHeard;
         // Nothing can be told where nobody listens.
-        let (gossip_peers, all) = (file.peer_listen.is_some() && !file.peers.is_empty(), file.peers_all);
+        let (gossip_peers, all) = (
+            file.peer_listen.is_some() && !file.peers.is_empty(),
+            file.peers_all,
+        );
         waybill.config.may_gossip &= gossip_peers && all.is_some();
         let state = var("GW_STATE").ok_or_else(|| bad("GW_STATE", "is not set"))?;
         if !std::path::Path::new(&state).is_dir() {
             return Err(bad("GW_STATE", format!("{state} is no folder")));
         }
         Ok(StartupConfig {
-            name: var("GW_NAME").or(file.name).unwrap_or_else(|| "forwarder".into()),
+            name: var("GW_NAME")
+                .or(file.name)
+                .unwrap_or_else(|| "forwarder".into()),
             listen: address("GW_LISTEN", "listen", file.listen)?,
             discovery: address("GW_DISCOVERY", "discovery", file.discovery)?,
             discovery_in_file,
@@ -171,7 +197,11 @@
             disk: (disk_mb * 1e6) as u64,
             client_sockets: rest - rest / IDLE_PART,
             idle_sockets: rest / IDLE_PART,
-            gossip_peers: GossipPeers { listen: file.peer_listen, each: file.peers, all: file.peers_all },
+            gossip_peers: GossipPeers {
+                listen: file.peer_listen,
+                each: file.peers,
+                all: file.peers_all,
+            },
             known: file.known,
             waybill,
         })
--- a/crates/forwarder/src/stream.rs
+++ b/crates/forwarder/src/stream.rs
@@ -55,7 +55,10 @@
         let mut answer = self.answer.subscribe();
         let begun = |a: &Answer| matches!(a, Answer::Begun | Answer::Says(_));
         while answer.wait_for(begun).await.is_ok() {
-            if tokio::time::timeout(within, answer.wait_for(|a| !begun(a))).await.is_err() {
+            if tokio::time::timeout(within, answer.wait_for(|a| !begun(a)))
+                .await
+                .is_err()
+            {
                 return;
             }
         }
@@ -87,10 +90,18 @@
 impl Stream {
     pub fn new(stream: TcpStream) -> (Stream, Arc<StreamState>) {
         let [written, before] = [0, 0].map(AtomicU64::new);
-        let stream_state =
-            Arc::new(StreamState { written, before, answer: watch::Sender::new(Answer::Unasked) });
+        let stream_state = Arc::new(StreamState {
+            written,
+            before,
+            answer: watch::Sender::new(Answer::Unasked),
+        });
         (
-            Stream { stream, stream_state: stream_state.clone(), reading: Reading::Through, dropped: 0 },
+            Stream {
+                stream,
+                stream_state: stream_state.clone(),
+                reading: Reading::Through,
+                dropped: 0,
+            },
             stream_state,
         )
     }
@@ -113,7 +124,9 @@
 
     fn count(&self, poll: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(n)) = &poll {
-            self.stream_state.written.fetch_add(*n as u64, Ordering::Relaxed);
+            self.stream_state
+                .written
+                .fetch_add(*n as u64, Ordering::Relaxed);
         }
         poll
     }
@@ -127,14 +140,17 @@
                     return Ok(());
                 }
                 Reading::FirstLine(line) => {
-                    let end = bytes.iter().position(|byte| *byte == b'\n').map(|at| at + 1);
+                    let end = bytes
+                        .iter()
+                        .position(|byte| *byte == b'\n')
+                        .map(|at| at + 1);
                     let (more, rest) = bytes.split_at(end.unwrap_or(bytes.len()));
                     line.extend(more);
                     bytes = rest;
                     if end.is_none() && line.len() < MOST_LINE {
-                        self.stream_state
-                            .answer
-                            .send_if_modified(|a| std::mem::replace(a, Answer::Begun) != Answer::Begun);
+                        self.stream_state.answer.send_if_modified(|a| {
+                            std::mem::replace(a, Answer::Begun) != Answer::Begun
+                        });
                         return Ok(());
                     }
                     // Guards rule 1 against half a line: whatever it begins with, only a whole one is true.
@@ -177,7 +193,11 @@
     match rest {
         [b'0' | b'1', b' ', code @ .., b' ' | b'\r' | b'\n'] if version == b"HTTP/1." => {
             let digits = code.iter().all(u8::is_ascii_digit);
-            std::str::from_utf8(code).ok().filter(|_| digits)?.parse().ok()
+            std::str::from_utf8(code)
+                .ok()
+                .filter(|_| digits)?
+                .parse()
+                .ok()
         }
         _ => None,
     }
@@ -194,10 +214,12 @@
             let before = buf.filled().len();
             ready!(Pin::new(&mut this.stream).poll_read(cx, buf))?;
             let came = buf.filled().len() > before;
-            return Poll::Ready(match came && this.stream_state.answer() == Answer::Unasked {
-                true => Err(io::ErrorKind::InvalidData.into()),
-                false => Ok(()),
-            });
+            return Poll::Ready(
+                match came && this.stream_state.answer() == Answer::Unasked {
+                    true => Err(io::ErrorKind::InvalidData.into()),
+                    false => Ok(()),
+                },
+            );
         }
         loop {
             // What was kept back of a first line must fit beside what comes now.
@@ -218,7 +240,11 @@
 }
 
 impl AsyncWrite for Stream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.begin()?;
         let poll = Pin::new(&mut self.stream).poll_write(cx, buf);
         self.count(poll)
--- a/crates/forwarder/src/targets.rs
+++ b/crates/forwarder/src/targets.rs
@@ -100,12 +100,17 @@
 
 impl Connection {
     async fn open(target: TargetId, within: Duration) -> Result<Connection, CallFault> {
-        let fault = |why| CallFault { stage: Stage::Connecting, why };
+        let fault = |why| CallFault {
+            stage: Stage::Connecting,
+            why,
+        };
         let up = async {
             let stream = TcpStream::connect(protocol::address(target)).await.ok()?;
             stream.set_nodelay(true).ok()?;
             let (stream, stream_state) = Stream::new(stream);
-            let link = Link::over(stream, Builder::new().max_buf_size(MOST_AHEAD)).await.ok()?;
+            let link = Link::over(stream, Builder::new().max_buf_size(MOST_AHEAD))
+                .await
+                .ok()?;
             Some(Connection { link, stream_state })
         };
         match tokio::time::timeout(within, up).await {
@@ -128,10 +133,14 @@
 impl Service<Outgoing> for Connection {
     type Response = Response<Incoming>;
     type Error = CallFault;
-    type Future = Pin<Box<dyn std::future::Future<Output = Result<Response<Incoming>, CallFault>> + Send>>;
+    type Future =
+        Pin<Box<dyn std::future::Future<Output = Result<Response<Incoming>, CallFault>> + Send>>;
 
     fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), CallFault>> {
-        self.link.sender.poll_ready(cx).map_err(|_| CallFault { stage: Stage::Connecting, why: Why::Broken })
+        self.link.sender.poll_ready(cx).map_err(|_| CallFault {
+            stage: Stage::Connecting,
+            why: Why::Broken,
+        })
     }
 
     fn call(&mut self, call: Outgoing) -> Self::Future {
@@ -187,7 +196,13 @@
 
 impl Target {
     pub fn new(id: TargetId, context: Arc<TargetContext>) -> Target {
-        Target { id, context, idle: Vec::new(), tasks: JoinSet::new(), underway: BTreeMap::new() }
+        Target {
+            id,
+            context,
+            idle: Vec::new(),
+            tasks: JoinSet::new(),
+            underway: BTreeMap::new(),
+        }
     }
 
     fn rest(&self) -> Duration {
@@ -230,11 +245,13 @@
             TargetNote::Call(call) => self.call(*call),
             TargetNote::Probe => {
                 let request = protocol::encode_probe(self.id);
-                let limit = Duration::from_micros(self.context.config.connect_within).mul_f64(PROBE_TIME);
+                let limit =
+                    Duration::from_micros(self.context.config.connect_within).mul_f64(PROBE_TIME);
                 self.start(Errand::Probe, request, limit, Instant::now() + limit);
             }
             TargetNote::CallOff { id, trip } => {
-                let named = |e| matches!(e, Errand::Trip { id: i, trip: t } if (i, t) == (id, trip));
+                let named =
+                    |e| matches!(e, Errand::Trip { id: i, trip: t } if (i, t) == (id, trip));
                 self.order(named, Order::CallOff);
             }
             TargetNote::TakeBack => self.order(|_| true, Order::TakeBack),
@@ -249,8 +266,17 @@
 
     fn call(&mut self, call: Call) {
         let mark = call.mark.as_deref();
-        let request = protocol::encode_call(self.id, &call.request_id, mark, call.limit, &call.body);
-        self.start(Errand::Trip { id: call.id, trip: call.trip }, request, call.limit, call.begin_by);
+        let request =
+            protocol::encode_call(self.id, &call.request_id, mark, call.limit, &call.body);
+        self.start(
+            Errand::Trip {
+                id: call.id,
+                trip: call.trip,
+            },
+            request,
+            call.limit,
+            call.begin_by,
+        );
     }
 
     fn start(
@@ -318,7 +344,14 @@
             }
             connection.served(whole).await
         });
-        self.underway.insert(task.id(), Underway { errand, began, orders });
+        self.underway.insert(
+            task.id(),
+            Underway {
+                errand,
+                began,
+                orders,
+            },
+        );
     }
 
     /// The connection used last that has settled; where none has, the one used last.
@@ -336,7 +369,11 @@
 
     fn keep(&mut self, connection: Connection) {
         if let Ok(permit) = self.context.idle.clone().try_acquire_owned() {
-            self.idle.push(Idle { connection, since: Instant::now(), _permit: permit });
+            self.idle.push(Idle {
+                connection,
+                since: Instant::now(),
+                _permit: permit,
+            });
         }
     }
 
@@ -344,7 +381,9 @@
     async fn broken(&mut self, problem: tokio::task::JoinError) {
         error!(self.context.log, "a call broke off"; "problem" => %problem);
         if let Some(Underway { errand, began, .. }) = self.underway.remove(&problem.id()) {
-            self.context.report_outcome(self.id, errand, Outcome::Reset, false, Vec::new(), began).await;
+            self.context
+                .report_outcome(self.id, errand, Outcome::Reset, false, Vec::new(), began)
+                .await;
         }
     }
 }
@@ -361,10 +400,21 @@
     ) {
         let took: Micros = micros(began.elapsed());
         let event = match errand {
-            Errand::Trip { id, trip } => {
-                Event::TripEnded { id, trip, target, outcome, took, closed: over, report }
-            }
-            Errand::Probe => Event::ProbeAnswered { target, outcome, took, report },
+            Errand::Trip { id, trip } => Event::TripEnded {
+                id,
+                trip,
+                target,
+                outcome,
+                took,
+                closed: over,
+                report,
+            },
+            Errand::Probe => Event::ProbeAnswered {
+                target,
+                outcome,
+                took,
+                report,
+            },
         };
         self.send_event(event).await;
     }
@@ -400,10 +450,20 @@
 ) -> Result<Came, CallFault> {
     // The stream on which the call goes now.
     let (show, shown) = watch::channel::<Option<Arc<StreamState>>>(None);
-    let show = |connection: &Connection| _ = show.send_replace(Some(connection.stream_state.clone()));
+    let show =
+        |connection: &Connection| _ = show.send_replace(Some(connection.stream_state.clone()));
     let length = call.length;
-    let too_late = CallFault { stage: Stage::Connecting, why: Why::TooLate };
-    let in_time = || if Instant::now() < bounds.begin { Ok(()) } else { Err(too_late) };
+    let too_late = CallFault {
+        stage: Stage::Connecting,
+        why: Why::TooLate,
+    };
+    let in_time = || {
+        if Instant::now() < bounds.begin {
+            Ok(())
+        } else {
+            Err(too_late)
+        }
+    };
     let work = async {
         // An idle connection that took no byte of this call carries none of it: a new one begins it.
         if let Some((mut connection, since)) = idle {
@@ -413,7 +473,10 @@
                 show(&connection);
                 match connection.send(call.clone()).await {
                     Ok(answer) => return Ok(Came::Head(answer, connection)),
-                    Err(CallFault { stage: Stage::Connecting, .. }) => {}
+                    Err(CallFault {
+                        stage: Stage::Connecting,
+                        ..
+                    }) => {}
                     Err(fault) => return Err(fault),
                 }
             }
@@ -421,7 +484,9 @@
         // Guards rule 2: a connection that comes up late must not carry a repeat out of the window of the first trip.
         in_time()?;
         let open = Connection::open(target, Duration::from_micros(context.config.connect_within));
-        let mut connection = tokio::time::timeout_at(bounds.begin, open).await.map_err(|_| too_late)??;
+        let mut connection = tokio::time::timeout_at(bounds.begin, open)
+            .await
+            .map_err(|_| too_late)??;
         in_time()?;
         show(&connection);
         let answer = connection.send(call).await?;
@@ -467,7 +532,11 @@
     // Dropping the work closes its connection: that is how a call is given up.
     let gone = |why| {
         let begun = stream_state().is_some_and(|s| s.answer() != Answer::Unasked);
-        let stage = if begun { Stage::Written } else { Stage::Connecting };
+        let stage = if begun {
+            Stage::Written
+        } else {
+            Stage::Connecting
+        };
         Err(CallFault { stage, why })
     };
     let ended = match ended {
--- a/crates/forwarder/src/targets/tests.rs
+++ b/crates/forwarder/src/targets/tests.rs
@@ -29,7 +29,10 @@
         let (dispatcher, notes) = mpsc::channel(16);
         let (mailbox, inbox) = mpsc::channel(16);
         let context = TargetContext {
-            config: ConnectionConfig { idle_closed_after: IDLE, connect_within: 300_000 },
+            config: ConnectionConfig {
+                idle_closed_after: IDLE,
+                connect_within: 300_000,
+            },
             names: Names {
                 profiles: Vec::new(),
                 tenants: Vec::new(),
@@ -41,11 +44,20 @@
             dispatcher,
             log: Logger::root(slog::Discard, slog::o!()),
         };
-        let id = TargetId { address: [127, 0, 0, 1], port, holder: 0 };
+        let id = TargetId {
+            address: [127, 0, 0, 1],
+            port,
+            holder: 0,
+        };
         let mut target = Target::new(id, Arc::new(context));
         prepare(&mut target);
         tokio::spawn(target.run(inbox));
-        Rig { listener, mailbox, notes, trips: 0 }
+        Rig {
+            listener,
+            mailbox,
+            notes,
+            trips: 0,
+        }
     }
 
     async fn call(&mut self, body: &Bytes, limit: u64) {
@@ -63,13 +75,21 @@
             begin_by: Instant::now() + Duration::from_millis(begin_within),
         };
         self.trips += 1;
-        self.mailbox.send(TargetNote::Call(Box::new(call))).await.expect("the actor runs");
+        self.mailbox
+            .send(TargetNote::Call(Box::new(call)))
+            .await
+            .expect("the actor runs");
     }
 
     async fn outcome(&mut self) -> (Outcome, bool) {
         let wait = tokio::time::timeout(Duration::from_secs(5), self.notes.recv());
         match wait.await.expect("in time").expect("a note") {
-            Note::Event(Event::TripEnded { outcome, closed, trip, .. }) => {
+            Note::Event(Event::TripEnded {
+                outcome,
+                closed,
+                trip,
+                ..
+            }) => {
                 assert_eq!(trip + 1, self.trips);
                 (outcome, closed)
             }
@@ -89,7 +109,9 @@
 
     /// Connections beyond the backlog stay unanswered, as those to a machine that is cut off, until these are accepted.
     async fn fill_the_backlog(&self) -> Vec<TcpStream> {
-        SockRef::from(&self.listener).listen(0).expect("a short line");
+        SockRef::from(&self.listener)
+            .listen(0)
+            .expect("a short line");
         let address = self.listener.local_addr().expect("its address");
         let mut before = Vec::new();
         while let Ok(stream) =
@@ -111,7 +133,9 @@
     loop {
         let text = String::from_utf8_lossy(&bytes).to_lowercase();
         if let Some(head) = text.find("\r\n\r\n") {
-            let length = text.lines().find_map(|l| l.strip_prefix("content-length: ")?.parse::<usize>().ok());
+            let length = text
+                .lines()
+                .find_map(|l| l.strip_prefix("content-length: ")?.parse::<usize>().ok());
             if bytes.len() == head + 4 + length.unwrap_or(0) {
                 return bytes;
             }
@@ -125,7 +149,10 @@
 async fn closed(stream: &mut TcpStream) -> bool {
     let mut rest = [0; 64];
     let end = stream.read(&mut rest);
-    matches!(tokio::time::timeout(Duration::from_secs(2), end).await, Ok(Ok(0) | Err(_)))
+    matches!(
+        tokio::time::timeout(Duration::from_secs(2), end).await,
+        Ok(Ok(0) | Err(_))
+    )
 }
 
 #[tokio::test]
@@ -137,16 +164,27 @@
         let bytes = read_call(&mut stream).await;
         let text = String::from_utf8_lossy(&bytes).to_lowercase();
         assert!(text.starts_with("post /inbox http/1.1\r\n"));
-        for line in ["request-id: 9b1f03aa5c7e2d41", "idempotency-key: 5c0f6e1a", "request-timeout-ms: 1500"]
-        {
-            assert!(text.contains(&format!("\r\n{line}\r\n")), "{line} in {text}");
+        for line in [
+            "request-id: 9b1f03aa5c7e2d41",
+            "idempotency-key: 5c0f6e1a",
+            "request-timeout-ms: 1500",
+        ] {
+            assert!(
+                text.contains(&format!("\r\n{line}\r\n")),
+                "{line} in {text}"
+            );
         }
         assert!(bytes.ends_with(&body));
         let port = rig.listener.local_addr().expect("its address").port();
-        let target = TargetId { address: [127, 0, 0, 1], port, holder: 0 };
+        let target = TargetId {
+            address: [127, 0, 0, 1],
+            port,
+            holder: 0,
+        };
         let limit = Duration::from_millis(1500);
-        let call = protocol::encode_call(target, "9b1f03aa5c7e2d41", Some("5c0f6e1a"), limit, &body)
-            .expect("a call");
+        let call =
+            protocol::encode_call(target, "9b1f03aa5c7e2d41", Some("5c0f6e1a"), limit, &body)
+                .expect("a call");
         assert_eq!(call.length, bytes.len() as u64);
         stream
             .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\nconnection: close\r\n\r\n")
@@ -159,14 +197,20 @@
 #[tokio::test]
 async fn each_answer_has_its_outcome() {
     let mut rig = Rig::new().await;
-    let wait = |ms: u64| Outcome::Full { wait: Some(ms * 1000) };
+    let wait = |ms: u64| Outcome::Full {
+        wait: Some(ms * 1000),
+    };
     let answers = [
         ("200 OK", Outcome::Delivered, true),
         ("500 Oops", Outcome::Error, false),
         ("429 Wait\r\nWait-Ms: 250", wait(250), false),
         ("429 Wait", Outcome::Full { wait: None }, false),
         ("503 Full", Outcome::Full { wait: None }, false),
-        ("503 Slots\r\nSlots-Taken: 1", Outcome::Moot { no_slot: true }, false),
+        (
+            "503 Slots\r\nSlots-Taken: 1",
+            Outcome::Moot { no_slot: true },
+            false,
+        ),
         ("504 Used", Outcome::Moot { no_slot: false }, false),
         ("410 Over", Outcome::Moot { no_slot: false }, true),
         ("400 What", Outcome::Error, false),
@@ -202,12 +246,22 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
     drop(stream);
     assert_eq!(rig.outcome().await, (Outcome::NoConnection, false));
-    let Rig { listener, mailbox, notes, trips } = rig;
+    let Rig {
+        listener,
+        mailbox,
+        notes,
+        trips,
+    } = rig;
     let address = listener.local_addr().expect("its address");
     drop(listener);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     assert_ne!(listener.local_addr().expect("its address"), address);
-    let mut rig = Rig { listener, mailbox, notes, trips };
+    let mut rig = Rig {
+        listener,
+        mailbox,
+        notes,
+        trips,
+    };
     rig.call(&Bytes::new(), 1000).await;
     assert_eq!(rig.outcome().await, (Outcome::NoConnection, false));
 }
@@ -223,7 +277,13 @@
     rig.call(&Bytes::new(), 60_000).await;
     let mut stream = rig.accept().await;
     read_call(&mut stream).await;
-    rig.mailbox.send(TargetNote::CallOff { id: PacketId(1), trip: 1 }).await.expect("the actor runs");
+    rig.mailbox
+        .send(TargetNote::CallOff {
+            id: PacketId(1),
+            trip: 1,
+        })
+        .await
+        .expect("the actor runs");
     assert_eq!(rig.outcome().await, (Outcome::CalledOff, false));
     assert!(closed(&mut stream).await);
 }
@@ -254,7 +314,10 @@
     read_call(&mut third).await;
     third.write_all(OK).await.expect("sent");
     assert_eq!(rig.outcome().await, (Outcome::Delivered, true));
-    rig.mailbox.send(TargetNote::CloseIdle).await.expect("the actor runs");
+    rig.mailbox
+        .send(TargetNote::CloseIdle)
+        .await
+        .expect("the actor runs");
     assert!(closed(&mut third).await);
 }
 
@@ -264,7 +327,10 @@
     rig.call(&Bytes::new(), 5000).await;
     let mut stream = rig.accept().await;
     read_call(&mut stream).await;
-    stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf").await.expect("sent");
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf")
+        .await
+        .expect("sent");
     assert_eq!(rig.outcome().await, (Outcome::Delivered, true));
     assert!(closed(&mut stream).await); // such a connection serves no more
 }
@@ -276,24 +342,67 @@
     let full = Outcome::Full { wait: None };
     let early = "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n";
     let cases = [
-        ("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n".to_owned(), Outcome::Delivered, false),
-        ("HTTP/1.1 200 OK\r\nX: without an end".to_owned(), Outcome::Delivered, false),
-        (format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(100_000)), Outcome::Delivered, false),
-        ("HTTP/1.1 503 Full\r\nContent-Length: 5\r\n\r\nab".to_owned(), Outcome::Reset, false),
-        ("HTTP/1.1 503 Full\r\nX: without an end".to_owned(), Outcome::Reset, false),
         (
-            format!("HTTP/1.1 429 W\r\nContent-Length: 3000000000\r\n\r\n{}", "x".repeat(100_000)),
+            "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n".to_owned(),
+            Outcome::Delivered,
+            false,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nX: without an end".to_owned(),
+            Outcome::Delivered,
+            false,
+        ),
+        (
+            format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(100_000)),
+            Outcome::Delivered,
+            false,
+        ),
+        (
+            "HTTP/1.1 503 Full\r\nContent-Length: 5\r\n\r\nab".to_owned(),
+            Outcome::Reset,
+            false,
+        ),
+        (
+            "HTTP/1.1 503 Full\r\nX: without an end".to_owned(),
+            Outcome::Reset,
+            false,
+        ),
+        (
+            format!(
+                "HTTP/1.1 429 W\r\nContent-Length: 3000000000\r\n\r\n{}",
+                "x".repeat(100_000)
+            ),
+            Outcome::Reset,
+            false,
+        ),
+        (
+            "HTTP/1.1 410 Over\r\nContent-Length: -1\r\n\r\n".to_owned(),
+            Outcome::Reset,
+            false,
+        ),
+        (
+            "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n".to_owned(),
             Outcome::Reset,
             false,
         ),
-        ("HTTP/1.1 410 Over\r\nContent-Length: -1\r\n\r\n".to_owned(), Outcome::Reset, false),
-        ("HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n".to_owned(), Outcome::Reset, false),
         ("\0\u{1}noise\r\n\r\n".to_owned(), Outcome::Reset, false),
         ("HTT".to_owned(), Outcome::Reset, false),
         ("HTTP/1.1 200 O".to_owned(), Outcome::Reset, false),
-        (format!("HTTP/1.1 200 {}\r\n\r\n", "x".repeat(100_000)), Outcome::Reset, false),
-        (format!("{early}HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), Outcome::Delivered, true),
-        (format!("{early}HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno"), full, true),
+        (
+            format!("HTTP/1.1 200 {}\r\n\r\n", "x".repeat(100_000)),
+            Outcome::Reset,
+            false,
+        ),
+        (
+            format!("{early}HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
+            Outcome::Delivered,
+            true,
+        ),
+        (
+            format!("{early}HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno"),
+            full,
+            true,
+        ),
     ];
     for (text, outcome, serves_on) in cases {
         let mut rig = Rig::new().await;
@@ -304,7 +413,11 @@
         // Where the other side has seen enough it closes.
         let _ = stream.write_all(text.as_bytes()).await;
         let shown: String = text.chars().take(60).collect();
-        assert_eq!(rig.outcome().await, (outcome, outcome == Outcome::Delivered), "{shown}");
+        assert_eq!(
+            rig.outcome().await,
+            (outcome, outcome == Outcome::Delivered),
+            "{shown}"
+        );
         assert!(begun.elapsed() < Duration::from_secs(1), "{shown}");
         if serves_on {
             rig.call(&Bytes::new(), 1000).await;
@@ -336,7 +449,10 @@
         }
         let mut second = rig.accept().await; // not on the first one
         read_call(&mut second).await;
-        second.write_all(b"HTTP/1.1 503 Full\r\ncontent-length: 0\r\n\r\n").await.expect("sent");
+        second
+            .write_all(b"HTTP/1.1 503 Full\r\ncontent-length: 0\r\n\r\n")
+            .await
+            .expect("sent");
         assert_eq!(rig.outcome().await, (Outcome::Full { wait: None }, false));
         assert!(closed(&mut first).await);
     }
@@ -367,10 +483,18 @@
 #[tokio::test]
 async fn a_probe_asks_for_life() {
     let mut rig = Rig::new().await;
-    for (line, outcome) in [("200 OK", Outcome::Delivered), ("503 No", Outcome::Full { wait: None })] {
-        rig.mailbox.send(TargetNote::Probe).await.expect("the actor runs");
+    for (line, outcome) in [
+        ("200 OK", Outcome::Delivered),
+        ("503 No", Outcome::Full { wait: None }),
+    ] {
+        rig.mailbox
+            .send(TargetNote::Probe)
+            .await
+            .expect("the actor runs");
         let mut stream = rig.accept().await;
-        assert!(read_call(&mut stream).await.starts_with(b"GET /alive HTTP/1.1\r\n"));
+        assert!(read_call(&mut stream)
+            .await
+            .starts_with(b"GET /alive HTTP/1.1\r\n"));
         let answer = format!("HTTP/1.1 {line}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n");
         stream.write_all(answer.as_bytes()).await.expect("sent");
         assert_eq!(rig.outcome().await.0, outcome);
@@ -383,8 +507,12 @@
 async fn a_call_that_can_not_begin_in_time_is_not_sent() {
     let mut rig = Rig::new().await;
     let before = rig.fill_the_backlog().await;
-    rig.call_begun(&Bytes::from_static(b"late"), 1500, 100).await;
-    assert_eq!(rig.outcome().await, (Outcome::Moot { no_slot: false }, false));
+    rig.call_begun(&Bytes::from_static(b"late"), 1500, 100)
+        .await;
+    assert_eq!(
+        rig.outcome().await,
+        (Outcome::Moot { no_slot: false }, false)
+    );
     for _ in 0..before.len() {
         rig.accept().await;
     }
@@ -395,10 +523,16 @@
     stream.write_all(OK).await.expect("sent");
     assert_eq!(rig.outcome().await, (Outcome::Delivered, true));
     rig.call_begun(&Bytes::from_static(b"late"), 1500, 0).await;
-    assert_eq!(rig.outcome().await, (Outcome::Moot { no_slot: false }, false));
+    assert_eq!(
+        rig.outcome().await,
+        (Outcome::Moot { no_slot: false }, false)
+    );
     let mut byte = [0];
     let none = tokio::time::timeout(Duration::from_millis(100), stream.read(&mut byte)).await;
-    assert!(!matches!(none, Ok(Ok(1))), "a byte of a call that was too late");
+    assert!(
+        !matches!(none, Ok(Ok(1))),
+        "a byte of a call that was too late"
+    );
 }
 
 /// On a day with lowered limits a wait was told while a connection came up, and the call went out on it all the same.
@@ -420,7 +554,11 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
     rig.take_back().await;
     let mut came = 0;
-    while let Ok(1..) = half.read(&mut vec![0; 1 << 20]).await.inspect(|n| came += n) {}
+    while let Ok(1..) = half
+        .read(&mut vec![0; 1 << 20])
+        .await
+        .inspect(|n| came += n)
+    {}
     assert!(came < 32 << 20, "it came whole");
     // What has gone whole goes on, also on a connection that has carried others, and can be called off still.
     rig.call(&Bytes::from_static(b"gone"), 1500).await;
@@ -432,8 +570,14 @@
     tokio::time::sleep(Duration::from_millis(20)).await;
     rig.call(&Bytes::from_static(b"gone"), 1500).await;
     read_call(&mut stream).await;
-    for note in [TargetNote::TakeBack, TargetNote::CallOff { id: PacketId(1), trip: 3 }, TargetNote::TakeBack]
-    {
+    for note in [
+        TargetNote::TakeBack,
+        TargetNote::CallOff {
+            id: PacketId(1),
+            trip: 3,
+        },
+        TargetNote::TakeBack,
+    ] {
         rig.order(note).await;
     }
     assert_eq!(rig.outcome().await, (Outcome::CalledOff, false));
@@ -444,7 +588,14 @@
 #[tokio::test]
 async fn a_wait_counts_from_its_head_whatever_comes_of_the_rest() {
     let cases = [
-        ("429 W", "4\r\n\r\n", "late", Outcome::Full { wait: Some(700_000) }),
+        (
+            "429 W",
+            "4\r\n\r\n",
+            "late",
+            Outcome::Full {
+                wait: Some(700_000),
+            },
+        ),
         ("429 W", "4\r\n\r\n", "", Outcome::Reset),
         ("429 W", "3000000000\r\n\r\nxx", "", Outcome::Reset),
         ("503 F", "4\r\n\r\n", "late", Outcome::Full { wait: None }),
@@ -459,7 +610,13 @@
         stream.write_all(head.as_bytes()).await.expect("sent");
         // Within the protocol's time for it, well before the rest is waited for in vain.
         let told = tokio::time::timeout(Duration::from_millis(100), rig.notes.recv()).await;
-        assert!(matches!(told, Ok(Some(Note::Event(Event::WaitTold { wait: 700_000, .. })))), "{head}");
+        assert!(
+            matches!(
+                told,
+                Ok(Some(Note::Event(Event::WaitTold { wait: 700_000, .. })))
+            ),
+            "{head}"
+        );
         tokio::time::sleep(Duration::from_millis(100)).await;
         stream.write_all(late.as_bytes()).await.expect("sent");
         stream.shutdown().await.expect("cut off");
@@ -474,9 +631,24 @@
     rig.call(&Bytes::new(), 20_000).await;
     let mut stream = rig.accept().await;
     read_call(&mut stream).await;
-    stream.try_write(b"HTTP/1.1 429 W\r\nWait-Ms: 700\r\nContent-Length: 0\r\n\r\n").expect("sent");
-    rig.mailbox.try_send(TargetNote::CallOff { id: PacketId(1), trip: 0 }).expect("room");
-    assert_eq!(rig.outcome().await, (Outcome::Full { wait: Some(700_000) }, false));
+    stream
+        .try_write(b"HTTP/1.1 429 W\r\nWait-Ms: 700\r\nContent-Length: 0\r\n\r\n")
+        .expect("sent");
+    rig.mailbox
+        .try_send(TargetNote::CallOff {
+            id: PacketId(1),
+            trip: 0,
+        })
+        .expect("room");
+    assert_eq!(
+        rig.outcome().await,
+        (
+            Outcome::Full {
+                wait: Some(700_000)
+            },
+            false
+        )
+    );
 }
 
 /// Guards rule 1: half a line that comes in the moment in which a call is given up is no answer, whatever it begins with.
@@ -487,7 +659,12 @@
     let mut stream = rig.accept().await;
     read_call(&mut stream).await;
     stream.try_write(b"HTTP/1.1 200 OK\r").expect("sent");
-    rig.mailbox.try_send(TargetNote::CallOff { id: PacketId(1), trip: 0 }).expect("room");
+    rig.mailbox
+        .try_send(TargetNote::CallOff {
+            id: PacketId(1),
+            trip: 0,
+        })
+        .expect("room");
     assert_eq!(rig.outcome().await, (Outcome::CalledOff, false));
 }
 
@@ -497,8 +674,18 @@
     let mut rig = Rig::prepared(|target| {
         let task = target.tasks.spawn(async { panic!("as a fault would") });
         let (orders, _) = watch::channel(Order::GoOn);
-        let errand = Errand::Trip { id: PacketId(1), trip: 0 };
-        target.underway.insert(task.id(), Underway { errand, began: Instant::now(), orders });
+        let errand = Errand::Trip {
+            id: PacketId(1),
+            trip: 0,
+        };
+        target.underway.insert(
+            task.id(),
+            Underway {
+                errand,
+                began: Instant::now(),
+                orders,
+            },
+        );
     })
     .await;
     rig.trips = 1;
--- a/crates/forwarder/tests/asked_list.rs
+++ b/crates/forwarder/tests/asked_list.rs
@@ -41,7 +41,11 @@
             if !m.first.contains("/discovery/") {
                 return plain("204 No Content");
             }
-            let wait = m.first.split("wait=").nth(1).and_then(|w| w.split(' ').next()?.parse().ok());
+            let wait = m
+                .first
+                .split("wait=")
+                .nth(1)
+                .and_then(|w| w.split(' ').next()?.parse().ok());
             let until = Instant::now() + Duration::from_millis(wait.unwrap_or(0));
             let before = is.load(Ordering::SeqCst);
             if before == Mood::Silent as u8 {
@@ -61,7 +65,11 @@
             let whole = wait.is_none();
             with_body(&list(1, whole, if whole { &members } else { &[] }))
         });
-        Discovery { mood, heard, address }
+        Discovery {
+            mood,
+            heard,
+            address,
+        }
     }
 
     fn calls(&self) -> usize {
@@ -93,7 +101,12 @@
         };
         let members: Vec<_> = (0..FORWARDERS).map(begin).collect();
         let fleet = Fleet { mood, members };
-        until("all watch", || fleet.members.iter().all(|(discovery, ..)| discovery.calls() >= 3));
+        until("all watch", || {
+            fleet
+                .members
+                .iter()
+                .all(|(discovery, ..)| discovery.calls() >= 3)
+        });
         fleet
     }
 
@@ -104,9 +117,15 @@
 
     /// Each makes a call that is answered before what discovery had at that moment counts as told.
     fn is_told_in_time_from(&self, moment: Instant) {
-        let first = || self.members.iter().map(|(discovery, ..)| discovery.first_after(moment));
+        let first = || {
+            self.members
+                .iter()
+                .map(|(discovery, ..)| discovery.first_after(moment))
+        };
         thread::sleep(TOLD.saturating_sub(moment.elapsed()));
-        let late = first().filter(|after| after.is_none_or(|after| after > TOLD)).count();
+        let late = first()
+            .filter(|after| after.is_none_or(|after| after > TOLD))
+            .count();
         assert_eq!(late, 0, "{:?}", first().collect::<Vec<_>>());
     }
 }
@@ -114,9 +133,18 @@
 /// The start papers of one of the fleet's forwarders.
 fn config_file(number: usize, ask_within: u64) -> String {
     config("notice", "free", 200, 3.0)
-        .replace("\"seed\":\"8c1f30d27a5be964\"", &format!("\"seed\":\"8c1f30d27a5be9{number:02x}\""))
-        .replace("\"Balancers\":1", "\"Balancers\":350,\"MembershipMode\":\"on_request\"")
-        .replace("\"ColdFrom\"", &format!("\"AskWithinUs\":{},\"ColdFrom\"", ask_within * 1_000_000))
+        .replace(
+            "\"seed\":\"8c1f30d27a5be964\"",
+            &format!("\"seed\":\"8c1f30d27a5be9{number:02x}\""),
+        )
+        .replace(
+            "\"Balancers\":1",
+            "\"Balancers\":350,\"MembershipMode\":\"on_request\"",
+        )
+        .replace(
+            "\"ColdFrom\"",
+            &format!("\"AskWithinUs\":{},\"ColdFrom\"", ask_within * 1_000_000),
+        )
 }
 
 /// A watch that has fallen silent is broken: what it misses counts as told 6 s after it fell silent.
@@ -183,8 +211,14 @@
         forwarder.hand_in(&format!("p{tries}"), "notice") == 202
     });
     let first = calls.lock().expect("the log")[0];
-    assert!(first.elapsed() < LATE + Duration::from_millis(500), "{:?}", first.elapsed());
-    until("it is delivered", || !seen.lock().expect("the log").is_empty());
+    assert!(
+        first.elapsed() < LATE + Duration::from_millis(500),
+        "{:?}",
+        first.elapsed()
+    );
+    until("it is delivered", || {
+        !seen.lock().expect("the log").is_empty()
+    });
 }
 
 /// A restarted process with what it held is ready, whatever discovery does.
@@ -208,7 +242,9 @@
     let text = config_file(1, 10).replace("on_request", mode);
     let mut forwarder = scripted::start(PROGRAM, &state, &text, discovery.address);
     until("the list is in", || discovery.calls() >= 1);
-    until("a packet is taken on", || forwarder.hand_in("held", "notice") == 202);
+    until("a packet is taken on", || {
+        forwarder.hand_in("held", "notice") == 202
+    });
     forwarder.child.kill().expect("killed");
     forwarder.child.wait().expect("ended");
     let address = mood.map_or(shut.address, |mood| {
@@ -217,5 +253,9 @@
     });
     let begun = Instant::now();
     let _again: Forwarder = scripted::start(PROGRAM, &state, &text, address);
-    assert!(begun.elapsed() < READY, "{mode}: ready after {:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < READY,
+        "{mode}: ready after {:?}",
+        begun.elapsed()
+    );
 }
--- a/crates/forwarder/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -19,12 +19,23 @@
 
 /// Starts the program with so many descriptors and no more.
 fn start_limited(state: &Path, text: &str, discovery: SocketAddr) -> Forwarder {
-    let script = state.parent().expect("a folder round it").join("limited.sh");
+    let script = state
+        .parent()
+        .expect("a folder round it")
+        .join("limited.sh");
     let log = script.with_file_name(LOG);
-    let lines = format!("#!/bin/sh\nulimit -n {LIMIT}\nexec {PROGRAM} 2> {}\n", log.display());
+    let lines = format!(
+        "#!/bin/sh\nulimit -n {LIMIT}\nexec {PROGRAM} 2> {}\n",
+        log.display()
+    );
     std::fs::write(&script, lines).expect("written");
     std::fs::set_permissions(&script, PermissionsExt::from_mode(0o755)).expect("it may run");
-    scripted::start(script.to_str().expect("a plain path"), state, text, discovery)
+    scripted::start(
+        script.to_str().expect("a plain path"),
+        state,
+        text,
+        discovery,
+    )
 }
 
 /// Clients that connect, ask one thing, and then say nothing; one that is closed comes again at once. Until told to stop.
@@ -33,7 +44,9 @@
         let stream = TcpStream::connect(forwarder).ok()?;
         stream.set_nonblocking(true).ok()?;
         if n.is_multiple_of(2) {
-            (&stream).write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").ok()?;
+            (&stream)
+                .write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+                .ok()?;
         }
         Some(stream)
     };
@@ -66,9 +79,13 @@
     let (target, seen) = serve(|_, _| plain("200 OK"));
     let (mute, _) = serve(|_, _| None);
     let (full, refused) = serve(|_, _| plain("503 Full"));
-    let (targets, _logs): (Vec<_>, Vec<_>) = (0..TARGETS).map(|_| serve(|_, _| plain("200 OK"))).unzip();
-    let mut members: Vec<String> =
-        targets.iter().zip(100..).map(|(target, cell)| member(*target, cell, "Ready")).collect();
+    let (targets, _logs): (Vec<_>, Vec<_>) =
+        (0..TARGETS).map(|_| serve(|_, _| plain("200 OK"))).unzip();
+    let mut members: Vec<String> = targets
+        .iter()
+        .zip(100..)
+        .map(|(target, cell)| member(*target, cell, "Ready"))
+        .collect();
     members.extend([member(mute, 8, "Ready"), member(full, 9, "Ready")]);
     let later = [members.clone(), vec![member(target, 7, "Ready")]].concat();
     let silent = Arc::new(AtomicBool::new(false));
@@ -90,20 +107,25 @@
         })
     });
     let (_dir, state) = folder();
-    let text =
-        config("notice", "guarded", LIMIT, 3.0).replace("ConnIdleUs\":5000000", "ConnIdleUs\":60000000");
+    let text = config("notice", "guarded", LIMIT, 3.0)
+        .replace("ConnIdleUs\":5000000", "ConnIdleUs\":60000000");
     let forwarder = start_limited(&state, &text, platform);
     let hand_in = |id: &str, cell: u16, time: &str| {
-        let head =
-            hand_in_head(id, "notice", 4).replace("dest=7", &format!("dest={cell}")).replace("20000", time);
+        let head = hand_in_head(id, "notice", 4)
+            .replace("dest=7", &format!("dest={cell}"))
+            .replace("20000", time);
         forwarder.ask(&head, b"body")
     };
     // Idle connections to targets and slots are taken first.
     for cell in 100..100 + TARGETS {
-        until("it is taken on", || hand_in(&format!("t{cell}"), cell, "20000") == 202);
+        until("it is taken on", || {
+            hand_in(&format!("t{cell}"), cell, "20000") == 202
+        });
     }
     for n in 0..8 {
-        until("it is taken on", || hand_in(&format!("m{n}"), 8, "20000") == 202);
+        until("it is taken on", || {
+            hand_in(&format!("m{n}"), 8, "20000") == 202
+        });
     }
     silent.store(true, Ordering::Relaxed);
     let stop = AtomicBool::new(false);
@@ -116,16 +138,23 @@
         assert!(open > LIMIT / 2 && open <= LIMIT, "{open} descriptors");
         back.store(true, Ordering::Relaxed);
         silent.store(false, Ordering::Relaxed);
-        until("the new list counts and a packet is taken on", || hand_in("new", 7, "20000") == 202);
+        until("the new list counts and a packet is taken on", || {
+            hand_in("new", 7, "20000") == 202
+        });
         until("it is delivered", || calls(&seen, "new") == 1);
         until("another is taken on", || hand_in("end", 9, "600") == 202);
         until("it is tried", || calls(&refused, "end") > 0);
         until("its end is told", || {
             let asked = asked.lock().expect("the log");
-            asked.iter().any(|m| String::from_utf8_lossy(&m.body).contains("\"end\""))
+            asked
+                .iter()
+                .any(|m| String::from_utf8_lossy(&m.body).contains("\"end\""))
         });
         stop.store(true, Ordering::Relaxed);
     });
     let log = std::fs::read_to_string(state.with_file_name(LOG)).expect("its log");
-    assert!(log.contains("the list is told again") && !log.contains("Too many open files"), "{log}");
+    assert!(
+        log.contains("the list is told again") && !log.contains("Too many open files"),
+        "{log}"
+    );
 }
--- a/crates/forwarder/tests/endings.rs
+++ b/crates/forwarder/tests/endings.rs
@@ -21,7 +21,12 @@
     let completion_reports = platform.completion_reports.lock().expect("the notices");
     completion_reports
         .iter()
-        .flat_map(|m| String::from_utf8_lossy(&m.body).lines().map(str::to_owned).collect::<Vec<_>>())
+        .flat_map(|m| {
+            String::from_utf8_lossy(&m.body)
+                .lines()
+                .map(str::to_owned)
+                .collect::<Vec<_>>()
+        })
         .collect()
 }
 
@@ -38,7 +43,11 @@
         });
         let platform = platform(vec![member(target, 7, "Ready")], 0);
         let (_dir, state) = folder();
-        let forwarder = start(&state, &config("notice", effect, 200, 3.0), platform.address);
+        let forwarder = start(
+            &state,
+            &config("notice", effect, 200, 3.0),
+            platform.address,
+        );
         let head = hand_in_head("late", "notice", 4).replace("20000", "900");
         assert_eq!(forwarder.ask(&head, b"body"), 202);
         until("its call is out", || calls(&seen, "late") == 1);
@@ -48,7 +57,11 @@
         thread::sleep(Duration::from_millis(50));
         forwarder.signal("-CONT");
         until("its end is told", || !told(&platform).is_empty());
-        assert_eq!(told(&platform), ["{\"id\":\"late\",\"status\":\"undeliverable\"}"], "{effect}");
+        assert_eq!(
+            told(&platform),
+            ["{\"id\":\"late\",\"status\":\"undeliverable\"}"],
+            "{effect}"
+        );
         assert_eq!(calls(&seen, "late"), 1);
     }
 }
@@ -75,14 +88,19 @@
     };
     give(&forwarder, "first", "700");
     give(&forwarder, "second", "20000");
-    until("the end of the first is told", || told(&platform).len() >= 2);
+    until("the end of the first is told", || {
+        told(&platform).len() >= 2
+    });
     assert_eq!(calls(&seen, "second"), 0);
     forwarder.child.kill().expect("killed");
     forwarder.child.wait().expect("ended");
     forwarder = start(&state, &text, platform.address);
     until("the second follows", || calls(&seen, "second") == 1);
     let heard = told(&platform).len();
-    assert!(heard > DEAF, "it followed after {heard} notices, the {DEAF}th was not heard yet");
+    assert!(
+        heard > DEAF,
+        "it followed after {heard} notices, the {DEAF}th was not heard yet"
+    );
     drop(forwarder);
 }
 
@@ -107,20 +125,36 @@
     until("its call is out", || calls(&seen, "short") >= 1);
     let completion_reports = || {
         let asked = asked.lock().expect("the log");
-        asked.iter().filter(|m| m.first.contains("/v1/outcomes")).count()
+        asked
+            .iter()
+            .filter(|m| m.first.contains("/v1/outcomes"))
+            .count()
     };
     until("its end is told", || completion_reports() == 1);
     let first = Instant::now();
     until("it is told again", || completion_reports() >= 2);
-    assert!(first.elapsed() < Duration::from_millis(300), "{:?}", first.elapsed());
+    assert!(
+        first.elapsed() < Duration::from_millis(300),
+        "{:?}",
+        first.elapsed()
+    );
 }
 
 /// Guards what a restart finds taken on and untried: where no list is known for seconds it waits, past its contract time
 /// too, and is tried as soon as a list names its destination.
 #[test]
 fn what_a_restart_finds_untried_waits_for_a_list_and_is_tried() {
-    let (target, seen) = serve(|m, _| if m.headers["request-id"] == "out" { None } else { plain("200 OK") });
-    let (known, members) = (Arc::new(AtomicBool::new(true)), vec![member(target, 7, "Ready")]);
+    let (target, seen) = serve(|m, _| {
+        if m.headers["request-id"] == "out" {
+            None
+        } else {
+            plain("200 OK")
+        }
+    });
+    let (known, members) = (
+        Arc::new(AtomicBool::new(true)),
+        vec![member(target, 7, "Ready")],
+    );
     let listed = known.clone();
     let (platform, asked) = serve(move |m, _| {
         if m.first.contains("/v1/outcomes") {
@@ -154,7 +188,10 @@
     });
     until("it is tried", || calls(&seen, "untried") == 1);
     let asked = asked.lock().expect("the log");
-    let told = asked.iter().map(|m| String::from_utf8_lossy(&m.body).into_owned()).collect::<String>();
+    let told = asked
+        .iter()
+        .map(|m| String::from_utf8_lossy(&m.body).into_owned())
+        .collect::<String>();
     assert!(!told.contains("untried"), "{told}");
 }
 
@@ -162,11 +199,17 @@
 /// packet of a key tells that it was.
 #[test]
 fn a_platform_that_answers_notices_late_is_heard() {
-    let (target, seen) =
-        serve(|m, _| plain(if m.headers["request-id"] == "first" { "503 Full" } else { "200 OK" }));
+    let (target, seen) = serve(|m, _| {
+        plain(if m.headers["request-id"] == "first" {
+            "503 Full"
+        } else {
+            "200 OK"
+        })
+    });
     let members = vec![member(target, 7, "Ready")];
     let (platform, asked) = serve(move |m, _| {
-        let (completion_report, watch) = (m.first.contains("/v1/outcomes"), m.first.contains("index="));
+        let (completion_report, watch) =
+            (m.first.contains("/v1/outcomes"), m.first.contains("index="));
         thread::sleep(Duration::from_millis(
             if completion_report { 450 } else { 0 } + if watch { 300 } else { 0 },
         ));
@@ -189,7 +232,11 @@
     until("the second follows", || calls(&seen, "second") == 1);
     let asked = asked.lock().expect("the log");
     assert!(
-        asked.iter().filter(|m| m.first.contains("/v1/outcomes")).count() > 1,
+        asked
+            .iter()
+            .filter(|m| m.first.contains("/v1/outcomes"))
+            .count()
+            > 1,
         "it was slow for the first wait"
     );
 }
@@ -199,7 +246,11 @@
 fn a_restart_with_a_full_journal_is_up_in_time_and_tries_all_of_it() {
     let open = Arc::new(AtomicBool::new(false));
     let gate = open.clone();
-    let (target, seen) = serve(move |_, _| gate.load(Ordering::Relaxed).then(|| plain("200 OK")).flatten());
+    let (target, seen) = serve(move |_, _| {
+        gate.load(Ordering::Relaxed)
+            .then(|| plain("200 OK"))
+            .flatten()
+    });
     let platform = platform(vec![member(target, 7, "Ready")], 0);
     let (_dir, state) = folder();
     let text = config("notice", "single_shot", 200, 3.0).replace("Workers\":8", "Workers\":1");
@@ -207,14 +258,23 @@
     let body = vec![b'x'; 40_000];
     let give = |id: &String| forwarder.ask(&hand_in_head(id, "notice", body.len()), &body) == 202;
     let taken: Vec<String> = (0..200).map(|n| format!("p{n}")).take_while(give).collect();
-    assert!(taken.len() > 8 && taken.len() < 200, "the folder is full after {}", taken.len());
+    assert!(
+        taken.len() > 8 && taken.len() < 200,
+        "the folder is full after {}",
+        taken.len()
+    );
     forwarder.child.kill().expect("killed");
     forwarder.child.wait().expect("ended");
     open.store(true, Ordering::Relaxed);
     let _forwarder = start(&state, &text, platform.address); // within ten seconds
-    until("each is tried", || taken.iter().all(|id| calls(&seen, id) == 1));
+    until("each is tried", || {
+        taken.iter().all(|id| calls(&seen, id) == 1)
+    });
     // The one that was out at the kill may have run, and must not run again.
-    assert_eq!(told(&platform), ["{\"id\":\"p0\",\"status\":\"undeliverable\"}"]);
+    assert_eq!(
+        told(&platform),
+        ["{\"id\":\"p0\",\"status\":\"undeliverable\"}"]
+    );
 }
 
 /// Guards an end that is asked for before the first list is in, and asked for twice.
@@ -226,15 +286,20 @@
     let listen = free.local_addr().expect("its address");
     drop(free);
     let text = config("notice", "free", 200, 3.0);
-    let child =
-        scripted::command(PROGRAM, &state, &text, &listen.to_string(), platform).spawn().expect("it starts");
+    let child = scripted::command(PROGRAM, &state, &text, &listen.to_string(), platform)
+        .spawn()
+        .expect("it starts");
     let mut forwarder = Forwarder { child, listen };
     until("it listens", || forwarder.connect().is_ok());
     let begun = Instant::now();
     forwarder.signal("-TERM");
     forwarder.signal("-TERM");
     assert!(forwarder.child.wait().expect("it ends").success());
-    assert!(begun.elapsed() < Duration::from_millis(3600), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_millis(3600),
+        "{:?}",
+        begun.elapsed()
+    );
 }
 
 /// Guards a reload against a file that is half written as the signal comes: it is read again until it is whole, with no
@@ -274,7 +339,11 @@
         forwarder.hand_in(&format!("after-{tries}"), "notice");
         !seen_other.lock().expect("the log").is_empty()
     });
-    assert!(whole.elapsed() < Duration::from_secs(2), "{:?}", whole.elapsed());
+    assert!(
+        whole.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        whole.elapsed()
+    );
     assert!(forwarder.child.try_wait().expect("its state").is_none());
 }
 
@@ -298,22 +367,34 @@
         });
         let platform = platform(vec![member(target, 7, "Ready")], 0);
         let (_dir, state) = folder();
-        let text = config("notice", "guarded", 200, 3.0).replace("WindowUs\":15000000", "WindowUs\":1000000");
+        let text = config("notice", "guarded", 200, 3.0)
+            .replace("WindowUs\":15000000", "WindowUs\":1000000");
         let mut forwarder = start(&state, &text, platform.address);
         assert_eq!(forwarder.hand_in("out", "notice"), 202);
-        until("the last attempt before the kill is out", || calls(&seen, "out") == attempts);
+        until("the last attempt before the kill is out", || {
+            calls(&seen, "out") == attempts
+        });
         forwarder.child.kill().expect("killed");
         forwarder.child.wait().expect("ended");
         let first = begun.lock().expect("the times")[0];
-        thread::sleep((first + Duration::from_millis(down)).saturating_duration_since(Instant::now()));
+        thread::sleep(
+            (first + Duration::from_millis(down)).saturating_duration_since(Instant::now()),
+        );
         let _forwarder = start(&state, &text, platform.address);
         if repeats {
             until("it is sent again", || calls(&seen, "out") == attempts + 1);
             assert!(begun.lock().expect("the times")[attempts] < first + WINDOW);
         } else {
             until("its end is told", || !told(&platform).is_empty());
-            assert_eq!(told(&platform), ["{\"id\":\"out\",\"status\":\"undeliverable\"}"]);
-            assert_eq!(calls(&seen, "out"), attempts, "started {down} ms after the first attempt");
+            assert_eq!(
+                told(&platform),
+                ["{\"id\":\"out\",\"status\":\"undeliverable\"}"]
+            );
+            assert_eq!(
+                calls(&seen, "out"),
+                attempts,
+                "started {down} ms after the first attempt"
+            );
         }
     }
 }
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -19,7 +19,10 @@
         member_named(&format!("t-{n}"), address, 1_000 + n, "Ready")
     };
     let with_target = |others: &mut dyn Iterator<Item = u32>| {
-        others.map(other).chain([member(target, 7, "Ready")]).collect::<Vec<_>>()
+        others
+            .map(other)
+            .chain([member(target, 7, "Ready")])
+            .collect::<Vec<_>>()
     };
     let all = with_target(&mut (0..OTHERS));
     let half = list(2, true, &with_target(&mut (0..OTHERS).step_by(2)));
@@ -28,9 +31,20 @@
     let cut = whole[..whole.len() / 2].to_owned();
     let platform = platform(all, 0);
     let (_dir, state) = folder();
-    let forwarder =
-        scripted::start(PROGRAM, &state, &config("notice", "guarded", 200, 3.0), platform.address);
-    let told = [half.clone(), whole.clone(), cut, half, list(2, false, &unknown), whole];
+    let forwarder = scripted::start(
+        PROGRAM,
+        &state,
+        &config("notice", "guarded", 200, 3.0),
+        platform.address,
+    );
+    let told = [
+        half.clone(),
+        whole.clone(),
+        cut,
+        half,
+        list(2, false, &unknown),
+        whole,
+    ];
     for (round, text) in told.into_iter().enumerate() {
         platform.changes.lock().expect("the changes").push(text);
         let ids: Vec<String> = (0..10).map(|n| format!("p-{round}-{n}")).collect();
@@ -38,9 +52,25 @@
             assert_eq!(forwarder.hand_in(id, "notice"), 202, "{id}");
             thread::sleep(Duration::from_millis(100)); // so that the list comes amid them
         }
-        until("each is delivered", || ids.iter().all(|id| calls(&seen, id) == 1));
+        until("each is delivered", || {
+            ids.iter().all(|id| calls(&seen, id) == 1)
+        });
     }
-    assert!(platform.changes.lock().expect("the changes").is_empty(), "a list was not asked for");
-    assert!(platform.completion_reports.lock().expect("the notices").is_empty());
-    assert_eq!(seen.lock().expect("the log").iter().filter(|m| m.first.starts_with("POST")).count(), 60);
+    assert!(
+        platform.changes.lock().expect("the changes").is_empty(),
+        "a list was not asked for"
+    );
+    assert!(platform
+        .completion_reports
+        .lock()
+        .expect("the notices")
+        .is_empty());
+    assert_eq!(
+        seen.lock()
+            .expect("the log")
+            .iter()
+            .filter(|m| m.first.starts_with("POST"))
+            .count(),
+        60
+    );
 }
--- a/crates/forwarder/tests/scenarios.rs
+++ b/crates/forwarder/tests/scenarios.rs
@@ -8,9 +8,18 @@
 use opalpulley_lab::tally::Outcome;
 
 fn on_sockets(scenario: &Scenario, seed: u64) -> Outcome {
-    let means = Means { program: env!("CARGO_BIN_EXE_opalpulley-forwarder").into(), logs: None, pin: None };
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
-    let (outcome, _) = runtime.block_on(run(scenario, seed, &means, |_, _| {})).expect("it runs");
+    let means = Means {
+        program: env!("CARGO_BIN_EXE_opalpulley-forwarder").into(),
+        logs: None,
+        pin: None,
+    };
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
+    let (outcome, _) = runtime
+        .block_on(run(scenario, seed, &means, |_, _| {}))
+        .expect("it runs");
     outcome
 }
 
@@ -27,8 +36,16 @@
 fn judge(outcome: &Outcome, least: f64) {
     assert!(outcome.broken.is_empty(), "{:#?}", outcome.breaks);
     let c = &outcome.counts;
-    assert_eq!(c.served + c.written_off + c.given_up + c.gone, c.due, "{c:?}");
-    assert!(outcome.served_share() >= least, "served {}: {c:?}", outcome.served_share());
+    assert_eq!(
+        c.served + c.written_off + c.given_up + c.gone,
+        c.due,
+        "{c:?}"
+    );
+    assert!(
+        outcome.served_share() >= least,
+        "served {}: {c:?}",
+        outcome.served_share()
+    );
 }
 
 /// Kills with and without the folder, a process that stands still, a drain: each packet has its one end.
@@ -61,9 +78,14 @@
     );
     let real = on_sockets(&scenario, 2);
     judge(&real, 0.75);
-    let simulated = Sim::new(&scenario, 2, Make::True).expect("it starts").run(|_, _| {});
+    let simulated = Sim::new(&scenario, 2, Make::True)
+        .expect("it starts")
+        .run(|_, _| {});
     judge(&simulated, 0.75);
-    assert_eq!(real.counts.due, simulated.counts.due, "the same packets on both clocks");
+    assert_eq!(
+        real.counts.due, simulated.counts.due,
+        "the same packets on both clocks"
+    );
     let apart = (real.served_share() - simulated.served_share()).abs();
     assert!(
         apart < 0.12,
--- a/crates/lab/src/capacity/backlog.rs
+++ b/crates/lab/src/capacity/backlog.rs
@@ -81,34 +81,56 @@
 const CORE_FIGURES: [CoreFigure; 5] = [
     ("messages handed in", "messages", |p| p.messages),
     ("memory", "bytes", |p| p.memory),
-    ("memory a waiting message", "bytes", |p| p.memory / p.waiting),
-    ("timers and answers of the surroundings", "entries", |p| p.surroundings),
-    ("processor time a message, handed in", "us", |p| p.processor / p.messages),
+    ("memory a waiting message", "bytes", |p| {
+        p.memory / p.waiting
+    }),
+    ("timers and answers of the surroundings", "entries", |p| {
+        p.surroundings
+    }),
+    ("processor time a message, handed in", "us", |p| {
+        p.processor / p.messages
+    }),
 ];
 
 type ProcessFigure = (&'static str, &'static str, fn(&ProcessPoint) -> f64);
 const PROCESS_FIGURES: [ProcessFigure; 12] = [
     ("messages handed in", "messages", |p| p.handed_in as f64),
-    ("notices of an end, before the kill", "notices", |p| p.completion_reports as f64),
-    ("memory before the messages", "bytes", |p| p.before.memory as f64),
-    ("memory with them", "bytes", |p| p.with_backlog.memory as f64),
+    ("notices of an end, before the kill", "notices", |p| {
+        p.completion_reports as f64
+    }),
+    ("memory before the messages", "bytes", |p| {
+        p.before.memory as f64
+    }),
+    ("memory with them", "bytes", |p| {
+        p.with_backlog.memory as f64
+    }),
     ("memory a waiting message", "bytes", |p| {
         (p.with_backlog.memory as f64 - p.before.memory as f64) / p.waiting()
     }),
     ("journal", "bytes", |p| p.journal as f64),
-    ("journal a waiting message", "bytes", |p| p.journal as f64 / p.waiting()),
+    ("journal a waiting message", "bytes", |p| {
+        p.journal as f64 / p.waiting()
+    }),
     ("time to ready, nothing journalled", "s", |p| p.ready_empty),
     ("time to ready after the kill", "s", |p| p.ready_again),
-    ("time to ready a waiting message", "us", |p| (p.ready_again - p.ready_empty) * 1e6 / p.waiting()),
-    ("processor time at ready after the kill", "s", |p| p.at_ready_again.processor.as_secs_f64()),
-    ("memory at ready after the kill", "bytes", |p| p.at_ready_again.memory as f64),
+    ("time to ready a waiting message", "us", |p| {
+        (p.ready_again - p.ready_empty) * 1e6 / p.waiting()
+    }),
+    ("processor time at ready after the kill", "s", |p| {
+        p.at_ready_again.processor.as_secs_f64()
+    }),
+    ("memory at ready after the kill", "bytes", |p| {
+        p.at_ready_again.memory as f64
+    }),
 ];
 
 /// The core and one real forwarder with the same numbers of messages that wait.
 pub fn tables(options: &Options) -> Result<Vec<Table>, String> {
     let mut core = Vec::new();
     let mut process = Vec::new();
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     for messages in &options.sizes {
         let point = core_in_fresh_process(options, *messages)?;
@@ -124,15 +146,36 @@
             rate: options.rate,
         };
         let point = runtime.block_on(process_point::measure(&setup, &shape))?;
-        let values = PROCESS_FIGURES.iter().map(|(_, _, of)| of(&point)).collect();
-        process.push(Row { size: point.waiting(), values });
+        let values = PROCESS_FIGURES
+            .iter()
+            .map(|(_, _, of)| of(&point))
+            .collect();
+        process.push(Row {
+            size: point.waiting(),
+            values,
+        });
     }
-    let core_names: Vec<(&str, &str)> = CORE_FIGURES.iter().map(|(name, unit, _)| (*name, *unit)).collect();
-    let process_names: Vec<(&str, &str)> =
-        PROCESS_FIGURES.iter().map(|(name, unit, _)| (*name, *unit)).collect();
+    let core_names: Vec<(&str, &str)> = CORE_FIGURES
+        .iter()
+        .map(|(name, unit, _)| (*name, *unit))
+        .collect();
+    let process_names: Vec<(&str, &str)> = PROCESS_FIGURES
+        .iter()
+        .map(|(name, unit, _)| (*name, *unit))
+        .collect();
     Ok(vec![
-        Table::new("the core alone, messages that wait", "waiting messages", &core_names, core),
-        Table::new("one forwarder, messages that wait", "waiting messages", &process_names, process),
+        Table::new(
+            "the core alone, messages that wait",
+            "waiting messages",
+            &core_names,
+            core,
+        ),
+        Table::new(
+            "one forwarder, messages that wait",
+            "waiting messages",
+            &process_names,
+            process,
+        ),
     ])
 }
 
--- a/crates/lab/src/capacity/backlog/core_point.rs
+++ b/crates/lab/src/capacity/backlog/core_point.rs
@@ -37,9 +37,21 @@
 }
 
 pub fn measure(setup: &Setup) -> Result<CorePoint, String> {
-    let plan = Plan::new(setup.destinations, Spread::Uniform, setup.rate, None, setup.seed);
-    let mut world = World::new(Plan { room: 2 * setup.messages, expiry: EXPIRY, ..plan });
-    let lines = (0..world.targets()).map(|n| world.listing(n, 1.0)).collect();
+    let plan = Plan::new(
+        setup.destinations,
+        Spread::Uniform,
+        setup.rate,
+        None,
+        setup.seed,
+    );
+    let mut world = World::new(Plan {
+        room: 2 * setup.messages,
+        expiry: EXPIRY,
+        ..plan
+    });
+    let lines = (0..world.targets())
+        .map(|n| world.listing(n, 1.0))
+        .collect();
     world.handle(Event::List(ListNews::Whole(lines)));
     world.refuse_all();
     let (before, begun) = (own_memory()?, own_processor_time()?);
@@ -48,7 +60,8 @@
     counts.given_up += settling.given_up;
     Ok(CorePoint {
         messages: counts.messages as f64,
-        waiting: counts.messages as f64 - (counts.given_up + counts.delivered + settling.delivered) as f64,
+        waiting: counts.messages as f64
+            - (counts.given_up + counts.delivered + settling.delivered) as f64,
         memory: own_memory()?.saturating_sub(before) as f64,
         surroundings: world.due() as f64,
         processor: (own_processor_time()? - begun).as_secs_f64() * 1e6,
