--- a/crates/lab/src/capacity/backlog/process_point.rs
+++ b/crates/lab/src/capacity/backlog/process_point.rs
@@ -49,7 +49,11 @@
     for entry in std::fs::read_dir(folder)? {
         let entry = entry?;
         let about = entry.metadata()?;
-        bytes += if about.is_dir() { folder_bytes(&entry.path())? } else { about.len() };
+        bytes += if about.is_dir() {
+            folder_bytes(&entry.path())?
+        } else {
+            about.len()
+        };
     }
     Ok(bytes)
 }
@@ -59,7 +63,10 @@
     let folder = tempfile::tempdir().map_err(say)?;
     let listen = nowhere().await.map_err(say)?;
     // Nobody listens at the targets: each refuses connections.
-    let list = Listed { targets: setup.destinations, port: nowhere().await.map_err(say)?.port() };
+    let list = Listed {
+        targets: setup.destinations,
+        port: nowhere().await.map_err(say)?.port(),
+    };
     let (discovery, completion_reports) = discovery(list.text().to_string()).await.map_err(say)?;
     let papers = startup_config(shape, listen, discovery, Some(list.text()));
     let start = || Subject::start(&setup.program, folder.path(), listen, &papers);
@@ -67,9 +74,15 @@
     let mut subject = start()?;
     let ready_empty = subject.ready(begun, READY_WITHIN).await?;
     let before = subject.usage()?;
-    let draws = (0..setup.messages).map(|n| n % setup.destinations).collect();
+    let draws = (0..setup.messages)
+        .map(|n| n % setup.destinations)
+        .collect();
     let taken = Arc::new(AtomicU64::new(0));
-    let messages = Load { draws, rate: setup.rate, time: shape.expiry };
+    let messages = Load {
+        draws,
+        rate: setup.rate,
+        time: shape.expiry,
+    };
     load(messages, listen, taken.clone()).await;
     tokio::time::sleep(SETTLED).await;
     let with_backlog = subject.usage()?;
--- a/crates/lab/src/capacity/command.rs
+++ b/crates/lab/src/capacity/command.rs
@@ -46,6 +46,9 @@
 }
 
 fn print_json(figures: &impl serde::Serialize) -> Result<(), String> {
-    println!("{}", serde_json::to_string(figures).map_err(|e| e.to_string())?);
+    println!(
+        "{}",
+        serde_json::to_string(figures).map_err(|e| e.to_string())?
+    );
     Ok(())
 }
--- a/crates/lab/src/capacity/core.rs
+++ b/crates/lab/src/capacity/core.rs
@@ -36,7 +36,10 @@
     fn from_str(text: &str) -> Result<Self, String> {
         match text {
             "all" => Ok(FullDestinations::All),
-            number => number.parse().map(FullDestinations::UpTo).map_err(|_| "`all` or a number".to_owned()),
+            number => number
+                .parse()
+                .map(FullDestinations::UpTo)
+                .map_err(|_| "`all` or a number".to_owned()),
         }
     }
 }
@@ -86,7 +89,11 @@
 
 fn fresh(options: &Options, destinations: u32, case: Case) -> Result<Point, String> {
     let program = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
-    let spread = if case.spread == Spread::Uniform { "uniform" } else { "skewed" };
+    let spread = if case.spread == Spread::Uniform {
+        "uniform"
+    } else {
+        "skewed"
+    };
     let mut command = Command::new(program);
     command.args(["capacity", "core-point", "--spread", spread]);
     for (name, value) in [
@@ -123,9 +130,13 @@
 }
 
 const LIST_FIGURES: [FigureOf; 5] = [
-    ("memory, list taken in by steps", "bytes", |p| p.memory_listed),
+    ("memory, list taken in by steps", "bytes", |p| {
+        p.memory_listed
+    }),
     ("memory, after a whole list", "bytes", |p| p.memory_whole),
-    ("processor time, list taken in by steps", "us", |p| p.listing),
+    ("processor time, list taken in by steps", "us", |p| {
+        p.listing
+    }),
     ("processor time, a whole list", "us", |p| p.whole_list),
     ("processor time, one changed line", "us", |p| p.one_change),
 ];
@@ -133,40 +144,88 @@
 const TRAFFIC_FIGURES: [FigureOf; 22] = [
     ("memory after traffic", "bytes", |p| p.traffic.memory),
     ("memory after all", "bytes", |p| p.down_rest.memory),
-    ("in full after traffic", "destinations", |p| p.traffic.held.full),
-    ("in full, most of all stretches", "destinations", |p| p.down_rest.held.most_full),
-    ("restored, in all", "destinations", |p| p.down_rest.held.restored),
-    ("summaries with bounds, share down", "targets", |p| p.down.held.bounds),
-    ("traffic: events a message", "events", |p| a_message(&p.traffic, p.traffic.events)),
-    ("traffic: delivered in the stretch", "part", |p| a_message(&p.traffic, p.traffic.delivered)),
-    ("traffic: calls a message", "calls", |p| a_message(&p.traffic, p.traffic.calls)),
-    ("traffic: processor time a message", "us", |p| a_message(&p.traffic, p.traffic.processor)),
-    ("traffic: processor time an event", "us", |p| p.traffic.processor / p.traffic.events),
-    ("traffic: events a second of processor time", "events", |p| {
-        p.traffic.events * 1e6 / p.traffic.processor
-    }),
-    ("traffic: part of a core", "cores", |p| of_a_core(&p.traffic)),
+    ("in full after traffic", "destinations", |p| {
+        p.traffic.held.full
+    }),
+    ("in full, most of all stretches", "destinations", |p| {
+        p.down_rest.held.most_full
+    }),
+    ("restored, in all", "destinations", |p| {
+        p.down_rest.held.restored
+    }),
+    ("summaries with bounds, share down", "targets", |p| {
+        p.down.held.bounds
+    }),
+    ("traffic: events a message", "events", |p| {
+        a_message(&p.traffic, p.traffic.events)
+    }),
+    ("traffic: delivered in the stretch", "part", |p| {
+        a_message(&p.traffic, p.traffic.delivered)
+    }),
+    ("traffic: calls a message", "calls", |p| {
+        a_message(&p.traffic, p.traffic.calls)
+    }),
+    ("traffic: processor time a message", "us", |p| {
+        a_message(&p.traffic, p.traffic.processor)
+    }),
+    ("traffic: processor time an event", "us", |p| {
+        p.traffic.processor / p.traffic.events
+    }),
+    (
+        "traffic: events a second of processor time",
+        "events",
+        |p| p.traffic.events * 1e6 / p.traffic.processor,
+    ),
+    ("traffic: part of a core", "cores", |p| {
+        of_a_core(&p.traffic)
+    }),
     ("at rest: part of a core", "cores", |p| of_a_core(&p.rest)),
-    ("at rest: events a second", "events", |p| p.rest.events / p.rest.seconds),
-    ("share down: processor time a message", "us", |p| a_message(&p.down, p.down.processor)),
-    ("share down: part of a core", "cores", |p| of_a_core(&p.down)),
-    ("share down: calls a message", "calls", |p| a_message(&p.down, p.down.calls)),
-    ("share down: probes a second", "probes", |p| p.down.probes / p.down.seconds),
-    ("share down: delivered in the stretch", "part", |p| a_message(&p.down, p.down.delivered)),
-    ("share down, at rest: part of a core", "cores", |p| of_a_core(&p.down_rest)),
-    ("share down, at rest: probes a second", "probes", |p| p.down_rest.probes / p.down_rest.seconds),
+    ("at rest: events a second", "events", |p| {
+        p.rest.events / p.rest.seconds
+    }),
+    ("share down: processor time a message", "us", |p| {
+        a_message(&p.down, p.down.processor)
+    }),
+    ("share down: part of a core", "cores", |p| {
+        of_a_core(&p.down)
+    }),
+    ("share down: calls a message", "calls", |p| {
+        a_message(&p.down, p.down.calls)
+    }),
+    ("share down: probes a second", "probes", |p| {
+        p.down.probes / p.down.seconds
+    }),
+    ("share down: delivered in the stretch", "part", |p| {
+        a_message(&p.down, p.down.delivered)
+    }),
+    ("share down, at rest: part of a core", "cores", |p| {
+        of_a_core(&p.down_rest)
+    }),
+    ("share down, at rest: probes a second", "probes", |p| {
+        p.down_rest.probes / p.down_rest.seconds
+    }),
 ];
 
 /// The figures that are shown side by side for all destinations in full and for a limit.
 const PAIRED: [FigureOf; 10] = [
-    ("bytes a destination, list in", "bytes", |p| p.memory_listed / f64::from(p.destinations)),
-    ("bytes a destination, at the end", "bytes", |p| p.down_rest.memory / f64::from(p.destinations)),
+    ("bytes a destination, list in", "bytes", |p| {
+        p.memory_listed / f64::from(p.destinations)
+    }),
+    ("bytes a destination, at the end", "bytes", |p| {
+        p.down_rest.memory / f64::from(p.destinations)
+    }),
     ("memory, list in", "bytes", |p| p.memory_listed),
     ("memory, at the end", "bytes", |p| p.down_rest.memory),
-    ("a listed target", "us", |p| p.listing / f64::from(p.targets)),
+    ("a listed target", "us", |p| {
+        p.listing / f64::from(p.targets)
+    }),
     ("one changed line", "us", |p| p.one_change),
-    ("a message", "us", |p| a_message(&p.traffic, p.traffic.processor)),
-    ("a message, share down", "us", |p| a_message(&p.down, p.down.processor)),
+    ("a message", "us", |p| {
+        a_message(&p.traffic, p.traffic.processor)
+    }),
+    ("a message, share down", "us", |p| {
+        a_message(&p.down, p.down.processor)
+    }),
     ("share down", "cores", |p| of_a_core(&p.down)),
     ("share down, at rest", "cores", |p| of_a_core(&p.down_rest)),
 ];
@@ -174,13 +233,22 @@
 /// Both sides of each figure, one under the other; the sizes and seeds are the same.
 fn paired(all: &[Point], limited: &[Point], limit: FullDestinations) -> Table {
     let named = |(name, unit, _): &FigureOf| {
-        [(format!("all in full: {name}"), *unit), (format!("{limit} in full: {name}"), *unit)]
+        [
+            (format!("all in full: {name}"), *unit),
+            (format!("{limit} in full: {name}"), *unit),
+        ]
     };
     let names: Vec<(String, &str)> = PAIRED.iter().flat_map(named).collect();
-    let names: Vec<(&str, &str)> = names.iter().map(|(name, unit)| (name.as_str(), *unit)).collect();
+    let names: Vec<(&str, &str)> = names
+        .iter()
+        .map(|(name, unit)| (name.as_str(), *unit))
+        .collect();
     let rows = all.iter().zip(limited).map(|(all, limited)| Row {
         size: all.destinations.into(),
-        values: PAIRED.iter().flat_map(|(_, _, of)| [of(all), of(limited)]).collect(),
+        values: PAIRED
+            .iter()
+            .flat_map(|(_, _, of)| [of(all), of(limited)])
+            .collect(),
     });
     let title = format!("the core alone, all destinations in full against {limit}");
     Table::new(&title, "destinations", &names, rows.collect())
@@ -188,7 +256,10 @@
 
 fn table(title: &str, points: &[Point], figures: &[&[FigureOf]]) -> Table {
     let figures: Vec<FigureOf> = figures.concat();
-    let names: Vec<(&str, &str)> = figures.iter().map(|(name, unit, _)| (*name, *unit)).collect();
+    let names: Vec<(&str, &str)> = figures
+        .iter()
+        .map(|(name, unit, _)| (*name, *unit))
+        .collect();
     let rows = points.iter().map(|point| Row {
         size: point.destinations.into(),
         values: figures.iter().map(|(_, _, of)| of(point)).collect(),
@@ -201,8 +272,16 @@
 pub fn tables(options: &Options) -> Result<Vec<Table>, String> {
     let full = options.full_destinations;
     let points = |targets_each, spread, full| -> Result<Vec<Point>, String> {
-        let case = Case { targets_each, spread, full };
-        options.sizes.iter().map(|size| fresh(options, *size, case)).collect()
+        let case = Case {
+            targets_each,
+            spread,
+            full,
+        };
+        options
+            .sizes
+            .iter()
+            .map(|size| fresh(options, *size, case))
+            .collect()
     };
     let title = |what: &str| format!("the core alone, {full} destinations in full, {what}");
     let uniform = points(1, Spread::Uniform, full)?;
@@ -233,7 +312,10 @@
     let name = LIST_FIGURES[0].0;
     if let (Some(one), Some(several)) = (tables[0].slope(name), tables[2].slope(name)) {
         let target = (several.slope - one.slope) / f64::from(MORE_TARGETS - 1);
-        println!("bytes a target {target:.0}, a destination without its targets {:.0}", one.slope - target);
+        println!(
+            "bytes a target {target:.0}, a destination without its targets {:.0}",
+            one.slope - target
+        );
     }
     Ok(())
 }
--- a/crates/lab/src/capacity/core/point.rs
+++ b/crates/lab/src/capacity/core/point.rs
@@ -115,14 +115,25 @@
 
 pub fn measure(setup: &Setup) -> Result<Point, String> {
     let full = setup.full_destinations.limit();
-    let plan = Plan::new(setup.destinations, setup.spread, setup.rate, full, setup.seed);
-    let mut world = World::new(Plan { targets_each: setup.targets_each, ..plan });
+    let plan = Plan::new(
+        setup.destinations,
+        setup.spread,
+        setup.rate,
+        full,
+        setup.seed,
+    );
+    let mut world = World::new(Plan {
+        targets_each: setup.targets_each,
+        ..plan
+    });
     let targets = world.targets();
     let before = own_memory()?;
     let beyond = || own_memory().map(|memory| memory.saturating_sub(before) as f64);
     let listing = timed(|| {
         for from in (0..targets).step_by(CHUNK as usize) {
-            let lines = (from..targets.min(from + CHUNK)).map(|n| world.listing(n, 1.0)).collect();
+            let lines = (from..targets.min(from + CHUNK))
+                .map(|n| world.listing(n, 1.0))
+                .collect();
             world.handle(Event::List(ListNews::Changes(lines)));
         }
     })?;
--- a/crates/lab/src/capacity/core/world.rs
+++ b/crates/lab/src/capacity/core/world.rs
@@ -3,9 +3,9 @@
 
 use crate::chance::stream;
 use opalpulley::{
-    Action, Arrival, Config, DestinationId, Effect, Event, Forwarder, KindConfig, KindId, ListRates, Listing,
-    Micros, Outcome, PacketId, Past, ProfileConfig, ProfileId, RepeatGroup, RuleConfig, Standing,
-    StateCounts, TargetId, TenantId, Token, ZoneId,
+    Action, Arrival, Config, DestinationId, Effect, Event, Forwarder, KindConfig, KindId,
+    ListRates, Listing, Micros, Outcome, PacketId, Past, ProfileConfig, ProfileId, RepeatGroup,
+    RuleConfig, Standing, StateCounts, TargetId, TenantId, Token, ZoneId,
 };
 use rand::Rng;
 use rand_distr::{Distribution, Zipf};
@@ -43,8 +43,17 @@
 /// What happens next.
 enum Due {
     Alarm(Token),
-    Answer { id: PacketId, target: TargetId, sent: Micros, outcome: Outcome },
-    ProbeAnswer { target: TargetId, sent: Micros, outcome: Outcome },
+    Answer {
+        id: PacketId,
+        target: TargetId,
+        sent: Micros,
+        outcome: Outcome,
+    },
+    ProbeAnswer {
+        target: TargetId,
+        sent: Micros,
+        outcome: Outcome,
+    },
 }
 
 /// What was counted in a stretch of simulated time.
@@ -124,10 +133,19 @@
         over_share_worth: 0.1,
         profiles: vec![
             profile(Effect::Retriable, 1.0),
-            profile(Effect::Fingerprinted { group: RepeatGroup::All, window }, 2.0),
+            profile(
+                Effect::Fingerprinted {
+                    group: RepeatGroup::All,
+                    window,
+                },
+                2.0,
+            ),
             profile(Effect::Binding, 4.0),
         ],
-        kinds: vec![KindConfig { routes_apart: false, per_call: 1 }],
+        kinds: vec![KindConfig {
+            routes_apart: false,
+            per_call: 1,
+        }],
         zone_fees: vec![0.0; 4],
         rules: RuleConfig {
             answer_slack: 20_000,
@@ -145,7 +163,9 @@
 
 /// Of n destinations, the part of the first in Zipf's law: the m-th gets an m-th of it.
 fn first_part(destinations: u32) -> f64 {
-    1.0 / (1..=destinations).map(|rank| f64::from(rank).powf(-SKEW)).sum::<f64>()
+    1.0 / (1..=destinations)
+        .map(|rank| f64::from(rank).powf(-SKEW))
+        .sum::<f64>()
 }
 
 /// One core and what is round it.
@@ -155,7 +175,7 @@
     first_part: f64,
     health: Vec<Health>,
     now: Micros,
-    due: BTreeMap<(Micros, u64), Due>,      // each leaves as its time comes
+    due: BTreeMap<(Micros, u64), Due>, // each leaves as its time comes
     out: BTreeMap<PacketId, (Micros, u64)>, // the answers under way; each leaves with its answer
     next: u64,
     chance: Pcg64Mcg,
@@ -209,7 +229,11 @@
         let destination = target / self.plan.targets_each;
         let [_, b, c, d] = target.to_be_bytes();
         Listing {
-            target: TargetId { address: [10, b, c, d], port: 80, holder: 0 },
+            target: TargetId {
+                address: [10, b, c, d],
+                port: 80,
+                holder: 0,
+            },
             zone: ZoneId((target % 4) as u16),
             since: 0,
             standing: Standing::Ready,
@@ -257,21 +281,42 @@
     fn carry_out(&mut self, action: Action) {
         let sent = self.now;
         match action {
-            Action::Send { id, target, limit, .. } => {
+            Action::Send {
+                id, target, limit, ..
+            } => {
                 self.counts.calls += 1;
                 let (took, outcome) = match self.health(target) {
                     Health::Works => (ANSWER, Outcome::Delivered),
                     Health::RefusesConnections => (REFUSAL, Outcome::NoConnection),
                     Health::Silent => (limit.unwrap_or(60 * SECOND), Outcome::Timeout),
                 };
-                let key = self.at(sent + took, Due::Answer { id, target, sent, outcome });
+                let key = self.at(
+                    sent + took,
+                    Due::Answer {
+                        id,
+                        target,
+                        sent,
+                        outcome,
+                    },
+                );
                 self.out.insert(id, key);
             }
             Action::CallOff { id, .. } => {
                 let call = self.out.remove(&id).and_then(|key| self.due.remove(&key));
-                if let Some(Due::Answer { id, target, sent, .. }) = call {
+                if let Some(Due::Answer {
+                    id, target, sent, ..
+                }) = call
+                {
                     let outcome = Outcome::CalledOff;
-                    let key = self.at(self.now, Due::Answer { id, target, sent, outcome });
+                    let key = self.at(
+                        self.now,
+                        Due::Answer {
+                            id,
+                            target,
+                            sent,
+                            outcome,
+                        },
+                    );
                     self.out.insert(id, key);
                 }
             }
@@ -282,7 +327,14 @@
                     Health::RefusesConnections => (REFUSAL, Outcome::NoConnection),
                     Health::Silent => (SILENCE, Outcome::Timeout),
                 };
-                self.at(sent + took, Due::ProbeAnswer { target, sent, outcome });
+                self.at(
+                    sent + took,
+                    Due::ProbeAnswer {
+                        target,
+                        sent,
+                        outcome,
+                    },
+                );
             }
             Action::Wake { after, token } => _ = self.at(sent + after, Due::Alarm(token)),
             Action::WriteOff { .. } | Action::Defer { .. } => self.counts.given_up += 1,
@@ -293,16 +345,38 @@
     fn fall_due(&mut self, due: Due) {
         match due {
             Due::Alarm(token) => self.handle(Event::Alarm { token }),
-            Due::Answer { id, target, sent, outcome } => {
+            Due::Answer {
+                id,
+                target,
+                sent,
+                outcome,
+            } => {
                 self.out.remove(&id);
                 let closed = outcome == Outcome::Delivered;
                 self.counts.delivered += u64::from(closed);
                 let (trip, took, report) = (0, self.now - sent, Vec::new());
-                self.handle(Event::TripEnded { id, trip, target, outcome, took, closed, report });
+                self.handle(Event::TripEnded {
+                    id,
+                    trip,
+                    target,
+                    outcome,
+                    took,
+                    closed,
+                    report,
+                });
             }
-            Due::ProbeAnswer { target, sent, outcome } => {
+            Due::ProbeAnswer {
+                target,
+                sent,
+                outcome,
+            } => {
                 let (took, report) = (self.now - sent, Vec::new());
-                self.handle(Event::ProbeAnswered { target, outcome, took, report });
+                self.handle(Event::ProbeAnswered {
+                    target,
+                    outcome,
+                    took,
+                    report,
+                });
             }
         }
     }
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -41,12 +41,29 @@
 const WINDOW: Micros = LEAST_DELAY - 1_000;
 /// What happens in the world outside the forwarders.
 enum WorldEvent {
-    Call { forwarder: u32, sent: Micros, id: PacketId, attempt: u8, target: TargetId },
-    Probe { forwarder: u32, sent: Micros, target: TargetId },
-    Outage { destination: u32, begins: bool },
+    Call {
+        forwarder: u32,
+        sent: Micros,
+        id: PacketId,
+        attempt: u8,
+        target: TargetId,
+    },
+    Probe {
+        forwarder: u32,
+        sent: Micros,
+        target: TargetId,
+    },
+    Outage {
+        destination: u32,
+        begins: bool,
+    },
     Discovery(DiscoveryEvent),
-    Change { drawn: bool },
-    Incident { begins: bool },
+    Change {
+        drawn: bool,
+    },
+    Incident {
+        begins: bool,
+    },
 }
 
 struct Fleet<'a> {
@@ -67,7 +84,9 @@
     let (began, before) = (Instant::now(), report::resident_bytes());
     let mut fleet = Fleet::new(plan);
     let mut base = None;
-    in_parallel(&mut fleet.forwarders, threads, |forwarder| forwarder.start(fleet.discovery.whole_list()));
+    in_parallel(&mut fleet.forwarders, threads, |forwarder| {
+        forwarder.start(fleet.discovery.whole_list())
+    });
     fleet.begin();
     let (started, resident_at_start) = (began.elapsed(), report::resident_bytes());
     let mut columns = Vec::new();
@@ -75,18 +94,47 @@
     while window < plan.end() {
         let until = (window + WINDOW).min(plan.end());
         fleet.handle_world(until);
-        let Fleet { forwarders, layout, receivers, .. } = &mut fleet;
-        in_parallel(forwarders, threads, |forwarder| forwarder.advance(until, layout, receivers));
+        let Fleet {
+            forwarders,
+            layout,
+            receivers,
+            ..
+        } = &mut fleet;
+        in_parallel(forwarders, threads, |forwarder| {
+            forwarder.advance(until, layout, receivers)
+        });
         fleet.carry();
         if until / SECOND > window / SECOND {
-            columns.push(Column::since(&mut base, &fleet.forwarders, &fleet.wire, &fleet.receivers));
+            columns.push(Column::since(
+                &mut base,
+                &fleet.forwarders,
+                &fleet.wire,
+                &fleet.receivers,
+            ));
         }
         window = until;
     }
-    let measured =
-        Measured::new(plan, &fleet.forwarders, before, resident_at_start, started, began.elapsed());
-    let counts: Counts = counts(plan, &fleet.forwarders, &fleet.wire, &fleet.receivers, &fleet.discovery);
-    Ok(FleetOutcome { plan: plan.clone(), counts, columns, measured })
+    let measured = Measured::new(
+        plan,
+        &fleet.forwarders,
+        before,
+        resident_at_start,
+        started,
+        began.elapsed(),
+    );
+    let counts: Counts = counts(
+        plan,
+        &fleet.forwarders,
+        &fleet.wire,
+        &fleet.receivers,
+        &fleet.discovery,
+    );
+    Ok(FleetOutcome {
+        plan: plan.clone(),
+        counts,
+        columns,
+        measured,
+    })
 }
 
 /// Has each forwarder do its part, on so many threads.
@@ -111,7 +159,9 @@
         let layout = Layout::new(plan);
         Fleet {
             plan,
-            forwarders: (0..plan.forwarders).map(|number| HollowForwarder::new(plan, number)).collect(),
+            forwarders: (0..plan.forwarders)
+                .map(|number| HollowForwarder::new(plan, number))
+                .collect(),
             receivers: Receivers::new(plan, &layout),
             outages: Outages::new(plan),
             discovery: Discovery::new(plan.seed, plan.forwarders, &layout),
@@ -125,15 +175,26 @@
     /// Whatever is under way from the first moment on.
     fn begin(&mut self) {
         let bytes = discovery::answer_bytes(0, true, self.discovery.whole_list());
-        self.wire.control.iter_mut().for_each(|control| control.first_list_in.http(bytes));
+        self.wire
+            .control
+            .iter_mut()
+            .for_each(|control| control.first_list_in.http(bytes));
         let each = self.plan.events_a_second / f64::from(self.plan.forwarders);
-        self.forwarders.iter_mut().for_each(|forwarder| forwarder.set_arrivals(0, each));
+        self.forwarders
+            .iter_mut()
+            .for_each(|forwarder| forwarder.set_arrivals(0, each));
         for (at, event) in self.discovery.first_watches() {
             self.events.push(at, WorldEvent::Discovery(event));
         }
         for destination in 0..self.plan.destinations {
             if let Some(at) = self.outages.first() {
-                self.events.push(at, WorldEvent::Outage { destination, begins: true });
+                self.events.push(
+                    at,
+                    WorldEvent::Outage {
+                        destination,
+                        begins: true,
+                    },
+                );
             }
         }
         self.schedule_change(0);
@@ -142,7 +203,8 @@
 
     fn schedule_change(&mut self, now: Micros) {
         if let Some(gap) = self.changes.next_after() {
-            self.events.push(now + gap, WorldEvent::Change { drawn: true });
+            self.events
+                .push(now + gap, WorldEvent::Change { drawn: true });
         }
     }
 
@@ -150,28 +212,64 @@
     fn handle_world(&mut self, until: Micros) {
         while let Some((now, event)) = self.events.pop_before(until) {
             match event {
-                WorldEvent::Call { forwarder, sent, id, attempt, target } => {
+                WorldEvent::Call {
+                    forwarder,
+                    sent,
+                    id,
+                    attempt,
+                    target,
+                } => {
                     let (destination, holder) = (destination_of(target), target.holder);
-                    let reply = self.receivers.call(now, destination, holder, forwarder, sent);
+                    let reply = self
+                        .receivers
+                        .call(now, destination, holder, forwarder, sent);
                     if let Some((after, outcome)) = outcome_of(reply) {
-                        self.reply(now + after, forwarder, target, Incoming::Answer { id, attempt, outcome });
+                        self.reply(
+                            now + after,
+                            forwarder,
+                            target,
+                            Incoming::Answer {
+                                id,
+                                attempt,
+                                outcome,
+                            },
+                        );
                     }
                 }
-                WorldEvent::Probe { forwarder, sent, target } => {
+                WorldEvent::Probe {
+                    forwarder,
+                    sent,
+                    target,
+                } => {
                     let (destination, holder) = (destination_of(target), target.holder);
-                    let reply = self.receivers.probe(now, destination, holder, forwarder, sent);
+                    let reply = self
+                        .receivers
+                        .probe(now, destination, holder, forwarder, sent);
                     if let Some((after, outcome)) = outcome_of(reply) {
-                        let answer = Incoming::ProbeAnswer { target, sent, outcome };
+                        let answer = Incoming::ProbeAnswer {
+                            target,
+                            sent,
+                            outcome,
+                        };
                         self.reply(now + after, forwarder, target, answer);
                     }
                 }
-                WorldEvent::Outage { destination, begins } => {
+                WorldEvent::Outage {
+                    destination,
+                    begins,
+                } => {
                     match begins {
                         true => self.receivers.fail(destination),
                         false => self.receivers.recover(now, destination),
                     }
                     let next = now + self.outages.lasts(begins);
-                    self.events.push(next, WorldEvent::Outage { destination, begins: !begins });
+                    self.events.push(
+                        next,
+                        WorldEvent::Outage {
+                            destination,
+                            begins: !begins,
+                        },
+                    );
                 }
                 WorldEvent::Discovery(event) => self.handle_discovery(now, event),
                 WorldEvent::Change { drawn } => {
@@ -192,24 +290,36 @@
         let zone = self.layout.destinations[destination_of(target) as usize].zone;
         if self.wire.cut.passes(zone, forwarder_zone(forwarder)) {
             let arrives = at + self.wire.call_delay();
-            self.forwarders[forwarder as usize].inbox.push(arrives, answer);
+            self.forwarders[forwarder as usize]
+                .inbox
+                .push(arrives, answer);
         } else {
             self.wire.attempts_lost += 1;
         }
     }
 
     fn later(&mut self, events: Vec<(Micros, DiscoveryEvent)>) {
-        events.into_iter().for_each(|(at, event)| self.events.push(at, WorldEvent::Discovery(event)));
+        events
+            .into_iter()
+            .for_each(|(at, event)| self.events.push(at, WorldEvent::Discovery(event)));
     }
 
     fn handle_discovery(&mut self, now: Micros, event: DiscoveryEvent) {
         let mut later = Vec::new();
-        let answer = self.discovery.handle(now, event, &mut self.wire, &mut later);
+        let answer = self
+            .discovery
+            .handle(now, event, &mut self.wire, &mut later);
         self.later(later);
         if let Some((forwarder, answer)) = answer {
             let (whole, revision, listings) = (answer.whole, answer.revision, answer.listings);
-            let list = Incoming::List { whole, revision, listings };
-            self.forwarders[forwarder as usize].inbox.push(answer.arrives, list);
+            let list = Incoming::List {
+                whole,
+                revision,
+                listings,
+            };
+            self.forwarders[forwarder as usize]
+                .inbox
+                .push(answer.arrives, list);
         }
     }
 
@@ -217,43 +327,76 @@
     fn carry(&mut self) {
         for sender in 0..self.forwarders.len() {
             let mut outbox = std::mem::take(&mut self.forwarders[sender].outbox);
-            outbox.drain(..).for_each(|(sent, what)| self.carry_one(sender as u32, sent, what));
+            outbox
+                .drain(..)
+                .for_each(|(sent, what)| self.carry_one(sender as u32, sent, what));
             self.forwarders[sender].outbox = outbox;
         }
     }
 
     fn carry_one(&mut self, forwarder: u32, sent: Micros, what: Outgoing) {
         match what {
-            Outgoing::Call { id, attempt, target } => self.attempt(
+            Outgoing::Call {
+                id,
+                attempt,
+                target,
+            } => self.attempt(
                 forwarder,
                 sent,
                 target,
-                WorldEvent::Call { forwarder, sent, id, attempt, target },
+                WorldEvent::Call {
+                    forwarder,
+                    sent,
+                    id,
+                    attempt,
+                    target,
+                },
+            ),
+            Outgoing::Probe { target } => self.attempt(
+                forwarder,
+                sent,
+                target,
+                WorldEvent::Probe {
+                    forwarder,
+                    sent,
+                    target,
+                },
             ),
-            Outgoing::Probe { target } => {
-                self.attempt(forwarder, sent, target, WorldEvent::Probe { forwarder, sent, target })
-            }
             Outgoing::Gossip { to, message } => {
-                self.wire.control[forwarder as usize].gossip_out.datagram(message.len());
+                self.wire.control[forwarder as usize]
+                    .gossip_out
+                    .datagram(message.len());
                 let peers = match to {
                     Some(peer) => u32::from(peer)..u32::from(peer) + 1,
                     None => 0..self.plan.forwarders,
                 };
-                for peer in peers.filter(|peer| *peer != forwarder && *peer < self.plan.forwarders) {
-                    if !self.wire.cut.passes(forwarder_zone(forwarder), forwarder_zone(peer)) {
+                for peer in peers.filter(|peer| *peer != forwarder && *peer < self.plan.forwarders)
+                {
+                    if !self
+                        .wire
+                        .cut
+                        .passes(forwarder_zone(forwarder), forwarder_zone(peer))
+                    {
                         self.wire.gossip_lost += 1;
                         continue;
                     }
                     let arrives = sent + self.wire.gossip_delay();
-                    self.wire.control[peer as usize].gossip_in.datagram(message.len());
-                    let gossip = Incoming::Gossip { from: forwarder as u16, message: message.clone() };
+                    self.wire.control[peer as usize]
+                        .gossip_in
+                        .datagram(message.len());
+                    let gossip = Incoming::Gossip {
+                        from: forwarder as u16,
+                        message: message.clone(),
+                    };
                     self.forwarders[peer as usize].inbox.push(arrives, gossip);
                 }
             }
             Outgoing::MetFailure { destination, tried } => {
                 self.receivers.met(destination, forwarder, tried, sent)
             }
-            Outgoing::ListInForce { revision } => self.discovery.in_force(sent, forwarder, revision),
+            Outgoing::ListInForce { revision } => {
+                self.discovery.in_force(sent, forwarder, revision)
+            }
         }
     }
 
@@ -272,7 +415,12 @@
 fn outcome_of(reply: Reply) -> Option<(Micros, Outcome)> {
     match reply {
         Reply::Served(after) => Some((after, Outcome::Delivered)),
-        Reply::Full { retry_after } => Some((0, Outcome::Full { wait: Some(retry_after) })),
+        Reply::Full { retry_after } => Some((
+            0,
+            Outcome::Full {
+                wait: Some(retry_after),
+            },
+        )),
         Reply::Refused => Some((0, Outcome::NoConnection)),
         Reply::Nothing => None,
     }
--- a/crates/lab/src/capacity/fleet/config_changes.rs
+++ b/crates/lab/src/capacity/fleet/config_changes.rs
@@ -24,7 +24,11 @@
 impl ConfigChanges {
     pub fn new(plan: &Plan) -> ConfigChanges {
         let rng = stream(plan.seed, "changes", 0);
-        ConfigChanges { a_day: plan.changes_a_day, destinations: plan.destinations, rng }
+        ConfigChanges {
+            a_day: plan.changes_a_day,
+            destinations: plan.destinations,
+            rng,
+        }
     }
 
     /// How long it is until the next one; none where none comes by itself.
@@ -40,7 +44,10 @@
         if self.rng.random_bool(MOVES) {
             let new = receivers.relocate(destination);
             let gone = layout.listing(destination, holder, rate, Standing::Gone);
-            return vec![gone, layout.listing(destination, new, rate, Standing::Ready)];
+            return vec![
+                gone,
+                layout.listing(destination, new, rate, Standing::Ready),
+            ];
         }
         let rate = rate * self.rng.random_range(RATE_CHANGE);
         receivers.set_rate(destination, rate);
--- a/crates/lab/src/capacity/fleet/discovery.rs
+++ b/crates/lab/src/capacity/fleet/discovery.rs
@@ -83,7 +83,9 @@
         Discovery {
             changes: Vec::new(),
             watches: vec![Watch::default(); forwarders as usize],
-            current: all.map(|(d, n)| layout.listing(n, 0, d.rate, Standing::Ready)).collect(),
+            current: all
+                .map(|(d, n)| layout.listing(n, 0, d.rate, Standing::Ready))
+                .collect(),
             rng: stream(seed, "discovery", 0),
         }
     }
@@ -97,7 +99,12 @@
     pub fn first_watches(&mut self) -> Vec<(Micros, DiscoveryEvent)> {
         let forwarders = 0..self.watches.len() as u32;
         forwarders
-            .map(|forwarder| (self.rng.random_range(0..WATCH), DiscoveryEvent::WatchOpens { forwarder }))
+            .map(|forwarder| {
+                (
+                    self.rng.random_range(0..WATCH),
+                    DiscoveryEvent::WatchOpens { forwarder },
+                )
+            })
             .collect()
     }
 
@@ -108,7 +115,11 @@
             self.current[place] = listing.clone();
         }
         let in_force = vec![None; self.watches.len()];
-        self.changes.push(ConfigChange { made: now, listings, in_force });
+        self.changes.push(ConfigChange {
+            made: now,
+            listings,
+            in_force,
+        });
         self.spread(now, |_| true)
     }
 
@@ -124,7 +135,13 @@
         forwarders
             .map(|forwarder| {
                 let at = now + rng.random_range(SPREAD);
-                (at, DiscoveryEvent::ChangeReaches { forwarder, revision })
+                (
+                    at,
+                    DiscoveryEvent::ChangeReaches {
+                        forwarder,
+                        revision,
+                    },
+                )
             })
             .collect()
     }
@@ -138,7 +155,10 @@
         later: &mut Vec<(Micros, DiscoveryEvent)>,
     ) -> Option<(u32, ListAnswer)> {
         match event {
-            DiscoveryEvent::ChangeReaches { forwarder, revision } => {
+            DiscoveryEvent::ChangeReaches {
+                forwarder,
+                revision,
+            } => {
                 let watch = &mut self.watches[forwarder as usize];
                 // A cut keeps the change from it: `heal` sends what stands then.
                 if !reaches(wire.cut, forwarder) {
@@ -146,7 +166,8 @@
                 }
                 watch.known = watch.known.max(revision);
                 let news = watch.open && watch.known > watch.told;
-                news.then(|| self.answer(now, forwarder, wire, later)).flatten()
+                news.then(|| self.answer(now, forwarder, wire, later))
+                    .flatten()
             }
             DiscoveryEvent::WatchOpens { forwarder } => {
                 wire.control[forwarder as usize]
@@ -155,14 +176,23 @@
                 let watch = &mut self.watches[forwarder as usize];
                 watch.number += 1;
                 if !reaches(wire.cut, forwarder) {
-                    later.push((now + WATCH + PATIENCE + AGAIN, DiscoveryEvent::WatchOpens { forwarder }));
+                    later.push((
+                        now + WATCH + PATIENCE + AGAIN,
+                        DiscoveryEvent::WatchOpens { forwarder },
+                    ));
                     return None;
                 }
                 watch.open = true;
                 if watch.known > watch.told {
                     return self.answer(now, forwarder, wire, later);
                 }
-                later.push((now + WATCH, DiscoveryEvent::WatchEnds { forwarder, number: watch.number }));
+                later.push((
+                    now + WATCH,
+                    DiscoveryEvent::WatchEnds {
+                        forwarder,
+                        number: watch.number,
+                    },
+                ));
                 None
             }
             DiscoveryEvent::WatchEnds { forwarder, number } => {
@@ -185,20 +215,36 @@
         let watch = &mut self.watches[forwarder as usize];
         watch.open = false;
         if !reaches(wire.cut, forwarder) {
-            later.push((now + PATIENCE + AGAIN, DiscoveryEvent::WatchOpens { forwarder }));
+            later.push((
+                now + PATIENCE + AGAIN,
+                DiscoveryEvent::WatchOpens { forwarder },
+            ));
             return None;
         }
         let arrives = now + wire.call_delay();
-        later.push((arrives + wire.call_delay(), DiscoveryEvent::WatchOpens { forwarder }));
+        later.push((
+            arrives + wire.call_delay(),
+            DiscoveryEvent::WatchOpens { forwarder },
+        ));
         let (from, revision) = (watch.told, watch.known);
         watch.told = revision;
         let whole = revision - from > CHANGES_KEPT;
         let listings: Vec<Listing> = match whole {
             true => self.current.clone(),
-            false => self.changes[from..revision].iter().flat_map(|c| c.listings.clone()).collect(),
+            false => self.changes[from..revision]
+                .iter()
+                .flat_map(|c| c.listings.clone())
+                .collect(),
+        };
+        wire.control[forwarder as usize]
+            .list_in
+            .http(answer_bytes(revision, whole, &listings));
+        let answer = ListAnswer {
+            arrives,
+            whole,
+            revision,
+            listings: Arc::new(listings),
         };
-        wire.control[forwarder as usize].list_in.http(answer_bytes(revision, whole, &listings));
-        let answer = ListAnswer { arrives, whole, revision, listings: Arc::new(listings) };
         (revision > from).then_some((forwarder, answer))
     }
 
@@ -226,17 +272,22 @@
 /// Bytes of the request for what comes after a revision.
 fn request(told: usize) -> u64 {
     let wait = WATCH / 1_000;
-    let head =
-        format!("GET /discovery/hosts?index={told}&wait={wait} HTTP/1.1\r\nhost: 10.255.0.1:8500\r\n\r\n");
+    let head = format!(
+        "GET /discovery/hosts?index={told}&wait={wait} HTTP/1.1\r\nhost: 10.255.0.1:8500\r\n\r\n"
+    );
     head.len() as u64
 }
 
 /// Bytes of an answer, head and body.
 pub fn answer_bytes(revision: usize, whole: bool, listings: &[Listing]) -> u64 {
-    let frame = json!({"revision": revision, "complete": whole, "members": []}).to_string().len();
+    let frame = json!({"revision": revision, "complete": whole, "members": []})
+        .to_string()
+        .len();
     let members: usize = listings.iter().map(|l| member_text(l).len() + 1).sum();
     let body = frame + members.saturating_sub(1);
-    let head = format!("HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: {body}\r\n\r\n");
+    let head = format!(
+        "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: {body}\r\n\r\n"
+    );
     (head.len() + body) as u64
 }
 
--- a/crates/lab/src/capacity/fleet/hollow.rs
+++ b/crates/lab/src/capacity/fleet/hollow.rs
@@ -10,8 +10,8 @@
 use super::tally::{MessageCounts, Work, WorkDone, WORK_KINDS};
 use crate::chance::{exponential, stream};
 use opalpulley::{
-    Action, Arrival, DestinationId, Event, Forwarder, ListNews, Listing, Micros, Outcome, PacketId, Past,
-    ProfileId, StateCounts, TargetId, TenantId,
+    Action, Arrival, DestinationId, Event, Forwarder, ListNews, Listing, Micros, Outcome, PacketId,
+    Past, ProfileId, StateCounts, TargetId, TenantId,
 };
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -72,7 +72,11 @@
 
     /// The whole list as it stands at the start.
     pub fn start(&mut self, list: &[Listing]) {
-        self.give(0, Work::FirstList, Event::List(ListNews::Whole(list.to_vec())));
+        self.give(
+            0,
+            Work::FirstList,
+            Event::List(ListNews::Whole(list.to_vec())),
+        );
     }
 
     /// From now on so many messages a second arrive here.
@@ -85,7 +89,12 @@
     fn next_message(&mut self, now: Micros) {
         if self.arrivals > 0.0 {
             let gap = exponential(&mut self.rng) / self.arrivals * SECOND as f64;
-            self.inbox.push(now + gap.max(1.0) as Micros, Incoming::Message { stream: self.stream });
+            self.inbox.push(
+                now + gap.max(1.0) as Micros,
+                Incoming::Message {
+                    stream: self.stream,
+                },
+            );
         }
     }
 
@@ -104,8 +113,16 @@
             }
             Incoming::Message { .. } => {}
             Incoming::Alarm(token) => self.give(now, Work::Tick, Event::Alarm { token }),
-            Incoming::Answer { id, attempt, outcome } => self.answered(now, id, attempt, outcome),
-            Incoming::ProbeAnswer { target, sent, outcome } => {
+            Incoming::Answer {
+                id,
+                attempt,
+                outcome,
+            } => self.answered(now, id, attempt, outcome),
+            Incoming::ProbeAnswer {
+                target,
+                sent,
+                outcome,
+            } => {
                 if self.probes.get(&target) != Some(&sent) {
                     return; // answered, or given up, already
                 }
@@ -114,15 +131,35 @@
                     self.met(now, target, sent);
                 }
                 let took = now - sent;
-                let event = Event::ProbeAnswered { target, outcome, took, report: Vec::new() };
+                let event = Event::ProbeAnswered {
+                    target,
+                    outcome,
+                    took,
+                    report: Vec::new(),
+                };
                 self.give(now, Work::Probe, event);
             }
             Incoming::Gossip { from, message } => {
-                self.give(now, Work::Gossip, Event::Gossip { from, message: message.to_vec() });
+                self.give(
+                    now,
+                    Work::Gossip,
+                    Event::Gossip {
+                        from,
+                        message: message.to_vec(),
+                    },
+                );
             }
-            Incoming::List { whole, revision, listings } => {
+            Incoming::List {
+                whole,
+                revision,
+                listings,
+            } => {
                 let entries = listings.to_vec();
-                let news = if whole { ListNews::Whole(entries) } else { ListNews::Changes(entries) };
+                let news = if whole {
+                    ListNews::Whole(entries)
+                } else {
+                    ListNews::Changes(entries)
+                };
                 self.give(now, Work::List, Event::List(news));
                 self.outbox.push((now, Outgoing::ListInForce { revision }));
             }
@@ -136,7 +173,16 @@
         self.counts.arrived += 1;
         self.counts.due_to_down += u64::from(judged && to_down);
         self.counts.due_to_up += u64::from(judged && !to_down);
-        self.open.insert(id, OpenMessage { arrived: now, to_down, judged, attempts: 0, out: None });
+        self.open.insert(
+            id,
+            OpenMessage {
+                arrived: now,
+                to_down,
+                judged,
+                attempts: 0,
+                out: None,
+            },
+        );
         let arrival = Arrival {
             id,
             profile: ProfileId(self.rng.random_range(0..2)),
@@ -154,8 +200,12 @@
     }
 
     fn answered(&mut self, now: Micros, id: PacketId, attempt: u8, outcome: Outcome) {
-        let Some(message) = self.open.get_mut(&id).filter(|m| m.attempts == attempt + 1) else { return };
-        let Some((target, sent)) = message.out.take() else { return };
+        let Some(message) = self.open.get_mut(&id).filter(|m| m.attempts == attempt + 1) else {
+            return;
+        };
+        let Some((target, sent)) = message.out.take() else {
+            return;
+        };
         let (in_time, to_down) = (now <= message.arrived + LATENCY_TARGET, message.to_down);
         let counted = message.judged && in_time;
         match outcome {
@@ -170,17 +220,34 @@
             Outcome::CalledOff => self.counts.called_off += 1,
             _ => {}
         }
-        if matches!(outcome, Outcome::Timeout | Outcome::NoConnection | Outcome::CalledOff) {
+        if matches!(
+            outcome,
+            Outcome::Timeout | Outcome::NoConnection | Outcome::CalledOff
+        ) {
             self.met(now, target, sent);
         }
         let (took, closed) = (now - sent, outcome == Outcome::Delivered);
-        let event = Event::TripEnded { id, trip: attempt, target, outcome, took, closed, report: Vec::new() };
+        let event = Event::TripEnded {
+            id,
+            trip: attempt,
+            target,
+            outcome,
+            took,
+            closed,
+            report: Vec::new(),
+        };
         self.give(now, Work::Message, event);
     }
 
     /// A call or probe has failed: where that was by an outage of the destination, the forwarder has met it.
     fn met(&mut self, now: Micros, target: TargetId, tried: Micros) {
-        self.outbox.push((now, Outgoing::MetFailure { destination: destination_of(target), tried }));
+        self.outbox.push((
+            now,
+            Outgoing::MetFailure {
+                destination: destination_of(target),
+                tried,
+            },
+        ));
     }
 
     /// Has the core handle one event, books the time, and carries out its actions.
@@ -188,34 +255,68 @@
         let HollowForwarder { core, actions, .. } = self;
         self.work[work as usize].measure(|| core.handle(now, event, actions));
         let mut actions = std::mem::take(&mut self.actions);
-        actions.drain(..).for_each(|action| self.carry_out(now, action));
+        actions
+            .drain(..)
+            .for_each(|action| self.carry_out(now, action));
         self.actions = actions;
     }
 
     fn carry_out(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { id, target, limit, .. } => {
-                let Some(message) = self.open.get_mut(&id) else { return };
+            Action::Send {
+                id, target, limit, ..
+            } => {
+                let Some(message) = self.open.get_mut(&id) else {
+                    return;
+                };
                 let attempt = message.attempts;
                 message.attempts += 1;
                 message.out = Some((target, now));
                 self.counts.attempts += 1;
-                self.outbox.push((now, Outgoing::Call { id, attempt, target }));
+                self.outbox.push((
+                    now,
+                    Outgoing::Call {
+                        id,
+                        attempt,
+                        target,
+                    },
+                ));
                 if let Some(limit) = limit {
                     let outcome = Outcome::Timeout;
-                    self.inbox.push(now + limit, Incoming::Answer { id, attempt, outcome });
+                    self.inbox.push(
+                        now + limit,
+                        Incoming::Answer {
+                            id,
+                            attempt,
+                            outcome,
+                        },
+                    );
                 }
             }
             Action::CallOff { id, trip } => {
                 let outcome = Outcome::CalledOff;
-                self.inbox.push(now, Incoming::Answer { id, attempt: trip, outcome });
+                self.inbox.push(
+                    now,
+                    Incoming::Answer {
+                        id,
+                        attempt: trip,
+                        outcome,
+                    },
+                );
             }
             Action::Probe { target } => {
                 self.counts.probes += 1;
                 self.probes.insert(target, now);
                 self.outbox.push((now, Outgoing::Probe { target }));
                 let outcome = Outcome::Timeout;
-                self.inbox.push(now + PROBE_PATIENCE, Incoming::ProbeAnswer { target, sent: now, outcome });
+                self.inbox.push(
+                    now + PROBE_PATIENCE,
+                    Incoming::ProbeAnswer {
+                        target,
+                        sent: now,
+                        outcome,
+                    },
+                );
             }
             Action::WriteOff { id } => {
                 self.counts.failed += u64::from(self.open.remove(&id).is_some());
@@ -225,7 +326,13 @@
             }
             Action::Wake { after, token } => self.inbox.push(now + after, Incoming::Alarm(token)),
             Action::SendGossip { peer, message } => {
-                self.outbox.push((now, Outgoing::Gossip { to: peer, message: message.into() }));
+                self.outbox.push((
+                    now,
+                    Outgoing::Gossip {
+                        to: peer,
+                        message: message.into(),
+                    },
+                ));
             }
             Action::Fault(_) => self.counts.faults += 1,
             // A call goes whole as it is sent, and discovery holds a watch open for each forwarder.
--- a/crates/lab/src/capacity/fleet/incidents.rs
+++ b/crates/lab/src/capacity/fleet/incidents.rs
@@ -15,11 +15,15 @@
             Incident::None => {}
             Incident::Change => self.events.push(from, WorldEvent::Change { drawn: false }),
             Incident::ZoneCut | Incident::RegionCut => {
-                self.events.push(from, WorldEvent::Incident { begins: true });
+                self.events
+                    .push(from, WorldEvent::Incident { begins: true });
                 // One change in the midst of it, one just after it: who has them when?
-                self.events.push((from + until) / 2, WorldEvent::Change { drawn: false });
-                self.events.push(until, WorldEvent::Incident { begins: false });
-                self.events.push(until + SECOND, WorldEvent::Change { drawn: false });
+                self.events
+                    .push((from + until) / 2, WorldEvent::Change { drawn: false });
+                self.events
+                    .push(until, WorldEvent::Incident { begins: false });
+                self.events
+                    .push(until + SECOND, WorldEvent::Change { drawn: false });
             }
         }
     }
@@ -39,14 +43,20 @@
         if self.plan.incident == Incident::ZoneCut {
             let (layout, receivers) = (&self.layout, &mut self.receivers);
             let all = layout.destinations.iter().zip(0..);
-            all.filter(|(d, _)| d.zone == CUT_ZONE).for_each(|(_, n)| receivers.cut_zone(now, n, begins));
+            all.filter(|(d, _)| d.zone == CUT_ZONE)
+                .for_each(|(_, n)| receivers.cut_zone(now, n, begins));
             self.share_arrivals(now, |zone| !begins || zone != CUT_ZONE);
         }
     }
 
     /// Clients give their messages to the forwarders of these zones, evenly.
     fn share_arrivals(&mut self, now: Micros, takes: impl Fn(u16) -> bool) {
-        let taking = self.forwarders.iter().filter(|f| takes(f.zone)).count().max(1);
+        let taking = self
+            .forwarders
+            .iter()
+            .filter(|f| takes(f.zone))
+            .count()
+            .max(1);
         let each = self.plan.events_a_second / taking as f64;
         for forwarder in &mut self.forwarders {
             let a_second = if takes(forwarder.zone) { each } else { 0.0 };
--- a/crates/lab/src/capacity/fleet/layout.rs
+++ b/crates/lab/src/capacity/fleet/layout.rs
@@ -44,16 +44,30 @@
         let sum: f64 = (0..by_rank.len()).map(weight).sum();
         let busiest = (by_rank.len() / BUSIEST).max(1);
         let at_limit = plan.at_limit_share * by_rank.len() as f64 / busiest as f64;
-        let mut destinations = vec![DestinationPlan { zone: 0, rate: LEAST_RATE }; by_rank.len()];
+        let mut destinations = vec![
+            DestinationPlan {
+                zone: 0,
+                rate: LEAST_RATE
+            };
+            by_rank.len()
+        ];
         for (rank, destination) in by_rank.iter().enumerate() {
             let sent = plan.events_a_second * weight(rank) / sum;
             let limited = rank < busiest && rng.random_bool(at_limit.min(1.0));
-            let rate = if limited { sent * HEADROOM_AT_LIMIT } else { (sent * HEADROOM).max(LEAST_RATE) };
+            let rate = if limited {
+                sent * HEADROOM_AT_LIMIT
+            } else {
+                (sent * HEADROOM).max(LEAST_RATE)
+            };
             let zone = (destination % u32::from(ZONES)) as u16;
             destinations[*destination as usize] = DestinationPlan { zone, rate };
         }
         let ranks = Zipf::new(by_rank.len() as f64, plan.skew).ok();
-        Layout { destinations, by_rank, ranks }
+        Layout {
+            destinations,
+            by_rank,
+            ranks,
+        }
     }
 
     /// The destination of the next message.
@@ -79,7 +93,11 @@
 /// The target of a destination: its address, in the net 10, names the destination.
 pub fn target(destination: u32, holder: u32) -> TargetId {
     let [_, high, middle, low] = destination.to_be_bytes();
-    TargetId { address: [NET, high, middle, low], port: HTTPS, holder }
+    TargetId {
+        address: [NET, high, middle, low],
+        port: HTTPS,
+        holder,
+    }
 }
 
 /// The destination whose target this is.
--- a/crates/lab/src/capacity/fleet/onlooker.rs
+++ b/crates/lab/src/capacity/fleet/onlooker.rs
@@ -30,11 +30,16 @@
     }
 
     pub fn known_to_another(&self, forwarder: u32, at: Micros) -> bool {
-        [self.first, self.second].into_iter().flatten().any(|(who, since)| who != forwarder && since <= at)
+        [self.first, self.second]
+            .into_iter()
+            .flatten()
+            .any(|(who, since)| who != forwarder && since <= at)
     }
 
     pub fn known_to(&self, forwarder: u32, at: Micros) -> bool {
-        self.met_by.get(&forwarder).is_some_and(|since| *since <= at)
+        self.met_by
+            .get(&forwarder)
+            .is_some_and(|since| *since <= at)
     }
 }
 
@@ -65,7 +70,13 @@
     /// The destination of this outage is back.
     pub fn after(outage: Outage, since: Micros) -> Return {
         let Outage { met_by, .. } = outage;
-        Return { since, met_by, recent: VecDeque::new(), over_budget: false, over_allowed: false }
+        Return {
+            since,
+            met_by,
+            recent: VecDeque::new(),
+            over_budget: false,
+            over_allowed: false,
+        }
     }
 
     /// A call or probe that was sent at `tried` has failed: it met the outage if that was before the return.
@@ -77,17 +88,35 @@
 
     /// Takes one call or probe in; `capacity` is what the destination takes at this moment, calls a second.
     pub fn take(&mut self, arrived: Arrived, capacity: f64) -> Overshoot {
-        let Arrived { now, destination, forwarder, sent } = arrived;
+        let Arrived {
+            now,
+            destination,
+            forwarder,
+            sent,
+        } = arrived;
         let rules = rules();
-        let witness = self.met_by.get(&forwarder).is_some_and(|since| *since <= sent);
+        let witness = self
+            .met_by
+            .get(&forwarder)
+            .is_some_and(|since| *since <= sent);
         self.recent.push_back((now, witness));
-        while self.recent.front().is_some_and(|(at, _)| at + rules.overload_for < now) {
+        while self
+            .recent
+            .front()
+            .is_some_and(|(at, _)| at + rules.overload_for < now)
+        {
             self.recent.pop_front();
         }
         let budget = rules.fall_multiple * capacity * rules.overload_for as f64 / SECOND as f64;
         let allowed = budget + 2.0 * budget.sqrt() + 2.0;
         let from_witnesses = self.recent.iter().filter(|(_, witness)| *witness).count();
-        Overshoot { destination, calls: self.recent.len(), from_witnesses, budget, allowed }
+        Overshoot {
+            destination,
+            calls: self.recent.len(),
+            from_witnesses,
+            budget,
+            allowed,
+        }
     }
 }
 
@@ -102,7 +131,10 @@
         self.returns_pushed_over += u64::from(falls && seen.is_from_witnesses());
         back.over_budget |= over_budget;
         back.over_allowed |= over_allowed;
-        if self.worst.is_none_or(|worst| worst.excess() < seen.excess()) {
+        if self
+            .worst
+            .is_none_or(|worst| worst.excess() < seen.excess())
+        {
             self.worst = Some(seen);
         }
     }
--- a/crates/lab/src/capacity/fleet/outages.rs
+++ b/crates/lab/src/capacity/fleet/outages.rs
@@ -32,7 +32,11 @@
 
     /// How long an outage lasts that begins now, or how long it is until the next where one has ended.
     pub fn lasts(&mut self, down: bool) -> Micros {
-        let mean = if down { self.mean_down } else { self.mean_down * (1.0 - self.share) / self.share };
+        let mean = if down {
+            self.mean_down
+        } else {
+            self.mean_down * (1.0 - self.share) / self.share
+        };
         (mean * exponential(&mut self.rng)).max(1.0) as Micros
     }
 }
--- a/crates/lab/src/capacity/fleet/plan.rs
+++ b/crates/lab/src/capacity/fleet/plan.rs
@@ -1,7 +1,8 @@
 //! What a fleet run is asked to do, and the fixed figures that all runs share.
 
 use opalpulley::{
-    Config, Effect, Ends, Fading, KindConfig, ListRates, Micros, ProfileConfig, RepeatGroup, RuleConfig,
+    Config, Effect, Ends, Fading, KindConfig, ListRates, Micros, ProfileConfig, RepeatGroup,
+    RuleConfig,
 };
 use serde::Serialize;
 
@@ -114,9 +115,14 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             BadPlan::Destinations { asked } => {
-                write!(f, "--destinations {asked}: 1 to {MOST_DESTINATIONS} can run")
+                write!(
+                    f,
+                    "--destinations {asked}: 1 to {MOST_DESTINATIONS} can run"
+                )
+            }
+            BadPlan::Forwarders { asked } => {
+                write!(f, "--forwarders {asked}: 2 to {} can run", u16::MAX)
             }
-            BadPlan::Forwarders { asked } => write!(f, "--forwarders {asked}: 2 to {} can run", u16::MAX),
             BadPlan::OutOfRange { option, value } => write!(f, "{option} {value} is out of range"),
         }
     }
@@ -127,21 +133,41 @@
 impl Plan {
     pub fn check(&self) -> Result<(), BadPlan> {
         if !(1..=MOST_DESTINATIONS).contains(&self.destinations) {
-            return Err(BadPlan::Destinations { asked: self.destinations });
+            return Err(BadPlan::Destinations {
+                asked: self.destinations,
+            });
         }
         if !(2..=u32::from(u16::MAX)).contains(&self.forwarders) {
-            return Err(BadPlan::Forwarders { asked: self.forwarders });
+            return Err(BadPlan::Forwarders {
+                asked: self.forwarders,
+            });
         }
         let share = |value: f64| (0.0..=0.9).contains(&value);
         let positive = |value: f64| value > 0.0 && value.is_finite();
         let checks = [
             ("--seconds", f64::from(self.seconds), self.seconds >= 4),
-            ("--events-a-second", self.events_a_second, positive(self.events_a_second)),
+            (
+                "--events-a-second",
+                self.events_a_second,
+                positive(self.events_a_second),
+            ),
             ("--down-share", self.down_share, share(self.down_share)),
-            ("--outage-seconds", self.outage_seconds, positive(self.outage_seconds)),
-            ("--at-limit-share", self.at_limit_share, share(self.at_limit_share)),
+            (
+                "--outage-seconds",
+                self.outage_seconds,
+                positive(self.outage_seconds),
+            ),
+            (
+                "--at-limit-share",
+                self.at_limit_share,
+                share(self.at_limit_share),
+            ),
             ("--skew", self.skew, (0.0..=3.0).contains(&self.skew)),
-            ("--changes-a-day", self.changes_a_day, self.changes_a_day >= 0.0),
+            (
+                "--changes-a-day",
+                self.changes_a_day,
+                self.changes_a_day >= 0.0,
+            ),
         ];
         match checks.into_iter().find(|(_, _, fits)| !fits) {
             Some((option, value, _)) => Err(BadPlan::OutOfRange { option, value }),
@@ -178,7 +204,10 @@
             late_share: 0.5,
             in_order: false,
         };
-        let keyed = Effect::Fingerprinted { group: RepeatGroup::All, window: 15 * SECOND };
+        let keyed = Effect::Fingerprinted {
+            group: RepeatGroup::All,
+            window: 15 * SECOND,
+        };
         Config {
             forwarder: forwarder as u16,
             forwarders: self.configured_forwarders.unwrap_or(self.forwarders),
@@ -196,7 +225,10 @@
             over_share_worth: 0.1,
             profiles: vec![class(keyed), class(Effect::Retriable)],
             tenants: Vec::new(),
-            kinds: vec![KindConfig { routes_apart: false, per_call: 1 }],
+            kinds: vec![KindConfig {
+                routes_apart: false,
+                per_call: 1,
+            }],
             zone_fees: vec![0.0; usize::from(ZONES)],
             ask_within: None,
             rules: rules(),
--- a/crates/lab/src/capacity/fleet/queue.rs
+++ b/crates/lab/src/capacity/fleet/queue.rs
@@ -44,19 +44,30 @@
 
 impl<T> Default for TimedQueue<T> {
     fn default() -> Self {
-        TimedQueue { heap: BinaryHeap::new(), pushed: 0 }
+        TimedQueue {
+            heap: BinaryHeap::new(),
+            pushed: 0,
+        }
     }
 }
 
 impl<T> TimedQueue<T> {
     pub fn push(&mut self, at: Micros, what: T) {
         self.pushed += 1;
-        self.heap.push(Reverse(Timed { at, order: self.pushed, what }));
+        self.heap.push(Reverse(Timed {
+            at,
+            order: self.pushed,
+            what,
+        }));
     }
 
     /// The next thing that happens before `until`.
     pub fn pop_before(&mut self, until: Micros) -> Option<(Micros, T)> {
-        if self.heap.peek().is_none_or(|Reverse(next)| next.at >= until) {
+        if self
+            .heap
+            .peek()
+            .is_none_or(|Reverse(next)| next.at >= until)
+        {
             return None;
         }
         self.heap.pop().map(|Reverse(next)| (next.at, next.what))
--- a/crates/lab/src/capacity/fleet/receivers.rs
+++ b/crates/lab/src/capacity/fleet/receivers.rs
@@ -85,7 +85,11 @@
         };
         let mean = ANSWER_TIME.ln() - ANSWER_SPREAD * ANSWER_SPREAD / 2.0;
         Receivers {
-            all: layout.destinations.iter().map(|d| receiver(d.rate)).collect(),
+            all: layout
+                .destinations
+                .iter()
+                .map(|d| receiver(d.rate))
+                .collect(),
             counts: ReceiverCounts::default(),
             answer_times: LogNormal::new(mean, ANSWER_SPREAD).ok(),
             rng: stream(plan.seed, "receivers", 0),
@@ -98,7 +102,11 @@
 
     /// The destination's own outage begins.
     pub fn fail(&mut self, destination: u32) {
-        let how = if self.rng.random_bool(REFUSING_SHARE) { Down::Refusing } else { Down::Silent };
+        let how = if self.rng.random_bool(REFUSING_SHARE) {
+            Down::Refusing
+        } else {
+            Down::Silent
+        };
         self.all[destination as usize].change(0, |r| r.down = Some(how));
     }
 
@@ -135,8 +143,11 @@
     /// A forwarder has seen a call or probe fail there that was sent at `tried`.
     pub fn met(&mut self, destination: u32, forwarder: u32, tried: Micros, at: Micros) {
         let Receiver { outage, back, .. } = &mut self.all[destination as usize];
-        outage.iter_mut().for_each(|outage| outage.learn(forwarder, at));
-        back.iter_mut().for_each(|back| back.learn(forwarder, tried, at));
+        outage
+            .iter_mut()
+            .for_each(|outage| outage.learn(forwarder, at));
+        back.iter_mut()
+            .for_each(|back| back.learn(forwarder, tried, at));
     }
 
     /// A call arrives that was sent at `sent`.
@@ -161,12 +172,21 @@
             self.counts.calls_to_old_address += 1;
             return Reply::Refused;
         }
-        self.weigh(Arrived { now, destination, forwarder, sent });
+        self.weigh(Arrived {
+            now,
+            destination,
+            forwarder,
+            sent,
+        });
         if !self.all[destination as usize].take(now) {
             self.counts.refused_full += 1;
-            return Reply::Full { retry_after: RETRY_AFTER };
+            return Reply::Full {
+                retry_after: RETRY_AFTER,
+            };
         }
-        let time = self.answer_times.map_or(ANSWER_TIME, |times| times.sample(&mut self.rng));
+        let time = self
+            .answer_times
+            .map_or(ANSWER_TIME, |times| times.sample(&mut self.rng));
         Reply::Served(time.max(1.0) as Micros)
     }
 
@@ -191,7 +211,12 @@
         if holder != receiver.holder {
             return Reply::Refused;
         }
-        self.weigh(Arrived { now, destination, forwarder, sent });
+        self.weigh(Arrived {
+            now,
+            destination,
+            forwarder,
+            sent,
+        });
         Reply::Served(0)
     }
 
@@ -241,12 +266,16 @@
     /// Whether others know of its outage, and whether the sender does.
     fn known(&self, forwarder: u32, at: Micros) -> (bool, bool) {
         let outage = self.outage.as_ref();
-        outage.map_or((false, false), |o| (o.known_to_another(forwarder, at), o.known_to(forwarder, at)))
+        outage.map_or((false, false), |o| {
+            (o.known_to_another(forwarder, at), o.known_to(forwarder, at))
+        })
     }
 
     /// The part of its rate that it takes now; from the end of its warm-up on it is warm.
     fn part(&mut self, now: Micros) -> f64 {
-        let Temperature::Cold { since } = self.temperature else { return 1.0 };
+        let Temperature::Cold { since } = self.temperature else {
+            return 1.0;
+        };
         let rules = rules();
         let warmth = (now - since) as f64 / rules.warm_after as f64;
         if warmth >= 1.0 {
--- a/crates/lab/src/capacity/fleet/report.rs
+++ b/crates/lab/src/capacity/fleet/report.rs
@@ -52,7 +52,10 @@
         for value in values {
             (sum, count, worst) = (sum + value, count + 1, f64::max(worst, value));
         }
-        MeanAndWorst { mean: sum / f64::from(count.max(1)), worst }
+        MeanAndWorst {
+            mean: sum / f64::from(count.max(1)),
+            worst,
+        }
     }
 }
 
@@ -80,7 +83,13 @@
             let there = |(at, forwarder): (&Option<Micros>, u32)| {
                 at.filter(|_| region(forwarder_zone(forwarder)) == wanted)
             };
-            change.in_force.iter().zip(0..).filter_map(there).max().map(|at| after(&at))
+            change
+                .in_force
+                .iter()
+                .zip(0..)
+                .filter_map(there)
+                .max()
+                .map(|at| after(&at))
         };
         ChangeInForce {
             made_at: change.made as f64 / SECOND as f64,
@@ -152,7 +161,8 @@
             delivered: forwarders.iter().map(|f| f.counts.delivered).sum(),
             gossip_in_bytes: sum(|c| c.gossip_in.wire_bytes),
             list_in_bytes: sum(|c| c.list_in.wire_bytes),
-            attempts_while_down: receivers.counts.calls_while_down + receivers.counts.probes_while_down,
+            attempts_while_down: receivers.counts.calls_while_down
+                + receivers.counts.probes_while_down,
         };
         let before = base.replace(now).unwrap_or_default();
         Column {
--- a/crates/lab/src/capacity/fleet/states.rs
+++ b/crates/lab/src/capacity/fleet/states.rs
@@ -23,7 +23,10 @@
 
 impl States {
     pub fn of(forwarders: &[HollowForwarder]) -> States {
-        let counts: Vec<StateCounts> = forwarders.iter().map(HollowForwarder::state_counts).collect();
+        let counts: Vec<StateCounts> = forwarders
+            .iter()
+            .map(HollowForwarder::state_counts)
+            .collect();
         let over = |of: fn(&StateCounts) -> f64| MeanAndWorst::of(counts.iter().map(of));
         States {
             full: over(|c| c.full as f64),
--- a/crates/lab/src/capacity/fleet/tally.rs
+++ b/crates/lab/src/capacity/fleet/tally.rs
@@ -16,8 +16,14 @@
     FirstList,
 }
 
-pub const WORK_KINDS: [Work; 6] =
-    [Work::Message, Work::Tick, Work::Probe, Work::Gossip, Work::List, Work::FirstList];
+pub const WORK_KINDS: [Work; 6] = [
+    Work::Message,
+    Work::Tick,
+    Work::Probe,
+    Work::Gossip,
+    Work::List,
+    Work::FirstList,
+];
 
 /// Events handled and the processor time that it took.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/lab/src/capacity/fleet/wire.rs
+++ b/crates/lab/src/capacity/fleet/wire.rs
@@ -61,7 +61,10 @@
 
     /// Counts one HTTP message, head and body.
     pub fn http(&mut self, payload: u64) {
-        self.add(payload, payload + SEGMENT_HEADERS * payload.div_ceil(SEGMENT));
+        self.add(
+            payload,
+            payload + SEGMENT_HEADERS * payload.div_ceil(SEGMENT),
+        );
     }
 
     fn add(&mut self, payload: u64, wire: u64) {
@@ -96,7 +99,10 @@
 impl ControlTraffic {
     /// Bytes on the wire after the start, both directions.
     pub fn running_bytes(&self) -> u64 {
-        [self.gossip_out, self.gossip_in, self.list_out, self.list_in].iter().map(|t| t.wire_bytes).sum()
+        [self.gossip_out, self.gossip_in, self.list_out, self.list_in]
+            .iter()
+            .map(|t| t.wire_bytes)
+            .sum()
     }
 }
 
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -79,30 +79,52 @@
 
 const FIGURES: [FigureOf; 18] = [
     ("time to ready", "s", |p| p.ready),
-    ("time until the last destination is taken", "s", |p| p.last_taken),
-    ("processor time at ready", "s", |p| p.at_ready.processor.as_secs_f64()),
+    ("time until the last destination is taken", "s", |p| {
+        p.last_taken
+    }),
+    ("processor time at ready", "s", |p| {
+        p.at_ready.processor.as_secs_f64()
+    }),
     ("memory at ready", "bytes", |p| p.at_ready.memory as f64),
     ("memory at rest", "bytes", |p| p.at_rest.memory as f64),
     ("memory after load", "bytes", |p| p.after_load.memory as f64),
-    ("memory, at rest after load", "bytes", |p| p.after_rest.memory as f64),
-    ("memory, highest", "bytes", |p| p.after_rest.memory_peak as f64),
+    ("memory, at rest after load", "bytes", |p| {
+        p.after_rest.memory as f64
+    }),
+    ("memory, highest", "bytes", |p| {
+        p.after_rest.memory_peak as f64
+    }),
     ("at rest: part of a core", "cores", |p| p.rest.of_a_core()),
-    ("under load: part of a core", "cores", |p| p.load.of_a_core()),
+    ("under load: part of a core", "cores", |p| {
+        p.load.of_a_core()
+    }),
     ("under load: processor time a message", "us", |p| {
         p.load.processor.as_secs_f64() * 1e6 / p.handed_in as f64
     }),
-    ("at rest after load: part of a core", "cores", |p| p.rest_after.of_a_core()),
+    ("at rest after load: part of a core", "cores", |p| {
+        p.rest_after.of_a_core()
+    }),
     ("distinct targets in use", "targets", |p| p.used.into()),
     ("messages handed in", "messages", |p| p.handed_in as f64),
     ("messages taken", "messages", |p| p.taken as f64),
     ("calls answered", "calls", |p| p.calls as f64),
-    ("descriptors, most under load", "descriptors", |p| p.most_descriptors as f64),
-    ("descriptors, at rest after load", "descriptors", |p| p.after_rest.descriptors as f64),
+    ("descriptors, most under load", "descriptors", |p| {
+        p.most_descriptors as f64
+    }),
+    ("descriptors, at rest after load", "descriptors", |p| {
+        p.after_rest.descriptors as f64
+    }),
 ];
 
 fn table(title: &str, size: &str, points: &[Point], size_of: fn(&Point) -> f64) -> Table {
-    let names: Vec<(&str, &str)> = FIGURES.iter().map(|(name, unit, _)| (*name, *unit)).collect();
-    let row = |p: &Point| Row { size: size_of(p), values: FIGURES.iter().map(|(_, _, of)| of(p)).collect() };
+    let names: Vec<(&str, &str)> = FIGURES
+        .iter()
+        .map(|(name, unit, _)| (*name, *unit))
+        .collect();
+    let row = |p: &Point| Row {
+        size: size_of(p),
+        values: FIGURES.iter().map(|(_, _, of)| of(p)).collect(),
+    };
     Table::new(title, size, &names, points.iter().map(row).collect())
 }
 
@@ -119,18 +141,37 @@
 }
 
 pub fn tables(options: &Options) -> Result<Vec<Table>, String> {
-    let runtime =
-        || tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(|e| e.to_string());
-    let by_size: Vec<(u32, u32)> = options.sizes.iter().map(|listed| (*listed, options.in_use)).collect();
-    let by_use: Vec<(u32, u32)> = options.in_use_sizes.iter().map(|n| (options.listed, *n)).collect();
-    let listed = |points: &[Point], title: &str| table(title, "listed targets", points, |p| p.listed.into());
+    let runtime = || {
+        tokio::runtime::Builder::new_multi_thread()
+            .enable_all()
+            .build()
+            .map_err(|e| e.to_string())
+    };
+    let by_size: Vec<(u32, u32)> = options
+        .sizes
+        .iter()
+        .map(|listed| (*listed, options.in_use))
+        .collect();
+    let by_use: Vec<(u32, u32)> = options
+        .in_use_sizes
+        .iter()
+        .map(|n| (options.listed, *n))
+        .collect();
+    let listed =
+        |points: &[Point], title: &str| table(title, "listed targets", points, |p| p.listed.into());
     // A runtime each: the stand-ins of one end with it.
     let known = runtime()?.block_on(points(options, &by_size, ListFrom::Known));
     let told = runtime()?.block_on(points(options, &by_size, ListFrom::Discovery));
     let used = runtime()?.block_on(points(options, &by_use, ListFrom::Known));
-    let title = format!("one forwarder, {} targets known at start, by those in use", options.listed);
+    let title = format!(
+        "one forwarder, {} targets known at start, by those in use",
+        options.listed
+    );
     Ok(vec![
-        listed(&known, "one forwarder, list known at start, discovery out of reach"),
+        listed(
+            &known,
+            "one forwarder, list known at start, discovery out of reach",
+        ),
         listed(&told, "one forwarder, list told by discovery"),
         table(&title, "targets in use", &used, |p| p.used.into()),
     ])
--- a/crates/lab/src/capacity/process/point.rs
+++ b/crates/lab/src/capacity/process/point.rs
@@ -149,19 +149,32 @@
             .kill_on_drop(true)
             .spawn()
             .map_err(say)?;
-        let pid = child.id().ok_or_else(|| format!("{}: ended at once", program.display()))?;
-        Ok(Subject { child, pid, listen, log })
+        let pid = child
+            .id()
+            .ok_or_else(|| format!("{}: ended at once", program.display()))?;
+        Ok(Subject {
+            child,
+            pid,
+            listen,
+            log,
+        })
     }
 
     pub fn usage(&self) -> Result<Usage, String> {
         Usage::of(self.pid)
     }
 
-    async fn stretch(&self, work: impl std::future::Future<Output = ()>) -> Result<Stretch, String> {
+    async fn stretch(
+        &self,
+        work: impl std::future::Future<Output = ()>,
+    ) -> Result<Stretch, String> {
         let (before, begun) = (self.usage()?, Instant::now());
         work.await;
         let lasted = begun.elapsed();
-        Ok(Stretch { lasted, processor: self.usage()?.processor.saturating_sub(before.processor) })
+        Ok(Stretch {
+            lasted,
+            processor: self.usage()?.processor.saturating_sub(before.processor),
+        })
     }
 
     /// The status of one request on a connection of its own; none where there was no answer.
@@ -227,12 +240,15 @@
     let next = Arc::new(AtomicUsize::new(0));
     let begun = tokio::time::Instant::now();
     let client = |_| {
-        let (Load { draws, rate, time }, next, taken) = (messages.clone(), next.clone(), taken.clone());
+        let (Load { draws, rate, time }, next, taken) =
+            (messages.clone(), next.clone(), taken.clone());
         tokio::spawn(async move {
             let mut kept: Option<Conn> = None;
             loop {
                 let number = next.fetch_add(1, Ordering::Relaxed);
-                let Some(destination) = draws.get(number) else { return };
+                let Some(destination) = draws.get(number) else {
+                    return;
+                };
                 let due = begun + Duration::from_secs_f64(number as f64 / rate as f64);
                 tokio::time::sleep_until(due).await;
                 let text = hand_in(&format!("m{number}"), *destination, time);
@@ -247,7 +263,10 @@
                     std::io::Result::Ok(answer.status)
                 };
                 // One that fails is a message that was not taken: it is counted as that.
-                taken.fetch_add(u64::from(matches!(answer.await, Ok(202))), Ordering::Relaxed);
+                taken.fetch_add(
+                    u64::from(matches!(answer.await, Ok(202))),
+                    Ordering::Relaxed,
+                );
             }
         })
     };
@@ -261,18 +280,30 @@
     let mut chance = stream(options.seed, "capacity process", u64::from(in_use));
     let (in_use, messages) = (in_use.clamp(1, listed), options.rate * options.seconds);
     let target = |place: u32| (u64::from(place) * u64::from(listed) / u64::from(in_use)) as u32;
-    (0..messages).map(|_| target(chance.random_range(0..in_use))).collect()
+    (0..messages)
+        .map(|_| target(chance.random_range(0..in_use)))
+        .collect()
 }
 
-pub async fn measure(options: &Options, listed: u32, in_use: u32, from: ListFrom) -> Result<Point, String> {
+pub async fn measure(
+    options: &Options,
+    listed: u32,
+    in_use: u32,
+    from: ListFrom,
+) -> Result<Point, String> {
     let say = |e: std::io::Error| e.to_string();
     let folder = tempfile::tempdir().map_err(say)?;
     let listen = nowhere().await.map_err(say)?;
     let port = {
-        let free = TcpListener::bind((Ipv4Addr::new(127, 1, 0, 0), 0)).await.map_err(say)?;
+        let free = TcpListener::bind((Ipv4Addr::new(127, 1, 0, 0), 0))
+            .await
+            .map_err(say)?;
         free.local_addr().map_err(say)?.port()
     };
-    let list = Listed { targets: listed, port };
+    let list = Listed {
+        targets: listed,
+        port,
+    };
     let draws = draws(options, listed, in_use);
     let last = listed - 1;
     let mut used: BTreeSet<u32> = draws.iter().copied().collect();
@@ -281,7 +312,12 @@
     let calls = targets(list, &used).map_err(say)?;
     let shape = options.shape();
     let papers = match from {
-        ListFrom::Known => startup_config(&shape, listen, nowhere().await.map_err(say)?, Some(list.text())),
+        ListFrom::Known => startup_config(
+            &shape,
+            listen,
+            nowhere().await.map_err(say)?,
+            Some(list.text()),
+        ),
         ListFrom::Discovery => {
             let (at, _) = discovery(list.text().to_string()).await.map_err(say)?;
             startup_config(&shape, listen, at, None)
@@ -289,7 +325,10 @@
     };
     let begun = Instant::now();
     let mut subject = Subject::start(&options.program(), folder.path(), listen, &papers)?;
-    let ready = subject.ready(begun, READY_WITHIN).await.map_err(|e| format!("{listed} targets: {e}"))?;
+    let ready = subject
+        .ready(begun, READY_WITHIN)
+        .await
+        .map_err(|e| format!("{listed} targets: {e}"))?;
     let at_ready = subject.usage()?;
     let to_last = |question| hand_in(&format!("first-{question}"), last, MESSAGE_TIME);
     let last_taken = subject.until(begun, LISTED_WITHIN, 202, to_last).await;
@@ -307,8 +346,14 @@
             }
         })
     };
-    let messages = Load { draws: draws.clone(), rate: options.rate, time: MESSAGE_TIME };
-    let under_load = subject.stretch(load(messages, listen, taken.clone())).await?;
+    let messages = Load {
+        draws: draws.clone(),
+        rate: options.rate,
+        time: MESSAGE_TIME,
+    };
+    let under_load = subject
+        .stretch(load(messages, listen, taken.clone()))
+        .await?;
     tokio::time::sleep(SETTLED).await;
     watch.abort();
     let after_load = subject.usage()?;
--- a/crates/lab/src/capacity/process/standins.rs
+++ b/crates/lab/src/capacity/process/standins.rs
@@ -78,10 +78,14 @@
     let counted = completion_reports.clone();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let (mut conn, list, completion_reports) = (Conn::new(stream), list.clone(), counted.clone());
+            let (mut conn, list, completion_reports) =
+                (Conn::new(stream), list.clone(), counted.clone());
             tokio::spawn(async move {
                 while let Ok(Some(asked)) = conn.request().await {
-                    let wait = asked.path.split_once("wait=").map(|(_, wait)| wait.parse::<u64>());
+                    let wait = asked
+                        .path
+                        .split_once("wait=")
+                        .map(|(_, wait)| wait.parse::<u64>());
                     let answered = match wait {
                         _ if asked.method == "POST" => {
                             completion_reports.fetch_add(1, Ordering::Relaxed);
@@ -107,5 +111,7 @@
 
 /// An address of loopback where nobody listens.
 pub async fn nowhere() -> io::Result<SocketAddr> {
-    TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?.local_addr()
+    TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
+        .await?
+        .local_addr()
 }
--- a/crates/lab/src/capacity/slope.rs
+++ b/crates/lab/src/capacity/slope.rs
@@ -42,15 +42,23 @@
             points.iter().map(|p| p.0).sum::<f64>() / count,
             points.iter().map(|p| p.1).sum::<f64>() / count,
         );
-        let sum =
-            |of: &dyn Fn(f64, f64) -> f64| points.iter().map(|p| of(p.0 - mean_x, p.1 - mean_y)).sum::<f64>();
+        let sum = |of: &dyn Fn(f64, f64) -> f64| {
+            points
+                .iter()
+                .map(|p| of(p.0 - mean_x, p.1 - mean_y))
+                .sum::<f64>()
+        };
         let (xx, xy, yy) = (sum(&|x, _| x * x), sum(&|x, y| x * y), sum(&|_, y| y * y));
         if xx.is_nan() || xx <= 0.0 {
             return None;
         }
         let slope = xy / xx;
         let fit = if yy > 0.0 { xy * xy / (xx * yy) } else { 1.0 };
-        Some(Slope { slope, intercept: mean_y - slope * mean_x, fit })
+        Some(Slope {
+            slope,
+            intercept: mean_y - slope * mean_x,
+            fit,
+        })
     }
 
     pub fn at(&self, size: f64) -> f64 {
@@ -74,14 +82,28 @@
     pub fn new(title: &str, size: &str, figures: &[(&str, &str)], rows: Vec<Row>) -> Table {
         // A figure that was not reached at a size is not a number, and no point.
         let points = |n: usize| -> Vec<(f64, f64)> {
-            rows.iter().map(|r| (r.size, r.values[n])).filter(|(_, value)| value.is_finite()).collect()
+            rows.iter()
+                .map(|r| (r.size, r.values[n]))
+                .filter(|(_, value)| value.is_finite())
+                .collect()
         };
-        let slopes = (0..figures.len()).map(|n| Slope::through(&points(n))).collect();
+        let slopes = (0..figures.len())
+            .map(|n| Slope::through(&points(n)))
+            .collect();
         let figures = figures
             .iter()
-            .map(|(name, unit)| Figure { name: (*name).into(), unit: (*unit).into() })
+            .map(|(name, unit)| Figure {
+                name: (*name).into(),
+                unit: (*unit).into(),
+            })
             .collect();
-        Table { title: title.into(), size: size.into(), figures, rows, slopes }
+        Table {
+            title: title.into(),
+            size: size.into(),
+            figures,
+            rows,
+            slopes,
+        }
     }
 
     /// The slope of a figure, by its name.
@@ -109,13 +131,23 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{}", self.title)?;
         write!(f, "  {:<44}", self.size)?;
-        self.rows.iter().try_for_each(|r| write!(f, "{:>12}", r.size))?;
+        self.rows
+            .iter()
+            .try_for_each(|r| write!(f, "{:>12}", r.size))?;
         writeln!(f, "{:>14}{:>12}{:>7}", "slope", "at 0", "fit")?;
         for (place, figure) in self.figures.iter().enumerate() {
             write!(f, "  {:<44}", format!("{}, {}", figure.name, figure.unit))?;
-            self.rows.iter().try_for_each(|r| write!(f, "{:>12}", short(r.values[place])))?;
+            self.rows
+                .iter()
+                .try_for_each(|r| write!(f, "{:>12}", short(r.values[place])))?;
             match self.slopes[place] {
-                Some(s) => writeln!(f, "{:>14}{:>12}{:>7.3}", short(s.slope), short(s.intercept), s.fit)?,
+                Some(s) => writeln!(
+                    f,
+                    "{:>14}{:>12}{:>7.3}",
+                    short(s.slope),
+                    short(s.intercept),
+                    s.fit
+                )?,
                 None => writeln!(f)?,
             }
         }
@@ -126,8 +158,10 @@
 /// One plot a figure: the points as measured and the line through them.
 pub fn plot(tables: &[Table]) -> Result<String, String> {
     let say = |e: DrawingAreaErrorKind<_>| e.to_string();
-    let panels: Vec<(&Table, usize)> =
-        tables.iter().flat_map(|t| (0..t.figures.len()).map(move |n| (t, n))).collect();
+    let panels: Vec<(&Table, usize)> = tables
+        .iter()
+        .flat_map(|t| (0..t.figures.len()).map(move |n| (t, n)))
+        .collect();
     let rows = panels.len().div_ceil(PANELS_A_ROW).max(1);
     let mut svg = String::new();
     {
@@ -140,21 +174,37 @@
             let points: Vec<(f64, f64)> = all.filter(|(_, value)| value.is_finite()).collect();
             let widest = points.iter().map(|p| p.0).fold(1.0, f64::max);
             let slope = table.slopes[*place];
-            let ends: Vec<(f64, f64)> =
-                slope.iter().flat_map(|s| [0.0, widest].map(|x| (x, s.at(x)))).collect();
+            let ends: Vec<(f64, f64)> = slope
+                .iter()
+                .flat_map(|s| [0.0, widest].map(|x| (x, s.at(x))))
+                .collect();
             let values = || points.iter().chain(&ends).map(|p| p.1);
             let (low, high) = (values().fold(0.0, f64::min), values().fold(0.0, f64::max));
-            let high = if high > low { high + 0.1 * (high - low) } else { low + 1.0 };
+            let high = if high > low {
+                high + 0.1 * (high - low)
+            } else {
+                low + 1.0
+            };
             let mut chart = ChartBuilder::on(&panel)
-                .caption(format!("{} ({})", figure.name, figure.unit), ("sans-serif", 13))
+                .caption(
+                    format!("{} ({})", figure.name, figure.unit),
+                    ("sans-serif", 13),
+                )
                 .margin(6)
                 .x_label_area_size(34)
                 .y_label_area_size(62)
                 .build_cartesian_2d(0.0..widest * 1.05, low..high)
                 .map_err(say)?;
             let mesh = &mut chart.configure_mesh();
-            mesh.x_desc(&table.size).x_labels(6).y_labels(5).light_line_style(WHITE).draw().map_err(say)?;
-            chart.draw_series(LineSeries::new(ends, BLUE.stroke_width(1))).map_err(say)?;
+            mesh.x_desc(&table.size)
+                .x_labels(6)
+                .y_labels(5)
+                .light_line_style(WHITE)
+                .draw()
+                .map_err(say)?;
+            chart
+                .draw_series(LineSeries::new(ends, BLUE.stroke_width(1)))
+                .map_err(say)?;
             let dots = points.iter().map(|p| Circle::new(*p, POINT, RED.filled()));
             chart.draw_series(dots).map_err(say)?;
         }
@@ -170,7 +220,10 @@
         std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
     };
     if let Some(path) = &outputs.json {
-        write(path, serde_json::to_string_pretty(tables).map_err(|e| e.to_string())? + "\n")?;
+        write(
+            path,
+            serde_json::to_string_pretty(tables).map_err(|e| e.to_string())? + "\n",
+        )?;
     }
     if let Some(path) = &outputs.plot {
         write(path, plot(tables)?)?;
--- a/crates/lab/src/capacity/usage.rs
+++ b/crates/lab/src/capacity/usage.rs
@@ -9,15 +9,21 @@
 /// Processor time of this process so far, user and system.
 pub fn own_processor_time() -> Result<Duration, String> {
     let used = clock_gettime(ClockId::CLOCK_PROCESS_CPUTIME_ID);
-    used.map(Duration::from).map_err(|e| format!("the processor time can't be read: {e}"))
+    used.map(Duration::from)
+        .map_err(|e| format!("the processor time can't be read: {e}"))
 }
 
 /// Resident memory of this process, bytes.
 pub fn own_memory() -> Result<u64, String> {
     let path = "/proc/self/statm";
     let text = fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-    let pages = text.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok());
-    pages.map(|pages| pages * PAGE).ok_or_else(|| format!("{path}: {text}"))
+    let pages = text
+        .split_whitespace()
+        .nth(1)
+        .and_then(|pages| pages.parse::<u64>().ok());
+    pages
+        .map(|pages| pages * PAGE)
+        .ok_or_else(|| format!("{path}: {text}"))
 }
 
 /// What another process uses at one moment.
@@ -39,9 +45,13 @@
         };
         let status = read("status")?;
         let memory = |name: &str| {
-            let line = status.lines().find_map(|line| line.strip_prefix(name)?.strip_suffix(" kB"));
+            let line = status
+                .lines()
+                .find_map(|line| line.strip_prefix(name)?.strip_suffix(" kB"));
             let kilobytes = line.and_then(|line| line.trim().parse::<u64>().ok());
-            kilobytes.map(|kb| kb * 1024).ok_or_else(|| format!("/proc/{pid}/status has no {name}"))
+            kilobytes
+                .map(|kb| kb * 1024)
+                .ok_or_else(|| format!("/proc/{pid}/status has no {name}"))
         };
         let entries = |name: &str| {
             let path = format!("/proc/{pid}/{name}");
@@ -49,9 +59,14 @@
         };
         let mut nanoseconds = 0;
         for thread in entries("task")?.flatten() {
-            let schedule = read(&format!("task/{}/schedstat", thread.file_name().to_string_lossy()));
+            let schedule = read(&format!(
+                "task/{}/schedstat",
+                thread.file_name().to_string_lossy()
+            ));
             // A thread that has ended since it was listed is none.
-            let used = schedule.ok().and_then(|s| s.split_whitespace().next()?.parse::<u64>().ok());
+            let used = schedule
+                .ok()
+                .and_then(|s| s.split_whitespace().next()?.parse::<u64>().ok());
             nanoseconds += used.unwrap_or(0);
         }
         Ok(Usage {
--- a/crates/lab/src/chance.rs
+++ b/crates/lab/src/chance.rs
@@ -9,9 +9,11 @@
 /// A stream of chance of its own for `what`, number `number`, of the run with this seed.
 pub fn stream(seed: u64, what: &str, number: u64) -> Pcg64Mcg {
     // FNV-1a over the name: any fixed spreading does, the generator mixes further.
-    let named =
-        what.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
-    let state = u128::from(seed) << 64 | u128::from(named ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    let named = what.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
+    });
+    let state =
+        u128::from(seed) << 64 | u128::from(named ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let mut rng = Pcg64Mcg::new(state | 1);
     let _: u64 = rng.random(); // the first output still shows the state
     Pcg64Mcg::seed_from_u64(rng.random())
@@ -30,8 +32,16 @@
             let mu = (mean.0.max(1) as f64).ln() - sigma * sigma / 2.0;
             LogNormal::new(mu, *sigma).map_or(mean.0 as f64, |l| l.sample(rng))
         }
-        Service::Bimodal { fast, slow, slow_share } => {
-            (if rng.random_bool(slow_share.clamp(0.0, 1.0)) { slow.0 } else { fast.0 }) as f64
+        Service::Bimodal {
+            fast,
+            slow,
+            slow_share,
+        } => {
+            (if rng.random_bool(slow_share.clamp(0.0, 1.0)) {
+                slow.0
+            } else {
+                fast.0
+            }) as f64
         }
     };
     time.round().max(1.0) as Micros
@@ -42,9 +52,11 @@
     match service {
         Service::Constant { time } => time.0 as f64,
         Service::Exponential { mean } | Service::Lognormal { mean, .. } => mean.0 as f64,
-        Service::Bimodal { fast, slow, slow_share } => {
-            fast.0 as f64 * (1.0 - slow_share) + slow.0 as f64 * slow_share
-        }
+        Service::Bimodal {
+            fast,
+            slow,
+            slow_share,
+        } => fast.0 as f64 * (1.0 - slow_share) + slow.0 as f64 * slow_share,
     }
 }
 
@@ -74,7 +86,8 @@
             Pick::Zipf(zipf) => zipf.sample(rng) as usize - 1,
             Pick::Weights(sums) => {
                 let at = rng.random::<f64>() * sums.last().copied().unwrap_or(0.0);
-                sums.partition_point(|s| *s <= at).min(sums.len().saturating_sub(1))
+                sums.partition_point(|s| *s <= at)
+                    .min(sums.len().saturating_sub(1))
             }
         }
     }
--- a/crates/lab/src/experiments.rs
+++ b/crates/lab/src/experiments.rs
@@ -16,7 +16,9 @@
 pub fn with_values(scenario: &Scenario, sets: &[String]) -> Result<Scenario, String> {
     let mut value = toml::Value::try_from(scenario).map_err(|e| e.to_string())?;
     for set in sets {
-        let (key, text) = set.split_once('=').ok_or(format!("{set}: write KEY=VALUE"))?;
+        let (key, text) = set
+            .split_once('=')
+            .ok_or(format!("{set}: write KEY=VALUE"))?;
         let text = text.trim();
         // A bare word is a string; all else is read as the file would be.
         let new = toml::from_str::<toml::Table>(&format!("v = {text}"))
@@ -26,19 +28,31 @@
         put(&mut value, key.trim(), new)?;
     }
     let text = toml::to_string(&value).map_err(|e| e.to_string())?;
-    Scenario::read(&text, &format!("{} with {}", scenario.name, sets.join(", "))).map_err(|e| e.to_string())
+    Scenario::read(
+        &text,
+        &format!("{} with {}", scenario.name, sets.join(", ")),
+    )
+    .map_err(|e| e.to_string())
 }
 
 fn put(value: &mut toml::Value, key: &str, new: toml::Value) -> Result<(), String> {
     let mut here = value;
     for part in key.split('.') {
         let (name, numbers) = part.split_once('[').map_or((part, ""), |(n, r)| (n, r));
-        let table = here.as_table_mut().ok_or(format!("{key}: {name} is not in a table"))?;
-        here = table.entry(name).or_insert_with(|| toml::Value::Table(toml::Table::new()));
+        let table = here
+            .as_table_mut()
+            .ok_or(format!("{key}: {name} is not in a table"))?;
+        here = table
+            .entry(name)
+            .or_insert_with(|| toml::Value::Table(toml::Table::new()));
         if !numbers.is_empty() {
             let number = numbers.trim_end_matches(']');
-            let at: usize = number.parse().map_err(|_| format!("{key}: [{number}] is no place"))?;
-            here = here.get_mut(at).ok_or(format!("{key}: there is no [{at}]"))?;
+            let at: usize = number
+                .parse()
+                .map_err(|_| format!("{key}: [{number}] is no place"))?;
+            here = here
+                .get_mut(at)
+                .ok_or(format!("{key}: there is no [{at}]"))?;
         }
     }
     // Whole figures may stand where others are meant.
@@ -50,7 +64,11 @@
 }
 
 /// Runs jobs on so many threads, and gives what they came to in the order of the jobs.
-pub fn in_parallel<J: Sync, R: Send>(jobs: &[J], threads: usize, run: impl Fn(&J) -> R + Sync) -> Vec<R> {
+pub fn in_parallel<J: Sync, R: Send>(
+    jobs: &[J],
+    threads: usize,
+    run: impl Fn(&J) -> R + Sync,
+) -> Vec<R> {
     let next = AtomicUsize::new(0);
     let results = Mutex::new((0..jobs.len()).map(|_| None).collect::<Vec<Option<R>>>());
     std::thread::scope(|scope| {
@@ -65,7 +83,9 @@
             });
         }
     });
-    results.into_inner().map_or_else(|_| Vec::new(), |r| r.into_iter().flatten().collect())
+    results
+        .into_inner()
+        .map_or_else(|_| Vec::new(), |r| r.into_iter().flatten().collect())
 }
 
 /// One simulated run.
--- a/crates/lab/src/experiments/bids.rs
+++ b/crates/lab/src/experiments/bids.rs
@@ -2,8 +2,8 @@
 //! end, with the bid that follows. Wall-clock figures: they are of this machine.
 
 use opalpulley::{
-    Action, Arrival, DestinationId, Event, Forwarder, KindId, ListNews, Listing, Micros, Outcome, PacketId,
-    Past, ProfileId, Standing, TargetId, TenantId, ZoneId,
+    Action, Arrival, DestinationId, Event, Forwarder, KindId, ListNews, Listing, Micros, Outcome,
+    PacketId, Past, ProfileId, Standing, TargetId, TenantId, ZoneId,
 };
 use serde::Serialize;
 use std::time::Instant;
@@ -43,12 +43,29 @@
     let scenario = crate::scenario::Scenario::read(text, "bids")
         .unwrap_or_else(|e| unreachable!("a fixed scenario: {e}"));
     let expiry = scenario.longest_expiry();
-    let target = TargetId { address: [10, 0, 0, 1], port: 80, holder: 0 };
-    let (zone, standing, destination, kind) = (ZoneId(0), Standing::Ready, DestinationId(0), KindId(0));
-    let listing = Listing { target, zone, since: 0, standing, rate: 1e6, destination, kind };
+    let target = TargetId {
+        address: [10, 0, 0, 1],
+        port: 80,
+        holder: 0,
+    };
+    let (zone, standing, destination, kind) =
+        (ZoneId(0), Standing::Ready, DestinationId(0), KindId(0));
+    let listing = Listing {
+        target,
+        zone,
+        since: 0,
+        standing,
+        rate: 1e6,
+        destination,
+        kind,
+    };
     let mut core = Forwarder::new(scenario.config(0), 1);
     let (mut now, mut actions) = (1_000_000, Vec::new());
-    core.handle(now, Event::List(ListNews::Cached(vec![listing])), &mut actions);
+    core.handle(
+        now,
+        Event::List(ListNews::Cached(vec![listing])),
+        &mut actions,
+    );
     let mut next = 0;
     let mut arrive = |core: &mut Forwarder, now: Micros, actions: &mut Vec<Action>| {
         next += 1;
@@ -60,15 +77,31 @@
     }
     let (mut ends, mut arrivals) = (0.0, 0.0);
     for _ in 0..rounds {
-        let sent = |a: &Action| if let Action::Send { id, .. } = a { Some(*id) } else { None };
-        let Some(id) = actions.iter().rev().find_map(sent) else { break };
+        let sent = |a: &Action| {
+            if let Action::Send { id, .. } = a {
+                Some(*id)
+            } else {
+                None
+            }
+        };
+        let Some(id) = actions.iter().rev().find_map(sent) else {
+            break;
+        };
         actions.clear();
         now += STEP;
         let begun = Instant::now();
         let (took, closed, report) = (STEP, true, Vec::new());
         core.handle(
             now,
-            Event::TripEnded { id, trip: 0, target, outcome: Outcome::Delivered, took, closed, report },
+            Event::TripEnded {
+                id,
+                trip: 0,
+                target,
+                outcome: Outcome::Delivered,
+                took,
+                closed,
+                report,
+            },
             &mut actions,
         );
         ends += begun.elapsed().as_nanos() as f64;
@@ -77,5 +110,9 @@
         arrivals += begun.elapsed().as_nanos() as f64;
     }
     let rounds = f64::from(rounds.max(1));
-    Cost { waiting, arrival: arrivals / rounds, end: ends / rounds }
+    Cost {
+        waiting,
+        arrival: arrivals / rounds,
+        end: ends / rounds,
+    }
 }
--- a/crates/lab/src/experiments/compare.rs
+++ b/crates/lab/src/experiments/compare.rs
@@ -57,12 +57,36 @@
 }
 
 const MEASURES: [Measure; 6] = [
-    Measure { name: "service", of: |o| o.service, more_is_better: true },
-    Measure { name: "served", of: Outcome::served_share, more_is_better: true },
-    Measure { name: "p50 ms", of: |o| o.latency.p50 as f64 / 1e3, more_is_better: false },
-    Measure { name: "p99 ms", of: |o| o.latency.p99 as f64 / 1e3, more_is_better: false },
-    Measure { name: "calls a packet", of: Outcome::calls_a_packet, more_is_better: false },
-    Measure { name: "falls", of: |o| o.falls as f64, more_is_better: false },
+    Measure {
+        name: "service",
+        of: |o| o.service,
+        more_is_better: true,
+    },
+    Measure {
+        name: "served",
+        of: Outcome::served_share,
+        more_is_better: true,
+    },
+    Measure {
+        name: "p50 ms",
+        of: |o| o.latency.p50 as f64 / 1e3,
+        more_is_better: false,
+    },
+    Measure {
+        name: "p99 ms",
+        of: |o| o.latency.p99 as f64 / 1e3,
+        more_is_better: false,
+    },
+    Measure {
+        name: "calls a packet",
+        of: Outcome::calls_a_packet,
+        more_is_better: false,
+    },
+    Measure {
+        name: "falls",
+        of: |o| o.falls as f64,
+        more_is_better: false,
+    },
 ];
 
 /// The 95 % interval of the mean of the differences, by resampling the pairs.
@@ -73,10 +97,18 @@
     let mut rng = stream(seed, "bootstrap", 0);
     let n = differences.len();
     let mut means: Vec<f64> = (0..RESAMPLES)
-        .map(|_| (0..n).map(|_| differences[rng.random_range(0..n)]).sum::<f64>() / n as f64)
+        .map(|_| {
+            (0..n)
+                .map(|_| differences[rng.random_range(0..n)])
+                .sum::<f64>()
+                / n as f64
+        })
         .collect();
     means.sort_by(f64::total_cmp);
-    (means[RESAMPLES * 25 / 1000], means[RESAMPLES * 975 / 1000 - 1])
+    (
+        means[RESAMPLES * 25 / 1000],
+        means[RESAMPLES * 975 / 1000 - 1],
+    )
 }
 
 /// Runs of A and of B, paired by their places.
@@ -91,7 +123,9 @@
         let sign = if m.more_is_better { 1.0 } else { -1.0 };
         let verdict = match (low * sign, high * sign) {
             // One pair shows no spread: nothing is told by it.
-            _ if pairs < 2 || mean(&differences).abs() < UNSEEN * mean(&a).abs() => Verdict::CantTell,
+            _ if pairs < 2 || mean(&differences).abs() < UNSEEN * mean(&a).abs() => {
+                Verdict::CantTell
+            }
             (l, h) if l.min(h) > 0.0 => Verdict::Better,
             (l, h) if l.max(h) < 0.0 => Verdict::Worse,
             _ => Verdict::CantTell,
@@ -113,12 +147,21 @@
         [a, 0] if a > 0 => Verdict::Better,
         _ => figures[0].verdict,
     };
-    Comparison { pairs, figures, broken, verdict }
+    Comparison {
+        pairs,
+        figures,
+        broken,
+        verdict,
+    }
 }
 
 impl fmt::Display for Comparison {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{:<16}{:>12}{:>12}{:>12}   {:<26}B is", "", "A", "B", "B - A", "95 % interval")?;
+        writeln!(
+            f,
+            "{:<16}{:>12}{:>12}{:>12}   {:<26}B is",
+            "", "A", "B", "B - A", "95 % interval"
+        )?;
         for x in &self.figures {
             let interval = format!("{:+.4} to {:+.4}", x.low, x.high);
             let verdict = x.verdict;
@@ -137,7 +180,8 @@
             f,
             "verdict: B is {}",
             match self.verdict {
-                Verdict::CantTell => "neither better nor worse as far as these runs can tell".into(),
+                Verdict::CantTell =>
+                    "neither better nor worse as far as these runs can tell".into(),
                 verdict => verdict.to_string(),
             }
         )
--- a/crates/lab/src/experiments/hunt.rs
+++ b/crates/lab/src/experiments/hunt.rs
@@ -32,16 +32,29 @@
     for load in &mut scenario.loads {
         load.rate *= rng.random_range(0.5..1.8);
     }
-    scenario.forwarders.count = rng.random_range(1..=base.forwarders.count.max(1) * 2).min(64);
-    scenario.forwarders.slots = (f64::from(base.forwarders.slots) * rng.random_range(0.3..1.5)).ceil() as u32;
+    scenario.forwarders.count = rng
+        .random_range(1..=base.forwarders.count.max(1) * 2)
+        .min(64);
+    scenario.forwarders.slots =
+        (f64::from(base.forwarders.slots) * rng.random_range(0.3..1.5)).ceil() as u32;
     scenario.forwarders.trips = rng.random_range(2..=base.forwarders.trips.max(2));
     scenario.network.list_lag = Span(rng.random_range(0..3_000_000));
     for d in &mut scenario.destinations {
         d.rate *= rng.random_range(0.5..1.5);
-        d.errors = if rng.random_bool(0.3) { rng.random_range(0.0..0.3) } else { d.errors };
-        d.wait = if rng.random_bool(0.5) { Span(rng.random_range(50_000..3_000_000)) } else { d.wait };
+        d.errors = if rng.random_bool(0.3) {
+            rng.random_range(0.0..0.3)
+        } else {
+            d.errors
+        };
+        d.wait = if rng.random_bool(0.5) {
+            Span(rng.random_range(50_000..3_000_000))
+        } else {
+            d.wait
+        };
     }
-    scenario.troubles = (0..rng.random_range(1..=8)).map(|_| trouble(base, rng)).collect();
+    scenario.troubles = (0..rng.random_range(1..=8))
+        .map(|_| trouble(base, rng))
+        .collect();
     scenario
 }
 
@@ -50,9 +63,14 @@
     let what = match rng.random_range(0..18) {
         0 | 1 => What::Refusing,
         2 | 3 => What::Silent,
-        4 => What::Slow { times: rng.random_range(2.0..20.0) },
+        4 => What::Slow {
+            times: rng.random_range(2.0..20.0),
+        },
         5 => What::Erring { rate },
-        6 => What::Reset { rate, when: [When::Before, When::Within, When::After][rng.random_range(0..3)] },
+        6 => What::Reset {
+            rate,
+            when: [When::Before, When::Within, When::After][rng.random_range(0..3)],
+        },
         7 => What::AnswerLost { rate },
         8 => What::Garbled { rate },
         9 => What::Endless { rate },
@@ -61,21 +79,35 @@
             down: Span(rng.random_range(200_000..4_000_000)),
             up: Span(rng.random_range(200_000..4_000_000)),
         },
-        12 => What::Brownout { left: rng.random_range(0.05..0.8) },
-        13 => What::Jam { times: rng.random_range(2.0..15.0) },
+        12 => What::Brownout {
+            left: rng.random_range(0.05..0.8),
+        },
+        13 => What::Jam {
+            times: rng.random_range(2.0..15.0),
+        },
         14 => What::Drain,
         15 => match rng.random_range(0..3) {
             0 => What::Stale,
-            1 => What::Partial { missing: rng.random_range(0.1..0.9) },
+            1 => What::Partial {
+                missing: rng.random_range(0.1..0.9),
+            },
             _ => What::ProbesFail,
         },
-        16 => What::Killed { folder: rng.random_bool(0.8) },
+        16 => What::Killed {
+            folder: rng.random_bool(0.8),
+        },
         _ => What::Paused,
     };
     let on = match rng.random_range(0..4) {
         0 => Where::default(),
-        1 => Where { zone: Some(rng.random_range(0..2)), ..Where::default() },
-        2 => Where { share: Some(rng.random_range(0.1..0.9)), ..Where::default() },
+        1 => Where {
+            zone: Some(rng.random_range(0..2)),
+            ..Where::default()
+        },
+        2 => Where {
+            share: Some(rng.random_range(0.1..0.9)),
+            ..Where::default()
+        },
         _ => {
             let d = &base.destinations[rng.random_range(0..base.destinations.len())];
             Where {
@@ -87,7 +119,12 @@
     };
     let at = rng.random_range(0..base.lasts.0.max(2) * 3 / 4);
     let lasts = rng.random_range(100_000..=base.lasts.0 / 2 + 100_000);
-    Trouble { at: Span(at), lasts: Span(lasts), what, on }
+    Trouble {
+        at: Span(at),
+        lasts: Span(lasts),
+        what,
+        on,
+    }
 }
 
 fn loss(outcome: &Outcome) -> f64 {
@@ -97,7 +134,10 @@
 /// Whether a smaller world still shows what was found.
 fn still(found: &Outcome, now: &Outcome) -> bool {
     match found.broken.keys().next() {
-        Some(_) => found.broken.keys().any(|rule| now.broken.contains_key(rule)),
+        Some(_) => found
+            .broken
+            .keys()
+            .any(|rule| now.broken.contains_key(rule)),
         None => loss(now) >= KEPT * loss(found),
     }
 }
@@ -123,8 +163,16 @@
         let (a, b) = (rank(a), rank(b));
         a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
     });
-    let Some((seed, outcome)) = worst else { return Err("no world was drawn".into()) };
-    let mut catch = Catch { scenario: draw(base, seed), seed, outcome, drawn: worlds, shrinking: 0 };
+    let Some((seed, outcome)) = worst else {
+        return Err("no world was drawn".into());
+    };
+    let mut catch = Catch {
+        scenario: draw(base, seed),
+        seed,
+        outcome,
+        drawn: worlds,
+        shrinking: 0,
+    };
     shrink(&mut catch, make)?;
     Ok(catch)
 }
@@ -155,7 +203,12 @@
     for n in 0..scenario.troubles.len() {
         with(&|s| _ = s.troubles.remove(n));
     }
-    let last = scenario.troubles.iter().map(|t| t.at.0 + t.lasts.0).max().unwrap_or(0);
+    let last = scenario
+        .troubles
+        .iter()
+        .map(|t| t.at.0 + t.lasts.0)
+        .max()
+        .unwrap_or(0);
     if scenario.lasts.0 > 4_000_000 && last < scenario.lasts.0 / 2 {
         with(&|s| s.lasts = Span(s.lasts.0 / 2));
     }
--- a/crates/lab/src/experiments/sweep.rs
+++ b/crates/lab/src/experiments/sweep.rs
@@ -32,25 +32,39 @@
     seeds: u64,
     make: Make,
 ) -> Result<Sweep, String> {
-    let scenarios: Vec<Scenario> =
-        values.iter().map(|v| with_values(scenario, &[format!("{key}={v}")])).collect::<Result<_, _>>()?;
-    let jobs: Vec<(usize, u64)> = (0..values.len()).flat_map(|v| (1..=seeds).map(move |s| (v, s))).collect();
-    let outcomes = in_parallel(&jobs, threads(), |(v, seed)| simulate(&scenarios[*v], *seed, make));
-    let outcomes: Vec<_> = outcomes.into_iter().collect::<Result<_, _>>()?;
-    let rows = values.iter().zip(outcomes.chunks(seeds.max(1) as usize)).map(|(value, runs)| {
-        let mean =
-            |of: &dyn Fn(&crate::tally::Outcome) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
-        Row {
-            value: value.clone(),
-            service: mean(&|o| o.service),
-            served: mean(&|o| o.served_share()),
-            p50: mean(&|o| o.latency.p50 as f64 / 1e3),
-            p99: mean(&|o| o.latency.p99 as f64 / 1e3),
-            calls_a_packet: mean(&|o| o.calls_a_packet()),
-            broken: runs.iter().flat_map(|o| o.broken.values()).sum(),
-        }
+    let scenarios: Vec<Scenario> = values
+        .iter()
+        .map(|v| with_values(scenario, &[format!("{key}={v}")]))
+        .collect::<Result<_, _>>()?;
+    let jobs: Vec<(usize, u64)> = (0..values.len())
+        .flat_map(|v| (1..=seeds).map(move |s| (v, s)))
+        .collect();
+    let outcomes = in_parallel(&jobs, threads(), |(v, seed)| {
+        simulate(&scenarios[*v], *seed, make)
     });
-    Ok(Sweep { key: key.into(), seeds, rows: rows.collect() })
+    let outcomes: Vec<_> = outcomes.into_iter().collect::<Result<_, _>>()?;
+    let rows = values
+        .iter()
+        .zip(outcomes.chunks(seeds.max(1) as usize))
+        .map(|(value, runs)| {
+            let mean = |of: &dyn Fn(&crate::tally::Outcome) -> f64| {
+                runs.iter().map(of).sum::<f64>() / runs.len() as f64
+            };
+            Row {
+                value: value.clone(),
+                service: mean(&|o| o.service),
+                served: mean(&|o| o.served_share()),
+                p50: mean(&|o| o.latency.p50 as f64 / 1e3),
+                p99: mean(&|o| o.latency.p99 as f64 / 1e3),
+                calls_a_packet: mean(&|o| o.calls_a_packet()),
+                broken: runs.iter().flat_map(|o| o.broken.values()).sum(),
+            }
+        });
+    Ok(Sweep {
+        key: key.into(),
+        seeds,
+        rows: rows.collect(),
+    })
 }
 
 impl fmt::Display for Sweep {
--- a/crates/lab/src/experiments/tests.rs
+++ b/crates/lab/src/experiments/tests.rs
@@ -17,8 +17,16 @@
     let base = scenario("");
     let sets = ["forwarders.slots=7", "destinations[0].rate=12", "lasts=5s"].map(String::from);
     let set = with_values(&base, &sets).expect("they fit");
-    assert_eq!((set.forwarders.slots, set.destinations[0].rate, set.lasts.0), (7, 12.0, 5_000_000));
-    for bad in ["slots", "forwarders.slits=7", "destinations[9].rate=1", "forwarders.slots=0"] {
+    assert_eq!(
+        (set.forwarders.slots, set.destinations[0].rate, set.lasts.0),
+        (7, 12.0, 5_000_000)
+    );
+    for bad in [
+        "slots",
+        "forwarders.slits=7",
+        "destinations[9].rate=1",
+        "forwarders.slots=0",
+    ] {
         assert!(with_values(&base, &[bad.into()]).is_err(), "{bad}");
     }
 }
@@ -29,7 +37,9 @@
     let base = with_values(&scenario(""), &["loads[0].rate=65".into()]).expect("it fits");
     let seeds: Vec<u64> = (1..=6).collect();
     let runs = |scenario: &Scenario, make| {
-        in_parallel(&seeds, 4, |s| simulate(scenario, *s, make).expect("it runs"))
+        in_parallel(&seeds, 4, |s| {
+            simulate(scenario, *s, make).expect("it runs")
+        })
     };
     let narrow = with_values(&base, &["forwarders.slots=1".into()]).expect("it fits");
     let (wide, narrow) = (runs(&base, Make::True), runs(&narrow, Make::True));
@@ -47,7 +57,9 @@
 fn the_interval_of_a_mean_holds_its_mean_most_of_the_time() {
     let mut rng = crate::chance::stream(3, "interval", 0);
     let held = (0..200).filter(|n| {
-        let sample: Vec<f64> = (0..20).map(|_| crate::chance::exponential(&mut rng)).collect();
+        let sample: Vec<f64> = (0..20)
+            .map(|_| crate::chance::exponential(&mut rng))
+            .collect();
         let (low, high) = compare::interval(&sample, *n);
         low < 1.0 && high > 1.0
     });
@@ -59,19 +71,31 @@
 fn a_hunt_finds_what_is_broken_and_shrinks_it() {
     let base = scenario("");
     let catch = hunt(&base, 1, 12, Make::ResendsBinding, |_| {}).expect("it runs");
-    assert!(catch.outcome.broken.contains_key("effect-twice"), "{:?}", catch.outcome.broken);
+    assert!(
+        catch.outcome.broken.contains_key("effect-twice"),
+        "{:?}",
+        catch.outcome.broken
+    );
     let drawn = draw(&base, catch.seed);
     let weight = |s: &Scenario| s.troubles.len() as f64 + s.loads[0].rate;
     assert!(weight(&catch.scenario) < weight(&drawn) && catch.shrinking > 0);
     // What is saved shows the same again.
     let text = toml::to_string(&catch.scenario).expect("it can be written");
-    let again =
-        simulate(&Scenario::read(&text, "again").expect("it reads"), catch.seed, Make::ResendsBinding);
+    let again = simulate(
+        &Scenario::read(&text, "again").expect("it reads"),
+        catch.seed,
+        Make::ResendsBinding,
+    );
     assert_eq!(again.expect("it runs").broken, catch.outcome.broken);
 }
 
 #[test]
 fn a_hunt_for_the_true_one_breaks_no_rule() {
     let catch = hunt(&scenario(""), 100, 40, Make::True, |_| {}).expect("it runs");
-    assert!(catch.outcome.broken.is_empty(), "seed {}: {:?}", catch.seed, catch.outcome.breaks);
+    assert!(
+        catch.outcome.broken.is_empty(),
+        "seed {}: {:?}",
+        catch.seed,
+        catch.outcome.breaks
+    );
 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -47,20 +47,27 @@
         let ends = scenario.lasts.0;
         let mut streams = Vec::new();
         for (n, load) in scenario.loads.iter().enumerate() {
-            let named = |name: &String| load.destinations.is_empty() || load.destinations.contains(name);
+            let named =
+                |name: &String| load.destinations.is_empty() || load.destinations.contains(name);
             let groups = scenario.destinations.iter();
             let weights: Vec<f64> = groups
                 .flat_map(|d| vec![if named(&d.name) { d.weight } else { 0.0 }; d.count as usize])
                 .collect();
-            let destinations: Vec<u32> =
-                (0..weights.len()).filter(|d| weights[*d] > 0.0).map(|d| d as u32).collect();
+            let destinations: Vec<u32> = (0..weights.len())
+                .filter(|d| weights[*d] > 0.0)
+                .map(|d| d as u32)
+                .collect();
             let pick = Pick::new(destinations.iter().map(|d| weights[*d as usize]), load.skew);
             let profiles = (0..scenario.profiles.len())
-                .filter(|p| load.profiles.is_empty() || load.profiles.contains(&scenario.profiles[*p].name))
+                .filter(|p| {
+                    load.profiles.is_empty() || load.profiles.contains(&scenario.profiles[*p].name)
+                })
                 .map(|p| p as u16)
                 .collect();
-            let tenant =
-                load.tenant.as_ref().and_then(|t| scenario.tenants.iter().position(|o| o.name == *t));
+            let tenant = load
+                .tenant
+                .as_ref()
+                .and_then(|t| scenario.tenants.iter().position(|o| o.name == *t));
             let replay = match &load.shape {
                 Shape::Replay { file } => read_times(file, layout.destinations.len())?,
                 _ => Vec::new(),
@@ -78,7 +85,11 @@
             s.advance(ends);
             streams.push(s);
         }
-        Ok(Loads { streams, expiries: scenario.profiles.iter().map(|p| p.expiry.0).collect(), ends })
+        Ok(Loads {
+            streams,
+            expiries: scenario.profiles.iter().map(|p| p.expiry.0).collect(),
+            ends,
+        })
     }
 }
 
@@ -87,8 +98,12 @@
 
     fn next(&mut self) -> Option<Due> {
         let first = |s: &Stream| s.next.map(|(at, _)| at);
-        let (n, _) =
-            self.streams.iter().enumerate().filter_map(|(n, s)| Some((n, first(s)?))).min_by_key(|f| f.1)?;
+        let (n, _) = self
+            .streams
+            .iter()
+            .enumerate()
+            .filter_map(|(n, s)| Some((n, first(s)?)))
+            .min_by_key(|f| f.1)?;
         let s = &mut self.streams[n];
         let (at, told) = s.next?;
         s.advance(self.ends);
@@ -102,7 +117,16 @@
         }
         let key = s.rng.random_range(0..s.load.keys.max(1));
         let (tenant, body, returns) = (s.tenant, s.load.body, s.load.returns);
-        Some(Due { at, destination, profile, tenant, key, left, body, returns })
+        Some(Due {
+            at,
+            destination,
+            profile,
+            tenant,
+            key,
+            left,
+            body,
+            returns,
+        })
     }
 }
 
@@ -143,10 +167,17 @@
     pub fn times(&self, at: Micros) -> f64 {
         match self {
             Shape::Poisson | Shape::Even | Shape::Replay { .. } => 1.0,
-            Shape::Steps { steps } => {
-                steps.iter().rev().find(|(from, _)| from.0 <= at).map_or(1.0, |(_, t)| *t)
-            }
-            Shape::Bursts { on, off, times, rest } => {
+            Shape::Steps { steps } => steps
+                .iter()
+                .rev()
+                .find(|(from, _)| from.0 <= at)
+                .map_or(1.0, |(_, t)| *t),
+            Shape::Bursts {
+                on,
+                off,
+                times,
+                rest,
+            } => {
                 if at % (on.0 + off.0) < on.0 {
                     *times
                 } else {
@@ -170,16 +201,29 @@
     }
 }
 
-fn read_times(file: &std::path::Path, destinations: usize) -> Result<Vec<(Micros, Option<u32>)>, String> {
+fn read_times(
+    file: &std::path::Path,
+    destinations: usize,
+) -> Result<Vec<(Micros, Option<u32>)>, String> {
     let shown = file.display();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{shown}: {e}"))?;
     let mut times = Vec::new();
-    for (n, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty() && !l.starts_with('#')) {
+    for (n, line) in text
+        .lines()
+        .enumerate()
+        .filter(|(_, l)| !l.trim().is_empty() && !l.starts_with('#'))
+    {
         let mut parts = line.split(',').map(str::trim);
         let bad = |what: &str| format!("{shown}:{}: {line}: {what}", n + 1);
-        let at: f64 = parts.next().unwrap_or("").parse().map_err(|_| bad("write a time in seconds first"))?;
-        let destination: Option<u32> =
-            parts.next().map(|d| d.parse().map_err(|_| bad("the destination is a number"))).transpose()?;
+        let at: f64 = parts
+            .next()
+            .unwrap_or("")
+            .parse()
+            .map_err(|_| bad("write a time in seconds first"))?;
+        let destination: Option<u32> = parts
+            .next()
+            .map(|d| d.parse().map_err(|_| bad("the destination is a number")))
+            .transpose()?;
         if !(0.0..1e9).contains(&at) || destination.is_some_and(|d| d as usize >= destinations) {
             return Err(bad("the time or the destination is out of range"));
         }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -217,7 +217,11 @@
 
 fn load(path: &Path, set: &[String]) -> Result<Scenario, Fault> {
     let scenario = Scenario::load(path).map_err(|e| e.to_string())?;
-    Ok(if set.is_empty() { scenario } else { with_values(&scenario, set)? })
+    Ok(if set.is_empty() {
+        scenario
+    } else {
+        with_values(&scenario, set)?
+    })
 }
 
 fn bar(name: &str) -> ProgressBar {
@@ -238,7 +242,10 @@
 }
 
 fn runtime() -> Result<tokio::runtime::Runtime, Fault> {
-    tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(|e| Fault(e.to_string(), 2))
+    tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()
+        .map_err(|e| Fault(e.to_string(), 2))
 }
 
 fn write(path: &Path, text: &str) -> Result<(), Fault> {
@@ -246,7 +253,9 @@
 }
 
 fn json<T: serde::Serialize>(value: &T) -> Result<String, Fault> {
-    serde_json::to_string_pretty(value).map(|t| t + "\n").map_err(|e| Fault(e.to_string(), 2))
+    serde_json::to_string_pretty(value)
+        .map(|t| t + "\n")
+        .map_err(|e| Fault(e.to_string(), 2))
 }
 
 fn play(scenario: &Scenario, clocks: &Clocks, world: &World) -> Result<Vec<Outcome>, Fault> {
@@ -255,7 +264,8 @@
     if clocks.simulated || !clocks.sockets {
         let bar = bar(&scenario.name);
         let begun = Instant::now();
-        let (outcome, work) = Sim::new(scenario, seed, world.make)?.run_until(u64::MAX, watch(&bar));
+        let (outcome, work) =
+            Sim::new(scenario, seed, world.make)?.run_until(u64::MAX, watch(&bar));
         bar.finish_and_clear();
         let took = begun.elapsed().as_secs_f64();
         eprintln!(
@@ -270,14 +280,22 @@
         let program = clocks.forwarder.clone().unwrap_or_else(program_beside);
         if !program.is_file() {
             return Err(Fault(
-                format!("{}: no such program; build it, or name one with --forwarder", program.display()),
+                format!(
+                    "{}: no such program; build it, or name one with --forwarder",
+                    program.display()
+                ),
                 2,
             ));
         }
         if let Some(logs) = &clocks.logs {
-            std::fs::create_dir_all(logs).map_err(|e| Fault(format!("{}: {e}", logs.display()), 2))?;
+            std::fs::create_dir_all(logs)
+                .map_err(|e| Fault(format!("{}: {e}", logs.display()), 2))?;
         }
-        let means = Means { program, logs: clocks.logs.clone(), pin: clocks.pin };
+        let means = Means {
+            program,
+            logs: clocks.logs.clone(),
+            pin: clocks.pin,
+        };
         let bar = bar(&scenario.name);
         let (outcome, usage) = runtime()?.block_on(run(scenario, seed, &means, watch(&bar)))?;
         bar.finish_and_clear();
@@ -302,21 +320,38 @@
 
 fn go(command: Command) -> Done {
     match command {
-        Command::Run { scenario, clocks, world, json: to, report: page } => {
+        Command::Run {
+            scenario,
+            clocks,
+            world,
+            json: to,
+            report: page,
+        } => {
             let outcomes = play(&load(&scenario, &world.set)?, &clocks, &world)?;
             outcomes.iter().for_each(|o| print!("{}", report::text(o)));
             // Beside a page lie its figures.
             let to = to.or(page.as_ref().map(|p| p.with_extension("json")));
             if let Some(to) = to {
                 // One run is one object, as `report` reads it; several are a list.
-                write(&to, &if outcomes.len() == 1 { json(&outcomes[0])? } else { json(&outcomes)? })?;
+                write(
+                    &to,
+                    &if outcomes.len() == 1 {
+                        json(&outcomes[0])?
+                    } else {
+                        json(&outcomes)?
+                    },
+                )?;
             }
             if let Some(page) = page {
                 write(&page, &report::html(&outcomes)?)?;
             }
             Ok(verdict(&outcomes))
         }
-        Command::Load { scenario, to, world } => {
+        Command::Load {
+            scenario,
+            to,
+            world,
+        } => {
             let scenario = load(&scenario, &world.set)?;
             let bar = bar(&scenario.name);
             let seed = world.seed.unwrap_or(scenario.seed);
@@ -327,11 +362,23 @@
                 "due {}, handed in {}, deferred {}, turned away {}",
                 c.due, c.hand_ins, c.deferrals, c.turned_away
             );
-            c.outcomes.iter().for_each(|(name, n)| println!("{name}: {n}"));
+            c.outcomes
+                .iter()
+                .for_each(|(name, n)| println!("{name}: {n}"));
             println!("the load tool was {} us late at p99", outcome.load_late);
-            Ok(if outcome.void.is_some() { ExitCode::from(3) } else { ExitCode::SUCCESS })
+            Ok(if outcome.void.is_some() {
+                ExitCode::from(3)
+            } else {
+                ExitCode::SUCCESS
+            })
         }
-        Command::StandIns { scenario, world, discovery_port, papers, listen } => {
+        Command::StandIns {
+            scenario,
+            world,
+            discovery_port,
+            papers,
+            listen,
+        } => {
             let scenario = load(&scenario, &world.set)?;
             let seed = world.seed.unwrap_or(scenario.seed);
             runtime()?.block_on(async {
@@ -393,7 +440,9 @@
                 }
                 false => {
                     let of = |side: &Side| -> Result<Vec<Outcome>, Fault> {
-                        in_parallel(&seeds, threads(), |s| side.simulated(*s)).into_iter().collect()
+                        in_parallel(&seeds, threads(), |s| side.simulated(*s))
+                            .into_iter()
+                            .collect()
                     };
                     (of(&a)?, of(&b)?)
                 }
@@ -406,9 +455,20 @@
             if let Some(to) = to {
                 write(&to, &json(&comparison)?)?;
             }
-            Ok(if comparison.verdict == Verdict::Worse { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+            Ok(if comparison.verdict == Verdict::Worse {
+                ExitCode::FAILURE
+            } else {
+                ExitCode::SUCCESS
+            })
         }
-        Command::Sweep { scenario, key, values, seeds, make, json: to } => {
+        Command::Sweep {
+            scenario,
+            key,
+            values,
+            seeds,
+            make,
+            json: to,
+        } => {
             let rows = sweep(&load(&scenario, &[])?, &key, &values, seeds, make)?;
             println!("{rows}");
             if let Some(to) = to {
@@ -416,7 +476,13 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        Command::Hunt { scenario, worlds, seed, make, save } => {
+        Command::Hunt {
+            scenario,
+            worlds,
+            seed,
+            make,
+            save,
+        } => {
             let scenario = load(&scenario, &[])?;
             let bar = bar("worlds");
             let catch = hunt(&scenario, seed, worlds, make, |n| {
@@ -429,13 +495,18 @@
                 catch.drawn, catch.seed, catch.shrinking
             );
             print!("{}", report::text(&catch.outcome));
-            std::fs::create_dir_all(&save).map_err(|e| Fault(format!("{}: {e}", save.display()), 2))?;
+            std::fs::create_dir_all(&save)
+                .map_err(|e| Fault(format!("{}: {e}", save.display()), 2))?;
             let mut saved = catch.scenario.clone();
             saved.seed = catch.seed;
             let path = save.join(format!("{}.toml", saved.name));
             write(&path, &toml::to_string(&saved).map_err(|e| e.to_string())?)?;
             println!("saved as {}", path.display());
-            Ok(if catch.outcome.broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            Ok(if catch.outcome.broken.is_empty() {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::FAILURE
+            })
         }
         Command::Report { outcomes, to } => {
             let mut all = Vec::new();
@@ -452,18 +523,31 @@
             Ok(ExitCode::SUCCESS)
         }
         Command::Bids { waiting, rounds } => {
-            println!("{:>10}{:>16}{:>16}", "waiting", "arrival ns", "end and bid ns");
+            println!(
+                "{:>10}{:>16}{:>16}",
+                "waiting", "arrival ns", "end and bid ns"
+            );
             for waiting in waiting {
                 let Cost { arrival, end, .. } = cost(waiting, rounds);
                 println!("{waiting:>10}{arrival:>16.0}{end:>16.0}");
             }
             Ok(ExitCode::SUCCESS)
         }
-        Command::Capacity(command) => Ok(capacity::command::run(command).map(|()| ExitCode::SUCCESS)?),
-        Command::Catalogue { folder, clocks, world, reports, shorter_than } => {
+        Command::Capacity(command) => {
+            Ok(capacity::command::run(command).map(|()| ExitCode::SUCCESS)?)
+        }
+        Command::Catalogue {
+            folder,
+            clocks,
+            world,
+            reports,
+            shorter_than,
+        } => {
             let say = |e: std::io::Error| format!("{}: {e}", folder.display());
-            let mut files: Vec<PathBuf> =
-                std::fs::read_dir(&folder).map_err(say)?.filter_map(|f| Some(f.ok()?.path())).collect();
+            let mut files: Vec<PathBuf> = std::fs::read_dir(&folder)
+                .map_err(say)?
+                .filter_map(|f| Some(f.ok()?.path()))
+                .collect();
             files.retain(|f| f.extension().is_some_and(|e| e == "toml"));
             files.sort();
             if let Some(reports) = &reports {
@@ -479,7 +563,11 @@
                 let outcomes = play(&scenario, &clocks, &world)?;
                 for o in &outcomes {
                     let misses = o.misses();
-                    let told = if misses.is_empty() { "as expected".to_owned() } else { misses.join("; ") };
+                    let told = if misses.is_empty() {
+                        "as expected".to_owned()
+                    } else {
+                        misses.join("; ")
+                    };
                     let (p99, served) = (o.latency.p99 as f64 / 1e3, o.served_share());
                     println!(
                         "{:<24}{:<11}served {served:.4}  p99 {p99:>9.1} ms  {told}",
@@ -488,7 +576,10 @@
                     );
                 }
                 if let Some(reports) = &reports {
-                    write(&reports.join(format!("{}.html", scenario.name)), &report::html(&outcomes)?)?;
+                    write(
+                        &reports.join(format!("{}.html", scenario.name)),
+                        &report::html(&outcomes)?,
+                    )?;
                 }
                 all.extend(outcomes);
             }
@@ -509,7 +600,9 @@
 
 impl Side {
     fn simulated(&self, seed: u64) -> Result<Outcome, Fault> {
-        let Some(build) = &self.build else { return Ok(simulate(&self.scenario, seed, self.make)?) };
+        let Some(build) = &self.build else {
+            return Ok(simulate(&self.scenario, seed, self.make)?);
+        };
         let say = |e: &dyn std::fmt::Display| Fault(format!("{}: {e}", build.display()), 2);
         let to = tempfile::NamedTempFile::new().map_err(|e| say(&e))?;
         let mut command = std::process::Command::new(build);
@@ -521,14 +614,24 @@
         self.set.iter().for_each(|s| _ = command.args(["--set", s]));
         let ended = command.output().map_err(|e| say(&e))?;
         let text = std::fs::read_to_string(to.path()).map_err(|e| say(&e))?;
-        serde_json::from_str(&text)
-            .map_err(|e| say(&format!("{e}; it said {}", String::from_utf8_lossy(&ended.stderr))))
+        serde_json::from_str(&text).map_err(|e| {
+            say(&format!(
+                "{e}; it said {}",
+                String::from_utf8_lossy(&ended.stderr)
+            ))
+        })
     }
 
     fn on_sockets(&self, seed: u64) -> Result<Outcome, Fault> {
         let program = self.forwarder.clone().unwrap_or_else(program_beside);
-        let means = Means { program, logs: None, pin: None };
-        Ok(runtime()?.block_on(run(&self.scenario, seed, &means, |_, _| {}))?.0)
+        let means = Means {
+            program,
+            logs: None,
+            pin: None,
+        };
+        Ok(runtime()?
+            .block_on(run(&self.scenario, seed, &means, |_, _| {}))?
+            .0)
     }
 }
 
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -42,7 +42,11 @@
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = serde_json::to_value(self).ok();
-        write!(f, "{}", name.as_ref().and_then(|n| n.as_str()).unwrap_or("rule"))
+        write!(
+            f,
+            "{}",
+            name.as_ref().and_then(|n| n.as_str()).unwrap_or("rule")
+        )
     }
 }
 
@@ -140,7 +144,11 @@
     /// `slack`: how much later something is seen than it was done, µs, beside what the rules allow.
     pub fn new(scenario: &Scenario, slack: Micros) -> Oracle {
         Oracle {
-            profiles: scenario.profiles.iter().map(|p| (p.effect, p.window.0, p.in_order)).collect(),
+            profiles: scenario
+                .profiles
+                .iter()
+                .map(|p| (p.effect, p.window.0, p.in_order))
+                .collect(),
             answer_slack: scenario.rules.answer_slack.0,
             drain_grace: scenario.rules.drain_grace.0,
             max_trips: scenario.forwarders.trips,
@@ -173,7 +181,10 @@
     pub fn handed_in(&mut self, taking: Taking) {
         self.by_expiry.insert((taking.expires, taking.duty));
         if let (Some(key), true) = (taking.key, self.in_order(taking.profile)) {
-            self.orders.entry((taking.forwarder, key)).or_default().push_back(taking.duty);
+            self.orders
+                .entry((taking.forwarder, key))
+                .or_default()
+                .push_back(taking.duty);
         }
         let duty = Duty {
             taken: false,
@@ -212,16 +223,25 @@
     /// The forwarder is gone and its folder with it. Gives the packets that it had taken on.
     pub fn lost_with_folder(&mut self, forwarder: u32, now: Micros) -> Vec<u64> {
         let lost = |d: &&Duty| d.taking.forwarder == forwarder && d.ended.is_none();
-        let mut of: Vec<(u64, u64, bool)> =
-            self.duties.values().filter(lost).map(|d| (d.taking.duty, d.taking.packet, d.taken)).collect();
+        let mut of: Vec<(u64, u64, bool)> = self
+            .duties
+            .values()
+            .filter(lost)
+            .map(|d| (d.taking.duty, d.taking.packet, d.taken))
+            .collect();
         of.sort_unstable();
         of.iter().for_each(|(duty, ..)| self.refused(*duty, now));
-        of.into_iter().filter(|(.., taken)| *taken).map(|(_, packet, _)| packet).collect()
+        of.into_iter()
+            .filter(|(.., taken)| *taken)
+            .map(|(_, packet, _)| packet)
+            .collect()
     }
 
     /// Whether a duty has this very end already, told before.
     pub fn heard_before(&self, duty: u64, end: Final) -> bool {
-        self.duties.get(&duty).is_some_and(|d| d.end == Some(end) && end != Final::Served)
+        self.duties
+            .get(&duty)
+            .is_some_and(|d| d.end == Some(end) && end != Final::Served)
     }
 
     /// What a forwarder owes is not late before then.
@@ -230,29 +250,54 @@
     }
 
     fn owes(&self, forwarder: u32, now: Micros) -> bool {
-        self.excused.get(&forwarder).is_none_or(|until| now > *until)
+        self.excused
+            .get(&forwarder)
+            .is_none_or(|until| now > *until)
     }
 
     /// A process ended: it forgets waits and its calls are out no more.
     pub fn restarted(&mut self, forwarder: u32) {
         self.waits.retain(|(f, _), _| *f != forwarder);
         self.out.remove(&forwarder);
-        for d in self.duties.values_mut().filter(|d| d.taking.forwarder == forwarder && d.out > 0) {
+        for d in self
+            .duties
+            .values_mut()
+            .filter(|d| d.taking.forwarder == forwarder && d.out > 0)
+        {
             d.out = 0;
         }
     }
 
     /// The forwarder was told that a target (this holder of its address) takes nothing new, or that it does.
-    pub fn told_standing(&mut self, forwarder: u32, target: usize, holder: u32, ready: bool, now: Micros) {
+    pub fn told_standing(
+        &mut self,
+        forwarder: u32,
+        target: usize,
+        holder: u32,
+        ready: bool,
+        now: Micros,
+    ) {
         match ready {
             true => _ = self.told_off.remove(&(forwarder, target, holder)),
-            false => _ = self.told_off.entry((forwarder, target, holder)).or_insert(now),
+            false => {
+                _ = self
+                    .told_off
+                    .entry((forwarder, target, holder))
+                    .or_insert(now)
+            }
         }
     }
 
     /// A call with a duty's packet, sent (or, on sockets, come) at `now`.
     pub fn sent(&mut self, call: Sending, now: Micros) {
-        let Sending { duty, forwarder, destination, target, holder, gate } = call;
+        let Sending {
+            duty,
+            forwarder,
+            destination,
+            target,
+            holder,
+            gate,
+        } = call;
         let Some(d) = self.duties.get(&duty).cloned() else {
             return self.broken(
                 Rule::SentAfterEnd,
@@ -260,12 +305,19 @@
                 format!("packet {duty} to target {target}: long over or never handed in"),
             );
         };
-        let what = |more: &str| format!("packet {duty} of forwarder {forwarder} to target {target}{more}");
+        let what =
+            |more: &str| format!("packet {duty} of forwarder {forwarder} to target {target}{more}");
         if d.taking.destination != destination {
             self.broken(Rule::WrongDestination, now, what(" of another destination"));
         }
         // Seen on one clock, what comes after the end was sent after it.
-        let after = |e| if self.slack == 0 { now >= e } else { now > e + self.slack };
+        let after = |e| {
+            if self.slack == 0 {
+                now >= e
+            } else {
+                now > e + self.slack
+            }
+        };
         if d.ended.is_some_and(after) && !d.unheard && (d.taken || !d.void) {
             self.broken(Rule::SentAfterEnd, now, what(": it has its final answer"));
         }
@@ -273,25 +325,46 @@
             self.broken(Rule::TwoTripsOut, now, what(": a trip is still out"));
         }
         if d.trips >= self.max_trips {
-            self.broken(Rule::TooManyTrips, now, what(&format!(": trip {}", d.trips + 1)));
+            self.broken(
+                Rule::TooManyTrips,
+                now,
+                what(&format!(": trip {}", d.trips + 1)),
+            );
         }
         let (effect, window, in_order) = self.profiles[usize::from(d.taking.profile)];
         match (effect, d.exposed) {
-            (Effect::Binding, Some(_)) => {
-                self.broken(Rule::EffectTwice, now, what(": binding, and it may have run"))
-            }
-            (Effect::Fingerprinted, Some(first)) if now > first + window + self.slack => {
-                self.broken(Rule::EffectTwice, now, what(": past the window in which repeats are known"))
-            }
+            (Effect::Binding, Some(_)) => self.broken(
+                Rule::EffectTwice,
+                now,
+                what(": binding, and it may have run"),
+            ),
+            (Effect::Fingerprinted, Some(first)) if now > first + window + self.slack => self
+                .broken(
+                    Rule::EffectTwice,
+                    now,
+                    what(": past the window in which repeats are known"),
+                ),
             _ => {}
         }
         self.check_bound(forwarder, target, holder, gate, now, &what(""));
         if let (Some(key), true) = (d.taking.key, in_order) {
-            let line = self.orders.get(&(forwarder, key)).cloned().unwrap_or_default();
+            let line = self
+                .orders
+                .get(&(forwarder, key))
+                .cloned()
+                .unwrap_or_default();
             let earlier = line.iter().take_while(|o| **o != duty);
-            let open = |o: &u64| self.duties.get(o).is_some_and(|e| e.ended.is_none() || e.out > 0);
+            let open = |o: &u64| {
+                self.duties
+                    .get(o)
+                    .is_some_and(|e| e.ended.is_none() || e.out > 0)
+            };
             if earlier.clone().any(open) {
-                self.broken(Rule::OrderNotKept, now, what(": an earlier one of its key is not over"));
+                self.broken(
+                    Rule::OrderNotKept,
+                    now,
+                    what(": an earlier one of its key is not over"),
+                );
             }
         }
         let out = self.out.entry(forwarder).or_default();
@@ -318,7 +391,11 @@
     ) {
         let off = self.told_off.get(&(forwarder, target, holder));
         if off.is_some_and(|t| now > t + self.drain_grace + self.slack) {
-            self.broken(Rule::DrainNotKept, now, format!("{what}: it drains or is gone"));
+            self.broken(
+                Rule::DrainNotKept,
+                now,
+                format!("{what}: it drains or is gone"),
+            );
         }
         self.check_wait(forwarder, gate, now, &format!("{what}: told to wait"));
     }
@@ -356,7 +433,10 @@
 
     /// The forwarder has heard that it must wait before it sends there again.
     pub fn told_to_wait(&mut self, forwarder: u32, gate: usize, now: Micros, until: Micros) {
-        let wait = self.waits.entry((forwarder, gate)).or_insert((now + self.slack, until));
+        let wait = self
+            .waits
+            .entry((forwarder, gate))
+            .or_insert((now + self.slack, until));
         wait.1 = until.max(wait.1);
     }
 
@@ -396,15 +476,18 @@
             Some(_) if d.void => {}
             Some(_) if d.unheard => d.unheard = end == Final::Served,
             Some(before) => {
-                let what = format!("packet {duty}: {end:?} now, and a final answer at {before} already");
+                let what =
+                    format!("packet {duty}: {end:?} now, and a final answer at {before} already");
                 self.broken(Rule::SecondFinalAnswer, now, what);
             }
             None => {
                 (d.ended, d.end) = (Some(now), Some(end));
                 d.unheard = !owed && end == Final::Served;
                 if owed && now > d.taking.expires + self.answer_slack + self.slack {
-                    let what =
-                        format!("packet {duty}: {end:?} {} us after its time was up", now - d.taking.expires);
+                    let what = format!(
+                        "packet {duty}: {end:?} {} us after its time was up",
+                        now - d.taking.expires
+                    );
                     self.broken(Rule::Lost, now, what);
                 }
             }
@@ -413,8 +496,12 @@
     }
 
     fn leave_order(&mut self, duty: u64) {
-        let Some(d) = self.duties.get(&duty) else { return };
-        let (Some(key), true) = (d.taking.key, d.ended.is_some() && d.out == 0) else { return };
+        let Some(d) = self.duties.get(&duty) else {
+            return;
+        };
+        let (Some(key), true) = (d.taking.key, d.ended.is_some() && d.out == 0) else {
+            return;
+        };
         let at = (d.taking.forwarder, key);
         if let Some(line) = self.orders.get_mut(&at) {
             line.retain(|o| *o != duty);
@@ -426,18 +513,29 @@
 
     /// The packet took effect at a receiver that did not know it as a repeat.
     pub fn took_effect(&mut self, packet: u64, duty: u64, now: Micros) {
-        while self.effects_by_age.front().is_some_and(|(at, _)| at + self.window < now) {
+        while self
+            .effects_by_age
+            .front()
+            .is_some_and(|(at, _)| at + self.window < now)
+        {
             if let Some((_, old)) = self.effects_by_age.pop_front() {
                 self.effects.remove(&old);
             }
         }
-        let effect = self.duties.get(&duty).map(|d| self.profiles[usize::from(d.taking.profile)].0);
+        let effect = self
+            .duties
+            .get(&duty)
+            .map(|d| self.profiles[usize::from(d.taking.profile)].0);
         let nobodys = self.duties.get(&duty).is_some_and(|d| d.void && !d.taken);
         if effect == Some(Effect::Retriable) || effect.is_none() || nobodys {
             return;
         }
         if self.effects.insert(packet, now).is_some() {
-            self.broken(Rule::EffectTwice, now, format!("packet {packet} took effect a second time"));
+            self.broken(
+                Rule::EffectTwice,
+                now,
+                format!("packet {packet} took effect a second time"),
+            );
         } else {
             self.effects_by_age.push_back((now, packet));
         }
@@ -446,12 +544,17 @@
     /// Looks for what is overdue and forgets what is long over.
     pub fn sweep(&mut self, now: Micros) {
         let grace = self.answer_slack + self.slack;
-        while let Some(&(expires, duty)) = self.by_expiry.first().filter(|(at, _)| at + grace < now) {
+        while let Some(&(expires, duty)) = self.by_expiry.first().filter(|(at, _)| at + grace < now)
+        {
             self.by_expiry.pop_first();
-            let Some(d) = self.duties.get(&duty) else { continue };
+            let Some(d) = self.duties.get(&duty) else {
+                continue;
+            };
             let (forwarder, expired) = (d.taking.forwarder, d.taking.expires);
             let owed = self.owes(forwarder, now);
-            let Some(d) = self.duties.get_mut(&duty) else { continue };
+            let Some(d) = self.duties.get_mut(&duty) else {
+                continue;
+            };
             if d.ended.is_none() && (!owed || !d.taken) {
                 self.by_expiry.insert((now.max(expires), duty));
                 if d.taken || now < expired + LINGER {
@@ -461,7 +564,8 @@
             }
             if d.taken && d.ended.is_none() {
                 (d.ended, d.void) = (Some(now), true);
-                let what = format!("packet {duty} of forwarder {forwarder}: no final answer by {expired}");
+                let what =
+                    format!("packet {duty} of forwarder {forwarder}: no final answer by {expired}");
                 self.broken(Rule::Lost, now, what);
                 self.leave_order(duty);
             }
@@ -476,7 +580,10 @@
 
     /// Duties that are not over.
     pub fn open(&self) -> usize {
-        self.duties.values().filter(|d| d.taken && d.ended.is_none()).count()
+        self.duties
+            .values()
+            .filter(|d| d.taken && d.ended.is_none())
+            .count()
     }
 
     /// Entries in all tables.
--- a/crates/lab/src/oracle/tests.rs
+++ b/crates/lab/src/oracle/tests.rs
@@ -15,14 +15,31 @@
 }
 
 fn hand_in(o: &mut Oracle, duty: u64, profile: u16, key: Option<u64>) {
-    let taking =
-        Taking { duty, packet: duty, forwarder: 0, expires: 10_000_000, profile, destination: 0, key };
+    let taking = Taking {
+        duty,
+        packet: duty,
+        forwarder: 0,
+        expires: 10_000_000,
+        profile,
+        destination: 0,
+        key,
+    };
     o.handed_in(taking);
     o.taken(duty);
 }
 
 fn send(o: &mut Oracle, duty: u64, at: Micros) {
-    o.sent(Sending { duty, forwarder: 0, destination: 0, target: 5, holder: 0, gate: 0 }, at);
+    o.sent(
+        Sending {
+            duty,
+            forwarder: 0,
+            destination: 0,
+            target: 5,
+            holder: 0,
+            gate: 0,
+        },
+        at,
+    );
 }
 
 fn names(o: &Oracle) -> Vec<Rule> {
@@ -40,7 +57,12 @@
     o.sweep(200_000_000);
     o.sweep(300_000_000);
     o.took_effect(2, 2, 200_000_000);
-    assert!(names(&o).is_empty() && o.held() == 0, "{:?}, {} held", o.breaks, o.held());
+    assert!(
+        names(&o).is_empty() && o.held() == 0,
+        "{:?}, {} held",
+        o.breaks,
+        o.held()
+    );
 }
 
 #[test]
@@ -169,7 +191,17 @@
     assert_eq!(names(&o), [Rule::EffectTwice]);
     let mut o = oracle();
     hand_in(&mut o, 1, 0, None);
-    o.sent(Sending { duty: 1, forwarder: 0, destination: 3, target: 5, holder: 0, gate: 0 }, 1);
+    o.sent(
+        Sending {
+            duty: 1,
+            forwarder: 0,
+            destination: 3,
+            target: 5,
+            holder: 0,
+            gate: 0,
+        },
+        1,
+    );
     assert_eq!(names(&o), [Rule::WrongDestination]);
 }
 
--- a/crates/lab/src/receivers.rs
+++ b/crates/lab/src/receivers.rs
@@ -150,7 +150,11 @@
     pub fn new(scenario: &Scenario, layout: &Layout, seed: u64) -> Receivers {
         let target = |(n, spot): (usize, &crate::world::Spot)| {
             let d = &scenario.destinations[spot.group];
-            let share = if d.routes_apart { 1.0 } else { f64::from(d.targets) };
+            let share = if d.routes_apart {
+                1.0
+            } else {
+                f64::from(d.targets)
+            };
             Target {
                 gate: spot.gate,
                 group: spot.group,
@@ -189,7 +193,13 @@
             active: BTreeMap::new(),
             ran: BTreeMap::new(),
             remembered: VecDeque::new(),
-            window: scenario.profiles.iter().map(|p| p.window.0.max(p.expiry.0)).max().unwrap_or(0) * 2,
+            window: scenario
+                .profiles
+                .iter()
+                .map(|p| p.window.0.max(p.expiry.0))
+                .max()
+                .unwrap_or(0)
+                * 2,
             falls: Vec::new(),
         }
     }
@@ -205,7 +215,14 @@
         on: bool,
     ) {
         if on {
-            self.active.insert(trouble, Active { what: what.clone(), from: now, until });
+            self.active.insert(
+                trouble,
+                Active {
+                    what: what.clone(),
+                    from: now,
+                    until,
+                },
+            );
         }
         for target in targets {
             let t = &mut self.targets[*target];
@@ -222,7 +239,12 @@
                 }
             } else if outage(what) && t.warmth == Warmth::Down {
                 let active = &self.active;
-                if !t.troubles.iter().filter_map(|n| active.get(n)).any(|a| outage(&a.what)) {
+                if !t
+                    .troubles
+                    .iter()
+                    .filter_map(|n| active.get(n))
+                    .any(|a| outage(&a.what))
+                {
                     t.warmth = Warmth::Cold { since: now };
                     t.recent.clear();
                 }
@@ -249,7 +271,10 @@
     pub fn refuses(&self, now: Micros, target: usize) -> bool {
         let t = &self.targets[target];
         t.warmth == Warmth::Fallen
-            || t.troubles.iter().filter_map(|n| self.active.get(n)).any(|a| a.refuses(now))
+            || t.troubles
+                .iter()
+                .filter_map(|n| self.active.get(n))
+                .any(|a| a.refuses(now))
     }
 
     /// Part of its capacity that it has now.
@@ -274,29 +299,49 @@
         let part = self.part(now, target);
         let (rules, groups) = (&self.rules, &self.groups);
         let t = &mut self.targets[target];
-        let Warmth::Cold { since } = t.warmth else { return };
+        let Warmth::Cold { since } = t.warmth else {
+            return;
+        };
         if now >= since + rules.warm_after.0 {
             t.warmth = Warmth::Warm;
             t.recent.clear();
             return;
         }
         t.recent.push_back((now, forwarder));
-        while t.recent.front().is_some_and(|(at, _)| at + rules.overload_for.0 < now) {
+        while t
+            .recent
+            .front()
+            .is_some_and(|(at, _)| at + rules.overload_for.0 < now)
+        {
             t.recent.pop_front();
         }
         let budget = rules.fall_multiple * part * t.capacity * rules.overload_for.seconds();
         let most = budget + 2.0 * budget.sqrt() + CHANCE;
         if groups[t.group].falls_over && t.recent.len() as f64 > most {
-            let knew = t.recent.iter().filter(|(_, f)| t.witnesses.contains(f)).count();
+            let knew = t
+                .recent
+                .iter()
+                .filter(|(_, f)| t.witnesses.contains(f))
+                .count();
             let blamed = knew as f64 >= BLAME * t.recent.len() as f64;
             t.warmth = Warmth::Fallen;
-            self.falls.push(Fall { at: now, target, calls: t.recent.len(), budget: most, blamed });
+            self.falls.push(Fall {
+                at: now,
+                target,
+                calls: t.recent.len(),
+                budget: most,
+                blamed,
+            });
         }
     }
 
     /// What becomes of a probe that reaches a target.
     pub fn probe(&mut self, now: Micros, target: usize, forwarder: u32) -> Fate {
-        let fate = |says, at| Fate { ran: None, at, says };
+        let fate = |says, at| Fate {
+            ran: None,
+            at,
+            says,
+        };
         if self.refuses(now, target) {
             self.witness(target, forwarder);
             return fate(Says::Refused, now);
@@ -308,7 +353,12 @@
             .filter_map(|n| Some(self.active.get(n)?.what.clone()))
             .collect();
         let says = match () {
-            () if whats.iter().any(|w| matches!(w, What::Silent | What::ProbesFail)) => Says::Silent,
+            () if whats
+                .iter()
+                .any(|w| matches!(w, What::Silent | What::ProbesFail)) =>
+            {
+                Says::Silent
+            }
             () if whats.contains(&What::Shut) => Says::Crowded,
             () => Says::Served,
         };
@@ -346,11 +396,18 @@
             Some(What::RefusalsCut { rate }) => Some(*rate),
             _ => None,
         };
-        t.troubles.iter().find_map(rate).is_some_and(|rate| t.rng.random_bool(rate))
+        t.troubles
+            .iter()
+            .find_map(rate)
+            .is_some_and(|rate| t.rng.random_bool(rate))
     }
 
     fn judge(&mut self, now: Micros, target: usize, mark: Option<u64>) -> Fate {
-        let not_run = |says, at| Fate { ran: None, at, says };
+        let not_run = |says, at| Fate {
+            ran: None,
+            at,
+            says,
+        };
         if self.refuses(now, target) {
             return not_run(Says::Refused, now);
         }
@@ -359,12 +416,25 @@
         let t = &mut self.targets[target];
         let troubles: Vec<&Active> = t.troubles.iter().filter_map(|n| active.get(n)).collect();
         if let Some(shut) = troubles.iter().find(|a| a.what == What::Shut) {
-            return not_run(Says::Full { wait: Some(shut.until.saturating_sub(now)) }, now);
+            return not_run(
+                Says::Full {
+                    wait: Some(shut.until.saturating_sub(now)),
+                },
+                now,
+            );
         }
         if troubles.iter().any(|a| a.what == What::Silent) {
             return not_run(Says::Silent, now);
         }
-        let cut = |a: &&&Active| matches!(a.what, What::Reset { when: When::Before, .. });
+        let cut = |a: &&&Active| {
+            matches!(
+                a.what,
+                What::Reset {
+                    when: When::Before,
+                    ..
+                }
+            )
+        };
         if let Some(What::Reset { rate, .. }) = troubles.iter().find(cut).map(|a| &a.what) {
             if t.rng.random_bool(*rate) {
                 return not_run(Says::Cut, now);
@@ -397,19 +467,31 @@
         }
         let free = t.places.pop().map_or(now, |p| p.0);
         let begins = free.max(now);
-        let ends = begins + (service(&group.service, &mut t.rng) as f64 * slower).round().max(1.0) as Micros;
+        let ends = begins
+            + (service(&group.service, &mut t.rng) as f64 * slower)
+                .round()
+                .max(1.0) as Micros;
         t.places.push(Reverse(ends));
         if begins > now {
             t.starts.push_back(begins);
         }
         // What spoils its end.
-        let mut says =
-            if group.errors > 0.0 && t.rng.random_bool(group.errors) { Says::Erred } else { Says::Served };
+        let mut says = if group.errors > 0.0 && t.rng.random_bool(group.errors) {
+            Says::Erred
+        } else {
+            Says::Served
+        };
         for a in &troubles {
             let spoilt = match a.what {
                 What::Erring { rate } => Some((rate, Says::Erred)),
-                What::Reset { rate, when: When::Within } => Some((rate, Says::Reset)),
-                What::Reset { rate, when: When::After } => Some((rate, Says::ServedThenReset)),
+                What::Reset {
+                    rate,
+                    when: When::Within,
+                } => Some((rate, Says::Reset)),
+                What::Reset {
+                    rate,
+                    when: When::After,
+                } => Some((rate, Says::ServedThenReset)),
                 What::AnswerLost { rate } => Some((rate, Says::Silent)),
                 What::Garbled { rate } => Some((rate, Says::Garbled)),
                 What::Endless { rate } => Some((rate, Says::Endless)),
@@ -421,14 +503,24 @@
                 }
             }
         }
-        let ran = (says != Says::Erred).then_some(ends).filter(|_| self.remember(now, mark, ends));
-        Fate { ran, at: ends, says }
+        let ran = (says != Says::Erred)
+            .then_some(ends)
+            .filter(|_| self.remember(now, mark, ends));
+        Fate {
+            ran,
+            at: ends,
+            says,
+        }
     }
 
     /// Whether it is new to the receivers; from now on it is not.
     fn remember(&mut self, now: Micros, mark: Option<u64>, ends: Micros) -> bool {
         let Some(mark) = mark else { return true };
-        while self.remembered.front().is_some_and(|(at, _)| at + self.window < now) {
+        while self
+            .remembered
+            .front()
+            .is_some_and(|(at, _)| at + self.window < now)
+        {
             if let Some((_, old)) = self.remembered.pop_front() {
                 self.ran.remove(&old);
             }
@@ -443,7 +535,11 @@
 
     /// Calls that wait at a target now.
     pub fn waiting(&self, now: Micros, target: usize) -> usize {
-        self.targets[target].starts.iter().filter(|s| **s > now).count()
+        self.targets[target]
+            .starts
+            .iter()
+            .filter(|s| **s > now)
+            .count()
     }
 
     /// Tables as they are now: marks remembered, calls of cold targets.
--- a/crates/lab/src/receivers/tests.rs
+++ b/crates/lab/src/receivers/tests.rs
@@ -8,7 +8,10 @@
          limited = false\nplaces = {places}\nqueue = 100000000\nservice = {service}\n[[loads]]\nrate = 1.0\n"
     );
     let scenario = Scenario::read(&text, "q").expect("it is right");
-    (Receivers::new(&scenario, &Layout::new(&scenario), 5), scenario)
+    (
+        Receivers::new(&scenario, &Layout::new(&scenario), 5),
+        scenario,
+    )
 }
 
 /// Waits of Poisson calls at a load, in units of the mean service time, sorted; and their mean.
@@ -31,7 +34,10 @@
 }
 
 fn near(what: &str, found: f64, wanted: f64, within: f64) {
-    assert!((found / wanted - 1.0).abs() < within, "{what}: {found:.4}, the formula says {wanted:.4}");
+    assert!(
+        (found / wanted - 1.0).abs() < within,
+        "{what}: {found:.4}, the formula says {wanted:.4}"
+    );
 }
 
 fn p99(waits: &[f64]) -> f64 {
@@ -44,7 +50,12 @@
 #[test]
 fn one_place_with_exponential_times_is_an_mm1_queue() {
     let load = 0.7;
-    let (waits, mean) = waits(r#"{ kind = "exponential", mean = "100ms" }"#, 1, load, CALLS);
+    let (waits, mean) = waits(
+        r#"{ kind = "exponential", mean = "100ms" }"#,
+        1,
+        load,
+        CALLS,
+    );
     near("mean", mean, load / (1.0 - load), 0.02);
     near("p99", p99(&waits), (100.0 * load).ln() / (1.0 - load), 0.05);
 }
@@ -57,9 +68,19 @@
     let term = |n: u32| (1..=n).map(|k| a / f64::from(k)).product::<f64>();
     let all: f64 = (0..c).map(term).sum();
     let erlang = term(c) / (1.0 - load) / (all + term(c) / (1.0 - load));
-    let (waits, mean) = waits(r#"{ kind = "exponential", mean = "100ms" }"#, c, load, CALLS);
+    let (waits, mean) = waits(
+        r#"{ kind = "exponential", mean = "100ms" }"#,
+        c,
+        load,
+        CALLS,
+    );
     near("mean", mean, erlang / (f64::from(c) * (1.0 - load)), 0.02);
-    near("p99", p99(&waits), (100.0 * erlang).ln() / (f64::from(c) * (1.0 - load)), 0.05);
+    near(
+        "p99",
+        p99(&waits),
+        (100.0 * erlang).ln() / (f64::from(c) * (1.0 - load)),
+        0.05,
+    );
 }
 
 /// M/D/1: mean r/(2(1-r)); P(W <= t) = (1-r) sum over k <= t of (r(k-t))^k / k! e^(r(t-k)), in services (Erlang 1909).
@@ -77,7 +98,11 @@
     let (mut low, mut high) = (0.0, 30.0);
     while high - low > 1e-6 {
         let middle = (low + high) / 2.0;
-        *(if below(middle) < 0.99 { &mut low } else { &mut high }) = middle;
+        *(if below(middle) < 0.99 {
+            &mut low
+        } else {
+            &mut high
+        }) = middle;
     }
     let (waits, mean) = waits(r#"{ kind = "constant", time = "100ms" }"#, 1, load, CALLS);
     near("mean", mean, load / (2.0 * (1.0 - load)), 0.02);
@@ -98,8 +123,22 @@
 fn above_its_limit_it_tells_to_wait_and_takes_again_in_time() {
     let (mut r, ..) = world("wait = \"300ms\"");
     let says: Vec<Says> = (0..3).map(|_| r.call(0, 0, 0, None).says).collect();
-    assert_eq!(says, [Says::Served, Says::Served, Says::Full { wait: Some(300_000) }]);
-    assert_eq!(r.call(99_000, 0, 0, None).says, Says::Full { wait: Some(300_000) });
+    assert_eq!(
+        says,
+        [
+            Says::Served,
+            Says::Served,
+            Says::Full {
+                wait: Some(300_000)
+            }
+        ]
+    );
+    assert_eq!(
+        r.call(99_000, 0, 0, None).says,
+        Says::Full {
+            wait: Some(300_000)
+        }
+    );
     assert_eq!(r.call(200_000, 0, 0, None).says, Says::Served);
 }
 
@@ -109,7 +148,10 @@
     assert!(r.call(0, 0, 0, Some(7)).ran.is_some());
     assert!(r.call(50_000, 0, 0, Some(7)).ran.is_none());
     assert!(r.call(50_000, 0, 0, Some(8)).ran.is_some());
-    assert!(r.call(500_000_000, 0, 0, Some(7)).ran.is_some(), "forgotten after twice the window");
+    assert!(
+        r.call(500_000_000, 0, 0, Some(7)).ran.is_some(),
+        "forgotten after twice the window"
+    );
     assert_eq!(r.held(), 1);
 }
 
@@ -123,7 +165,8 @@
         }
         r.strike(1_000_000, 0, &What::Refusing, 1_000_000, &[0], false);
         // 2 x 0.2 x 10 a second x 2 s = 8, and 2 sqrt(8) + 4 for chance.
-        let reached = (0..40).take_while(|n| r.call(1_000_000 + n * 1000, 0, 1, None).says != Says::Refused);
+        let reached =
+            (0..40).take_while(|n| r.call(1_000_000 + n * 1000, 0, 1, None).says != Says::Refused);
         assert_eq!(reached.count(), 18);
         assert_eq!(r.falls.iter().map(|f| f.blamed).collect::<Vec<_>>(), [knew]);
         assert!(r.refuses(900_000_000, 0), "it stays down");
@@ -150,13 +193,40 @@
         (What::Refusing, Says::Refused, false),
         (What::Silent, Says::Silent, false),
         (What::Erring { rate: half(1.0) }, Says::Erred, false),
-        (What::Reset { rate: 1.0, when: When::Before }, Says::Cut, false),
-        (What::Reset { rate: 1.0, when: When::Within }, Says::Reset, true),
-        (What::Reset { rate: 1.0, when: When::After }, Says::ServedThenReset, true),
+        (
+            What::Reset {
+                rate: 1.0,
+                when: When::Before,
+            },
+            Says::Cut,
+            false,
+        ),
+        (
+            What::Reset {
+                rate: 1.0,
+                when: When::Within,
+            },
+            Says::Reset,
+            true,
+        ),
+        (
+            What::Reset {
+                rate: 1.0,
+                when: When::After,
+            },
+            Says::ServedThenReset,
+            true,
+        ),
         (What::AnswerLost { rate: 1.0 }, Says::Silent, true),
         (What::Garbled { rate: 1.0 }, Says::Garbled, true),
         (What::Endless { rate: 1.0 }, Says::Endless, true),
-        (What::Shut, Says::Full { wait: Some(9_000_000) }, false),
+        (
+            What::Shut,
+            Says::Full {
+                wait: Some(9_000_000),
+            },
+            false,
+        ),
     ];
     for (what, says, ran) in cases {
         let (mut r, ..) = world("limited = false");
@@ -164,7 +234,11 @@
         let fate = r.call(1_000_000, 0, 0, None);
         assert_eq!((fate.says, fate.ran.is_some()), (says, ran), "{what:?}");
         r.strike(10_000_000, 0, &what, 10_000_000, &[0], false);
-        assert_eq!(r.call(10_000_000, 0, 0, None).says, Says::Served, "after {what:?}");
+        assert_eq!(
+            r.call(10_000_000, 0, 0, None).says,
+            Says::Served,
+            "after {what:?}"
+        );
     }
     let (mut r, ..) = world("limited = false");
     r.strike(0, 0, &What::Slow { times: 3.0 }, 1, &[0], true);
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -34,32 +34,51 @@
     async fn pass_on(&self, request: Request<Full<Bytes>>, destination: &str) -> Result<(), Fault> {
         let address = self.targets.get(destination).ok_or("no such destination")?;
         let idle = || self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle().get_mut(address).and_then(Vec::pop).filter(|l| !l.is_closed());
+        let kept = idle()
+            .get_mut(address)
+            .and_then(Vec::pop)
+            .filter(|l| !l.is_closed());
         let mut line = match kept {
             Some(line) => line,
             None => connect(address).await?,
         };
         line.ready().await?;
-        line.send_request(request).await?.into_body().collect().await?;
+        line.send_request(request)
+            .await?
+            .into_body()
+            .collect()
+            .await?;
         idle().entry(address.clone()).or_default().push(line);
         Ok(())
     }
 }
 
-async fn answer(relay: Arc<Relay>, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+async fn answer(
+    relay: Arc<Relay>,
+    request: Request<Incoming>,
+) -> Result<Response<Full<Bytes>>, Infallible> {
     let mut response = Response::new(Full::default());
     if request.uri().path() == "/up" {
         return Ok(response);
     }
     let (head, body) = request.into_parts();
-    let Ok(body) = body.collect().await else { return Ok(response) };
-    let mut call = Request::builder().method("POST").uri("/inbox").header("host", "target");
+    let Ok(body) = body.collect().await else {
+        return Ok(response);
+    };
+    let mut call = Request::builder()
+        .method("POST")
+        .uri("/inbox")
+        .header("host", "target");
     for name in ["request-id", "idempotency-key", "request-timeout-ms"] {
         if let Some(value) = head.headers.get(name) {
             call = call.header(name, value);
         }
     }
-    let envelope = head.headers.get("envelope").and_then(|v| v.to_str().ok()).unwrap_or("");
+    let envelope = head
+        .headers
+        .get("envelope")
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or("");
     let destination = envelope.trim_start_matches("dest=").to_owned();
     if let Ok(call) = call.body(Full::new(body.to_bytes())) {
         // Whatever becomes of it, nobody is told: that is what makes it bare.
@@ -70,17 +89,33 @@
 }
 
 async fn run() -> Result<(), Fault> {
-    let papers: serde_json::Value = serde_json::from_slice(&std::fs::read(std::env::var("GW_CONFIG")?)?)?;
-    let address =
-        |key: &str| papers[key].as_str().map(str::to_owned).ok_or(format!("GW_CONFIG {key}: is not set"));
+    let papers: serde_json::Value =
+        serde_json::from_slice(&std::fs::read(std::env::var("GW_CONFIG")?)?)?;
+    let address = |key: &str| {
+        papers[key]
+            .as_str()
+            .map(str::to_owned)
+            .ok_or(format!("GW_CONFIG {key}: is not set"))
+    };
     let mut discovery = connect(&address("discovery")?).await?;
-    let ask = Request::get("/discovery/hosts").header("host", "agent").body(Full::default())?;
-    let list = discovery.send_request(ask).await?.into_body().collect().await?.to_bytes();
+    let ask = Request::get("/discovery/hosts")
+        .header("host", "agent")
+        .body(Full::default())?;
+    let list = discovery
+        .send_request(ask)
+        .await?
+        .into_body()
+        .collect()
+        .await?
+        .to_bytes();
     let list: serde_json::Value = serde_json::from_slice(&list)?;
     let members = list["members"].as_array().cloned().unwrap_or_default();
-    let member = |m: &serde_json::Value| Some((m["cell"].to_string(), m["host_port"].as_str()?.to_owned()));
-    let relay =
-        Arc::new(Relay { targets: members.iter().filter_map(member).collect(), idle: Mutex::default() });
+    let member =
+        |m: &serde_json::Value| Some((m["cell"].to_string(), m["host_port"].as_str()?.to_owned()));
+    let relay = Arc::new(Relay {
+        targets: members.iter().filter_map(member).collect(),
+        idle: Mutex::default(),
+    });
     let listener = TcpListener::bind(address("listen")?).await?;
     loop {
         let (stream, _) = listener.accept().await?;
@@ -88,11 +123,15 @@
         let relay = relay.clone();
         let service = service_fn(move |request| answer(relay.clone(), request));
         tokio::spawn(
-            hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service),
+            hyper::server::conn::http1::Builder::new()
+                .serve_connection(TokioIo::new(stream), service),
         );
     }
 }
 
 fn main() -> Result<(), Fault> {
-    tokio::runtime::Builder::new_current_thread().enable_all().build()?.block_on(run())
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?
+        .block_on(run())
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -5,14 +5,24 @@
 use std::fmt::Write;
 
 const SIZE: (u32, u32) = (900, 240);
-const COLOURS: [RGBColor; 4] =
-    [RGBColor(31, 119, 180), RGBColor(44, 160, 44), RGBColor(214, 39, 40), RGBColor(255, 127, 14)];
+const COLOURS: [RGBColor; 4] = [
+    RGBColor(31, 119, 180),
+    RGBColor(44, 160, 44),
+    RGBColor(214, 39, 40),
+    RGBColor(255, 127, 14),
+];
 const SHADE: RGBColor = RGBColor(150, 120, 60);
 
 type Series<'a> = (&'a str, Box<dyn Fn(&Column) -> f64 + 'a>);
 
 /// One plot over the time of a run; what went wrong when is shaded.
-fn plot(outcome: &Outcome, title: &str, unit: &str, log: bool, series: &[Series]) -> Result<String, String> {
+fn plot(
+    outcome: &Outcome,
+    title: &str,
+    unit: &str,
+    log: bool,
+    series: &[Series],
+) -> Result<String, String> {
     let mut svg = String::new();
     {
         let say = |e: DrawingAreaErrorKind<_>| e.to_string();
@@ -20,11 +30,17 @@
         area.fill(&WHITE).map_err(say)?;
         let seconds = |n: usize| n as f64 * outcome.column as f64 / 1e6;
         let ends = seconds(outcome.columns.len()).max(1.0);
-        let values = series.iter().flat_map(|(_, of)| outcome.columns.iter().map(of));
+        let values = series
+            .iter()
+            .flat_map(|(_, of)| outcome.columns.iter().map(of));
         let most = values.fold(0.0, f64::max).max(if log { 10.0 } else { 1.0 }) * 1.1;
         let caption = (format!("{title} ({unit})"), ("sans-serif", 15).into_font());
         let mut builder = ChartBuilder::on(&area);
-        builder.caption(caption.0, caption.1).margin(6).x_label_area_size(26).y_label_area_size(62);
+        builder
+            .caption(caption.0, caption.1)
+            .margin(6)
+            .x_label_area_size(26)
+            .y_label_area_size(62);
         macro_rules! draw {
             ($chart:expr, $low:expr) => {{
                 let mut chart = $chart;
@@ -37,13 +53,20 @@
                     .draw()
                     .map_err(say)?;
                 for spell in &outcome.spells {
-                    let (from, until) = (spell.from as f64 / 1e6, (spell.until as f64 / 1e6).min(ends));
-                    let shade = Rectangle::new([(from, $low), (until, most)], SHADE.mix(0.10).filled());
+                    let (from, until) = (
+                        spell.from as f64 / 1e6,
+                        (spell.until as f64 / 1e6).min(ends),
+                    );
+                    let shade =
+                        Rectangle::new([(from, $low), (until, most)], SHADE.mix(0.10).filled());
                     chart.draw_series(std::iter::once(shade)).map_err(say)?;
                 }
                 for ((name, of), colour) in series.iter().zip(COLOURS) {
-                    let points =
-                        outcome.columns.iter().enumerate().map(|(n, c)| (seconds(n), of(c).max($low)));
+                    let points = outcome
+                        .columns
+                        .iter()
+                        .enumerate()
+                        .map(|(n, c)| (seconds(n), of(c).max($low)));
                     chart
                         .draw_series(LineSeries::new(points, colour.stroke_width(1)))
                         .map_err(say)?
@@ -54,12 +77,26 @@
                 }
                 let style = chart.configure_series_labels();
                 let mut style = style;
-                style.background_style(WHITE.mix(0.8)).border_style(BLACK.mix(0.3)).draw().map_err(say)?;
+                style
+                    .background_style(WHITE.mix(0.8))
+                    .border_style(BLACK.mix(0.3))
+                    .draw()
+                    .map_err(say)?;
             }};
         }
         match log {
-            true => draw!(builder.build_cartesian_2d(0.0..ends, (0.1..most).log_scale()).map_err(say)?, 0.1),
-            false => draw!(builder.build_cartesian_2d(0.0..ends, 0.0..most).map_err(say)?, 0.0),
+            true => draw!(
+                builder
+                    .build_cartesian_2d(0.0..ends, (0.1..most).log_scale())
+                    .map_err(say)?,
+                0.1
+            ),
+            false => draw!(
+                builder
+                    .build_cartesian_2d(0.0..ends, 0.0..most)
+                    .map_err(say)?,
+                0.0
+            ),
         }
         area.present().map_err(say)?;
     }
@@ -74,14 +111,19 @@
         ("served", Box::new(rate(|c| c.served))),
         ("calls", Box::new(rate(|c| c.calls))),
     ];
-    let latency: [Series; 2] =
-        [("p50", Box::new(|c| c.p50 as f64 / 1e3)), ("p99", Box::new(|c| c.p99 as f64 / 1e3))];
+    let latency: [Series; 2] = [
+        ("p50", Box::new(|c| c.p50 as f64 / 1e3)),
+        ("p99", Box::new(|c| c.p99 as f64 / 1e3)),
+    ];
     let out: [Series; 1] = [("calls out", Box::new(|c| c.calls_out as f64))];
     let outcomes: [Series; 4] = [
         ("good", Box::new(rate(|c| c.good))),
         ("refused", Box::new(rate(|c| c.refused))),
         ("failed", Box::new(rate(|c| c.failed))),
-        ("deferred, written off", Box::new(rate(|c| c.deferred + c.written_off))),
+        (
+            "deferred, written off",
+            Box::new(rate(|c| c.deferred + c.written_off)),
+        ),
     ];
     Ok([
         plot(outcome, "Traffic", "a second", false, &traffic)?,
@@ -93,38 +135,70 @@
 }
 
 fn escaped(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
 
 /// What a table row shows of an outcome.
 type Row = (&'static str, fn(&Outcome) -> String);
 
 const ROWS: [Row; 20] = [
-    ("clock", |o| if o.clock == Clock::Simulated { "simulated".into() } else { "sockets".into() }),
+    ("clock", |o| {
+        if o.clock == Clock::Simulated {
+            "simulated".into()
+        } else {
+            "sockets".into()
+        }
+    }),
     ("seed", |o| o.seed.to_string()),
     ("forwarder", |o| o.subject.clone()),
     ("packets due", |o| o.counts.due.to_string()),
     ("served", |o| format!("{:.4}", o.served_share())),
-    ("service (share of the worth)", |o| format!("{:.4}", o.service)),
-    ("served by the first trip", |o| format!("{:.4}", o.first_trip_share())),
+    ("service (share of the worth)", |o| {
+        format!("{:.4}", o.service)
+    }),
+    ("served by the first trip", |o| {
+        format!("{:.4}", o.first_trip_share())
+    }),
     ("calls a packet", |o| format!("{:.3}", o.calls_a_packet())),
     ("p50, p99, p99.9 ms", |o| {
         let ms = |v: u64| v as f64 / 1e3;
-        format!("{:.1}, {:.1}, {:.1}", ms(o.latency.p50), ms(o.latency.p99), ms(o.latency.p999))
+        format!(
+            "{:.1}, {:.1}, {:.1}",
+            ms(o.latency.p50),
+            ms(o.latency.p99),
+            ms(o.latency.p999)
+        )
     }),
     ("written off", |o| o.counts.written_off.to_string()),
     ("deferrals", |o| o.counts.deferrals.to_string()),
     ("given up by clients", |o| o.counts.given_up.to_string()),
     ("gone with a folder", |o| o.counts.gone.to_string()),
     ("open at the end", |o| o.counts.open.to_string()),
-    ("calls, probes", |o| format!("{}, {}", o.counts.calls, o.counts.probes)),
+    ("calls, probes", |o| {
+        format!("{}, {}", o.counts.calls, o.counts.probes)
+    }),
     ("outcomes of calls", |o| {
-        o.counts.outcomes.iter().map(|(n, c)| format!("{n} {c}")).collect::<Vec<_>>().join(", ")
+        o.counts
+            .outcomes
+            .iter()
+            .map(|(n, c)| format!("{n} {c}"))
+            .collect::<Vec<_>>()
+            .join(", ")
+    }),
+    ("targets pushed over, blamed or not", |o| {
+        o.falls.to_string()
     }),
-    ("targets pushed over, blamed or not", |o| o.falls.to_string()),
     ("rules broken", |o| match o.broken.is_empty() {
         true => "none".into(),
-        false => o.broken.iter().map(|(r, n)| format!("{r} {n}")).collect::<Vec<_>>().join(", "),
+        false => o
+            .broken
+            .iter()
+            .map(|(r, n)| format!("{r} {n}"))
+            .collect::<Vec<_>>()
+            .join(", "),
     }),
     ("load tool, receivers late at p99, us", |o| match o.clock {
         Clock::Simulated => "-".into(),
@@ -153,38 +227,65 @@
     }
     page.push_str("<table>\n");
     for (name, of) in ROWS {
-        let cells: String = outcomes.iter().map(|o| format!("<td>{}</td>", escaped(&of(o)))).collect();
+        let cells: String = outcomes
+            .iter()
+            .map(|o| format!("<td>{}</td>", escaped(&of(o))))
+            .collect();
         put(&mut page, format!("<tr><th>{name}</th>{cells}</tr>\n"));
     }
     page.push_str("</table>\n");
     for outcome in outcomes {
-        let clock = if outcome.clock == Clock::Simulated { "Simulated" } else { "On sockets" };
-        put(&mut page, format!("<h2>{clock}, seed {}, {}</h2>\n", outcome.seed, escaped(&outcome.subject)));
+        let clock = if outcome.clock == Clock::Simulated {
+            "Simulated"
+        } else {
+            "On sockets"
+        };
+        put(
+            &mut page,
+            format!(
+                "<h2>{clock}, seed {}, {}</h2>\n",
+                outcome.seed,
+                escaped(&outcome.subject)
+            ),
+        );
         let misses = outcome.misses();
         if !misses.is_empty() {
             page.push_str("<ul class=\"bad\">");
-            misses.iter().for_each(|m| put(&mut page, format!("<li>{}</li>", escaped(m))));
+            misses
+                .iter()
+                .for_each(|m| put(&mut page, format!("<li>{}</li>", escaped(m))));
             page.push_str("</ul>\n");
         }
         page.push_str(&plots(outcome)?);
         if !outcome.spells.is_empty() {
-            page.push_str("<table><tr><th>went wrong (shaded)</th><th>from s</th><th>until s</th></tr>\n");
+            page.push_str(
+                "<table><tr><th>went wrong (shaded)</th><th>from s</th><th>until s</th></tr>\n",
+            );
             for s in &outcome.spells {
                 let (from, until) = (s.from as f64 / 1e6, s.until as f64 / 1e6);
                 put(
                     &mut page,
-                    format!("<tr><td>{}</td><td>{from:.1}</td><td>{until:.1}</td></tr>\n", escaped(&s.what)),
+                    format!(
+                        "<tr><td>{}</td><td>{from:.1}</td><td>{until:.1}</td></tr>\n",
+                        escaped(&s.what)
+                    ),
                 );
             }
             page.push_str("</table>\n");
         }
         if !outcome.breaks.is_empty() {
-            page.push_str("<table class=\"bad\"><tr><th>rule</th><th>at s</th><th>what</th></tr>\n");
+            page.push_str(
+                "<table class=\"bad\"><tr><th>rule</th><th>at s</th><th>what</th></tr>\n",
+            );
             for b in &outcome.breaks {
                 let at = b.at as f64 / 1e6;
                 put(
                     &mut page,
-                    format!("<tr><td>{}</td><td>{at:.3}</td><td>{}</td></tr>\n", b.rule, escaped(&b.what)),
+                    format!(
+                        "<tr><td>{}</td><td>{at:.3}</td><td>{}</td></tr>\n",
+                        b.rule,
+                        escaped(&b.what)
+                    ),
                 );
             }
             page.push_str("</table>\n");
@@ -204,7 +305,13 @@
         let _ = writeln!(text, "  MISSED: {miss}");
     }
     for b in outcome.breaks.iter().take(5) {
-        let _ = writeln!(text, "  {} at {:.3} s: {}", b.rule, b.at as f64 / 1e6, b.what);
+        let _ = writeln!(
+            text,
+            "  {} at {:.3} s: {}",
+            b.rule,
+            b.at as f64 / 1e6,
+            b.what
+        );
     }
     text
 }
@@ -222,7 +329,8 @@
              service = { kind = \"constant\", time = \"20ms\" }\n[[loads]]\nrate = 20.0\n[[troubles]]\nat = \"1s\"\n\
              lasts = \"1s\"\nwhat = { kind = \"silent\" }\n";
         let scenario = Scenario::read(text, "s").expect("it is right");
-        let outcomes = [1, 2].map(|seed| simulate(&scenario, seed, Make::SecondAnswer).expect("it runs"));
+        let outcomes =
+            [1, 2].map(|seed| simulate(&scenario, seed, Make::SecondAnswer).expect("it runs"));
         let page = html(&outcomes).expect("it is drawn");
         assert_eq!(page.matches("<svg").count(), 8);
         assert!(page.contains("a &lt;b&gt; &amp; c") && !page.contains("<b>"));
