--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -23,7 +23,11 @@
 impl fmt::Display for BadScenario {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let line = self.line.map_or(String::new(), |l| format!(":{l}"));
-        let key = if self.key.is_empty() { String::new() } else { format!(" {}:", self.key) };
+        let key = if self.key.is_empty() {
+            String::new()
+        } else {
+            format!(" {}:", self.key)
+        };
         write!(f, "{}{line}:{key} {}", self.file, self.problem)
     }
 }
@@ -298,10 +302,21 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Service {
-    Constant { time: Span },
-    Exponential { mean: Span },
-    Lognormal { mean: Span, sigma: f64 },
-    Bimodal { fast: Span, slow: Span, slow_share: f64 },
+    Constant {
+        time: Span,
+    },
+    Exponential {
+        mean: Span,
+    },
+    Lognormal {
+        mean: Span,
+        sigma: f64,
+    },
+    Bimodal {
+        fast: Span,
+        slow: Span,
+        slow_share: f64,
+    },
 }
 
 /// A stream of packets, each due at its time whatever became of those before.
@@ -505,10 +520,16 @@
 impl Scenario {
     pub fn load(path: &Path) -> Result<Scenario, BadScenario> {
         let file = path.display().to_string();
-        let bad =
-            |problem: String| BadScenario { file: file.clone(), line: None, key: String::new(), problem };
+        let bad = |problem: String| BadScenario {
+            file: file.clone(),
+            line: None,
+            key: String::new(),
+            problem,
+        };
         let text = std::fs::read_to_string(path).map_err(|e| {
-            bad(format!("can't be read: {e}; name a scenario file, such as one of lab/scenarios"))
+            bad(format!(
+                "can't be read: {e}; name a scenario file, such as one of lab/scenarios"
+            ))
         })?;
         let mut scenario = Scenario::read(&text, &file)?;
         for load in &mut scenario.loads {
@@ -528,9 +549,12 @@
         })?;
         match scenario.faults().into_iter().next() {
             None => Ok(scenario),
-            Some((key, problem)) => {
-                Err(BadScenario { file: file.into(), line: find_line(text, &key), key, problem })
-            }
+            Some((key, problem)) => Err(BadScenario {
+                file: file.into(),
+                line: find_line(text, &key),
+                key,
+                problem,
+            }),
         }
     }
 
@@ -544,18 +568,51 @@
         };
         let share = |v: f64| !(0.0..=1.0).contains(&v);
         let above = |v: f64| !(v.is_finite() && v > 0.0);
-        say(self.version != 1, "version".into(), self.version.to_string(), "this program reads version 1");
-        say(self.lasts.0 == 0, "lasts".into(), self.lasts.to_string(), "must be above 0");
+        say(
+            self.version != 1,
+            "version".into(),
+            self.version.to_string(),
+            "this program reads version 1",
+        );
+        say(
+            self.lasts.0 == 0,
+            "lasts".into(),
+            self.lasts.to_string(),
+            "must be above 0",
+        );
         let crew = &self.forwarders;
-        for (key, value) in
-            [("count", crew.count), ("slots", crew.slots), ("room", crew.room), ("trips", crew.trips)]
-        {
-            say(value == 0, format!("forwarders.{key}"), "0".into(), "must be at least 1");
+        for (key, value) in [
+            ("count", crew.count),
+            ("slots", crew.slots),
+            ("room", crew.room),
+            ("trips", crew.trips),
+        ] {
+            say(
+                value == 0,
+                format!("forwarders.{key}"),
+                "0".into(),
+                "must be at least 1",
+            );
         }
-        say(crew.count > 1000, "forwarders.count".into(), crew.count.to_string(), "is 1000 at most");
-        say(above(crew.disk_mb), "forwarders.disk_mb".into(), crew.disk_mb.to_string(), "must be above 0");
+        say(
+            crew.count > 1000,
+            "forwarders.count".into(),
+            crew.count.to_string(),
+            "is 1000 at most",
+        );
+        say(
+            above(crew.disk_mb),
+            "forwarders.disk_mb".into(),
+            crew.disk_mb.to_string(),
+            "must be above 0",
+        );
         let r = &self.rules;
-        say(share(r.cold_from), "rules.cold_from".into(), r.cold_from.to_string(), "is a share from 0 to 1");
+        say(
+            share(r.cold_from),
+            "rules.cold_from".into(),
+            r.cold_from.to_string(),
+            "is a share from 0 to 1",
+        );
         say(
             above(r.fall_multiple),
             "rules.fall_multiple".into(),
@@ -564,60 +621,183 @@
         );
         if let Some(late) = &self.network.late {
             let (most, within) = (late.most, self.network.connect_within);
-            say(share(late.share), "network.late".into(), late.share.to_string(), "share is from 0 to 1");
-            say(most.0 > within.0, "network.late".into(), most.to_string(), "is over connect_within");
+            say(
+                share(late.share),
+                "network.late".into(),
+                late.share.to_string(),
+                "share is from 0 to 1",
+            );
+            say(
+                most.0 > within.0,
+                "network.late".into(),
+                most.to_string(),
+                "is over connect_within",
+            );
         }
-        say(self.profiles.is_empty(), "profiles".into(), "none".into(), "name one at least");
+        say(
+            self.profiles.is_empty(),
+            "profiles".into(),
+            "none".into(),
+            "name one at least",
+        );
         for (n, p) in self.profiles.iter().enumerate() {
             let key = |k: &str| format!("profiles[{n}].{k}");
             let (contract, expiry) = (p.contract_time, p.expiry);
-            say(contract.0 == 0, key("contract_time"), contract.to_string(), "must be above 0");
-            say(expiry.0 < contract.0, key("expiry"), expiry.to_string(), "must not be under contract_time");
-            say(share(p.late_share), key("late_share"), p.late_share.to_string(), "is a share from 0 to 1");
+            say(
+                contract.0 == 0,
+                key("contract_time"),
+                contract.to_string(),
+                "must be above 0",
+            );
+            say(
+                expiry.0 < contract.0,
+                key("expiry"),
+                expiry.to_string(),
+                "must not be under contract_time",
+            );
+            say(
+                share(p.late_share),
+                key("late_share"),
+                p.late_share.to_string(),
+                "is a share from 0 to 1",
+            );
         }
-        say(self.destinations.is_empty(), "destinations".into(), "none".into(), "name one at least");
+        say(
+            self.destinations.is_empty(),
+            "destinations".into(),
+            "none".into(),
+            "name one at least",
+        );
         for (n, d) in self.destinations.iter().enumerate() {
             let key = |k: &str| format!("destinations[{n}].{k}");
             say(d.count == 0, key("count"), "0".into(), "must be at least 1");
-            say(d.targets == 0, key("targets"), "0".into(), "must be at least 1");
-            say(d.places == 0, key("places"), "0".into(), "must be at least 1");
-            say(above(d.rate), key("rate"), d.rate.to_string(), "must be above 0 calls a second");
-            say(above(d.weight), key("weight"), d.weight.to_string(), "must be above 0");
-            say(share(d.errors), key("errors"), d.errors.to_string(), "is a share from 0 to 1");
+            say(
+                d.targets == 0,
+                key("targets"),
+                "0".into(),
+                "must be at least 1",
+            );
+            say(
+                d.places == 0,
+                key("places"),
+                "0".into(),
+                "must be at least 1",
+            );
+            say(
+                above(d.rate),
+                key("rate"),
+                d.rate.to_string(),
+                "must be above 0 calls a second",
+            );
+            say(
+                above(d.weight),
+                key("weight"),
+                d.weight.to_string(),
+                "must be above 0",
+            );
+            say(
+                share(d.errors),
+                key("errors"),
+                d.errors.to_string(),
+                "is a share from 0 to 1",
+            );
             let twice = self.destinations[..n].iter().any(|o| o.name == d.name);
-            say(twice, key("name"), d.name.clone(), "is taken by another, give it one of its own");
+            say(
+                twice,
+                key("name"),
+                d.name.clone(),
+                "is taken by another, give it one of its own",
+            );
             if let Service::Bimodal { slow_share, .. } = d.service {
-                say(share(slow_share), key("service"), slow_share.to_string(), "slow_share is from 0 to 1");
+                say(
+                    share(slow_share),
+                    key("service"),
+                    slow_share.to_string(),
+                    "slow_share is from 0 to 1",
+                );
             }
             if let Service::Lognormal { sigma, .. } = d.service {
-                say(above(sigma), key("service"), sigma.to_string(), "sigma must be above 0");
+                say(
+                    above(sigma),
+                    key("service"),
+                    sigma.to_string(),
+                    "sigma must be above 0",
+                );
             }
         }
         let all: u64 = self.destinations.iter().map(|d| u64::from(d.count)).sum();
-        say(all > 60_000, "destinations".into(), all.to_string(), "are 60000 at most, all counts together");
+        say(
+            all > 60_000,
+            "destinations".into(),
+            all.to_string(),
+            "are 60000 at most, all counts together",
+        );
         let known = |name: &String| self.destinations.iter().any(|d| d.name == *name);
-        say(self.loads.is_empty(), "loads".into(), "none".into(), "name one at least");
+        say(
+            self.loads.is_empty(),
+            "loads".into(),
+            "none".into(),
+            "name one at least",
+        );
         for (n, l) in self.loads.iter().enumerate() {
             let key = |k: &str| format!("loads[{n}].{k}");
-            say(above(l.rate), key("rate"), l.rate.to_string(), "must be above 0 packets a second");
+            say(
+                above(l.rate),
+                key("rate"),
+                l.rate.to_string(),
+                "must be above 0 packets a second",
+            );
             say(
                 !(l.skew >= 0.0 && l.skew.is_finite()),
                 key("skew"),
                 l.skew.to_string(),
                 "must not be under 0",
             );
-            say(l.body > 65_536, key("body"), l.body.to_string(), "is 65536 bytes at most");
+            say(
+                l.body > 65_536,
+                key("body"),
+                l.body.to_string(),
+                "is 65536 bytes at most",
+            );
             if let Some(name) = l.destinations.iter().find(|d| !known(d)) {
-                say(true, key("destinations"), name.clone(), "is no destination of this file");
+                say(
+                    true,
+                    key("destinations"),
+                    name.clone(),
+                    "is no destination of this file",
+                );
             }
-            if let Some(name) = l.profiles.iter().find(|p| !self.profiles.iter().any(|o| o.name == **p)) {
-                say(true, key("profiles"), name.clone(), "is no profile of this file");
+            if let Some(name) = l
+                .profiles
+                .iter()
+                .find(|p| !self.profiles.iter().any(|o| o.name == **p))
+            {
+                say(
+                    true,
+                    key("profiles"),
+                    name.clone(),
+                    "is no profile of this file",
+                );
             }
-            if let Some(name) = l.tenant.as_ref().filter(|t| !self.tenants.iter().any(|o| o.name == **t)) {
-                say(true, key("tenant"), name.clone(), "is no tenant of this file");
+            if let Some(name) = l
+                .tenant
+                .as_ref()
+                .filter(|t| !self.tenants.iter().any(|o| o.name == **t))
+            {
+                say(
+                    true,
+                    key("tenant"),
+                    name.clone(),
+                    "is no tenant of this file",
+                );
             }
             if let Shape::Bursts { on, off, .. } = &l.shape {
-                say(on.0 + off.0 == 0, key("shape"), "0".into(), "on and off can't both be 0");
+                say(
+                    on.0 + off.0 == 0,
+                    key("shape"),
+                    "0".into(),
+                    "on and off can't both be 0",
+                );
             }
             if let Shape::Day { day, .. } = &l.shape {
                 say(day.0 == 0, key("shape"), "0".into(), "day must be above 0");
@@ -626,7 +806,12 @@
         for (n, t) in self.troubles.iter().enumerate() {
             let key = |k: &str| format!("troubles[{n}].{k}");
             if let Some(name) = t.on.destinations.iter().find(|d| !known(d)) {
-                say(true, key("on"), name.clone(), "is no destination of this file");
+                say(
+                    true,
+                    key("on"),
+                    name.clone(),
+                    "is no destination of this file",
+                );
             }
             say(
                 t.on.share.is_some_and(share),
@@ -645,15 +830,35 @@
                 What::Brownout { left } => left,
                 _ => 0.0,
             };
-            say(share(rate), key("what"), rate.to_string(), "is a share from 0 to 1");
+            say(
+                share(rate),
+                key("what"),
+                rate.to_string(),
+                "is a share from 0 to 1",
+            );
             if let What::Slow { times } | What::Jam { times } = t.what {
-                say(above(times), key("what"), times.to_string(), "times must be above 0");
+                say(
+                    above(times),
+                    key("what"),
+                    times.to_string(),
+                    "times must be above 0",
+                );
             }
             if let What::Flapping { down, up } = t.what {
-                say(down.0 == 0 || up.0 == 0, key("what"), "0".into(), "down and up must be above 0");
+                say(
+                    down.0 == 0 || up.0 == 0,
+                    key("what"),
+                    "0".into(),
+                    "down and up must be above 0",
+                );
             }
             let most = t.on.forwarders.iter().find(|f| **f >= crew.count);
-            say(most.is_some(), key("on"), format!("{most:?}"), "is no forwarder: they count from 0");
+            say(
+                most.is_some(),
+                key("on"),
+                format!("{most:?}"),
+                "is no forwarder: they count from 0",
+            );
         }
         faults
     }
--- a/crates/lab/src/scenario/config.rs
+++ b/crates/lab/src/scenario/config.rs
@@ -1,7 +1,9 @@
 //! A scenario as the core's configuration, and as the start-up configuration of the program on sockets.
 
 use super::{Effect, Fading, Scenario};
-use opalpulley::{Config, KindConfig, ListRates, ProfileConfig, RepeatGroup, RuleConfig, TenantConfig};
+use opalpulley::{
+    Config, KindConfig, ListRates, ProfileConfig, RepeatGroup, RuleConfig, TenantConfig,
+};
 use serde_json::{json, Value};
 
 impl Scenario {
@@ -10,9 +12,10 @@
         let profile = |p: &super::Profile| ProfileConfig {
             effect: match p.effect {
                 Effect::Retriable => opalpulley::Effect::Retriable,
-                Effect::Fingerprinted => {
-                    opalpulley::Effect::Fingerprinted { group: RepeatGroup::All, window: p.window.0 }
-                }
+                Effect::Fingerprinted => opalpulley::Effect::Fingerprinted {
+                    group: RepeatGroup::All,
+                    window: p.window.0,
+                },
                 Effect::Binding => opalpulley::Effect::Binding,
             },
             contract_time: p.contract_time.0,
@@ -41,8 +44,17 @@
             },
             over_share_worth: 0.1,
             profiles: self.profiles.iter().map(profile).collect(),
-            tenants: self.tenants.iter().map(|t| TenantConfig { quota: t.quota }).collect(),
-            kinds: [false, true].map(|routes_apart| KindConfig { routes_apart, per_call: 1 }).to_vec(),
+            tenants: self
+                .tenants
+                .iter()
+                .map(|t| TenantConfig { quota: t.quota })
+                .collect(),
+            kinds: [false, true]
+                .map(|routes_apart| KindConfig {
+                    routes_apart,
+                    per_call: 1,
+                })
+                .to_vec(),
             zone_fees: vec![0.0, 0.0],
             ask_within: self.network.asked.as_ref().map(|a| a.within.0),
             told_within: None,
@@ -73,8 +85,20 @@
                 "Points": p.importance, "SerialByKey": p.in_order})
         };
         let crew = &self.forwarders;
-        let idle = self.destinations.iter().map(|d| d.idle.0).min().unwrap_or(5_000_000);
-        let (fades, r) = (if crew.fading == Fading::Evenly { "linear" } else { "halving" }, &self.rules);
+        let idle = self
+            .destinations
+            .iter()
+            .map(|d| d.idle.0)
+            .min()
+            .unwrap_or(5_000_000);
+        let (fades, r) = (
+            if crew.fading == Fading::Evenly {
+                "linear"
+            } else {
+                "halving"
+            },
+            &self.rules,
+        );
         json!({
             "name": format!("n{number}"), "seed": format!("{seed:016x}"),
             "limits": {"memory_mb": 4.0 * crew.disk_mb, "sockets": 4096, "disk_mb": crew.disk_mb},
--- a/crates/lab/src/scenario/units.rs
+++ b/crates/lab/src/scenario/units.rs
@@ -11,7 +11,13 @@
 
 pub type Spans = Vec<Span>;
 
-const UNITS: [(&str, f64); 5] = [("us", 1.0), ("ms", 1e3), ("s", 1e6), ("m", 60e6), ("h", 3600e6)];
+const UNITS: [(&str, f64); 5] = [
+    ("us", 1.0),
+    ("ms", 1e3),
+    ("s", 1e6),
+    ("m", 60e6),
+    ("h", 3600e6),
+];
 
 impl Span {
     pub fn seconds(self) -> f64 {
@@ -20,10 +26,15 @@
 
     /// From text with a unit; what is wrong is told.
     pub fn parse(text: &str) -> Result<Span, String> {
-        let split = text.find(|c: char| c.is_ascii_alphabetic()).unwrap_or(text.len());
+        let split = text
+            .find(|c: char| c.is_ascii_alphabetic())
+            .unwrap_or(text.len());
         let (figure, unit) = (text[..split].trim(), &text[split..]);
         let mend = "write a figure and a unit: 300us, 20ms, 2.5s, 5m or 1h";
-        let (_, size) = UNITS.iter().find(|(u, _)| *u == unit).ok_or(format!("\"{text}\": {mend}"))?;
+        let (_, size) = UNITS
+            .iter()
+            .find(|(u, _)| *u == unit)
+            .ok_or(format!("\"{text}\": {mend}"))?;
         let figure: f64 = figure.parse().map_err(|_| format!("\"{text}\": {mend}"))?;
         match figure * size {
             span if (0.0..9e15).contains(&span) => Ok(Span(span.round() as Micros)),
@@ -34,7 +45,11 @@
 
 impl fmt::Display for Span {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (unit, size) = UNITS.iter().rev().find(|(_, s)| self.0 as f64 >= *s).unwrap_or(&UNITS[0]);
+        let (unit, size) = UNITS
+            .iter()
+            .rev()
+            .find(|(_, s)| self.0 as f64 >= *s)
+            .unwrap_or(&UNITS[0]);
         write!(f, "{}{unit}", self.0 as f64 / size)
     }
 }
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -36,12 +36,20 @@
     let text = String::from_utf8(head).expect("a head is text");
     let mut lines = text.lines();
     let first = lines.next()?.to_owned();
-    let headers: BTreeMap<String, String> =
-        lines.filter_map(|l| l.split_once(": ")).map(|(n, v)| (n.to_lowercase(), v.to_owned())).collect();
-    let length = headers.get("content-length").map_or(0, |l| l.parse().expect("a length"));
+    let headers: BTreeMap<String, String> = lines
+        .filter_map(|l| l.split_once(": "))
+        .map(|(n, v)| (n.to_lowercase(), v.to_owned()))
+        .collect();
+    let length = headers
+        .get("content-length")
+        .map_or(0, |l| l.parse().expect("a length"));
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
-    Some(Message { first, headers, body })
+    Some(Message {
+        first,
+        headers,
+        body,
+    })
 }
 
 /// What came, in order.
@@ -63,7 +71,8 @@
     let seen = log.clone();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, seen, answer) = (stream.expect("a connection"), seen.clone(), answer.clone());
+            let (mut stream, seen, answer) =
+                (stream.expect("a connection"), seen.clone(), answer.clone());
             thread::spawn(move || {
                 while let Some(message) = read_message(&mut stream) {
                     let before = {
@@ -98,7 +107,11 @@
         let address = listener.local_addr().expect("its address");
         let join = || TcpStream::connect_timeout(&address, Duration::from_millis(50)).ok();
         let line = std::iter::from_fn(join).collect();
-        SlowDoor { listener, line, address }
+        SlowDoor {
+            listener,
+            line,
+            address,
+        }
     }
 
     /// Serves from now on, as [`serve`] does.
@@ -121,7 +134,10 @@
 
 /// 200 with a body.
 pub fn with_body(body: &str) -> Option<String> {
-    Some(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
+    Some(format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    ))
 }
 
 /// One member of a list, as discovery writes it; it is named by its port.
@@ -138,7 +154,10 @@
 
 /// A list, or changes to it.
 pub fn list(revision: u64, complete: bool, members: &[String]) -> String {
-    format!(r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#, members.join(","))
+    format!(
+        r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#,
+        members.join(",")
+    )
 }
 
 /// A platform: its list, changes to be told to the next watches, and the completion reports that it gets.
@@ -159,7 +178,11 @@
         if message.first.starts_with("POST /v1/outcomes") {
             let mut heard = heard.lock().expect("the notices");
             heard.push(message.clone());
-            return plain(if heard.len() > deaf { "204 No Content" } else { "500 Oops" });
+            return plain(if heard.len() > deaf {
+                "204 No Content"
+            } else {
+                "500 Oops"
+            });
         }
         if !message.first.contains("index=") {
             return with_body(&list(1, true, &members));
@@ -173,7 +196,11 @@
         }
         with_body(&list(1, false, &[]))
     });
-    Platform { address, completion_reports, changes }
+    Platform {
+        address,
+        completion_reports,
+        changes,
+    }
 }
 
 /// A forwarder process; it is killed as this is dropped.
@@ -210,8 +237,17 @@
 }
 
 /// The program with this configuration, not started yet. `SHOW` in the environment shows its log.
-pub fn command(program: &str, state: &Path, text: &str, listen: &str, discovery: SocketAddr) -> Command {
-    let papers = state.parent().expect("a folder round it").join("config.json");
+pub fn command(
+    program: &str,
+    state: &Path,
+    text: &str,
+    listen: &str,
+    discovery: SocketAddr,
+) -> Command {
+    let papers = state
+        .parent()
+        .expect("a folder round it")
+        .join("config.json");
     std::fs::write(&papers, text).expect("the configuration is written");
     let mut command = Command::new(program);
     command
@@ -219,7 +255,11 @@
         .env("GW_STATE", state)
         .env("GW_LISTEN", listen)
         .env("GW_DISCOVERY", discovery.to_string())
-        .stderr(if std::env::var("SHOW").is_ok() { Stdio::inherit() } else { Stdio::null() });
+        .stderr(if std::env::var("SHOW").is_ok() {
+            Stdio::inherit()
+        } else {
+            Stdio::null()
+        });
     command
 }
 
@@ -236,10 +276,13 @@
     let free = TcpListener::bind("127.0.0.1:0").expect("a port");
     let listen = free.local_addr().expect("its address");
     drop(free);
-    let child =
-        command(program, state, text, &listen.to_string(), discovery).spawn().expect("the program starts");
+    let child = command(program, state, text, &listen.to_string(), discovery)
+        .spawn()
+        .expect("the program starts");
     let forwarder = Forwarder { child, listen };
-    until("it is up", || forwarder.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n", b"") == 200);
+    until("it is up", || {
+        forwarder.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n", b"") == 200
+    });
     forwarder
 }
 
@@ -270,7 +313,9 @@
 
     /// The status of one request on a connection of its own; 0 where none came.
     pub fn ask(&self, head: &str, body: &[u8]) -> u16 {
-        let Ok(mut stream) = self.connect() else { return 0 };
+        let Ok(mut stream) = self.connect() else {
+            return 0;
+        };
         // A server that has seen enough may close while the rest is written.
         let _ = stream.write_all(&[head.as_bytes(), body].concat());
         status(&mut stream)
@@ -285,25 +330,40 @@
     pub fn holds(&self) -> (u64, usize) {
         let of = format!("/proc/{}", self.child.id());
         let status = std::fs::read_to_string(format!("{of}/status")).expect("its status");
-        let memory = status.lines().find_map(|l| l.strip_prefix("VmRSS:")?.trim().strip_suffix(" kB"));
-        let open = std::fs::read_dir(format!("{of}/fd")).expect("its descriptors").count();
-        (memory.and_then(|kb| kb.parse().ok()).expect("its memory"), open)
+        let memory = status
+            .lines()
+            .find_map(|l| l.strip_prefix("VmRSS:")?.trim().strip_suffix(" kB"));
+        let open = std::fs::read_dir(format!("{of}/fd"))
+            .expect("its descriptors")
+            .count();
+        (
+            memory.and_then(|kb| kb.parse().ok()).expect("its memory"),
+            open,
+        )
     }
 
     /// Sends it a signal, by name, as in `-HUP`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().expect("kill runs").success());
+        assert!(Command::new("kill")
+            .args([name, &pid])
+            .status()
+            .expect("kill runs")
+            .success());
     }
 }
 
 /// The status of the next answer; 0 where none comes.
 pub fn status(stream: &mut TcpStream) -> u16 {
-    read_message(stream).and_then(|m| m.first.split(' ').nth(1)?.parse().ok()).unwrap_or(0)
+    read_message(stream)
+        .and_then(|m| m.first.split(' ').nth(1)?.parse().ok())
+        .unwrap_or(0)
 }
 
 /// Calls with this packet's id.
 pub fn calls(log: &Log, id: &str) -> usize {
     let log = log.lock().expect("the log");
-    log.iter().filter(|m| m.headers.get("request-id").is_some_and(|i| i == id)).count()
+    log.iter()
+        .filter(|m| m.headers.get("request-id").is_some_and(|i| i == id))
+        .count()
 }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -207,9 +207,15 @@
             // What reaches a receiver was sent before it: on one clock nothing else passes between.
             oracle: Oracle::new(scenario, 0),
             tally: Tally::new(scenario),
-            stations: (0..scenario.forwarders.count).map(|n| Station::new(scenario, seed, n)).collect(),
+            stations: (0..scenario.forwarders.count)
+                .map(|n| Station::new(scenario, seed, n))
+                .collect(),
             standing: vec![(0, Standing::Ready); layout.targets.len()],
-            connections: layout.targets.iter().map(|_| Connections::default()).collect(),
+            connections: layout
+                .targets
+                .iter()
+                .map(|_| Connections::default())
+                .collect(),
             scenario: scenario.clone(),
             layout,
             make,
@@ -246,7 +252,11 @@
     }
 
     /// The same, cut off at a time: packets that are open then are counted as such and owed nothing.
-    pub fn run_until(mut self, cut: Micros, mut watch: impl FnMut(Micros, Micros)) -> (Outcome, Work) {
+    pub fn run_until(
+        mut self,
+        cut: Micros,
+        mut watch: impl FnMut(Micros, Micros),
+    ) -> (Outcome, Work) {
         let whole = (self.scenario.lasts.0 + self.scenario.longest_expiry() + LAST).min(cut);
         while let Some(Entry { at, what, .. }) = self.queue.pop() {
             if at > whole || self.quiet() {
@@ -267,12 +277,20 @@
                     "target {} fell over: {} calls in the window, {:.1} allowed",
                     fall.target, fall.calls, fall.budget
                 );
-                self.oracle.broken(crate::oracle::Rule::PushedOver, fall.at, what);
+                self.oracle
+                    .broken(crate::oracle::Rule::PushedOver, fall.at, what);
             }
         }
         let name = format!("{:?}", self.make);
-        let mut outcome = self.tally.close(self.now, &self.scenario, Clock::Simulated, self.seed, &name);
-        outcome.broken = self.oracle.counts.iter().map(|(r, n)| (r.to_string(), *n)).collect();
+        let mut outcome =
+            self.tally
+                .close(self.now, &self.scenario, Clock::Simulated, self.seed, &name);
+        outcome.broken = self
+            .oracle
+            .counts
+            .iter()
+            .map(|(r, n)| (r.to_string(), *n))
+            .collect();
         outcome.breaks = self.oracle.breaks;
         outcome.falls = self.receivers.falls.len() as u64;
         (outcome, self.work)
@@ -288,7 +306,11 @@
 
     fn arrange(&mut self, at: Micros, what: Happening) {
         self.arranged += 1;
-        self.queue.push(Entry { at: at.max(self.now), number: self.arranged, what });
+        self.queue.push(Entry {
+            at: at.max(self.now),
+            number: self.arranged,
+            what,
+        });
     }
 
     fn next_due(&mut self) {
@@ -304,37 +326,82 @@
                 self.packet_due(due);
             }
             Happening::HandIn { packet } => self.hand_in(packet),
-            Happening::Alarm { forwarder, life, token } => self.give(forwarder, life, Event::Alarm { token }),
+            Happening::Alarm {
+                forwarder,
+                life,
+                token,
+            } => self.give(forwarder, life, Event::Alarm { token }),
             Happening::Goes { trip } => self.goes(trip),
             Happening::Reaches { trip } => self.reaches(trip),
             Happening::Told { trip, wait } => self.wait_told(trip, wait),
             Happening::Ends { trip, outcome } => self.trip_ends(trip, outcome),
-            Happening::ProbeReaches { forwarder, life, target, sent } => {
-                let fate = self.receivers.probe(self.now, Layout::target(target), forwarder);
+            Happening::ProbeReaches {
+                forwarder,
+                life,
+                target,
+                sent,
+            } => {
+                let fate = self
+                    .receivers
+                    .probe(self.now, Layout::target(target), forwarder);
                 let outcome = match fate.says {
                     Says::Served => opalpulley::Outcome::Delivered,
                     Says::Crowded => opalpulley::Outcome::Full { wait: None },
                     Says::Silent => opalpulley::Outcome::Timeout,
                     _ => opalpulley::Outcome::NoConnection,
                 };
-                let patience =
-                    if fate.says == Says::Silent { self.scenario.network.connect_within.0 } else { 0 };
+                let patience = if fate.says == Says::Silent {
+                    self.scenario.network.connect_within.0
+                } else {
+                    0
+                };
                 let at = fate.at + self.scenario.network.delay.0 + patience;
-                self.arrange(at, Happening::ProbeEnds { forwarder, life, target, sent, outcome });
+                self.arrange(
+                    at,
+                    Happening::ProbeEnds {
+                        forwarder,
+                        life,
+                        target,
+                        sent,
+                        outcome,
+                    },
+                );
             }
-            Happening::ProbeEnds { forwarder, life, target, sent, outcome } => {
+            Happening::ProbeEnds {
+                forwarder,
+                life,
+                target,
+                sent,
+                outcome,
+            } => {
                 let took = self.now - sent;
                 self.give(
                     forwarder,
                     life,
-                    Event::ProbeAnswered { target, outcome, took, report: Vec::new() },
+                    Event::ProbeAnswered {
+                        target,
+                        outcome,
+                        took,
+                        report: Vec::new(),
+                    },
                 );
             }
             Happening::News { forwarder, news } => self.news(forwarder, news),
-            Happening::Asked { forwarder, life, told } => self.asked(forwarder, life, told),
+            Happening::Asked {
+                forwarder,
+                life,
+                told,
+            } => self.asked(forwarder, life, told),
             Happening::Gossip { from, to, message } => {
                 let life = self.stations[to as usize].life;
-                self.give(to, life, Event::Gossip { from: from as u16, message });
+                self.give(
+                    to,
+                    life,
+                    Event::Gossip {
+                        from: from as u16,
+                        message,
+                    },
+                );
             }
             Happening::Trouble { number, on } => self.trouble(number, on),
             Happening::Drains { target, gone } => self.drains(target, gone),
@@ -342,7 +409,10 @@
             Happening::Resumes { forwarder } => self.resumes(forwarder),
             Happening::Sweep => {
                 self.oracle.sweep(self.now);
-                let held = self.oracle.held() + self.receivers.held() + self.packets.len() + self.trips.len();
+                let held = self.oracle.held()
+                    + self.receivers.held()
+                    + self.packets.len()
+                    + self.trips.len();
                 self.work.most_held = self.work.most_held.max(held);
                 self.arrange(self.now + SWEEP, Happening::Sweep);
             }
@@ -351,7 +421,9 @@
 
     /// What binds at this moment binds the call, whenever it was chosen.
     fn goes(&mut self, number: u64) {
-        let Some(trip) = self.trips.get_mut(&number) else { return }; // taken back, or called off
+        let Some(trip) = self.trips.get_mut(&number) else {
+            return;
+        }; // taken back, or called off
         trip.late = false;
         let (forwarder, target, of) = (trip.forwarder, trip.target, trip.of);
         let place = Layout::target(target);
@@ -364,11 +436,16 @@
             self.now,
             &what,
         );
-        self.arrange(self.now + self.scenario.network.delay.0, Happening::Reaches { trip: number });
+        self.arrange(
+            self.now + self.scenario.network.delay.0,
+            Happening::Reaches { trip: number },
+        );
     }
 
     fn reaches(&mut self, number: u64) {
-        let Some(trip) = self.trips.get(&number) else { return }; // it was called off on its way
+        let Some(trip) = self.trips.get(&number) else {
+            return;
+        }; // it was called off on its way
         let target = Layout::target(trip.target);
         let (forwarder, packet, duty) = (trip.forwarder, trip.of, trip.duty);
         let fate = self.receivers.call(self.now, target, forwarder, trip.mark);
@@ -389,7 +466,13 @@
         if let Says::FullCut { wait: Some(wait) } = fate.says {
             self.arrange(at, Happening::Told { trip: number, wait });
         }
-        self.arrange(at, Happening::Ends { trip: number, outcome });
+        self.arrange(
+            at,
+            Happening::Ends {
+                trip: number,
+                outcome,
+            },
+        );
     }
 
     /// Takes an idle connection or opens one; gives what it costs in time and how late it comes up beside that, or none
@@ -403,9 +486,12 @@
             idle.pop()
         });
         if group.connections > 0 && kept.is_none() {
-            let open = |c: &Connections| c.busy as usize + c.idle.values().map(Vec::len).sum::<usize>();
+            let open =
+                |c: &Connections| c.busy as usize + c.idle.values().map(Vec::len).sum::<usize>();
             if open(c) >= group.connections as usize {
-                c.idle.values_mut().for_each(|idle| idle.retain(|since| since + group.idle.0 > now));
+                c.idle
+                    .values_mut()
+                    .for_each(|idle| idle.retain(|since| since + group.idle.0 > now));
                 c.idle.retain(|_, idle| !idle.is_empty());
                 if open(c) >= group.connections as usize {
                     return None;
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -28,12 +28,23 @@
         self.next_packet += 1;
         self.tally.due(self.now, due.profile);
         let expires = self.now + due.left;
-        self.packets.insert(packet, Packet { expires, returns: due.returns, again: false, tries: 0, due });
+        self.packets.insert(
+            packet,
+            Packet {
+                expires,
+                returns: due.returns,
+                again: false,
+                tries: 0,
+                due,
+            },
+        );
         self.hand_in(packet);
     }
 
     pub(super) fn hand_in(&mut self, number: u64) {
-        let Some(packet) = self.packets.get_mut(&number) else { return };
+        let Some(packet) = self.packets.get_mut(&number) else {
+            return;
+        };
         if self.now >= packet.expires {
             return self.given_up(number);
         }
@@ -41,7 +52,10 @@
         let station = &self.stations[forwarder];
         if !station.up() || station.paused {
             packet.tries += 1;
-            let (tries, after) = (packet.tries, if station.paused { SILENT } else { ELSEWHERE });
+            let (tries, after) = (
+                packet.tries,
+                if station.paused { SILENT } else { ELSEWHERE },
+            );
             self.tally.counts.turned_away += 1;
             return match tries < TRIES {
                 true => self.arrange(self.now + after, Happening::HandIn { packet: number }),
@@ -100,7 +114,9 @@
     /// The client was asked to come back later.
     pub(super) fn come_again(&mut self, number: u64, come_back: Option<Micros>) {
         self.tally.tick(self.now, Tick::Deferred);
-        let Some(packet) = self.packets.get_mut(&number) else { return };
+        let Some(packet) = self.packets.get_mut(&number) else {
+            return;
+        };
         let wait = come_back.unwrap_or(COME_BACK);
         if packet.returns == 0 || self.now + wait >= packet.expires {
             return self.given_up(number);
@@ -137,11 +153,14 @@
         self.oracle.ended(duty, end, self.now);
         match end {
             Final::Served => {
-                let Some(packet) = self.packets.remove(&number) else { return };
+                let Some(packet) = self.packets.remove(&number) else {
+                    return;
+                };
                 match self.now <= packet.expires {
                     true => {
                         let took = self.now - packet.due.at;
-                        self.tally.served(self.now, took, packet.due.profile, trip, packet.again);
+                        self.tally
+                            .served(self.now, took, packet.due.profile, trip, packet.again);
                     }
                     false => self.tally.counts.written_off += 1,
                 }
--- a/crates/lab/src/sim/stations.rs
+++ b/crates/lab/src/sim/stations.rs
@@ -9,7 +9,8 @@
 use crate::tally::Tick;
 use crate::world::Layout;
 use opalpulley::{
-    Action, Arrival, Event, ListNews, Listing, Micros, Outcome, PacketId, Past, Standing, TargetId, ZoneId,
+    Action, Arrival, Event, ListNews, Listing, Micros, Outcome, PacketId, Past, Standing, TargetId,
+    ZoneId,
 };
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
@@ -95,7 +96,9 @@
         station.hears = self.scenario.network.asked.is_none();
         if station.listed.is_empty() {
             for (target, (holder, standing)) in self.standing.iter().enumerate() {
-                let listing = self.layout.listing(&self.scenario.destinations, target, *holder, *standing);
+                let listing =
+                    self.layout
+                        .listing(&self.scenario.destinations, target, *holder, *standing);
                 station.listed.insert(target, listing);
             }
         }
@@ -147,7 +150,9 @@
 
     fn decide(&mut self, forwarder: u32, event: Event, handed_in: Option<PacketId>) -> Answered {
         let station = &mut self.stations[forwarder as usize];
-        let Some(subject) = &mut station.subject else { return Answered::Taken };
+        let Some(subject) = &mut station.subject else {
+            return Answered::Taken;
+        };
         let mut actions = Vec::new();
         subject.handle(self.now + station.ahead, event, &mut actions);
         self.work.core_events += 1;
@@ -168,45 +173,97 @@
     fn carry_out(&mut self, forwarder: u32, action: Action) {
         let life = self.stations[forwarder as usize].life;
         match action {
-            Action::Send { id, target, limit, .. } => self.send(forwarder, id, target, limit),
+            Action::Send {
+                id, target, limit, ..
+            } => self.send(forwarder, id, target, limit),
             Action::WriteOff { id } => self.finish(forwarder, id, Final::WrittenOff, None),
-            Action::Defer { id, come_back } => self.finish(forwarder, id, Final::Deferred, come_back),
+            Action::Defer { id, come_back } => {
+                self.finish(forwarder, id, Final::Deferred, come_back)
+            }
             Action::Wake { after, token } => {
-                self.arrange(self.now + after.max(1), Happening::Alarm { forwarder, life, token });
+                self.arrange(
+                    self.now + after.max(1),
+                    Happening::Alarm {
+                        forwarder,
+                        life,
+                        token,
+                    },
+                );
             }
             Action::Probe { target } => {
                 self.tally.counts.probes += 1;
                 let gate = self.layout.targets[Layout::target(target)].gate;
-                let what = format!("a probe of forwarder {forwarder} to target {}", Layout::target(target));
+                let what = format!(
+                    "a probe of forwarder {forwarder} to target {}",
+                    Layout::target(target)
+                );
                 self.oracle.check_wait(forwarder, gate, self.now, &what);
                 let at = self.now + 3 * self.scenario.network.delay.0;
-                self.arrange(at, Happening::ProbeReaches { forwarder, life, target, sent: self.now });
+                self.arrange(
+                    at,
+                    Happening::ProbeReaches {
+                        forwarder,
+                        life,
+                        target,
+                        sent: self.now,
+                    },
+                );
             }
             Action::CallOff { id, trip } => {
                 let out = self.stations[forwarder as usize].open.get(&id);
-                let number = out.and_then(|h| h.out.iter().find(|(t, _)| *t == trip)).map(|(_, n)| *n);
+                let number = out
+                    .and_then(|h| h.out.iter().find(|(t, _)| *t == trip))
+                    .map(|(_, n)| *n);
                 if let Some(trip) = number {
-                    self.arrange(self.now, Happening::Ends { trip, outcome: Outcome::CalledOff });
+                    self.arrange(
+                        self.now,
+                        Happening::Ends {
+                            trip,
+                            outcome: Outcome::CalledOff,
+                        },
+                    );
                 }
             }
             Action::CloseIdle { target } => {
-                self.connections[Layout::target(target)].idle.remove(&forwarder);
+                self.connections[Layout::target(target)]
+                    .idle
+                    .remove(&forwarder);
             }
             Action::Watch { on: true } => self.ask(forwarder),
             Action::SendGossip { peer, message } => {
                 let others = (0..self.stations.len() as u32).filter(|to| *to != forwarder);
-                for to in others.filter(|to| peer.is_none_or(|n| u32::from(n) == *to)).collect::<Vec<_>>() {
+                for to in others
+                    .filter(|to| peer.is_none_or(|n| u32::from(n) == *to))
+                    .collect::<Vec<_>>()
+                {
                     let (at, message) = (self.now + self.scenario.network.delay.0, message.clone());
-                    self.arrange(at, Happening::Gossip { from: forwarder, to, message });
+                    self.arrange(
+                        at,
+                        Happening::Gossip {
+                            from: forwarder,
+                            to,
+                            message,
+                        },
+                    );
                 }
             }
             Action::TakeBack { target } => {
                 let back = |t: &Trip| t.forwarder == forwarder && t.target == target && t.late;
-                let mut late: Vec<u64> =
-                    self.trips.iter().filter(|(_, t)| back(t)).map(|(n, _)| *n).collect();
+                let mut late: Vec<u64> = self
+                    .trips
+                    .iter()
+                    .filter(|(_, t)| back(t))
+                    .map(|(n, _)| *n)
+                    .collect();
                 late.sort_unstable();
                 for trip in late {
-                    self.arrange(self.now, Happening::Ends { trip, outcome: Outcome::TakenBack });
+                    self.arrange(
+                        self.now,
+                        Happening::Ends {
+                            trip,
+                            outcome: Outcome::TakenBack,
+                        },
+                    );
                 }
             }
             Action::Watch { .. } | Action::FetchList | Action::Log(_) | Action::Fault(_) => {}
@@ -219,12 +276,24 @@
         let spot = self.layout.targets[place];
         let sending = |duty| {
             let (destination, gate, holder) = (spot.destination, spot.gate, target.holder);
-            Sending { duty, forwarder, destination, target: place, holder, gate }
+            Sending {
+                duty,
+                forwarder,
+                destination,
+                target: place,
+                holder,
+                gate,
+            }
         };
         let station = &mut self.stations[forwarder as usize];
         let Some(held) = station.open.get_mut(&id) else {
             // Only a broken forwarder comes here.
-            if let Some((_, duty, _)) = station.lately.iter().find(|(over, ..)| *over == id).copied() {
+            if let Some((_, duty, _)) = station
+                .lately
+                .iter()
+                .find(|(over, ..)| *over == id)
+                .copied()
+            {
                 self.oracle.sent(sending(duty), now);
                 self.oracle.over(duty, forwarder, now, Ran::No);
             }
@@ -244,7 +313,17 @@
         let mark = self.mark(of, profile);
         let connected = self.connect(forwarder, place);
         let late = connected.is_some_and(|(_, late)| late > 0);
-        let out = Trip { forwarder, packet: id, duty, of, number, target, sent: now, mark, late };
+        let out = Trip {
+            forwarder,
+            packet: id,
+            duty,
+            of,
+            number,
+            target,
+            sent: now,
+            mark,
+            late,
+        };
         self.trips.insert(trip, out);
         let delay = self.scenario.network.delay.0;
         match connected {
@@ -255,41 +334,76 @@
                     _ => self.arrange(goes, Happening::Goes { trip }),
                 }
                 let limit = limit.map_or(left, |l| l.min(left));
-                self.arrange(now + limit, Happening::Ends { trip, outcome: Outcome::Timeout });
+                self.arrange(
+                    now + limit,
+                    Happening::Ends {
+                        trip,
+                        outcome: Outcome::Timeout,
+                    },
+                );
             }
             None => {
                 self.connections[place].busy += 1; // it is given back with the outcome
-                self.arrange(now + 2 * delay, Happening::Ends { trip, outcome: Outcome::NoConnection });
+                self.arrange(
+                    now + 2 * delay,
+                    Happening::Ends {
+                        trip,
+                        outcome: Outcome::NoConnection,
+                    },
+                );
             }
         }
     }
 
     pub(super) fn trip_ends(&mut self, number: u64, outcome: Outcome) {
-        let Some(trip) = self.trips.get(&number) else { return };
-        let (forwarder, paused) = (trip.forwarder, self.stations[trip.forwarder as usize].paused);
+        let Some(trip) = self.trips.get(&number) else {
+            return;
+        };
+        let (forwarder, paused) = (
+            trip.forwarder,
+            self.stations[trip.forwarder as usize].paused,
+        );
         if paused {
             // A process that stands still reads nothing: the answer waits in its socket, its own timers do not ring.
-            self.arrange(self.now + LOOK_AGAIN, Happening::Ends { trip: number, outcome });
+            self.arrange(
+                self.now + LOOK_AGAIN,
+                Happening::Ends {
+                    trip: number,
+                    outcome,
+                },
+            );
             return;
         }
-        let Some(trip) = self.trips.remove(&number) else { return };
+        let Some(trip) = self.trips.remove(&number) else {
+            return;
+        };
         self.tally.calls_out = self.tally.calls_out.saturating_sub(1);
         let place = Layout::target(trip.target);
-        let usable = matches!(outcome, Outcome::Delivered | Outcome::Error | Outcome::Full { .. });
+        let usable = matches!(
+            outcome,
+            Outcome::Delivered | Outcome::Error | Outcome::Full { .. }
+        );
         self.release(forwarder, place, usable);
         self.count_outcome(outcome);
-        let perhaps = if outcome.may_have_run() { Ran::Perhaps } else { Ran::No };
+        let perhaps = if outcome.may_have_run() {
+            Ran::Perhaps
+        } else {
+            Ran::No
+        };
         self.oracle.over(trip.duty, forwarder, trip.sent, perhaps);
         if outcome == Outcome::TakenBack {
             self.oracle.never_went(trip.duty);
         }
         let spot = self.layout.targets[place];
         if let Outcome::Full { wait: Some(wait) } = outcome {
-            self.oracle.told_to_wait(forwarder, spot.gate, self.now, self.now + wait);
+            self.oracle
+                .told_to_wait(forwarder, spot.gate, self.now, self.now + wait);
         }
         let station = &mut self.stations[forwarder as usize];
         let (life, ahead) = (station.life, station.ahead);
-        let Some(held) = station.open.get_mut(&trip.packet) else { return };
+        let Some(held) = station.open.get_mut(&trip.packet) else {
+            return;
+        };
         held.out.retain(|(_, n)| *n != number);
         held.trips -= u32::from(outcome == Outcome::TakenBack);
         if outcome.may_have_run() && held.exposed.is_none() {
@@ -306,27 +420,48 @@
         self.give(
             forwarder,
             life,
-            Event::TripEnded { id, trip: number, target, outcome, took, closed, report: Vec::new() },
+            Event::TripEnded {
+                id,
+                trip: number,
+                target,
+                outcome,
+                took,
+                closed,
+                report: Vec::new(),
+            },
         );
     }
 
     /// The head of its answer tells a wait: heard at once, unless the process stands still.
     pub(super) fn wait_told(&mut self, number: u64, wait: Micros) {
-        let Some(trip) = self.trips.get(&number) else { return };
+        let Some(trip) = self.trips.get(&number) else {
+            return;
+        };
         let (forwarder, target) = (trip.forwarder, trip.target);
         let station = &self.stations[forwarder as usize];
         if station.paused {
-            return self.arrange(self.now + LOOK_AGAIN, Happening::Told { trip: number, wait });
+            return self.arrange(
+                self.now + LOOK_AGAIN,
+                Happening::Told { trip: number, wait },
+            );
         }
-        let (gate, life) = (self.layout.targets[Layout::target(target)].gate, station.life);
-        self.oracle.told_to_wait(forwarder, gate, self.now, self.now + wait);
+        let (gate, life) = (
+            self.layout.targets[Layout::target(target)].gate,
+            station.life,
+        );
+        self.oracle
+            .told_to_wait(forwarder, gate, self.now, self.now + wait);
         self.give(forwarder, life, Event::WaitTold { target, wait });
     }
 
     /// Forgets a packet that is over and has no trip out.
     fn forget(&mut self, forwarder: u32, id: PacketId) {
         let station = &mut self.stations[forwarder as usize];
-        if station.open.get(&id).is_some_and(|h| h.ended && h.out.is_empty()) {
+        if station
+            .open
+            .get(&id)
+            .is_some_and(|h| h.ended && h.out.is_empty())
+        {
             if let Some(held) = station.open.remove(&id) {
                 station.lately.push_front((id, held.duty, held.of));
                 station.lately.truncate(LATELY);
@@ -337,7 +472,12 @@
     fn finish(&mut self, forwarder: u32, id: PacketId, end: Final, come_back: Option<Micros>) {
         let station = &mut self.stations[forwarder as usize];
         let Some(held) = station.open.get_mut(&id) else {
-            if let Some((_, duty, _)) = station.lately.iter().find(|(over, ..)| *over == id).copied() {
+            if let Some((_, duty, _)) = station
+                .lately
+                .iter()
+                .find(|(over, ..)| *over == id)
+                .copied()
+            {
                 self.oracle.ended(duty, end, self.now); // a broken one's second answer
             }
             return;
@@ -359,23 +499,35 @@
         (station.subject, station.paused) = (None, false);
         station.life += 1;
         station.inbox.clear();
-        let mut out: Vec<u64> =
-            self.trips.iter().filter(|(_, t)| t.forwarder == forwarder).map(|(n, _)| *n).collect();
+        let mut out: Vec<u64> = self
+            .trips
+            .iter()
+            .filter(|(_, t)| t.forwarder == forwarder)
+            .map(|(n, _)| *n)
+            .collect();
         out.sort_unstable();
         for number in out {
-            let Some(trip) = self.trips.remove(&number) else { continue };
+            let Some(trip) = self.trips.remove(&number) else {
+                continue;
+            };
             self.tally.calls_out = self.tally.calls_out.saturating_sub(1);
-            self.oracle.over(trip.duty, forwarder, trip.sent, Ran::Perhaps);
+            self.oracle
+                .over(trip.duty, forwarder, trip.sent, Ran::Perhaps);
             let place = Layout::target(trip.target);
             self.release(forwarder, place, false);
-            let (station, zone) = (&mut self.stations[forwarder as usize], self.layout.targets[place].zone);
+            let (station, zone) = (
+                &mut self.stations[forwarder as usize],
+                self.layout.targets[place].zone,
+            );
             let ahead = station.ahead;
             if let Some(held) = station.open.get_mut(&trip.packet) {
                 held.out.clear();
                 held.exposed = held.exposed.or(Some((trip.sent + ahead, ZoneId(zone))));
             }
         }
-        self.connections.iter_mut().for_each(|c| _ = c.idle.remove(&forwarder));
+        self.connections
+            .iter_mut()
+            .for_each(|c| _ = c.idle.remove(&forwarder));
         self.oracle.restarted(forwarder);
         self.oracle.excuse(forwarder, Micros::MAX);
         let station = &mut self.stations[forwarder as usize];
@@ -408,8 +560,17 @@
             let station = &mut self.stations[forwarder as usize];
             let id = station.new_id();
             let left = held.expires.saturating_sub(self.now);
-            let past = Past { trips: held.trips, exposed: held.exposed };
-            held.arrival = Arrival { id, left, again: true, past, ..held.arrival };
+            let past = Past {
+                trips: held.trips,
+                exposed: held.exposed,
+            };
+            held.arrival = Arrival {
+                id,
+                left,
+                again: true,
+                past,
+                ..held.arrival
+            };
             let arrival = held.arrival.clone();
             station.open.insert(id, held);
             self.decide(forwarder, Event::Packet(arrival), None);
@@ -457,10 +618,19 @@
             }
         }
         for entry in &entries {
-            let (target, ready) = (Layout::target(entry.target), entry.standing == Standing::Ready);
-            self.oracle.told_standing(forwarder, target, entry.target.holder, ready, self.now);
+            let (target, ready) = (
+                Layout::target(entry.target),
+                entry.standing == Standing::Ready,
+            );
+            self.oracle
+                .told_standing(forwarder, target, entry.target.holder, ready, self.now);
             match entry.standing {
-                Standing::Gone if station.listed.get(&target).is_some_and(|l| l.target == entry.target) => {
+                Standing::Gone
+                    if station
+                        .listed
+                        .get(&target)
+                        .is_some_and(|l| l.target == entry.target) =>
+                {
                     station.listed.remove(&target);
                 }
                 Standing::Gone => {}
--- a/crates/lab/src/sim/tests.rs
+++ b/crates/lab/src/sim/tests.rs
@@ -3,21 +3,35 @@
 use crate::subject::Make;
 
 fn hostile() -> Scenario {
-    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../lab/scenarios/hostile.toml");
+    let path = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../lab/scenarios/hostile.toml"
+    );
     Scenario::load(std::path::Path::new(path)).expect("it is right")
 }
 
 fn run(scenario: &Scenario, seed: u64, make: Make) -> Outcome {
-    Sim::new(scenario, seed, make).expect("it starts").run(|_, _| {})
+    Sim::new(scenario, seed, make)
+        .expect("it starts")
+        .run(|_, _| {})
 }
 
 #[test]
 fn the_true_forwarder_breaks_no_rule_and_every_packet_has_its_end() {
     for seed in 1..=4 {
         let outcome = run(&hostile(), seed, Make::True);
-        assert!(outcome.misses().is_empty(), "seed {seed}: {:?}\n{:?}", outcome.misses(), outcome.breaks);
+        assert!(
+            outcome.misses().is_empty(),
+            "seed {seed}: {:?}\n{:?}",
+            outcome.misses(),
+            outcome.breaks
+        );
         let c = &outcome.counts;
-        assert_eq!(c.served + c.written_off + c.given_up + c.gone, c.due, "seed {seed}");
+        assert_eq!(
+            c.served + c.written_off + c.given_up + c.gone,
+            c.due,
+            "seed {seed}"
+        );
         assert!(c.due > 5000 && c.retried > 100, "{c:?}");
     }
 }
@@ -26,13 +40,18 @@
 fn each_broken_forwarder_is_caught_by_the_name_of_its_rule() {
     for (make, rule) in Make::BROKEN {
         let outcome = run(&hostile(), 1, make);
-        assert!(outcome.broken.contains_key(rule), "{make:?} should break {rule}: {:?}", outcome.broken);
+        assert!(
+            outcome.broken.contains_key(rule),
+            "{make:?} should break {rule}: {:?}",
+            outcome.broken
+        );
     }
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run_to_the_byte() {
-    let text = |seed| serde_json::to_string(&run(&hostile(), seed, Make::True)).expect("it is data");
+    let text =
+        |seed| serde_json::to_string(&run(&hostile(), seed, Make::True)).expect("it is data");
     assert_eq!(text(7), text(7));
     assert_ne!(text(7), text(8));
 }
@@ -41,7 +60,11 @@
 fn a_run_cut_off_counts_what_is_open_and_blames_nobody() {
     let sim = Sim::new(&hostile(), 1, Make::True).expect("it starts");
     let (outcome, _) = sim.run_until(12_000_000, |_, _| {});
-    assert!(outcome.counts.open > 0 && outcome.broken.is_empty(), "{:?}", outcome.broken);
+    assert!(
+        outcome.counts.open > 0 && outcome.broken.is_empty(),
+        "{:?}",
+        outcome.broken
+    );
 }
 
 /// What the tables hold follows the packets that are open, not those ever seen.
@@ -51,7 +74,11 @@
         let mut scenario = hostile();
         scenario.troubles.clear();
         scenario.lasts = crate::scenario::Span(lasts * 1_000_000);
-        Sim::new(&scenario, 1, Make::True).expect("it starts").run_until(Micros::MAX, |_, _| {}).1.most_held
+        Sim::new(&scenario, 1, Make::True)
+            .expect("it starts")
+            .run_until(Micros::MAX, |_, _| {})
+            .1
+            .most_held
     };
     let (short, long) = (held(150), held(450));
     assert!(long < short * 11 / 10, "{short} entries, then {long}");
@@ -61,7 +88,9 @@
 #[test]
 fn a_folder_with_overdue_packets_is_taken_over() {
     let mut scenario = hostile();
-    scenario.troubles.retain(|t| matches!(t.what, crate::scenario::What::Killed { .. }));
+    scenario
+        .troubles
+        .retain(|t| matches!(t.what, crate::scenario::What::Killed { .. }));
     scenario.forwarders.count = 1;
     scenario.troubles[0].lasts = crate::scenario::Span(15_000_000); // longer than any packet lives
     scenario.loads[0].rate = 200.0; // so that lines wait
@@ -79,21 +108,35 @@
 /// is not asked much more often than once for each start. Calls made again each second would keep it full for good.
 #[test]
 fn an_overbooked_discovery_tells_a_fleet_that_starts_at_once() {
-    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../lab/scenarios/fleet-restart-full.toml");
+    let path = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../lab/scenarios/fleet-restart-full.toml"
+    );
     let scenario = Scenario::load(std::path::Path::new(path)).expect("it is right");
     for seed in 1..=3 {
         let sim = Sim::new(&scenario, seed, Make::True).expect("it starts");
         let (outcome, work) = sim.run_until(Micros::MAX, |_, _| {});
         assert!(outcome.broken.is_empty(), "{:?}", outcome.breaks);
-        assert_eq!(work.unheard, 0, "seed {seed}: {} calls for the list", work.list_calls);
-        assert!(work.list_calls <= 400, "seed {seed}: {} calls for some 170 starts", work.list_calls);
+        assert_eq!(
+            work.unheard, 0,
+            "seed {seed}: {} calls for the list",
+            work.list_calls
+        );
+        assert!(
+            work.list_calls <= 400,
+            "seed {seed}: {} calls for some 170 starts",
+            work.list_calls
+        );
     }
 }
 
 /// Where forwarders may tell each other of refusals, fewer calls are refused and more packets served.
 #[test]
 fn notes_spare_refusals_where_a_clump_meets_a_fleet() {
-    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../lab/scenarios/fleet-limits-full.toml");
+    let path = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../lab/scenarios/fleet-limits-full.toml"
+    );
     let mut scenario = Scenario::load(std::path::Path::new(path)).expect("it is right");
     let mut sums = [(0, 0); 2];
     for (sum, may_tell) in sums.iter_mut().zip([true, false]) {
@@ -108,16 +151,27 @@
         }
     }
     let [(served, refused), (served_alone, refused_alone)] = sums;
-    assert!(served > served_alone && 2 * refused < refused_alone, "{sums:?}");
+    assert!(
+        served > served_alone && 2 * refused < refused_alone,
+        "{sums:?}"
+    );
 }
 
 /// What the operators' full fleet showed: a wait is told, and a list drains, while connections are still to come up.
 #[test]
 fn calls_on_late_connections_heed_what_was_told_meanwhile() {
-    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../lab/scenarios/late-connections.toml");
+    let path = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../lab/scenarios/late-connections.toml"
+    );
     let scenario = Scenario::load(std::path::Path::new(path)).expect("it is right");
     let outcome = run(&scenario, 2, Make::True);
-    assert!(outcome.misses().is_empty(), "{:?}\n{:?}", outcome.misses(), outcome.breaks);
+    assert!(
+        outcome.misses().is_empty(),
+        "{:?}\n{:?}",
+        outcome.misses(),
+        outcome.breaks
+    );
     let broken = run(&scenario, 2, Make::TakesNothingBack).broken;
     assert!(broken.contains_key("wait-not-heeded"), "{broken:?}");
 }
--- a/crates/lab/src/sim/troubles.rs
+++ b/crates/lab/src/sim/troubles.rs
@@ -10,7 +10,9 @@
     pub(super) fn trouble(&mut self, number: usize, on: bool) {
         let trouble = self.scenario.troubles[number].clone();
         let until = trouble.at.0 + trouble.lasts.0;
-        let targets = self.layout.struck(&self.scenario, &trouble.on, self.seed, number);
+        let targets = self
+            .layout
+            .struck(&self.scenario, &trouble.on, self.seed, number);
         let forwarders = Layout::struck_forwarders(&self.scenario, &trouble.on, self.seed, number);
         if on {
             self.arrange(until, Happening::Trouble { number, on: false });
@@ -21,7 +23,13 @@
             (What::Killed { folder }, true) => {
                 for forwarder in forwarders {
                     self.kill(forwarder, *folder);
-                    self.arrange(until, Happening::Back { forwarder, folder: *folder });
+                    self.arrange(
+                        until,
+                        Happening::Back {
+                            forwarder,
+                            folder: *folder,
+                        },
+                    );
                 }
             }
             (What::Paused, true) => {
@@ -37,7 +45,13 @@
                 let each = trouble.lasts.0 / targets.len().max(1) as u64;
                 for (place, target) in targets.into_iter().enumerate() {
                     let begin = trouble.at.0 + each * place as u64;
-                    self.arrange(begin, Happening::Drains { target, gone: false });
+                    self.arrange(
+                        begin,
+                        Happening::Drains {
+                            target,
+                            gone: false,
+                        },
+                    );
                     self.arrange(begin + each, Happening::Drains { target, gone: true });
                 }
             }
@@ -49,7 +63,9 @@
                 self.tell_all(ListNews::Whole(list));
             }
             (What::Killed { .. } | What::Paused | What::Drain | What::Stale, false) => {}
-            (what, on) => self.receivers.strike(self.now, number, what, until, &targets, on),
+            (what, on) => self
+                .receivers
+                .strike(self.now, number, what, until, &targets, on),
         }
     }
 
@@ -57,7 +73,8 @@
         let entries = self.standing.iter().enumerate();
         entries
             .map(|(t, (holder, standing))| {
-                self.layout.listing(&self.scenario.destinations, t, *holder, *standing)
+                self.layout
+                    .listing(&self.scenario.destinations, t, *holder, *standing)
             })
             .collect()
     }
@@ -65,8 +82,10 @@
     /// One target begins to drain; or it is gone, and another holder stands under its address.
     pub(super) fn drains(&mut self, target: usize, gone: bool) {
         let (holder, _) = self.standing[target];
-        let entry =
-            |holder, standing| self.layout.listing(&self.scenario.destinations, target, holder, standing);
+        let entry = |holder, standing| {
+            self.layout
+                .listing(&self.scenario.destinations, target, holder, standing)
+        };
         let news = match gone {
             false => {
                 self.standing[target] = (holder, Standing::Draining);
@@ -76,7 +95,10 @@
                 self.standing[target] = (holder + 1, Standing::Ready);
                 self.receivers.replace(self.now, target);
                 self.connections[target].idle.clear();
-                vec![entry(holder, Standing::Gone), entry(holder + 1, Standing::Ready)]
+                vec![
+                    entry(holder, Standing::Gone),
+                    entry(holder + 1, Standing::Ready),
+                ]
             }
         };
         self.tell_all(ListNews::Changes(news));
@@ -89,13 +111,21 @@
             let station = &mut self.stations[forwarder];
             let at = (self.now.max(self.stale_until) + lag).max(station.news_at);
             station.news_at = at;
-            self.arrange(at, Happening::News { forwarder: forwarder as u32, news: news.clone() });
+            self.arrange(
+                at,
+                Happening::News {
+                    forwarder: forwarder as u32,
+                    news: news.clone(),
+                },
+            );
         }
     }
 
     /// A call for the list: worked off in turn, too late for its caller or not.
     pub(super) fn ask(&mut self, forwarder: u32) {
-        let Some(asked) = &self.scenario.network.asked else { return };
+        let Some(asked) = &self.scenario.network.asked else {
+            return;
+        };
         self.work.list_calls += 1;
         let wait = self.discovery_busy.saturating_sub(self.now) + asked.call.0;
         let (after, told) = match wait {
@@ -106,7 +136,14 @@
             }
         };
         let life = self.stations[forwarder as usize].life;
-        self.arrange(self.now + after, Happening::Asked { forwarder, life, told });
+        self.arrange(
+            self.now + after,
+            Happening::Asked {
+                forwarder,
+                life,
+                told,
+            },
+        );
     }
 
     pub(super) fn asked(&mut self, forwarder: u32, life: u32, told: bool) {
@@ -126,6 +163,12 @@
     pub(super) fn catch_up(&mut self, forwarder: u32) {
         let list = self.list();
         let at = self.now.max(self.stale_until);
-        self.arrange(at, Happening::News { forwarder, news: ListNews::Whole(list) });
+        self.arrange(
+            at,
+            Happening::News {
+                forwarder,
+                news: ListNews::Whole(list),
+            },
+        );
     }
 }
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -79,7 +79,8 @@
         let layout = Layout::new(scenario);
         let (again, agains) = mpsc::unbounded_channel();
         let late = || {
-            Histogram::new_with_bounds(1, 3_600_000_000, 2).unwrap_or_else(|_| unreachable!("fixed bounds"))
+            Histogram::new_with_bounds(1, 3_600_000_000, 2)
+                .unwrap_or_else(|_| unreachable!("fixed bounds"))
         };
         let state = State {
             receivers: Receivers::new(scenario, &layout, seed),
@@ -135,11 +136,17 @@
         let Some(number) = packet else { return };
         match end {
             Final::Served => {
-                let Some(packet) = self.packets.remove(&number) else { return };
+                let Some(packet) = self.packets.remove(&number) else {
+                    return;
+                };
                 match now <= packet.expires + SLACK {
-                    true => {
-                        self.tally.served(now, now - packet.due.at, packet.due.profile, trip, packet.again)
-                    }
+                    true => self.tally.served(
+                        now,
+                        now - packet.due.at,
+                        packet.due.profile,
+                        trip,
+                        packet.again,
+                    ),
                     false => self.tally.counts.written_off += 1,
                 }
             }
@@ -157,9 +164,17 @@
     }
 
     /// The client was asked to come back later.
-    pub(crate) fn come_again(&mut self, stage: &Stage, number: u64, come_back: Option<Micros>, now: Micros) {
+    pub(crate) fn come_again(
+        &mut self,
+        stage: &Stage,
+        number: u64,
+        come_back: Option<Micros>,
+        now: Micros,
+    ) {
         self.tally.tick(now, Tick::Deferred);
-        let Some(packet) = self.packets.get_mut(&number) else { return };
+        let Some(packet) = self.packets.get_mut(&number) else {
+            return;
+        };
         let at = now + come_back.unwrap_or(1_000_000);
         if packet.returns == 0 || at >= packet.expires {
             return self.given_up(number);
--- a/crates/lab/src/sockets/agents.rs
+++ b/crates/lab/src/sockets/agents.rs
@@ -63,8 +63,15 @@
     ) -> io::Result<Arc<Agent>> {
         let port = Port::hold(port)?;
         let listener = port.listen()?;
-        let members = (0..standins.len()).map(|t| ((t, standins[t].holder()), Phase::Ready)).collect();
-        let told = Told { revision: 1, members, changes: Vec::new(), whole_from: 1 };
+        let members = (0..standins.len())
+            .map(|t| ((t, standins[t].holder()), Phase::Ready))
+            .collect();
+        let told = Told {
+            revision: 1,
+            members,
+            changes: Vec::new(),
+            whole_from: 1,
+        };
         let agent = Arc::new(Agent {
             address: port.address,
             forwarder,
@@ -126,7 +133,11 @@
         let spot = stage.layout.targets[target];
         let group = &stage.scenario.destinations[spot.group];
         let zone = ["a", "b"][usize::from(spot.zone % 2)];
-        let kind = if group.routes_apart { "apart" } else { "shared" };
+        let kind = if group.routes_apart {
+            "apart"
+        } else {
+            "shared"
+        };
         json!({"id": format!("t{target}-{holder}"), "host_port": self.standins[target].address.to_string(),
             "locality": zone, "flavor": kind,
             "cell": spot.destination, "phase": format!("{phase:?}"), "size": group.rate, "up_since_ms": 0})
@@ -138,11 +149,21 @@
         let complete = from.is_none_or(|r| r < told.whole_from);
         let since = from.unwrap_or(0);
         let entries: Vec<Entry> = match complete {
-            true => told.members.iter().map(|((t, h), p)| (*t, *h, *p)).collect(),
-            false => told.changes.iter().filter(|(r, _)| *r > since).flat_map(|(_, e)| e.clone()).collect(),
+            true => told
+                .members
+                .iter()
+                .map(|((t, h), p)| (*t, *h, *p))
+                .collect(),
+            false => told
+                .changes
+                .iter()
+                .filter(|(r, _)| *r > since)
+                .flat_map(|(_, e)| e.clone())
+                .collect(),
         };
         let members: Vec<Value> = entries.iter().map(|e| self.member(stage, *e)).collect();
-        let text = json!({"revision": told.revision, "complete": complete, "members": members}).to_string();
+        let text = json!({"revision": told.revision, "complete": complete, "members": members})
+            .to_string();
         drop(told);
         let now = stage.now();
         let mut state = stage.lock();
@@ -150,18 +171,27 @@
             for (target, standin) in self.standins.iter().enumerate() {
                 for holder in 0..=standin.holder() {
                     if !entries.iter().any(|(t, h, _)| (*t, *h) == (target, holder)) {
-                        state.oracle.told_standing(self.forwarder, target, holder, false, now);
+                        state
+                            .oracle
+                            .told_standing(self.forwarder, target, holder, false, now);
                     }
                 }
             }
         }
         for (target, holder, phase) in entries {
-            state.oracle.told_standing(self.forwarder, target, holder, phase == Phase::Ready, now);
+            state
+                .oracle
+                .told_standing(self.forwarder, target, holder, phase == Phase::Ready, now);
         }
         text
     }
 
-    async fn answer(&self, stage: &Arc<Stage>, conn: &mut Conn, request: Message) -> io::Result<()> {
+    async fn answer(
+        &self,
+        stage: &Arc<Stage>,
+        conn: &mut Conn,
+        request: Message,
+    ) -> io::Result<()> {
         if request.method == "POST" && request.path == "/v1/outcomes" {
             return match self.completion_reports(stage, &request.body) {
                 Ok(()) => conn.reply("204 No Content", "", "").await,
@@ -173,7 +203,10 @@
             return conn.reply("404 Not Found", "", "").await;
         }
         let value = |name: &str| {
-            query.split('&').find_map(|p| p.strip_prefix(name)).and_then(|v| v.parse::<u64>().ok())
+            query
+                .split('&')
+                .find_map(|p| p.strip_prefix(name))
+                .and_then(|v| v.parse::<u64>().ok())
         };
         let from = value("index=");
         if let Some(from) = from {
@@ -188,11 +221,16 @@
 
     fn completion_reports(&self, stage: &Arc<Stage>, body: &[u8]) -> Result<(), String> {
         let lines = body.split(|b| *b == b'\n').filter(|l| !l.is_empty());
-        let completion_reports: Vec<CompletionReport> =
-            lines.map(serde_json::from_slice).collect::<Result<_, _>>().map_err(|e| e.to_string())?;
+        let completion_reports: Vec<CompletionReport> = lines
+            .map(serde_json::from_slice)
+            .collect::<Result<_, _>>()
+            .map_err(|e| e.to_string())?;
         let now = stage.now();
         for completion_report in completion_reports {
-            let duty = completion_report.id.strip_prefix('p').and_then(|n| n.parse::<u64>().ok());
+            let duty = completion_report
+                .id
+                .strip_prefix('p')
+                .and_then(|n| n.parse::<u64>().ok());
             if stage.alone {
                 println!(
                     "notice to forwarder {}: {} {}",
@@ -208,7 +246,8 @@
                 "deferred" => Final::Deferred,
                 other => return Err(format!("{other}: no such status")),
             };
-            let come_back: Option<Micros> = completion_report.again_ms.map(|ms| (ms * 1e3) as Micros);
+            let come_back: Option<Micros> =
+                completion_report.again_ms.map(|ms| (ms * 1e3) as Micros);
             let mut state = stage.lock();
             // A notice for a packet that is over does no harm if it is the same again: it was not heard the first time.
             if !state.oracle.heard_before(duty, end) {
--- a/crates/lab/src/sockets/clients.rs
+++ b/crates/lab/src/sockets/clients.rs
@@ -35,11 +35,18 @@
 
 impl Door {
     pub fn new(address: SocketAddr) -> Arc<Door> {
-        Arc::new(Door { address, open: AtomicBool::new(true), idle: Mutex::new(Vec::new()) })
+        Arc::new(Door {
+            address,
+            open: AtomicBool::new(true),
+            idle: Mutex::new(Vec::new()),
+        })
     }
 
     fn take(&self) -> Option<Conn> {
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner).pop()
+        self.idle
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .pop()
     }
 
     fn give_back(&self, conn: Conn) {
@@ -97,15 +104,19 @@
 ) -> io::Result<Pacer> {
     let (stop, stopped) = oneshot::channel::<()>();
     let others = Handle::current();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build()?;
-    std::thread::Builder::new().name("load".into()).spawn(move || {
-        runtime.block_on(async {
-            tokio::select! {
-                () = run(stage, doors.into(), loads, agains, begin, others) => {}
-                _ = stopped => {}
-            }
-        });
-    })?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .build()?;
+    std::thread::Builder::new()
+        .name("load".into())
+        .spawn(move || {
+            runtime.block_on(async {
+                tokio::select! {
+                    () = run(stage, doors.into(), loads, agains, begin, others) => {}
+                    _ = stopped => {}
+                }
+            });
+        })?;
     Ok(Pacer { _stop: stop })
 }
 
@@ -149,7 +160,12 @@
             })
         };
         if let Some(number) = number {
-            others.spawn(hand_in(stage.clone(), doors.clone(), next_door.clone(), number));
+            others.spawn(hand_in(
+                stage.clone(),
+                doors.clone(),
+                next_door.clone(),
+                number,
+            ));
         }
         handed += 1;
         if handed % AT_ONCE == 0 {
@@ -164,27 +180,52 @@
     let number = state.next_packet;
     state.next_packet += 1;
     state.tally.due(due.at, due.profile);
-    state.load_late.saturating_record(now.saturating_sub(due.at).max(1));
+    state
+        .load_late
+        .saturating_record(now.saturating_sub(due.at).max(1));
     let (expires, returns) = (due.at + due.left, due.returns);
-    state.packets.insert(number, Packet { expires, returns, again: false, orphan: false, tries: 0, due });
+    state.packets.insert(
+        number,
+        Packet {
+            expires,
+            returns,
+            again: false,
+            orphan: false,
+            tries: 0,
+            due,
+        },
+    );
     number
 }
 
-async fn hand_in(stage: Arc<Stage>, doors: Arc<[Arc<Door>]>, next_door: Arc<AtomicUsize>, number: u64) {
+async fn hand_in(
+    stage: Arc<Stage>,
+    doors: Arc<[Arc<Door>]>,
+    next_door: Arc<AtomicUsize>,
+    number: u64,
+) {
     let now = stage.now();
     // In turn, past those that are known to be down.
     let first = next_door.fetch_add(1, Ordering::Relaxed);
-    let door =
-        (0..doors.len()).map(|n| (first + n) % doors.len()).find(|d| doors[*d].open.load(Ordering::Relaxed));
+    let door = (0..doors.len())
+        .map(|n| (first + n) % doors.len())
+        .find(|d| doors[*d].open.load(Ordering::Relaxed));
     let forwarder = door.unwrap_or(first % doors.len());
     let (duty, request) = {
         let mut state = stage.lock();
-        let Some(packet) = state.packets.get_mut(&number) else { return };
+        let Some(packet) = state.packets.get_mut(&number) else {
+            return;
+        };
         if now + 1_000 >= packet.expires {
             return state.given_up(number);
         }
         packet.tries += 1;
-        let (due, expires, again, orphan) = (packet.due.clone(), packet.expires, packet.again, packet.orphan);
+        let (due, expires, again, orphan) = (
+            packet.due.clone(),
+            packet.expires,
+            packet.again,
+            packet.orphan,
+        );
         let duty = state.next_duty;
         state.next_duty += 1;
         state.tally.counts.hand_ins += 1;
@@ -200,7 +241,18 @@
             key: None,
         });
         taking.into_iter().for_each(|t| state.oracle.handed_in(t));
-        (duty, head(&stage, &due, number, duty, (expires - now) / 1000, again, orphan))
+        (
+            duty,
+            head(
+                &stage,
+                &due,
+                number,
+                duty,
+                (expires - now) / 1000,
+                again,
+                orphan,
+            ),
+        )
     };
     let answer = tokio::time::timeout(ANSWER, doors[forwarder].exchange(&request)).await;
     let now = stage.now();
@@ -234,10 +286,17 @@
             // Nobody there, or no answer in time: it goes elsewhere under another id.
             state.oracle.refused(duty, now);
             state.tally.counts.turned_away += 1;
-            let Some(packet) = state.packets.get_mut(&number) else { return };
+            let Some(packet) = state.packets.get_mut(&number) else {
+                return;
+            };
             (packet.again, packet.orphan) = (true, true);
             match packet.tries < TRIES && now + ELSEWHERE < packet.expires {
-                true => _ = stage.again.send(Again::HandIn { packet: number, at: now + ELSEWHERE }),
+                true => {
+                    _ = stage.again.send(Again::HandIn {
+                        packet: number,
+                        at: now + ELSEWHERE,
+                    })
+                }
                 false => state.given_up(number),
             }
         }
@@ -266,7 +325,10 @@
     if profile.in_order {
         text += &format!("Affinity-Key: {:016x}\r\n", due.key);
     }
-    if let Some(tenant) = due.tenant.and_then(|t| stage.scenario.tenants.get(t as usize)) {
+    if let Some(tenant) = due
+        .tenant
+        .and_then(|t| stage.scenario.tenants.get(t as usize))
+    {
         text += &format!("Tenant: {}\r\n", tenant.name);
     }
     match (orphan, again) {
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/lab/src/sockets/processes.rs
@@ -60,15 +60,22 @@
         let state = self.folder.join("state");
         std::fs::create_dir_all(&state).map_err(told)?;
         let papers = self.folder.join("papers.json");
-        let seed = self.seed.wrapping_mul(1000).wrapping_add(u64::from(self.number) + 100 * self.life);
+        let seed = self
+            .seed
+            .wrapping_mul(1000)
+            .wrapping_add(u64::from(self.number) + 100 * self.life);
         let mut text = self.scenario.startup_config(self.number, seed);
         text["listen"] = self.listen.to_string().into();
         text["discovery"] = self.discovery.to_string().into();
         std::fs::write(&papers, text.to_string()).map_err(told)?;
         let log = match &self.log {
-            Some(path) => {
-                Stdio::from(std::fs::File::options().append(true).create(true).open(path).map_err(told)?)
-            }
+            Some(path) => Stdio::from(
+                std::fs::File::options()
+                    .append(true)
+                    .create(true)
+                    .open(path)
+                    .map_err(told)?,
+            ),
             None => Stdio::null(),
         };
         let mut command = match self.pin {
@@ -93,10 +100,16 @@
         let begun = Instant::now();
         while !self.up().await {
             if let Some(Ok(Some(status))) = self.child.as_mut().map(Child::try_wait) {
-                return Err(format!("forwarder {} ended as it started: {status}", self.number));
+                return Err(format!(
+                    "forwarder {} ended as it started: {status}",
+                    self.number
+                ));
             }
             if begun.elapsed() > READY {
-                return Err(format!("forwarder {} was not up after {READY:?}", self.number));
+                return Err(format!(
+                    "forwarder {} was not up after {READY:?}",
+                    self.number
+                ));
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -105,8 +118,10 @@
 
     async fn up(&self) -> bool {
         let ask = async {
-            let mut conn = super::wire::Conn::new(tokio::net::TcpStream::connect(self.listen).await?);
-            conn.write(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").await?;
+            let mut conn =
+                super::wire::Conn::new(tokio::net::TcpStream::connect(self.listen).await?);
+            conn.write(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+                .await?;
             conn.answer().await
         };
         matches!(tokio::time::timeout(Duration::from_millis(500), ask).await, Ok(Ok(answer)) if answer.status == 200)
@@ -153,7 +168,8 @@
         let pid = self.pid()?;
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
-        let ticks: u64 = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
+        let ticks: u64 =
+            fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
         let pages: u64 = fields.get(21)?.parse().ok()?;
         // Ticks are hundredths of a second and pages 4 KiB on every Linux that this runs on.
         Some((ticks * 10_000, pages * 4096))
--- a/crates/lab/src/sockets/run.rs
+++ b/crates/lab/src/sockets/run.rs
@@ -83,7 +83,9 @@
     let mut ports = Vec::new(); // of the forwarders, kept while they are down
 
     for number in 0..scenario.forwarders.count {
-        let agent = Agent::start(&stage, number, &standins, 0).await.map_err(told)?;
+        let agent = Agent::start(&stage, number, &standins, 0)
+            .await
+            .map_err(told)?;
         let port = Port::hold(0).map_err(told)?;
         let listen = port.address;
         ports.push(port);
@@ -122,12 +124,18 @@
     stage.lock().tally.begins(begin);
     let loads = Loads::new(scenario, &stage.layout, seed)?;
     let load = clients::start(stage.clone(), doors, loads, agains, begin).map_err(told)?;
-    let troubles: Vec<_> =
-        (0..scenario.troubles.len()).map(|n| tokio::spawn(timeline.clone().trouble(n))).collect();
+    let troubles: Vec<_> = (0..scenario.troubles.len())
+        .map(|n| tokio::spawn(timeline.clone().trouble(n)))
+        .collect();
 
-    let (load_ends, last) =
-        (begin + scenario.lasts.0, begin + scenario.lasts.0 + scenario.longest_expiry() + LAST);
-    let mut usage = Usage { seconds: scenario.lasts.seconds(), ..Usage::default() };
+    let (load_ends, last) = (
+        begin + scenario.lasts.0,
+        begin + scenario.lasts.0 + scenario.longest_expiry() + LAST,
+    );
+    let mut usage = Usage {
+        seconds: scenario.lasts.seconds(),
+        ..Usage::default()
+    };
     let cpu_before = timeline.used().await.0;
     let mut measured = false;
     let mut sweep = tokio::time::interval(SWEEP);
@@ -148,7 +156,9 @@
                 (usage.cpu, measured) = (cpu.saturating_sub(cpu_before), true);
             }
         }
-        let quiet = now > load_ends && open == 0 && troubles.iter().all(tokio::task::JoinHandle::is_finished);
+        let quiet = now > load_ends
+            && open == 0
+            && troubles.iter().all(tokio::task::JoinHandle::is_finished);
         if quiet || now > last {
             break;
         }
@@ -176,7 +186,9 @@
 
     async fn look_for_crashes(&self) {
         for (number, process) in self.processes.iter().enumerate() {
-            let Ok(mut process) = process.try_lock() else { continue };
+            let Ok(mut process) = process.try_lock() else {
+                continue;
+            };
             if locked(&self.down).contains(&(number as u32)) {
                 continue;
             }
@@ -193,31 +205,45 @@
         for fall in state.receivers.falls.clone() {
             if fall.blamed {
                 let (target, calls, budget) = (fall.target, fall.calls, fall.budget);
-                let what =
-                    format!("target {target} fell over: {calls} calls in the window, {budget:.1} allowed");
+                let what = format!(
+                    "target {target} fell over: {calls} calls in the window, {budget:.1} allowed"
+                );
                 state.oracle.broken(Rule::PushedOver, fall.at, what);
             }
         }
         state.tally.counts.open = state.packets.len() as u64;
-        let late =
-            |h: &hdrhistogram::Histogram<u64>| if h.is_empty() { 0 } else { h.value_at_quantile(0.99) };
+        let late = |h: &hdrhistogram::Histogram<u64>| {
+            if h.is_empty() {
+                0
+            } else {
+                h.value_at_quantile(0.99)
+            }
+        };
         let (load_late, receivers_late) = (late(&state.load_late), late(&state.receivers_late));
         let tally = std::mem::replace(&mut state.tally, crate::tally::Tally::new(scenario));
         let mut outcome = tally.close(now, scenario, Clock::Sockets, self.seed, "True");
-        outcome.broken = state.oracle.counts.iter().map(|(r, n)| (r.to_string(), *n)).collect();
+        outcome.broken = state
+            .oracle
+            .counts
+            .iter()
+            .map(|(r, n)| (r.to_string(), *n))
+            .collect();
         outcome.breaks = state.oracle.breaks.clone();
-        outcome.breaks.iter_mut().for_each(|b| b.at = b.at.saturating_sub(self.begin));
+        outcome
+            .breaks
+            .iter_mut()
+            .for_each(|b| b.at = b.at.saturating_sub(self.begin));
         outcome.falls = state.receivers.falls.len() as u64;
         (outcome.load_late, outcome.receivers_late) = (load_late, receivers_late);
         let crashes = locked(&self.crashes);
         outcome.void = match () {
             () if !crashes.is_empty() => Some(crashes.join("; ")),
-            () if load_late > MOST_LATE => {
-                Some(format!("the load tool was {load_late} us late at p99, {MOST_LATE} are allowed"))
-            }
-            () if receivers_late > MOST_LATE => {
-                Some(format!("the receivers were {receivers_late} us late at p99, {MOST_LATE} are allowed"))
-            }
+            () if load_late > MOST_LATE => Some(format!(
+                "the load tool was {load_late} us late at p99, {MOST_LATE} are allowed"
+            )),
+            () if receivers_late > MOST_LATE => Some(format!(
+                "the receivers were {receivers_late} us late at p99, {MOST_LATE} are allowed"
+            )),
             () => None,
         };
         outcome
@@ -232,7 +258,9 @@
         let stage = &self.stage;
         let trouble = stage.scenario.troubles[number].clone();
         let ends = trouble.at.0 + trouble.lasts.0;
-        let targets = stage.layout.struck(&stage.scenario, &trouble.on, self.seed, number);
+        let targets = stage
+            .layout
+            .struck(&stage.scenario, &trouble.on, self.seed, number);
         let forwarders = Layout::struck_forwarders(&stage.scenario, &trouble.on, self.seed, number);
         self.until(trouble.at.0).await;
         match &trouble.what {
@@ -278,7 +306,14 @@
             what => {
                 let strike = |on| {
                     let now = stage.now();
-                    stage.lock().receivers.strike(now, number, what, self.begin + ends, &targets, on);
+                    stage.lock().receivers.strike(
+                        now,
+                        number,
+                        what,
+                        self.begin + ends,
+                        &targets,
+                        on,
+                    );
                     stage.changed.send_modify(|n| *n += 1);
                 };
                 strike(true);
@@ -290,9 +325,15 @@
 
     async fn kill(&self, forwarder: u32, folder: bool) {
         locked(&self.down).insert(forwarder);
-        self.doors[forwarder as usize].open.store(false, Ordering::Relaxed);
+        self.doors[forwarder as usize]
+            .open
+            .store(false, Ordering::Relaxed);
         self.stage.lock().oracle.excuse(forwarder, Micros::MAX);
-        self.processes[forwarder as usize].lock().await.kill(folder).await;
+        self.processes[forwarder as usize]
+            .lock()
+            .await
+            .kill(folder)
+            .await;
         let now = self.stage.now();
         let mut state = self.stage.lock();
         state.oracle.restarted(forwarder);
@@ -307,12 +348,18 @@
     }
 
     async fn back(&self, forwarder: u32) {
-        let started = self.processes[forwarder as usize].lock().await.start().await;
+        let started = self.processes[forwarder as usize]
+            .lock()
+            .await
+            .start()
+            .await;
         match started {
             Ok(()) => {
                 let now = self.stage.now();
                 self.stage.lock().oracle.excuse(forwarder, now + READY);
-                self.doors[forwarder as usize].open.store(true, Ordering::Relaxed);
+                self.doors[forwarder as usize]
+                    .open
+                    .store(true, Ordering::Relaxed);
                 locked(&self.down).remove(&forwarder);
             }
             Err(problem) => locked(&self.crashes).push(problem),
@@ -321,7 +368,11 @@
 
     fn drains(&self, target: usize) {
         locked(&self.standing)[target] = Phase::Terminating;
-        self.tell_all(vec![(target, self.standins[target].holder(), Phase::Terminating)]);
+        self.tell_all(vec![(
+            target,
+            self.standins[target].holder(),
+            Phase::Terminating,
+        )]);
     }
 
     fn replaced(&self, target: usize) {
@@ -330,7 +381,10 @@
         self.stage.lock().receivers.replace(now, target);
         self.standins[target].replaced();
         locked(&self.standing)[target] = Phase::Ready;
-        self.tell_all(vec![(target, old, Phase::Gone), (target, old + 1, Phase::Ready)]);
+        self.tell_all(vec![
+            (target, old, Phase::Gone),
+            (target, old + 1, Phase::Ready),
+        ]);
     }
 
     /// When each agent hears what discovery tells now.
@@ -338,7 +392,10 @@
         let most = self.stage.scenario.network.list_lag.0;
         let from = self.stage.now().max(*locked(&self.stale_until));
         let mut lags = locked(&self.lags);
-        self.agents.iter().map(|_| from + lags.random_range(0..=most)).collect()
+        self.agents
+            .iter()
+            .map(|_| from + lags.random_range(0..=most))
+            .collect()
     }
 
     fn tell_all(&self, entries: Vec<Entry>) {
@@ -379,7 +436,9 @@
     let told = |e: std::io::Error| format!("the stage could not be set: {e}");
     let (stage, _) = Stage::new(scenario, seed, true);
     let standins = targets::start(&stage).await.map_err(told)?;
-    let agent = Agent::start(&stage, 0, &standins, port).await.map_err(told)?;
+    let agent = Agent::start(&stage, 0, &standins, port)
+        .await
+        .map_err(told)?;
     let addresses = standins.iter().map(|s| s.address).collect();
     let discovery = agent.address;
     let timeline = Arc::new(Timeline {
@@ -427,7 +486,11 @@
     drop(load);
     let mut state = stage.lock();
     let now = stage.now();
-    let late = if state.load_late.is_empty() { 0 } else { state.load_late.value_at_quantile(0.99) };
+    let late = if state.load_late.is_empty() {
+        0
+    } else {
+        state.load_late.value_at_quantile(0.99)
+    };
     let tally = std::mem::replace(&mut state.tally, crate::tally::Tally::new(scenario));
     let mut outcome = tally.close(now, scenario, Clock::Sockets, seed, "load alone");
     outcome.load_late = late;
@@ -438,5 +501,7 @@
 /// Where a forwarder's program lies if nobody says: beside this one.
 pub fn program_beside() -> PathBuf {
     let here = std::env::current_exe().unwrap_or_default();
-    here.parent().unwrap_or(Path::new(".")).join("opalpulley-forwarder")
+    here.parent()
+        .unwrap_or(Path::new("."))
+        .join("opalpulley-forwarder")
 }
--- a/crates/lab/src/sockets/targets.rs
+++ b/crates/lab/src/sockets/targets.rs
@@ -50,7 +50,12 @@
     for target in 0..stage.layout.targets.len() {
         let port = Port::hold(0)?;
         let (listener, address) = (port.listen()?, port.address);
-        let standin = Arc::new(Standin { address, port, holder: AtomicU32::new(0), open: AtomicU32::new(0) });
+        let standin = Arc::new(Standin {
+            address,
+            port,
+            holder: AtomicU32::new(0),
+            open: AtomicU32::new(0),
+        });
         standins.push(standin.clone());
         tokio::spawn(keep(stage.clone(), target, standin, listener));
     }
@@ -67,8 +72,17 @@
 
 impl Door {
     fn of(stage: &Stage) -> Door {
-        let share = stage.scenario.network.late.as_ref().map_or(0.0, |late| late.share);
-        Door { share, turns: Instant::now() + SPAN, filler: None }
+        let share = stage
+            .scenario
+            .network
+            .late
+            .as_ref()
+            .map_or(0.0, |late| late.share);
+        Door {
+            share,
+            turns: Instant::now() + SPAN,
+            filler: None,
+        }
     }
 
     fn is_shut(&self) -> bool {
@@ -100,7 +114,11 @@
     let mut listener = Some(listener);
     let mut changed = stage.changed.subscribe();
     let mut door = Door::of(&stage);
-    let flaps = stage.scenario.troubles.iter().any(|t| matches!(t.what, What::Flapping { .. }));
+    let flaps = stage
+        .scenario
+        .troubles
+        .iter()
+        .any(|t| matches!(t.what, What::Flapping { .. }));
     loop {
         let refuses = stage.lock().receivers.refuses(stage.now(), target);
         match (refuses, &listener) {
@@ -151,7 +169,9 @@
                     false => continue,
                 },
             };
-            let Ok(Ok(Some(request))) = request else { break };
+            let Ok(Ok(Some(request))) = request else {
+                break;
+            };
             match answer(&stage, target, &standin, conn, request).await {
                 Some(usable) => conn = usable,
                 None => break,
@@ -184,7 +204,13 @@
     let Some(duty) = duty.filter(|_| !stage.alone) else {
         let fate = stage.lock().receivers.call(stage.now(), target, 0, None);
         if stage.alone {
-            println!("{} {} of {} bytes: {:?}", standin.address, id, request.body.len(), fate.says);
+            println!(
+                "{} {} of {} bytes: {:?}",
+                standin.address,
+                id,
+                request.body.len(),
+                fate.says
+            );
         }
         return carry_out(stage, conn, fate).await;
     };
@@ -196,7 +222,18 @@
         tokio::time::sleep(CROSSING).await;
     }
     let now = stage.now();
-    let Call { fate, forwarder, trip } = begin(&mut stage.lock(), stage, target, standin.holder(), duty, now);
+    let Call {
+        fate,
+        forwarder,
+        trip,
+    } = begin(
+        &mut stage.lock(),
+        stage,
+        target,
+        standin.holder(),
+        duty,
+        now,
+    );
     // Until it answers, the forwarder may close the connection: then the call is out no more.
     let over = |state: &mut State, ran: Ran| state.oracle.over(duty, forwarder, now, ran);
     if matches!(fate.says, Says::Refused | Says::Cut) {
@@ -219,8 +256,12 @@
             over(&mut state, Ran::Perhaps);
             return None;
         }
-        state.receivers_late.saturating_record((done.saturating_sub(fate.at)).max(1));
-        settle(&mut state, stage, &fate, duty, forwarder, target, trip, now, done);
+        state
+            .receivers_late
+            .saturating_record((done.saturating_sub(fate.at)).max(1));
+        settle(
+            &mut state, stage, &fate, duty, forwarder, target, trip, now, done,
+        );
     }
     carry_out(stage, conn, fate).await
 }
@@ -232,12 +273,31 @@
 }
 
 /// A call's last byte is in.
-fn begin(state: &mut State, stage: &Stage, target: usize, holder: u32, duty: u64, now: Micros) -> Call {
+fn begin(
+    state: &mut State,
+    stage: &Stage,
+    target: usize,
+    holder: u32,
+    duty: u64,
+    now: Micros,
+) -> Call {
     let spot = stage.layout.targets[target];
-    let (forwarder, packet, profile) =
-        state.oracle.taking(duty).map_or((0, u64::MAX, 0), |t| (t.forwarder, t.packet, t.profile));
+    let (forwarder, packet, profile) = state
+        .oracle
+        .taking(duty)
+        .map_or((0, u64::MAX, 0), |t| (t.forwarder, t.packet, t.profile));
     let (destination, gate) = (spot.destination, spot.gate);
-    state.oracle.sent(Sending { duty, forwarder, destination, target, holder, gate }, now);
+    state.oracle.sent(
+        Sending {
+            duty,
+            forwarder,
+            destination,
+            target,
+            holder,
+            gate,
+        },
+        now,
+    );
     state.tally.counts.calls += 1;
     state.tally.calls_out += 1;
     state.tally.tick(now, Tick::Call);
@@ -250,7 +310,11 @@
     if let Some(ran) = fate.ran {
         state.oracle.took_effect(packet, duty, ran);
     }
-    Call { fate, forwarder, trip: state.oracle.trips(duty).saturating_sub(1) }
+    Call {
+        fate,
+        forwarder,
+        trip: state.oracle.trips(duty).saturating_sub(1),
+    }
 }
 
 /// The answer goes out now.
@@ -267,7 +331,9 @@
     now: Micros,
 ) {
     let (name, tick, ran) = match fate.says {
-        Says::Served | Says::ServedThenReset | Says::Endless => ("delivered", Tick::Good, Ran::Perhaps),
+        Says::Served | Says::ServedThenReset | Says::Endless => {
+            ("delivered", Tick::Good, Ran::Perhaps)
+        }
         Says::Erred => ("error", Tick::Failed, Ran::Perhaps),
         Says::Full { .. } | Says::Crowded => ("refused", Tick::Refused, Ran::No),
         Says::Refused | Says::Cut => ("no-connection", Tick::Failed, Ran::No),
@@ -292,7 +358,9 @@
 
 /// The line of a head that tells a wait.
 fn wait_line(wait: Option<Micros>) -> String {
-    wait.map_or(String::new(), |wait| format!("Wait-Ms: {}\r\n", wait.div_ceil(1000)))
+    wait.map_or(String::new(), |wait| {
+        format!("Wait-Ms: {}\r\n", wait.div_ceil(1000))
+    })
 }
 
 /// Writes what the fate says.
@@ -316,19 +384,26 @@
             return None;
         }
         Says::Garbled => {
-            let _ = conn.write(b"\x16\x03\x01 not what was asked for \xff\xfe\r\n\r\n").await;
+            let _ = conn
+                .write(b"\x16\x03\x01 not what was asked for \xff\xfe\r\n\r\n")
+                .await;
             conn.closed().await;
             return None;
         }
         Says::FullCut { wait } => {
-            let head = format!("HTTP/1.1 {TURNED_AWAY}\r\n{}Content-Length: 5\r\n\r\nno", wait_line(wait));
+            let head = format!(
+                "HTTP/1.1 {TURNED_AWAY}\r\n{}Content-Length: 5\r\n\r\nno",
+                wait_line(wait)
+            );
             let _ = conn.write(head.as_bytes()).await; // whoever has left does not hear it
             tokio::time::sleep(CROSSING).await;
             conn.reset();
             return None;
         }
         Says::Endless => {
-            let mut written = conn.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n").await;
+            let mut written = conn
+                .write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
+                .await;
             while written.is_ok() {
                 tokio::time::sleep(CROSSING).await;
                 written = conn.write(&[b'x'; 512]).await;
@@ -347,19 +422,29 @@
     let now = stage.now();
     // The platform's protocol names nobody in a probe: with one forwarder it is that one, else it counts for none.
     let nobody = u32::MAX;
-    let forwarder = if stage.scenario.forwarders.count == 1 { 0 } else { nobody };
+    let forwarder = if stage.scenario.forwarders.count == 1 {
+        0
+    } else {
+        nobody
+    };
     let fate = {
         let mut state = stage.lock();
         state.tally.counts.probes += 1;
         if forwarder != nobody {
             let gate = stage.layout.targets[target].gate;
-            state.oracle.check_wait(forwarder, gate, now, &format!("a probe to target {target}"));
+            state
+                .oracle
+                .check_wait(forwarder, gate, now, &format!("a probe to target {target}"));
         }
         state.receivers.probe(now, target, forwarder)
     };
     match fate.says {
         Says::Served => conn.reply("200 OK", "", "").await.ok().map(|()| conn),
-        Says::Crowded => conn.reply("503 Service Unavailable", "", "").await.ok().map(|()| conn),
+        Says::Crowded => conn
+            .reply("503 Service Unavailable", "", "")
+            .await
+            .ok()
+            .map(|()| conn),
         Says::Silent => {
             conn.closed().await;
             None
--- a/crates/lab/src/sockets/wire.rs
+++ b/crates/lab/src/sockets/wire.rs
@@ -29,14 +29,20 @@
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
     }
 }
 
 impl Conn {
     pub fn new(stream: TcpStream) -> Conn {
         let _ = stream.set_nodelay(true); // without it an answer may be late, no more
-        Conn { stream, buffer: Vec::with_capacity(2048) }
+        Conn {
+            stream,
+            buffer: Vec::with_capacity(2048),
+        }
     }
 
     /// The next request; nothing at the end of the connection.
@@ -46,14 +52,19 @@
 
     /// The next answer.
     pub async fn answer(&mut self) -> io::Result<Message> {
-        self.message(false).await?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        self.message(false)
+            .await?
+            .ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     }
 
     async fn message(&mut self, request: bool) -> io::Result<Option<Message>> {
         loop {
             if let Some((message, head, length)) = self.head(request)? {
                 if length > MOST_BODY {
-                    return Err(io::Error::new(io::ErrorKind::InvalidData, "the body is too long"));
+                    return Err(io::Error::new(
+                        io::ErrorKind::InvalidData,
+                        "the body is too long",
+                    ));
                 }
                 while self.buffer.len() < head + length {
                     if self.stream.read_buf(&mut self.buffer).await? == 0 {
@@ -65,7 +76,10 @@
                 return Ok(Some(Message { body, ..message }));
             }
             if self.buffer.len() > MOST_HEAD {
-                return Err(io::Error::new(io::ErrorKind::InvalidData, "the head is too long"));
+                return Err(io::Error::new(
+                    io::ErrorKind::InvalidData,
+                    "the head is too long",
+                ));
             }
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
                 return if self.buffer.is_empty() {
@@ -94,15 +108,18 @@
             message.status = parsed.code.unwrap_or(0);
             (status, parsed.headers)
         };
-        let httparse::Status::Complete(head) = status else { return Ok(None) };
+        let httparse::Status::Complete(head) = status else {
+            return Ok(None);
+        };
         for h in headers.iter() {
-            message
-                .headers
-                .push((h.name.to_ascii_lowercase(), String::from_utf8_lossy(h.value).into_owned()));
+            message.headers.push((
+                h.name.to_ascii_lowercase(),
+                String::from_utf8_lossy(h.value).into_owned(),
+            ));
         }
         let length = message.header("content-length").map_or(Ok(0), str::parse);
-        let length =
-            length.map_err(|_| io::Error::new(io::ErrorKind::InvalidData, "the length is no number"))?;
+        let length = length
+            .map_err(|_| io::Error::new(io::ErrorKind::InvalidData, "the length is no number"))?;
         Ok(Some((message, head, length)))
     }
 
@@ -111,7 +128,10 @@
     }
 
     pub async fn reply(&mut self, status: &str, more: &str, body: &str) -> io::Result<()> {
-        let text = format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}", body.len());
+        let text = format!(
+            "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         self.write(text.as_bytes()).await
     }
 
@@ -149,7 +169,9 @@
         let mut tries = 0;
         loop {
             // Between choosing and keeping, somebody else may have got it: then another will do.
-            let held = Port::choose(port).and_then(Port::keep).and_then(|p| p.listen().map(|_| p));
+            let held = Port::choose(port)
+                .and_then(Port::keep)
+                .and_then(|p| p.listen().map(|_| p));
             tries += 1;
             match held {
                 Err(e) if e.kind() == io::ErrorKind::AddrInUse && port == 0 && tries < TRIES => {}
@@ -173,7 +195,10 @@
         let held = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         held.set_reuse_address(true)?;
         held.bind(&address.into())?;
-        Ok(Port { address, _held: held })
+        Ok(Port {
+            address,
+            _held: held,
+        })
     }
 
     pub fn listen(&self) -> io::Result<tokio::net::TcpListener> {
--- a/crates/lab/src/subject.rs
+++ b/crates/lab/src/subject.rs
@@ -1,8 +1,8 @@
 //! What a simulated forwarder is: the true core, or one that is broken on purpose so that the oracle has something to catch.
 
 use opalpulley::{
-    Action, Config, Effect, Event, Forwarder, ListNews, Listing, Micros, Outcome, PacketId, Standing,
-    TargetId,
+    Action, Config, Effect, Event, Forwarder, ListNews, Listing, Micros, Outcome, PacketId,
+    Standing, TargetId,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -73,7 +73,11 @@
             Make::OneTry => config.max_trips = 1,
             Make::PushesOver => {
                 (config.forwarders, config.may_probe) = (1, false);
-                (config.rules.fall_multiple, config.rules.warm_after, config.rules.cold_from) = (1e3, 1, 1.0);
+                (
+                    config.rules.fall_multiple,
+                    config.rules.warm_after,
+                    config.rules.cold_from,
+                ) = (1e3, 1, 1.0);
             }
             _ => {}
         }
@@ -113,31 +117,108 @@
                 }
                 Event::Packet(arrival)
             }
-            (Make::ResendsBinding, Event::TripEnded { id, trip, target, outcome, took, closed, report }) => {
+            (
+                Make::ResendsBinding,
+                Event::TripEnded {
+                    id,
+                    trip,
+                    target,
+                    outcome,
+                    took,
+                    closed,
+                    report,
+                },
+            ) => {
                 let unclear = outcome != Outcome::Delivered && outcome.may_have_run();
                 let outcome = if unclear && self.binding.contains(&id) {
                     Outcome::Full { wait: None }
                 } else {
                     outcome
                 };
-                Event::TripEnded { id, trip, target, outcome, took, closed, report }
+                Event::TripEnded {
+                    id,
+                    trip,
+                    target,
+                    outcome,
+                    took,
+                    closed,
+                    report,
+                }
             }
-            (Make::IgnoresWaits, Event::TripEnded { id, trip, target, outcome, took, closed, report }) => {
-                let outcome = if let Outcome::Full { .. } = outcome { Outcome::Error } else { outcome };
-                Event::TripEnded { id, trip, target, outcome, took, closed, report }
+            (
+                Make::IgnoresWaits,
+                Event::TripEnded {
+                    id,
+                    trip,
+                    target,
+                    outcome,
+                    took,
+                    closed,
+                    report,
+                },
+            ) => {
+                let outcome = if let Outcome::Full { .. } = outcome {
+                    Outcome::Error
+                } else {
+                    outcome
+                };
+                Event::TripEnded {
+                    id,
+                    trip,
+                    target,
+                    outcome,
+                    took,
+                    closed,
+                    report,
+                }
             }
-            (Make::PushesOver, Event::TripEnded { id, trip, target, outcome, took, closed, report }) => {
-                let bad = matches!(outcome, Outcome::NoConnection | Outcome::Full { wait: None });
-                let outcome = if bad { Outcome::Moot { no_slot: false } } else { outcome };
-                Event::TripEnded { id, trip, target, outcome, took, closed, report }
+            (
+                Make::PushesOver,
+                Event::TripEnded {
+                    id,
+                    trip,
+                    target,
+                    outcome,
+                    took,
+                    closed,
+                    report,
+                },
+            ) => {
+                let bad = matches!(
+                    outcome,
+                    Outcome::NoConnection | Outcome::Full { wait: None }
+                );
+                let outcome = if bad {
+                    Outcome::Moot { no_slot: false }
+                } else {
+                    outcome
+                };
+                Event::TripEnded {
+                    id,
+                    trip,
+                    target,
+                    outcome,
+                    took,
+                    closed,
+                    report,
+                }
             }
             (Make::SendsAfterDrain, Event::List(ListNews::Changes(mut entries))) => {
-                entries.retain(|e| e.standing == Standing::Ready || !self.targets.contains_key(&e.target));
-                entries.iter().for_each(|e| _ = self.targets.insert(e.target, e.clone()));
+                entries.retain(|e| {
+                    e.standing == Standing::Ready || !self.targets.contains_key(&e.target)
+                });
+                entries
+                    .iter()
+                    .for_each(|e| _ = self.targets.insert(e.target, e.clone()));
                 Event::List(ListNews::Changes(entries))
             }
-            (Make::SendsAfterDrain, Event::List(ListNews::Cached(entries) | ListNews::Whole(entries))) => {
-                entries.iter().for_each(|e| _ = self.targets.insert(e.target, e.clone()));
+            (
+                Make::SendsAfterDrain,
+                Event::List(ListNews::Cached(entries) | ListNews::Whole(entries)),
+            ) => {
+                entries
+                    .iter()
+                    .for_each(|e| _ = self.targets.insert(e.target, e.clone()));
                 Event::List(ListNews::Whole(self.targets.values().cloned().collect()))
             }
             (_, event) => event,
@@ -148,7 +229,12 @@
 impl Subject for Broken {
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         let delivered = match &event {
-            Event::TripEnded { id, target, outcome: Outcome::Delivered, .. } => Some((*id, *target)),
+            Event::TripEnded {
+                id,
+                target,
+                outcome: Outcome::Delivered,
+                ..
+            } => Some((*id, *target)),
             _ => None,
         };
         let event = self.tamper(event);
@@ -167,14 +253,21 @@
             match (self.make, &action) {
                 (Make::SecondAnswer, _) if end.is_some() => actions.push(action.clone()),
                 (Make::TakesNothingBack, Action::TakeBack { .. }) => continue,
-                (Make::LosesPackets, _) if end.is_some() && self.ends.is_multiple_of(10) => continue,
+                (Make::LosesPackets, _) if end.is_some() && self.ends.is_multiple_of(10) => {
+                    continue
+                }
                 (Make::SendsTwice, Action::Send { .. }) => actions.push(action.clone()),
                 _ => {}
             }
             actions.push(action);
         }
         if let (Make::SendsAfterEnd, Some((id, target))) = (self.make, delivered) {
-            actions.push(Action::Send { id, target, limit: None, begin_by: Micros::MAX });
+            actions.push(Action::Send {
+                id,
+                target,
+                limit: None,
+                begin_by: Micros::MAX,
+            });
         }
     }
 }
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -126,8 +126,11 @@
 
     /// What the run misses of what its scenario expects; nothing where all holds.
     pub fn misses(&self) -> Vec<String> {
-        let mut misses: Vec<String> =
-            self.broken.iter().map(|(r, n)| format!("rule broken: {r}, {n} times")).collect();
+        let mut misses: Vec<String> = self
+            .broken
+            .iter()
+            .map(|(r, n)| format!("rule broken: {r}, {n} times"))
+            .collect();
         if let Some(void) = &self.void {
             return vec![format!("void: {void}")];
         }
@@ -137,7 +140,11 @@
                 .map(|[least, most]| format!("{name} {found:.4}, expected {least} to {most}"))
         };
         misses.extend(within("served", self.served_share(), self.expect.served));
-        misses.extend(within("first trip", self.first_trip_share(), self.expect.first_trip));
+        misses.extend(within(
+            "first trip",
+            self.first_trip_share(),
+            self.expect.first_trip,
+        ));
         let most = self.expect.calls_a_packet.map(|m| [0.0, m]);
         misses.extend(within("calls a packet", self.calls_a_packet(), most));
         let p99 = match self.clock {
@@ -145,10 +152,16 @@
             Clock::Simulated => self.expect.p99,
         };
         if let Some(p99) = p99.filter(|p| self.latency.p99 > p.0) {
-            misses.push(format!("p99 {} us, expected {p99} at most", self.latency.p99));
+            misses.push(format!(
+                "p99 {} us, expected {p99} at most",
+                self.latency.p99
+            ));
         }
         if self.counts.open > 0 {
-            misses.push(format!("{} packets were still open at the end", self.counts.open));
+            misses.push(format!(
+                "{} packets were still open at the end",
+                self.counts.open
+            ));
         }
         misses
     }
@@ -223,7 +236,10 @@
                 self.columns[last].p99 = self.column_latencies.value_at_quantile(0.99);
                 self.column_latencies.reset();
             }
-            self.columns.push(Column { calls_out: self.calls_out, ..Column::default() });
+            self.columns.push(Column {
+                calls_out: self.calls_out,
+                ..Column::default()
+            });
         }
         let last = self.columns.len() - 1;
         &mut self.columns[last]
@@ -254,7 +270,9 @@
         let late = took.saturating_sub(contract) as f64;
         let kept = match self.halving {
             true => (-late / contract.max(1) as f64).exp2().max(late_share),
-            false => 1.0 - (1.0 - late_share) * late / expiry.saturating_sub(contract).max(1) as f64,
+            false => {
+                1.0 - (1.0 - late_share) * late / expiry.saturating_sub(contract).max(1) as f64
+            }
         };
         self.worth += importance * kept.clamp(0.0, 1.0);
         self.counts.served += 1;
@@ -286,9 +304,21 @@
     ) -> Outcome {
         self.at(now + self.column);
         let h = &self.latencies;
-        let q = |q| if h.is_empty() { 0 } else { h.value_at_quantile(q) };
-        let latency =
-            Latency { mean: h.mean(), p50: q(0.5), p90: q(0.9), p99: q(0.99), p999: q(0.999), most: h.max() };
+        let q = |q| {
+            if h.is_empty() {
+                0
+            } else {
+                h.value_at_quantile(q)
+            }
+        };
+        let latency = Latency {
+            mean: h.mean(),
+            p50: q(0.5),
+            p90: q(0.9),
+            p99: q(0.99),
+            p999: q(0.999),
+            most: h.max(),
+        };
         Outcome {
             scenario: scenario.name.clone(),
             shows: scenario.shows.clone(),
@@ -297,7 +327,11 @@
             subject: subject.into(),
             lasts: scenario.lasts.0,
             latency,
-            service: if self.worth_due > 0.0 { self.worth / self.worth_due } else { 1.0 },
+            service: if self.worth_due > 0.0 {
+                self.worth / self.worth_due
+            } else {
+                1.0
+            },
             counts: self.counts,
             broken: BTreeMap::new(),
             breaks: Vec::new(),
@@ -310,7 +344,11 @@
             spells: scenario
                 .troubles
                 .iter()
-                .map(|t| Spell { what: t.what.name(), from: t.at.0, until: t.at.0 + t.lasts.0 })
+                .map(|t| Spell {
+                    what: t.what.name(),
+                    from: t.at.0,
+                    until: t.at.0 + t.lasts.0,
+                })
                 .collect(),
             expect: scenario.expect.clone(),
         }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -32,7 +32,11 @@
 
 impl Layout {
     pub fn new(scenario: &Scenario) -> Layout {
-        let mut layout = Layout { destinations: Vec::new(), targets: Vec::new(), gates: 0 };
+        let mut layout = Layout {
+            destinations: Vec::new(),
+            targets: Vec::new(),
+            gates: 0,
+        };
         for (group, d) in scenario.destinations.iter().enumerate() {
             for number in 0..d.count {
                 let begin = layout.targets.len();
@@ -42,9 +46,19 @@
                         layout.gates += 1;
                     }
                     let (zone, gate) = ((place % 2) as u16, layout.gates - 1);
-                    layout.targets.push(Spot { destination, group, place, zone, gate });
+                    layout.targets.push(Spot {
+                        destination,
+                        group,
+                        place,
+                        zone,
+                        gate,
+                    });
                 }
-                layout.destinations.push(Place { group, number, targets: begin..layout.targets.len() });
+                layout.destinations.push(Place {
+                    group,
+                    number,
+                    targets: begin..layout.targets.len(),
+                });
             }
         }
         layout
@@ -53,7 +67,11 @@
     /// How the list names a target; a new holder of its address has another number.
     pub fn id(target: usize, holder: u32) -> TargetId {
         let [_, b, c, d] = (target as u32).to_be_bytes();
-        TargetId { address: [10, b, c, d], port: 80, holder }
+        TargetId {
+            address: [10, b, c, d],
+            port: 80,
+            holder,
+        }
     }
 
     pub fn target(id: TargetId) -> usize {
@@ -61,7 +79,13 @@
         u32::from_be_bytes([0, b, c, d]) as usize
     }
 
-    pub fn listing(&self, groups: &[Destination], target: usize, holder: u32, standing: Standing) -> Listing {
+    pub fn listing(
+        &self,
+        groups: &[Destination],
+        target: usize,
+        holder: u32,
+        standing: Standing,
+    ) -> Listing {
         let spot = self.targets[target];
         let group = &groups[spot.group];
         Listing {
@@ -87,11 +111,23 @@
                 && on.zone.is_none_or(|z| z == spot.zone)
         };
         let share = on.share.unwrap_or(1.0).clamp(0.0, 1.0);
-        let chosen = self.targets.iter().enumerate().filter(|(_, spot)| named(spot));
-        chosen.map(|(n, _)| n).filter(|_| share >= 1.0 || rng.random_bool(share)).collect()
+        let chosen = self
+            .targets
+            .iter()
+            .enumerate()
+            .filter(|(_, spot)| named(spot));
+        chosen
+            .map(|(n, _)| n)
+            .filter(|_| share >= 1.0 || rng.random_bool(share))
+            .collect()
     }
 
-    pub fn struck_forwarders(scenario: &Scenario, on: &Where, seed: u64, trouble: usize) -> Vec<u32> {
+    pub fn struck_forwarders(
+        scenario: &Scenario,
+        on: &Where,
+        seed: u64,
+        trouble: usize,
+    ) -> Vec<u32> {
         let mut rng = stream(seed, "struck", trouble as u64);
         let share = on.share.unwrap_or(1.0).clamp(0.0, 1.0);
         let named = |n: &u32| on.forwarders.is_empty() || on.forwarders.contains(n);
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -29,8 +29,16 @@
 
 fn lab<T: DeserializeOwned>(args: &[String]) -> T {
     let program = env!("CARGO_BIN_EXE_opalpulley-lab");
-    let ended = Command::new(program).arg("capacity").args(args).output().expect("it runs");
-    assert!(ended.status.success(), "{}", String::from_utf8_lossy(&ended.stderr));
+    let ended = Command::new(program)
+        .arg("capacity")
+        .args(args)
+        .output()
+        .expect("it runs");
+    assert!(
+        ended.status.success(),
+        "{}",
+        String::from_utf8_lossy(&ended.stderr)
+    );
     serde_json::from_slice(&ended.stdout).expect("figures")
 }
 
@@ -54,29 +62,44 @@
 
 /// Bytes for one more destination: with the list taken in, and after all stretches.
 fn bytes_a_destination(points: &[Point; 2]) -> [f64; 2] {
-    [|p: &Point| p.memory_listed, |p: &Point| p.down_rest.memory].map(|memory: fn(&Point) -> f64| {
-        let points = points.each_ref().map(|p| (f64::from(p.destinations), memory(p)));
-        Slope::through(&points).expect("two sizes").slope
-    })
+    [|p: &Point| p.memory_listed, |p: &Point| p.down_rest.memory].map(
+        |memory: fn(&Point) -> f64| {
+            let points = points
+                .each_ref()
+                .map(|p| (f64::from(p.destinations), memory(p)));
+            Slope::through(&points).expect("two sizes").slope
+        },
+    )
 }
 
 fn bytes_within(points: &[Point; 2], most: f64) -> Result<(), String> {
     let bytes = bytes_a_destination(points);
     let kept = bytes.iter().all(|bytes| *bytes <= most);
-    kept.then_some(()).ok_or_else(|| format!("{bytes:?} bytes a destination, {most:.0} allowed"))
+    kept.then_some(())
+        .ok_or_else(|| format!("{bytes:?} bytes a destination, {most:.0} allowed"))
 }
 
 fn full_within(points: &[Point]) -> Result<(), String> {
     for point in points {
         let stretches = [point.traffic, point.rest, point.down, point.down_rest].map(|s| s.held);
-        let most = stretches.iter().chain([&point.held_listed, &point.held_changed]);
-        let most = most.map(|held| held.full.max(held.most_full)).fold(0.0, f64::max);
+        let most = stretches
+            .iter()
+            .chain([&point.held_listed, &point.held_changed]);
+        let most = most
+            .map(|held| held.full.max(held.most_full))
+            .fold(0.0, f64::max);
         let allowed = f64::from(FULL + LIST_STEP) + CALLED + WAITING;
         if most > allowed {
-            return Err(format!("{most} of {} in full, {allowed} allowed", point.destinations));
+            return Err(format!(
+                "{most} of {} in full, {allowed} allowed",
+                point.destinations
+            ));
         }
         if point.down_rest.held.full > f64::from(FULL) {
-            return Err(format!("{} in full at rest, {FULL} allowed", point.down_rest.held.full));
+            return Err(format!(
+                "{} in full at rest, {FULL} allowed",
+                point.down_rest.held.full
+            ));
         }
     }
     Ok(())
@@ -89,7 +112,11 @@
     assert_eq!(full_within(&limited), Ok(()));
     for point in &limited {
         let held = point.down_rest.held;
-        assert_eq!(held.full + held.summaries, f64::from(point.destinations), "each is held once");
+        assert_eq!(
+            held.full + held.summaries,
+            f64::from(point.destinations),
+            "each is held once"
+        );
     }
     let all = both(FullDestinations::All);
     assert_eq!(bytes_within(&all, MOST_IN_FULL), Ok(()));
@@ -103,27 +130,47 @@
     let [small, large] = both(FullDestinations::UpTo(FULL));
     for (small, large) in [(small.traffic, large.traffic), (small.down, large.down)] {
         for (name, of) in [("events", |s| s.events), ("calls", |s| s.calls)]
-            as [(&str, fn(&opalpulley_lab::capacity::core::point::Stretch) -> f64); 2]
+            as [(
+                &str,
+                fn(&opalpulley_lab::capacity::core::point::Stretch) -> f64,
+            ); 2]
         {
             let ratio = of(&large) / large.messages / (of(&small) / small.messages);
-            assert!(ratio < 1.1, "{name} a message: {ratio} times those of the smaller list");
+            assert!(
+                ratio < 1.1,
+                "{name} a message: {ratio} times those of the smaller list"
+            );
         }
         // A message restores its destination at most once, and an answer of an earlier one may do so again.
         let restored = large.held.restored - small.held.restored;
-        assert!(restored <= f64::from(LARGE - SMALL) + 2.0 * large.messages, "{restored}");
+        assert!(
+            restored <= f64::from(LARGE - SMALL) + 2.0 * large.messages,
+            "{restored}"
+        );
     }
     for point in [&small, &large] {
         let by_list = point.held_changed.restored - point.held_listed.restored;
         let (targets, changes) = (f64::from(point.targets), f64::from(CHANGES));
-        assert!(by_list <= targets + changes, "a whole list and {changes} changes restored {by_list}");
-        assert!(point.rest.events <= f64::from(RATE), "events at rest: {}", point.rest.events);
+        assert!(
+            by_list <= targets + changes,
+            "a whole list and {changes} changes restored {by_list}"
+        );
+        assert!(
+            point.rest.events <= f64::from(RATE),
+            "events at rest: {}",
+            point.rest.events
+        );
     }
 }
 
 #[test]
 fn skewed_traffic_is_delivered_and_holds_no_more_in_full() {
     let skewed = core(SMALL, FullDestinations::UpTo(FULL), "skewed");
-    assert!(skewed.traffic.delivered >= 0.99 * skewed.traffic.messages, "{:?}", skewed.traffic);
+    assert!(
+        skewed.traffic.delivered >= 0.99 * skewed.traffic.messages,
+        "{:?}",
+        skewed.traffic
+    );
     assert_eq!(full_within(&[skewed]), Ok(()));
 }
 
--- a/crates/lab/tests/tool.rs
+++ b/crates/lab/tests/tool.rs
@@ -4,11 +4,17 @@
 use std::process::{Command, Output};
 
 fn lab(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_opalpulley-lab")).args(args).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_opalpulley-lab"))
+        .args(args)
+        .output()
+        .expect("it runs")
 }
 
 fn scenario(name: &str) -> String {
-    format!("{}/../../lab/scenarios/{name}.toml", env!("CARGO_MANIFEST_DIR"))
+    format!(
+        "{}/../../lab/scenarios/{name}.toml",
+        env!("CARGO_MANIFEST_DIR")
+    )
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -55,14 +61,39 @@
     for (args, word) in [
         (vec!["run", "nowhere.toml"], "nowhere.toml"),
         (vec!["run", file.to_str().expect("a name")], "slits"),
-        (vec!["run", &hostile, "--set", "forwarders.slots=none"], "slots"),
-        (vec!["run", &hostile, "--sockets", "--forwarder", "/no/such/program"], "/no/such/program"),
-        (vec!["sweep", &hostile, "--key", "forwarders.slits", "--values", "1"], "slits"),
+        (
+            vec!["run", &hostile, "--set", "forwarders.slots=none"],
+            "slots",
+        ),
+        (
+            vec![
+                "run",
+                &hostile,
+                "--sockets",
+                "--forwarder",
+                "/no/such/program",
+            ],
+            "/no/such/program",
+        ),
+        (
+            vec![
+                "sweep",
+                &hostile,
+                "--key",
+                "forwarders.slits",
+                "--values",
+                "1",
+            ],
+            "slits",
+        ),
     ] {
         let ended = lab(&args);
         let words = text(&ended.stderr);
         assert_eq!(ended.status.code(), Some(2), "{args:?}: {words}");
-        assert!(words.contains(word) && words.lines().count() == 1, "{args:?}: {words}");
+        assert!(
+            words.contains(word) && words.lines().count() == 1,
+            "{args:?}: {words}"
+        );
     }
 }
 
@@ -75,18 +106,53 @@
     };
     let first = scenario("first");
     let (file, to) = path("compare.json");
-    let args = ["compare", &first, &first, "--set-b", "forwarders.slots=1", "--seeds", "4", "--json", &to];
+    let args = [
+        "compare",
+        &first,
+        &first,
+        "--set-b",
+        "forwarders.slots=1",
+        "--seeds",
+        "4",
+        "--json",
+        &to,
+    ];
     assert_eq!(lab(&args).status.code(), Some(1), "one slot is worse");
     let told: serde_json::Value =
         serde_json::from_slice(&std::fs::read(file).expect("written")).expect("JSON");
-    assert_eq!((&told["verdict"], &told["pairs"]), (&"worse".into(), &4.into()));
+    assert_eq!(
+        (&told["verdict"], &told["pairs"]),
+        (&"worse".into(), &4.into())
+    );
     // Another build of the program is asked by its path; this one against itself can't be told apart.
     let build = env!("CARGO_BIN_EXE_opalpulley-lab");
-    let same = lab(&["compare", &first, &first, "--build-b", build, "--seeds", "3"]);
-    assert!(text(&same.stdout).contains("neither better nor worse"), "{}", text(&same.stdout));
+    let same = lab(&[
+        "compare",
+        &first,
+        &first,
+        "--build-b",
+        build,
+        "--seeds",
+        "3",
+    ]);
+    assert!(
+        text(&same.stdout).contains("neither better nor worse"),
+        "{}",
+        text(&same.stdout)
+    );
     let (file, to) = path("sweep.json");
-    let args =
-        ["sweep", &first, "--key", "forwarders.slots", "--values", "1,4,64", "--seeds", "2", "--json", &to];
+    let args = [
+        "sweep",
+        &first,
+        "--key",
+        "forwarders.slots",
+        "--values",
+        "1,4,64",
+        "--seeds",
+        "2",
+        "--json",
+        &to,
+    ];
     assert!(lab(&args).status.success());
     let told: serde_json::Value =
         serde_json::from_slice(&std::fs::read(file).expect("written")).expect("JSON");
@@ -95,8 +161,14 @@
     let (outcome, _) = path("outcome.json");
     run(&first, "1", &outcome);
     let (page, to) = path("page.html");
-    assert!(lab(&["report", outcome.to_str().expect("a name"), "--to", &to]).status.success());
-    assert!(std::fs::read_to_string(page).expect("written").contains("<svg"));
+    assert!(
+        lab(&["report", outcome.to_str().expect("a name"), "--to", &to])
+            .status
+            .success()
+    );
+    assert!(std::fs::read_to_string(page)
+        .expect("written")
+        .contains("<svg"));
 }
 
 /// The oracle on sockets can fail, too: a bare relay neither tries again nor gives anyone a final answer.
@@ -109,8 +181,19 @@
                  errors = 0.3\nservice = { kind = \"constant\", time = \"5ms\" }\n[[loads]]\nrate = 40.0\n";
     std::fs::write(&file, world).expect("written");
     let relay = env!("CARGO_BIN_EXE_opalpulley-relay");
-    let ended = lab(&["run", file.to_str().expect("a name"), "--sockets", "--forwarder", relay]);
+    let ended = lab(&[
+        "run",
+        file.to_str().expect("a name"),
+        "--sockets",
+        "--forwarder",
+        relay,
+    ]);
     let told = text(&ended.stdout);
-    assert_eq!(ended.status.code(), Some(1), "{told}{}", text(&ended.stderr));
+    assert_eq!(
+        ended.status.code(),
+        Some(1),
+        "{told}{}",
+        text(&ended.stderr)
+    );
     assert!(told.contains("rule broken: lost"), "{told}");
 }
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -26,7 +26,9 @@
 
     fn record(&mut self, now: Micros, raw: &Raw) -> Result<(), WireError> {
         let code = raw.code;
-        let Some(name) = name_of(code) else { return Ok(()) };
+        let Some(name) = name_of(code) else {
+            return Ok(());
+        };
         let mut fields = Fields::new(name, raw.offset, raw.fields);
         if code == 11 {
             let number = fields.u32()?;
@@ -41,9 +43,11 @@
         if code == 10 {
             let seed = fields.u64()?;
             let n = fields.u32()? as usize;
-            let config =
-                opalpulley_config::read(fields.take(n)?).map(|w| w.config).map_err(|e| fields.bad(e))?;
-            self.instances.insert(instance, Forwarder::new(config, seed));
+            let config = opalpulley_config::read(fields.take(n)?)
+                .map(|w| w.config)
+                .map_err(|e| fields.bad(e))?;
+            self.instances
+                .insert(instance, Forwarder::new(config, seed));
             return Ok(());
         }
         if !self.instances.contains_key(&instance) {
@@ -62,12 +66,19 @@
                 target: fields.target()?,
                 took: fields.u32()?.into(),
             },
-            8 => Event::Withdrawn { id: PacketId(fields.u32()?) },
-            3 => Event::Alarm { token: Token(fields.u32()?) },
+            8 => Event::Withdrawn {
+                id: PacketId(fields.u32()?),
+            },
+            3 => Event::Alarm {
+                token: Token(fields.u32()?),
+            },
             6 => {
                 let from = fields.u16()?;
                 let n = fields.u16()?;
-                Event::Gossip { from, message: fields.take(n.into())?.to_vec() }
+                Event::Gossip {
+                    from,
+                    message: fields.take(n.into())?.to_vec(),
+                }
             }
             2 => {
                 let target = fields.target()?;
@@ -118,7 +129,15 @@
     let closed = fields.u8()? != 0;
     let remark = fields.u32()?;
     let outcome = fields.outcome(status, remark)?;
-    Ok(Event::TripEnded { id, trip, target, outcome, took, closed, report: fields.report()? })
+    Ok(Event::TripEnded {
+        id,
+        trip,
+        target,
+        outcome,
+        took,
+        closed,
+        report: fields.report()?,
+    })
 }
 
 fn name_of(code: u16) -> Option<&'static str> {
--- a/crates/simhost/src/host/tests.rs
+++ b/crates/simhost/src/host/tests.rs
@@ -14,7 +14,12 @@
 }
 
 fn record(code: u16, fields: &[u8]) -> Vec<u8> {
-    [&code.to_le_bytes()[..], &(fields.len() as u32).to_le_bytes(), fields].concat()
+    [
+        &code.to_le_bytes()[..],
+        &(fields.len() as u32).to_le_bytes(),
+        fields,
+    ]
+    .concat()
 }
 
 fn batch(records: &[Vec<u8>]) -> Vec<u8> {
@@ -40,7 +45,9 @@
 }
 
 fn problem(frame: &[u8]) -> String {
-    play(&mut Host::default(), frame).expect_err("bad input").to_string()
+    play(&mut Host::default(), frame)
+        .expect_err("bad input")
+        .to_string()
 }
 
 #[test]
@@ -59,51 +66,101 @@
         ),
     );
     let targets = record(1, &bytes("0300 00000000 02 2900000000000000"));
-    let incoming =
-        record(9, &bytes("0300 c4913a5d 0000 00000000 640ad2557c3bf091 80a90300 e02e0000 00006442 01"));
+    let incoming = record(
+        9,
+        &bytes("0300 c4913a5d 0000 00000000 640ad2557c3bf091 80a90300 e02e0000 00006442 01"),
+    );
     let due = record(3, &bytes("0300 4d000000"));
     let unknown = record(999, &bytes("0300"));
     let vanished = record(8, &bytes("0300 192b6f0e"));
     let mut host = Host::default();
-    let reply = play(&mut host, &batch(&[start(), list, targets, incoming, due, unknown, vanished]))
-        .expect("all good");
+    let reply = play(
+        &mut host,
+        &batch(&[start(), list, targets, incoming, due, unknown, vanished]),
+    )
+    .expect("all good");
     // A call of packet 0x5d3a91c4 to one of the two targets of destination 57.
     let relay = bytes("4200 10000000 0300 c4913a5d");
     let targets = [bytes("0a124a07 931f"), bytes("0a9011f2 bc1f")];
     let sent = |w: &[u8]| w.starts_with(&relay) && targets.iter().any(|t| w.ends_with(t));
     assert!(reply.windows(relay.len() + 6).any(sent), "{reply:02x?}");
     let ended = bytes("0300 c4913a5d 00 0a124a07 931f c800 44480000 01 00000000 00");
-    let restart = [record(4, &ended), record(5, &bytes("0300")), start(), record(3, &bytes("0300 01000000"))];
+    let restart = [
+        record(4, &ended),
+        record(5, &bytes("0300")),
+        start(),
+        record(3, &bytes("0300 01000000")),
+    ];
     play(&mut host, &batch(&restart)).expect("a death and a start in one batch");
 }
 
 #[test]
 fn actions_are_written_as_the_page_has_them() {
     let mut reply = Reply::default();
-    let target = opalpulley::TargetId { address: [10, 18, 74, 7], port: 8083, holder: 0 };
+    let target = opalpulley::TargetId {
+        address: [10, 18, 74, 7],
+        port: 8083,
+        holder: 0,
+    };
     let id = PacketId(0x5d3a91c4);
-    reply.push(3, &Action::Send { id, target, limit: Some(80_000), begin_by: 90_000 }).expect("fits");
-    reply.push(3, &Action::Wake { after: 500_000, token: Token(0x4d) }).expect("fits");
-    reply.push(5, &Action::Log("two servers known".into())).expect("fits");
+    reply
+        .push(
+            3,
+            &Action::Send {
+                id,
+                target,
+                limit: Some(80_000),
+                begin_by: 90_000,
+            },
+        )
+        .expect("fits");
+    reply
+        .push(
+            3,
+            &Action::Wake {
+                after: 500_000,
+                token: Token(0x4d),
+            },
+        )
+        .expect("fits");
+    reply
+        .push(5, &Action::Log("two servers known".into()))
+        .expect("fits");
     let page = "41000000 03000000 0c000000
         4200 10000000 0300 c4913a5d 0a124a07 931f 80380100
         4900 0a000000 0300 20a10700 4d000000
         4600 15000000 0500 1100 74776f2073657276657273206b6e6f776e";
     assert_eq!(reply.frame(12).expect("fits"), bytes(page));
-    assert!(reply.push(3, &Action::Wake { after: u64::MAX, token: Token(1) }).is_err());
+    assert!(reply
+        .push(
+            3,
+            &Action::Wake {
+                after: u64::MAX,
+                token: Token(1)
+            }
+        )
+        .is_err());
 }
 
 #[test]
 fn bad_input_is_named() {
     assert!(problem(&bytes(&EMPTY[..20])).contains("batch header"));
     assert!(
-        problem(&bytes("01000000 ffffffff 5a5c800000000000 01000000 00")).contains("4294967295 bytes wanted")
+        problem(&bytes("01000000 ffffffff 5a5c800000000000 01000000 00"))
+            .contains("4294967295 bytes wanted")
     );
     assert!(problem(&batch(&[bytes("0300 ff000000 0300")])).contains("record at byte 0"));
     assert!(problem(&batch(&[record(3, &bytes("0300 4d000000"))])).contains("Due at byte 0"));
     assert!(problem(&batch(&[record(11, &bytes("00000000 ffffffff"))])).contains("Register"));
-    assert!(problem(&batch(&[record(10, &bytes("0300 0000000000000000 01000000 7b"))])).contains("not valid"));
-    let outcome = record(4, &bytes("0300 c4913a5d 00 0a124a07 931f 0100 44480000 01 00000000 00"));
+    assert!(problem(&batch(&[record(
+        10,
+        &bytes("0300 0000000000000000 01000000 7b")
+    )]))
+    .contains("not valid"));
+    let outcome = record(
+        4,
+        &bytes("0300 c4913a5d 00 0a124a07 931f 0100 44480000 01 00000000 00"),
+    );
     assert!(problem(&batch(&[start(), outcome])).contains("no outcome has the code 1"));
     let list = record(1, &bytes("0300 00000000 09 2900000000000000"));
     assert!(problem(&batch(&[start(), list])).contains("no list has the kind 9"));
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,8 +1,8 @@
 //! The simulator's frames and records. Translation only.
 
 use opalpulley::{
-    Action, Arrival, DestinationId, KindId, Listing, Micros, OrderKey, Outcome, PacketId, Past, ProfileId,
-    Standing, TargetId, TenantId, Token, ZoneId,
+    Action, Arrival, DestinationId, KindId, Listing, Micros, OrderKey, Outcome, PacketId, Past,
+    ProfileId, Standing, TargetId, TenantId, Token, ZoneId,
 };
 use std::fmt;
 use std::io::{self, Read};
@@ -15,8 +15,16 @@
 #[derive(Debug)]
 pub enum WireError {
     Io(io::Error),
-    CutOff { what: &'static str, wanted: usize, got: usize },
-    Record { record: &'static str, offset: usize, problem: String },
+    CutOff {
+        what: &'static str,
+        wanted: usize,
+        got: usize,
+    },
+    Record {
+        record: &'static str,
+        offset: usize,
+        problem: String,
+    },
 }
 
 impl fmt::Display for WireError {
@@ -24,9 +32,16 @@
         match self {
             WireError::Io(e) => write!(f, "cannot read or write the wire: {e}"),
             WireError::CutOff { what, wanted, got } => {
-                write!(f, "input ends inside a {what}: {wanted} bytes wanted, {got} there")
+                write!(
+                    f,
+                    "input ends inside a {what}: {wanted} bytes wanted, {got} there"
+                )
             }
-            WireError::Record { record, offset, problem } => {
+            WireError::Record {
+                record,
+                offset,
+                problem,
+            } => {
                 write!(f, "{record} at byte {offset} of the batch: {problem}")
             }
         }
@@ -55,13 +70,20 @@
 }
 
 /// Reads one batch into `body`; `None` at a clean end of input.
-pub fn read_batch(input: &mut impl Read, body: &mut Vec<u8>) -> Result<Option<BatchHead>, WireError> {
+pub fn read_batch(
+    input: &mut impl Read,
+    body: &mut Vec<u8>,
+) -> Result<Option<BatchHead>, WireError> {
     let got = fill(input, BATCH_HEADER, body)?;
     if got == 0 {
         return Ok(None);
     }
     if got < BATCH_HEADER {
-        return Err(WireError::CutOff { what: "batch header", wanted: BATCH_HEADER, got });
+        return Err(WireError::CutOff {
+            what: "batch header",
+            wanted: BATCH_HEADER,
+            got,
+        });
     }
     let mut fields = Fields::new("batch header", 0, body);
     let head = BatchHead {
@@ -73,7 +95,11 @@
     let wanted = head.bytes as usize;
     let got = fill(input, wanted, body)?;
     if got < wanted {
-        return Err(WireError::CutOff { what: "batch", wanted, got });
+        return Err(WireError::CutOff {
+            what: "batch",
+            wanted,
+            got,
+        });
     }
     Ok(Some(head))
 }
@@ -88,17 +114,30 @@
 
 impl<'a> Fields<'a> {
     pub fn new(record: &'static str, offset: usize, bytes: &'a [u8]) -> Self {
-        Fields { record, offset, bytes, at: 0 }
+        Fields {
+            record,
+            offset,
+            bytes,
+            at: 0,
+        }
     }
 
     pub fn bad(&self, problem: impl Into<String>) -> WireError {
-        WireError::Record { record: self.record, offset: self.offset, problem: problem.into() }
+        WireError::Record {
+            record: self.record,
+            offset: self.offset,
+            problem: problem.into(),
+        }
     }
 
     pub fn take(&mut self, n: usize) -> Result<&'a [u8], WireError> {
         let left = &self.bytes[self.at..];
         if left.len() < n {
-            return Err(self.bad(format!("{n} bytes wanted at its byte {}, {} there", self.at, left.len())));
+            return Err(self.bad(format!(
+                "{n} bytes wanted at its byte {}, {} there",
+                self.at,
+                left.len()
+            )));
         }
         self.at += n;
         Ok(&left[..n])
@@ -131,7 +170,11 @@
     }
 
     pub fn target(&mut self) -> Result<TargetId, WireError> {
-        Ok(TargetId { address: self.array()?, port: self.u16()?, holder: 0 })
+        Ok(TargetId {
+            address: self.array()?,
+            port: self.u16()?,
+            holder: 0,
+        })
     }
 
     pub fn report(&mut self) -> Result<Vec<f32>, WireError> {
@@ -143,12 +186,16 @@
         Ok(match code {
             200 => Outcome::Delivered,
             502 => Outcome::Error,
-            429 => Outcome::Full { wait: (remark > 0).then(|| Micros::from(remark) * 1000) },
+            429 => Outcome::Full {
+                wait: (remark > 0).then(|| Micros::from(remark) * 1000),
+            },
             408 => Outcome::Timeout,
             521 => Outcome::NoConnection,
             520 => Outcome::Reset,
             444 => Outcome::CalledOff,
-            409 => Outcome::Moot { no_slot: remark == 1 },
+            409 => Outcome::Moot {
+                no_slot: remark == 1,
+            },
             other => return Err(self.bad(format!("no outcome has the code {other}"))),
         })
     }
@@ -156,7 +203,10 @@
     pub fn listings(&mut self) -> Result<Vec<Listing>, WireError> {
         let n = self.u32()? as usize;
         if n > (self.bytes.len() - self.at) / LISTING_BYTES {
-            return Err(self.bad(format!("{n} entries announced, {} bytes left", self.bytes.len() - self.at)));
+            return Err(self.bad(format!(
+                "{n} entries announced, {} bytes left",
+                self.bytes.len() - self.at
+            )));
         }
         (0..n).map(|_| self.listing()).collect()
     }
@@ -221,10 +271,17 @@
         rest.offset = rest.at;
         let code = rest.u16()?;
         let len = rest.u32()? as usize;
-        out.push(Raw { code, offset: rest.offset, fields: rest.take(len)? });
+        out.push(Raw {
+            code,
+            offset: rest.offset,
+            fields: rest.take(len)?,
+        });
     }
     if rest.at != body.len() {
-        return Err(rest.bad(format!("{} bytes follow the last record", body.len() - rest.at)));
+        return Err(rest.bad(format!(
+            "{} bytes follow the last record",
+            body.len() - rest.at
+        )));
     }
     Ok(out)
 }
@@ -254,7 +311,9 @@
     pub fn push(&mut self, instance: u16, action: &Action) -> Result<(), WireError> {
         let mut fields = instance.to_le_bytes().to_vec();
         let code: u16 = match action {
-            Action::Send { id, target, limit, .. } => {
+            Action::Send {
+                id, target, limit, ..
+            } => {
                 fields.extend(id.0.to_le_bytes());
                 put_target(&mut fields, *target);
                 fields.extend(narrow("Relay", limit.unwrap_or(0))?.to_le_bytes());
@@ -269,7 +328,10 @@
                 fields.extend(narrow("Reject", come_back.unwrap_or(0))?.to_le_bytes());
                 75
             }
-            Action::Wake { after, token: Token(token) } => {
+            Action::Wake {
+                after,
+                token: Token(token),
+            } => {
                 fields.extend(narrow("NotifyMe", *after)?.to_le_bytes());
                 fields.extend(token.to_le_bytes());
                 73
@@ -309,7 +371,8 @@
             }
         };
         self.body.extend(code.to_le_bytes());
-        self.body.extend(narrow("action", fields.len() as u64)?.to_le_bytes());
+        self.body
+            .extend(narrow("action", fields.len() as u64)?.to_le_bytes());
         self.body.extend(fields);
         self.records += 1;
         Ok(())
--- a/examples/resident.rs
+++ b/examples/resident.rs
@@ -34,7 +34,10 @@
         longest_return: 2_000_000,
         list_rates: ListRates::Nominal,
         profiles: vec![profile],
-        kinds: vec![KindConfig { routes_apart: false, per_call: 1 }],
+        kinds: vec![KindConfig {
+            routes_apart: false,
+            per_call: 1,
+        }],
         rules: RuleConfig {
             answer_slack: 20_000,
             drain_grace: 500_000,
@@ -52,16 +55,35 @@
 
 fn entry(n: u32) -> Listing {
     let [_, a, b, c] = n.to_be_bytes();
-    let target = TargetId { address: [10, a, b, c], port: 443, holder: 0 };
+    let target = TargetId {
+        address: [10, a, b, c],
+        port: 443,
+        holder: 0,
+    };
     let (standing, destination) = (Standing::Ready, DestinationId(n));
-    Listing { target, zone: ZoneId(0), since: 0, standing, rate: 20.0, destination, kind: KindId(0) }
+    Listing {
+        target,
+        zone: ZoneId(0),
+        since: 0,
+        standing,
+        rate: 20.0,
+        destination,
+        kind: KindId(0),
+    }
 }
 
 /// Resident memory of this process, in bytes.
 fn resident() -> Result<u64, std::io::Error> {
     let status = std::fs::read_to_string("/proc/self/status")?;
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
-    let kilobytes: u64 = line.trim().trim_end_matches(" kB").parse().map_err(std::io::Error::other)?;
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .unwrap_or_default();
+    let kilobytes: u64 = line
+        .trim()
+        .trim_end_matches(" kB")
+        .parse()
+        .map_err(std::io::Error::other)?;
     Ok(kilobytes * 1_024)
 }
 
@@ -77,8 +99,14 @@
         // In pieces, as a front end may hand them over: the list itself is not to be measured.
         let chunk = 4_096;
         for first in (0..self.destinations).step_by(chunk as usize) {
-            let entries = (first..self.destinations.min(first + chunk)).map(entry).collect();
-            self.forwarder.handle(now, Event::List(ListNews::Changes(entries)), &mut Vec::new());
+            let entries = (first..self.destinations.min(first + chunk))
+                .map(entry)
+                .collect();
+            self.forwarder.handle(
+                now,
+                Event::List(ListNews::Changes(entries)),
+                &mut Vec::new(),
+            );
         }
     }
 
@@ -101,12 +129,21 @@
                 orphan: false,
                 past: Past::default(),
             };
-            self.forwarder.handle(now, Event::Packet(arrival), &mut actions);
-            self.forwarder.handle(now, Event::Alarm { token: Token(0) }, &mut actions);
+            self.forwarder
+                .handle(now, Event::Packet(arrival), &mut actions);
+            self.forwarder
+                .handle(now, Event::Alarm { token: Token(0) }, &mut actions);
             for (_, id, target) in out.extract_if(.., |(at, ..)| *at <= now) {
                 let (outcome, report) = (Outcome::Delivered, Vec::new());
-                let ended =
-                    Event::TripEnded { id, trip: 0, target, outcome, took: ANSWER, closed: true, report };
+                let ended = Event::TripEnded {
+                    id,
+                    trip: 0,
+                    target,
+                    outcome,
+                    took: ANSWER,
+                    closed: true,
+                    report,
+                };
                 self.forwarder.handle(now, ended, &mut actions);
             }
             let sent = actions.drain(..).filter_map(|action| match action {
@@ -132,7 +169,12 @@
     let destinations = arguments.next().ok_or("how many destinations?")?.parse()?;
     let full = arguments.next().map(|full| full.parse()).transpose()?;
     let (forwarder, before) = (Forwarder::new(config(full), 1), resident()?);
-    let mut run = Run { forwarder, destinations, before, begun: Instant::now() };
+    let mut run = Run {
+        forwarder,
+        destinations,
+        before,
+        begun: Instant::now(),
+    };
     run.list(1_000_000);
     run.report("whole list")?;
     run.list(2_000_000);
--- a/src/bucket.rs
+++ b/src/bucket.rs
@@ -27,7 +27,14 @@
 
 impl ColdBudget {
     pub fn new(left: f64, now: Micros) -> ColdBudget {
-        ColdBudget { left, filled: now, own: Bucket { left: 0.0, filled: now } }
+        ColdBudget {
+            left,
+            filled: now,
+            own: Bucket {
+                left: 0.0,
+                filled: now,
+            },
+        }
     }
 
     /// Fills it up to `now` at `rate` calls a second and by `own`, of which `most_own` a second count at most.
@@ -35,7 +42,10 @@
         self.own.fill(now, most_own, 1.0);
         let own = own.min(self.own.left);
         self.own.left -= own;
-        let mut calls = Bucket { left: self.left + own, filled: self.filled };
+        let mut calls = Bucket {
+            left: self.left + own,
+            filled: self.filled,
+        };
         calls.fill(now, rate, 1.0);
         (self.left, self.filled) = (calls.left, calls.filled);
     }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -26,7 +26,10 @@
     /// A call there was refused: the message to all, unless one went round within the last second.
     pub fn refused(&mut self, now: Micros, at: DestinationId, config: &Config) -> Option<Action> {
         let sends = config.may_gossip && config.forwarders > 1 && self.news(now, at);
-        sends.then(|| Action::SendGossip { peer: None, message: message::encode(at) })
+        sends.then(|| Action::SendGossip {
+            peer: None,
+            message: message::encode(at),
+        })
     }
 
     /// Reads a message: the destination that is at its limit, if it is news and `known`. Adds a line for the
@@ -44,7 +47,9 @@
             Err(_) if self.logged.is_some_and(|l| now < l + LOG_AGAIN) => {}
             Err(problem) => {
                 self.logged = Some(now);
-                actions.push(Action::Log(format!("a note of forwarder {from} is passed over: {problem}")));
+                actions.push(Action::Log(format!(
+                    "a note of forwarder {from} is passed over: {problem}"
+                )));
             }
         }
         None
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -21,7 +21,9 @@
 impl fmt::Display for MessageError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MessageError::Length(bytes) => write!(f, "{bytes} bytes, not the length of its subject"),
+            MessageError::Length(bytes) => {
+                write!(f, "{bytes} bytes, not the length of its subject")
+            }
             MessageError::Version(version) => write!(f, "version {version}, this is {VERSION}"),
             MessageError::Subject(subject) => write!(f, "subject {subject} is not known"),
         }
@@ -37,8 +39,12 @@
 
 pub fn decode(message: &[u8]) -> Result<DestinationId, MessageError> {
     match *message {
-        [VERSION, AT_ITS_LIMIT, low, high] => Ok(DestinationId(u32::from_le_bytes([low, high, 0, 0]))),
-        [VERSION, AT_ITS_LIMIT_WIDE, a, b, c, d] => Ok(DestinationId(u32::from_le_bytes([a, b, c, d]))),
+        [VERSION, AT_ITS_LIMIT, low, high] => {
+            Ok(DestinationId(u32::from_le_bytes([low, high, 0, 0])))
+        }
+        [VERSION, AT_ITS_LIMIT_WIDE, a, b, c, d] => {
+            Ok(DestinationId(u32::from_le_bytes([a, b, c, d])))
+        }
         [VERSION, AT_ITS_LIMIT | AT_ITS_LIMIT_WIDE, ..] => Err(MessageError::Length(message.len())),
         [VERSION, subject, _, ..] => Err(MessageError::Subject(subject)),
         [version, _, _, ..] => Err(MessageError::Version(version)),
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -6,7 +6,10 @@
 const MS: Micros = 1_000;
 
 fn gossiping(forwarders: u32) -> Config {
-    Config { may_gossip: true, ..config(forwarders) }
+    Config {
+        may_gossip: true,
+        ..config(forwarders)
+    }
 }
 
 /// What it makes of a message, and whether it logs a line.
@@ -23,14 +26,27 @@
 fn what_went_round_is_not_told_again_for_a_second() {
     let (mut one, mut other) = (Gossip::default(), Gossip::default());
     let at = DestinationId(700);
-    let Some(Action::SendGossip { peer: None, message }) = one.refused(0, at, &gossiping(3)) else {
+    let Some(Action::SendGossip {
+        peer: None,
+        message,
+    }) = one.refused(0, at, &gossiping(3))
+    else {
         panic!("not told")
     };
     assert!(one.refused(999 * MS, at, &gossiping(3)).is_none());
     assert_eq!(hear(&mut other, 10 * MS, &message), (Some(at), false));
-    assert_eq!(hear(&mut other, 20 * MS, &message), (None, false), "a message that comes twice");
-    assert!(other.refused(500 * MS, at, &gossiping(3)).is_none(), "all know");
-    assert!(other.refused(500 * MS, DestinationId(1), &gossiping(3)).is_some());
+    assert_eq!(
+        hear(&mut other, 20 * MS, &message),
+        (None, false),
+        "a message that comes twice"
+    );
+    assert!(
+        other.refused(500 * MS, at, &gossiping(3)).is_none(),
+        "all know"
+    );
+    assert!(other
+        .refused(500 * MS, DestinationId(1), &gossiping(3))
+        .is_some());
     assert!(other.refused(1_100 * MS, at, &gossiping(3)).is_some());
     assert!(Gossip::default().refused(0, at, &gossiping(1)).is_none());
     assert!(Gossip::default().refused(0, at, &config(3)).is_none());
@@ -57,7 +73,9 @@
         assert_eq!(hear(&mut Gossip::default(), 0, &bad), (None, true));
     }
     let mut gossip = Gossip::default();
-    let lines = (0..600).filter(|s| hear(&mut gossip, s * 100 * MS, &[]).1).count();
+    let lines = (0..600)
+        .filter(|s| hear(&mut gossip, s * 100 * MS, &[]).1)
+        .count();
     assert_eq!(lines, 1);
     assert!(hear(&mut gossip, 60_000 * MS, &[]).1);
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -119,7 +119,11 @@
     pub fn may_have_run(self) -> bool {
         matches!(
             self,
-            Outcome::Delivered | Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::CalledOff
+            Outcome::Delivered
+                | Outcome::Error
+                | Outcome::Timeout
+                | Outcome::Reset
+                | Outcome::CalledOff
         )
     }
 }
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -38,7 +38,9 @@
         rng: &mut impl Rng,
         actions: &mut Vec<Action>,
     ) {
-        let Some(within) = config.ask_within else { return };
+        let Some(within) = config.ask_within else {
+            return;
+        };
         let failed = matches!(event, Event::List(ListNews::Failed));
         if failed || !self.begun {
             self.begun = true;
@@ -63,17 +65,31 @@
         let out = now.saturating_sub(self.asked);
         // A call that held for so long had been answered: the row is over. Twice the silence, for one that is told late.
         let held = out > config.told_within.map_or(within, |_| 2 * LONGEST_SILENCE);
-        self.failures = if failed && !held { self.failures + 1 } else { u32::from(failed) };
+        self.failures = if failed && !held {
+            self.failures + 1
+        } else {
+            u32::from(failed)
+        };
         let doublings = self.failures.min(MOST_DOUBLINGS);
         // Discovery may have been in reach, unheard, ever since the failed call: that time is spent.
         let unheard = if failed { out.min(LONGEST_SILENCE) } else { 0 };
-        let left = config.told_within.map(|told| told.saturating_sub(unheard + ANSWER_TIME));
+        let left = config
+            .told_within
+            .map(|told| told.saturating_sub(unheard + ANSWER_TIME));
         let most = left.map_or(within, |left| left.min(within));
         // A lone forwarder has nobody to meet at discovery, but does not ask all the time where nobody answers.
         let others = Micros::from(config.forwarders.saturating_sub(1));
         let window = ((CALL_TIME * others).min(within / FIRST_PART) << doublings).min(most);
-        let least = if failed { (CALL_TIME << doublings).min(most / FIRST_PART) } else { 0 };
-        let wait = if window > least { rng.random_range(least..window) } else { least };
+        let least = if failed {
+            (CALL_TIME << doublings).min(most / FIRST_PART)
+        } else {
+            0
+        };
+        let wait = if window > least {
+            rng.random_range(least..window)
+        } else {
+            least
+        };
         self.at = Some(now + wait);
         wait
     }
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -7,7 +7,11 @@
 const WITHIN: Micros = 10_000 * MS;
 
 pub(crate) fn config(forwarders: u32) -> Config {
-    Config { forwarders, ask_within: Some(WITHIN), ..Config::default() }
+    Config {
+        forwarders,
+        ask_within: Some(WITHIN),
+        ..Config::default()
+    }
 }
 
 /// The list poller of one forwarder, with its alarms.
@@ -25,7 +29,12 @@
 
     fn under(config: Config, seed: u64) -> PollingForwarder {
         let (rng, forwarders) = (Pcg64Mcg::seed_from_u64(seed), config.forwarders);
-        let mut poller = PollingForwarder { list_poller: ListPoller::default(), config, rng, alarm: None };
+        let mut poller = PollingForwarder {
+            list_poller: ListPoller::default(),
+            config,
+            rng,
+            alarm: None,
+        };
         let asked = poller.show(0, Event::List(ListNews::Cached(Vec::new())));
         assert!(forwarders == 1 || !asked || poller.alarm == Some(0));
         poller
@@ -34,7 +43,8 @@
     /// Whether it asks.
     fn show(&mut self, now: Micros, event: Event) -> bool {
         let mut actions = Vec::new();
-        self.list_poller.handle(now, &event, &self.config, &mut self.rng, &mut actions);
+        self.list_poller
+            .handle(now, &event, &self.config, &mut self.rng, &mut actions);
         for action in &actions {
             if let Action::Wake { after, .. } = action {
                 self.alarm = Some(now + after);
@@ -51,8 +61,9 @@
 /// A discovery that works off one call after the other, turns away what would wait longer than three time-outs, and
 /// spends its time on calls that nobody waits for any more. Gives when each forwarder was answered.
 fn told(forwarders: u32, call: Micros, seed: u64, until: Micros) -> Vec<Option<Micros>> {
-    let mut fleet: Vec<PollingForwarder> =
-        (0..forwarders).map(|n| PollingForwarder::new(forwarders, seed << 32 | u64::from(n))).collect();
+    let mut fleet: Vec<PollingForwarder> = (0..forwarders)
+        .map(|n| PollingForwarder::new(forwarders, seed << 32 | u64::from(n)))
+        .collect();
     let mut answered = vec![None; fleet.len()];
     let mut fails = vec![None; fleet.len()];
     let mut free = 0;
@@ -81,11 +92,22 @@
 /// A fleet that starts at once hears its list, however slow discovery is. Calls made again each second are never heard.
 #[test]
 fn a_fleet_that_starts_at_once_hears_its_list() {
-    for (forwarders, call) in [(3, 500 * MS), (100, 20 * MS), (100, 80 * MS), (300, 25 * MS)] {
+    for (forwarders, call) in [
+        (3, 500 * MS),
+        (100, 20 * MS),
+        (100, 80 * MS),
+        (300, 25 * MS),
+    ] {
         for seed in 0..5 {
             let answered = told(forwarders, call, seed, 30_000 * MS);
-            let late = answered.iter().filter(|at| at.is_none_or(|at| at > 25_000 * MS)).count();
-            assert!(late * 50 <= forwarders as usize, "{forwarders}, {call} µs: {late} not told in 25 s");
+            let late = answered
+                .iter()
+                .filter(|at| at.is_none_or(|at| at > 25_000 * MS))
+                .count();
+            assert!(
+                late * 50 <= forwarders as usize,
+                "{forwarders}, {call} µs: {late} not told in 25 s"
+            );
         }
     }
 }
@@ -93,8 +115,13 @@
 #[test]
 fn the_first_call_comes_within_what_the_rules_want_and_a_lone_one_at_once() {
     for forwarders in [1, 2, 50, 100_000] {
-        let wait = PollingForwarder::new(forwarders, 1).alarm.expect("it is put off");
-        assert!(wait <= WITHIN / 2 && (forwarders > 1 || wait == 0), "{forwarders}: {wait}");
+        let wait = PollingForwarder::new(forwarders, 1)
+            .alarm
+            .expect("it is put off");
+        assert!(
+            wait <= WITHIN / 2 && (forwarders > 1 || wait == 0),
+            "{forwarders}: {wait}"
+        );
     }
 }
 
@@ -170,7 +197,10 @@
     let mut free = 0;
     for now in (silent_from..back + 30_000 * MS).step_by(MS as usize) {
         for (n, poller) in fleet.iter_mut().enumerate() {
-            answered[n] = [due[n], overdue[n]].into_iter().flatten().find(|at| *at <= now);
+            answered[n] = [due[n], overdue[n]]
+                .into_iter()
+                .flatten()
+                .find(|at| *at <= now);
             if answered[n].is_some() {
                 continue;
             }
@@ -198,8 +228,12 @@
         }
     }
     let since = |at: &Option<Micros>| at.unwrap_or(Micros::MAX).saturating_sub(back);
-    let busiest =
-        |from: &Micros| calls_at.iter().filter(|at| (*from..from + 1_000 * MS).contains(at)).count();
+    let busiest = |from: &Micros| {
+        calls_at
+            .iter()
+            .filter(|at| (*from..from + 1_000 * MS).contains(at))
+            .count()
+    };
     Healing {
         calls: called.iter().map(since).collect(),
         answers: answered.iter().map(since).collect(),
@@ -239,7 +273,10 @@
             now += 2 * WITHIN + LONGEST_SILENCE;
             poller.show(now, Event::List(ListNews::Failed));
             let next = LONGEST_SILENCE + poller.alarm.expect("it is put off") - now;
-            assert!(next + ANSWER_TIME <= TOLD, "{forwarders}: {next} µs from a silent watch to a new one");
+            assert!(
+                next + ANSWER_TIME <= TOLD,
+                "{forwarders}: {next} µs from a silent watch to a new one"
+            );
         }
     }
 }
@@ -247,9 +284,11 @@
 /// Also where a silence is told a little late, as on sockets, and in a small fleet, which has no window of its own to spread.
 #[test]
 fn failures_in_a_row_lengthen_the_wait_up_to_the_time_that_counts() {
-    for (forwarders, fails_after) in
-        [(1, 20 * MS), (1, LONGEST_SILENCE + 30 * MS), (3, LONGEST_SILENCE + 30 * MS)]
-    {
+    for (forwarders, fails_after) in [
+        (1, 20 * MS),
+        (1, LONGEST_SILENCE + 30 * MS),
+        (3, LONGEST_SILENCE + 30 * MS),
+    ] {
         let mut poller = PollingForwarder::new(forwarders, 2);
         poller.config.told_within = Some(TOLD);
         let (mut now, mut waits) = (poller.alarm.expect("it is put off"), Vec::new());
@@ -260,7 +299,10 @@
             waits.push(poller.alarm.expect("it is put off") - now);
             now = poller.alarm.expect("it is put off");
         }
-        assert!(waits[0] < 300 * MS && waits[7] >= 1_000 * MS, "{forwarders}: {waits:?}");
+        assert!(
+            waits[0] < 300 * MS && waits[7] >= 1_000 * MS,
+            "{forwarders}: {waits:?}"
+        );
     }
 }
 
@@ -268,7 +310,11 @@
 #[test]
 fn the_first_call_comes_by_the_time_that_counts() {
     for seed in 0..200 {
-        let long = Config { ask_within: Some(60 * WITHIN), told_within: Some(TOLD), ..config(350) };
+        let long = Config {
+            ask_within: Some(60 * WITHIN),
+            told_within: Some(TOLD),
+            ..config(350)
+        };
         let poller = PollingForwarder::under(long, seed);
         assert!(poller.alarm.expect("it is put off") + ANSWER_TIME <= TOLD);
     }
@@ -287,11 +333,21 @@
 /// Where discovery can work off the calls of all within the time that counts, all are told by then.
 #[test]
 fn a_fleet_is_told_within_the_time_that_counts_after_an_outage() {
-    for (call, seed) in [1, 8, 14].iter().flat_map(|c| (0..5).map(move |seed| (c * MS, seed))) {
+    for (call, seed) in [1, 8, 14]
+        .iter()
+        .flat_map(|c| (0..5).map(move |seed| (c * MS, seed)))
+    {
         let healing = heal(Outage { call, ..OUTAGE }, seed);
         let last = healing.answers.iter().max().expect("a fleet");
-        assert!(*last <= TOLD, "{call} µs a call, seed {seed}: the last told after {last} µs");
-        assert!(healing.most_calls_a_second <= 175, "{} calls in a second", healing.most_calls_a_second);
+        assert!(
+            *last <= TOLD,
+            "{call} µs a call, seed {seed}: the last told after {last} µs"
+        );
+        assert!(
+            healing.most_calls_a_second <= 175,
+            "{} calls in a second",
+            healing.most_calls_a_second
+        );
     }
 }
 
@@ -299,11 +355,25 @@
 /// of what it can do is the least that reaches the fleet; answers to calls that were given up are heard.
 #[test]
 fn a_discovery_slower_than_the_fleet_asks_still_tells_it() {
-    for (call, line) in [80, 40, 25].iter().flat_map(|c| [1_500, 6_000].map(move |l| (c * MS, l * MS))) {
+    for (call, line) in [80, 40, 25]
+        .iter()
+        .flat_map(|c| [1_500, 6_000].map(move |l| (c * MS, l * MS)))
+    {
         for seed in 0..5 {
-            let healing = heal(Outage { call, line, ..OUTAGE }, seed);
+            let healing = heal(
+                Outage {
+                    call,
+                    line,
+                    ..OUTAGE
+                },
+                seed,
+            );
             for seconds in [10, 20, 30] {
-                let told = healing.answers.iter().filter(|at| **at <= seconds * 1_000 * MS).count() as u64;
+                let told = healing
+                    .answers
+                    .iter()
+                    .filter(|at| **at <= seconds * 1_000 * MS)
+                    .count() as u64;
                 let could = (seconds * 1_000 * MS / call).min(350);
                 assert!(
                     3 * told >= could,
@@ -321,19 +391,42 @@
     let rows = [
         ("before", None, 7_000 * MS, 0),
         ("bounded", Some(TOLD), LONGEST_SILENCE, 0),
-        ("bounded, late answers heard", Some(TOLD), LONGEST_SILENCE, 7_000 * MS),
+        (
+            "bounded, late answers heard",
+            Some(TOLD),
+            LONGEST_SILENCE,
+            7_000 * MS,
+        ),
     ];
     for call in [80, 40, 25, 20, 16, 8, 1].map(|ms| ms * MS) {
         for (name, told_within, silence, heard_until) in rows {
-            let plays =
-                (0..5).map(|seed| heal(Outage { call, told_within, silence, heard_until, ..OUTAGE }, seed));
+            let plays = (0..5).map(|seed| {
+                heal(
+                    Outage {
+                        call,
+                        told_within,
+                        silence,
+                        heard_until,
+                        ..OUTAGE
+                    },
+                    seed,
+                )
+            });
             let plays: Vec<Healing> = plays.collect();
             let told = |s: Micros| {
-                let told = plays.iter().flat_map(|h| &h.answers).filter(|at| **at <= s * 1_000 * MS).count();
+                let told = plays
+                    .iter()
+                    .flat_map(|h| &h.answers)
+                    .filter(|at| **at <= s * 1_000 * MS)
+                    .count();
                 told / plays.len()
             };
             let call_after = plays.iter().flat_map(|h| &h.calls).max().expect("calls") / MS;
-            let busiest = plays.iter().map(|h| h.most_calls_a_second).max().expect("plays");
+            let busiest = plays
+                .iter()
+                .map(|h| h.most_calls_a_second)
+                .max()
+                .expect("plays");
             let calls = plays.iter().map(|h| h.all_calls).sum::<usize>() / plays.len();
             println!(
                 "| {} | {name} | {call_after} | {} | {} | {} | {busiest} | {calls} |",
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -44,8 +44,8 @@
 
 #[derive(Debug, Default)]
 pub struct DispatchQueue {
-    ranks: BTreeMap<Rank, Ranked>,          // emptied of ranks without packets
-    resting: BTreeSet<(Micros, PacketId)>,  // by the end of their rest
+    ranks: BTreeMap<Rank, Ranked>, // emptied of ranks without packets
+    resting: BTreeSet<(Micros, PacketId)>, // by the end of their rest
     expiring: BTreeSet<(Micros, PacketId)>, // all that wait, by when they can be sent last
 }
 
@@ -70,7 +70,9 @@
     }
 
     fn ranked(&self, entry: &Entry) -> bool {
-        self.ranks.get(&entry.rank).is_some_and(|r| r.contains(&(entry.due, entry.id)))
+        self.ranks
+            .get(&entry.rank)
+            .is_some_and(|r| r.contains(&(entry.due, entry.id)))
     }
 
     /// A packet waits no more. One that did not wait changes nothing.
@@ -101,8 +103,11 @@
 
     /// All that can't be sent any more from this time on, in the order of their ids.
     pub fn expiring_by(&self, time: Micros) -> Vec<PacketId> {
-        let mut ids: Vec<PacketId> =
-            self.expiring.range(..=(time, PacketId(u32::MAX))).map(|(_, id)| *id).collect();
+        let mut ids: Vec<PacketId> = self
+            .expiring
+            .range(..=(time, PacketId(u32::MAX)))
+            .map(|(_, id)| *id)
+            .collect();
         ids.sort_unstable();
         ids
     }
@@ -115,7 +120,10 @@
         cuts: impl Fn() -> Vec<i64>,
         ends: &mut Vec<PacketId>,
     ) {
-        let (Ok(to), from) = (u64::try_from(*due.end()), u64::try_from(*due.start()).unwrap_or(0)) else {
+        let (Ok(to), from) = (
+            u64::try_from(*due.end()),
+            u64::try_from(*due.start()).unwrap_or(0),
+        ) else {
             return;
         };
         if from > to {
@@ -134,11 +142,22 @@
         let mut next = ranked.range((from, PacketId(0))..=last).next();
         while let Some(&(due, id)) = next {
             ends.push(id);
-            let piece = cuts.get(cuts.partition_point(|c| *c < due)).copied().unwrap_or(to);
+            let piece = cuts
+                .get(cuts.partition_point(|c| *c < due))
+                .copied()
+                .unwrap_or(to);
             let until = (piece, PacketId(u32::MAX));
-            if let Some(&(latest, _)) = ranked.range((due, id)..=until).next_back().filter(|(d, _)| *d > due)
+            if let Some(&(latest, _)) = ranked
+                .range((due, id)..=until)
+                .next_back()
+                .filter(|(d, _)| *d > due)
             {
-                ends.extend(ranked.range((latest, PacketId(0))..).next().map(|(_, id)| *id));
+                ends.extend(
+                    ranked
+                        .range((latest, PacketId(0))..)
+                        .next()
+                        .map(|(_, id)| *id),
+                );
             }
             next = match piece < to {
                 true => ranked.range((piece + 1, PacketId(0))..=last).next(),
@@ -155,9 +174,16 @@
     pub fn cuts(&self, now: f64, answer_time: f64, looks: [f64; 4], fade: f64) -> Vec<i64> {
         let turns = looks.iter().flat_map(|t| {
             let answered = now + t + answer_time;
-            [answered, answered - fade, answered - self.span as f64, now + t - self.last as f64]
+            [
+                answered,
+                answered - fade,
+                answered - self.span as f64,
+                now + t - self.last as f64,
+            ]
         });
-        turns.flat_map(|turn| [-1, 0, 1].map(|near| turn.floor() as i64 + near)).collect()
+        turns
+            .flat_map(|turn| [-1, 0, 1].map(|near| turn.floor() as i64 + near))
+            .collect()
     }
 }
 
@@ -213,9 +239,20 @@
         (0..50).for_each(|n| queue.join(&entry(n)));
         queue.wake(3, |id| Some(entry(id.0)));
         assert_eq!((queue.len(), queue.expiring_by(9).len()), (50, 10));
-        queue.turn(&Entry { turn: true, ..entry(7) });
-        (0..50).for_each(|n| queue.leave(&Entry { turn: true, ..entry(n) }));
-        assert!(queue.len() == 0 && queue.ranks.is_empty() && queue.resting.is_empty(), "{queue:?}");
+        queue.turn(&Entry {
+            turn: true,
+            ..entry(7)
+        });
+        (0..50).for_each(|n| {
+            queue.leave(&Entry {
+                turn: true,
+                ..entry(n)
+            })
+        });
+        assert!(
+            queue.len() == 0 && queue.ranks.is_empty() && queue.resting.is_empty(),
+            "{queue:?}"
+        );
         queue.leave(&entry(3));
         queue.turn(&entry(3));
         assert!(queue.resting.is_empty(), "it does not wait");
