--- a/src/rules/idle.rs
+++ b/src/rules/idle.rs
@@ -12,8 +12,8 @@
 //! only, each until it is used, removed or summarised.
 
 use super::{
-    DecisionContext, Destination, Forwarder, Gate, Health, Target, CATCH_REST, CATCH_UP, LAST_FEW, SECOND,
-    SILENCE,
+    DecisionContext, Destination, Forwarder, Gate, Health, Target, CATCH_REST, CATCH_UP, LAST_FEW,
+    SECOND, SILENCE,
 };
 use crate::bucket::ColdBudget;
 use crate::interface::*;
@@ -144,17 +144,44 @@
     fn gate(&self, bounds: Option<&Bounds>, now: Micros) -> Gate {
         let (next, held) = bounds.map_or((0, 0), |b| (b.next, b.held));
         let (capacity, rest) = (self.capacity.into(), self.rest.into());
-        Gate { capacity, rest, next, held, eased: now.max(1), ..Gate::default() }
+        Gate {
+            capacity,
+            rest,
+            next,
+            held,
+            eased: now.max(1),
+            ..Gate::default()
+        }
     }
 
     fn target(&self, id: TargetId, destination: DestinationId, bounds: Option<Bounds>) -> Target {
-        let times = Times::of(self.answer_time.into(), self.deviation.into(), self.learned.answers());
-        let mut target =
-            Target { id, destination, per_call: self.per_call.into(), times, ..Target::default() };
+        let times = Times::of(
+            self.answer_time.into(),
+            self.deviation.into(),
+            self.learned.answers(),
+        );
+        let mut target = Target {
+            id,
+            destination,
+            per_call: self.per_call.into(),
+            times,
+            ..Target::default()
+        };
         target.standing = self.standing;
         (target.card.zone, target.card.leaning) = (self.zone, self.leaning.into());
-        target.recent = (0..self.learned.outcomes()).map(|n| self.outcomes >> n & 1 == 1).collect();
-        if let Some(Bounds { row_since, kept_until, health, budget, failures, refusals, .. }) = bounds {
+        target.recent = (0..self.learned.outcomes())
+            .map(|n| self.outcomes >> n & 1 == 1)
+            .collect();
+        if let Some(Bounds {
+            row_since,
+            kept_until,
+            health,
+            budget,
+            failures,
+            refusals,
+            ..
+        }) = bounds
+        {
             target.next_probe = kept_until;
             (target.row_since, target.health, target.budget) = (row_since, health, budget);
             (target.failures, target.refusals) = (failures, refusals);
@@ -179,16 +206,24 @@
     summaries: BTreeMap<(DestinationId, TargetId), Summary>,
     destinations: BTreeMap<TargetId, DestinationId>,
     bounds: BTreeMap<TargetId, Bounds>,
-    gone: BTreeSet<(Micros, TargetId)>,       // by when each is forgotten
+    gone: BTreeSet<(Micros, TargetId)>, // by when each is forgotten
     queue: BTreeSet<(Micros, DestinationId)>, // full ones that may be summarised, by when
-    swept: Option<TargetId>,                  // the last whose bounds were looked at
+    swept: Option<TargetId>,            // the last whose bounds were looked at
     most_full: usize,
     restored: u64,
     summarised: u64,
 }
 
-const FIRST_TARGET: TargetId = TargetId { address: [0; 4], port: 0, holder: 0 };
-const LAST_TARGET: TargetId = TargetId { address: [u8::MAX; 4], port: u16::MAX, holder: u32::MAX };
+const FIRST_TARGET: TargetId = TargetId {
+    address: [0; 4],
+    port: 0,
+    holder: 0,
+};
+const LAST_TARGET: TargetId = TargetId {
+    address: [u8::MAX; 4],
+    port: u16::MAX,
+    holder: u32::MAX,
+};
 
 impl IdleTable {
     pub(super) fn holds(&self, id: DestinationId) -> bool {
@@ -196,18 +231,30 @@
     }
 
     fn targets_of(&self, id: DestinationId) -> impl Iterator<Item = TargetId> + '_ {
-        self.summaries.range((id, FIRST_TARGET)..=(id, LAST_TARGET)).map(|((_, target), _)| *target)
+        self.summaries
+            .range((id, FIRST_TARGET)..=(id, LAST_TARGET))
+            .map(|((_, target), _)| *target)
     }
 
     /// All idle targets that have not left the list, each with its place.
     pub(super) fn listed(&self) -> impl Iterator<Item = (TargetId, ZoneId, DestinationId)> + '_ {
-        let listed = self.summaries.iter().filter(|(_, s)| s.standing != Standing::Gone);
+        let listed = self
+            .summaries
+            .iter()
+            .filter(|(_, s)| s.standing != Standing::Gone);
         listed.map(|((destination, target), s)| (*target, ZoneId(s.zone), *destination))
     }
 
-    fn insert(&mut self, id: DestinationId, target: TargetId, summary: Summary, bounds: Option<Bounds>) {
+    fn insert(
+        &mut self,
+        id: DestinationId,
+        target: TargetId,
+        summary: Summary,
+        bounds: Option<Bounds>,
+    ) {
         if summary.standing == Standing::Gone {
-            self.gone.insert((bounds.as_ref().map_or(0, |b| b.kept_until), target));
+            self.gone
+                .insert((bounds.as_ref().map_or(0, |b| b.kept_until), target));
         }
         self.destinations.insert(target, id);
         self.summaries.insert((id, target), summary);
@@ -218,14 +265,17 @@
         let summary = self.summaries.remove(&(id, target))?;
         self.destinations.remove(&target);
         let bounds = self.bounds.remove(&target);
-        self.gone.remove(&(bounds.as_ref().map_or(0, |b| b.kept_until), target));
+        self.gone
+            .remove(&(bounds.as_ref().map_or(0, |b| b.kept_until), target));
         Some((summary, bounds))
     }
 
     /// Forgets those gone for long enough; one told to wait is kept until the wait is over.
     pub(super) fn forget_gone(&mut self, now: Micros, entries: usize) {
         for _ in 0..entries + FORGOTTEN_PER_LIST {
-            let Some((at, target)) = self.gone.first().copied().filter(|(at, _)| *at <= now) else { return };
+            let Some((at, target)) = self.gone.first().copied().filter(|(at, _)| *at <= now) else {
+                return;
+            };
             match self.bounds.get_mut(&target).filter(|b| b.held > now) {
                 Some(bounds) => {
                     bounds.kept_until = bounds.held;
@@ -246,7 +296,9 @@
         for _ in 0..SWEPT_PER_EVENT {
             let from = self.swept.map_or(Bound::Unbounded, Bound::Excluded);
             let next = self.bounds.range((from, Bound::Unbounded)).next();
-            let Some((target, bounds)) = next else { return self.swept = None };
+            let Some((target, bounds)) = next else {
+                return self.swept = None;
+            };
             let (target, binds) = (*target, bounds.bind(now, warm_after));
             self.swept = Some(target);
             if !binds && !self.gone.contains(&(bounds.kept_until, target)) {
@@ -273,7 +325,9 @@
 
     /// Whether so many destinations more than now are more than are to be held in full.
     pub(super) fn is_beyond_full(&self, more: usize) -> bool {
-        self.config.full_destinations.is_some_and(|full| self.destinations.len() + more > full as usize)
+        self.config
+            .full_destinations
+            .is_some_and(|full| self.destinations.len() + more > full as usize)
     }
 
     /// Restores the destination that the event concerns. A list restores those that it names itself.
@@ -295,27 +349,65 @@
 
     pub(super) fn restore(&mut self, now: Micros, id: DestinationId) {
         let held: Vec<TargetId> = self.idle.targets_of(id).collect();
-        let Some(first) = held.first().and_then(|target| self.idle.summaries.get(&(id, *target))) else {
+        let Some(first) = held
+            .first()
+            .and_then(|target| self.idle.summaries.get(&(id, *target)))
+        else {
             return;
         };
         let (apart, per_call) = (first.apart, first.per_call.into());
-        let mut destination = Destination { id, apart, per_call, ..Destination::default() };
+        let mut destination = Destination {
+            id,
+            apart,
+            per_call,
+            ..Destination::default()
+        };
         for target in held {
-            let Some((summary, bounds)) = self.idle.remove(id, target) else { continue };
+            let Some((summary, bounds)) = self.idle.remove(id, target) else {
+                continue;
+            };
             let gate = summary.gate(bounds.as_ref(), now);
-            destination.gates.entry(apart.then_some(target)).or_insert(gate);
+            destination
+                .gates
+                .entry(apart.then_some(target))
+                .or_insert(gate);
             destination.cards.insert(target, super::Card::default());
-            self.targets.insert(target, summary.target(target, id, bounds));
+            self.targets
+                .insert(target, summary.target(target, id, bounds));
         }
-        let Forwarder { config, rng, mailboxes, targets, times, .. } = self;
-        let context = DecisionContext { now, config, rng, mailboxes, scarce: false, times };
+        let Forwarder {
+            config,
+            rng,
+            mailboxes,
+            targets,
+            times,
+            ..
+        } = self;
+        let context = DecisionContext {
+            now,
+            config,
+            rng,
+            mailboxes,
+            scarce: false,
+            times,
+        };
         let standing = |target| targets.get(target).map(|t| t.standing);
-        let ready = destination.cards.keys().filter(|t| standing(t) == Some(Standing::Ready)).count().max(1);
+        let ready = destination
+            .cards
+            .keys()
+            .filter(|t| standing(t) == Some(Standing::Ready))
+            .count()
+            .max(1);
         for (target, card) in &mut destination.cards {
-            let Some(t) = targets.get_mut(target) else { continue };
+            let Some(t) = targets.get_mut(target) else {
+                continue;
+            };
             let gate = destination.gates.get(&apart.then_some(*target));
             t.capacity = gate.map_or(0.0, |g| g.capacity) / if apart { 1.0 } else { ready as f64 };
-            let fee = config.zone_fees.get(usize::from(t.card.zone)).filter(|_| apart);
+            let fee = config
+                .zone_fees
+                .get(usize::from(t.card.zone))
+                .filter(|_| apart);
             t.card.fee = fee.copied().unwrap_or(0.0);
             *card = t.card(&context);
         }
@@ -328,19 +420,38 @@
     /// would hold in full what is in use elsewhere.
     pub(super) fn limit_idle(&mut self, now: Micros, id: DestinationId) -> bool {
         let held: Vec<TargetId> = self.idle.targets_of(id).collect();
-        let Forwarder { config, rng, mailboxes, times, idle, .. } = self;
-        let Some(first) = held.first().and_then(|target| idle.summaries.get(&(id, *target))) else {
+        let Forwarder {
+            config,
+            rng,
+            mailboxes,
+            times,
+            idle,
+            ..
+        } = self;
+        let Some(first) = held
+            .first()
+            .and_then(|target| idle.summaries.get(&(id, *target)))
+        else {
             return false;
         };
         if first.apart {
             return true; // each is at a limit of its own
         }
         let mut gate = first.gate(held.first().and_then(|target| idle.bounds.get(target)), now);
-        gate.heard(&mut DecisionContext { now, config, rng, mailboxes, scarce: false, times });
+        gate.heard(&mut DecisionContext {
+            now,
+            config,
+            rng,
+            mailboxes,
+            scarce: false,
+            times,
+        });
         for target in held {
             let bounds = idle.bounds.entry(target).or_default();
             (bounds.next, bounds.paced_until) = (gate.next, gate.paced_until());
-            idle.summaries.entry((id, target)).and_modify(|s| s.rest = gate.rest as f32);
+            idle.summaries
+                .entry((id, target))
+                .and_modify(|s| s.rest = gate.rest as f32);
         }
         true
     }
@@ -348,8 +459,13 @@
     /// Applies an entry that names an idle destination's only target, neither gone, to its summary; whether it does.
     pub(super) fn relist_idle(&mut self, entry: &Listing) -> bool {
         let id = entry.destination;
-        let mut summaries = self.idle.summaries.range_mut((id, FIRST_TARGET)..=(id, LAST_TARGET));
-        let (Some(((_, target), summary)), None) = (summaries.next(), summaries.next()) else { return false };
+        let mut summaries = self
+            .idle
+            .summaries
+            .range_mut((id, FIRST_TARGET)..=(id, LAST_TARGET));
+        let (Some(((_, target), summary)), None) = (summaries.next(), summaries.next()) else {
+            return false;
+        };
         if *target != entry.target || [entry.standing, summary.standing].contains(&Standing::Gone) {
             return false;
         }
@@ -366,9 +482,22 @@
         }
         let longest = Gate::longest(&self.config) as Micros;
         let targets = &self.targets;
-        let Some(destination) = self.destinations.get_mut(&id).filter(|d| d.queued.is_none()) else { return };
-        let paced = destination.gates.values().map(|g| g.paced_until().min(now + longest));
-        let answered = destination.cards.keys().filter_map(|t| targets.get(t)).map(|t| t.answered);
+        let Some(destination) = self
+            .destinations
+            .get_mut(&id)
+            .filter(|d| d.queued.is_none())
+        else {
+            return;
+        };
+        let paced = destination
+            .gates
+            .values()
+            .map(|g| g.paced_until().min(now + longest));
+        let answered = destination
+            .cards
+            .keys()
+            .filter_map(|t| targets.get(t))
+            .map(|t| t.answered);
         let passing = answered.filter(|at| *at > 0).map(|at| at + 2 * SILENCE);
         let at = paced.chain(passing).max().unwrap_or(now);
         destination.queued = Some(at);
@@ -378,7 +507,9 @@
     pub(super) fn leave_queue(&mut self, id: DestinationId) {
         if self.config.full_destinations.is_some() {
             let queued = self.destinations.get_mut(&id).and_then(|d| d.queued.take());
-            queued.into_iter().for_each(|at| _ = self.idle.queue.remove(&(at, id)));
+            queued
+                .into_iter()
+                .for_each(|at| _ = self.idle.queue.remove(&(at, id)));
         }
     }
 
@@ -390,8 +521,15 @@
         self.idle.most_full = self.idle.most_full.max(self.destinations.len());
         self.idle.sweep(now, self.config.rules.warm_after);
         for _ in 0..most {
-            let first = self.idle.queue.first().copied().filter(|(at, _)| *at <= now);
-            let Some((_, id)) = first.filter(|_| self.is_beyond_full(0)) else { return };
+            let first = self
+                .idle
+                .queue
+                .first()
+                .copied()
+                .filter(|(at, _)| *at <= now);
+            let Some((_, id)) = first.filter(|_| self.is_beyond_full(0)) else {
+                return;
+            };
             self.leave_queue(id);
             match self.summary_of(now, id) {
                 Some(summaries) => self.summarise(id, summaries),
@@ -408,7 +546,11 @@
         }
     }
 
-    fn summarise(&mut self, id: DestinationId, summaries: Vec<(TargetId, Summary, Option<Bounds>)>) {
+    fn summarise(
+        &mut self,
+        id: DestinationId,
+        summaries: Vec<(TargetId, Summary, Option<Bounds>)>,
+    ) {
         self.destinations.remove(&id);
         for (target, summary, bounds) in summaries {
             self.targets.remove(&target);
@@ -426,18 +568,32 @@
         let destination = self.destinations.get_mut(&id)?;
         let (apart, cards) = (destination.apart, &destination.cards);
         let listed = |t: &Option<TargetId>| t.map_or(!apart, |t| cards.contains_key(&t));
-        destination.gates.retain(|t, gate| listed(t) || gate.held > now);
-        destination.gates.values_mut().for_each(|gate| gate.ease(now));
+        destination
+            .gates
+            .retain(|t, gate| listed(t) || gate.held > now);
+        destination
+            .gates
+            .values_mut()
+            .for_each(|gate| gate.ease(now));
         let destination = &*destination;
-        let gates = if destination.apart { destination.cards.len() } else { 1 };
+        let gates = if destination.apart {
+            destination.cards.len()
+        } else {
+            1
+        };
         let unused = !self.states.contains_key(&id) && destination.packets.is_empty();
         if !unused || destination.cards.is_empty() || destination.gates.len() != gates {
             return None;
         }
         let warm_after = self.config.rules.warm_after;
         let summary = |target: &TargetId| {
-            let gate = destination.gates.get(&destination.apart.then_some(*target))?;
-            let t = self.targets.get(target).filter(|t| t.destination == id && t.calls.is_empty())?;
+            let gate = destination
+                .gates
+                .get(&destination.apart.then_some(*target))?;
+            let t = self
+                .targets
+                .get(target)
+                .filter(|t| t.destination == id && t.calls.is_empty())?;
             if t.next_probe == Micros::MAX || t.per_call != destination.per_call {
                 return None;
             }
@@ -446,7 +602,11 @@
                 next: gate.next,
                 paced_until: gate.paced_until(),
                 row_since: t.row_since,
-                kept_until: if t.standing == Standing::Gone { t.next_probe } else { 0 },
+                kept_until: if t.standing == Standing::Gone {
+                    t.next_probe
+                } else {
+                    0
+                },
                 health: t.health,
                 budget: t.budget,
                 failures: t.failures,
--- a/src/rules/lists.rs
+++ b/src/rules/lists.rs
@@ -19,11 +19,17 @@
             let named: BTreeSet<TargetId> = entries.iter().map(|e| e.target).collect();
             let missing = self.targets.iter().filter(|(id, _)| !named.contains(id));
             entries.extend(missing.map(|(id, t)| gone(*id, ZoneId(t.card.zone), t.destination)));
-            missing_idle = self.idle.listed().filter(|(id, ..)| !named.contains(id)).collect();
+            missing_idle = self
+                .idle
+                .listed()
+                .filter(|(id, ..)| !named.contains(id))
+                .collect();
         }
         self.forget_gone(now, entries.len() + missing_idle.len());
         if !self.is_beyond_full(entries.len()) && missing_idle.is_empty() {
-            return entries.into_iter().for_each(|entry| self.restore_and_apply(now, entry));
+            return entries
+                .into_iter()
+                .for_each(|entry| self.restore_and_apply(now, entry));
         }
         let mut entries = entries.into_iter();
         while entries.len() > 0 {
@@ -44,7 +50,9 @@
     /// Forgets the targets that have been gone for the warm-up time and have nothing under way.
     fn forget_gone(&mut self, now: Micros, entries: usize) {
         let idle = |t: &Target| t.calls.is_empty() && now >= t.next_probe;
-        let left = self.targets.extract_if(.., |_, t| t.standing == Standing::Gone && idle(t));
+        let left = self
+            .targets
+            .extract_if(.., |_, t| t.standing == Standing::Gone && idle(t));
         let notes = left.map(|(id, target)| (target.destination, ToDestination::Left(id)));
         self.mailboxes.destinations.extend(notes);
         self.idle.forget_gone(now, entries);
@@ -62,10 +70,29 @@
     }
 
     fn apply(&mut self, now: Micros, entry: Listing) {
-        let Listing { target, zone, standing, rate, destination, kind, .. } = entry;
-        let kind = self.config.kinds.get(kind.0 as usize).or(self.config.kinds.last());
-        let (apart, per_call) = kind.map_or((false, 1), |k| (k.routes_apart, k.per_call.max(1) as usize));
-        let fee = self.config.zone_fees.get(zone.0 as usize).filter(|_| apart).copied().unwrap_or(0.0);
+        let Listing {
+            target,
+            zone,
+            standing,
+            rate,
+            destination,
+            kind,
+            ..
+        } = entry;
+        let kind = self
+            .config
+            .kinds
+            .get(kind.0 as usize)
+            .or(self.config.kinds.last());
+        let (apart, per_call) =
+            kind.map_or((false, 1), |k| (k.routes_apart, k.per_call.max(1) as usize));
+        let fee = self
+            .config
+            .zone_fees
+            .get(zone.0 as usize)
+            .filter(|_| apart)
+            .copied()
+            .unwrap_or(0.0);
         if standing != Standing::Gone {
             let beyond = self.is_beyond_full(1);
             let d = self.destinations.entry(destination).or_default();
@@ -74,16 +101,40 @@
             }
             // Beyond what is held in full it is as one that was listed long ago: it is summarised at once.
             let answered = if beyond { 0 } else { now };
-            let fresh = Target { id: target, destination, per_call, answered, ..Target::default() };
+            let fresh = Target {
+                id: target,
+                destination,
+                per_call,
+                answered,
+                ..Target::default()
+            };
             self.targets.entry(target).or_insert(fresh);
-            let note = ToDestination::Listed { target, rate: rate.into() };
+            let note = ToDestination::Listed {
+                target,
+                rate: rate.into(),
+            };
             self.mailboxes.destinations.push_back((destination, note));
         }
-        self.mailboxes.targets.push_back((target, ToTarget::Listed { zone, standing, fee }));
+        self.mailboxes.targets.push_back((
+            target,
+            ToTarget::Listed {
+                zone,
+                standing,
+                fee,
+            },
+        ));
     }
 }
 
 fn gone(target: TargetId, zone: ZoneId, destination: DestinationId) -> Listing {
     let (standing, kind) = (Standing::Gone, KindId(0));
-    Listing { target, zone, since: 0, standing, rate: 0.0, destination, kind }
+    Listing {
+        target,
+        zone,
+        since: 0,
+        standing,
+        rate: 0.0,
+        destination,
+        kind,
+    }
 }
--- a/src/times.rs
+++ b/src/times.rs
@@ -11,7 +11,11 @@
 impl Times {
     /// As they were learned before from so many answers.
     pub fn of(mean: f64, deviation: f64, count: f64) -> Times {
-        Times { mean, deviation, count }
+        Times {
+            mean,
+            deviation,
+            count,
+        }
     }
 
     /// Answers learned from, up to what the short mean spans.
--- a/tests/at_size.rs
+++ b/tests/at_size.rs
@@ -9,7 +9,11 @@
 
 /// Forty of three hundred forwarders: an even share of a pace or of a cold budget is next to nothing.
 fn fleet() -> impl Iterator<Item = World> {
-    let config = |n| Config { forwarder: n, forwarders: 300, ..config() };
+    let config = |n| Config {
+        forwarder: n,
+        forwarders: 300,
+        ..config()
+    };
     (0..40).map(move |n| World::new(config(n), vec![listing(1, 0, 20.0), listing(2, 0, 20.0)]))
 }
 
@@ -21,10 +25,23 @@
     for mut world in fleet() {
         (0..2).try_for_each(|_| world.arrive(0, 0, None, 8_000 * MS).map(drop))?;
         at_once += world.out().len();
-        world.pass(world.config.profiles.iter().map(|p| p.contract_time).min().unwrap_or(0) * 3 / 2)?;
+        world.pass(
+            world
+                .config
+                .profiles
+                .iter()
+                .map(|p| p.contract_time)
+                .min()
+                .unwrap_or(0)
+                * 3
+                / 2,
+        )?;
         assert_eq!(world.out().len(), 2);
     }
-    assert!(at_once < 60, "{at_once} of 80 packets of 40 forwarders went at once");
+    assert!(
+        at_once < 60,
+        "{at_once} of 80 packets of 40 forwarders went at once"
+    );
     Ok(())
 }
 
@@ -35,7 +52,10 @@
     let id = refused.arrive(0, 0, None, 8_000 * MS)?;
     refused.end(id, Outcome::Full { wait: None })?;
     let told = refused.actions.iter().find_map(|a| match a {
-        Action::SendGossip { peer: None, message } => Some(message.clone()),
+        Action::SendGossip {
+            peer: None,
+            message,
+        } => Some(message.clone()),
         _ => None,
     });
     let message = told.ok_or("it tells nobody")?;
@@ -43,7 +63,12 @@
         let mut calls = 0;
         for mut world in fleet() {
             if let Some(message) = news {
-                (0..3).try_for_each(|_| world.give(Event::Gossip { from: 7, message: message.clone() }))?;
+                (0..3).try_for_each(|_| {
+                    world.give(Event::Gossip {
+                        from: 7,
+                        message: message.clone(),
+                    })
+                })?;
             }
             (0..2).try_for_each(|_| world.arrive(0, 0, None, 8_000 * MS).map(drop))?;
             world.pass(200 * MS)?;
@@ -55,14 +80,20 @@
         Ok(calls)
     };
     let (without, with) = (calls(None)?, calls(Some(&message))?);
-    assert!(without >= 40 && with <= 8, "{without} calls of 40 forwarders, {with} after the message");
+    assert!(
+        without >= 40 && with <= 8,
+        "{without} calls of 40 forwarders, {with} after the message"
+    );
     Ok(())
 }
 
 /// A probe takes a call of the cold budget; the next one came seconds later, and the packets waited on.
 #[test]
 fn at_size_a_packet_serves_as_the_probe() -> Checked {
-    let config = Config { forwarders: 60, ..config() };
+    let config = Config {
+        forwarders: 60,
+        ..config()
+    };
     let mut world = World::new(config, vec![listing(1, 0, 60.0)]);
     for _ in 0..4 {
         let id = world.arrive(0, 0, None, 60_000 * MS)?;
@@ -73,7 +104,12 @@
     }
     let before = world.actions.len();
     world.pass(20_000 * MS)?;
-    assert!(!world.actions[before..].iter().any(|a| matches!(a, Action::Probe { .. })), "probed");
+    assert!(
+        !world.actions[before..]
+            .iter()
+            .any(|a| matches!(a, Action::Probe { .. })),
+        "probed"
+    );
     assert!(world.out().len() == 1, "no packet tries");
     Ok(())
 }
@@ -89,7 +125,12 @@
         let id = world.arrive(0, 0, None, 8_000 * MS)?;
         Ok(world.packets[&id].trips[0].target)
     });
-    assert_eq!(chosen.collect::<Result<std::collections::BTreeSet<_>, String>>()?.len(), 2);
+    assert_eq!(
+        chosen
+            .collect::<Result<std::collections::BTreeSet<_>, String>>()?
+            .len(),
+        2
+    );
     Ok(())
 }
 
@@ -99,18 +140,32 @@
     let mut tried = 0;
     for mut world in fleet() {
         let first = world.arrive(0, 0, None, 8_000 * MS)?;
-        world.end(first, Outcome::Full { wait: Some(5_000 * MS) })?;
+        world.end(
+            first,
+            Outcome::Full {
+                wait: Some(5_000 * MS),
+            },
+        )?;
         world.pass(5_200 * MS)?;
         tried += sends(&world, first).len() - 1;
     }
-    assert!(tried < 10, "{tried} of 40 tried within two tenths of a second");
+    assert!(
+        tried < 10,
+        "{tried} of 40 tried within two tenths of a second"
+    );
     Ok(())
 }
 
 /// With 300 forwarders one refusal is enough for a rest on the scale of an even share (3 s here), not of one call's time.
 #[test]
 fn at_size_a_refused_forwarder_rests_on_the_scale_of_an_even_share() -> Checked {
-    let mut world = World::new(Config { forwarders: 300, ..config() }, vec![listing(1, 0, 100.0)]);
+    let mut world = World::new(
+        Config {
+            forwarders: 300,
+            ..config()
+        },
+        vec![listing(1, 0, 100.0)],
+    );
     let first = world.arrive(0, 0, None, 8_000 * MS)?;
     world.end(first, Outcome::Full { wait: None })?;
     let next = world.arrive(0, 0, None, 8_000 * MS)?;
@@ -124,7 +179,13 @@
 /// A late packet leaves the first call that the pace allows to one in time, and goes when a whole rest more has passed.
 #[test]
 fn at_size_a_late_packet_waits_until_a_call_is_to_spare() -> Checked {
-    let mut world = World::new(Config { forwarders: 300, ..config() }, vec![listing(1, 0, 100.0)]);
+    let mut world = World::new(
+        Config {
+            forwarders: 300,
+            ..config()
+        },
+        vec![listing(1, 0, 100.0)],
+    );
     let refused = world.arrive(0, 0, None, 8_000 * MS)?;
     world.end(refused, Outcome::Full { wait: None })?;
     world.withdraw(refused)?;
@@ -139,7 +200,13 @@
 /// Two refusals are a destination at its limit, also where the cold budget of hundreds of forwarders is scant.
 #[test]
 fn at_size_two_refusals_set_nothing_aside() -> Checked {
-    let mut world = World::new(Config { forwarders: 300, ..config() }, vec![listing(1, 0, 100.0)]);
+    let mut world = World::new(
+        Config {
+            forwarders: 300,
+            ..config()
+        },
+        vec![listing(1, 0, 100.0)],
+    );
     let id = world.arrive(0, 0, None, 8_000 * MS)?;
     for trip in 1..=2 {
         assert_eq!(sends(&world, id).len(), trip);
--- a/tests/cases.rs
+++ b/tests/cases.rs
@@ -14,8 +14,14 @@
 
 /// Two routes apart in two zones.
 fn routes(config: Config) -> World {
-    let kinds = vec![KindConfig { routes_apart: true, per_call: 1 }];
-    World::new(Config { kinds, ..config }, vec![listing(1, 0, 20.0), listing(2, 0, 20.0)])
+    let kinds = vec![KindConfig {
+        routes_apart: true,
+        per_call: 1,
+    }];
+    World::new(
+        Config { kinds, ..config },
+        vec![listing(1, 0, 20.0), listing(2, 0, 20.0)],
+    )
 }
 
 fn written_off(world: &World, id: PacketId) -> bool {
@@ -66,7 +72,10 @@
     let mut waits = ended.iter().zip(&sent[1..]).map(|(end, next)| next - end);
     for least in [100, 200, 400, 800, 1_600].map(|w| w * MS) {
         let wait = waits.next().ok_or("too few trips")?;
-        assert!(wait >= least && wait <= least * 3 / 2 + 20 * MS, "waited {wait}, at least {least}");
+        assert!(
+            wait >= least && wait <= least * 3 / 2 + 20 * MS,
+            "waited {wait}, at least {least}"
+        );
     }
     Ok(())
 }
@@ -76,7 +85,11 @@
     let mut world = World::new(config(), (1..5).map(|n| listing(n, 0, 500.0)).collect());
     (0..30).try_for_each(|_| world.arrive(0, 0, None, 8_000 * MS).map(drop))?;
     world.pass(100 * MS)?;
-    assert_eq!(world.out().len(), 6, "three quarters of eight while it answers well");
+    assert_eq!(
+        world.out().len(),
+        6,
+        "three quarters of eight while it answers well"
+    );
     for id in world.out() {
         world.end(id, Outcome::Error)?;
     }
@@ -87,7 +100,9 @@
 
 #[test]
 fn a_told_wait_binds_the_destination_and_a_route_only_itself() -> Checked {
-    let full = Outcome::Full { wait: Some(1_500 * MS) };
+    let full = Outcome::Full {
+        wait: Some(1_500 * MS),
+    };
     let mut shared = World::new(config(), vec![listing(1, 0, 20.0), listing(2, 0, 20.0)]);
     let mut apart = routes(config());
     for (world, bound) in [(&mut shared, true), (&mut apart, false)] {
@@ -107,7 +122,12 @@
     let mut world = one_target();
     let first = world.arrive(0, 0, None, 8_000 * MS)?;
     let second = world.arrive(0, 0, None, 3_000 * MS)?;
-    world.end(first, Outcome::Full { wait: Some(5_000 * MS) })?;
+    world.end(
+        first,
+        Outcome::Full {
+            wait: Some(5_000 * MS),
+        },
+    )?;
     world.pass(50 * MS)?;
     assert!(world.packets[&second].over || !sends(&world, second).is_empty());
     let third = world.arrive(0, 0, None, 3_000 * MS)?;
@@ -125,7 +145,12 @@
     world.pass(1_000 * MS)?;
     world.end(id, Outcome::Reset)?;
     let hold = world.arrive(0, 0, None, 8_000 * MS)?;
-    world.end(hold, Outcome::Full { wait: Some(4_000 * MS) })?;
+    world.end(
+        hold,
+        Outcome::Full {
+            wait: Some(4_000 * MS),
+        },
+    )?;
     world.pass(2_500 * MS)?;
     assert!(written_off(&world, id) && sends(&world, id).len() == 1);
     Ok(())
@@ -165,7 +190,14 @@
             world.pass(50 * MS)?;
             for id in world.out() {
                 let answers = !outage && n % 3 == 2;
-                world.end(id, if answers { Outcome::Delivered } else { Outcome::NoConnection })?;
+                world.end(
+                    id,
+                    if answers {
+                        Outcome::Delivered
+                    } else {
+                        Outcome::NoConnection
+                    },
+                )?;
             }
         }
         if logged(&world, "set aside") != set_aside {
@@ -180,12 +212,18 @@
     let mut world = one_target();
     outage(&mut world)?;
     // Gone from the list and back, it is still set aside: it was once forgotten, and got its full pace while cold.
-    let gone = Listing { standing: Standing::Gone, ..listing(1, 0, 20.0) };
+    let gone = Listing {
+        standing: Standing::Gone,
+        ..listing(1, 0, 20.0)
+    };
     world.list(ListNews::Changes(vec![gone]))?;
     world.pass(100 * MS)?;
     world.list(ListNews::Changes(vec![listing(1, 0, 20.0)]))?;
     world.pass(3_000 * MS)?;
-    assert!(world.out().is_empty(), "nothing but probes while it is set aside");
+    assert!(
+        world.out().is_empty(),
+        "nothing but probes while it is set aside"
+    );
     world.answer_probe(Outcome::Delivered)?;
     world.pass(2_000 * MS)?;
     let id = world.out()[0];
@@ -205,7 +243,10 @@
     }
     world.arrive(0, 0, None, 8_000 * MS)?;
     world.pass(2_000 * MS)?;
-    assert!(world.packets.values().any(|h| h.trips.len() > 1), "no packet tried again");
+    assert!(
+        world.packets.values().any(|h| h.trips.len() > 1),
+        "no packet tried again"
+    );
     Ok(())
 }
 
@@ -226,7 +267,10 @@
         }
     }
     // Two seconds at 2.0 x 0.2 x 20 calls a second, half of it ours, and a little warmth.
-    assert!((3..=10).contains(&sent), "{sent} calls in the first two seconds");
+    assert!(
+        (3..=10).contains(&sent),
+        "{sent} calls in the first two seconds"
+    );
     Ok(())
 }
 
@@ -253,8 +297,14 @@
             true => good_times(&mut world, 5)?,
             false => world.pass(3_500 * MS)?,
         }
-        assert_eq!(world.actions.contains(&Action::CallOff { id, trip: 0 }), passed);
-        assert_eq!((written_off(&world, id), sends(&world, id).len()), (passed, 1));
+        assert_eq!(
+            world.actions.contains(&Action::CallOff { id, trip: 0 }),
+            passed
+        );
+        assert_eq!(
+            (written_off(&world, id), sends(&world, id).len()),
+            (passed, 1)
+        );
     }
     Ok(())
 }
@@ -262,7 +312,10 @@
 /// Several destinations that hung at once once kept all slots with the calls they had taken while well.
 #[test]
 fn troubled_destinations_do_not_keep_all_slots() -> Checked {
-    let mut world = World::new(config(), (0..4).map(|n| listing(n, u32::from(n), 50.0)).collect());
+    let mut world = World::new(
+        config(),
+        (0..4).map(|n| listing(n, u32::from(n), 50.0)).collect(),
+    );
     for destination in [1, 2, 1, 2, 1, 2, 1, 2, 1, 2, 1, 2] {
         world.arrive(0, destination, None, 8_000 * MS)?;
         world.pass(10 * MS)?;
@@ -299,7 +352,10 @@
             sent += 1;
         }
     }
-    assert!((10..30).contains(&sent), "{sent} calls in five seconds at an even share of two a second");
+    assert!(
+        (10..30).contains(&sent),
+        "{sent} calls in five seconds at an even share of two a second"
+    );
     Ok(())
 }
 
@@ -308,9 +364,15 @@
 fn a_line_is_not_kept_by_a_packet_for_another_route() -> Checked {
     let mut config = config();
     let window = 8_000 * MS;
-    config.profiles[1].effect = Effect::Fingerprinted { group: RepeatGroup::Zone, window };
+    config.profiles[1].effect = Effect::Fingerprinted {
+        group: RepeatGroup::Zone,
+        window,
+    };
     let mut world = routes(config);
-    let entry = Listing { standing: Standing::Draining, ..listing(2, 0, 20.0) };
+    let entry = Listing {
+        standing: Standing::Draining,
+        ..listing(2, 0, 20.0)
+    };
     world.list(ListNews::Changes(vec![entry]))?;
     let bound = world.arrive(1, 0, None, 8_000 * MS)?;
     world.pass(500 * MS)?;
@@ -319,7 +381,10 @@
     world.pass(500 * MS)?;
     let free = world.arrive(1, 0, None, 8_000 * MS)?;
     world.pass(100 * MS)?;
-    assert_eq!((sends(&world, bound).len(), sends(&world, free).len()), (1, 1));
+    assert_eq!(
+        (sends(&world, bound).len(), sends(&world, free).len()),
+        (1, 1)
+    );
     Ok(())
 }
 
@@ -330,7 +395,13 @@
     let mut world = World::new(config, vec![listing(1, 0, 2.0)]);
     (0..20).try_for_each(|_| world.arrive(0, 0, None, 8_000 * MS).map(drop))?;
     world.pass(50 * MS)?;
-    assert!(world.actions.iter().any(|a| matches!(a, Action::Defer { come_back: Some(_), .. })));
+    assert!(world.actions.iter().any(|a| matches!(
+        a,
+        Action::Defer {
+            come_back: Some(_),
+            ..
+        }
+    )));
     assert!(world.packets.values().filter(|h| !h.over).count() < 20);
     Ok(())
 }
@@ -341,10 +412,20 @@
     (odd.slots, odd.room, odd.max_trips, odd.forwarders) = (1, 1, 1, 0);
     (odd.profiles[0].contract_time, odd.kinds[0].per_call) = (0, 0);
     odd.list_rates = ListRates::Untold;
-    let list = vec![listing(1, 0, f32::NAN), listing(2, 0, f32::INFINITY), listing(3, 1, -1.0)];
+    let list = vec![
+        listing(1, 0, f32::NAN),
+        listing(2, 0, f32::INFINITY),
+        listing(3, 1, -1.0),
+    ];
     let mut bare = config();
-    (bare.slots, bare.profiles, bare.kinds) =
-        (0, vec![profile(Effect::Binding)], vec![KindConfig { routes_apart: true, per_call: 1 }]);
+    (bare.slots, bare.profiles, bare.kinds) = (
+        0,
+        vec![profile(Effect::Binding)],
+        vec![KindConfig {
+            routes_apart: true,
+            per_call: 1,
+        }],
+    );
     for config in [odd, bare] {
         let mut world = World::new(config, list.clone());
         for (destination, left) in [(0, 8_000), (0, 0), (1, 1), (9, 8_000), (1, 8_000)] {
@@ -380,7 +461,10 @@
     }
     world.arrive(0, 1, None, 8_000 * MS)?;
     world.pass(2_500 * MS)?;
-    assert!(!world.actions.iter().any(|a| matches!(a, Action::CallOff { .. })));
+    assert!(!world
+        .actions
+        .iter()
+        .any(|a| matches!(a, Action::CallOff { .. })));
     Ok(())
 }
 
@@ -392,10 +476,16 @@
     let mut world = World::new(config, vec![listing(1, 0, 20.0)]);
     world.pass(9_000 * MS)?;
     let first = world.arrive(0, 0, None, 8_000 * MS)?;
-    let (long, short) = (world.arrive(0, 0, None, 8_000 * MS)?, world.arrive(0, 0, None, 600 * MS)?);
+    let (long, short) = (
+        world.arrive(0, 0, None, 8_000 * MS)?,
+        world.arrive(0, 0, None, 600 * MS)?,
+    );
     world.pass(100 * MS)?;
     world.end(first, Outcome::Delivered)?;
-    assert_eq!((sends(&world, long).len(), sends(&world, short).len()), (0, 1));
+    assert_eq!(
+        (sends(&world, long).len(), sends(&world, short).len()),
+        (0, 1)
+    );
     Ok(())
 }
 
@@ -406,7 +496,12 @@
     for (outcome, closed) in [(Outcome::Delivered, false), (Outcome::NoConnection, true)] {
         let id = world.arrive(0, 0, None, 8_000 * MS)?;
         world.end(id, outcome)?;
-        assert_eq!(world.actions.contains(&Action::CloseIdle { target: target(1) }), closed);
+        assert_eq!(
+            world
+                .actions
+                .contains(&Action::CloseIdle { target: target(1) }),
+            closed
+        );
         world.pass(2_000 * MS)?;
     }
     Ok(())
@@ -419,10 +514,23 @@
     world.arrive(0, 0, None, 8_000 * MS)?;
     world.now += 3_000 * MS;
     let id = world.arrive(0, 0, None, 8_000 * MS)?;
-    assert!(sends(&world, id).is_empty(), "sent before what waits was read");
-    world.list(ListNews::Changes(vec![Listing { standing: Standing::Draining, ..listing(1, 0, 200.0) }]))?;
+    assert!(
+        sends(&world, id).is_empty(),
+        "sent before what waits was read"
+    );
+    world.list(ListNews::Changes(vec![Listing {
+        standing: Standing::Draining,
+        ..listing(1, 0, 200.0)
+    }]))?;
     world.pass(100 * MS)?;
-    assert_eq!(world.packets[&id].trips.iter().map(|t| t.target).collect::<Vec<_>>(), [target(2)]);
+    assert_eq!(
+        world.packets[&id]
+            .trips
+            .iter()
+            .map(|t| t.target)
+            .collect::<Vec<_>>(),
+        [target(2)]
+    );
     Ok(())
 }
 
@@ -442,7 +550,10 @@
 #[test]
 fn a_restart_keeps_to_what_the_trips_out_may_have_done() -> Checked {
     let mut world = one_target();
-    let ids = [world.arrive(0, 0, None, 8_000 * MS)?, world.arrive(1, 0, None, 8_000 * MS)?];
+    let ids = [
+        world.arrive(0, 0, None, 8_000 * MS)?,
+        world.arrive(1, 0, None, 8_000 * MS)?,
+    ];
     let binding = world.arrive(2, 0, None, 8_000 * MS)?;
     world.pass(300 * MS)?;
     assert_eq!(world.out().len(), 3);
@@ -464,7 +575,13 @@
 
 #[test]
 fn trips_of_an_earlier_life_count() -> Checked {
-    let mut world = World::new(Config { max_trips: 1, ..config() }, vec![listing(1, 0, 20.0)]);
+    let mut world = World::new(
+        Config {
+            max_trips: 1,
+            ..config()
+        },
+        vec![listing(1, 0, 20.0)],
+    );
     let id = world.arrive(0, 0, None, 8_000 * MS)?;
     world.pass(300 * MS)?;
     assert_eq!(world.out(), [id]);
@@ -483,7 +600,10 @@
     let second = world.arrive(0, 0, None, 8_000 * MS)?;
     world.end(first, Outcome::Error)?;
     world.pass(2_000 * MS)?;
-    assert_eq!((sends(&world, first).len(), sends(&world, second).len()), (1, 0));
+    assert_eq!(
+        (sends(&world, first).len(), sends(&world, second).len()),
+        (1, 0)
+    );
     Ok(())
 }
 
@@ -491,11 +611,29 @@
 /// too, takes back what has not gone: its connection may come up after the grace.
 #[test]
 fn a_wait_or_a_drain_takes_back_what_has_not_gone_and_costs_it_no_trip() -> Checked {
-    let taken_back = |world: &World, n| world.actions.contains(&Action::TakeBack { target: target(n) });
+    let taken_back = |world: &World, n| {
+        world
+            .actions
+            .contains(&Action::TakeBack { target: target(n) })
+    };
     for apart in [false, true] {
-        let kinds = vec![KindConfig { routes_apart: apart, per_call: 1 }];
-        let config = Config { kinds, max_trips: 1, forwarders: 1, zone_fees: Vec::new(), ..config() };
-        let mut world = World::new(config, (1..4).map(|n| listing(n, u32::from(n / 3), 200.0)).collect());
+        let kinds = vec![KindConfig {
+            routes_apart: apart,
+            per_call: 1,
+        }];
+        let config = Config {
+            kinds,
+            max_trips: 1,
+            forwarders: 1,
+            zone_fees: Vec::new(),
+            ..config()
+        };
+        let mut world = World::new(
+            config,
+            (1..4)
+                .map(|n| listing(n, u32::from(n / 3), 200.0))
+                .collect(),
+        );
         good_times(&mut world, 1)?; // then answer times spread the calls
         let mut out = BTreeMap::new();
         for destination in [0, 0, 0, 0, 1] {
@@ -504,17 +642,31 @@
             out.insert(world.packets[&id].trips[0].target, id);
         }
         let [told, other] = [1, 2].map(|n| out[&target(n)]);
-        world.end(told, Outcome::Full { wait: Some(700 * MS) })?;
-        assert_eq!([1, 2, 3].map(|n| taken_back(&world, n)), [true, !apart, false]);
+        world.end(
+            told,
+            Outcome::Full {
+                wait: Some(700 * MS),
+            },
+        )?;
+        assert_eq!(
+            [1, 2, 3].map(|n| taken_back(&world, n)),
+            [true, !apart, false]
+        );
         let standing = Standing::Draining;
-        world.list(ListNews::Changes(vec![Listing { standing, ..listing(3, 1, 200.0) }]))?;
+        world.list(ListNews::Changes(vec![Listing {
+            standing,
+            ..listing(3, 1, 200.0)
+        }]))?;
         assert!(taken_back(&world, 3));
         // Its only trip never went: it goes once the wait is over, at the latest a rest later.
         world.end(other, Outcome::TakenBack)?;
         world.pass(if apart { 0 } else { 690 * MS })?;
         assert_eq!(sends(&world, other).len(), usize::from(apart));
         world.pass(200 * MS)?;
-        assert_eq!((sends(&world, other).len(), written_off(&world, other)), (1, false));
+        assert_eq!(
+            (sends(&world, other).len(), written_off(&world, other)),
+            (1, false)
+        );
     }
     Ok(())
 }
@@ -538,11 +690,18 @@
 /// An end travels to the platform apart from calls: one of the same key may not overtake it, nor one of an earlier life.
 #[test]
 fn a_key_waits_until_the_end_before_is_heard() -> Checked {
-    let mut config = Config { ends: Ends::WhenHeard, ..config() };
+    let mut config = Config {
+        ends: Ends::WhenHeard,
+        ..config()
+    };
     config.profiles.iter_mut().for_each(|p| p.in_order = true);
     let mut world = World::new(config, vec![listing(1, 0, 20.0)]);
     let (earlier, key) = (PacketId(900), OrderKey(5));
-    world.give(Event::PendingReport { id: earlier, profile: ProfileId(0), key })?;
+    world.give(Event::PendingReport {
+        id: earlier,
+        profile: ProfileId(0),
+        key,
+    })?;
     let first = world.arrive(0, 0, Some(5), 300 * MS)?;
     let second = world.arrive(0, 0, Some(5), 8_000 * MS)?;
     world.pass(200 * MS)?;
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -37,8 +37,18 @@
 enum Happening {
     Arrival,
     Alarm(Token),
-    CallEnds { id: PacketId, number: u8, sent: Micros, target: TargetId, outcome: Outcome },
-    ProbeEnds { sent: Micros, target: TargetId, outcome: Outcome },
+    CallEnds {
+        id: PacketId,
+        number: u8,
+        sent: Micros,
+        target: TargetId,
+        outcome: Outcome,
+    },
+    ProbeEnds {
+        sent: Micros,
+        target: TargetId,
+        outcome: Outcome,
+    },
 }
 
 /// The forwarders on one clock, and the destination.
@@ -69,8 +79,9 @@
             room: 400,
             ..config()
         };
-        let forwarders =
-            (0..FORWARDERS).map(|n| Forwarder::new(of(n), case.seed * 1_000 + n as u64)).collect();
+        let forwarders = (0..FORWARDERS)
+            .map(|n| Forwarder::new(of(n), case.seed * 1_000 + n as u64))
+            .collect();
         let mut fleet = Fleet {
             case,
             config: of(0),
@@ -88,7 +99,10 @@
             pushed_over: None,
         };
         for n in 0..FORWARDERS {
-            fleet.give(n, Event::List(ListNews::Whole(vec![listing(1, 0, case.capacity)])));
+            fleet.give(
+                n,
+                Event::List(ListNews::Whole(vec![listing(1, 0, case.capacity)])),
+            );
             fleet.next_arrival(n);
         }
         fleet
@@ -126,7 +140,11 @@
         if !(UP_AT..UP_AT + rules.warm_after).contains(&self.now) {
             return;
         }
-        while self.window.front().is_some_and(|(at, _)| at + rules.overload_for <= self.now) {
+        while self
+            .window
+            .front()
+            .is_some_and(|(at, _)| at + rules.overload_for <= self.now)
+        {
             self.window.pop_front();
         }
         self.window.push_back((self.now, forwarder));
@@ -136,7 +154,11 @@
         let allowed = rules.fall_multiple * part * f64::from(self.case.capacity) * seconds;
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
         let calls = self.window.len();
-        let knew = self.window.iter().filter(|(_, n)| self.saw_failure[*n]).count();
+        let knew = self
+            .window
+            .iter()
+            .filter(|(_, n)| self.saw_failure[*n])
+            .count();
         if 3 * knew <= 2 * calls {
             return;
         }
@@ -159,12 +181,23 @@
 
     fn carry_out(&mut self, forwarder: usize, action: Action) {
         match action {
-            Action::Send { id, target, limit, .. } => {
+            Action::Send {
+                id, target, limit, ..
+            } => {
                 let limit = limit.unwrap_or(8_000 * MS);
                 let (outcome, took) = self.outcome(ANSWER_TIME, limit);
-                let number = self.calls_out.get(&(forwarder, id)).map_or(0, |(number, _)| number + 1);
+                let number = self
+                    .calls_out
+                    .get(&(forwarder, id))
+                    .map_or(0, |(number, _)| number + 1);
                 let sent = self.now;
-                let ends = Happening::CallEnds { id, number, sent, target, outcome };
+                let ends = Happening::CallEnds {
+                    id,
+                    number,
+                    sent,
+                    target,
+                    outcome,
+                };
                 let at = self.schedule(took.min(limit), forwarder, ends);
                 self.calls_out.insert((forwarder, id), (number, at));
                 self.count(forwarder);
@@ -172,14 +205,40 @@
             Action::Probe { target } => {
                 let (outcome, took) = self.outcome(PROBE_TIME, 1_500 * MS);
                 let sent = self.now;
-                self.schedule(took, forwarder, Happening::ProbeEnds { sent, target, outcome });
+                self.schedule(
+                    took,
+                    forwarder,
+                    Happening::ProbeEnds {
+                        sent,
+                        target,
+                        outcome,
+                    },
+                );
                 self.count(forwarder);
             }
             Action::CallOff { id, .. } => {
-                let out = self.calls_out.get(&(forwarder, id)).and_then(|(_, at)| self.agenda.remove(at));
-                if let Some((_, Happening::CallEnds { number, sent, target, .. })) = out {
+                let out = self
+                    .calls_out
+                    .get(&(forwarder, id))
+                    .and_then(|(_, at)| self.agenda.remove(at));
+                if let Some((
+                    _,
+                    Happening::CallEnds {
+                        number,
+                        sent,
+                        target,
+                        ..
+                    },
+                )) = out
+                {
                     let outcome = Outcome::CalledOff;
-                    let ends = Happening::CallEnds { id, number, sent, target, outcome };
+                    let ends = Happening::CallEnds {
+                        id,
+                        number,
+                        sent,
+                        target,
+                        outcome,
+                    };
                     self.schedule(0, forwarder, ends);
                 }
             }
@@ -211,18 +270,40 @@
                 self.give(forwarder, Event::Packet(arrival));
             }
             Happening::Alarm(token) => self.give(forwarder, Event::Alarm { token }),
-            Happening::CallEnds { id, number, sent, target, outcome } => {
+            Happening::CallEnds {
+                id,
+                number,
+                sent,
+                target,
+                outcome,
+            } => {
                 self.saw_failure[forwarder] |= outcome != Outcome::Delivered && self.down(sent);
                 self.served += usize::from(outcome == Outcome::Delivered && self.now > UP_AT);
                 let (took, closed) = (self.now - sent, outcome == Outcome::Delivered);
                 let report = Vec::new();
-                let ended = Event::TripEnded { id, trip: number, target, outcome, took, closed, report };
+                let ended = Event::TripEnded {
+                    id,
+                    trip: number,
+                    target,
+                    outcome,
+                    took,
+                    closed,
+                    report,
+                };
                 self.give(forwarder, ended);
             }
-            Happening::ProbeEnds { sent, target, outcome } => {
+            Happening::ProbeEnds {
+                sent,
+                target,
+                outcome,
+            } => {
                 self.saw_failure[forwarder] |= outcome != Outcome::Delivered && self.down(sent);
-                let answered =
-                    Event::ProbeAnswered { target, outcome, took: self.now - sent, report: Vec::new() };
+                let answered = Event::ProbeAnswered {
+                    target,
+                    outcome,
+                    took: self.now - sent,
+                    report: Vec::new(),
+                };
                 self.give(forwarder, answered);
             }
         }
@@ -248,11 +329,23 @@
         for may_probe in [true, false] {
             for capacity in [3.0, 12.0, 40.0, 150.0] {
                 for rate in [0.1, 0.3, 1.0, 6.0] {
-                    let case = Case { seed, may_probe, capacity, rate, failure };
+                    let case = Case {
+                        seed,
+                        may_probe,
+                        capacity,
+                        rate,
+                        failure,
+                    };
                     let mut fleet = Fleet::new(case);
                     fleet.play();
-                    println!("{case:?}: {:.2} of the bound, {} served", fleet.most, fleet.served);
-                    assert!(fleet.served > 0, "{case:?}: nothing is served after the return");
+                    println!(
+                        "{case:?}: {:.2} of the bound, {} served",
+                        fleet.most, fleet.served
+                    );
+                    assert!(
+                        fleet.served > 0,
+                        "{case:?}: nothing is served after the return"
+                    );
                     most = most.max(fleet.most);
                     pushed_over.extend(fleet.pushed_over.map(|how| format!("{case:?}: {how}")));
                 }
@@ -262,10 +355,17 @@
     };
     let played: Vec<(f64, Vec<String>)> = std::thread::scope(|scope| {
         let seeds: Vec<_> = SEEDS.map(|seed| scope.spawn(move || play(seed))).collect();
-        seeds.into_iter().map(|seed| seed.join().expect("it is played")).collect()
+        seeds
+            .into_iter()
+            .map(|seed| seed.join().expect("it is played"))
+            .collect()
     });
     for (most, pushed_over) in played {
-        assert!(pushed_over.is_empty(), "pushed over:\n{}", pushed_over.join("\n"));
+        assert!(
+            pushed_over.is_empty(),
+            "pushed over:\n{}",
+            pushed_over.join("\n")
+        );
         assert!(most > 0.3, "the fleet hardly tries: {most:.2} of the bound");
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,22 +9,44 @@
 pub const MS: Micros = 1_000;
 
 pub fn target(n: u8) -> TargetId {
-    TargetId { address: [10, 0, 0, n], port: 80, holder: 0 }
+    TargetId {
+        address: [10, 0, 0, n],
+        port: 80,
+        holder: 0,
+    }
 }
 
 pub fn listing(n: u8, destination: u32, rate: f32) -> Listing {
     let (target, zone) = (target(n), ZoneId(u16::from(n % 2)));
     let (standing, kind) = (Standing::Ready, KindId(0));
-    Listing { target, zone, since: 0, standing, rate, destination: DestinationId(destination), kind }
+    Listing {
+        target,
+        zone,
+        since: 0,
+        standing,
+        rate,
+        destination: DestinationId(destination),
+        kind,
+    }
 }
 
 pub fn profile(effect: Effect) -> ProfileConfig {
     let (contract_time, expiry) = (1_000 * MS, 8_000 * MS);
-    ProfileConfig { effect, contract_time, expiry, importance: 1.0, late_share: 0.5, in_order: false }
+    ProfileConfig {
+        effect,
+        contract_time,
+        expiry,
+        importance: 1.0,
+        late_share: 0.5,
+        in_order: false,
+    }
 }
 
 pub fn config() -> Config {
-    let fingerprinted = Effect::Fingerprinted { group: RepeatGroup::All, window: 3_000 * MS };
+    let fingerprinted = Effect::Fingerprinted {
+        group: RepeatGroup::All,
+        window: 3_000 * MS,
+    };
     Config {
         forwarder: 0,
         forwarders: 2,
@@ -40,9 +62,16 @@
         list_rates: ListRates::Nominal,
         fading: Fading::Halving,
         over_share_worth: 0.1,
-        profiles: vec![profile(Effect::Retriable), profile(fingerprinted), profile(Effect::Binding)],
+        profiles: vec![
+            profile(Effect::Retriable),
+            profile(fingerprinted),
+            profile(Effect::Binding),
+        ],
         tenants: Vec::new(),
-        kinds: vec![KindConfig { routes_apart: false, per_call: 1 }],
+        kinds: vec![KindConfig {
+            routes_apart: false,
+            per_call: 1,
+        }],
         zone_fees: vec![0.0, 0.05],
         ask_within: None,
         told_within: None,
@@ -140,7 +169,9 @@
             next: 0,
             restored: 0,
         };
-        world.list(ListNews::Cached(list)).expect("the first list breaks no rule");
+        world
+            .list(ListNews::Cached(list))
+            .expect("the first list breaks no rule");
         world
     }
 
@@ -155,7 +186,13 @@
         let mut earlier = std::mem::take(&mut self.earlier);
         earlier.append(&mut self.actions);
         let (now, next, restored) = (self.now, self.next, self.restored());
-        *self = World { now, next, earlier, restored, ..World::new(self.config.clone(), Vec::new()) };
+        *self = World {
+            now,
+            next,
+            earlier,
+            restored,
+            ..World::new(self.config.clone(), Vec::new())
+        };
         self.list(list)
     }
 
@@ -165,7 +202,11 @@
             ListNews::Whole(entries) | ListNews::Cached(entries) => (entries, true),
             ListNews::Failed => return self.give(Event::List(news)),
         };
-        for old in self.listed.keys().filter(|t| whole && !entries.iter().any(|e| e.target == **t)) {
+        for old in self
+            .listed
+            .keys()
+            .filter(|t| whole && !entries.iter().any(|e| e.target == **t))
+        {
             self.told_off.entry(*old).or_insert(self.now);
         }
         for entry in entries {
@@ -204,7 +245,15 @@
 
     fn take(&mut self, arrival: Arrival, trips: Vec<Trip>) -> Result<PacketId, String> {
         let (id, expires) = (arrival.id, self.now + arrival.left);
-        self.packets.insert(id, Held { arrival: arrival.clone(), expires, trips, over: false });
+        self.packets.insert(
+            id,
+            Held {
+                arrival: arrival.clone(),
+                expires,
+                trips,
+                over: false,
+            },
+        );
         self.order.push(id);
         self.give(Event::Packet(arrival))?;
         Ok(id)
@@ -217,23 +266,50 @@
         for (id, mut held) in packets.into_iter().filter(|(_, held)| !held.over) {
             let open = held.trips.iter_mut().filter(|t| t.outcome.is_none());
             open.for_each(|t| (t.outcome, t.goes) = (Some(Outcome::Reset), None));
-            let ran = held.trips.iter().find(|t| t.outcome.is_some_and(Outcome::may_have_run));
-            let exposed = ran.map(|t| (t.sent, self.listed.get(&t.target).map_or(ZoneId(0), |l| l.zone)));
-            let past = Past { trips: held.trips.len() as u32, exposed };
+            let ran = held
+                .trips
+                .iter()
+                .find(|t| t.outcome.is_some_and(Outcome::may_have_run));
+            let exposed = ran.map(|t| {
+                (
+                    t.sent,
+                    self.listed.get(&t.target).map_or(ZoneId(0), |l| l.zone),
+                )
+            });
+            let past = Past {
+                trips: held.trips.len() as u32,
+                exposed,
+            };
             let left = held.expires.saturating_sub(self.now);
-            self.take(Arrival { id, left, key: None, again: true, past, ..held.arrival }, held.trips)?;
+            self.take(
+                Arrival {
+                    id,
+                    left,
+                    key: None,
+                    again: true,
+                    past,
+                    ..held.arrival
+                },
+                held.trips,
+            )?;
         }
         Ok(())
     }
 
     /// The key by which the packet takes its turn.
     fn key(&self, held: &Held) -> Option<OrderKey> {
-        held.arrival.key.filter(|_| self.config.profiles[usize::from(held.arrival.profile.0)].in_order)
+        held.arrival
+            .key
+            .filter(|_| self.config.profiles[usize::from(held.arrival.profile.0)].in_order)
     }
 
     pub fn out(&self) -> Vec<PacketId> {
         let out = |h: &Held| h.trips.last().is_some_and(|t| t.outcome.is_none());
-        self.packets.iter().filter(|(_, h)| out(h)).map(|(id, _)| *id).collect()
+        self.packets
+            .iter()
+            .filter(|(_, h)| out(h))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// An end that was given is heard.
@@ -249,7 +325,11 @@
 
     /// Ends the packet's trip.
     pub fn end(&mut self, id: PacketId, outcome: Outcome) -> Result<(), String> {
-        let trip = self.packets[&id].trips.last().cloned().ok_or("no trip to end")?;
+        let trip = self.packets[&id]
+            .trips
+            .last()
+            .cloned()
+            .ok_or("no trip to end")?;
         // A target answers only what has come.
         let outcome = match (trip.given_up, trip.goes) {
             (Some(Outcome::TakenBack), _) => Outcome::TakenBack,
@@ -283,32 +363,61 @@
         }
         held.over |= outcome == Outcome::Delivered;
         let (closed, key) = (held.over, self.key(&self.packets[&id]));
-        if let (Outcome::Timeout | Outcome::Reset | Outcome::CalledOff, Some(key)) = (outcome, key) {
+        if let (Outcome::Timeout | Outcome::Reset | Outcome::CalledOff, Some(key)) = (outcome, key)
+        {
             let until = self.now + self.config.rules.order_pause;
-            self.rests.entry(key).and_modify(|r| *r = until.max(*r)).or_insert(until);
+            self.rests
+                .entry(key)
+                .and_modify(|r| *r = until.max(*r))
+                .or_insert(until);
         }
         let (took, report) = (self.now - trip.sent, Vec::new());
-        self.give(Event::TripEnded { id, trip: n as u8, target: trip.target, outcome, took, closed, report })
+        self.give(Event::TripEnded {
+            id,
+            trip: n as u8,
+            target: trip.target,
+            outcome,
+            took,
+            closed,
+            report,
+        })
     }
 
     fn wait_binds(&mut self, id: PacketId, wait: Micros) {
         let held = &self.packets[&id];
-        let route = held.trips.last().map(|t| t.target).filter(|_| self.config.kinds[0].routes_apart);
-        let until = self.waits.entry((held.arrival.destination, route)).or_default();
+        let route = held
+            .trips
+            .last()
+            .map(|t| t.target)
+            .filter(|_| self.config.kinds[0].routes_apart);
+        let until = self
+            .waits
+            .entry((held.arrival.destination, route))
+            .or_default();
         *until = (*until).max(self.now + wait);
     }
 
     /// The head of its answer tells a wait; how it ends comes later.
     pub fn told_to_wait(&mut self, id: PacketId, wait: Micros) -> Result<(), String> {
-        let trip = self.packets[&id].trips.last().filter(|t| t.goes.is_none() && t.outcome.is_none());
-        let Some(target) = trip.map(|t| t.target) else { return Ok(()) };
+        let trip = self.packets[&id]
+            .trips
+            .last()
+            .filter(|t| t.goes.is_none() && t.outcome.is_none());
+        let Some(target) = trip.map(|t| t.target) else {
+            return Ok(());
+        };
         self.wait_binds(id, wait);
         self.give(Event::WaitTold { target, wait })
     }
 
     pub fn answer_probe(&mut self, outcome: Outcome) -> Result<(), String> {
         match self.probes.pop() {
-            Some(target) => self.give(Event::ProbeAnswered { target, outcome, took: MS, report: Vec::new() }),
+            Some(target) => self.give(Event::ProbeAnswered {
+                target,
+                outcome,
+                took: MS,
+                report: Vec::new(),
+            }),
             None => Ok(()),
         }
     }
@@ -320,9 +429,15 @@
             let due = |h: &Held| {
                 let t = h.trips.last()?;
                 let end = t.given_up.map_or(t.due.min(h.expires), |_| self.now);
-                t.outcome.is_none().then_some(t.goes.unwrap_or(end).min(end))
+                t.outcome
+                    .is_none()
+                    .then_some(t.goes.unwrap_or(end).min(end))
             };
-            let trip = self.packets.iter().filter_map(|(id, h)| Some((due(h)?, *id))).min();
+            let trip = self
+                .packets
+                .iter()
+                .filter_map(|(id, h)| Some((due(h)?, *id)))
+                .min();
             let alarm = self.alarms.first().copied();
             match (trip, alarm) {
                 (Some((at, id)), _) if at <= until && alarm.is_none_or(|a| at <= a.0) => {
@@ -336,14 +451,20 @@
                 (_, Some((at, token))) if at <= until => {
                     self.alarms.pop_first();
                     self.now = self.now.max(at);
-                    self.give(Event::Alarm { token: Token(token) })?;
+                    self.give(Event::Alarm {
+                        token: Token(token),
+                    })?;
                 }
                 _ => break,
             }
         }
         self.now = until;
         let slack = self.config.rules.answer_slack;
-        match self.packets.iter().find(|(_, h)| !h.over && h.expires + slack < self.now) {
+        match self
+            .packets
+            .iter()
+            .find(|(_, h)| !h.over && h.expires + slack < self.now)
+        {
             Some((id, held)) => Err(format!("{id:?} lost at {}: {held:?}", self.now)),
             None => Ok(()),
         }
@@ -351,20 +472,25 @@
 
     /// Whether the bytes of its trip go at this moment; what binds now binds them.
     fn goes_now(&mut self, id: PacketId) -> Result<bool, String> {
-        let Some(trip) = self.packets.get_mut(&id).and_then(|h| h.trips.last_mut()) else { return Ok(false) };
+        let Some(trip) = self.packets.get_mut(&id).and_then(|h| h.trips.last_mut()) else {
+            return Ok(false);
+        };
         if trip.given_up.is_some() || trip.goes.is_none_or(|at| at > self.now) {
             return Ok(false);
         }
         trip.goes = None;
         let target = trip.target;
-        self.check_bound(target).map_err(|e| format!("{id:?} goes late at {}: {e}", self.now)).map(|()| true)
+        self.check_bound(target)
+            .map_err(|e| format!("{id:?} goes late at {}: {e}", self.now))
+            .map(|()| true)
     }
 
     pub fn give(&mut self, event: Event) -> Result<(), String> {
         let mut actions = Vec::new();
         self.forwarder.handle(self.now, event, &mut actions);
         for action in &actions {
-            self.check(action).map_err(|e| format!("at {}: {action:?}: {e}", self.now))?;
+            self.check(action)
+                .map_err(|e| format!("at {}: {action:?}: {e}", self.now))?;
         }
         self.actions.extend(actions);
         Ok(())
@@ -372,28 +498,43 @@
 
     fn check(&mut self, action: &Action) -> Result<(), String> {
         match action {
-            Action::Send { id, target, limit, .. } => {
+            Action::Send {
+                id, target, limit, ..
+            } => {
                 self.check_send(*id, *target)?;
                 let held = self.packets.get_mut(id).ok_or("unknown packet")?;
                 let due = limit.map_or(held.expires, |l| self.now + l);
                 let goes = (self.late > 0).then_some(self.now + self.late);
                 let (given_up, outcome) = (None, None);
-                held.trips.push(Trip { sent: self.now, target: *target, due, given_up, outcome, goes });
+                held.trips.push(Trip {
+                    sent: self.now,
+                    target: *target,
+                    due,
+                    given_up,
+                    outcome,
+                    goes,
+                });
                 self.check_slots()
             }
             Action::Defer { id, .. } | Action::WriteOff { id } => {
                 let held = self.packets.get_mut(id).ok_or("unknown packet")?;
                 let open = held.trips.last().is_some_and(|t| t.outcome.is_none());
-                let ran = open || held.trips.iter().any(|t| t.outcome.is_some_and(Outcome::may_have_run));
-                let harmless = match self.config.profiles[usize::from(held.arrival.profile.0)].effect {
-                    Effect::Retriable => true,
-                    Effect::Fingerprinted { group, .. } => !ran || group == RepeatGroup::All,
-                    Effect::Binding => !ran,
-                };
+                let ran = open
+                    || held
+                        .trips
+                        .iter()
+                        .any(|t| t.outcome.is_some_and(Outcome::may_have_run));
+                let harmless =
+                    match self.config.profiles[usize::from(held.arrival.profile.0)].effect {
+                        Effect::Retriable => true,
+                        Effect::Fingerprinted { group, .. } => !ran || group == RepeatGroup::All,
+                        Effect::Binding => !ran,
+                    };
                 if std::mem::replace(&mut held.over, true) {
                     return Err("a second final answer".into());
                 }
-                self.unheard.extend((self.config.ends == Ends::WhenHeard).then_some(*id));
+                self.unheard
+                    .extend((self.config.ends == Ends::WhenHeard).then_some(*id));
                 match harmless || matches!(action, Action::WriteOff { .. }) {
                     true => Ok(()),
                     false => Err("deferred though it may have run".into()),
@@ -407,13 +548,18 @@
                 self.check_target(*target)
             }
             Action::CallOff { id, .. } => {
-                let trip = self.packets.get_mut(id).and_then(|h| h.trips.last_mut()).ok_or("no such trip")?;
+                let trip = self
+                    .packets
+                    .get_mut(id)
+                    .and_then(|h| h.trips.last_mut())
+                    .ok_or("no such trip")?;
                 trip.given_up = trip.given_up.or(Some(Outcome::CalledOff));
                 Ok(())
             }
             Action::TakeBack { target } => {
                 let trips = self.packets.values_mut().filter_map(|h| h.trips.last_mut());
-                let late = trips.filter(|t| t.target == *target && t.outcome.is_none() && t.goes.is_some());
+                let late = trips
+                    .filter(|t| t.target == *target && t.outcome.is_none() && t.goes.is_some());
                 late.for_each(|t| t.given_up = t.given_up.or(Some(Outcome::TakenBack)));
                 Ok(())
             }
@@ -438,7 +584,10 @@
         if self.listed.get(&target).map(|l| l.destination) != Some(held.arrival.destination) {
             return Err("no target of its destination".into());
         }
-        let ran = held.trips.iter().find(|t| t.outcome.is_some_and(Outcome::may_have_run));
+        let ran = held
+            .trips
+            .iter()
+            .find(|t| t.outcome.is_some_and(Outcome::may_have_run));
         let allowed = match (row.effect, ran) {
             (Effect::Retriable, _) | (_, None) => true,
             (Effect::Binding, Some(_)) => false,
@@ -452,7 +601,11 @@
         }
         if let Some(key) = self.key(held) {
             let open = |h: &Held| !h.over || h.trips.last().is_some_and(|t| t.outcome.is_none());
-            let ahead = self.order.iter().take_while(|o| **o != id).map(|o| (o, &self.packets[o]));
+            let ahead = self
+                .order
+                .iter()
+                .take_while(|o| **o != id)
+                .map(|o| (o, &self.packets[o]));
             let mut ahead = ahead.filter(|(_, h)| self.key(h) == Some(key));
             if ahead.any(|(o, h)| open(h) || self.unheard.contains(o)) {
                 return Err("an earlier packet of its key is not over".into());
@@ -467,11 +620,19 @@
     /// Drains and waits: they hold for calls and probes alike, when they are decided and when they go.
     fn check_bound(&self, target: TargetId) -> Result<(), String> {
         let (listing, rules) = (&self.listed[&target], &self.config.rules);
-        if self.told_off.get(&target).is_some_and(|t| self.now > t + rules.drain_grace) {
+        if self
+            .told_off
+            .get(&target)
+            .is_some_and(|t| self.now > t + rules.drain_grace)
+        {
             return Err("the target drains or is gone".into());
         }
         let route = self.config.kinds[0].routes_apart.then_some(target);
-        if self.waits.get(&(listing.destination, route)).is_some_and(|w| self.now < *w) {
+        if self
+            .waits
+            .get(&(listing.destination, route))
+            .is_some_and(|w| self.now < *w)
+        {
             return Err("told to wait".into());
         }
         Ok(())
@@ -503,9 +664,18 @@
     }
 
     fn check_slots(&self) -> Result<(), String> {
-        let trips = || self.packets.values().filter_map(|h| h.trips.last()).filter(|t| t.outcome.is_none());
+        let trips = || {
+            self.packets
+                .values()
+                .filter_map(|h| h.trips.last())
+                .filter(|t| t.outcome.is_none())
+        };
         let calls: BTreeSet<_> = trips().map(|t| (t.target, t.sent)).collect();
-        let out = if self.config.kinds[0].per_call > 1 { calls.len() } else { trips().count() };
+        let out = if self.config.kinds[0].per_call > 1 {
+            calls.len()
+        } else {
+            trips().count()
+        };
         match out <= self.config.slots as usize {
             true => Ok(()),
             false => Err(format!("{out} calls out, {} slots", self.config.slots)),
@@ -527,36 +697,82 @@
 
 /// A random history from one seed: a random configuration, then events in legal but hostile orders.
 pub fn history(seed: u64, steps: usize) -> Result<(), String> {
-    play(seed, &Play { steps, pause: 200 * MS, targets: 2, full_destinations: None }).map(drop)
+    play(
+        seed,
+        &Play {
+            steps,
+            pause: 200 * MS,
+            targets: 2,
+            full_destinations: None,
+        },
+    )
+    .map(drop)
 }
 
 /// The same, played so; gives the world as it is in the end.
 pub fn play(seed: u64, play: &Play) -> Result<World, String> {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let mut config = Config { full_destinations: play.full_destinations, ..config() };
+    let mut config = Config {
+        full_destinations: play.full_destinations,
+        ..config()
+    };
     config.slots = chance.random_range(1..12);
     config.room = chance.random_range(3..60);
     config.max_trips = chance.random_range(1..7);
-    config.ends = if chance.random() { Ends::WhenHeard } else { Ends::AtOnce };
+    config.ends = if chance.random() {
+        Ends::WhenHeard
+    } else {
+        Ends::AtOnce
+    };
     config.may_probe = chance.random();
     config.may_call_off = chance.random();
-    config.fading = if chance.random() { Fading::Evenly } else { Fading::Halving };
-    config.kinds[0] =
-        KindConfig { routes_apart: chance.random(), per_call: if chance.random_bool(0.3) { 4 } else { 1 } };
-    let group = if chance.random() { RepeatGroup::Zone } else { RepeatGroup::All };
-    config.profiles[1].effect = Effect::Fingerprinted { group, window: chance.random_range(100..4_000) * MS };
-    config.profiles.iter_mut().for_each(|p| p.in_order = chance.random());
-    let list: Vec<Listing> =
-        (0..6).map(|n| listing(n, u32::from(n / play.targets), 4.0 + f32::from(n))).collect();
+    config.fading = if chance.random() {
+        Fading::Evenly
+    } else {
+        Fading::Halving
+    };
+    config.kinds[0] = KindConfig {
+        routes_apart: chance.random(),
+        per_call: if chance.random_bool(0.3) { 4 } else { 1 },
+    };
+    let group = if chance.random() {
+        RepeatGroup::Zone
+    } else {
+        RepeatGroup::All
+    };
+    config.profiles[1].effect = Effect::Fingerprinted {
+        group,
+        window: chance.random_range(100..4_000) * MS,
+    };
+    config
+        .profiles
+        .iter_mut()
+        .for_each(|p| p.in_order = chance.random());
+    let list: Vec<Listing> = (0..6)
+        .map(|n| listing(n, u32::from(n / play.targets), 4.0 + f32::from(n)))
+        .collect();
     let mut world = World::new(config, list.clone());
     let mut mood = [0.1; 6];
     for _ in 0..play.steps {
-        world.late = if chance.random_bool(0.3) { chance.random_range(0..1_000) * MS } else { 0 };
+        world.late = if chance.random_bool(0.3) {
+            chance.random_range(0..1_000) * MS
+        } else {
+            0
+        };
         match chance.random_range(0..100) {
             0..30 => {
-                let left = if chance.random_bool(0.1) { chance.random_range(0..50) } else { 8_000 } * MS;
+                let left = if chance.random_bool(0.1) {
+                    chance.random_range(0..50)
+                } else {
+                    8_000
+                } * MS;
                 let key = chance.random_bool(0.5).then(|| chance.random_range(1..4));
-                world.arrive(chance.random_range(0..3), chance.random_range(0..4), key, left)?;
+                world.arrive(
+                    chance.random_range(0..3),
+                    chance.random_range(0..4),
+                    key,
+                    left,
+                )?;
             }
             30..60 => {
                 let out = world.out();
@@ -564,11 +780,16 @@
                     if chance.random_bool(0.05) {
                         world.told_to_wait(*id, chance.random_range(1..3_000) * MS)?;
                     }
-                    let at = world.packets[id].trips.last().map_or(0, |t| t.target.address[3]);
+                    let at = world.packets[id]
+                        .trips
+                        .last()
+                        .map_or(0, |t| t.target.address[3]);
                     let outcome = match chance.random_bool(mood[usize::from(at)]) {
                         false => Outcome::Delivered,
                         true => match chance.random_range(0..6) {
-                            0 => Outcome::Full { wait: Some(chance.random_range(1..3_000) * MS) },
+                            0 => Outcome::Full {
+                                wait: Some(chance.random_range(1..3_000) * MS),
+                            },
                             1 => Outcome::Full { wait: None },
                             2 => Outcome::NoConnection,
                             3 => Outcome::Reset,
@@ -582,18 +803,32 @@
             60..90 => world.pass(chance.random_range(1..play.pause / MS) * MS)?,
             90..92 => {
                 let mut entry = list[chance.random_range(0..6)].clone();
-                let states = [Standing::Ready, Standing::Ready, Standing::Draining, Standing::Gone];
+                let states = [
+                    Standing::Ready,
+                    Standing::Ready,
+                    Standing::Draining,
+                    Standing::Gone,
+                ];
                 entry.standing = states[chance.random_range(0..4)];
                 world.list(ListNews::Changes(vec![entry]))?;
             }
             92 => world.list(ListNews::Whole(list[chance.random_range(0..5)..].to_vec()))?,
             93 => mood[chance.random_range(0..6)] = [0.0, 0.1, 0.9, 1.0][chance.random_range(0..4)],
             94..97 => {
-                let outcome = if chance.random() { Outcome::Delivered } else { Outcome::Timeout };
+                let outcome = if chance.random() {
+                    Outcome::Delivered
+                } else {
+                    Outcome::Timeout
+                };
                 world.answer_probe(outcome)?;
             }
             97 => {
-                if let Some(id) = world.packets.iter().find(|(_, h)| !h.over).map(|(id, _)| *id) {
+                if let Some(id) = world
+                    .packets
+                    .iter()
+                    .find(|(_, h)| !h.over)
+                    .map(|(id, _)| *id)
+                {
                     world.withdraw(id)?;
                 }
                 if let Some(id) = world.unheard.first().copied() {
@@ -603,8 +838,15 @@
             98 if chance.random_bool(0.5) => {
                 // Of any forwarder, true or false, of a known destination or not, or no message at all.
                 let mut message = vec![1, 1, chance.random_range(0..4), 0];
-                message.truncate(if chance.random_bool(0.8) { 4 } else { chance.random_range(0..4) });
-                world.give(Event::Gossip { from: chance.random(), message })?;
+                message.truncate(if chance.random_bool(0.8) {
+                    4
+                } else {
+                    chance.random_range(0..4)
+                });
+                world.give(Event::Gossip {
+                    from: chance.random(),
+                    message,
+                })?;
             }
             98 if chance.random_bool(0.1) => world.die()?,
             98 if chance.random_bool(0.1) => world.restart()?,
@@ -634,5 +876,8 @@
 
 /// Whether a log line holds these words.
 pub fn logged(world: &World, words: &str) -> bool {
-    world.actions.iter().any(|a| matches!(a, Action::Log(l) if l.contains(words)))
+    world
+        .actions
+        .iter()
+        .any(|a| matches!(a, Action::Log(l) if l.contains(words)))
 }
--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -18,14 +18,29 @@
 #[test]
 fn no_history_tells_whether_idle_destinations_may_be_summarised() {
     let same = |seed: u64| {
-        let pause = if seed.is_multiple_of(8) { 6_000 * MS } else { 200 * MS };
+        let pause = if seed.is_multiple_of(8) {
+            6_000 * MS
+        } else {
+            200 * MS
+        };
         let run = |full_destinations| {
-            let world = common::play(seed, &Play { steps: 600, pause, targets: 2, full_destinations })?;
+            let world = common::play(
+                seed,
+                &Play {
+                    steps: 600,
+                    pause,
+                    targets: 2,
+                    full_destinations,
+                },
+            )?;
             assert_eq!(world.restored(), 0, "too few destinations for a summary");
             Ok::<_, String>((world.earlier, world.actions))
         };
         run(None) == run(Some(1_024))
     };
     let source = Gen::from_size_and_seed(100, 20_261_202);
-    QuickCheck::new().rng(source).tests(100).quickcheck(same as fn(u64) -> bool);
+    QuickCheck::new()
+        .rng(source)
+        .tests(100)
+        .quickcheck(same as fn(u64) -> bool);
 }
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -13,7 +13,11 @@
 
 /// Of a fleet so large that an ejected target is tried by messages only and is idle between them.
 fn at_size(full_destinations: Option<u32>) -> Config {
-    Config { forwarders: 300, full_destinations, ..config() }
+    Config {
+        forwarders: 300,
+        full_destinations,
+        ..config()
+    }
 }
 
 fn one_target(full_destinations: Option<u32>) -> World {
@@ -28,7 +32,10 @@
 fn send_one(world: &mut World, outcome: Outcome) -> Checked {
     world.arrive(0, 0, None, 8_000 * MS)?;
     world.pass(3_000 * MS)?;
-    world.out().into_iter().try_for_each(|id| world.end(id, outcome))
+    world
+        .out()
+        .into_iter()
+        .try_for_each(|id| world.end(id, outcome))
 }
 
 /// Lets time pass until the destination is held as a summary.
@@ -45,7 +52,10 @@
 }
 
 fn quickcheck(seed: u64, tests: u64, property: fn(u64) -> TestResult) {
-    QuickCheck::new().rng(Gen::from_size_and_seed(100, seed)).tests(tests).quickcheck(property);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(100, seed))
+        .tests(tests)
+        .quickcheck(property);
 }
 
 /// The rules' oracle over histories with long pauses, in which a destination is summarised whenever it is idle. It never
@@ -55,14 +65,31 @@
 fn no_history_with_summaries_breaks_a_rule_that_the_full_state_keeps() {
     quickcheck(20_261_203, 60, |seed| {
         let targets = if seed.is_multiple_of(2) { 1 } else { 2 };
-        let play = Play { steps: 600, pause: 6_000 * MS, targets, full_destinations: None };
-        let run = |full_destinations| common::play(seed, &Play { full_destinations, ..play });
+        let play = Play {
+            steps: 600,
+            pause: 6_000 * MS,
+            targets,
+            full_destinations: None,
+        };
+        let run = |full_destinations| {
+            common::play(
+                seed,
+                &Play {
+                    full_destinations,
+                    ..play
+                },
+            )
+        };
         match (run(Some(0)), run(None)) {
-            (Ok(world), Ok(_)) if world.restored() == 0 => TestResult::error("nothing was summarised"),
+            (Ok(world), Ok(_)) if world.restored() == 0 => {
+                TestResult::error("nothing was summarised")
+            }
             (Ok(_), Ok(_)) => TestResult::passed(),
             (Ok(_), Err(_)) => TestResult::discard(),
             (Err(with), Err(without)) if with == without => TestResult::discard(),
-            (with, without) => TestResult::error(format!("{:?}, in full {:?}", with.err(), without.err())),
+            (with, without) => {
+                TestResult::error(format!("{:?}, in full {:?}", with.err(), without.err()))
+            }
         }
     });
 }
@@ -70,16 +97,34 @@
 /// Messages, pauses, drains and returns, but no failure: each message ends as with all state in full.
 #[test]
 fn where_nothing_fails_the_same_messages_are_delivered() {
-    fn run(seed: u64, full_destinations: Option<u32>) -> Result<(Vec<PacketId>, Vec<Action>, u64), String> {
+    fn run(
+        seed: u64,
+        full_destinations: Option<u32>,
+    ) -> Result<(Vec<PacketId>, Vec<Action>, u64), String> {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let targets = if seed.is_multiple_of(2) { 1 } else { 2 };
-        let list: Vec<Listing> = (0..6).map(|n| listing(n, u32::from(n / targets), 4.0)).collect();
-        let mut world = World::new(Config { full_destinations, ..config() }, list.clone());
+        let list: Vec<Listing> = (0..6)
+            .map(|n| listing(n, u32::from(n / targets), 4.0))
+            .collect();
+        let mut world = World::new(
+            Config {
+                full_destinations,
+                ..config()
+            },
+            list.clone(),
+        );
         for _ in 0..200 {
             match chance.random_range(0..10) {
                 0 => {
-                    let standing = if chance.random() { Standing::Ready } else { Standing::Draining };
-                    let entry = Listing { standing, ..list[chance.random_range(0..6)].clone() };
+                    let standing = if chance.random() {
+                        Standing::Ready
+                    } else {
+                        Standing::Draining
+                    };
+                    let entry = Listing {
+                        standing,
+                        ..list[chance.random_range(0..6)].clone()
+                    };
                     world.list(ListNews::Changes(vec![entry]))?;
                 }
                 1 => world.list(ListNews::Whole(list.clone()))?,
@@ -87,18 +132,40 @@
                 _ => world.pass(chance.random_range(1..4_000) * MS)?,
             }
             world.pass(50 * MS)?;
-            world.out().into_iter().try_for_each(|id| world.end(id, Outcome::Delivered))?;
+            world
+                .out()
+                .into_iter()
+                .try_for_each(|id| world.end(id, Outcome::Delivered))?;
         }
-        let delivered = |held: &&Held| held.trips.iter().any(|t| t.outcome == Some(Outcome::Delivered));
-        let delivered = world.packets.values().filter(delivered).map(|held| held.arrival.id).collect();
+        let delivered = |held: &&Held| {
+            held.trips
+                .iter()
+                .any(|t| t.outcome == Some(Outcome::Delivered))
+        };
+        let delivered = world
+            .packets
+            .values()
+            .filter(delivered)
+            .map(|held| held.arrival.id)
+            .collect();
         let restored = world.restored();
         let end = |a: &Action| matches!(a, Action::WriteOff { .. } | Action::Defer { .. });
-        Ok((delivered, world.actions.into_iter().filter(end).collect(), restored))
+        Ok((
+            delivered,
+            world.actions.into_iter().filter(end).collect(),
+            restored,
+        ))
     }
-    quickcheck(20_261_204, 200, |seed| match (run(seed, Some(0)), run(seed, None)) {
-        (Ok((.., 0)), _) => TestResult::error("nothing was summarised"),
-        (Ok(with), Ok(without)) => TestResult::from_bool((with.0, with.1) == (without.0, without.1)),
-        (with, without) => TestResult::error(format!("{:?}, in full {:?}", with.err(), without.err())),
+    quickcheck(20_261_204, 200, |seed| {
+        match (run(seed, Some(0)), run(seed, None)) {
+            (Ok((.., 0)), _) => TestResult::error("nothing was summarised"),
+            (Ok(with), Ok(without)) => {
+                TestResult::from_bool((with.0, with.1) == (without.0, without.1))
+            }
+            (with, without) => {
+                TestResult::error(format!("{:?}, in full {:?}", with.err(), without.err()))
+            }
+        }
     });
 }
 
@@ -107,7 +174,12 @@
     let run = |full_destinations| -> Result<_, String> {
         let mut world = one_target(full_destinations);
         send_one(&mut world, Outcome::Delivered)?;
-        send_one(&mut world, Outcome::Full { wait: Some(60_000 * MS) })?;
+        send_one(
+            &mut world,
+            Outcome::Full {
+                wait: Some(60_000 * MS),
+            },
+        )?;
         world.pass(9_000 * MS)?;
         let told = world.now - 9_000 * MS;
         if full_destinations.is_some() {
@@ -120,7 +192,10 @@
         let id = world.arrive(0, 0, None, 30_000 * MS)?;
         world.pass(25_000 * MS)?;
         let sent = world.packets[&id].trips.first().map(|t| t.sent);
-        assert!(sent.is_some_and(|at| at >= told + 60_000 * MS), "{sent:?}, told at {told}");
+        assert!(
+            sent.is_some_and(|at| at >= told + 60_000 * MS),
+            "{sent:?}, told at {told}"
+        );
         Ok(sent)
     };
     assert_eq!(run(Some(0))?, run(None)?);
@@ -144,7 +219,10 @@
         for _ in 0..300 {
             world.arrive(0, 0, None, 8_000 * MS)?;
             world.pass(1_000 * MS)?;
-            world.out().into_iter().try_for_each(|id| world.end(id, Outcome::Delivered))?;
+            world
+                .out()
+                .into_iter()
+                .try_for_each(|id| world.end(id, Outcome::Delivered))?;
         }
         let mut calls: Vec<Micros> = sends(&world).into_iter().map(|(at, _)| at).collect();
         calls.sort_unstable();
@@ -152,7 +230,10 @@
     };
     let (with, without) = (run(Some(0))?, run(None)?);
     assert!(with.len() > 100, "it returns: {with:?}");
-    assert_eq!(with, without, "within the budget, as with all state in full");
+    assert_eq!(
+        with, without,
+        "within the budget, as with all state in full"
+    );
     Ok(())
 }
 
@@ -161,7 +242,10 @@
     let mut world = one_target(Some(0));
     send_one(&mut world, Outcome::Delivered)?;
     go_idle(&mut world)?;
-    let entry = Listing { standing: Standing::Draining, ..listing(1, 0, 20.0) };
+    let entry = Listing {
+        standing: Standing::Draining,
+        ..listing(1, 0, 20.0)
+    };
     world.list(ListNews::Changes(vec![entry]))?;
     go_idle(&mut world)?;
     let before = sends(&world).len();
@@ -180,11 +264,24 @@
     let mut world = one_target(Some(0));
     send_one(&mut world, Outcome::Delivered)?;
     go_idle(&mut world)?;
-    let old = Listing { standing: Standing::Gone, ..listing(1, 0, 20.0) };
-    let new = Listing { target: TargetId { holder: 1, ..target(1) }, ..listing(1, 0, 20.0) };
+    let old = Listing {
+        standing: Standing::Gone,
+        ..listing(1, 0, 20.0)
+    };
+    let new = Listing {
+        target: TargetId {
+            holder: 1,
+            ..target(1)
+        },
+        ..listing(1, 0, 20.0)
+    };
     world.list(ListNews::Changes(vec![old, new.clone()]))?;
     go_idle(&mut world)?;
-    assert_eq!(world.forwarder.state_counts().summaries, 2, "the old one is not forgotten at once");
+    assert_eq!(
+        world.forwarder.state_counts().summaries,
+        2,
+        "the old one is not forgotten at once"
+    );
     send_one(&mut world, Outcome::Delivered)?;
     assert_eq!(sends(&world).last().map(|s| s.1), Some(new.target));
     go_idle(&mut world)?;
@@ -207,27 +304,45 @@
         let restored = world.restored();
         let (begin, before) = (world.now, sends(&world).len());
         let noted = message.is_some();
-        message.into_iter().try_for_each(|message| world.give(Event::Gossip { from: 2, message }))?;
+        message
+            .into_iter()
+            .try_for_each(|message| world.give(Event::Gossip { from: 2, message }))?;
         if full_destinations.is_some() {
             let counts = world.forwarder.state_counts();
-            assert_eq!((counts.full, counts.restored, counts.bounds), (0, restored, usize::from(noted)));
+            assert_eq!(
+                (counts.full, counts.restored, counts.bounds),
+                (0, restored, usize::from(noted))
+            );
         }
         for _ in 0..20 {
             world.arrive(0, 0, None, 8_000 * MS)?;
             world.pass(500 * MS)?;
-            world.out().into_iter().try_for_each(|id| world.end(id, Outcome::Delivered))?;
+            world
+                .out()
+                .into_iter()
+                .try_for_each(|id| world.end(id, Outcome::Delivered))?;
         }
-        let mut sent: Vec<Micros> = sends(&world).into_iter().map(|(at, _)| at - begin.min(at)).collect();
+        let mut sent: Vec<Micros> = sends(&world)
+            .into_iter()
+            .map(|(at, _)| at - begin.min(at))
+            .collect();
         sent.sort_unstable();
         let sent = sent.split_off(before);
         for _ in 0..90 {
             world.pass(100 * MS)?;
-            world.out().into_iter().try_for_each(|id| world.end(id, Outcome::Delivered))?;
+            world
+                .out()
+                .into_iter()
+                .try_for_each(|id| world.end(id, Outcome::Delivered))?;
         }
         send_one(&mut world, Outcome::Delivered)?;
         if full_destinations.is_some() {
             go_idle(&mut world)?;
-            assert_eq!(world.forwarder.state_counts().bounds, 0, "the pace binds no more");
+            assert_eq!(
+                world.forwarder.state_counts().bounds,
+                0,
+                "the pace binds no more"
+            );
         }
         Ok(sent)
     };
@@ -235,7 +350,10 @@
     let slowed = run(Some(0), message.clone())?;
     assert_eq!(slowed, run(None, message)?, "as with all state in full");
     let free = run(Some(0), None)?;
-    assert!(slowed.len() < free.len(), "{slowed:?}, without a message {free:?}");
+    assert!(
+        slowed.len() < free.len(),
+        "{slowed:?}, without a message {free:?}"
+    );
     assert_eq!(run(None, unknown)?, free);
     Ok(())
 }
@@ -243,9 +361,18 @@
 fn many(count: u32, standing: impl Fn(u32) -> Standing) -> Vec<Listing> {
     let line = |n: u32| {
         let [_, a, b, c] = n.to_be_bytes();
-        let target = TargetId { address: [10, a, b, c], port: 80, holder: 0 };
+        let target = TargetId {
+            address: [10, a, b, c],
+            port: 80,
+            holder: 0,
+        };
         let destination = DestinationId(n);
-        Listing { target, standing: standing(n), destination, ..listing(0, 0, 20.0) }
+        Listing {
+            target,
+            standing: standing(n),
+            destination,
+            ..listing(0, 0, 20.0)
+        }
     };
     (0..count).map(line).collect()
 }
@@ -266,10 +393,18 @@
 fn a_list_of_100_000_lines_never_holds_all_in_full_and_leaves_nothing() {
     let mut forwarder = Forwarder::new(at_size(Some(FULL as u32)), 1);
     for now in [0, 1_000 * MS] {
-        handle(&mut forwarder, now, Event::List(ListNews::Whole(many(LINES, |_| Standing::Ready))));
+        handle(
+            &mut forwarder,
+            now,
+            Event::List(ListNews::Whole(many(LINES, |_| Standing::Ready))),
+        );
     }
     let counts = forwarder.state_counts();
-    assert_eq!((counts.full, counts.full + counts.summaries), (FULL, LINES as usize), "{counts:?}");
+    assert_eq!(
+        (counts.full, counts.full + counts.summaries),
+        (FULL, LINES as usize),
+        "{counts:?}"
+    );
     let arrival = |n: u32| Arrival {
         id: PacketId(n),
         profile: ProfileId(0),
@@ -289,41 +424,97 @@
         for action in std::mem::take(&mut actions) {
             if let Action::Send { id, target, .. } = action {
                 let (outcome, took, report) = (Outcome::Delivered, MS, Vec::new());
-                let ended = Event::TripEnded { id, trip: 0, target, outcome, took, closed: true, report };
+                let ended = Event::TripEnded {
+                    id,
+                    trip: 0,
+                    target,
+                    outcome,
+                    took,
+                    closed: true,
+                    report,
+                };
                 handle(&mut forwarder, 2_000 * MS, ended);
             }
         }
     }
     assert_eq!(forwarder.state_counts().restored, counts.restored + 50);
-    handle(&mut forwarder, 20_000 * MS, Event::List(ListNews::Whole(Vec::new())));
+    handle(
+        &mut forwarder,
+        20_000 * MS,
+        Event::List(ListNews::Whole(Vec::new())),
+    );
     for n in 0..120 {
         let now = (40_000 + n * 100) * MS;
         handle(&mut forwarder, now, Event::Alarm { token: Token(0) });
-        handle(&mut forwarder, now, Event::List(ListNews::Changes(Vec::new())));
+        handle(
+            &mut forwarder,
+            now,
+            Event::List(ListNews::Changes(Vec::new())),
+        );
     }
     let counts = forwarder.state_counts();
-    let left = (counts.full, counts.summaries, counts.bounds, counts.gone, counts.queued);
+    let left = (
+        counts.full,
+        counts.summaries,
+        counts.bounds,
+        counts.gone,
+        counts.queued,
+    );
     assert_eq!(left, (0, 0, 0, 0, 0), "{counts:?}");
 }
 
 #[test]
 fn a_list_of_which_half_flaps_each_second_costs_its_lines_and_no_more() {
     let mut forwarder = Forwarder::new(at_size(Some(FULL as u32)), 1);
-    handle(&mut forwarder, 0, Event::List(ListNews::Whole(many(LINES, |_| Standing::Ready))));
+    handle(
+        &mut forwarder,
+        0,
+        Event::List(ListNews::Whole(many(LINES, |_| Standing::Ready))),
+    );
     let (rounds, before) = (4, forwarder.state_counts().restored);
     for round in 1..=rounds {
-        let standing = |_: u32| if round % 2 == 1 { Standing::Gone } else { Standing::Ready };
+        let standing = |_: u32| {
+            if round % 2 == 1 {
+                Standing::Gone
+            } else {
+                Standing::Ready
+            }
+        };
         let flapping = many(LINES, standing).into_iter().step_by(2).collect();
-        handle(&mut forwarder, round * 1_000 * MS, Event::List(ListNews::Changes(flapping)));
+        handle(
+            &mut forwarder,
+            round * 1_000 * MS,
+            Event::List(ListNews::Changes(flapping)),
+        );
         let counts = forwarder.state_counts();
-        let gone = if round % 2 == 1 { LINES as usize / 2 - FULL } else { 0 };
-        assert!(counts.gone >= gone && counts.gone <= gone + FULL, "{counts:?}");
+        let gone = if round % 2 == 1 {
+            LINES as usize / 2 - FULL
+        } else {
+            0
+        };
+        assert!(
+            counts.gone >= gone && counts.gone <= gone + FULL,
+            "{counts:?}"
+        );
     }
     let counts = forwarder.state_counts();
-    assert!(counts.restored - before <= rounds * u64::from(LINES) / 2, "{counts:?}");
-    assert!(counts.summaries <= LINES as usize && counts.bounds <= LINES as usize, "{counts:?}");
+    assert!(
+        counts.restored - before <= rounds * u64::from(LINES) / 2,
+        "{counts:?}"
+    );
+    assert!(
+        counts.summaries <= LINES as usize && counts.bounds <= LINES as usize,
+        "{counts:?}"
+    );
     // A change of one line touches that one.
-    let one = many(LINES, |_| Standing::Draining).pop().into_iter().collect();
-    handle(&mut forwarder, 9_000 * MS, Event::List(ListNews::Changes(one)));
+    let one = many(LINES, |_| Standing::Draining)
+        .pop()
+        .into_iter()
+        .collect();
+    handle(
+        &mut forwarder,
+        9_000 * MS,
+        Event::List(ListNews::Changes(one)),
+    );
     assert!(forwarder.state_counts().restored <= counts.restored + 1);
 }
