--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operators' start object: JSON to the configuration of the core, for every front. Unknown keys are skipped.
 
 use opalpulley::{
-    Config, Effect, Ends, Fading, KindConfig, ListRates, Micros, ProfileConfig, RepeatGroup,
-    RuleConfig, TenantConfig,
+    Config, DeduplicationScope, DeliveryClassConfig, DeliverySemantics, EndpointKindConfig,
+    ListedRates, Micros, OrderRelease, PriorityDecay, RuleConfig, TenantConfig,
 };
 use serde::Deserialize;
 
@@ -15,7 +15,7 @@
 
 /// What a front is told at start: the configuration of the core, the names of its codec and the figures of the connections.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Waybill {
+pub struct ForwarderSettings {
     pub config: Config,
     pub names: Names,
     pub connections: ConnectionConfig,
@@ -24,10 +24,10 @@
 /// Names in the order of the numbers that the core uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Names {
-    pub profiles: Vec<String>,
+    pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
-    pub kinds: Vec<String>,
+    pub endpoint_kinds: Vec<String>,
     pub reports: Vec<String>,
 }
 
@@ -41,7 +41,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Start {
+pub struct StartObject {
     #[serde(default)]
     accounts: Vec<Account>,
     #[serde(default)]
@@ -189,35 +189,35 @@
     DEFAULT_ASK
 }
 
-pub fn read(text: &[u8]) -> Result<Waybill, String> {
+pub fn read(text: &[u8]) -> Result<ForwarderSettings, String> {
     let text = &mut serde_json::Deserializer::from_slice(text);
-    let start: Start = serde_path_to_error::deserialize(text).map_err(|e| {
+    let start: StartObject = serde_path_to_error::deserialize(text).map_err(|e| {
         format!(
             "the start object is not valid at {}: {}",
             e.path(),
             e.inner()
         )
     })?;
-    Waybill::try_from(start)
+    ForwarderSettings::try_from(start)
 }
 
-impl TryFrom<Start> for Waybill {
+impl TryFrom<StartObject> for ForwarderSettings {
     type Error = String;
 
-    fn try_from(start: Start) -> Result<Waybill, String> {
+    fn try_from(start: StartObject) -> Result<ForwarderSettings, String> {
         start.check()?;
         let names = Names {
-            profiles: start.profiles.iter().map(|p| p.name.clone()).collect(),
+            classes: start.profiles.iter().map(|p| p.name.clone()).collect(),
             tenants: start.accounts.iter().map(|a| a.name.clone()).collect(),
             zones: start.azs.clone(),
-            kinds: start.host_types.clone(),
+            endpoint_kinds: start.host_types.clone(),
             reports: start.load_report.names.clone(),
         };
         let connections = ConnectionConfig {
             idle_closed_after: start.limits.conn_idle_us.unwrap_or(DEFAULT_IDLE),
             connect_within: start.limits.connect_timeout_us.unwrap_or(DEFAULT_CONNECT),
         };
-        Ok(Waybill {
+        Ok(ForwarderSettings {
             config: start.into_config(),
             names,
             connections,
@@ -225,7 +225,7 @@
     }
 }
 
-impl Start {
+impl StartObject {
     /// Figures that no deployment can work with, by the key that holds them.
     fn check(&self) -> Result<(), String> {
         let profiles = self.profiles.iter();
@@ -253,33 +253,33 @@
     fn into_config(self) -> Config {
         let start = self;
         let kinds = (0..start.host_types.len())
-            .map(|k| KindConfig {
-                routes_apart: start.domain.routes_apart.get(k).copied().unwrap_or(false),
-                per_call: start.domain.per_call.get(k).copied().unwrap_or(1),
+            .map(|k| EndpointKindConfig {
+                independent_limits: start.domain.routes_apart.get(k).copied().unwrap_or(false),
+                batch_size: start.domain.per_call.get(k).copied().unwrap_or(1),
             })
             .collect();
         Config {
             forwarder: start.me,
-            forwarders: start.balancers,
-            slots: start.domain.workers,
-            room: start.limits.max_open,
-            max_trips: start.limits.max_attempts,
-            ends: Ends::default(),
-            may_probe: start.limits.probing,
-            may_call_off: start.limits.cancelling,
-            may_say_when: start.limits.retry_after,
+            fleet_size: start.balancers,
+            concurrency_limit: start.domain.workers,
+            message_capacity: start.limits.max_open,
+            max_attempts: start.limits.max_attempts,
+            order_release: OrderRelease::default(),
+            may_health_check: start.limits.probing,
+            may_cancel: start.limits.cancelling,
+            may_send_retry_after: start.limits.retry_after,
             may_gossip: start.limits.may_tell,
-            longest_return: start.limits.max_retry_after_us,
-            list_rates: match start.weights {
-                Weights::Off => ListRates::Untold,
-                Weights::Nominal | Weights::Live => ListRates::Nominal,
-                Weights::Rough => ListRates::Rough,
+            max_retry_after: start.limits.max_retry_after_us,
+            listed_rates: match start.weights {
+                Weights::Off => ListedRates::Unlisted,
+                Weights::Nominal | Weights::Live => ListedRates::Nominal,
+                Weights::Rough => ListedRates::Approximate,
             },
-            fading: match start.domain.fades {
-                Fades::Linear => Fading::Evenly,
-                Fades::Halving => Fading::Halving,
+            priority_decay: match start.domain.fades {
+                Fades::Linear => PriorityDecay::Linear,
+                Fades::Halving => PriorityDecay::Exponential,
             },
-            over_share_worth: start.over_share_worth,
+            over_quota_weight: start.over_share_worth,
             tenants: start
                 .accounts
                 .into_iter()
@@ -287,48 +287,48 @@
                     quota: a.quota_per_s,
                 })
                 .collect(),
-            kinds,
-            zone_fees: start.domain.zone_fee,
-            ask_within: match start.membership_mode {
+            endpoint_kinds: kinds,
+            zone_costs: start.domain.zone_fee,
+            poll_interval: match start.membership_mode {
                 Membership::Pushed => None,
                 Membership::OnRequest => Some(start.rules.ask_within_us),
             },
-            told_within: None, // the settings do not name it: the protocol of whoever carries out the calls does
+            notified_within: None, // the settings do not name it: the protocol of whoever carries out the calls does
             rules: RuleConfig {
                 answer_slack: start.rules.answer_slack_us,
                 drain_grace: start.rules.drain_grace_us,
-                cold_from: start.rules.cold_from,
-                warm_after: start.rules.warm_after_us,
-                fall_multiple: start.rules.fall_multiple,
-                overload_for: start.rules.overload_for_us,
-                order_pause: start.rules.order_pause_us,
+                cold_capacity_share: start.rules.cold_from,
+                warm_up_time: start.rules.warm_after_us,
+                overload_multiple: start.rules.fall_multiple,
+                overload_window: start.rules.overload_for_us,
+                order_settle_time: start.rules.order_pause_us,
             },
-            round: start.quantum_us,
+            scheduling_interval: start.quantum_us,
             full_destinations: Some(FULL_DESTINATIONS),
-            profiles: start.profiles.into_iter().map(profile).collect(),
+            classes: start.profiles.into_iter().map(profile).collect(),
         }
     }
 }
 
-fn profile(p: Profile) -> ProfileConfig {
+fn profile(p: Profile) -> DeliveryClassConfig {
     let group = match p.group {
-        Group::All => RepeatGroup::All,
-        Group::Zone => RepeatGroup::Zone,
-        Group::Cell => RepeatGroup::Destination,
+        Group::All => DeduplicationScope::AllEndpoints,
+        Group::Zone => DeduplicationScope::Zone,
+        Group::Cell => DeduplicationScope::Destination,
     };
-    ProfileConfig {
-        effect: match p.effect {
-            ProfileEffect::Free => Effect::Retriable,
-            ProfileEffect::Guarded => Effect::Fingerprinted {
-                group,
+    DeliveryClassConfig {
+        semantics: match p.effect {
+            ProfileEffect::Free => DeliverySemantics::Idempotent,
+            ProfileEffect::Guarded => DeliverySemantics::IdempotencyKeyed {
+                scope: group,
                 window: p.dedup_window_us,
             },
-            ProfileEffect::SingleShot => Effect::Binding,
+            ProfileEffect::SingleShot => DeliverySemantics::AtMostOnce,
         },
-        contract_time: p.goal_time_us,
-        expiry: p.hard_limit_us,
-        importance: p.points,
-        late_share: p.late_share,
-        in_order: p.serial_by_key,
+        latency_objective: p.goal_time_us,
+        time_to_live: p.hard_limit_us,
+        priority_weight: p.points,
+        late_weight_share: p.late_share,
+        ordered: p.serial_by_key,
     }
 }
--- a/crates/forwarder/src/clients.rs
+++ b/crates/forwarder/src/clients.rs
@@ -1,7 +1,10 @@
 //! The clients' side: connections, and a tower service for the requests on them.
 
-use crate::notes::{Answer, HandIn};
-use crate::protocol::{decode_head, retry_after, BadRequest, Form, MOST_AHEAD, MOST_BODY, UP};
+use crate::commands::{SubmissionAnswer, SubmissionRequest};
+use crate::protocol::{
+    decode_head, encode_retry_after, InvalidRequest, SubmissionRequirements, MAX_BODY_BYTES,
+    READ_BUFFER_BYTES, UP,
+};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -10,7 +13,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
-use opalpulley::{Config, Effect, ProfileConfig};
+use opalpulley::{Config, DeliveryClassConfig, DeliverySemantics};
 use opalpulley_config::Names;
 use slog::{debug, error, warn, Logger};
 use socket2::SockRef;
@@ -38,37 +41,37 @@
 const RETRY_ACCEPT: Duration = Duration::from_millis(20); // after accepting failed: descriptors may come free
 
 /// What all connections share.
-pub struct Door {
+pub struct SubmissionService {
     pub names: Names,
-    /// For each profile, what a packet needs.
-    pub forms: Vec<Form>,
+    /// For each profile, what a message needs.
+    pub requirements: Vec<SubmissionRequirements>,
     pub ready: Arc<AtomicBool>,
     pub closing: AtomicBool,
-    pub dispatcher: mpsc::Sender<HandIn>,
+    pub dispatcher: mpsc::Sender<SubmissionRequest>,
     pub log: Logger,
 }
 
-impl Door {
+impl SubmissionService {
     pub fn new(
         names: Names,
         config: &Config,
-        dispatcher: mpsc::Sender<HandIn>,
+        dispatcher: mpsc::Sender<SubmissionRequest>,
         log: Logger,
-    ) -> Door {
-        let form = |(name, row): (&String, &ProfileConfig)| Form {
+    ) -> SubmissionService {
+        let requirements = |(name, row): (&String, &DeliveryClassConfig)| SubmissionRequirements {
             name: name.clone(),
-            marked: matches!(row.effect, Effect::Fingerprinted { .. }),
-            longest: row.expiry,
+            marked: matches!(row.semantics, DeliverySemantics::IdempotencyKeyed { .. }),
+            longest: row.time_to_live,
         };
-        let forms = names
-            .profiles
+        let requirements = names
+            .classes
             .iter()
-            .zip(&config.profiles)
-            .map(form)
+            .zip(&config.classes)
+            .map(requirements)
             .collect();
-        Door {
+        SubmissionService {
             names,
-            forms,
+            requirements,
             ready: Arc::default(),
             closing: AtomicBool::new(false),
             dispatcher,
@@ -81,14 +84,14 @@
             UP => self.up(request.method()),
             _ if crowded => {
                 // An answer that goes out before the request is in may be lost with what was not read.
-                let body = Limited::new(request.into_body(), MOST_BODY).collect();
+                let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
                 drop(tokio::time::timeout(SHORT, body).await);
                 Err(busy("all connections are taken"))
             }
             _ => self.take(request).await,
         };
         let last = answer.as_ref().is_err_and(|bad| bad.last);
-        let mut answer = answer.unwrap_or_else(|BadRequest { status, reason, .. }| {
+        let mut answer = answer.unwrap_or_else(|InvalidRequest { status, reason, .. }| {
             let mut answer = Response::new(Full::from(reason + "\n"));
             *answer.status_mut() = status;
             if status == StatusCode::METHOD_NOT_ALLOWED {
@@ -106,42 +109,46 @@
         answer
     }
 
-    fn up(&self, method: &Method) -> Result<Response<Full<Bytes>>, BadRequest> {
+    fn up(&self, method: &Method) -> Result<Response<Full<Bytes>>, InvalidRequest> {
         match (method, self.ready.load(Ordering::Relaxed)) {
             (&Method::GET, true) => Ok(Response::new(Full::default())),
             (&Method::GET, false) => Err(busy("not ready yet")),
-            _ => Err(BadRequest::new(
+            _ => Err(InvalidRequest::new(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "this is read with GET",
             )),
         }
     }
 
-    async fn take(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, BadRequest> {
+    async fn take(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<Response<Full<Bytes>>, InvalidRequest> {
         let too_large = || {
-            BadRequest::last(
+            InvalidRequest::last(
                 StatusCode::PAYLOAD_TOO_LARGE,
-                format!("a body holds {MOST_BODY} bytes at most"),
+                format!("a body holds {MAX_BODY_BYTES} bytes at most"),
             )
         };
         let (head, body) = request.into_parts();
-        let mut handed = decode_head(&head, &self.names, &self.forms)?;
-        if body.size_hint().lower() > MOST_BODY as u64 {
+        let mut submitted = decode_head(&head, &self.names, &self.requirements)?;
+        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err(too_large());
         }
-        let body = tokio::time::timeout(BODY_TIME, Limited::new(body, MOST_BODY).collect()).await;
-        handed.body = match body {
+        let body =
+            tokio::time::timeout(BODY_TIME, Limited::new(body, MAX_BODY_BYTES).collect()).await;
+        submitted.body = match body {
             // A copy of its own: a small body would keep all that was read with it.
             Ok(Ok(body)) => Bytes::copy_from_slice(&body.to_bytes()),
             Ok(Err(problem)) if problem.is::<LengthLimitError>() => return Err(too_large()),
             Ok(Err(problem)) => {
-                return Err(BadRequest::last(
+                return Err(InvalidRequest::last(
                     StatusCode::BAD_REQUEST,
                     problem.to_string(),
                 ))
             }
             Err(_) => {
-                return Err(BadRequest::last(
+                return Err(InvalidRequest::last(
                     StatusCode::REQUEST_TIMEOUT,
                     "the body did not come",
                 ))
@@ -151,11 +158,11 @@
             return Err(busy("not ready yet"));
         }
         let (answer, answered) = oneshot::channel();
-        let came = Instant::now();
+        let received_at = Instant::now();
         self.dispatcher
-            .try_send(HandIn {
-                handed,
-                came,
+            .try_send(SubmissionRequest {
+                submitted,
+                received_at,
                 answer,
             })
             .map_err(|_| busy("too many packets at once"))?;
@@ -163,21 +170,25 @@
         let answer = answered.await.map_err(|_| busy("going down"))?;
         let mut response = Response::new(Full::default());
         *response.status_mut() = match answer {
-            Answer::Taken => StatusCode::ACCEPTED,
-            Answer::Deferred { .. } | Answer::NoRoom => StatusCode::SERVICE_UNAVAILABLE,
-            Answer::WrittenOff => StatusCode::GATEWAY_TIMEOUT,
-            Answer::OtherContent => {
+            SubmissionAnswer::Accepted => StatusCode::ACCEPTED,
+            SubmissionAnswer::Rejected { .. } | SubmissionAnswer::NoCapacity => {
+                StatusCode::SERVICE_UNAVAILABLE
+            }
+            SubmissionAnswer::Failed => StatusCode::GATEWAY_TIMEOUT,
+            SubmissionAnswer::ConflictingContent => {
                 let reason = "another packet with this id is open";
-                return Err(BadRequest::new(StatusCode::CONFLICT, reason));
+                return Err(InvalidRequest::new(StatusCode::CONFLICT, reason));
             }
             // The list may be older than the client's: coming again does no harm.
-            Answer::Unlisted => return Err(busy("no list has named this destination")),
+            SubmissionAnswer::UnknownDestination => {
+                return Err(busy("no list has named this destination"))
+            }
         };
-        if let Answer::Deferred {
-            come_back: Some(come_back),
+        if let SubmissionAnswer::Rejected {
+            retry_after: Some(retry_after),
         } = answer
         {
-            if let Ok(value) = HeaderValue::from_str(&retry_after(come_back)) {
+            if let Ok(value) = HeaderValue::from_str(&encode_retry_after(retry_after)) {
                 response.headers_mut().insert(RETRY_AFTER, value);
             }
         }
@@ -185,8 +196,8 @@
     }
 }
 
-fn busy(reason: &str) -> BadRequest {
-    BadRequest::new(StatusCode::SERVICE_UNAVAILABLE, reason)
+fn busy(reason: &str) -> InvalidRequest {
+    InvalidRequest::new(StatusCode::SERVICE_UNAVAILABLE, reason)
 }
 
 /// How one connection stands.
@@ -302,8 +313,8 @@
 
 /// The requests of one connection.
 #[derive(Clone)]
-struct Desk {
-    door: Arc<Door>,
+struct ConnectionService {
+    submission_service: Arc<SubmissionService>,
     presence: Arc<Presence>,
     crowded: bool,
 }
@@ -317,7 +328,7 @@
     }
 }
 
-impl Service<Request<Incoming>> for Desk {
+impl Service<Request<Incoming>> for ConnectionService {
     type Response = Response<Full<Bytes>>;
     type Error = Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Self::Response, Infallible>> + Send>>;
@@ -329,9 +340,9 @@
     fn call(&mut self, request: Request<Incoming>) -> Self::Future {
         self.presence.is(Phase::Busy);
         let busy = Busy(self.presence.clone());
-        let (door, crowded) = (self.door.clone(), self.crowded);
+        let (submission_service, crowded) = (self.submission_service.clone(), self.crowded);
         Box::pin(async move {
-            let answer = door.answer(request, crowded).await;
+            let answer = submission_service.answer(request, crowded).await;
             drop(busy);
             Ok(answer)
         })
@@ -340,7 +351,7 @@
 
 /// Accepts clients, `most` at once, until `closing` says that no new ones come.
 pub struct Clients {
-    pub door: Arc<Door>,
+    pub submission_service: Arc<SubmissionService>,
     pub most: usize,
     pub closing: watch::Receiver<Closing>,
 }
@@ -375,7 +386,7 @@
                         self.admit(stream, &turn, &mut tasks, &mut present);
                     }
                     Err(problem) => {
-                        warn!(self.door.log, "a client can't be accepted"; "problem" => %problem);
+                        warn!(self.submission_service.log, "a client can't be accepted"; "problem" => %problem);
                         tokio::time::sleep(RETRY_ACCEPT).await;
                     }
                 },
@@ -383,7 +394,7 @@
                     let id = match done {
                         Ok((id, ())) => id,
                         Err(problem) => {
-                            error!(self.door.log, "a client's connection broke off"; "problem" => %problem);
+                            error!(self.submission_service.log, "a client's connection broke off"; "problem" => %problem);
                             problem.id()
                         }
                     };
@@ -392,7 +403,7 @@
                 Ok(()) = self.closing.changed() => {
                     let stage = *self.closing.borrow_and_update();
                     if stage >= Closing::Leaving {
-                        self.door.closing.store(true, Ordering::Relaxed);
+                        self.submission_service.closing.store(true, Ordering::Relaxed);
                         present.values().filter(|p| p.state().0 == Phase::Idle).for_each(|p| p.close());
                     }
                     if stage == Closing::Shut {
@@ -418,8 +429,8 @@
         let crowded = full && !Self::close_one(present);
         Self::close_idle(present, self.most / IDLE_PART);
         let presence = Arc::new(Presence::new(turn.clone()));
-        let desk = Desk {
-            door: self.door.clone(),
+        let desk = ConnectionService {
+            submission_service: self.submission_service.clone(),
             presence: presence.clone(),
             crowded,
         };
@@ -462,8 +473,8 @@
     })
 }
 
-async fn serve(stream: TcpStream, desk: Desk) {
-    let (log, presence) = (desk.door.log.clone(), desk.presence.clone());
+async fn serve(stream: TcpStream, desk: ConnectionService) {
+    let (log, presence) = (desk.submission_service.log.clone(), desk.presence.clone());
     let head_time = if desk.crowded { SHORT } else { HEAD_TIME };
     if let Err(problem) = stream.set_nodelay(true) {
         debug!(log, "a connection is gone"; "problem" => %problem);
@@ -471,7 +482,7 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(head_time)
-        .max_buf_size(MOST_AHEAD)
+        .max_buf_size(READ_BUFFER_BYTES)
         .serve_connection(
             TokioIo::new(Heard {
                 stream,
--- a/crates/forwarder/src/clients/tests.rs
+++ b/crates/forwarder/src/clients/tests.rs
@@ -13,46 +13,46 @@
     clients: Clients,
     listener: TcpListener,
     closing: watch::Sender<Closing>,
-    hand_ins: mpsc::Receiver<HandIn>,
+    submissions: mpsc::Receiver<SubmissionRequest>,
 }
 
 impl Rig {
     async fn new(most: usize) -> Rig {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let (dispatcher, hand_ins) = mpsc::channel(64);
+        let (dispatcher, submissions) = mpsc::channel(64);
         let names = Names {
-            profiles: vec!["notice".into()],
+            classes: vec!["notice".into()],
             tenants: Vec::new(),
             zones: Vec::new(),
-            kinds: Vec::new(),
+            endpoint_kinds: Vec::new(),
             reports: Vec::new(),
         };
-        let row = ProfileConfig {
-            effect: Effect::Retriable,
-            expiry: 1_000_000,
-            ..ProfileConfig::default()
+        let row = DeliveryClassConfig {
+            semantics: DeliverySemantics::Idempotent,
+            time_to_live: 1_000_000,
+            ..DeliveryClassConfig::default()
         };
         let config = Config {
-            profiles: vec![row],
+            classes: vec![row],
             ..Config::default()
         };
-        let door = Arc::new(Door::new(
+        let submission_service = Arc::new(SubmissionService::new(
             names,
             &config,
             dispatcher,
             Logger::root(slog::Discard, slog::o!()),
         ));
-        door.ready.store(true, Ordering::Relaxed);
+        submission_service.ready.store(true, Ordering::Relaxed);
         let (closing, seen) = watch::channel(Closing::No);
         Rig {
             clients: Clients {
-                door,
+                submission_service,
                 most,
                 closing: seen,
             },
             listener,
             closing,
-            hand_ins,
+            submissions,
         }
     }
 
@@ -75,18 +75,18 @@
         (0..many).map(come).collect()
     }
 
-    /// Runs the door until all these have heard their ends; each packet is taken on.
+    /// Runs the door until all these have heard their ends; each message is taken on.
     async fn heard(self, come: Vec<JoinHandle<String>>) -> Vec<String> {
         let Rig {
             clients,
             listener,
-            mut hand_ins,
+            mut submissions,
             ..
         } = self;
         tokio::spawn(clients.run(listener));
         tokio::spawn(async move {
-            while let Some(HandIn { answer, .. }) = hand_ins.recv().await {
-                let _ = answer.send(Answer::Taken);
+            while let Some(SubmissionRequest { answer, .. }) = submissions.recv().await {
+                let _ = answer.send(SubmissionAnswer::Accepted);
             }
         });
         let ends = tokio::task::spawn_blocking(|| {
@@ -115,7 +115,7 @@
         let Rig {
             clients,
             listener,
-            mut hand_ins,
+            mut submissions,
             ..
         } = Rig::new(16).await;
         let presence = Arc::new(Presence::new(Arc::default()));
@@ -125,15 +125,15 @@
         let mut client = client.into_std().expect("a stream");
         client.set_nonblocking(false).expect("it blocks");
         let (stream, _) = listener.accept().await.expect("a client");
-        let desk = Desk {
-            door: clients.door.clone(),
+        let desk = ConnectionService {
+            submission_service: clients.submission_service.clone(),
             presence: presence.clone(),
             crowded: false,
         };
         let served = tokio::spawn(serve(stream, desk));
         tokio::spawn(async move {
-            while let Some(HandIn { answer, .. }) = hand_ins.recv().await {
-                let _ = answer.send(Answer::Taken);
+            while let Some(SubmissionRequest { answer, .. }) = submissions.recv().await {
+                let _ = answer.send(SubmissionAnswer::Accepted);
             }
         });
         let rested = async |phase| {
@@ -163,18 +163,18 @@
 #[tokio::test]
 async fn who_finds_the_inbox_full_is_told_to_come_again() {
     let rig = Rig::new(128).await;
-    let (room, over) = (rig.hand_ins.max_capacity(), 3);
+    let (room, over) = (rig.submissions.max_capacity(), 3);
     let come = rig.come(room + over);
     rig.closing.send_replace(Closing::Shut); // each answer is the last on its connection
     let Rig {
         clients,
         listener,
-        mut hand_ins,
+        mut submissions,
         ..
     } = rig;
-    let door = clients.door.clone();
+    let submission_service = clients.submission_service.clone();
     tokio::spawn(clients.run(listener));
-    while door.dispatcher.capacity() > 0 {
+    while submission_service.dispatcher.capacity() > 0 {
         tokio::task::yield_now().await;
     }
     // Those beyond it are refused before anybody reads the inbox.
@@ -197,8 +197,8 @@
     let (refused, waiting) = refused.await.expect("they end");
     assert_eq!((refused, waiting.len()), (over, room));
     tokio::spawn(async move {
-        while let Some(HandIn { answer, .. }) = hand_ins.recv().await {
-            let _ = answer.send(Answer::Taken);
+        while let Some(SubmissionRequest { answer, .. }) = submissions.recv().await {
+            let _ = answer.send(SubmissionAnswer::Accepted);
         }
     });
     let ends = tokio::task::spawn_blocking(|| {
@@ -220,7 +220,7 @@
     let Rig {
         clients,
         listener,
-        mut hand_ins,
+        mut submissions,
         ..
     } = Rig::new(16).await;
     let address = listener.local_addr().expect("its address");
@@ -248,12 +248,15 @@
         }
     });
     tokio::spawn(async move {
-        while let Some(HandIn { handed, answer, .. }) = hand_ins.recv().await {
-            let whole = handed.body == Bytes::from_static(b"body");
+        while let Some(SubmissionRequest {
+            submitted, answer, ..
+        }) = submissions.recv().await
+        {
+            let whole = submitted.body == Bytes::from_static(b"body");
             let _ = answer.send(if whole {
-                Answer::Taken
+                SubmissionAnswer::Accepted
             } else {
-                Answer::OtherContent
+                SubmissionAnswer::ConflictingContent
             });
         }
     });
--- /dev/null
+++ b/crates/forwarder/src/commands.rs
@@ -0,0 +1,110 @@
+//! The messages that the actors send each other: plain data, below all actors. A sender need not know who reads it.
+
+use crate::protocol::{Ending, SubmittedMessage};
+use bytes::Bytes;
+use opalpulley::{Event, MessageId, Micros};
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+/// The answer to a client's submission.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SubmissionAnswer {
+    /// The message is in the journal: the platform gets its final answer.
+    Accepted,
+    /// Not accepted now; the client may submit it again.
+    Rejected {
+        /// When, where the deployment may say so.
+        retry_after: Option<Micros>,
+    },
+    /// Not accepted, and another try is of no use.
+    Failed,
+    /// As many messages are held as may be, or the journal has no room for this one.
+    NoCapacity,
+    /// A message with this id is in flight, and its content is another.
+    ConflictingContent,
+    /// No endpoint list has named its destination.
+    UnknownDestination,
+}
+
+/// A client's submission on its way to the dispatcher.
+pub struct SubmissionRequest {
+    /// The message.
+    pub submitted: SubmittedMessage,
+    /// When its last byte was read: its time runs from here.
+    pub received_at: Instant,
+    /// Where the answer goes.
+    pub answer: oneshot::Sender<SubmissionAnswer>,
+}
+
+/// For the dispatcher.
+pub enum DispatcherCommand {
+    /// Something happened that the decision core is told.
+    Event(Event),
+    /// The platform has these completion reports, by serial number.
+    ReportsAcknowledged(Vec<u64>),
+}
+
+/// For the actor that watches the endpoint list.
+pub enum EndpointListCommand {
+    /// Begin or end the watch.
+    Watch(bool),
+    /// Ask for the complete list once.
+    Fetch,
+}
+
+/// For the gossip socket: a datagram to other forwarders.
+pub struct GossipDatagram {
+    /// The number of the forwarder; none for all.
+    pub peer: Option<u16>,
+    /// Its bytes.
+    pub payload: Vec<u8>,
+}
+
+/// A completion report that the platform has not acknowledged.
+#[derive(Clone, Debug)]
+pub struct PendingReport {
+    /// The serial number of the message in the journal.
+    pub serial: u64,
+    /// The client's id of the message.
+    pub request_id: String,
+    /// How the message ended.
+    pub ending: Ending,
+}
+
+/// For the actor of an endpoint.
+pub enum EndpointCommand {
+    /// Start an attempt. Boxed: a mailbox keeps room for some dozens of commands once it has had one.
+    StartAttempt(Box<AttemptRequest>),
+    /// Check the endpoint's health.
+    HealthCheck,
+    /// End an attempt that is out.
+    Cancel {
+        /// The message.
+        id: MessageId,
+        /// The number of the attempt, from 0.
+        attempt: u8,
+    },
+    /// End all attempts and health checks whose last byte has not gone.
+    WithdrawUnsent,
+    /// Close the connections that carry nothing.
+    CloseIdle,
+}
+
+/// An attempt at a message, with all that its codec needs.
+pub struct AttemptRequest {
+    /// The message.
+    pub id: MessageId,
+    /// The number of the attempt, from 0.
+    pub attempt: u8,
+    /// The client's id of the message.
+    pub request_id: String,
+    /// Where the class is keyed: by what endpoints drop repeats.
+    pub idempotency_key: Option<String>,
+    /// The body.
+    pub body: Bytes,
+    /// How long it may take.
+    pub timeout: Duration,
+    /// Its first byte goes out before this moment, or none does.
+    pub send_by: Instant,
+}
--- a/crates/forwarder/src/completion_reports.rs
+++ b/crates/forwarder/src/completion_reports.rs
@@ -1,7 +1,7 @@
 //! Completion reports to the platform, repeated until it has acknowledged them.
 
-use crate::notes::{Note, PendingReport};
-use crate::platform::{AskFault, Platform};
+use crate::commands::{DispatcherCommand, PendingReport};
+use crate::platform::{Platform, PlatformError};
 use crate::protocol::{encode_completion_reports, OUTCOMES};
 use hyper::{Method, StatusCode};
 use slog::{error, info, warn, Logger};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-const MOST_LINES: usize = 200; // packets in one completion report: some 20 KB, under a third of a message's limit
+const MOST_LINES: usize = 200; // messages in one completion report: some 20 KB, under a third of a message's limit
 const PATIENCE: Duration = Duration::from_millis(150); // for an answer: the agent answers at once, and a report may be 300 ms late
 const LONGEST: Duration = Duration::from_secs(1); // the same after silences: an agent that is slow must be heard in the end
 const AGAIN: Duration = Duration::from_millis(50); // between tries, after any answer but silence
@@ -19,12 +19,12 @@
     pub platform: Platform,
     /// Where the platform is told, from each change on.
     pub discovery: watch::Receiver<SocketAddr>,
-    pub dispatcher: mpsc::Sender<Note>,
+    pub dispatcher: mpsc::Sender<DispatcherCommand>,
     pub log: Logger,
 }
 
 impl CompletionReports {
-    /// The mailbox has no bound of its own: each entry is a packet that takes room in the journal until it is heard.
+    /// The mailbox has no bound of its own: each entry is a message that takes room in the journal until it is heard.
     pub async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<PendingReport>) {
         let mut waiting: VecDeque<PendingReport> = VecDeque::new();
         let mut most = MOST_LINES;
@@ -57,7 +57,7 @@
                 }
             };
             // Guards ends against a connection that has fallen silent, which is left soon, and against an agent that is only slow.
-            let silent = matches!(answer, Err(AskFault::OutOfTime));
+            let silent = matches!(answer, Err(PlatformError::OutOfTime));
             patience = if silent {
                 LONGEST.min(2 * patience)
             } else {
@@ -70,7 +70,12 @@
                         info!(self.log, "notices are heard again");
                     }
                     let heard = waiting.drain(..lines).map(|o| o.serial).collect();
-                    if self.dispatcher.send(Note::Heard(heard)).await.is_err() {
+                    if self
+                        .dispatcher
+                        .send(DispatcherCommand::ReportsAcknowledged(heard))
+                        .await
+                        .is_err()
+                    {
                         return;
                     }
                 }
@@ -81,7 +86,9 @@
                         error!(self.log, "a notice is not understood"; "id" => pending_report.request_id);
                         if self
                             .dispatcher
-                            .send(Note::Heard(vec![pending_report.serial]))
+                            .send(DispatcherCommand::ReportsAcknowledged(vec![
+                                pending_report.serial,
+                            ]))
                             .await
                             .is_err()
                         {
@@ -91,8 +98,10 @@
                 }
                 other => {
                     if !std::mem::replace(&mut down, true) {
-                        let fault = other
-                            .map_or_else(|fault| fault, |(status, _)| AskFault::Refused(status));
+                        let fault = other.map_or_else(
+                            |fault| fault,
+                            |(status, _)| PlatformError::Refused(status),
+                        );
                         warn!(self.log, "notices are not heard"; "problem" => %fault);
                     }
                     if !silent {
--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -2,16 +2,18 @@
 //! must outlive the process to the journal first, and then carries out the core's actions. It decides nothing.
 
 use crate::clock::{micros, Clock};
-use crate::journal::{Journal, Kept};
-use crate::notes::{
-    Answer, Call, GossipMessage, HandIn, ListNote, Note, PendingReport, TargetNote,
+use crate::commands::{
+    AttemptRequest, DispatcherCommand, EndpointCommand, EndpointListCommand, GossipDatagram,
+    PendingReport, SubmissionAnswer, SubmissionRequest,
 };
-use crate::protocol::{Ending, Handed};
-use crate::targets::TargetContext;
-use actors::Actors;
+use crate::endpoints::EndpointContext;
+use crate::journal::{Journal, StoredMessage};
+use crate::protocol::{address, Ending, SubmittedMessage};
+use endpoints::EndpointActors;
 use opalpulley::{
-    Action, Arrival, Config, DestinationId, Event, Forwarder, KindId, ListNews, Listing, Micros,
-    OrderKey, Outcome, PacketId, Past, ProfileId, Standing, TargetId, TenantId, Token, ZoneId,
+    Action, AttemptHistory, Config, DeliveryClassId, DestinationId, EndpointEntry, EndpointId,
+    EndpointKindId, EndpointListUpdate, EndpointStatus, Event, Forwarder, LogEvent, MessageId,
+    Micros, OrderKey, Outcome, PossibleEffect, Submission, TenantId, TimerToken, ZoneId,
 };
 use slog::{crit, debug, error, info, warn, Logger};
 use std::collections::btree_map::Entry;
@@ -23,36 +25,36 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// After the start, for a list where none was known: packets of an earlier process wait no longer than that.
+/// After the start, for a list where none was known: messages of an earlier process wait no longer than that.
 const LIST_WAIT: Duration = Duration::from_millis(1000);
 
 /// A tenant that no deployment has: the core finds no share for it.
 const NO_TENANT: TenantId = TenantId(u32::MAX);
 
-/// A packet that is not over.
-struct Open {
+/// A message that is not over.
+struct InFlightMessage {
     serial: u64,
-    handed: Handed,
+    submitted: SubmittedMessage,
     expires: Micros,
-    trips: u32,
-    out: Vec<(u8, TargetId)>,
-    /// Its end is decided; trips may still be out.
+    attempts: u32,
+    out: Vec<(u8, EndpointId)>,
+    /// Its end is decided; attempts may still be out.
     ended: bool,
 }
 
-/// What the last list says of a target, beside its id.
-struct Listed {
+/// What the last list says of an endpoint, beside its id.
+struct ListedEndpoint {
     zone: ZoneId,
-    kind: KindId,
-    standing: Standing,
+    kind: EndpointKindId,
+    standing: EndpointStatus,
     rate: f32,
     destination: DestinationId,
     since: Micros,
 }
 
-impl Listed {
-    fn listing(&self, target: TargetId) -> Listing {
-        let Listed {
+impl ListedEndpoint {
+    fn listing(&self, endpoint: EndpointId) -> EndpointEntry {
+        let ListedEndpoint {
             zone,
             kind,
             standing,
@@ -60,11 +62,11 @@
             destination,
             since,
         } = *self;
-        Listing {
-            target,
+        EndpointEntry {
+            endpoint,
             zone,
-            since,
-            standing,
+            up_since: since,
+            status: standing,
             rate,
             destination,
             kind,
@@ -72,18 +74,18 @@
     }
 }
 
-impl From<&Listing> for Listed {
-    fn from(listing: &Listing) -> Listed {
-        let Listing {
-            target: _,
+impl From<&EndpointEntry> for ListedEndpoint {
+    fn from(listing: &EndpointEntry) -> ListedEndpoint {
+        let EndpointEntry {
+            endpoint: _,
             zone,
-            since,
-            standing,
+            up_since: since,
+            status: standing,
             rate,
             destination,
             kind,
         } = *listing;
-        Listed {
+        ListedEndpoint {
             zone,
             kind,
             standing,
@@ -100,32 +102,32 @@
     seed: u64,
     forwarder: Forwarder,
     journal: Journal,
-    list: mpsc::Sender<ListNote>,
+    list: mpsc::Sender<EndpointListCommand>,
     completion_reports: mpsc::UnboundedSender<PendingReport>,
-    gossip: mpsc::Sender<GossipMessage>,
+    gossip: mpsc::Sender<GossipDatagram>,
     log: Logger,
     /// Set once the journal and the list are in.
     up: Arc<AtomicBool>,
-    ids: BTreeMap<String, PacketId>, // that clients gave to open packets; each leaves with its packet
+    ids: BTreeMap<String, MessageId>, // that clients gave to open messages; each leaves with its message
     named: BTreeSet<DestinationId>, // that a list has named: as many as destinations have numbers at most
-    open: BTreeMap<PacketId, Open>, // each leaves with its end and its last outcome
-    listed: BTreeMap<TargetId, Listed>, // by the last list; emptied of those gone without a call out
-    actors: Actors,                     // of the targets in use
-    alarms: BTreeSet<(Micros, u64, Token)>, // each leaves as it rings
-    later: VecDeque<Event>,             // emptied before the next note is read
-    earlier: Option<Vec<Kept>>,         // packets of an earlier process, until the list is in
-    pending_reports: BTreeMap<u64, Option<PacketId>>, // ends that the platform has not heard of, with those that keep an order; each leaves as it has
+    open: BTreeMap<MessageId, InFlightMessage>, // each leaves with its end and its last outcome
+    listed: BTreeMap<EndpointId, ListedEndpoint>, // by the last list; emptied of those gone without a call out
+    actors: EndpointActors,                       // of the endpoints in use
+    alarms: BTreeSet<(Micros, u64, TimerToken)>,  // each leaves as it rings
+    later: VecDeque<Event>,                       // emptied before the next note is read
+    earlier: Option<Vec<StoredMessage>>, // messages of an earlier process, until the list is in
+    pending_reports: BTreeMap<u64, Option<MessageId>>, // ends that the platform has not heard of, with those that keep an order; each leaves as it has
     next_id: u32,
     next_alarm: u64,
     panics: u64,
     beginning: bool,
 }
 
-pub struct Ways {
-    pub context: Arc<TargetContext>,
-    pub list: mpsc::Sender<ListNote>,
+pub struct DispatcherHandles {
+    pub context: Arc<EndpointContext>,
+    pub list: mpsc::Sender<EndpointListCommand>,
     pub completion_reports: mpsc::UnboundedSender<PendingReport>,
-    pub gossip: mpsc::Sender<GossipMessage>,
+    pub gossip: mpsc::Sender<GossipDatagram>,
     pub up: Arc<AtomicBool>,
 }
 
@@ -135,20 +137,20 @@
         seed: u64,
         clock: Clock,
         journal: Journal,
-        ways: Ways,
+        handles: DispatcherHandles,
         log: Logger,
     ) -> Dispatcher {
-        let Ways {
+        let DispatcherHandles {
             context,
             list,
             completion_reports,
             gossip,
             up,
-        } = ways;
+        } = handles;
         Dispatcher {
             clock,
             forwarder: Forwarder::new(config.clone(), seed),
-            actors: Actors::new(context, config.slots),
+            actors: EndpointActors::new(context, config.concurrency_limit),
             config,
             seed,
             journal,
@@ -172,22 +174,22 @@
         }
     }
 
-    fn trips_out(&self) -> bool {
+    fn attempts_out(&self) -> bool {
         self.open.values().any(|o| !o.out.is_empty())
     }
 
     /// Runs until the process is to end and nothing more can be done, or `leave` has come.
     pub async fn run(
         mut self,
-        mut notes: mpsc::Receiver<Note>,
-        mut clients: mpsc::Receiver<HandIn>,
+        mut notes: mpsc::Receiver<DispatcherCommand>,
+        mut clients: mpsc::Receiver<SubmissionRequest>,
         leave: impl std::future::Future<Output = ()>,
     ) {
         tokio::pin!(leave);
         let mut closing = false;
         let begin = Instant::now() + LIST_WAIT;
         loop {
-            if closing && !self.trips_out() && self.pending_reports.is_empty() {
+            if closing && !self.attempts_out() && self.pending_reports.is_empty() {
                 return;
             }
             let next = self.alarms.first().map(|(at, ..)| self.clock.at(*at));
@@ -196,7 +198,7 @@
                 biased;
                 () = &mut leave => return,
                 Some(note) = notes.recv() => {
-                    closing |= matches!(note, Note::Event(Event::Closing));
+                    closing |= matches!(note, DispatcherCommand::Event(Event::ShuttingDown));
                     self.handle_message(note);
                 }
                 () = tokio::time::sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {
@@ -206,7 +208,7 @@
                     self.actors.look(self.clock.now());
                 }
                 () = tokio::time::sleep_until(begin), if self.earlier.is_some() => self.begin(),
-                Some(hand_in) = clients.recv() => self.hand_in(hand_in),
+                Some(submit) = clients.recv() => self.submit(submit),
             }
         }
     }
@@ -218,36 +220,36 @@
                 return;
             }
             self.alarms.remove(&(at, number, token));
-            self.handle(Event::Alarm { token });
+            self.handle(Event::TimerFired { token });
         }
     }
 
-    pub fn handle_message(&mut self, note: Note) {
+    pub fn handle_message(&mut self, note: DispatcherCommand) {
         match note {
-            Note::Event(Event::List(news)) => self.list_news(news),
-            Note::Event(mut event) => {
-                if let Event::TripEnded {
+            DispatcherCommand::Event(Event::EndpointList(news)) => self.list_news(news),
+            DispatcherCommand::Event(mut event) => {
+                if let Event::AttemptEnded {
                     id,
-                    trip,
-                    target,
+                    attempt,
+                    endpoint,
                     outcome,
-                    closed,
+                    completed: closed,
                     ..
                 } = &mut event
                 {
-                    // Guards a packet whose answer came after its time: that delivers nothing, and its end is still owed.
+                    // Guards a message whose answer came after its time: that delivers nothing, and its end is still owed.
                     let late = self
                         .open
                         .get(id)
                         .is_some_and(|o| self.clock.now() >= o.expires);
                     *closed &= !(late && *outcome == Outcome::Delivered);
-                    self.actors.call_ended(self.clock.now(), *target);
-                    self.forget_if_over(*target);
-                    self.trip_ended(*id, *trip, *outcome, *closed);
+                    self.actors.call_ended(self.clock.now(), *endpoint);
+                    self.forget_if_over(*endpoint);
+                    self.attempt_ended(*id, *attempt, *outcome, *closed);
                 }
                 self.handle(event);
             }
-            Note::Heard(serials) => {
+            DispatcherCommand::ReportsAcknowledged(serials) => {
                 for serial in serials {
                     let heard = self.pending_reports.remove(&serial);
                     let written = self.journal.ended(serial);
@@ -255,7 +257,7 @@
                     heard
                         .flatten()
                         .into_iter()
-                        .for_each(|id| self.handle(Event::Heard { id }));
+                        .for_each(|id| self.handle(Event::ReportAcknowledged { id }));
                 }
             }
         }
@@ -267,63 +269,65 @@
         }
     }
 
-    fn list_news(&mut self, news: ListNews) {
+    fn list_news(&mut self, news: EndpointListUpdate) {
         match &news {
-            ListNews::Whole(entries) | ListNews::Cached(entries) => self.list_whole(entries),
-            ListNews::Changes(entries) => self.list_changes(entries),
-            ListNews::Failed => {}
+            EndpointListUpdate::Complete(entries) | EndpointListUpdate::Cached(entries) => {
+                self.list_whole(entries)
+            }
+            EndpointListUpdate::Changes(entries) => self.list_changes(entries),
+            EndpointListUpdate::Failed => {}
         }
-        self.handle(Event::List(news));
+        self.handle(Event::EndpointList(news));
         self.begin();
     }
 
     /// Both tables are built from the sorted whole, which packs them: line by line they would take twice the room.
-    fn list_whole(&mut self, entries: &[Listing]) {
+    fn list_whole(&mut self, entries: &[EndpointEntry]) {
         self.named
             .append(&mut entries.iter().map(|e| e.destination).collect());
         let now_listed = entries
             .iter()
-            .map(|e| (e.target, Listed::from(e)))
+            .map(|e| (e.endpoint, ListedEndpoint::from(e)))
             .collect();
         let before = std::mem::replace(&mut self.listed, now_listed);
-        for (target, listing) in before {
-            if let Entry::Vacant(missing) = self.listed.entry(target) {
-                missing.insert(Listed {
-                    standing: Standing::Gone,
+        for (endpoint, listing) in before {
+            if let Entry::Vacant(missing) = self.listed.entry(endpoint) {
+                missing.insert(ListedEndpoint {
+                    standing: EndpointStatus::Removed,
                     ..listing
                 });
-                self.forget_if_over(target);
+                self.forget_if_over(endpoint);
             }
         }
-        entries.iter().for_each(|e| self.forget_if_over(e.target));
+        entries.iter().for_each(|e| self.forget_if_over(e.endpoint));
     }
 
     /// The work follows what is told, not what is listed.
-    fn list_changes(&mut self, entries: &[Listing]) {
+    fn list_changes(&mut self, entries: &[EndpointEntry]) {
         for entry in entries {
             self.named.insert(entry.destination);
-            self.listed.insert(entry.target, entry.into());
-            self.forget_if_over(entry.target);
+            self.listed.insert(entry.endpoint, entry.into());
+            self.forget_if_over(entry.endpoint);
         }
     }
 
-    /// A target that has gone stays as long as a call is out there.
-    fn forget_if_over(&mut self, target: TargetId) {
+    /// An endpoint that has gone stays as long as a call is out there.
+    fn forget_if_over(&mut self, endpoint: EndpointId) {
         let gone = self
             .listed
-            .get(&target)
-            .is_some_and(|l| l.standing == Standing::Gone);
-        if gone && self.actors.calls(target) == 0 {
-            self.listed.remove(&target);
-            self.actors.end(target);
+            .get(&endpoint)
+            .is_some_and(|l| l.standing == EndpointStatus::Removed);
+        if gone && self.actors.calls(endpoint) == 0 {
+            self.listed.remove(&endpoint);
+            self.actors.end(endpoint);
         }
     }
 
-    fn trip_ended(&mut self, id: PacketId, trip: u8, outcome: Outcome, over: bool) {
+    fn attempt_ended(&mut self, id: MessageId, attempt: u8, outcome: Outcome, over: bool) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        open.out.retain(|(t, _)| *t != trip);
+        open.out.retain(|(t, _)| *t != attempt);
         let serial = open.serial;
         let written = match over && !open.ended {
             true => {
@@ -331,108 +335,114 @@
                 self.journal.ended(serial)
             }
             false if open.ended => Ok(()),
-            false if outcome == Outcome::TakenBack => {
-                open.trips = u32::from(trip);
-                self.journal.trip_taken_back(serial, trip)
+            false if outcome == Outcome::WithdrawnBeforeSend => {
+                open.attempts = u32::from(attempt);
+                self.journal.attempt_taken_back(serial, attempt)
             }
             false => self
                 .journal
-                .trip_ended(serial, trip, outcome.may_have_run()),
+                .attempt_ended(serial, attempt, outcome.may_have_taken_effect()),
         };
         self.written(written);
         self.close(id);
     }
 
-    /// Forgets a packet once it is over and none of its trips is out.
-    fn close(&mut self, id: PacketId) {
+    /// Forgets a message once it is over and none of its attempts is out.
+    fn close(&mut self, id: MessageId) {
         if self
             .open
             .get(&id)
             .is_some_and(|o| o.ended && o.out.is_empty())
         {
             if let Some(open) = self.open.remove(&id) {
-                self.ids.remove(&open.handed.request_id);
+                self.ids.remove(&open.submitted.request_id);
             }
         }
     }
 
-    fn hand_in(
+    fn submit(
         &mut self,
-        HandIn {
-            mut handed,
-            came,
+        SubmissionRequest {
+            mut submitted,
+            received_at,
             answer,
-        }: HandIn,
+        }: SubmissionRequest,
     ) {
         // Guards against work for a client that has left: nothing is taken on yet.
         if answer.is_closed() {
             return;
         }
-        // Guards against two packets from one: a client whose answer was lost on the way sends the same id again.
+        // Guards against two messages from one: a client whose answer was lost on the way sends the same id again.
         if let Some(open) = self
             .ids
-            .get(&handed.request_id)
+            .get(&submitted.request_id)
             .and_then(|id| self.open.get(id))
         {
-            let of = |h: &Handed| {
+            let of = |h: &SubmittedMessage| {
                 (
-                    h.profile,
+                    h.class,
                     h.destination,
                     h.key,
-                    h.mark.clone(),
+                    h.idempotency_key.clone(),
                     h.body.clone(),
                 )
             };
-            let same = of(&open.handed) == of(&handed);
+            let same = of(&open.submitted) == of(&submitted);
             let _ = answer.send(if same {
-                Answer::Taken
+                SubmissionAnswer::Accepted
             } else {
-                Answer::OtherContent
+                SubmissionAnswer::ConflictingContent
             });
             return;
         }
-        if !self.named.contains(&handed.destination) {
-            let _ = answer.send(Answer::Unlisted);
+        if !self.named.contains(&submitted.destination) {
+            let _ = answer.send(SubmissionAnswer::UnknownDestination);
             return;
         }
         // Its time runs from its last byte, not from its turn in the inbox.
-        handed.left = handed.left.saturating_sub(micros(came.elapsed()));
-        let (expires, ordered) = (self.clock.now() + handed.left, handed.key.is_some());
-        let kept = kept(&handed, expires);
+        submitted.left = submitted.left.saturating_sub(micros(received_at.elapsed()));
+        let (expires, ordered) = (self.clock.now() + submitted.left, submitted.key.is_some());
+        let kept = kept(&submitted, expires);
         // The room of the configuration counts at the door, as it does before the core on the simulator's wire.
-        if self.open.len() >= self.config.room as usize || !self.journal.has_room(&kept) {
+        if self.open.len() >= self.config.message_capacity as usize || !self.journal.has_room(&kept)
+        {
             // A client that has left hears nothing, and nothing is owed to it.
-            let _ = answer.send(Answer::NoRoom);
+            let _ = answer.send(SubmissionAnswer::NoCapacity);
             return;
         }
         let serial = match self.journal.accept(kept) {
             Ok(serial) => serial,
             Err(problem) => {
                 error!(self.log, "a packet could not be kept"; "problem" => %problem);
-                let _ = answer.send(Answer::NoRoom);
+                let _ = answer.send(SubmissionAnswer::NoCapacity);
                 return;
             }
         };
         let id = self.new_id();
-        let arrival = arrival(id, &handed, Past::default());
+        let arrival = arrival(id, &submitted, AttemptHistory::default());
         self.keep(
             id,
-            Open {
+            InFlightMessage {
                 serial,
-                handed,
+                submitted,
                 expires,
-                trips: 0,
+                attempts: 0,
                 out: Vec::new(),
                 ended: false,
             },
         );
-        let refused = self.decide(Event::Packet(arrival), Some(id));
+        let refused = self.decide(Event::Submitted(arrival), Some(id));
         if refused.is_some() {
             // Its end is the client's own answer: nothing is owed to the platform.
             self.finish(id, None);
-            self.later.extend(ordered.then_some(Event::Heard { id }));
+            self.later
+                .extend(ordered.then_some(Event::ReportAcknowledged { id }));
         }
-        if answer.send(refused.unwrap_or(Answer::Taken)).is_err() && refused.is_none() {
+        if answer
+            .send(refused.unwrap_or(SubmissionAnswer::Accepted))
+            .is_err()
+            && refused.is_none()
+        {
             debug!(self.log, "a client left before its answer");
             self.finish(id, None);
             self.handle(Event::Withdrawn { id });
@@ -440,45 +450,45 @@
         self.follow_up();
     }
 
-    fn keep(&mut self, id: PacketId, open: Open) {
-        self.ids.insert(open.handed.request_id.clone(), id);
+    fn keep(&mut self, id: MessageId, open: InFlightMessage) {
+        self.ids.insert(open.submitted.request_id.clone(), id);
         self.open.insert(id, open);
     }
 
-    fn new_id(&mut self) -> PacketId {
+    fn new_id(&mut self) -> MessageId {
         loop {
             self.next_id = self.next_id.wrapping_add(1);
-            if !self.open.contains_key(&PacketId(self.next_id)) {
-                return PacketId(self.next_id);
+            if !self.open.contains_key(&MessageId(self.next_id)) {
+                return MessageId(self.next_id);
             }
         }
     }
 
-    /// Takes over from an earlier process once the list is in: without one its packets have nowhere to go.
-    pub fn take_over(&mut self, packets: Vec<Kept>) {
-        self.earlier = Some(packets);
+    /// Takes over from an earlier process once the list is in: without one its messages have nowhere to go.
+    pub fn take_over(&mut self, messages: Vec<StoredMessage>) {
+        self.earlier = Some(messages);
         if !self.listed.is_empty() {
             self.begin();
         }
     }
 
     fn begin(&mut self) {
-        if let Some(packets) = self.earlier.take() {
-            self.restore(packets);
+        if let Some(messages) = self.earlier.take() {
+            self.restore(messages);
             self.up.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Gives the core the packets of an earlier process, with what is known of their trips.
-    fn restore(&mut self, packets: Vec<Kept>) {
+    /// Gives the core the messages of an earlier process, with what is known of their attempts.
+    fn restore(&mut self, messages: Vec<StoredMessage>) {
         let now = self.clock.now();
-        for kept in packets {
+        for kept in messages {
             let id = self.new_id();
             if let Some(ending) = kept.pending_report {
                 let ordered = kept.key.map(OrderKey).map(|key| {
                     self.handle(Event::PendingReport {
                         id,
-                        profile: ProfileId(kept.profile),
+                        class: DeliveryClassId(kept.class),
                         key,
                     });
                     id
@@ -486,42 +496,45 @@
                 self.owe(kept.serial, kept.request_id, ending, ordered);
                 continue;
             }
-            // Guards rule 2 against a clock that was set back: a trip that began later than now proves no window.
+            // Guards rule 2 against a clock that was set back: an attempt that began later than now proves no window.
             let began = |at: Micros| if at > now { 0 } else { at };
-            let exposed = kept.exposed.map(|(at, zone)| (began(at), ZoneId(zone)));
-            let past = Past {
-                trips: kept.trips,
-                exposed,
+            let possible_effect = kept.exposed.map(|(at, zone)| PossibleEffect {
+                sent_at: began(at),
+                zone: ZoneId(zone),
+            });
+            let past = AttemptHistory {
+                attempts: kept.attempts,
+                possible_effect,
             };
-            let handed = Handed {
+            let submitted = SubmittedMessage {
                 request_id: kept.request_id,
-                profile: ProfileId(kept.profile),
+                class: DeliveryClassId(kept.class),
                 tenant: kept.tenant.map(TenantId),
                 destination: DestinationId(kept.destination),
                 left: kept.expires.saturating_sub(now),
-                mark: kept.mark,
+                idempotency_key: kept.idempotency_key,
                 key: kept.key,
                 again: kept.again,
                 orphan: kept.orphan,
                 body: kept.body,
             };
-            let arrival = Arrival {
-                again: true,
-                ..arrival(id, &handed, past)
+            let arrival = Submission {
+                resubmitted: true,
+                ..arrival(id, &submitted, past)
             };
-            let (serial, expires, trips) = (kept.serial, kept.expires, kept.trips);
+            let (serial, expires, attempts) = (kept.serial, kept.expires, kept.attempts);
             self.keep(
                 id,
-                Open {
+                InFlightMessage {
                     serial,
-                    handed,
+                    submitted,
                     expires,
-                    trips,
+                    attempts,
                     out: Vec::new(),
                     ended: false,
                 },
             );
-            self.handle(Event::Packet(arrival));
+            self.handle(Event::Submitted(arrival));
         }
     }
 
@@ -536,12 +549,12 @@
         }
     }
 
-    /// Asks the core and carries out its actions; gives the end of the packet that is just being handed in.
-    fn decide(&mut self, event: Event, handed_in: Option<PacketId>) -> Option<Answer> {
+    /// Asks the core and carries out its actions; gives the end of the message that is just being handed in.
+    fn decide(&mut self, event: Event, submitted: Option<MessageId>) -> Option<SubmissionAnswer> {
         let now = self.clock.now();
         let mut actions = Vec::new();
         let forwarder = &mut self.forwarder;
-        let packet = if let Event::Packet(arrival) = &event {
+        let message = if let Event::Submitted(arrival) = &event {
             Some(arrival.id)
         } else {
             None
@@ -551,10 +564,10 @@
         }))
         .is_err()
         {
-            match (self.beginning, packet) {
+            match (self.beginning, message) {
                 (false, _) => self.begin_anew(),
-                // The packet itself is what the core can't bear.
-                (true, Some(id)) => self.finish(id, Some(Ending::WrittenOff)),
+                // The message itself is what the core can't bear.
+                (true, Some(id)) => self.finish(id, Some(Ending::Failed)),
                 (true, None) => {}
             }
             return None;
@@ -562,11 +575,11 @@
         let mut refused = None;
         for action in actions {
             match action {
-                Action::WriteOff { id } if Some(id) == handed_in => {
-                    refused = Some(Answer::WrittenOff)
+                Action::Fail { id } if Some(id) == submitted => {
+                    refused = Some(SubmissionAnswer::Failed)
                 }
-                Action::Defer { id, come_back } if Some(id) == handed_in => {
-                    refused = Some(Answer::Deferred { come_back });
+                Action::Reject { id, retry_after } if Some(id) == submitted => {
+                    refused = Some(SubmissionAnswer::Rejected { retry_after });
                 }
                 other => self.carry_out(now, other),
             }
@@ -587,19 +600,22 @@
         }
         self.ids.clear();
         for (id, open) in std::mem::take(&mut self.open) {
-            for (trip, target) in open.out {
-                self.post(target, TargetNote::CallOff { id, trip });
+            for (attempt, endpoint) in open.out {
+                self.post(endpoint, EndpointCommand::Cancel { id, attempt });
             }
         }
         self.beginning = true;
         let listed = self
             .listed
             .iter()
-            .map(|(target, listed)| listed.listing(*target))
+            .map(|(endpoint, listed)| listed.listing(*endpoint))
             .collect();
-        self.decide(Event::List(ListNews::Cached(listed)), None);
-        let packets = self.journal.after_restart();
-        self.restore(packets);
+        self.decide(
+            Event::EndpointList(EndpointListUpdate::Cached(listed)),
+            None,
+        );
+        let messages = self.journal.after_restart();
+        self.restore(messages);
         self.beginning = false;
     }
 
@@ -607,137 +623,147 @@
         match action {
             Action::Send {
                 id,
-                target,
-                limit,
-                begin_by,
+                endpoint,
+                timeout: limit,
+                send_by,
             } => {
-                self.send(now, id, target, limit, self.clock.at(begin_by));
+                self.send(now, id, endpoint, limit, self.clock.at(send_by));
             }
-            Action::WriteOff { id } => self.finish(id, Some(Ending::WrittenOff)),
-            Action::Defer { id, come_back } => {
-                self.finish(id, Some(Ending::Deferred { come_back }))
+            Action::Fail { id } => self.finish(id, Some(Ending::Failed)),
+            Action::Reject { id, retry_after } => {
+                self.finish(id, Some(Ending::Rejected { retry_after }))
             }
-            Action::Wake { after, token } => {
+            Action::SetTimer { after, token } => {
                 self.next_alarm += 1;
                 self.alarms.insert((now + after, self.next_alarm, token));
             }
-            Action::Probe { target } => {
-                if !self.post(target, TargetNote::Probe) {
+            Action::HealthCheck { endpoint } => {
+                if !self.post(endpoint, EndpointCommand::HealthCheck) {
                     let outcome = Outcome::NoConnection;
-                    self.later.push_back(Event::ProbeAnswered {
-                        target,
+                    self.later.push_back(Event::HealthCheckEnded {
+                        endpoint,
                         outcome,
                         took: 0,
                         report: Vec::new(),
                     });
                 }
             }
-            Action::CallOff { id, trip } => {
+            Action::Cancel { id, attempt } => {
                 let out = self
                     .open
                     .get(&id)
-                    .and_then(|o| o.out.iter().find(|(t, _)| *t == trip));
-                if let Some((_, target)) = out.copied() {
-                    self.post(target, TargetNote::CallOff { id, trip });
+                    .and_then(|o| o.out.iter().find(|(t, _)| *t == attempt));
+                if let Some((_, endpoint)) = out.copied() {
+                    self.post(endpoint, EndpointCommand::Cancel { id, attempt });
                 }
             }
-            Action::TakeBack { target } => self.post_to_known(target, TargetNote::TakeBack),
-            Action::CloseIdle { target } => self.post_to_known(target, TargetNote::CloseIdle),
-            Action::Watch { on } => self.ask_list(ListNote::Watch(on)),
-            Action::FetchList => self.ask_list(ListNote::Fetch),
-            Action::SendGossip { peer, message } => {
+            Action::WithdrawUnsent { endpoint } => {
+                self.post_to_known(endpoint, EndpointCommand::WithdrawUnsent)
+            }
+            Action::CloseIdleConnections { endpoint } => {
+                self.post_to_known(endpoint, EndpointCommand::CloseIdle)
+            }
+            Action::WatchEndpointList { on } => self.ask_list(EndpointListCommand::Watch(on)),
+            Action::FetchEndpointList => self.ask_list(EndpointListCommand::Fetch),
+            Action::SendGossip {
+                peer,
+                payload: message,
+            } => {
                 if self
                     .gossip
-                    .try_send(GossipMessage { peer, message })
+                    .try_send(GossipDatagram {
+                        peer,
+                        payload: message,
+                    })
                     .is_err()
                 {
                     warn!(self.log, "a gossip message to a peer is dropped");
                 }
             }
-            Action::Log(words) => info!(self.log, "{}", words),
-            Action::Fault(words) => error!(self.log, "{}", words),
+            Action::Log(event) => log_event(&self.log, &event),
         }
     }
 
-    fn ask_list(&mut self, note: ListNote) {
+    fn ask_list(&mut self, note: EndpointListCommand) {
         if self.list.try_send(note).is_err() {
-            self.later.push_back(Event::List(ListNews::Failed));
+            self.later
+                .push_back(Event::EndpointList(EndpointListUpdate::Failed));
         }
     }
 
     /// Where nothing ever went there is nothing to do.
-    fn post_to_known(&mut self, target: TargetId, note: TargetNote) {
-        if self.actors.is_running(target) {
-            self.post(target, note);
+    fn post_to_known(&mut self, endpoint: EndpointId, note: EndpointCommand) {
+        if self.actors.is_running(endpoint) {
+            self.post(endpoint, note);
         }
     }
 
-    fn post(&mut self, target: TargetId, note: TargetNote) -> bool {
-        self.listed.contains_key(&target) && self.actors.post(self.clock.now(), target, note)
+    fn post(&mut self, endpoint: EndpointId, note: EndpointCommand) -> bool {
+        self.listed.contains_key(&endpoint) && self.actors.post(self.clock.now(), endpoint, note)
     }
 
     fn send(
         &mut self,
         now: Micros,
-        id: PacketId,
-        target: TargetId,
+        id: MessageId,
+        endpoint: EndpointId,
         limit: Option<Micros>,
-        begin_by: Instant,
+        send_by: Instant,
     ) {
-        let zone = self.listed.get(&target).map_or(0, |l| l.zone.0);
+        let zone = self.listed.get(&endpoint).map_or(0, |l| l.zone.0);
         let Some(open) = self.open.get_mut(&id).filter(|o| !o.ended) else {
             error!(self.log, "the core sends a packet that is over");
             return;
         };
-        let trip = open.trips.min(u32::from(u8::MAX)) as u8;
-        open.trips += 1;
+        let attempt = open.attempts.min(u32::from(u8::MAX)) as u8;
+        open.attempts += 1;
         let left = open.expires.saturating_sub(now);
-        let call = Call {
+        let call = AttemptRequest {
             id,
-            trip,
-            request_id: open.handed.request_id.clone(),
-            mark: open.handed.mark.clone(),
-            body: open.handed.body.clone(),
-            limit: Duration::from_micros(limit.map_or(left, |l| l.min(left))),
-            begin_by,
+            attempt,
+            request_id: open.submitted.request_id.clone(),
+            idempotency_key: open.submitted.idempotency_key.clone(),
+            body: open.submitted.body.clone(),
+            timeout: Duration::from_micros(limit.map_or(left, |l| l.min(left))),
+            send_by,
         };
         let serial = open.serial;
-        let kept = self.journal.trip_started(serial, trip, now, zone);
+        let kept = self.journal.attempt_started(serial, attempt, now, zone);
         let written = kept.is_ok();
         self.written(kept);
-        if written && self.post(target, TargetNote::Call(Box::new(call))) {
-            self.actors.call_begun(target);
+        if written && self.post(endpoint, EndpointCommand::StartAttempt(Box::new(call))) {
+            self.actors.call_begun(endpoint);
             self.open
                 .entry(id)
-                .and_modify(|o| o.out.push((trip, target)));
+                .and_modify(|o| o.out.push((attempt, endpoint)));
             return;
         }
         // Nothing has gone out.
-        let outcome = Outcome::Moot { no_slot: false };
+        let outcome = Outcome::NotAttempted { no_permit: false };
         if written {
-            let ended = self.journal.trip_ended(serial, trip, false);
+            let ended = self.journal.attempt_ended(serial, attempt, false);
             self.written(ended);
         }
         let (took, closed, report) = (0, false, Vec::new());
-        self.later.push_back(Event::TripEnded {
+        self.later.push_back(Event::AttemptEnded {
             id,
-            trip,
-            target,
+            attempt,
+            endpoint,
             outcome,
             took,
-            closed,
+            completed: closed,
             report,
         });
     }
 
-    /// The end of a packet, told to the platform unless its client hears it in its own answer.
-    fn finish(&mut self, id: PacketId, ending: Option<Ending>) {
+    /// The end of a message, told to the platform unless its client hears it in its own answer.
+    fn finish(&mut self, id: MessageId, ending: Option<Ending>) {
         let Some(open) = self.open.get_mut(&id).filter(|o| !o.ended) else {
             return;
         };
         open.ended = true;
-        let (serial, request_id) = (open.serial, open.handed.request_id.clone());
-        let ordered = open.handed.key.is_some();
+        let (serial, request_id) = (open.serial, open.submitted.request_id.clone());
+        let ordered = open.submitted.key.is_some();
         match ending {
             Some(ending) => {
                 let written = self.journal.owes(serial, ending);
@@ -752,8 +778,8 @@
         self.close(id);
     }
 
-    /// An end to be told; `ordered` is the packet's id where the core waits for it to be heard.
-    fn owe(&mut self, serial: u64, request_id: String, ending: Ending, ordered: Option<PacketId>) {
+    /// An end to be told; `ordered` is the message's id where the core waits for it to be heard.
+    fn owe(&mut self, serial: u64, request_id: String, ending: Ending, ordered: Option<MessageId>) {
         // One that is owed already goes on being told.
         let known = self.pending_reports.insert(serial, ordered).is_some();
         if !known
@@ -771,43 +797,62 @@
     }
 }
 
-fn kept(handed: &Handed, expires: Micros) -> Kept {
-    Kept {
+fn kept(submitted: &SubmittedMessage, expires: Micros) -> StoredMessage {
+    StoredMessage {
         serial: 0,
-        request_id: handed.request_id.clone(),
-        profile: handed.profile.0,
-        tenant: handed.tenant.map(|t| t.0),
-        destination: handed.destination.0,
+        request_id: submitted.request_id.clone(),
+        class: submitted.class.0,
+        tenant: submitted.tenant.map(|t| t.0),
+        destination: submitted.destination.0,
         expires,
-        mark: handed.mark.clone(),
-        again: handed.again,
-        orphan: handed.orphan,
-        body: handed.body.clone(),
-        key: handed.key,
-        trips: 0,
+        idempotency_key: submitted.idempotency_key.clone(),
+        again: submitted.again,
+        orphan: submitted.orphan,
+        body: submitted.body.clone(),
+        key: submitted.key,
+        attempts: 0,
         exposed: None,
         out: Vec::new(),
         pending_report: None,
     }
 }
 
-fn arrival(id: PacketId, handed: &Handed, past: Past) -> Arrival {
-    Arrival {
+fn arrival(id: MessageId, submitted: &SubmittedMessage, past: AttemptHistory) -> Submission {
+    Submission {
         id,
-        profile: handed.profile,
-        tenant: handed.tenant.unwrap_or(NO_TENANT),
-        key: handed.key.map(OrderKey),
-        left: handed.left,
-        hint: None,
-        destination: handed.destination,
-        again: handed.again,
-        write: false,
-        orphan: handed.orphan,
-        past,
+        class: submitted.class,
+        tenant: submitted.tenant.unwrap_or(NO_TENANT),
+        key: submitted.key.map(OrderKey),
+        time_left: submitted.left,
+        destination: submitted.destination,
+        resubmitted: submitted.again,
+        history: past,
+    }
+}
+
+/// Writes what the core wants in the log, with its values as fields.
+fn log_event(log: &Logger, event: &LogEvent) {
+    match event {
+        LogEvent::EndpointEjected {
+            destination,
+            endpoint,
+            reason,
+        } => {
+            info!(log, "endpoint ejected"; "destination" => destination.0, "endpoint" => %address(*endpoint), "reason" => %reason)
+        }
+        LogEvent::EndpointReadmitted {
+            destination,
+            endpoint,
+        } => {
+            info!(log, "endpoint readmitted"; "destination" => destination.0, "endpoint" => %address(*endpoint))
+        }
+        LogEvent::UnreadableGossip { peer, problem } => {
+            warn!(log, "gossip message ignored"; "forwarder" => peer, "problem" => problem)
+        }
     }
 }
 
-mod actors;
+mod endpoints;
 
 #[cfg(test)]
 mod tests;
--- a/crates/forwarder/src/dispatcher/actors/tests.rs
+++ b/crates/forwarder/src/dispatcher/endpoints/tests.rs
@@ -1,8 +1,8 @@
-//! Actors begin and end with the use of their targets, and nothing is lost between two of one target.
+//! Actors begin and end with the use of their endpoints, and nothing is lost between two of one endpoint.
 
 use super::*;
-use crate::notes::{Call, Note};
-use opalpulley::{Event, Outcome, PacketId};
+use crate::commands::{AttemptRequest, DispatcherCommand};
+use opalpulley::{Event, MessageId, Outcome};
 use opalpulley_config::{ConnectionConfig, Names};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -11,48 +11,48 @@
 
 const IDLE: Micros = 5_000_000;
 const CONNECT: Micros = 1_000_000;
-const REST: Micros = IDLE + PROBE_TIMES * CONNECT;
+const REST: Micros = IDLE + HEALTH_CHECK_TIMES * CONNECT;
 const SLOTS: u32 = 8;
 
-fn actors() -> (Actors, mpsc::Receiver<Note>) {
+fn actors() -> (EndpointActors, mpsc::Receiver<DispatcherCommand>) {
     let (dispatcher, notes) = mpsc::channel(64);
-    let (profiles, tenants, zones, kinds, reports) = Default::default();
-    let context = TargetContext {
+    let (classes, tenants, zones, kinds, reports) = Default::default();
+    let context = EndpointContext {
         config: ConnectionConfig {
             idle_closed_after: IDLE,
             connect_within: CONNECT,
         },
         names: Names {
-            profiles,
+            classes,
             tenants,
             zones,
-            kinds,
+            endpoint_kinds: kinds,
             reports,
         },
         idle: Arc::new(Semaphore::new(64)),
         dispatcher,
         log: slog::Logger::root(slog::Discard, slog::o!()),
     };
-    (Actors::new(Arc::new(context), SLOTS), notes)
+    (EndpointActors::new(Arc::new(context), SLOTS), notes)
 }
 
-fn target(number: u32) -> TargetId {
-    TargetId {
+fn endpoint(number: u32) -> EndpointId {
+    EndpointId {
         address: [127, 0, 0, 1],
         port: 9,
-        holder: number,
+        incarnation: number,
     }
 }
 
-fn call(trip: u8) -> TargetNote {
-    TargetNote::Call(Box::new(Call {
-        id: PacketId(1),
-        trip,
-        request_id: format!("r-{trip}"),
-        mark: None,
+fn call(attempt: u8) -> EndpointCommand {
+    EndpointCommand::StartAttempt(Box::new(AttemptRequest {
+        id: MessageId(1),
+        attempt,
+        request_id: format!("r-{attempt}"),
+        idempotency_key: None,
         body: bytes::Bytes::from_static(b"body"),
-        limit: Duration::from_secs(5),
-        begin_by: tokio::time::Instant::now() + Duration::from_secs(5),
+        timeout: Duration::from_secs(5),
+        send_by: tokio::time::Instant::now() + Duration::from_secs(5),
     }))
 }
 
@@ -73,9 +73,9 @@
     panic!("{} tasks instead of {wanted}", tasks());
 }
 
-/// Guards memory: 91,000 targets, each visited once in 455 s, leave no more actors than the visits of one rest.
+/// Guards memory: 91,000 endpoints, each visited once in 455 s, leave no more actors than the visits of one rest.
 #[tokio::test]
-async fn actors_follow_the_targets_in_use_and_not_those_ever_used() {
+async fn actors_follow_the_endpoints_in_use_and_not_those_ever_used() {
     const VISITS: u32 = 91_000;
     const APART: Micros = 5_000; // µs between two visits
     let (mut actors, _notes) = actors();
@@ -83,7 +83,7 @@
     for visit in 0..VISITS {
         let now = Micros::from(visit) * APART;
         actors.look(now);
-        assert!(actors.post(now, target(visit), TargetNote::CloseIdle));
+        assert!(actors.post(now, endpoint(visit), EndpointCommand::CloseIdle));
         assert!(actors.running.len() <= most && actors.looks.len() == actors.running.len());
         if visit % 1_000 == 0 {
             settle(actors.running.len()).await;
@@ -99,20 +99,20 @@
 #[tokio::test]
 async fn an_actor_with_a_call_out_stays() {
     let (mut actors, _notes) = actors();
-    assert!(actors.post(0, target(1), TargetNote::CloseIdle));
-    actors.call_begun(target(1));
+    assert!(actors.post(0, endpoint(1), EndpointCommand::CloseIdle));
+    actors.call_begun(endpoint(1));
     actors.look(10 * REST);
-    assert!(actors.is_running(target(1)));
+    assert!(actors.is_running(endpoint(1)));
     let ended = 10 * REST + 1;
-    actors.call_ended(ended, target(1));
+    actors.call_ended(ended, endpoint(1));
     actors.look(ended + REST - 1);
-    assert!(actors.is_running(target(1)));
+    assert!(actors.is_running(endpoint(1)));
     actors.look(actors.next_look().expect("one is due"));
-    assert!(!actors.is_running(target(1)));
+    assert!(!actors.is_running(endpoint(1)));
     assert_eq!(actors.next_look(), None);
     // One that its list has sent off leaves nothing to be looked at.
-    assert!(actors.post(0, target(2), TargetNote::CloseIdle));
-    actors.end(target(2));
+    assert!(actors.post(0, endpoint(2), EndpointCommand::CloseIdle));
+    actors.end(endpoint(2));
     assert!(actors.running.is_empty() && actors.looks.is_empty());
 }
 
@@ -134,7 +134,10 @@
         }
     });
     let (mut actors, mut notes) = actors();
-    let there = TargetId { port, ..target(1) };
+    let there = EndpointId {
+        port,
+        ..endpoint(1)
+    };
     // One lies in the mailbox as that is dropped, one comes behind it.
     assert!(actors.post(0, there, call(0)));
     actors.look(REST);
@@ -149,15 +152,15 @@
         let note = tokio::time::timeout(Duration::from_secs(5), notes.recv())
             .await
             .expect("in time");
-        let Some(Note::Event(Event::TripEnded {
-            trip,
+        let Some(DispatcherCommand::Event(Event::AttemptEnded {
+            attempt,
             outcome: Outcome::Delivered,
             ..
         })) = note
         else {
             panic!("not delivered")
         };
-        delivered.push(trip);
+        delivered.push(attempt);
     }
     delivered.sort_unstable();
     assert_eq!(delivered, [0, 1, 2]);
@@ -169,12 +172,12 @@
     );
 }
 
-/// Guards memory: what one visited target costs beside its connection. A mailbox holds its notes in blocks of 32.
+/// Guards memory: what one visited endpoint costs beside its connection. A mailbox holds its notes in blocks of 32.
 #[test]
 fn a_note_is_small_for_mailboxes_keep_room_for_dozens() {
     assert!(
-        std::mem::size_of::<TargetNote>() <= 16,
+        std::mem::size_of::<EndpointCommand>() <= 16,
         "{} bytes",
-        std::mem::size_of::<TargetNote>()
+        std::mem::size_of::<EndpointCommand>()
     );
 }
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::protocol::Handed;
+use crate::protocol::SubmittedMessage;
 use opalpulley_config::ConnectionConfig;
 use tempfile::TempDir;
 use tokio::net::TcpListener;
@@ -11,12 +11,12 @@
     let mut settings = startup["settings"].clone();
     settings["Profiles"][0]["DedupWindowUs"] = window.into();
     for effect in ["free", "single_shot"] {
-        let mut profile = settings["Profiles"][0].clone();
-        profile["Effect"] = effect.into();
+        let mut class = settings["Profiles"][0].clone();
+        class["Effect"] = effect.into();
         settings["Profiles"]
             .as_array_mut()
             .expect("profiles")
-            .push(profile);
+            .push(class);
     }
     let start =
         opalpulley_config::read(settings.to_string().as_bytes()).expect("a good configuration");
@@ -26,12 +26,12 @@
 struct Rig {
     dispatcher: Dispatcher,
     pending_report: mpsc::UnboundedReceiver<PendingReport>,
-    notes: mpsc::Receiver<Note>,
+    notes: mpsc::Receiver<DispatcherCommand>,
     listener: TcpListener,
     _dir: TempDir,
 }
 
-/// The dispatcher with one target that takes calls and answers none.
+/// The dispatcher with one endpoint that takes calls and answers none.
 async fn rig() -> Rig {
     rig_within(15_000_000).await
 }
@@ -48,36 +48,38 @@
     let (gossip, _) = mpsc::channel(1);
     let (completion_reports, pending_report) = mpsc::unbounded_channel();
     let idle = Arc::new(Semaphore::new(4));
-    let context = Arc::new(TargetContext {
+    let context = Arc::new(EndpointContext {
         config: connections,
         names,
         idle,
         dispatcher,
         log: log.clone(),
     });
-    let ways = Ways {
+    let handles = DispatcherHandles {
         context,
         list,
         completion_reports,
         gossip,
         up: Arc::default(),
     };
-    let mut dispatcher = Dispatcher::new(config, 1, Clock::start(), journal, ways, log);
+    let mut dispatcher = Dispatcher::new(config, 1, Clock::start(), journal, handles, log);
     let port = listener.local_addr().expect("its address").port();
-    let listing = Listing {
-        target: TargetId {
+    let listing = EndpointEntry {
+        endpoint: EndpointId {
             address: [127, 0, 0, 1],
             port,
-            holder: 0,
+            incarnation: 0,
         },
         zone: ZoneId(0),
-        since: 0,
-        standing: Standing::Ready,
+        up_since: 0,
+        status: EndpointStatus::Ready,
         rate: 50.0,
         destination: DestinationId(7),
-        kind: opalpulley::KindId(0),
+        kind: opalpulley::EndpointKindId(0),
     };
-    dispatcher.handle_message(Note::Event(Event::List(ListNews::Cached(vec![listing]))));
+    dispatcher.handle_message(DispatcherCommand::Event(Event::EndpointList(
+        EndpointListUpdate::Cached(vec![listing]),
+    )));
     dispatcher.take_over(Vec::new());
     Rig {
         dispatcher,
@@ -89,18 +91,18 @@
 }
 
 impl Rig {
-    fn hand_in(&mut self, id: &str, profile: u16) -> oneshot::Receiver<Answer> {
+    fn submit(&mut self, id: &str, class: u16) -> oneshot::Receiver<SubmissionAnswer> {
         let (answer, answered) = oneshot::channel();
-        let came = tokio::time::Instant::now();
-        self.dispatcher.hand_in(HandIn {
-            handed: handed(id, profile),
-            came,
+        let received_at = tokio::time::Instant::now();
+        self.dispatcher.submit(SubmissionRequest {
+            submitted: submitted(id, class),
+            received_at,
             answer,
         });
         answered
     }
 
-    /// Lets time pass for the dispatcher and its targets.
+    /// Lets time pass for the dispatcher and its endpoints.
     async fn pass(&mut self, ms: u64) {
         let until = tokio::time::Instant::now() + Duration::from_millis(ms);
         while tokio::time::Instant::now() < until {
@@ -124,14 +126,14 @@
     }
 }
 
-fn handed(id: &str, profile: u16) -> Handed {
-    Handed {
+fn submitted(id: &str, class: u16) -> SubmittedMessage {
+    SubmittedMessage {
         request_id: id.into(),
-        profile: ProfileId(profile),
+        class: DeliveryClassId(class),
         tenant: None,
         destination: DestinationId(7),
         left: 20_000_000,
-        mark: Some(id.into()),
+        idempotency_key: Some(id.into()),
         key: None,
         again: false,
         orphan: false,
@@ -139,12 +141,12 @@
     }
 }
 
-/// Guards rules 1 and 2 where the core panics: the new one gets each open packet with what its trips may have done.
+/// Guards rules 1 and 2 where the core panics: the new one gets each open message with what its attempts may have done.
 #[tokio::test]
 async fn a_new_core_takes_over_what_is_open() {
     let mut rig = rig().await;
-    for (id, profile) in [("marked", 0), ("free", 1), ("binding", 2)] {
-        assert_eq!(rig.hand_in(id, profile).await, Ok(Answer::Taken));
+    for (id, class) in [("marked", 0), ("free", 1), ("binding", 2)] {
+        assert_eq!(rig.submit(id, class).await, Ok(SubmissionAnswer::Accepted));
     }
     rig.pass(100).await;
     assert_eq!(rig.calls().await, 3);
@@ -154,16 +156,18 @@
     let pending_report = rig.pending_report.try_recv().expect("an end");
     assert_eq!(
         (pending_report.request_id.as_str(), pending_report.ending),
-        ("binding", Ending::WrittenOff)
+        ("binding", Ending::Failed)
     );
     assert!(rig.pending_report.try_recv().is_err());
     assert_eq!(rig.dispatcher.open.len(), 2);
     rig.dispatcher
-        .handle_message(Note::Heard(vec![pending_report.serial]));
+        .handle_message(DispatcherCommand::ReportsAcknowledged(vec![
+            pending_report.serial,
+        ]));
     assert_eq!(rig.dispatcher.journal.after_restart().len(), 2);
 }
 
-/// Guards the start where the core panics before a list is in: the process is up with the packets of the journal, not never.
+/// Guards the start where the core panics before a list is in: the process is up with the messages of the journal, not never.
 #[tokio::test]
 async fn a_panic_before_the_list_is_in_leaves_the_process_up() {
     let mut rig = rig().await;
@@ -173,23 +177,23 @@
     assert!(rig.dispatcher.up.load(Ordering::Relaxed));
 }
 
-/// Guards against work for nobody: a client that leaves before its answer withdraws the packet.
+/// Guards against work for nobody: a client that leaves before its answer withdraws the message.
 #[tokio::test]
-async fn a_client_that_leaves_withdraws_its_packet() {
+async fn a_client_that_leaves_withdraws_its_message() {
     let mut rig = rig().await;
-    drop(rig.hand_in("early", 1)); // the answer was in before it left: taken on
+    drop(rig.submit("early", 1)); // the answer was in before it left: taken on
     let (answer, answered) = oneshot::channel();
     drop(answered);
-    rig.dispatcher.hand_in(HandIn {
-        handed: handed("late", 1),
-        came: tokio::time::Instant::now(),
+    rig.dispatcher.submit(SubmissionRequest {
+        submitted: submitted("late", 1),
+        received_at: tokio::time::Instant::now(),
         answer,
     });
     assert_eq!(
         rig.dispatcher
             .open
             .values()
-            .map(|o| o.handed.request_id.as_str())
+            .map(|o| o.submitted.request_id.as_str())
             .collect::<Vec<_>>(),
         ["early"]
     );
@@ -198,28 +202,28 @@
 
 /// Guards memory and rule 1: tables follow what is open, and an end owed stays until it is heard.
 #[tokio::test]
-async fn nothing_is_kept_of_packets_that_are_over() {
+async fn nothing_is_kept_of_messages_that_are_over() {
     let mut rig = rig().await;
-    assert_eq!(rig.hand_in("short", 1).await, Ok(Answer::Taken));
+    assert_eq!(rig.submit("short", 1).await, Ok(SubmissionAnswer::Accepted));
     rig.pass(100).await;
     let id = *rig.dispatcher.open.keys().next().expect("it is open");
-    let target = *rig.dispatcher.listed.keys().next().expect("a target");
-    let ended = |outcome| Event::TripEnded {
+    let endpoint = *rig.dispatcher.listed.keys().next().expect("a target");
+    let ended = |outcome| Event::AttemptEnded {
         id,
-        trip: 0,
-        target,
+        attempt: 0,
+        endpoint,
         outcome,
         took: 1_000,
-        closed: outcome == Outcome::Delivered,
+        completed: outcome == Outcome::Delivered,
         report: Vec::new(),
     };
     rig.dispatcher
-        .handle_message(Note::Event(ended(Outcome::Delivered)));
+        .handle_message(DispatcherCommand::Event(ended(Outcome::Delivered)));
     assert!(rig.dispatcher.open.is_empty() && rig.dispatcher.ids.is_empty());
     assert!(rig.dispatcher.journal.after_restart().is_empty());
-    // A second outcome of the same trip changes nothing.
+    // A second outcome of the same attempt changes nothing.
     rig.dispatcher
-        .handle_message(Note::Event(ended(Outcome::Error)));
+        .handle_message(DispatcherCommand::Event(ended(Outcome::Error)));
     assert!(rig.dispatcher.open.is_empty() && rig.dispatcher.pending_reports.is_empty());
 }
 
@@ -227,34 +231,34 @@
 #[tokio::test]
 async fn the_room_of_the_configuration_is_kept() {
     let mut rig = rig().await;
-    rig.dispatcher.config.room = 2;
+    rig.dispatcher.config.message_capacity = 2;
     for (id, answer) in [
-        ("one", Answer::Taken),
-        ("two", Answer::Taken),
-        ("three", Answer::NoRoom),
+        ("one", SubmissionAnswer::Accepted),
+        ("two", SubmissionAnswer::Accepted),
+        ("three", SubmissionAnswer::NoCapacity),
     ] {
-        assert_eq!(rig.hand_in(id, 1).await, Ok(answer));
+        assert_eq!(rig.submit(id, 1).await, Ok(answer));
     }
-    let tenant = Handed {
+    let tenant = SubmittedMessage {
         tenant: Some(TenantId(1)),
         left: 5,
-        ..handed("x", 1)
+        ..submitted("x", 1)
     };
-    let arrival = arrival(PacketId(9), &tenant, Past::default());
-    assert_eq!((arrival.tenant, arrival.left), (TenantId(1), 5));
+    let arrival = arrival(MessageId(9), &tenant, AttemptHistory::default());
+    assert_eq!((arrival.tenant, arrival.time_left), (TenantId(1), 5));
     assert_eq!(super::kept(&tenant, 7).tenant, Some(1));
 }
 
-/// Guards rule 1 where the inbox is long: a packet's time runs from its last byte, and an answer after it delivers nothing.
+/// Guards rule 1 where the inbox is long: a message's time runs from its last byte, and an answer after it delivers nothing.
 #[tokio::test]
-async fn a_packets_time_runs_from_its_last_byte() {
+async fn a_messages_time_runs_from_its_last_byte() {
     let mut rig = rig().await;
     let waited = Duration::from_millis(150);
     let (answer, _answered) = oneshot::channel();
-    let came = tokio::time::Instant::now() - waited;
-    rig.dispatcher.hand_in(HandIn {
-        handed: handed("queued", 1),
-        came,
+    let received_at = tokio::time::Instant::now() - waited;
+    rig.dispatcher.submit(SubmissionRequest {
+        submitted: submitted("queued", 1),
+        received_at,
         answer,
     });
     let left = rig
@@ -270,23 +274,26 @@
 }
 
 impl Rig {
-    /// Takes over a packet of the profile with a window, as a restart finds it: with one call out that began then.
+    /// Takes over a message of the profile with a window, as a restart finds it: with one call out that began then.
     fn take_over_with_call_out(&mut self, began: Micros) {
-        let kept = super::kept(&handed("out", 0), self.dispatcher.clock.now() + 20_000_000);
+        let kept = super::kept(
+            &submitted("out", 0),
+            self.dispatcher.clock.now() + 20_000_000,
+        );
         let serial = self.dispatcher.journal.accept(kept).expect("it is kept");
         self.dispatcher
             .journal
-            .trip_started(serial, 0, began, 0)
+            .attempt_started(serial, 0, began, 0)
             .expect("it is kept");
-        let packets = self.dispatcher.journal.after_restart();
-        self.dispatcher.restore(packets);
+        let messages = self.dispatcher.journal.after_restart();
+        self.dispatcher.restore(messages);
     }
 }
 
 /// Guards rule 2 over a restart with a short window: a repeat that was decided inside it is not begun outside, however long
-/// the process takes with the rest of what it found before the target's actor has its turn.
+/// the process takes with the rest of what it found before the endpoint's actor has its turn.
 #[tokio::test]
-async fn a_repeat_whose_target_reads_late_is_not_begun_outside_the_window() {
+async fn a_repeat_whose_endpoint_reads_late_is_not_begun_outside_the_window() {
     for (held_up, calls) in [(0, 1), (200, 0)] {
         let mut rig = rig_within(1_000_000).await;
         rig.take_over_with_call_out(rig.dispatcher.clock.now() - 900_000);
@@ -307,26 +314,29 @@
     let pending_report = rig.pending_report.try_recv().expect("an end");
     assert_eq!(
         (pending_report.request_id.as_str(), pending_report.ending),
-        ("out", Ending::WrittenOff)
+        ("out", Ending::Failed)
     );
 }
 
-/// Guards rule 2 and a packet's tries where a target's mailbox is full: what could not be handed over has not run, whatever
+/// Guards rule 2 and a message's tries where an endpoint's mailbox is full: what could not be handed over has not run, whatever
 /// the journal was told before, and it goes once there is room.
 #[tokio::test]
-async fn a_packet_that_finds_its_targets_mailbox_full_has_not_run_and_goes_later() {
+async fn a_message_that_finds_its_endpoints_mailbox_full_has_not_run_and_goes_later() {
     let mut rig = rig().await;
-    assert_eq!(rig.hand_in("first", 1).await, Ok(Answer::Taken));
-    let target = *rig.dispatcher.listed.keys().next().expect("a target");
+    assert_eq!(rig.submit("first", 1).await, Ok(SubmissionAnswer::Accepted));
+    let endpoint = *rig.dispatcher.listed.keys().next().expect("a target");
     // Nobody reads it meanwhile.
-    while rig.dispatcher.post(target, TargetNote::CloseIdle) {}
-    assert_eq!(rig.hand_in("binding", 2).await, Ok(Answer::Taken));
+    while rig.dispatcher.post(endpoint, EndpointCommand::CloseIdle) {}
+    assert_eq!(
+        rig.submit("binding", 2).await,
+        Ok(SubmissionAnswer::Accepted)
+    );
     let kept = rig.dispatcher.journal.after_restart();
     let binding = kept
         .iter()
         .find(|k| k.request_id == "binding")
         .expect("it is kept");
-    assert_eq!((binding.trips, binding.exposed), (1, None));
+    assert_eq!((binding.attempts, binding.exposed), (1, None));
     rig.pass(500).await;
     assert!(rig.pending_report.try_recv().is_err(), "its end is told");
     assert_eq!(rig.calls().await, 2);
--- a/crates/forwarder/src/list.rs
+++ b/crates/forwarder/src/endpoint_list.rs
@@ -1,17 +1,17 @@
-//! The list of targets: one actor that asks the platform's agent for the whole list, then watches what changes.
+//! The list of endpoints: one actor that asks the platform's agent for the whole list, then watches what changes.
 
-use crate::notes::{ListNote, Note};
-use crate::platform::{AskFault, Platform};
-use crate::protocol::{list_path, ListText};
-pub use held::Held;
+use crate::commands::{DispatcherCommand, EndpointListCommand};
+use crate::platform::{Platform, PlatformError};
+use crate::protocol::{list_path, EndpointListDocument};
 use hyper::{Method, StatusCode};
-use opalpulley::{Event, ListNews, LONGEST_SILENCE};
+use opalpulley::{EndpointListUpdate, Event, LONGEST_SILENCE};
 use opalpulley_config::Names;
 use slog::{info, warn, Logger};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::time::Duration;
+pub use table::EndpointTable;
 use tokio::sync::{mpsc, watch};
 
 const WATCH: Duration = Duration::from_secs(5); // of a watch where changes come by themselves: silence is noticed soon after
@@ -23,20 +23,21 @@
 const OVERDUE: Duration = Duration::from_secs(7); // for a call that was given up: past any other that is made meanwhile
 const AGAIN: Duration = Duration::from_millis(150); // between tries: under the time after which a watch begins anew
 
-pub struct List {
+pub struct EndpointListWatch {
     pub platform: Platform,
     /// Where the platform is asked, from each change on.
     pub discovery: watch::Receiver<SocketAddr>,
     pub names: Names,
-    pub held: Held,
+    pub held: EndpointTable,
     /// Changes come only after they are asked for.
     pub must_be_asked: bool,
-    pub dispatcher: mpsc::Sender<Note>,
+    pub dispatcher: mpsc::Sender<DispatcherCommand>,
     pub log: Logger,
 }
 
 /// A call under way, with the connection that it goes over.
-type Call = Pin<Box<dyn Future<Output = (Platform, Result<ListText, AskFault>)> + Send>>;
+type AttemptRequest =
+    Pin<Box<dyn Future<Output = (Platform, Result<EndpointListDocument, PlatformError>)> + Send>>;
 
 /// What the list's actor is to ask, and what it has out.
 struct PollState {
@@ -47,19 +48,19 @@
     /// A call that was given up, until it is answered or the next one has an end other than a refusal. A discovery that
     /// has more calls than it can work off answers late: were that not heard, its work would be lost, and the calls
     /// made again instead would keep it from ever answering in time.
-    overdue: Option<Call>,
+    overdue: Option<AttemptRequest>,
 }
 
 impl PollState {
-    fn handle_command(&mut self, note: ListNote) {
+    fn handle_command(&mut self, note: EndpointListCommand) {
         match note {
-            ListNote::Watch(on) => self.watching = on,
-            ListNote::Fetch => self.fetch = true,
+            EndpointListCommand::Watch(on) => self.watching = on,
+            EndpointListCommand::Fetch => self.fetch = true,
         }
     }
 
     /// The answer to the call that was given up; never, where there is none.
-    async fn late(&mut self) -> Result<ListText, AskFault> {
+    async fn late(&mut self) -> Result<EndpointListDocument, PlatformError> {
         let Some(call) = &mut self.overdue else {
             return std::future::pending().await;
         };
@@ -71,15 +72,15 @@
 
 /// How a call ended for the actor.
 enum Ending {
-    Answered(Result<ListText, AskFault>),
+    Answered(Result<EndpointListDocument, PlatformError>),
     /// Something else is wanted, or wanted elsewhere.
     NotWanted,
     /// Nobody takes news any more.
     Over,
 }
 
-impl List {
-    pub async fn run(mut self, mut mailbox: mpsc::Receiver<ListNote>) {
+impl EndpointListWatch {
+    pub async fn run(mut self, mut mailbox: mpsc::Receiver<EndpointListCommand>) {
         // A watch tells what changed since the list that is known: the whole of it would cost as much once more.
         let fetch = !self.must_be_asked || self.held.revision.is_none();
         let mut polling = PollState {
@@ -120,7 +121,7 @@
     async fn ask(
         &mut self,
         polling: &mut PollState,
-        mailbox: &mut mpsc::Receiver<ListNote>,
+        mailbox: &mut mpsc::Receiver<EndpointListCommand>,
     ) -> Ending {
         // Where the list must be asked for, the whole of it may take as long as a watch: a call given up is paid for.
         let (wait, patience, whole) = match self.must_be_asked {
@@ -148,7 +149,7 @@
                 }
                 () = &mut silent => {
                     polling.overdue = self.must_be_asked.then_some(call);
-                    return Ending::Answered(Err(AskFault::OutOfTime));
+                    return Ending::Answered(Err(PlatformError::OutOfTime));
                 }
                 note = mailbox.recv() => match note {
                     Some(note) => polling.handle_command(note),
@@ -166,7 +167,7 @@
         }
     }
 
-    fn begin(&mut self, path: String, within: Duration) -> Call {
+    fn begin(&mut self, path: String, within: Duration) -> AttemptRequest {
         let another = self.platform.another();
         let mut platform = std::mem::replace(&mut self.platform, another);
         Box::pin(async move {
@@ -181,14 +182,14 @@
     }
 
     /// Tells the module what is new. Gives whether it takes news.
-    async fn pass_on_list(&mut self, polling: &mut PollState, text: ListText) -> bool {
+    async fn pass_on_list(&mut self, polling: &mut PollState, text: EndpointListDocument) -> bool {
         if std::mem::take(&mut polling.down) {
             info!(self.log, "the list is told again"; "revision" => text.revision);
         }
         match self.held.take(text, &self.names) {
             Some(news) => self
                 .dispatcher
-                .send(Note::Event(Event::List(news)))
+                .send(DispatcherCommand::Event(Event::EndpointList(news)))
                 .await
                 .is_ok(),
             None => true,
@@ -200,7 +201,7 @@
     async fn take_late(
         &mut self,
         polling: &mut PollState,
-        late: Result<ListText, AskFault>,
+        late: Result<EndpointListDocument, PlatformError>,
     ) -> bool {
         match late {
             Ok(text) if self.held.revision.is_none_or(|held| held <= text.revision) => {
@@ -213,8 +214,8 @@
     }
 
     /// Gives whether the module takes news.
-    async fn failed(&mut self, polling: &mut PollState, problem: AskFault) -> bool {
-        let silent = matches!(problem, AskFault::OutOfTime);
+    async fn failed(&mut self, polling: &mut PollState, problem: PlatformError) -> bool {
+        let silent = matches!(problem, PlatformError::OutOfTime);
         if !std::mem::replace(&mut polling.down, true) {
             warn!(self.log, "the list is not told"; "problem" => %problem);
         }
@@ -222,7 +223,9 @@
             (polling.watching, polling.fetch) = (false, false);
             if self
                 .dispatcher
-                .send(Note::Event(Event::List(ListNews::Failed)))
+                .send(DispatcherCommand::Event(Event::EndpointList(
+                    EndpointListUpdate::Failed,
+                )))
                 .await
                 .is_err()
             {
@@ -246,14 +249,14 @@
     }
 }
 
-fn read_list(status: StatusCode, body: &[u8]) -> Result<ListText, AskFault> {
+fn read_list(status: StatusCode, body: &[u8]) -> Result<EndpointListDocument, PlatformError> {
     if status != StatusCode::OK {
-        return Err(AskFault::Refused(status));
+        return Err(PlatformError::Refused(status));
     }
-    serde_json::from_slice(body).map_err(AskFault::NotUnderstood)
+    serde_json::from_slice(body).map_err(PlatformError::NotUnderstood)
 }
 
-mod held;
+mod table;
 
 #[cfg(test)]
 mod tests;
--- a/crates/forwarder/src/list/held.rs
+++ b/crates/forwarder/src/endpoint_list/table.rs
@@ -1,9 +1,9 @@
-//! The list of targets as last held: each member once, with what the core is told of it, found by id and by address.
+//! The list of endpoints as last held: each member once, with what the core is told of it, found by id and by address.
 
-use crate::protocol::{ListText, Member, Phase};
+use crate::protocol::{EndpointListDocument, Member, Phase};
 use compact_str::CompactString;
 use hashbrown::HashTable;
-use opalpulley::{ListNews, Listing, Standing};
+use opalpulley::{EndpointEntry, EndpointListUpdate, EndpointStatus};
 use opalpulley_config::Names;
 use slab::Slab;
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 
 /// The list as last held. Each member leaves as it goes.
 #[derive(Default)]
-pub struct Held {
+pub struct EndpointTable {
     /// Of the last news; none until some are in.
     pub(super) revision: Option<u64>,
     table: Table,
@@ -19,10 +19,14 @@
     next: u32,
 }
 
-impl Held {
+impl EndpointTable {
     /// Takes news in and gives them in the core's terms; nothing where they are of before. The work follows what is
     /// told, not what is held.
-    pub fn take(&mut self, text: ListText, names: &Names) -> Option<ListNews> {
+    pub fn take(
+        &mut self,
+        text: EndpointListDocument,
+        names: &Names,
+    ) -> Option<EndpointListUpdate> {
         if !text.complete && self.revision.is_some_and(|r| text.revision < r) {
             return None;
         }
@@ -33,7 +37,7 @@
         }
     }
 
-    fn take_whole(&mut self, members: Vec<Member>, names: &Names) -> ListNews {
+    fn take_whole(&mut self, members: Vec<Member>, names: &Names) -> EndpointListUpdate {
         let before = std::mem::replace(&mut self.table, Table::with_room(members.len()));
         for member in members {
             let old = before.get(&member.id).cloned();
@@ -41,12 +45,12 @@
         }
         let mut rows: Vec<&Row> = self.table.rows.iter().map(|(_, row)| row).collect();
         rows.sort_unstable_by(|a, b| a.id.cmp(&b.id));
-        ListNews::Whole(rows.into_iter().map(|row| row.listing.clone()).collect())
+        EndpointListUpdate::Complete(rows.into_iter().map(|row| row.listing.clone()).collect())
     }
 
-    fn take_changes(&mut self, members: Vec<Member>, names: &Names) -> Option<ListNews> {
+    fn take_changes(&mut self, members: Vec<Member>, names: &Names) -> Option<EndpointListUpdate> {
         // Those that are told of, as they stood before.
-        let mut before: BTreeMap<CompactString, Option<Listing>> = BTreeMap::new();
+        let mut before: BTreeMap<CompactString, Option<EndpointEntry>> = BTreeMap::new();
         for member in members {
             let old = before.entry(member.id.clone());
             let old = old
@@ -60,21 +64,27 @@
         let was = before
             .iter()
             .filter_map(|(id, old)| Some((id, old.as_ref()?)));
-        let gone =
-            was.filter(|(id, old)| now(id).is_none_or(|n| n.target.holder != old.target.holder));
-        let gone = gone.map(|(_, old)| Listing {
-            standing: Standing::Gone,
+        let gone = was.filter(|(id, old)| {
+            now(id).is_none_or(|n| n.endpoint.incarnation != old.endpoint.incarnation)
+        });
+        let gone = gone.map(|(_, old)| EndpointEntry {
+            status: EndpointStatus::Removed,
             ..old.clone()
         });
         let told = before
             .iter()
             .filter_map(|(id, old)| now(id).filter(|now| old.as_ref() != Some(now)));
-        let entries: Vec<Listing> = gone.chain(told.cloned()).collect();
-        (!entries.is_empty()).then_some(ListNews::Changes(entries))
+        let entries: Vec<EndpointEntry> = gone.chain(told.cloned()).collect();
+        (!entries.is_empty()).then_some(EndpointListUpdate::Changes(entries))
     }
 
     /// Takes one line in, whose member stood as `old` before these news. Gives the one that it sends off its address.
-    fn take_member(&mut self, member: Member, old: Option<&Listing>, names: &Names) -> Option<Row> {
+    fn take_member(
+        &mut self,
+        member: Member,
+        old: Option<&EndpointEntry>,
+        names: &Names,
+    ) -> Option<Row> {
         if member.phase == Phase::Gone {
             self.table.remove(&member.id);
             return None;
@@ -91,11 +101,11 @@
         }
         let sent_off = other.and_then(|id| self.table.remove(&id));
         // Guards a new member against what was learned of another that had its address, or of itself elsewhere.
-        let place = |l: &Listing| (address(l), l.destination);
+        let place = |l: &EndpointEntry| (address(l), l.destination);
         let same = old
             .filter(|old| place(old) == place(&listing))
-            .map(|old| old.target.holder);
-        listing.target.holder = same.unwrap_or_else(|| self.new_number());
+            .map(|old| old.endpoint.incarnation);
+        listing.endpoint.incarnation = same.unwrap_or_else(|| self.new_number());
         self.table.remove(&member.id);
         self.table.insert(Row {
             id: member.id,
@@ -117,17 +127,17 @@
     }
 }
 
-/// Where a target listens: address and port.
+/// Where an endpoint listens: address and port.
 type Address = ([u8; 4], u16);
 
-fn address(listing: &Listing) -> Address {
-    (listing.target.address, listing.target.port)
+fn address(listing: &EndpointEntry) -> Address {
+    (listing.endpoint.address, listing.endpoint.port)
 }
 
 /// A member as held.
 struct Row {
     id: CompactString,
-    listing: Listing,
+    listing: EndpointEntry,
 }
 
 /// Members, with two ways to find one. Each has an id and an address of its own. A row leaves with its member; the room
@@ -150,7 +160,7 @@
         }
     }
 
-    fn get(&self, id: &str) -> Option<&Listing> {
+    fn get(&self, id: &str) -> Option<&EndpointEntry> {
         let place = self.by_id.find(self.hasher.hash_one(id), |place| {
             self.rows[*place as usize].id == id
         })?;
--- a/crates/forwarder/src/list/held/tests.rs
+++ b/crates/forwarder/src/endpoint_list/table/tests.rs
@@ -10,10 +10,10 @@
 fn names() -> Names {
     let (zones, kinds) = (vec!["a".into(), "b".into()], vec!["m".into()]);
     Names {
-        profiles: Vec::new(),
+        classes: Vec::new(),
         tenants: Vec::new(),
         zones,
-        kinds,
+        endpoint_kinds: kinds,
         reports: Vec::new(),
     }
 }
@@ -22,18 +22,18 @@
 #[derive(Default)]
 struct Plain {
     revision: Option<u64>,
-    members: BTreeMap<String, Listing>,
+    members: BTreeMap<String, EndpointEntry>,
     holders: BTreeMap<SocketAddrV4, String>,
     next: u32,
 }
 
 impl Plain {
-    fn take(&mut self, text: ListText, names: &Names) -> Option<ListNews> {
+    fn take(&mut self, text: EndpointListDocument, names: &Names) -> Option<EndpointListUpdate> {
         if !text.complete && self.revision.is_some_and(|r| text.revision < r) {
             return None;
         }
         self.revision = Some(text.revision);
-        let mut before: BTreeMap<String, Option<Listing>> = BTreeMap::new();
+        let mut before: BTreeMap<String, Option<EndpointEntry>> = BTreeMap::new();
         if text.complete {
             self.holders.clear();
             before = std::mem::take(&mut self.members)
@@ -63,12 +63,12 @@
                     let removed = self.remove(&other);
                     before.entry(other).or_insert(removed);
                 }
-                listing.target.holder = same.map_or_else(
+                listing.endpoint.incarnation = same.map_or_else(
                     || {
                         self.next += 1;
                         self.next
                     },
-                    |old| old.target.holder,
+                    |old| old.endpoint.incarnation,
                 );
                 self.remove(&id);
                 self.holders.insert(member.host_port, id.clone());
@@ -76,27 +76,32 @@
             }
         }
         if text.complete {
-            return Some(ListNews::Whole(self.members.values().cloned().collect()));
+            return Some(EndpointListUpdate::Complete(
+                self.members.values().cloned().collect(),
+            ));
         }
         let was = before
             .iter()
             .filter_map(|(id, old)| Some((id, old.as_ref()?)));
-        let gone =
-            was.filter(|(id, old)| self.members.get(*id).is_none_or(|n| n.target != old.target));
-        let gone = gone.map(|(_, old)| Listing {
-            standing: Standing::Gone,
+        let gone = was.filter(|(id, old)| {
+            self.members
+                .get(*id)
+                .is_none_or(|n| n.endpoint != old.endpoint)
+        });
+        let gone = gone.map(|(_, old)| EndpointEntry {
+            status: EndpointStatus::Removed,
             ..old.clone()
         });
         let told = before
             .iter()
             .filter_map(|(id, old)| self.members.get(id).filter(|now| old.as_ref() != Some(now)));
-        let entries: Vec<Listing> = gone.chain(told.cloned()).collect();
-        (!entries.is_empty()).then_some(ListNews::Changes(entries))
+        let entries: Vec<EndpointEntry> = gone.chain(told.cloned()).collect();
+        (!entries.is_empty()).then_some(EndpointListUpdate::Changes(entries))
     }
 
-    fn remove(&mut self, id: &str) -> Option<Listing> {
+    fn remove(&mut self, id: &str) -> Option<EndpointEntry> {
         let removed = self.members.remove(id)?;
-        let at = SocketAddrV4::new(removed.target.address.into(), removed.target.port);
+        let at = SocketAddrV4::new(removed.endpoint.address.into(), removed.endpoint.port);
         if self.holders.get(&at).is_some_and(|holder| holder == id) {
             self.holders.remove(&at);
         }
@@ -106,7 +111,7 @@
 
 /// A list of few ids and addresses, so that they meet; each name may be one that nobody knows.
 #[derive(Clone, Debug)]
-struct AnyText(ListText);
+struct AnyText(EndpointListDocument);
 
 impl Arbitrary for AnyText {
     fn arbitrary(g: &mut Gen) -> AnyText {
@@ -133,7 +138,7 @@
             }
         };
         let members = (0..usize::arbitrary(g) % 6).map(|_| member(g)).collect();
-        AnyText(ListText {
+        AnyText(EndpointListDocument {
             revision: u64::arbitrary(g) % 8,
             complete: bool::arbitrary(g),
             members,
@@ -145,7 +150,7 @@
 #[test]
 fn any_lists_give_the_news_of_a_plain_table() {
     fn equal(texts: Vec<AnyText>) -> bool {
-        let (mut held, mut plain) = (Held::default(), Plain::default());
+        let (mut held, mut plain) = (EndpointTable::default(), Plain::default());
         texts.into_iter().all(|AnyText(text)| {
             let news = held.take(text.clone(), &names());
             let table = &held.table;
@@ -160,7 +165,7 @@
         .quickcheck(equal as fn(Vec<AnyText>) -> bool);
 }
 
-fn many(revision: u64, complete: bool, numbers: impl Iterator<Item = u32>) -> ListText {
+fn many(revision: u64, complete: bool, numbers: impl Iterator<Item = u32>) -> EndpointListDocument {
     let member = |n: u32| Member {
         id: format!("target-{n:06}").into(),
         host_port: SocketAddrV4::new((0x0a00_0000 + n).into(), 8080),
@@ -171,21 +176,21 @@
         size: 50.0,
         up_since_ms: 0,
     };
-    ListText {
+    EndpointListDocument {
         revision,
         complete,
         members: numbers.map(member).collect(),
     }
 }
 
-fn whole(news: Option<ListNews>) -> Vec<Listing> {
+fn whole(news: Option<EndpointListUpdate>) -> Vec<EndpointEntry> {
     match news {
-        Some(ListNews::Whole(entries)) => entries,
+        Some(EndpointListUpdate::Complete(entries)) => entries,
         other => panic!("not the whole: {other:?}"),
     }
 }
 
-impl Held {
+impl EndpointTable {
     /// What the table takes in memory; ids of up to 24 bytes lie in their rows.
     fn bytes(&self) -> usize {
         let Table {
@@ -203,7 +208,7 @@
 /// Guards memory at the size that is coming, also where half the list comes and goes each second.
 #[test]
 fn a_hundred_thousand_members_take_few_bytes_each_however_they_flap() {
-    let mut held = Held::default();
+    let mut held = EndpointTable::default();
     let first = whole(held.take(many(1, true, 0..MANY), &names()));
     assert_eq!(first.len(), MANY as usize);
     let room = held.bytes();
@@ -222,7 +227,7 @@
             .zip(&first)
             .skip(1)
             .step_by(2)
-            .all(|(now, then)| now.target != then.target));
+            .all(|(now, then)| now.endpoint != then.endpoint));
         assert_eq!(held.bytes(), room);
     }
     for revision in 20..30 {
@@ -233,7 +238,7 @@
                 .iter_mut()
                 .for_each(|member| member.phase = Phase::Gone);
         }
-        let Some(ListNews::Changes(entries)) = held.take(change, &names()) else {
+        let Some(EndpointListUpdate::Changes(entries)) = held.take(change, &names()) else {
             panic!("no changes")
         };
         assert_eq!(entries.len(), MANY as usize / 2);
--- a/crates/forwarder/src/list/tests.rs
+++ b/crates/forwarder/src/endpoint_list/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 use crate::protocol::{Member, Phase};
-use opalpulley::{Listing, Standing};
+use opalpulley::{EndpointEntry, EndpointStatus};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
 fn names() -> Names {
     Names {
-        profiles: Vec::new(),
+        classes: Vec::new(),
         tenants: Vec::new(),
         zones: vec!["a".into()],
-        kinds: vec!["m".into()],
+        endpoint_kinds: vec!["m".into()],
         reports: Vec::new(),
     }
 }
 
-fn text(revision: u64, complete: bool, members: &[(&str, u16, Phase)]) -> ListText {
+fn text(revision: u64, complete: bool, members: &[(&str, u16, Phase)]) -> EndpointListDocument {
     let member = |(id, port, phase): &(&str, u16, Phase)| Member {
         id: (*id).into(),
         host_port: format!("10.0.0.1:{port}").parse().expect("an address"),
@@ -26,43 +26,50 @@
         size: 1.0,
         up_since_ms: 0,
     };
-    ListText {
+    EndpointListDocument {
         revision,
         complete,
         members: members.iter().map(member).collect(),
     }
 }
 
-/// What some news say of each target by that key, in order of keys.
-fn told_by<K: Ord>(key: fn(&Listing) -> K, news: Option<ListNews>) -> Vec<(K, Standing)> {
-    let (ListNews::Changes(entries) | ListNews::Whole(entries) | ListNews::Cached(entries)) =
-        news.expect("news")
+/// What some news say of each endpoint by that key, in order of keys.
+fn told_by<K: Ord>(
+    key: fn(&EndpointEntry) -> K,
+    news: Option<EndpointListUpdate>,
+) -> Vec<(K, EndpointStatus)> {
+    let (EndpointListUpdate::Changes(entries)
+    | EndpointListUpdate::Complete(entries)
+    | EndpointListUpdate::Cached(entries)) = news.expect("news")
     else {
         panic!("no entries")
     };
-    let mut told: Vec<_> = entries.iter().map(|e| (key(e), e.standing)).collect();
+    let mut told: Vec<_> = entries.iter().map(|e| (key(e), e.status)).collect();
     told.sort_by(|(a, _), (b, _)| a.cmp(b));
     told
 }
 
-fn told(news: Option<ListNews>) -> Vec<(u16, Standing)> {
-    told_by(|e| e.target.port, news)
+fn told(news: Option<EndpointListUpdate>) -> Vec<(u16, EndpointStatus)> {
+    told_by(|e| e.endpoint.port, news)
 }
 
-fn numbers(news: Option<ListNews>) -> Vec<(u32, Standing)> {
-    told_by(|e| e.target.holder, news)
+fn numbers(news: Option<EndpointListUpdate>) -> Vec<(u32, EndpointStatus)> {
+    told_by(|e| e.endpoint.incarnation, news)
 }
 
 #[test]
 fn changes_build_on_the_list_and_old_ones_are_passed_over() {
-    let mut held = Held::default();
+    let mut held = EndpointTable::default();
     let whole = text(5, true, &[("x", 1, Phase::Ready), ("y", 2, Phase::Ready)]);
     assert_eq!(
         told(held.take(whole, &names())),
-        [(1, Standing::Ready), (2, Standing::Ready)]
+        [(1, EndpointStatus::Ready), (2, EndpointStatus::Ready)]
     );
     let change = text(6, false, &[("y", 2, Phase::Terminating)]);
-    assert_eq!(told(held.take(change, &names())), [(2, Standing::Draining)]);
+    assert_eq!(
+        told(held.take(change, &names())),
+        [(2, EndpointStatus::Draining)]
+    );
     assert!(held
         .take(text(4, false, &[("y", 2, Phase::Ready)]), &names())
         .is_none());
@@ -70,16 +77,22 @@
     assert_eq!(held.revision, Some(7));
 }
 
-/// Guards drains, health and destinations where an address changes hands: each holder is a target of its own.
+/// Guards drains, health and destinations where an address changes hands: each holder is an endpoint of its own.
 #[test]
 fn a_member_that_moves_leaves_its_address_and_a_new_one_keeps_it() {
-    let mut held = Held::default();
+    let mut held = EndpointTable::default();
     held.take(text(1, true, &[("x", 1, Phase::Ready)]), &names());
     let moved = held.take(text(2, false, &[("x", 2, Phase::Ready)]), &names());
-    assert_eq!(told(moved), [(1, Standing::Gone), (2, Standing::Ready)]);
+    assert_eq!(
+        told(moved),
+        [(1, EndpointStatus::Removed), (2, EndpointStatus::Ready)]
+    );
     // Another takes the address over: the first is gone, and the second is not it under the same address.
     let taken = held.take(text(3, false, &[("z", 2, Phase::Ready)]), &names());
-    assert_eq!(numbers(taken), [(2, Standing::Gone), (3, Standing::Ready)]);
+    assert_eq!(
+        numbers(taken),
+        [(2, EndpointStatus::Removed), (3, EndpointStatus::Ready)]
+    );
     // The drain and the end of the first, told late, are not those of the second.
     assert!(held
         .take(text(4, false, &[("x", 2, Phase::Terminating)]), &names())
@@ -90,14 +103,14 @@
     let both = &[("x", 2, Phase::Terminating), ("z", 2, Phase::Ready)];
     assert_eq!(
         numbers(held.take(text(6, true, both), &names())),
-        [(3, Standing::Ready)]
+        [(3, EndpointStatus::Ready)]
     );
-    // The same address for another destination is another target.
+    // The same address for another destination is another endpoint.
     let mut other = text(7, false, &[("z", 2, Phase::Ready)]);
     other.members[0].cell = 4;
     assert_eq!(
         numbers(held.take(other, &names())),
-        [(3, Standing::Gone), (5, Standing::Ready)]
+        [(3, EndpointStatus::Removed), (5, EndpointStatus::Ready)]
     );
     // Nothing is kept of those that have gone.
     held.take(text(8, false, &[("z", 2, Phase::Gone)]), &names());
@@ -115,11 +128,11 @@
     let (_moves, discovery) = watch::channel(address);
     let (notes, mailbox) = mpsc::channel(4);
     let (dispatcher, _events) = mpsc::channel(4);
-    let mut held = Held::default();
+    let mut held = EndpointTable::default();
     held.take(text(7, true, &[("x", 1, Phase::Ready)]), &names());
     let log = Logger::root(slog::Discard, slog::o!());
     let platform = Platform::new(address);
-    let list = List {
+    let list = EndpointListWatch {
         platform,
         discovery,
         names: names(),
@@ -132,7 +145,7 @@
     let early = tokio::time::timeout(Duration::from_millis(100), agent.accept()).await;
     assert!(early.is_err(), "asked before it was wanted");
     notes
-        .send(ListNote::Watch(true))
+        .send(EndpointListCommand::Watch(true))
         .await
         .expect("the actor runs");
     let (mut stream, _) = agent.accept().await.expect("a call");
@@ -141,7 +154,7 @@
     assert!(String::from_utf8_lossy(&head[..read]).starts_with("GET /discovery/hosts?index=7&"));
     // The same wish once more while the call is out: it is left alone.
     notes
-        .send(ListNote::Watch(true))
+        .send(EndpointListCommand::Watch(true))
         .await
         .expect("the actor runs");
     assert!(
@@ -157,7 +170,7 @@
 /// A change to a list of thousands once cloned all of it, and each member of a whole list looked at all others.
 #[test]
 fn thousands_of_members_and_of_changes_are_taken_as_they_are_told() {
-    let mut held = Held::default();
+    let mut held = EndpointTable::default();
     let ids: Vec<String> = (0..4_096).map(|n| format!("s-{n}")).collect();
     let whole: Vec<_> = ids
         .iter()
@@ -171,7 +184,7 @@
     );
     for (id, port, _) in whole {
         let news = held.take(text(2, false, &[(id, port, Phase::Terminating)]), &names());
-        assert_eq!(told(news), [(port, Standing::Draining)]);
+        assert_eq!(told(news), [(port, EndpointStatus::Draining)]);
     }
     // 25 s, where each change looks at all.
     assert!(
@@ -189,9 +202,9 @@
     assert_eq!(
         news,
         [
-            (1, Standing::Ready),
-            (2, Standing::Gone),
-            (4_097, Standing::Ready)
+            (1, EndpointStatus::Ready),
+            (2, EndpointStatus::Removed),
+            (4_097, EndpointStatus::Ready)
         ]
     );
 }
@@ -246,11 +259,11 @@
     });
     let (dispatcher, _news) = mpsc::channel(8);
     let (_moves, discovery) = watch::channel(address);
-    let list = List {
+    let list = EndpointListWatch {
         platform: Platform::new(address),
         discovery,
         names: names(),
-        held: Held::default(),
+        held: EndpointTable::default(),
         must_be_asked: false,
         dispatcher,
         log: Logger::root(slog::Discard, slog::o!()),
@@ -345,11 +358,11 @@
     let lines = std::sync::Arc::default();
     let (dispatcher, mut events) = mpsc::channel(4);
     let (_moves, discovery) = watch::channel(address);
-    let list = List {
+    let list = EndpointListWatch {
         platform: Platform::new(address),
         discovery,
         names: names(),
-        held: Held::default(),
+        held: EndpointTable::default(),
         must_be_asked: false,
         dispatcher,
         log: Logger::root(Lines(std::sync::Arc::clone(&lines)), slog::o!()),
@@ -360,7 +373,10 @@
         let news = tokio::time::timeout(Duration::from_secs(20), events.recv())
             .await
             .expect("in time");
-        let Some(Note::Event(Event::List(ListNews::Whole(entries)))) = news else {
+        let Some(DispatcherCommand::Event(Event::EndpointList(EndpointListUpdate::Complete(
+            entries,
+        )))) = news
+        else {
             panic!("no whole list")
         };
         assert_eq!(entries.len(), wanted as usize);
--- a/crates/forwarder/src/targets.rs
+++ b/crates/forwarder/src/endpoints.rs
@@ -1,16 +1,16 @@
-//! One actor a target: it owns the connections there, carries calls and probes, and says how each ended.
+//! One actor an endpoint: it owns the connections there, carries calls and health checks, and says how each ended.
 //! It decides nothing and sends nothing again by itself.
 
 use crate::clock::micros;
-use crate::link::Link;
-use crate::notes::{Call, Note, TargetNote};
-use crate::protocol::{self, Outgoing, MOST_AHEAD};
-use crate::stream::{Answer, Stream, StreamState};
+use crate::commands::{AttemptRequest, DispatcherCommand, EndpointCommand};
+use crate::http_connection::HttpConnection;
+use crate::protocol::{self, Outgoing, READ_BUFFER_BYTES};
+use crate::stream::{AnswerProgress, Stream, StreamState};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::Builder;
 use hyper::Response;
-use opalpulley::{Event, Micros, Outcome, PacketId, TargetId};
+use opalpulley::{EndpointId, Event, MessageId, Micros, Outcome};
 use opalpulley_config::{ConnectionConfig, Names};
 use slog::{debug, error, Logger};
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
 const DRAIN: Duration = Duration::from_millis(500); // for the rest of an answer whose first line is in: bodies are small
 const HEAD_TIME: Duration = Duration::from_millis(300); // from an answer's first byte to the end of its head: one write
 const SETTLE: Duration = Duration::from_millis(3); // before a connection serves again: noise comes right behind an answer
-const PROBE_TIME: f64 = 1.5; // times what a connection may take: a probe opens one and waits for its answer
+const HEALTH_CHECK_TIME: f64 = 1.5; // times what a connection may take: a health check opens one and waits for its answer
 
 /// How far an attempt had come when it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,20 +44,20 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum FailureCause {
     Broken,
     OutOfTime,
-    CalledOff,
+    Cancelled,
     /// The last moment at which it might begin is over, and none of its bytes has gone.
     TooLate,
     /// It is to go no further, and has not gone whole.
-    TakenBack,
+    Withdrawn,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallFault {
     pub stage: Stage,
-    pub why: Why,
+    pub why: FailureCause,
 }
 
 impl fmt::Display for CallFault {
@@ -71,51 +71,51 @@
 impl From<CallFault> for Outcome {
     fn from(fault: CallFault) -> Outcome {
         match (fault.why, fault.stage) {
-            (Why::CalledOff, _) => Outcome::CalledOff,
-            (Why::TooLate, _) => Outcome::Moot { no_slot: false },
-            (Why::TakenBack, _) => Outcome::TakenBack,
+            (FailureCause::Cancelled, _) => Outcome::Cancelled,
+            (FailureCause::TooLate, _) => Outcome::NotAttempted { no_permit: false },
+            (FailureCause::Withdrawn, _) => Outcome::WithdrawnBeforeSend,
             (_, Stage::Connecting) => Outcome::NoConnection,
-            (Why::Broken, Stage::Writing) => Outcome::NoConnection,
-            (Why::Broken, Stage::Written) => Outcome::Reset,
-            (Why::OutOfTime, _) => Outcome::Timeout,
+            (FailureCause::Broken, Stage::Writing) => Outcome::NoConnection,
+            (FailureCause::Broken, Stage::Written) => Outcome::Reset,
+            (FailureCause::OutOfTime, _) => Outcome::Timeout,
         }
     }
 }
 
-/// What all target actors share.
-pub struct TargetContext {
+/// What all endpoint actors share.
+pub struct EndpointContext {
     pub config: ConnectionConfig,
     pub names: Names,
     /// One permit for each connection that may stand idle.
     pub idle: Arc<Semaphore>,
-    pub dispatcher: mpsc::Sender<Note>,
+    pub dispatcher: mpsc::Sender<DispatcherCommand>,
     pub log: Logger,
 }
 
-/// A connection to a target, with the state of its stream.
+/// A connection to an endpoint, with the state of its stream.
 struct Connection {
-    link: Link,
+    link: HttpConnection,
     stream_state: Arc<StreamState>,
 }
 
 impl Connection {
-    async fn open(target: TargetId, within: Duration) -> Result<Connection, CallFault> {
+    async fn open(endpoint: EndpointId, within: Duration) -> Result<Connection, CallFault> {
         let fault = |why| CallFault {
             stage: Stage::Connecting,
             why,
         };
         let up = async {
-            let stream = TcpStream::connect(protocol::address(target)).await.ok()?;
+            let stream = TcpStream::connect(protocol::address(endpoint)).await.ok()?;
             stream.set_nodelay(true).ok()?;
             let (stream, stream_state) = Stream::new(stream);
-            let link = Link::over(stream, Builder::new().max_buf_size(MOST_AHEAD))
+            let link = HttpConnection::over(stream, Builder::new().max_buf_size(READ_BUFFER_BYTES))
                 .await
                 .ok()?;
             Some(Connection { link, stream_state })
         };
         match tokio::time::timeout(within, up).await {
-            Ok(connection) => connection.ok_or(fault(Why::Broken)),
-            Err(_) => Err(fault(Why::OutOfTime)),
+            Ok(connection) => connection.ok_or(fault(FailureCause::Broken)),
+            Err(_) => Err(fault(FailureCause::OutOfTime)),
         }
     }
 
@@ -139,7 +139,7 @@
     fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), CallFault>> {
         self.link.sender.poll_ready(cx).map_err(|_| CallFault {
             stage: Stage::Connecting,
-            why: Why::Broken,
+            why: FailureCause::Broken,
         })
     }
 
@@ -153,7 +153,7 @@
                     some if some < call.length => Stage::Writing,
                     _ => Stage::Written,
                 },
-                why: Why::Broken,
+                why: FailureCause::Broken,
             })
         })
     }
@@ -165,43 +165,43 @@
     _permit: OwnedSemaphorePermit,
 }
 
-/// What a call or probe under way is for.
+/// What a call or health check under way is for.
 #[derive(Clone, Copy)]
-enum Errand {
-    Trip { id: PacketId, trip: u8 },
-    Probe,
+enum AttemptKind {
+    Attempt { id: MessageId, attempt: u8 },
+    HealthCheck,
 }
 
-/// What a call or probe under way is told; a later one takes nothing of an earlier one back.
+/// What a call or health check under way is told; a later one takes nothing of an earlier one back.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Order {
-    GoOn,
-    TakeBack,
-    CallOff,
+enum StopRequest {
+    Continue,
+    WithdrawUnsent,
+    Cancel,
 }
 
-struct Underway {
-    errand: Errand,
+struct InFlight {
+    kind: AttemptKind,
     began: Instant,
-    orders: watch::Sender<Order>,
+    orders: watch::Sender<StopRequest>,
 }
 
-pub struct Target {
-    id: TargetId,
-    context: Arc<TargetContext>,
+pub struct Endpoint {
+    id: EndpointId,
+    context: Arc<EndpointContext>,
     idle: Vec<Idle>, // the latest used last; emptied as they are used or retired
     tasks: JoinSet<Option<Connection>>, // one for each errand; each leaves as it ends
-    underway: BTreeMap<Id, Underway>, // the same
+    in_flight: BTreeMap<Id, InFlight>, // the same
 }
 
-impl Target {
-    pub fn new(id: TargetId, context: Arc<TargetContext>) -> Target {
-        Target {
+impl Endpoint {
+    pub fn new(id: EndpointId, context: Arc<EndpointContext>) -> Endpoint {
+        Endpoint {
             id,
             context,
             idle: Vec::new(),
             tasks: JoinSet::new(),
-            underway: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
         }
     }
 
@@ -211,7 +211,7 @@
     }
 
     /// Runs until the mailbox is closed and all errands are over.
-    pub async fn run(mut self, mut mailbox: mpsc::Receiver<TargetNote>) {
+    pub async fn run(mut self, mut mailbox: mpsc::Receiver<EndpointCommand>) {
         let mut open = true;
         while open || !self.tasks.is_empty() {
             let retire = self.idle.first().map(|i| i.since + self.rest());
@@ -225,7 +225,7 @@
                 },
                 Some(done) = self.tasks.join_next_with_id(), if !self.tasks.is_empty() => match done {
                     Ok((task, connection)) => {
-                        self.underway.remove(&task);
+                        self.in_flight.remove(&task);
                         if let Some(connection) = connection.filter(|_| open) {
                             self.keep(connection);
                         }
@@ -240,83 +240,92 @@
         }
     }
 
-    fn handle_command(&mut self, note: TargetNote) {
+    fn handle_command(&mut self, note: EndpointCommand) {
         match note {
-            TargetNote::Call(call) => self.call(*call),
-            TargetNote::Probe => {
-                let request = protocol::encode_probe(self.id);
-                let limit =
-                    Duration::from_micros(self.context.config.connect_within).mul_f64(PROBE_TIME);
-                self.start(Errand::Probe, request, limit, Instant::now() + limit);
+            EndpointCommand::StartAttempt(call) => self.call(*call),
+            EndpointCommand::HealthCheck => {
+                let request = protocol::encode_health_check(self.id);
+                let limit = Duration::from_micros(self.context.config.connect_within)
+                    .mul_f64(HEALTH_CHECK_TIME);
+                self.start(
+                    AttemptKind::HealthCheck,
+                    request,
+                    limit,
+                    Instant::now() + limit,
+                );
             }
-            TargetNote::CallOff { id, trip } => {
-                let named =
-                    |e| matches!(e, Errand::Trip { id: i, trip: t } if (i, t) == (id, trip));
-                self.order(named, Order::CallOff);
+            EndpointCommand::Cancel { id, attempt } => {
+                let named = |e| matches!(e, AttemptKind::Attempt { id: i, attempt: t } if (i, t) == (id, attempt));
+                self.order(named, StopRequest::Cancel);
             }
-            TargetNote::TakeBack => self.order(|_| true, Order::TakeBack),
-            TargetNote::CloseIdle => self.idle.clear(),
+            EndpointCommand::WithdrawUnsent => self.order(|_| true, StopRequest::WithdrawUnsent),
+            EndpointCommand::CloseIdle => self.idle.clear(),
         }
     }
 
-    fn order(&self, whom: impl Fn(Errand) -> bool, order: Order) {
-        let underway = self.underway.values().filter(|u| whom(u.errand));
-        underway.for_each(|u| u.orders.send_modify(|now| *now = order.max(*now)));
+    fn order(&self, whom: impl Fn(AttemptKind) -> bool, order: StopRequest) {
+        let in_flight = self.in_flight.values().filter(|u| whom(u.kind));
+        in_flight.for_each(|u| u.orders.send_modify(|now| *now = order.max(*now)));
     }
 
-    fn call(&mut self, call: Call) {
-        let mark = call.mark.as_deref();
-        let request =
-            protocol::encode_call(self.id, &call.request_id, mark, call.limit, &call.body);
+    fn call(&mut self, call: AttemptRequest) {
+        let idempotency_key = call.idempotency_key.as_deref();
+        let request = protocol::encode_call(
+            self.id,
+            &call.request_id,
+            idempotency_key,
+            call.timeout,
+            &call.body,
+        );
         self.start(
-            Errand::Trip {
+            AttemptKind::Attempt {
                 id: call.id,
-                trip: call.trip,
+                attempt: call.attempt,
             },
             request,
-            call.limit,
-            call.begin_by,
+            call.timeout,
+            call.send_by,
         );
     }
 
     fn start(
         &mut self,
-        errand: Errand,
+        kind: AttemptKind,
         request: Result<Outgoing, hyper::http::Error>,
         limit: Duration,
-        begin_by: Instant,
+        send_by: Instant,
     ) {
-        let (orders, heard) = watch::channel(Order::GoOn);
+        let (orders, heard) = watch::channel(StopRequest::Continue);
         let began = Instant::now();
         let idle = self.take_idle();
-        let (context, target) = (self.context.clone(), self.id);
+        let (context, endpoint) = (self.context.clone(), self.id);
         let task = self.tasks.spawn(async move {
             let ended = match request {
                 Ok(call) => {
-                    let bounds = Bounds { begin: begin_by, end: began + limit };
-                    carry(target, idle, call, &context, bounds, heard).await
+                    let bounds = Bounds { begin: send_by, end: began + limit };
+                    carry(endpoint, idle, call, &context, bounds, heard).await
                 }
                 Err(problem) => {
                     error!(context.log, "a call could not be written"; "problem" => %problem);
-                    Err(CallFault { stage: Stage::Writing, why: Why::Broken })
+                    Err(CallFault { stage: Stage::Writing, why: FailureCause::Broken })
                 }
             };
             let (answer, connection) = match ended {
                 Ok(Came::Head(answer, connection)) => (answer, connection),
                 Ok(Came::Yes) => {
-                    context.report_outcome(target, errand, Outcome::Delivered, true, Vec::new(), began).await;
+                    context.report_outcome(endpoint, kind, Outcome::Delivered, true, Vec::new(), began).await;
                     return None;
                 }
                 Err(fault) => {
-                    debug!(context.log, "a call failed"; "target" => %protocol::address(target), "fault" => %fault);
-                    context.report_outcome(target, errand, fault.into(), false, Vec::new(), began).await;
+                    debug!(context.log, "a call failed"; "target" => %protocol::address(endpoint), "fault" => %fault);
+                    context.report_outcome(endpoint, kind, fault.into(), false, Vec::new(), began).await;
                     return None;
                 }
             };
             let wait = protocol::decode_wait(answer.headers());
             let (outcome, over) = protocol::decode_answer(answer.status(), answer.headers(), wait);
             let report = protocol::decode_report(answer.headers(), &context.names);
-            let rest = Limited::new(answer.into_body(), protocol::MOST_BODY).collect();
+            let rest = Limited::new(answer.into_body(), protocol::MAX_BODY_BYTES).collect();
             let mut rest =
                 pin!(async { matches!(tokio::time::timeout(DRAIN, rest).await, Ok(Ok(_))) });
             let at_once = tokio::select! {
@@ -325,14 +334,14 @@
                 () = ready(()) => None,
             };
             // A wait binds from its head on, whatever comes of the rest; a refusal that is whole tells it with its end.
-            let refused = matches!(outcome, Outcome::Full { .. }) && at_once == Some(true);
+            let refused = matches!(outcome, Outcome::Rejected { .. }) && at_once == Some(true);
             if let Some(wait) = wait.filter(|_| !refused) {
-                context.send_event(Event::WaitTold { target, wait }).await;
+                context.send_event(Event::RetryAfterReceived { endpoint, retry_after: wait }).await;
             }
             // What ran, or may have, is told by the head. That it did not run is believed of a whole answer only.
-            let head_tells = outcome.may_have_run();
+            let head_tells = outcome.may_have_taken_effect();
             if head_tells {
-                context.report_outcome(target, errand, outcome, over, report.clone(), began).await;
+                context.report_outcome(endpoint, kind, outcome, over, report.clone(), began).await;
             }
             let whole = match at_once {
                 Some(whole) => whole,
@@ -340,14 +349,14 @@
             };
             if !head_tells {
                 let (outcome, over) = if whole { (outcome, over) } else { (Outcome::Reset, false) };
-                context.report_outcome(target, errand, outcome, over, report, began).await;
+                context.report_outcome(endpoint, kind, outcome, over, report, began).await;
             }
             connection.served(whole).await
         });
-        self.underway.insert(
+        self.in_flight.insert(
             task.id(),
-            Underway {
-                errand,
+            InFlight {
+                kind,
                 began,
                 orders,
             },
@@ -380,37 +389,37 @@
     /// A panic ends its own call only; how far that had come is not known.
     async fn broken(&mut self, problem: tokio::task::JoinError) {
         error!(self.context.log, "a call broke off"; "problem" => %problem);
-        if let Some(Underway { errand, began, .. }) = self.underway.remove(&problem.id()) {
+        if let Some(InFlight { kind, began, .. }) = self.in_flight.remove(&problem.id()) {
             self.context
-                .report_outcome(self.id, errand, Outcome::Reset, false, Vec::new(), began)
+                .report_outcome(self.id, kind, Outcome::Reset, false, Vec::new(), began)
                 .await;
         }
     }
 }
 
-impl TargetContext {
+impl EndpointContext {
     async fn report_outcome(
         &self,
-        target: TargetId,
-        errand: Errand,
+        endpoint: EndpointId,
+        kind: AttemptKind,
         outcome: Outcome,
         over: bool,
         report: Vec<f32>,
         began: Instant,
     ) {
         let took: Micros = micros(began.elapsed());
-        let event = match errand {
-            Errand::Trip { id, trip } => Event::TripEnded {
+        let event = match kind {
+            AttemptKind::Attempt { id, attempt } => Event::AttemptEnded {
                 id,
-                trip,
-                target,
+                attempt,
+                endpoint,
                 outcome,
                 took,
-                closed: over,
+                completed: over,
                 report,
             },
-            Errand::Probe => Event::ProbeAnswered {
-                target,
+            AttemptKind::HealthCheck => Event::HealthCheckEnded {
+                endpoint,
                 outcome,
                 took,
                 report,
@@ -420,7 +429,12 @@
     }
 
     async fn send_event(&self, event: Event) {
-        if self.dispatcher.send(Note::Event(event)).await.is_err() {
+        if self
+            .dispatcher
+            .send(DispatcherCommand::Event(event))
+            .await
+            .is_err()
+        {
             debug!(self.log, "an outcome came after the end");
         }
     }
@@ -441,12 +455,12 @@
 
 /// One call from its connection to the head of its answer.
 async fn carry(
-    target: TargetId,
+    endpoint: EndpointId,
     idle: Option<(Connection, Instant)>,
     call: Outgoing,
-    context: &TargetContext,
+    context: &EndpointContext,
     bounds: Bounds,
-    mut orders: watch::Receiver<Order>,
+    mut orders: watch::Receiver<StopRequest>,
 ) -> Result<Came, CallFault> {
     // The stream on which the call goes now.
     let (show, shown) = watch::channel::<Option<Arc<StreamState>>>(None);
@@ -455,7 +469,7 @@
     let length = call.length;
     let too_late = CallFault {
         stage: Stage::Connecting,
-        why: Why::TooLate,
+        why: FailureCause::TooLate,
     };
     let in_time = || {
         if Instant::now() < bounds.begin {
@@ -481,9 +495,12 @@
                 }
             }
         }
-        // Guards rule 2: a connection that comes up late must not carry a repeat out of the window of the first trip.
+        // Guards rule 2: a connection that comes up late must not carry a repeat out of the window of the first attempt.
         in_time()?;
-        let open = Connection::open(target, Duration::from_micros(context.config.connect_within));
+        let open = Connection::open(
+            endpoint,
+            Duration::from_micros(context.config.connect_within),
+        );
         let mut connection = tokio::time::timeout_at(bounds.begin, open)
             .await
             .map_err(|_| too_late)??;
@@ -514,9 +531,9 @@
     let ordered = async {
         while orders.changed().await.is_ok() {
             match *orders.borrow_and_update() {
-                Order::CallOff => return Why::CalledOff,
-                Order::TakeBack if !whole() => return Why::TakenBack,
-                Order::TakeBack | Order::GoOn => {}
+                StopRequest::Cancel => return FailureCause::Cancelled,
+                StopRequest::WithdrawUnsent if !whole() => return FailureCause::Withdrawn,
+                StopRequest::WithdrawUnsent | StopRequest::Continue => {}
             }
         }
         pending().await
@@ -525,13 +542,13 @@
     let ended = tokio::select! {
         biased;
         ended = &mut work => Ok(ended),
-        () = tokio::time::sleep_until(bounds.end) => Err(Why::OutOfTime),
+        () = tokio::time::sleep_until(bounds.end) => Err(FailureCause::OutOfTime),
         why = ordered => Err(why),
-        () = spoilt => Err(Why::Broken),
+        () = spoilt => Err(FailureCause::Broken),
     };
     // Dropping the work closes its connection: that is how a call is given up.
     let gone = |why| {
-        let begun = stream_state().is_some_and(|s| s.answer() != Answer::Unasked);
+        let begun = stream_state().is_some_and(|s| s.answer() != AnswerProgress::Unasked);
         let stage = if begun {
             Stage::Written
         } else {
@@ -543,16 +560,20 @@
         Ok(ended) => ended,
         // Guards a wait against a call given up as its answer comes: what is in the socket by now counts. One that has not
         // gone whole has no answer, and is not to go on.
-        Err(why @ (Why::OutOfTime | Why::CalledOff)) if whole() => tokio::select! {
-            biased;
-            ended = &mut work => ended,
-            () = last_look() => gone(why),
-        },
+        Err(why @ (FailureCause::OutOfTime | FailureCause::Cancelled)) if whole() => {
+            tokio::select! {
+                biased;
+                ended = &mut work => ended,
+                () = last_look() => gone(why),
+            }
+        }
         Err(why) => gone(why),
     };
     // A first line that says 200 is true, whatever came of the rest.
     match ended {
-        Err(_) if stream_state().is_some_and(|s| s.answer() == Answer::Says(200)) => Ok(Came::Yes),
+        Err(_) if stream_state().is_some_and(|s| s.answer() == AnswerProgress::Says(200)) => {
+            Ok(Came::Yes)
+        }
         ended => ended,
     }
 }
--- a/crates/forwarder/src/targets/tests.rs
+++ b/crates/forwarder/src/endpoints/tests.rs
@@ -12,9 +12,9 @@
 
 struct Rig {
     listener: TcpListener,
-    mailbox: mpsc::Sender<TargetNote>,
-    notes: mpsc::Receiver<Note>,
-    trips: u8,
+    mailbox: mpsc::Sender<EndpointCommand>,
+    notes: mpsc::Receiver<DispatcherCommand>,
+    attempts: u8,
 }
 
 impl Rig {
@@ -23,40 +23,40 @@
     }
 
     /// With something done to the actor before it runs.
-    async fn prepared(prepare: impl FnOnce(&mut Target)) -> Rig {
+    async fn prepared(prepare: impl FnOnce(&mut Endpoint)) -> Rig {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let port = listener.local_addr().expect("its address").port();
         let (dispatcher, notes) = mpsc::channel(16);
         let (mailbox, inbox) = mpsc::channel(16);
-        let context = TargetContext {
+        let context = EndpointContext {
             config: ConnectionConfig {
                 idle_closed_after: IDLE,
                 connect_within: 300_000,
             },
             names: Names {
-                profiles: Vec::new(),
+                classes: Vec::new(),
                 tenants: Vec::new(),
                 zones: Vec::new(),
-                kinds: Vec::new(),
+                endpoint_kinds: Vec::new(),
                 reports: vec!["x0".into()],
             },
             idle: Arc::new(Semaphore::new(4)),
             dispatcher,
             log: Logger::root(slog::Discard, slog::o!()),
         };
-        let id = TargetId {
+        let id = EndpointId {
             address: [127, 0, 0, 1],
             port,
-            holder: 0,
+            incarnation: 0,
         };
-        let mut target = Target::new(id, Arc::new(context));
-        prepare(&mut target);
-        tokio::spawn(target.run(inbox));
+        let mut endpoint = Endpoint::new(id, Arc::new(context));
+        prepare(&mut endpoint);
+        tokio::spawn(endpoint.run(inbox));
         Rig {
             listener,
             mailbox,
             notes,
-            trips: 0,
+            attempts: 0,
         }
     }
 
@@ -65,18 +65,18 @@
     }
 
     async fn call_begun(&mut self, body: &Bytes, limit: u64, begin_within: u64) {
-        let call = Call {
-            id: PacketId(1),
-            trip: self.trips,
+        let call = AttemptRequest {
+            id: MessageId(1),
+            attempt: self.attempts,
             request_id: "9b1f03aa5c7e2d41".into(),
-            mark: Some("5c0f6e1a".into()),
+            idempotency_key: Some("5c0f6e1a".into()),
             body: body.clone(),
-            limit: Duration::from_millis(limit),
-            begin_by: Instant::now() + Duration::from_millis(begin_within),
+            timeout: Duration::from_millis(limit),
+            send_by: Instant::now() + Duration::from_millis(begin_within),
         };
-        self.trips += 1;
+        self.attempts += 1;
         self.mailbox
-            .send(TargetNote::Call(Box::new(call)))
+            .send(EndpointCommand::StartAttempt(Box::new(call)))
             .await
             .expect("the actor runs");
     }
@@ -84,27 +84,27 @@
     async fn outcome(&mut self) -> (Outcome, bool) {
         let wait = tokio::time::timeout(Duration::from_secs(5), self.notes.recv());
         match wait.await.expect("in time").expect("a note") {
-            Note::Event(Event::TripEnded {
+            DispatcherCommand::Event(Event::AttemptEnded {
                 outcome,
-                closed,
-                trip,
+                completed: closed,
+                attempt,
                 ..
             }) => {
-                assert_eq!(trip + 1, self.trips);
+                assert_eq!(attempt + 1, self.attempts);
                 (outcome, closed)
             }
-            Note::Event(Event::ProbeAnswered { outcome, .. }) => (outcome, false),
+            DispatcherCommand::Event(Event::HealthCheckEnded { outcome, .. }) => (outcome, false),
             _ => panic!("another note"),
         }
     }
 
-    async fn order(&self, note: TargetNote) {
+    async fn order(&self, note: EndpointCommand) {
         self.mailbox.send(note).await.expect("the actor runs");
     }
 
     async fn take_back(&mut self) {
-        self.order(TargetNote::TakeBack).await;
-        assert_eq!(self.outcome().await, (Outcome::TakenBack, false));
+        self.order(EndpointCommand::WithdrawUnsent).await;
+        assert_eq!(self.outcome().await, (Outcome::WithdrawnBeforeSend, false));
     }
 
     /// Connections beyond the backlog stay unanswered, as those to a machine that is cut off, until these are accepted.
@@ -176,14 +176,14 @@
         }
         assert!(bytes.ends_with(&body));
         let port = rig.listener.local_addr().expect("its address").port();
-        let target = TargetId {
+        let endpoint = EndpointId {
             address: [127, 0, 0, 1],
             port,
-            holder: 0,
+            incarnation: 0,
         };
         let limit = Duration::from_millis(1500);
         let call =
-            protocol::encode_call(target, "9b1f03aa5c7e2d41", Some("5c0f6e1a"), limit, &body)
+            protocol::encode_call(endpoint, "9b1f03aa5c7e2d41", Some("5c0f6e1a"), limit, &body)
                 .expect("a call");
         assert_eq!(call.length, bytes.len() as u64);
         stream
@@ -197,22 +197,26 @@
 #[tokio::test]
 async fn each_answer_has_its_outcome() {
     let mut rig = Rig::new().await;
-    let wait = |ms: u64| Outcome::Full {
-        wait: Some(ms * 1000),
+    let wait = |ms: u64| Outcome::Rejected {
+        retry_after: Some(ms * 1000),
     };
     let answers = [
         ("200 OK", Outcome::Delivered, true),
         ("500 Oops", Outcome::Error, false),
         ("429 Wait\r\nWait-Ms: 250", wait(250), false),
-        ("429 Wait", Outcome::Full { wait: None }, false),
-        ("503 Full", Outcome::Full { wait: None }, false),
+        ("429 Wait", Outcome::Rejected { retry_after: None }, false),
+        ("503 Full", Outcome::Rejected { retry_after: None }, false),
         (
             "503 Slots\r\nSlots-Taken: 1",
-            Outcome::Moot { no_slot: true },
+            Outcome::NotAttempted { no_permit: true },
             false,
         ),
-        ("504 Used", Outcome::Moot { no_slot: false }, false),
-        ("410 Over", Outcome::Moot { no_slot: false }, true),
+        (
+            "504 Used",
+            Outcome::NotAttempted { no_permit: false },
+            false,
+        ),
+        ("410 Over", Outcome::NotAttempted { no_permit: false }, true),
         ("400 What", Outcome::Error, false),
     ];
     rig.call(&Bytes::new(), 1000).await;
@@ -240,7 +244,7 @@
     read_call(&mut stream).await;
     drop(stream);
     assert_eq!(rig.outcome().await, (Outcome::Reset, false));
-    // So large that it is not written whole to a target that reads nothing.
+    // So large that it is not written whole to an endpoint that reads nothing.
     rig.call(&Bytes::from(vec![7; 32 << 20]), 5000).await;
     let stream = rig.accept().await;
     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -250,7 +254,7 @@
         listener,
         mailbox,
         notes,
-        trips,
+        attempts,
     } = rig;
     let address = listener.local_addr().expect("its address");
     drop(listener);
@@ -260,7 +264,7 @@
         listener,
         mailbox,
         notes,
-        trips,
+        attempts,
     };
     rig.call(&Bytes::new(), 1000).await;
     assert_eq!(rig.outcome().await, (Outcome::NoConnection, false));
@@ -278,17 +282,17 @@
     let mut stream = rig.accept().await;
     read_call(&mut stream).await;
     rig.mailbox
-        .send(TargetNote::CallOff {
-            id: PacketId(1),
-            trip: 1,
+        .send(EndpointCommand::Cancel {
+            id: MessageId(1),
+            attempt: 1,
         })
         .await
         .expect("the actor runs");
-    assert_eq!(rig.outcome().await, (Outcome::CalledOff, false));
+    assert_eq!(rig.outcome().await, (Outcome::Cancelled, false));
     assert!(closed(&mut stream).await);
 }
 
-/// Guards against resets of calls that cross the target's own closing, and against a second copy on a new connection.
+/// Guards against resets of calls that cross the endpoint's own closing, and against a second copy on a new connection.
 #[tokio::test]
 async fn idle_connections_are_retired_first_and_dead_ones_are_not_used() {
     let mut rig = Rig::new().await;
@@ -300,7 +304,7 @@
     let begun = Instant::now();
     assert!(closed(&mut first).await);
     assert!(begun.elapsed() < Duration::from_micros(IDLE));
-    // One that the target has closed is left alone: the call goes out once, on a new one.
+    // One that the endpoint has closed is left alone: the call goes out once, on a new one.
     rig.call(&Bytes::new(), 1000).await;
     let mut second = rig.accept().await;
     read_call(&mut second).await;
@@ -315,7 +319,7 @@
     third.write_all(OK).await.expect("sent");
     assert_eq!(rig.outcome().await, (Outcome::Delivered, true));
     rig.mailbox
-        .send(TargetNote::CloseIdle)
+        .send(EndpointCommand::CloseIdle)
         .await
         .expect("the actor runs");
     assert!(closed(&mut third).await);
@@ -335,11 +339,11 @@
     assert!(closed(&mut stream).await); // such a connection serves no more
 }
 
-/// Guards rules 1 and 2 against spoilt answers: only a first line that says 200 is true; that a packet did not run is
+/// Guards rules 1 and 2 against spoilt answers: only a first line that says 200 is true; that a message did not run is
 /// believed of a whole answer alone. 1xx heads ahead, 101 too, change nothing.
 #[tokio::test]
 async fn a_spoilt_answer_may_have_run_unless_its_first_line_says_200() {
-    let full = Outcome::Full { wait: None };
+    let full = Outcome::Rejected { retry_after: None };
     let early = "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n";
     let cases = [
         (
@@ -453,7 +457,10 @@
             .write_all(b"HTTP/1.1 503 Full\r\ncontent-length: 0\r\n\r\n")
             .await
             .expect("sent");
-        assert_eq!(rig.outcome().await, (Outcome::Full { wait: None }, false));
+        assert_eq!(
+            rig.outcome().await,
+            (Outcome::Rejected { retry_after: None }, false)
+        );
         assert!(closed(&mut first).await);
     }
 }
@@ -470,7 +477,9 @@
         tokio::time::sleep(Duration::from_millis(30)).await;
         read_call(stream).await;
         stream.write_all(OK).await.expect("sent");
-        let Some(Note::Event(Event::TripEnded { outcome, .. })) = rig.notes.recv().await else {
+        let Some(DispatcherCommand::Event(Event::AttemptEnded { outcome, .. })) =
+            rig.notes.recv().await
+        else {
             panic!("no end")
         };
         assert_eq!(outcome, Outcome::Delivered);
@@ -481,14 +490,14 @@
 }
 
 #[tokio::test]
-async fn a_probe_asks_for_life() {
+async fn a_health_check_asks_for_life() {
     let mut rig = Rig::new().await;
     for (line, outcome) in [
         ("200 OK", Outcome::Delivered),
-        ("503 No", Outcome::Full { wait: None }),
+        ("503 No", Outcome::Rejected { retry_after: None }),
     ] {
         rig.mailbox
-            .send(TargetNote::Probe)
+            .send(EndpointCommand::HealthCheck)
             .await
             .expect("the actor runs");
         let mut stream = rig.accept().await;
@@ -511,7 +520,7 @@
         .await;
     assert_eq!(
         rig.outcome().await,
-        (Outcome::Moot { no_slot: false }, false)
+        (Outcome::NotAttempted { no_permit: false }, false)
     );
     for _ in 0..before.len() {
         rig.accept().await;
@@ -525,7 +534,7 @@
     rig.call_begun(&Bytes::from_static(b"late"), 1500, 0).await;
     assert_eq!(
         rig.outcome().await,
-        (Outcome::Moot { no_slot: false }, false)
+        (Outcome::NotAttempted { no_permit: false }, false)
     );
     let mut byte = [0];
     let none = tokio::time::timeout(Duration::from_millis(100), stream.read(&mut byte)).await;
@@ -537,50 +546,50 @@
 
 /// On a day with lowered limits a wait was told while a connection came up, and the call went out on it all the same.
 #[tokio::test]
-async fn a_call_or_probe_is_taken_back_until_its_last_byte_has_gone() {
+async fn a_call_or_health_check_is_taken_back_until_its_last_byte_has_gone() {
     let mut rig = Rig::new().await;
     let before = rig.fill_the_backlog().await;
     rig.call(&Bytes::from_static(b"chosen before"), 1500).await;
     tokio::time::sleep(Duration::from_millis(20)).await;
     rig.take_back().await;
-    rig.order(TargetNote::Probe).await;
+    rig.order(EndpointCommand::HealthCheck).await;
     rig.take_back().await;
     for _ in before {
         rig.accept().await;
     }
-    // Half written, to a target that reads nothing.
+    // Half written, to an endpoint that reads nothing.
     rig.call(&Bytes::from(vec![7; 32 << 20]), 5000).await;
     let mut half = rig.accept().await;
     tokio::time::sleep(Duration::from_millis(50)).await;
     rig.take_back().await;
-    let mut came = 0;
+    let mut received_at = 0;
     while let Ok(1..) = half
         .read(&mut vec![0; 1 << 20])
         .await
-        .inspect(|n| came += n)
+        .inspect(|n| received_at += n)
     {}
-    assert!(came < 32 << 20, "it came whole");
-    // What has gone whole goes on, also on a connection that has carried others, and can be called off still.
+    assert!(received_at < 32 << 20, "it came whole");
+    // What has gone whole goes on, also on a connection that has carried others, and can be cancelled still.
     rig.call(&Bytes::from_static(b"gone"), 1500).await;
     let mut stream = rig.accept().await;
     read_call(&mut stream).await;
-    rig.order(TargetNote::TakeBack).await;
+    rig.order(EndpointCommand::WithdrawUnsent).await;
     stream.write_all(OK).await.expect("sent");
     assert_eq!(rig.outcome().await, (Outcome::Delivered, true));
     tokio::time::sleep(Duration::from_millis(20)).await;
     rig.call(&Bytes::from_static(b"gone"), 1500).await;
     read_call(&mut stream).await;
     for note in [
-        TargetNote::TakeBack,
-        TargetNote::CallOff {
-            id: PacketId(1),
-            trip: 3,
+        EndpointCommand::WithdrawUnsent,
+        EndpointCommand::Cancel {
+            id: MessageId(1),
+            attempt: 3,
         },
-        TargetNote::TakeBack,
+        EndpointCommand::WithdrawUnsent,
     ] {
         rig.order(note).await;
     }
-    assert_eq!(rig.outcome().await, (Outcome::CalledOff, false));
+    assert_eq!(rig.outcome().await, (Outcome::Cancelled, false));
     assert!(closed(&mut stream).await);
 }
 
@@ -592,13 +601,18 @@
             "429 W",
             "4\r\n\r\n",
             "late",
-            Outcome::Full {
-                wait: Some(700_000),
+            Outcome::Rejected {
+                retry_after: Some(700_000),
             },
         ),
         ("429 W", "4\r\n\r\n", "", Outcome::Reset),
         ("429 W", "3000000000\r\n\r\nxx", "", Outcome::Reset),
-        ("503 F", "4\r\n\r\n", "late", Outcome::Full { wait: None }),
+        (
+            "503 F",
+            "4\r\n\r\n",
+            "late",
+            Outcome::Rejected { retry_after: None },
+        ),
         ("500 E", "0\r\n\r\n", "", Outcome::Error),
     ];
     for (status, rest, late, outcome) in cases {
@@ -613,7 +627,10 @@
         assert!(
             matches!(
                 told,
-                Ok(Some(Note::Event(Event::WaitTold { wait: 700_000, .. })))
+                Ok(Some(DispatcherCommand::Event(Event::RetryAfterReceived {
+                    retry_after: 700_000,
+                    ..
+                })))
             ),
             "{head}"
         );
@@ -635,16 +652,16 @@
         .try_write(b"HTTP/1.1 429 W\r\nWait-Ms: 700\r\nContent-Length: 0\r\n\r\n")
         .expect("sent");
     rig.mailbox
-        .try_send(TargetNote::CallOff {
-            id: PacketId(1),
-            trip: 0,
+        .try_send(EndpointCommand::Cancel {
+            id: MessageId(1),
+            attempt: 0,
         })
         .expect("room");
     assert_eq!(
         rig.outcome().await,
         (
-            Outcome::Full {
-                wait: Some(700_000)
+            Outcome::Rejected {
+                retry_after: Some(700_000)
             },
             false
         )
@@ -660,35 +677,35 @@
     read_call(&mut stream).await;
     stream.try_write(b"HTTP/1.1 200 OK\r").expect("sent");
     rig.mailbox
-        .try_send(TargetNote::CallOff {
-            id: PacketId(1),
-            trip: 0,
+        .try_send(EndpointCommand::Cancel {
+            id: MessageId(1),
+            attempt: 0,
         })
         .expect("room");
-    assert_eq!(rig.outcome().await, (Outcome::CalledOff, false));
+    assert_eq!(rig.outcome().await, (Outcome::Cancelled, false));
 }
 
-/// Guards a packet against a fault in this program that ends its call: the call may have run, and the actor goes on.
+/// Guards a message against a fault in this program that ends its call: the call may have run, and the actor goes on.
 #[tokio::test]
 async fn a_call_whose_task_panics_may_have_run() {
-    let mut rig = Rig::prepared(|target| {
-        let task = target.tasks.spawn(async { panic!("as a fault would") });
-        let (orders, _) = watch::channel(Order::GoOn);
-        let errand = Errand::Trip {
-            id: PacketId(1),
-            trip: 0,
+    let mut rig = Rig::prepared(|endpoint| {
+        let task = endpoint.tasks.spawn(async { panic!("as a fault would") });
+        let (orders, _) = watch::channel(StopRequest::Continue);
+        let kind = AttemptKind::Attempt {
+            id: MessageId(1),
+            attempt: 0,
         };
-        target.underway.insert(
+        endpoint.in_flight.insert(
             task.id(),
-            Underway {
-                errand,
+            InFlight {
+                kind,
                 began: Instant::now(),
                 orders,
             },
         );
     })
     .await;
-    rig.trips = 1;
+    rig.attempts = 1;
     assert_eq!(rig.outcome().await, (Outcome::Reset, false));
     rig.call(&Bytes::from_static(b"next"), 1_000).await;
     let mut stream = rig.accept().await;
--- a/crates/forwarder/src/gossip_socket.rs
+++ b/crates/forwarder/src/gossip_socket.rs
@@ -1,6 +1,6 @@
 //! The datagram socket of the gossip between forwarders: messages may come late, twice or not at all.
 
-use crate::notes::{GossipMessage, Note};
+use crate::commands::{DispatcherCommand, GossipDatagram};
 use crate::startup_config::GossipPeers;
 use opalpulley::Event;
 use slog::{warn, Logger};
@@ -18,8 +18,8 @@
 /// Carries gossip messages both ways; does nothing where the deployment names no peers.
 pub async fn run(
     who: GossipPeers,
-    mut mailbox: mpsc::Receiver<GossipMessage>,
-    dispatcher: mpsc::Sender<Note>,
+    mut mailbox: mpsc::Receiver<GossipDatagram>,
+    dispatcher: mpsc::Sender<DispatcherCommand>,
     log: Logger,
 ) -> io::Result<()> {
     let Some(listen) = who.listen else {
@@ -32,7 +32,7 @@
     loop {
         tokio::select! {
             message = mailbox.recv() => {
-                let Some(GossipMessage { peer, message }) = message else { return Ok(()) };
+                let Some(GossipDatagram { peer, payload: message }) = message else { return Ok(()) };
                 let to = match peer {
                     Some(number) => who.each.get(usize::from(number)).copied(),
                     None => who.all,
@@ -42,8 +42,8 @@
                     _ => warn!(log, "a gossip message to a peer can't be sent"; "bytes" => message.len()),
                 }
             }
-            came = socket.recv_from(&mut buffer) => {
-                let Ok((length, from)) = came else { continue };
+            received_at = socket.recv_from(&mut buffer) => {
+                let Ok((length, from)) = received_at else { continue };
                 let Some(number) = numbers.get(&from).copied() else {
                     strangers += 1;
                     if logged.is_none_or(|at| at.elapsed() >= LOG_AGAIN) {
@@ -52,8 +52,8 @@
                     }
                     continue;
                 };
-                let event = Event::Gossip { from: number, message: buffer[..length].to_vec() };
-                if dispatcher.send(Note::Event(event)).await.is_err() {
+                let event = Event::Gossip { from: number, payload: buffer[..length].to_vec() };
+                if dispatcher.send(DispatcherCommand::Event(event)).await.is_err() {
                     return Ok(());
                 }
             }
--- a/crates/forwarder/src/link.rs
+++ b/crates/forwarder/src/http_connection.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 connection that this program opened, to a target or to the platform's agent.
+//! An HTTP/1.1 connection that this program opened, to an endpoint or to the platform's agent.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -8,25 +8,25 @@
 use tokio::task::JoinHandle;
 
 /// Dropping it closes the connection, whatever is under way there.
-pub struct Link {
+pub struct HttpConnection {
     pub sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
 
-impl Drop for Link {
+impl Drop for HttpConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-impl Link {
-    pub async fn over<S>(stream: S, http: &Builder) -> hyper::Result<Link>
+impl HttpConnection {
+    pub async fn over<S>(stream: S, http: &Builder) -> hyper::Result<HttpConnection>
     where
         S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
     {
         let (sender, connection) = http.handshake(TokioIo::new(stream)).await?;
         let driver = tokio::spawn(async move { drop(connection.await) });
-        Ok(Link { sender, driver })
+        Ok(HttpConnection { sender, driver })
     }
 
     /// Whether it can take a request; one that has ended can't.
--- a/crates/forwarder/src/journal.rs
+++ b/crates/forwarder/src/journal.rs
@@ -1,5 +1,5 @@
 //! What outlives the process: a ring of small segments in the lasting folder. Each record is framed by its length
-//! and a checksum. The oldest segment is freed by writing the packets that still live in it anew at the end, so
+//! and a checksum. The oldest segment is freed by writing the messages that still live in it anew at the end, so
 //! both copies are within the limit. Writes go to the page cache, which outlives the process; no sync is needed.
 
 use crate::protocol::Ending;
@@ -13,41 +13,41 @@
 
 const BLOCK: u64 = 512; // bytes, in which the platform counts files
 const SEGMENTS: u64 = 16; // in the limit: freeing one copies a sixteenth at most
-const LARGEST: u64 = 8; // a packet takes a part of the limit like this at most, so that copying one always fits
+const LARGEST: u64 = 8; // a message takes a part of the limit like this at most, so that copying one always fits
 const LIVE: f64 = 0.75; // of what is not kept free may live: a segment that is freed is copied by that much in the mean
 const HEADER: usize = 8; // bytes before a record: its length and its checksum
-const FULL: u64 = 67_000; // bytes, over any packet that the protocol lets in
+const FULL: u64 = 67_000; // bytes, over any message that the protocol lets in
 const EARLIER_MOST: u32 = 65_535; // the largest number of a destination in earlier versions: they had 16 bits
-const SMALL: u64 = 256; // bytes, over any record but a packet's own: room that later records of it need
+const SMALL: u64 = 256; // bytes, over any record but a message's own: room that later records of it need
 
-/// A packet as the journal keeps it. A destination of 16 bits is written as by earlier versions, byte by byte; of a larger
+/// A message as the journal keeps it. A destination of 16 bits is written as by earlier versions, byte by byte; of a larger
 /// one see [`BeyondEarlier`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredMessage {
     pub serial: u64,
     pub request_id: String,
-    pub profile: u16,
+    pub class: u16,
     pub tenant: Option<u32>,
     pub destination: u32,
     /// Unix µs.
     pub expires: Micros,
-    pub mark: Option<String>,
+    pub idempotency_key: Option<String>,
     pub again: bool,
     pub orphan: bool,
     pub body: Bytes,
     /// By which it keeps its order. Records of earlier versions have none, so it is written beside them.
     #[serde(skip)]
     pub key: Option<u64>,
-    pub trips: u32,
-    /// The earliest trip that may have run: when it began, and in which zone.
+    pub attempts: u32,
+    /// The earliest attempt that may have run: when it began, and in which zone.
     pub exposed: Option<(Micros, u16)>,
-    /// Trips without an outcome: number, start, zone.
+    /// Attempts without an outcome: number, start, zone.
     pub out: Vec<(u8, Micros, u16)>,
     /// Decided, and not yet heard by the platform.
     pub pending_report: Option<Ending>,
 }
 
-impl Kept {
+impl StoredMessage {
     fn expose(&mut self, at: Micros, zone: u16) {
         if self.exposed.is_none_or(|(first, _)| at < first) {
             self.exposed = Some((at, zone));
@@ -63,39 +63,43 @@
 
     fn apply(&mut self, record: &Record) {
         match record {
-            Record::TripStarted { trip, at, zone, .. } => {
-                self.trips = self.trips.max(u32::from(*trip) + 1);
-                self.out.push((*trip, *at, *zone));
+            Record::AttemptStarted {
+                attempt, at, zone, ..
+            } => {
+                self.attempts = self.attempts.max(u32::from(*attempt) + 1);
+                self.out.push((*attempt, *at, *zone));
             }
-            Record::TripEnded {
-                trip, may_have_run, ..
+            Record::AttemptEnded {
+                attempt,
+                may_have_taken_effect,
+                ..
             } => {
-                if let Some(place) = self.out.iter().position(|(t, ..)| t == trip) {
+                if let Some(place) = self.out.iter().position(|(t, ..)| t == attempt) {
                     let (_, at, zone) = self.out.remove(place);
-                    if *may_have_run {
+                    if *may_have_taken_effect {
                         self.expose(at, zone);
                     }
                 }
             }
             Record::PendingReport { ending, .. } => self.pending_report = Some(*ending),
-            Record::Packet(_) | Record::Keyed(..) | Record::Ended { .. } => {}
+            Record::Message(_) | Record::Keyed(..) | Record::Ended { .. } => {}
         }
     }
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Record {
-    Packet(Kept),
-    TripStarted {
+    Message(StoredMessage),
+    AttemptStarted {
         serial: u64,
-        trip: u8,
+        attempt: u8,
         at: Micros,
         zone: u16,
     },
-    TripEnded {
+    AttemptEnded {
         serial: u64,
-        trip: u8,
-        may_have_run: bool,
+        attempt: u8,
+        may_have_taken_effect: bool,
     },
     PendingReport {
         serial: u64,
@@ -104,31 +108,31 @@
     Ended {
         serial: u64,
     },
-    /// A packet with the key by which it keeps its order.
-    Keyed(Kept, u64),
+    /// A message with the key by which it keeps its order.
+    Keyed(StoredMessage, u64),
 }
 
 impl Record {
-    fn packet(kept: Kept) -> Record {
+    fn message(kept: StoredMessage) -> Record {
         match kept.key {
             Some(key) => Record::Keyed(kept, key),
-            None => Record::Packet(kept),
+            None => Record::Message(kept),
         }
     }
 
     fn serial(&self) -> u64 {
         match self {
-            Record::Packet(kept) | Record::Keyed(kept, _) => kept.serial,
-            Record::TripStarted { serial, .. }
-            | Record::TripEnded { serial, .. }
+            Record::Message(kept) | Record::Keyed(kept, _) => kept.serial,
+            Record::AttemptStarted { serial, .. }
+            | Record::AttemptEnded { serial, .. }
             | Record::PendingReport { serial, .. }
             | Record::Ended { serial } => *serial,
         }
     }
 }
 
-/// What stands behind a packet's record whose destination earlier versions can't name. They know the record as one of a
-/// packet that is written off and owed its notice, so each packet gets its end from whichever version reads it, and what
+/// What stands behind a message's record whose destination earlier versions can't name. They know the record as one of a
+/// message that is failed and owed its notice, so each message gets its end from whichever version reads it, and what
 /// follows in the segment is not hidden. They pass over the bytes behind it, where this one finds what is true.
 #[derive(Debug, Serialize, Deserialize)]
 struct BeyondEarlier {
@@ -139,7 +143,7 @@
 impl BeyondEarlier {
     /// A record as earlier versions are to read it, and what stands behind it; none where they read it as it is.
     fn split(record: &Record) -> Option<(Record, BeyondEarlier)> {
-        let (Record::Packet(kept) | Record::Keyed(kept, _)) = record else {
+        let (Record::Message(kept) | Record::Keyed(kept, _)) = record else {
             return None;
         };
         if kept.destination <= EARLIER_MOST {
@@ -152,14 +156,14 @@
         let mut earlier = record.clone();
         let written_off = BeyondEarlier {
             destination: EARLIER_MOST,
-            pending_report: kept.pending_report.or(Some(Ending::WrittenOff)),
+            pending_report: kept.pending_report.or(Some(Ending::Failed)),
         };
         written_off.put_back(&mut earlier);
         Some((earlier, beyond))
     }
 
     fn put_back(self, record: &mut Record) {
-        if let Record::Packet(kept) | Record::Keyed(kept, _) = record {
+        if let Record::Message(kept) | Record::Keyed(kept, _) = record {
             (kept.destination, kept.pending_report) = (self.destination, self.pending_report);
         }
     }
@@ -175,7 +179,7 @@
     limit: u64,
     segments: VecDeque<Segment>,
     active: File,
-    live: BTreeMap<u64, (Kept, u64)>, // with the number of the segment of its copy; each leaves as it ends
+    live: BTreeMap<u64, (StoredMessage, u64)>, // with the number of the segment of its copy; each leaves as it ends
     live_bytes: u64,
     next_serial: u64,
 }
@@ -184,8 +188,10 @@
     dir.join(format!("{number:012}.journal"))
 }
 
-fn weight(kept: &Kept) -> u64 {
-    let texts = kept.request_id.len() + kept.mark.as_ref().map_or(0, String::len) + kept.body.len();
+fn weight(kept: &StoredMessage) -> u64 {
+    let texts = kept.request_id.len()
+        + kept.idempotency_key.as_ref().map_or(0, String::len)
+        + kept.body.len();
     texts as u64 + SMALL
 }
 
@@ -225,8 +231,8 @@
 }
 
 impl Journal {
-    /// Opens the folder and gives the packets that are not over, in the order in which they were taken.
-    pub fn open(dir: &Path, limit: u64) -> io::Result<(Journal, Vec<Kept>)> {
+    /// Opens the folder and gives the messages that are not over, in the order in which they were taken.
+    pub fn open(dir: &Path, limit: u64) -> io::Result<(Journal, Vec<StoredMessage>)> {
         let mut numbers = Vec::new();
         for entry in fs::read_dir(dir)? {
             let name = entry?.file_name();
@@ -255,8 +261,8 @@
         Ok((journal, kept))
     }
 
-    /// The packets that are not over, as they stand once nobody hears of their trips any more.
-    pub fn after_restart(&mut self) -> Vec<Kept> {
+    /// The messages that are not over, as they stand once nobody hears of their attempts any more.
+    pub fn after_restart(&mut self) -> Vec<StoredMessage> {
         self.live
             .values_mut()
             .for_each(|(kept, _)| kept.forget_out());
@@ -289,13 +295,13 @@
     fn note(&mut self, record: Record, number: u64) {
         match record {
             Record::Keyed(kept, key) => self.note(
-                Record::Packet(Kept {
+                Record::Message(StoredMessage {
                     key: Some(key),
                     ..kept
                 }),
                 number,
             ),
-            Record::Packet(kept) => {
+            Record::Message(kept) => {
                 self.forget(kept.serial);
                 self.live_bytes += weight(&kept);
                 self.live.insert(kept.serial, (kept, number));
@@ -339,13 +345,13 @@
         (self.limit / LARGEST).min(FULL)
     }
 
-    /// Kept free: a segment that is being filled while another, or one large packet, is copied.
+    /// Kept free: a segment that is being filled while another, or one large message, is copied.
     fn spare(&self) -> u64 {
         self.segment_size() + self.segment_size().max(self.largest())
     }
 
-    /// Whether a packet of that size can be kept to its end, with a second copy while segments are freed.
-    pub fn has_room(&self, kept: &Kept) -> bool {
+    /// Whether a message of that size can be kept to its end, with a second copy while segments are freed.
+    pub fn has_room(&self, kept: &StoredMessage) -> bool {
         let own = weight(kept);
         let ring = self.limit - self.spare() - self.segment_size();
         own <= self.largest() && (self.live_bytes + own) as f64 <= LIVE * ring as f64
@@ -392,7 +398,9 @@
             };
             let number = oldest.number;
             let here = self.live.values().filter(|(_, copy)| *copy == number);
-            let records: Vec<Record> = here.map(|(kept, _)| Record::packet(kept.clone())).collect();
+            let records: Vec<Record> = here
+                .map(|(kept, _)| Record::message(kept.clone()))
+                .collect();
             for record in records {
                 self.put(&encode(&record)?, record)?;
             }
@@ -408,44 +416,55 @@
         }
     }
 
-    /// Writes that a packet is taken on, and gives its serial number.
-    pub fn accept(&mut self, mut kept: Kept) -> io::Result<u64> {
+    /// Writes that a message is taken on, and gives its serial number.
+    pub fn accept(&mut self, mut kept: StoredMessage) -> io::Result<u64> {
         kept.serial = self.next_serial;
         self.next_serial += 1;
         let serial = kept.serial;
-        self.append(Record::packet(kept))?;
+        self.append(Record::message(kept))?;
         Ok(serial)
     }
 
-    pub fn trip_started(&mut self, serial: u64, trip: u8, at: Micros, zone: u16) -> io::Result<()> {
-        self.append(Record::TripStarted {
+    pub fn attempt_started(
+        &mut self,
+        serial: u64,
+        attempt: u8,
+        at: Micros,
+        zone: u16,
+    ) -> io::Result<()> {
+        self.append(Record::AttemptStarted {
             serial,
-            trip,
+            attempt,
             at,
             zone,
         })
     }
 
-    pub fn trip_ended(&mut self, serial: u64, trip: u8, may_have_run: bool) -> io::Result<()> {
-        self.append(Record::TripEnded {
+    pub fn attempt_ended(
+        &mut self,
+        serial: u64,
+        attempt: u8,
+        may_have_taken_effect: bool,
+    ) -> io::Result<()> {
+        self.append(Record::AttemptEnded {
             serial,
-            trip,
-            may_have_run,
+            attempt,
+            may_have_taken_effect,
         })
     }
 
-    /// The trip never went: its number is free again. The packet is written anew as it stood before, for earlier versions
+    /// The attempt never went: its number is free again. The message is written anew as it stood before, for earlier versions
     /// read this journal too.
-    pub fn trip_taken_back(&mut self, serial: u64, trip: u8) -> io::Result<()> {
+    pub fn attempt_taken_back(&mut self, serial: u64, attempt: u8) -> io::Result<()> {
         let Some((mut kept, _)) = self.live.get(&serial).cloned() else {
             return Ok(());
         };
-        kept.out.retain(|(t, ..)| *t != trip);
-        kept.trips = u32::from(trip);
-        self.append(Record::packet(kept))
+        kept.out.retain(|(t, ..)| *t != attempt);
+        kept.attempts = u32::from(attempt);
+        self.append(Record::message(kept))
     }
 
-    /// The packet's end is decided; the platform has still to hear of it.
+    /// The message's end is decided; the platform has still to hear of it.
     pub fn owes(&mut self, serial: u64, ending: Ending) -> io::Result<()> {
         self.append(Record::PendingReport { serial, ending })
     }
