--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,8 +1,9 @@
 //! The simulator's frames and records. Translation only.
 
 use opalpulley::{
-    Action, Arrival, DestinationId, KindId, Listing, Micros, OrderKey, Outcome, PacketId, Past,
-    ProfileId, Standing, TargetId, TenantId, Token, ZoneId,
+    Action, AttemptHistory, DeliveryClassId, DestinationId, EndpointEntry, EndpointId,
+    EndpointKindId, EndpointStatus, MessageId, Micros, OrderKey, Outcome, Submission, TenantId,
+    TimerToken, ZoneId,
 };
 use std::fmt;
 use std::io::{self, Read};
@@ -11,6 +12,7 @@
 const REPLY_HEADER: usize = 12;
 const LISTING_BYTES: usize = 25;
 const EVERY_PEER: u32 = u32::MAX;
+const LOG_CODE: u16 = 70;
 
 #[derive(Debug)]
 pub enum WireError {
@@ -169,11 +171,11 @@
         Ok(f32::from_le_bytes(self.array()?))
     }
 
-    pub fn target(&mut self) -> Result<TargetId, WireError> {
-        Ok(TargetId {
+    pub fn endpoint(&mut self) -> Result<EndpointId, WireError> {
+        Ok(EndpointId {
             address: self.array()?,
             port: self.u16()?,
-            holder: 0,
+            incarnation: 0,
         })
     }
 
@@ -186,21 +188,21 @@
         Ok(match code {
             200 => Outcome::Delivered,
             502 => Outcome::Error,
-            429 => Outcome::Full {
-                wait: (remark > 0).then(|| Micros::from(remark) * 1000),
+            429 => Outcome::Rejected {
+                retry_after: (remark > 0).then(|| Micros::from(remark) * 1000),
             },
             408 => Outcome::Timeout,
             521 => Outcome::NoConnection,
             520 => Outcome::Reset,
-            444 => Outcome::CalledOff,
-            409 => Outcome::Moot {
-                no_slot: remark == 1,
+            444 => Outcome::Cancelled,
+            409 => Outcome::NotAttempted {
+                no_permit: remark == 1,
             },
             other => return Err(self.bad(format!("no outcome has the code {other}"))),
         })
     }
 
-    pub fn listings(&mut self) -> Result<Vec<Listing>, WireError> {
+    pub fn listings(&mut self) -> Result<Vec<EndpointEntry>, WireError> {
         let n = self.u32()? as usize;
         if n > (self.bytes.len() - self.at) / LISTING_BYTES {
             return Err(self.bad(format!(
@@ -211,47 +213,44 @@
         (0..n).map(|_| self.listing()).collect()
     }
 
-    fn listing(&mut self) -> Result<Listing, WireError> {
-        Ok(Listing {
+    fn listing(&mut self) -> Result<EndpointEntry, WireError> {
+        Ok(EndpointEntry {
             zone: ZoneId(self.u16()?),
-            target: self.target()?,
-            since: self.u64()?,
-            standing: match self.u8()? {
-                0 => Standing::Ready,
-                1 => Standing::Draining,
-                3 => Standing::Gone,
+            endpoint: self.endpoint()?,
+            up_since: self.u64()?,
+            status: match self.u8()? {
+                0 => EndpointStatus::Ready,
+                1 => EndpointStatus::Draining,
+                3 => EndpointStatus::Removed,
                 other => return Err(self.bad(format!("no readiness has the value {other}"))),
             },
             rate: self.f32()?,
             destination: DestinationId(self.u16()?.into()),
-            kind: KindId(self.u16()?),
+            kind: EndpointKindId(self.u16()?),
         })
     }
 
-    pub fn arrival(&mut self) -> Result<Arrival, WireError> {
-        let id = PacketId(self.u32()?);
-        let profile = ProfileId(self.u16()?);
+    pub fn arrival(&mut self) -> Result<Submission, WireError> {
+        let id = MessageId(self.u32()?);
+        let class = DeliveryClassId(self.u16()?);
         let tenant = TenantId(self.u32()?);
         let key = self.u64()?;
         let left = Micros::from(self.u32()?);
-        let hint = Micros::from(self.u32()?);
+        let _hint = self.u32()?;
         let dest = self.f32()?;
         if dest.fract() != 0.0 || !(0.0..=f32::from(u16::MAX)).contains(&dest) {
             return Err(self.bad(format!("{dest} is no number of a destination")));
         }
         let bits = self.u8()?;
-        Ok(Arrival {
+        Ok(Submission {
             id,
-            profile,
+            class,
             tenant,
             key: (key != 0).then_some(OrderKey(key)),
-            left,
-            hint: (bits & 1 != 0).then_some(hint),
+            time_left: left,
             destination: DestinationId(dest as u32),
-            again: bits & 2 != 0,
-            write: bits & 4 != 0,
-            orphan: bits & 16 != 0,
-            past: Past::default(),
+            resubmitted: bits & 2 != 0,
+            history: AttemptHistory::default(),
         })
     }
 }
@@ -312,64 +311,74 @@
         let mut fields = instance.to_le_bytes().to_vec();
         let code: u16 = match action {
             Action::Send {
-                id, target, limit, ..
+                id,
+                endpoint,
+                timeout: limit,
+                ..
             } => {
                 fields.extend(id.0.to_le_bytes());
-                put_target(&mut fields, *target);
+                put_endpoint(&mut fields, *endpoint);
                 fields.extend(narrow("Relay", limit.unwrap_or(0))?.to_le_bytes());
                 66
             }
-            Action::WriteOff { id } => {
+            Action::Fail { id } => {
                 fields.extend(id.0.to_le_bytes());
                 72
             }
-            Action::Defer { id, come_back } => {
+            Action::Reject { id, retry_after } => {
                 fields.extend(id.0.to_le_bytes());
-                fields.extend(narrow("Reject", come_back.unwrap_or(0))?.to_le_bytes());
+                fields.extend(narrow("Reject", retry_after.unwrap_or(0))?.to_le_bytes());
                 75
             }
-            Action::Wake {
+            Action::SetTimer {
                 after,
-                token: Token(token),
+                token: TimerToken(token),
             } => {
                 fields.extend(narrow("NotifyMe", *after)?.to_le_bytes());
                 fields.extend(token.to_le_bytes());
                 73
             }
-            Action::Probe { target } => {
-                put_target(&mut fields, *target);
+            Action::HealthCheck { endpoint } => {
+                put_endpoint(&mut fields, *endpoint);
                 76
             }
-            Action::CallOff { id, trip } => {
+            Action::Cancel { id, attempt } => {
                 fields.extend(id.0.to_le_bytes());
-                fields.push(*trip);
+                fields.push(*attempt);
                 68
             }
             // On this wire a call goes as it is sent.
-            Action::TakeBack { .. } => return Ok(()),
-            Action::CloseIdle { target } => {
-                put_target(&mut fields, *target);
+            Action::WithdrawUnsent { .. } => return Ok(()),
+            Action::CloseIdleConnections { endpoint } => {
+                put_endpoint(&mut fields, *endpoint);
                 69
             }
-            Action::Watch { on } => {
+            Action::WatchEndpointList { on } => {
                 fields.push(u8::from(*on));
                 67
             }
-            Action::FetchList => 74,
-            Action::SendGossip { peer, message } => {
+            Action::FetchEndpointList => 74,
+            Action::SendGossip {
+                peer,
+                payload: message,
+            } => {
                 fields.extend(peer.map_or(EVERY_PEER, u32::from).to_le_bytes());
                 put_bytes("Notify", &mut fields, message)?;
                 65
             }
-            Action::Log(words) => {
-                put_bytes("Log", &mut fields, words.as_bytes())?;
-                70
-            }
-            Action::Fault(words) => {
-                put_bytes("Fatal", &mut fields, words.as_bytes())?;
-                71
-            }
+            Action::Log(event) => return self.push_log_line(instance, &event.to_string()),
         };
+        self.push_record(code, &fields)
+    }
+
+    /// A line for the simulator's log.
+    pub fn push_log_line(&mut self, instance: u16, line: &str) -> Result<(), WireError> {
+        let mut fields = instance.to_le_bytes().to_vec();
+        put_bytes("Log", &mut fields, line.as_bytes())?;
+        self.push_record(LOG_CODE, &fields)
+    }
+
+    fn push_record(&mut self, code: u16, fields: &[u8]) -> Result<(), WireError> {
         self.body.extend(code.to_le_bytes());
         self.body
             .extend(narrow("action", fields.len() as u64)?.to_le_bytes());
@@ -387,9 +396,9 @@
     })
 }
 
-fn put_target(out: &mut Vec<u8>, target: TargetId) {
-    out.extend(target.address);
-    out.extend(target.port.to_le_bytes());
+fn put_endpoint(out: &mut Vec<u8>, endpoint: EndpointId) {
+    out.extend(endpoint.address);
+    out.extend(endpoint.port.to_le_bytes());
 }
 
 fn put_bytes(record: &'static str, out: &mut Vec<u8>, bytes: &[u8]) -> Result<(), WireError> {
--- a/examples/resident.rs
+++ b/examples/resident.rs
@@ -1,7 +1,7 @@
 //! Measures the resident memory of the core alone: `cargo run --release --example resident -- DESTINATIONS [FULL]`.
 //! FULL is the number of destinations held in full before idle ones are summarised; without it all are.
 //!
-//! One target a destination and 400 forwarders. Prints the growth of resident memory for the whole list, after a second
+//! One endpoint a destination and 400 forwarders. Prints the growth of resident memory for the whole list, after a second
 //! whole list, and after 10 s of 200 messages a second to destinations by chance; how long each took is printed to compare.
 
 use opalpulley::*;
@@ -15,60 +15,60 @@
 const ANSWER: Micros = 30_000; // µs until each is delivered
 
 fn config(full_destinations: Option<u32>) -> Config {
-    let profile = ProfileConfig {
-        effect: Effect::Retriable,
-        contract_time: 1_000_000,
-        expiry: 30_000_000,
-        importance: 1.0,
-        late_share: 0.5,
-        in_order: false,
+    let class = DeliveryClassConfig {
+        semantics: DeliverySemantics::Idempotent,
+        latency_objective: 1_000_000,
+        time_to_live: 30_000_000,
+        priority_weight: 1.0,
+        late_weight_share: 0.5,
+        ordered: false,
     };
     Config {
-        forwarders: FORWARDERS,
-        slots: 64,
-        room: 10_000,
-        max_trips: 6,
-        may_probe: true,
-        may_call_off: true,
-        may_say_when: true,
-        longest_return: 2_000_000,
-        list_rates: ListRates::Nominal,
-        profiles: vec![profile],
-        kinds: vec![KindConfig {
-            routes_apart: false,
-            per_call: 1,
+        fleet_size: FORWARDERS,
+        concurrency_limit: 64,
+        message_capacity: 10_000,
+        max_attempts: 6,
+        may_health_check: true,
+        may_cancel: true,
+        may_send_retry_after: true,
+        max_retry_after: 2_000_000,
+        listed_rates: ListedRates::Nominal,
+        classes: vec![class],
+        endpoint_kinds: vec![EndpointKindConfig {
+            independent_limits: false,
+            batch_size: 1,
         }],
         rules: RuleConfig {
             answer_slack: 20_000,
             drain_grace: 500_000,
-            cold_from: 0.2,
-            warm_after: 10_000_000,
-            fall_multiple: 2.0,
-            overload_for: 2_000_000,
-            order_pause: 300_000,
+            cold_capacity_share: 0.2,
+            warm_up_time: 10_000_000,
+            overload_multiple: 2.0,
+            overload_window: 2_000_000,
+            order_settle_time: 300_000,
         },
-        round: 5_000,
+        scheduling_interval: 5_000,
         full_destinations,
         ..Config::default()
     }
 }
 
-fn entry(n: u32) -> Listing {
+fn entry(n: u32) -> EndpointEntry {
     let [_, a, b, c] = n.to_be_bytes();
-    let target = TargetId {
+    let endpoint = EndpointId {
         address: [10, a, b, c],
         port: 443,
-        holder: 0,
+        incarnation: 0,
     };
-    let (standing, destination) = (Standing::Ready, DestinationId(n));
-    Listing {
-        target,
+    let (standing, destination) = (EndpointStatus::Ready, DestinationId(n));
+    EndpointEntry {
+        endpoint,
         zone: ZoneId(0),
-        since: 0,
-        standing,
+        up_since: 0,
+        status: standing,
         rate: 20.0,
         destination,
-        kind: KindId(0),
+        kind: EndpointKindId(0),
     }
 }
 
@@ -104,7 +104,7 @@
                 .collect();
             self.forwarder.handle(
                 now,
-                Event::List(ListNews::Changes(entries)),
+                Event::EndpointList(EndpointListUpdate::Changes(entries)),
                 &mut Vec::new(),
             );
         }
@@ -113,41 +113,43 @@
     fn messages(&mut self, begin: Micros) {
         let mut chance = Pcg64Mcg::seed_from_u64(1);
         let mut actions = Vec::new();
-        let mut out: Vec<(Micros, PacketId, TargetId)> = Vec::new();
+        let mut out: Vec<(Micros, MessageId, EndpointId)> = Vec::new();
         for n in 0..MESSAGES {
             let now = begin + BETWEEN * Micros::from(n);
-            let arrival = Arrival {
-                id: PacketId(n),
-                profile: ProfileId(0),
+            let arrival = Submission {
+                id: MessageId(n),
+                class: DeliveryClassId(0),
                 tenant: TenantId(0),
                 key: None,
-                left: 30_000_000,
-                hint: None,
+                time_left: 30_000_000,
                 destination: DestinationId(chance.random_range(0..self.destinations)),
-                again: false,
-                write: false,
-                orphan: false,
-                past: Past::default(),
+                resubmitted: false,
+                history: AttemptHistory::default(),
             };
             self.forwarder
-                .handle(now, Event::Packet(arrival), &mut actions);
-            self.forwarder
-                .handle(now, Event::Alarm { token: Token(0) }, &mut actions);
-            for (_, id, target) in out.extract_if(.., |(at, ..)| *at <= now) {
+                .handle(now, Event::Submitted(arrival), &mut actions);
+            self.forwarder.handle(
+                now,
+                Event::TimerFired {
+                    token: TimerToken(0),
+                },
+                &mut actions,
+            );
+            for (_, id, endpoint) in out.extract_if(.., |(at, ..)| *at <= now) {
                 let (outcome, report) = (Outcome::Delivered, Vec::new());
-                let ended = Event::TripEnded {
+                let ended = Event::AttemptEnded {
                     id,
-                    trip: 0,
-                    target,
+                    attempt: 0,
+                    endpoint,
                     outcome,
                     took: ANSWER,
-                    closed: true,
+                    completed: true,
                     report,
                 };
                 self.forwarder.handle(now, ended, &mut actions);
             }
             let sent = actions.drain(..).filter_map(|action| match action {
-                Action::Send { id, target, .. } => Some((now + ANSWER, id, target)),
+                Action::Send { id, endpoint, .. } => Some((now + ANSWER, id, endpoint)),
                 _ => None,
             });
             out.extend(sent);
--- a/src/bucket.rs
+++ b/src/bucket.rs
@@ -1,6 +1,6 @@
 //! Buckets that fill with time: the arithmetic of a rate with room for a little at once. They decide nothing.
 
-use crate::interface::Micros;
+use crate::model::Micros;
 
 #[derive(Clone, Copy, Default)]
 pub struct Bucket {
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -10,7 +10,7 @@
 
 mod message;
 
-use crate::interface::{Action, Config, DestinationId, Micros};
+use crate::model::{Action, Config, DestinationId, LogEvent, Micros};
 use std::collections::BTreeMap;
 
 const AGAIN: Micros = 1_000_000; // µs between two messages on a destination, whoever tells: all have heard the first by then
@@ -25,10 +25,10 @@
 impl Gossip {
     /// A call there was refused: the message to all, unless one went round within the last second.
     pub fn refused(&mut self, now: Micros, at: DestinationId, config: &Config) -> Option<Action> {
-        let sends = config.may_gossip && config.forwarders > 1 && self.news(now, at);
+        let sends = config.may_gossip && config.fleet_size > 1 && self.news(now, at);
         sends.then(|| Action::SendGossip {
             peer: None,
-            message: message::encode(at),
+            payload: message::encode(at),
         })
     }
 
@@ -47,9 +47,10 @@
             Err(_) if self.logged.is_some_and(|l| now < l + LOG_AGAIN) => {}
             Err(problem) => {
                 self.logged = Some(now);
-                actions.push(Action::Log(format!(
-                    "a note of forwarder {from} is passed over: {problem}"
-                )));
+                actions.push(Action::Log(LogEvent::UnreadableGossip {
+                    peer: from,
+                    problem: problem.to_string(),
+                }));
             }
         }
         None
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -3,7 +3,7 @@
 //! A number of 16 bits takes two bytes, as forwarders of every version read it. A larger one takes four under a subject of
 //! its own, which earlier versions pass over.
 
-use crate::interface::DestinationId;
+use crate::model::DestinationId;
 use std::fmt;
 
 const VERSION: u8 = 1;
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -16,7 +16,10 @@
 fn hear(gossip: &mut Gossip, now: Micros, message: &[u8]) -> (Option<DestinationId>, bool) {
     let mut actions = Vec::new();
     let at = gossip.heard(now, 4, message, |d| d.0 < 1_000, &mut actions);
-    let logged = matches!(&actions[..], [Action::Log(line)] if line.contains("forwarder 4"));
+    let logged = matches!(
+        &actions[..],
+        [Action::Log(LogEvent::UnreadableGossip { peer: 4, .. })]
+    );
     assert!(logged || actions.is_empty());
     (at, logged)
 }
@@ -28,7 +31,7 @@
     let at = DestinationId(700);
     let Some(Action::SendGossip {
         peer: None,
-        message,
+        payload: message,
     }) = one.refused(0, at, &gossiping(3))
     else {
         panic!("not told")
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -8,7 +8,7 @@
 //! Where news count as told a fixed time after discovery had them and could be reached, heard or not, no window goes beyond
 //! what leaves room for the next answer by then: discovery may have come back right behind the failed call.
 
-use crate::interface::{Action, Config, Event, ListNews, Micros, Token};
+use crate::model::{Action, Config, EndpointListUpdate, Event, Micros, TimerToken};
 use rand::Rng;
 
 /// µs within which whoever carries out a call has to say that it has failed, counted from the call or from its last answer.
@@ -18,7 +18,7 @@
 const CALL_TIME: Micros = 50_000; // µs of discovery's time that a call may take: some tens a second, until it is known
 const FIRST_PART: Micros = 2; // one in so many of the interval within which the rules want a call, the first window at most
 const MOST_DOUBLINGS: u32 = 16; // of a window: past any interval that the rules may want
-const DUE: Token = Token(1); // of the alarm for a call; the core's own have 0
+const DUE: TimerToken = TimerToken(1); // of the alarm for a call; the core's own have 0
 
 #[derive(Debug, Default)]
 pub struct ListPoller {
@@ -38,18 +38,18 @@
         rng: &mut impl Rng,
         actions: &mut Vec<Action>,
     ) {
-        let Some(within) = config.ask_within else {
+        let Some(within) = config.poll_interval else {
             return;
         };
-        let failed = matches!(event, Event::List(ListNews::Failed));
+        let failed = matches!(event, Event::EndpointList(EndpointListUpdate::Failed));
         if failed || !self.begun {
             self.begun = true;
             let after = self.put_off(now, failed, within, config, rng);
-            actions.push(Action::Wake { after, token: DUE });
+            actions.push(Action::SetTimer { after, token: DUE });
         }
         if self.at.take_if(|at| now >= *at).is_some() {
             self.asked = now;
-            actions.push(Action::Watch { on: true });
+            actions.push(Action::WatchEndpointList { on: true });
         }
     }
 
@@ -64,7 +64,10 @@
     ) -> Micros {
         let out = now.saturating_sub(self.asked);
         // A call that held for so long had been answered: the row is over. Twice the silence, for one that is told late.
-        let held = out > config.told_within.map_or(within, |_| 2 * LONGEST_SILENCE);
+        let held = out
+            > config
+                .notified_within
+                .map_or(within, |_| 2 * LONGEST_SILENCE);
         self.failures = if failed && !held {
             self.failures + 1
         } else {
@@ -74,11 +77,11 @@
         // Discovery may have been in reach, unheard, ever since the failed call: that time is spent.
         let unheard = if failed { out.min(LONGEST_SILENCE) } else { 0 };
         let left = config
-            .told_within
+            .notified_within
             .map(|told| told.saturating_sub(unheard + ANSWER_TIME));
         let most = left.map_or(within, |left| left.min(within));
         // A lone forwarder has nobody to meet at discovery, but does not ask all the time where nobody answers.
-        let others = Micros::from(config.forwarders.saturating_sub(1));
+        let others = Micros::from(config.fleet_size.saturating_sub(1));
         let window = ((CALL_TIME * others).min(within / FIRST_PART) << doublings).min(most);
         let least = if failed {
             (CALL_TIME << doublings).min(most / FIRST_PART)
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -8,8 +8,8 @@
 
 pub(crate) fn config(forwarders: u32) -> Config {
     Config {
-        forwarders,
-        ask_within: Some(WITHIN),
+        fleet_size: forwarders,
+        poll_interval: Some(WITHIN),
         ..Config::default()
     }
 }
@@ -28,14 +28,17 @@
     }
 
     fn under(config: Config, seed: u64) -> PollingForwarder {
-        let (rng, forwarders) = (Pcg64Mcg::seed_from_u64(seed), config.forwarders);
+        let (rng, forwarders) = (Pcg64Mcg::seed_from_u64(seed), config.fleet_size);
         let mut poller = PollingForwarder {
             list_poller: ListPoller::default(),
             config,
             rng,
             alarm: None,
         };
-        let asked = poller.show(0, Event::List(ListNews::Cached(Vec::new())));
+        let asked = poller.show(
+            0,
+            Event::EndpointList(EndpointListUpdate::Cached(Vec::new())),
+        );
         assert!(forwarders == 1 || !asked || poller.alarm == Some(0));
         poller
     }
@@ -46,15 +49,16 @@
         self.list_poller
             .handle(now, &event, &self.config, &mut self.rng, &mut actions);
         for action in &actions {
-            if let Action::Wake { after, .. } = action {
+            if let Action::SetTimer { after, .. } = action {
                 self.alarm = Some(now + after);
             }
         }
-        actions.contains(&Action::Watch { on: true })
+        actions.contains(&Action::WatchEndpointList { on: true })
     }
 
     fn rings(&mut self, now: Micros) -> bool {
-        self.alarm.take_if(|at| *at <= now).is_some() && self.show(now, Event::Alarm { token: DUE })
+        self.alarm.take_if(|at| *at <= now).is_some()
+            && self.show(now, Event::TimerFired { token: DUE })
     }
 }
 
@@ -82,7 +86,7 @@
                 }
             }
             if fails[n].take_if(|at| *at <= now).is_some() {
-                poller.show(now, Event::List(ListNews::Failed));
+                poller.show(now, Event::EndpointList(EndpointListUpdate::Failed));
             }
         }
     }
@@ -134,14 +138,17 @@
         for _ in 0..40 {
             poller.rings(now);
             now += TIMEOUT;
-            poller.show(now, Event::List(ListNews::Failed));
+            poller.show(now, Event::EndpointList(EndpointListUpdate::Failed));
             waits.push(poller.alarm.expect("it is put off") - now);
             now += waits[waits.len() - 1];
         }
         assert!(waits.iter().all(|w| *w <= WITHIN && *w > 0), "{waits:?}");
         assert!(waits.iter().any(|w| *w >= WITHIN / 2), "{waits:?}");
         poller.rings(now);
-        poller.show(now + 2 * WITHIN, Event::List(ListNews::Failed));
+        poller.show(
+            now + 2 * WITHIN,
+            Event::EndpointList(EndpointListUpdate::Failed),
+        );
         assert_eq!(poller.list_poller.failures, 1);
     }
 }
@@ -158,7 +165,7 @@
     /// It turns away, at once, what would wait for longer.
     line: Micros,
     down: Micros,
-    told_within: Option<Micros>,
+    notified_within: Option<Micros>,
     silence: Micros,
     /// An answer to a call that was given up is heard all the same, up to so long after the call.
     heard_until: Micros,
@@ -185,7 +192,7 @@
         .collect();
     let mut fails = Vec::new();
     for poller in &mut fleet {
-        poller.config.told_within = outage.told_within;
+        poller.config.notified_within = outage.notified_within;
         poller.alarm = None;
         poller.list_poller.at = None;
         fails.push(Some(silent_from + rng.random_range(MS..=outage.silence)));
@@ -223,7 +230,7 @@
             if fails[n].take_if(|at| *at <= now).is_some() {
                 // Only the last that was given up is still heard; a refusal leaves it.
                 overdue[n] = due[n].take().or(overdue[n]);
-                poller.show(now, Event::List(ListNews::Failed));
+                poller.show(now, Event::EndpointList(EndpointListUpdate::Failed));
             }
         }
     }
@@ -252,14 +259,15 @@
     {
         for seed in 0..200 {
             let mut poller = PollingForwarder::new(forwarders, seed);
-            (poller.config.ask_within, poller.config.told_within) = (Some(within), Some(TOLD));
+            (poller.config.poll_interval, poller.config.notified_within) =
+                (Some(within), Some(TOLD));
             let mut now = poller.alarm.expect("it is put off");
             for failures in 1..=20 {
                 // A lone one has made its first call as it began.
                 assert!(poller.rings(now) || forwarders == 1 && failures == 1);
                 let called = now;
                 now += fails_after;
-                poller.show(now, Event::List(ListNews::Failed));
+                poller.show(now, Event::EndpointList(EndpointListUpdate::Failed));
                 now = poller.alarm.expect("it is put off");
                 let next = now - called;
                 assert!(
@@ -271,7 +279,7 @@
             // A watch that held falls silent: it is noticed so long after its last answer.
             assert!(poller.rings(now));
             now += 2 * WITHIN + LONGEST_SILENCE;
-            poller.show(now, Event::List(ListNews::Failed));
+            poller.show(now, Event::EndpointList(EndpointListUpdate::Failed));
             let next = LONGEST_SILENCE + poller.alarm.expect("it is put off") - now;
             assert!(
                 next + ANSWER_TIME <= TOLD,
@@ -290,12 +298,12 @@
         (3, LONGEST_SILENCE + 30 * MS),
     ] {
         let mut poller = PollingForwarder::new(forwarders, 2);
-        poller.config.told_within = Some(TOLD);
+        poller.config.notified_within = Some(TOLD);
         let (mut now, mut waits) = (poller.alarm.expect("it is put off"), Vec::new());
         for _ in 0..8 {
             poller.rings(now);
             now += fails_after;
-            poller.show(now, Event::List(ListNews::Failed));
+            poller.show(now, Event::EndpointList(EndpointListUpdate::Failed));
             waits.push(poller.alarm.expect("it is put off") - now);
             now = poller.alarm.expect("it is put off");
         }
@@ -311,8 +319,8 @@
 fn the_first_call_comes_by_the_time_that_counts() {
     for seed in 0..200 {
         let long = Config {
-            ask_within: Some(60 * WITHIN),
-            told_within: Some(TOLD),
+            poll_interval: Some(60 * WITHIN),
+            notified_within: Some(TOLD),
             ..config(350)
         };
         let poller = PollingForwarder::under(long, seed);
@@ -325,7 +333,7 @@
     call: 16 * MS,
     line: 3 * TIMEOUT,
     down: 8_000 * MS,
-    told_within: Some(TOLD),
+    notified_within: Some(TOLD),
     silence: LONGEST_SILENCE,
     heard_until: 7_000 * MS,
 };
@@ -399,12 +407,12 @@
         ),
     ];
     for call in [80, 40, 25, 20, 16, 8, 1].map(|ms| ms * MS) {
-        for (name, told_within, silence, heard_until) in rows {
+        for (name, notified_within, silence, heard_until) in rows {
             let plays = (0..5).map(|seed| {
                 heal(
                     Outage {
                         call,
-                        told_within,
+                        notified_within,
                         silence,
                         heard_until,
                         ..OUTAGE
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -1,25 +1,25 @@
-//! The dispatch queue of a destination: packets that wait there, ordered so that finding the next costs little however many wait.
-//! It decides nothing. Packets that are alike in all that decides what is lost by waiting, but for when they were due, form
+//! The dispatch queue of a destination: messages that wait there, ordered so that finding the next costs little however many wait.
+//! It decides nothing. Messages that are alike in all that decides what is lost by waiting, but for when they were due, form
 //! a rank, ordered by that time. Within a rank the loss is a smooth curve of the due time between a few cuts, and rises or
 //! falls all the way from one cut to the next: the greatest and the least of each piece stand at its ends. So whoever looks
-//! for the best of a rank needs to weigh two packets a piece, not all (`DispatchQueue::ends`).
+//! for the best of a rank needs to weigh two messages a piece, not all (`DispatchQueue::ends`).
 //!
-//! Invariant: a packet that waits is in `expiring`; it is in its rank as well once it is its turn and its rest is over, in
+//! Invariant: a message that waits is in `expiring`; it is in its rank as well once it is its turn and its rest is over, in
 //! `resting` while only the rest is missing. It leaves all of them as it leaves the queue.
 
-use crate::interface::{Micros, PacketId};
+use crate::model::{MessageId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
 
 /// In a rank of so many a look at each is cheaper than looking for the ends.
 const FEW: usize = 16;
 
-/// What packets of one rank have in common.
+/// What messages of one rank have in common.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    pub profile: usize,
-    /// The bits of what one is worth.
-    pub worth: u64,
+    pub class: usize,
+    /// The bits of what one is weight.
+    pub weight: u64,
     /// From when it is due to when it expires, µs.
     pub span: i64,
     /// From when it is due to when it can be sent last, µs.
@@ -28,10 +28,10 @@
     pub zone: Option<u16>,
 }
 
-/// One packet as the queue sees it. It must not change while the packet waits, but for `turn`.
+/// One message as the queue sees it. It must not change while the message waits, but for `turn`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Entry {
-    pub id: PacketId,
+    pub id: MessageId,
     pub rank: Rank,
     pub due: Micros,
     /// When it can be sent last.
@@ -40,13 +40,13 @@
     pub turn: bool,
 }
 
-pub type Ranked = BTreeSet<(Micros, PacketId)>;
+pub type Ranked = BTreeSet<(Micros, MessageId)>;
 
 #[derive(Debug, Default)]
 pub struct DispatchQueue {
-    ranks: BTreeMap<Rank, Ranked>, // emptied of ranks without packets
-    resting: BTreeSet<(Micros, PacketId)>, // by the end of their rest
-    expiring: BTreeSet<(Micros, PacketId)>, // all that wait, by when they can be sent last
+    ranks: BTreeMap<Rank, Ranked>, // emptied of ranks without messages
+    resting: BTreeSet<(Micros, MessageId)>, // by the end of their rest
+    expiring: BTreeSet<(Micros, MessageId)>, // all that wait, by when they can be sent last
 }
 
 impl DispatchQueue {
@@ -54,7 +54,7 @@
         self.expiring.len()
     }
 
-    /// A packet begins to wait.
+    /// A message begins to wait.
     pub fn join(&mut self, entry: &Entry) {
         self.expiring.insert((entry.last_send, entry.id));
         if entry.turn {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// It is the packet's turn: from now on `entry.turn` holds.
+    /// It is the message's turn: from now on `entry.turn` holds.
     pub fn turn(&mut self, entry: &Entry) {
         if self.expiring.contains(&(entry.last_send, entry.id)) && !self.ranked(entry) {
             self.resting.insert((entry.ready_at, entry.id));
@@ -75,7 +75,7 @@
             .is_some_and(|r| r.contains(&(entry.due, entry.id)))
     }
 
-    /// A packet waits no more. One that did not wait changes nothing.
+    /// A message waits no more. One that did not wait changes nothing.
     pub fn leave(&mut self, entry: &Entry) {
         self.expiring.remove(&(entry.last_send, entry.id));
         self.resting.remove(&(entry.ready_at, entry.id));
@@ -88,7 +88,7 @@
     }
 
     /// Those whose rest is over by now go to their ranks.
-    pub fn wake(&mut self, now: Micros, entry: impl Fn(PacketId) -> Option<Entry>) {
+    pub fn wake(&mut self, now: Micros, entry: impl Fn(MessageId) -> Option<Entry>) {
         while let Some((_, id)) = self.resting.first().copied().filter(|(at, _)| *at <= now) {
             self.resting.pop_first();
             if let Some(Entry { rank, due, .. }) = entry(id) {
@@ -102,10 +102,10 @@
     }
 
     /// All that can't be sent any more from this time on, in the order of their ids.
-    pub fn expiring_by(&self, time: Micros) -> Vec<PacketId> {
-        let mut ids: Vec<PacketId> = self
+    pub fn expiring_by(&self, time: Micros) -> Vec<MessageId> {
+        let mut ids: Vec<MessageId> = self
             .expiring
-            .range(..=(time, PacketId(u32::MAX)))
+            .range(..=(time, MessageId(u32::MAX)))
             .map(|(_, id)| *id)
             .collect();
         ids.sort_unstable();
@@ -118,7 +118,7 @@
         ranked: &Ranked,
         due: RangeInclusive<i64>,
         cuts: impl Fn() -> Vec<i64>,
-        ends: &mut Vec<PacketId>,
+        ends: &mut Vec<MessageId>,
     ) {
         let (Ok(to), from) = (
             u64::try_from(*due.end()),
@@ -129,9 +129,9 @@
         if from > to {
             return;
         }
-        let last = (to, PacketId(u32::MAX));
+        let last = (to, MessageId(u32::MAX));
         if ranked.len() <= FEW {
-            return ends.extend(ranked.range((from, PacketId(0))..=last).map(|(_, id)| *id));
+            return ends.extend(ranked.range((from, MessageId(0))..=last).map(|(_, id)| *id));
         }
         let mut cuts: Vec<u64> = cuts()
             .into_iter()
@@ -139,14 +139,14 @@
             .filter(|c| (from..to).contains(c))
             .collect();
         cuts.sort_unstable();
-        let mut next = ranked.range((from, PacketId(0))..=last).next();
+        let mut next = ranked.range((from, MessageId(0))..=last).next();
         while let Some(&(due, id)) = next {
             ends.push(id);
             let piece = cuts
                 .get(cuts.partition_point(|c| *c < due))
                 .copied()
                 .unwrap_or(to);
-            let until = (piece, PacketId(u32::MAX));
+            let until = (piece, MessageId(u32::MAX));
             if let Some(&(latest, _)) = ranked
                 .range((due, id)..=until)
                 .next_back()
@@ -154,13 +154,13 @@
             {
                 ends.extend(
                     ranked
-                        .range((latest, PacketId(0))..)
+                        .range((latest, MessageId(0))..)
                         .next()
                         .map(|(_, id)| *id),
                 );
             }
             next = match piece < to {
-                true => ranked.range((piece + 1, PacketId(0))..=last).next(),
+                true => ranked.range((piece + 1, MessageId(0))..=last).next(),
                 false => None,
             };
         }
@@ -168,8 +168,8 @@
 }
 
 impl Rank {
-    /// Due times at which the loss turns: where one of the looks ahead (µs from now) finds a packet due, at its late share,
-    /// expired, or too late to be sent. `fade` is how long after its due time the worth falls, µs. A turn lies between two
+    /// Due times at which the loss turns: where one of the looks ahead (µs from now) finds a message due, at its late share,
+    /// expired, or too late to be sent. `fade` is how long after its due time the weight falls, µs. A turn lies between two
     /// times; what rounding may have moved stands in pieces of its own.
     pub fn cuts(&self, now: f64, answer_time: f64, looks: [f64; 4], fade: f64) -> Vec<i64> {
         let turns = looks.iter().flat_map(|t| {
@@ -203,7 +203,7 @@
         fn the_best_of_the_ends_is_the_best_of_all(dues: Vec<u8>, cuts: Vec<u8>, steps: Vec<i8>, from: u8, to: u8) -> TestResult {
             let mut queue = DispatchQueue::default();
             let entry = |(n, due): (usize, &u8)| {
-                let (id, due) = (PacketId(n as u32), u64::from(*due));
+                let (id, due) = (MessageId(n as u32), u64::from(*due));
                 Entry { id, due, last_send: 1000, turn: true, ..Entry::default() }
             };
             let entries: Vec<Entry> = dues.iter().enumerate().map(entry).collect();
@@ -213,9 +213,9 @@
             cuts.sort_unstable();
             let (from, to) = (i64::from(from.min(to)), i64::from(from.max(to)));
             let Some((_, ranked)) = queue.ranks().next() else { return TestResult::discard() };
-            let best = |ids: Vec<PacketId>| {
-                let of = |id: PacketId| entries[id.0 as usize].due;
-                let order = |id: &PacketId| (value(of(*id), &cuts, &steps), std::cmp::Reverse((of(*id), *id)));
+            let best = |ids: Vec<MessageId>| {
+                let of = |id: MessageId| entries[id.0 as usize].due;
+                let order = |id: &MessageId| (value(of(*id), &cuts, &steps), std::cmp::Reverse((of(*id), *id)));
                 ids.into_iter().max_by_key(order)
             };
             let within = |e: &&Entry| (from..=to).contains(&(e.due as i64));
@@ -230,7 +230,7 @@
     fn what_leaves_is_in_none_of_its_tables() {
         let mut queue = DispatchQueue::default();
         let entry = |n: u32| Entry {
-            id: PacketId(n),
+            id: MessageId(n),
             last_send: u64::from(n),
             ready_at: u64::from(n % 7),
             turn: n.is_multiple_of(2),
--- a/src/rules/idle.rs
+++ b/src/rules/idle.rs
@@ -1,4 +1,4 @@
-//! Destinations out of use, held as summaries: one short record a target in place of some 3 kB.
+//! Destinations out of use, held as summaries: one short record an endpoint in place of some 3 kB.
 //!
 //! `Forwarder` owns one [`IdleTable`]. Where its configuration names a number of destinations to hold in full, it holds no more than
 //! these and those in use: whatever is beyond is summarised once nothing is under way there and no timer of it runs any
@@ -7,16 +7,16 @@
 //! Exact is all that binds: told waits, drains, ejection and return, the cold budget, failures in a row ([`Bounds`]).
 //! Rounded are beliefs only: answer times, the pacing interval, the listed rate ([`Summary`]).
 //!
-//! A summary leaves as its destination is restored, or once its target has been gone for the warm-up time. Bounds leave
+//! A summary leaves as its destination is restored, or once its endpoint has been gone for the warm-up time. Bounds leave
 //! with their summary, or when a sweep, two at each event, finds that they bind no more. The queue names full destinations
 //! only, each until it is used, removed or summarised.
 
 use super::{
-    DecisionContext, Destination, Forwarder, Gate, Health, Target, CATCH_REST, CATCH_UP, LAST_FEW,
-    SECOND, SILENCE,
+    DecisionContext, Destination, Endpoint, Forwarder, Gate, Health, CATCH_REST, CATCH_UP,
+    LAST_FEW, SECOND, SILENCE,
 };
 use crate::bucket::ColdBudget;
-use crate::interface::*;
+use crate::model::*;
 use crate::times::Times;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -24,7 +24,7 @@
 /// Entries of a list applied at a time, each of which restores or creates two destinations at most: what a list may hold
 /// in full beyond the setting for a moment, some 0.4 MB. Larger chunks cost more memory and save no time.
 pub(super) const LIST_CHUNK: usize = 64;
-/// Gone targets forgotten with each list, beyond one an entry: a table that outgrew a list shrinks again.
+/// Gone endpoints forgotten with each list, beyond one an entry: a table that outgrew a list shrinks again.
 const FORGOTTEN_PER_LIST: usize = 1_024;
 /// Destinations summarised after any other event: it restores one at most, so that a backlog shrinks, at some µs each.
 const PER_EVENT: usize = 8;
@@ -35,7 +35,7 @@
 
 /// How many destinations may be summarised after this event.
 pub(super) fn most_for(event: &Event) -> usize {
-    if matches!(event, Event::List(_)) {
+    if matches!(event, Event::EndpointList(_)) {
         2 * LIST_CHUNK
     } else {
         PER_EVENT
@@ -49,11 +49,11 @@
     pub full: usize,
     /// Most destinations held in full at once so far, as seen whenever one was summarised or an event ended.
     pub most_full: usize,
-    /// Idle targets, each a summary.
+    /// Idle endpoints, each a summary.
     pub summaries: usize,
-    /// Idle targets with something that binds.
+    /// Idle endpoints with something that binds.
     pub bounds: usize,
-    /// Idle targets that have left the list and are not forgotten yet.
+    /// Idle endpoints that have left the list and are not forgotten yet.
     pub gone: usize,
     /// Destinations in the queue of those that may be summarised.
     pub queued: usize,
@@ -63,7 +63,7 @@
     pub summarised: u64,
 }
 
-/// What is believed of an idle target. The pacing gate of a destination stands in the summary of each of its targets.
+/// What is believed of an idle endpoint. The pacing gate of a destination stands in the summary of each of its endpoints.
 struct Summary {
     capacity: f32,
     rest: f32,
@@ -74,7 +74,7 @@
     per_call: u16,
     learned: Learned,
     outcomes: u8, // successes among the last few, the latest in the lowest bit
-    standing: Standing,
+    standing: EndpointStatus,
     apart: bool,
 }
 
@@ -97,14 +97,14 @@
     }
 }
 
-/// What binds an idle target, exactly as it was; absent where nothing does.
+/// What binds an idle endpoint, exactly as it was; absent where nothing does.
 #[derive(Default)]
 struct Bounds {
     held: Micros,
     next: Micros,
     paced_until: Micros, // from then on `next` changes nothing
     row_since: Micros,
-    kept_until: Micros, // of a target that is gone: until when it is not forgotten
+    kept_until: Micros, // of an endpoint that is gone: until when it is not forgotten
     health: Health,
     budget: ColdBudget,
     failures: u32,
@@ -112,11 +112,11 @@
 }
 
 impl Bounds {
-    fn bind(&self, now: Micros, warm_after: Micros) -> bool {
+    fn bind(&self, now: Micros, warm_up_time: Micros) -> bool {
         let cold = match self.health {
             Health::Well => false,
             Health::Aside | Health::Probed => true,
-            Health::Warming(since) => now < since.saturating_add(warm_after),
+            Health::Warming(since) => now < since.saturating_add(warm_up_time),
         };
         cold || self.failures + self.refusals > 0
             || now < self.held.max(self.paced_until).max(self.kept_until)
@@ -124,19 +124,19 @@
 }
 
 impl Summary {
-    fn of(target: &Target, gate: &Gate, destination: &Destination) -> Option<Summary> {
-        let outcomes = target.recent.iter().take(LAST_FEW).enumerate();
+    fn of(endpoint: &Endpoint, gate: &Gate, destination: &Destination) -> Option<Summary> {
+        let outcomes = endpoint.recent.iter().take(LAST_FEW).enumerate();
         Some(Summary {
             capacity: gate.capacity as f32,
             rest: gate.rest as f32,
-            leaning: target.card.leaning as f32,
-            answer_time: target.times.mean as f32,
-            deviation: target.times.deviation as f32,
-            zone: target.card.zone,
-            per_call: u16::try_from(target.per_call).ok()?,
-            learned: Learned::new(target.times.count(), target.recent.len()),
+            leaning: endpoint.card.leaning as f32,
+            answer_time: endpoint.times.mean as f32,
+            deviation: endpoint.times.deviation as f32,
+            zone: endpoint.card.zone,
+            per_call: u16::try_from(endpoint.per_call).ok()?,
+            learned: Learned::new(endpoint.times.count(), endpoint.recent.len()),
             outcomes: outcomes.fold(0, |bits, (n, success)| bits | u8::from(*success) << n),
-            standing: target.standing,
+            standing: endpoint.standing,
             apart: destination.apart,
         })
     }
@@ -154,22 +154,27 @@
         }
     }
 
-    fn target(&self, id: TargetId, destination: DestinationId, bounds: Option<Bounds>) -> Target {
+    fn endpoint(
+        &self,
+        id: EndpointId,
+        destination: DestinationId,
+        bounds: Option<Bounds>,
+    ) -> Endpoint {
         let times = Times::of(
             self.answer_time.into(),
             self.deviation.into(),
             self.learned.answers(),
         );
-        let mut target = Target {
+        let mut endpoint = Endpoint {
             id,
             destination,
             per_call: self.per_call.into(),
             times,
-            ..Target::default()
+            ..Endpoint::default()
         };
-        target.standing = self.standing;
-        (target.card.zone, target.card.leaning) = (self.zone, self.leaning.into());
-        target.recent = (0..self.learned.outcomes())
+        endpoint.standing = self.standing;
+        (endpoint.card.zone, endpoint.card.leaning) = (self.zone, self.leaning.into());
+        endpoint.recent = (0..self.learned.outcomes())
             .map(|n| self.outcomes >> n & 1 == 1)
             .collect();
         if let Some(Bounds {
@@ -182,11 +187,11 @@
             ..
         }) = bounds
         {
-            target.next_probe = kept_until;
-            (target.row_since, target.health, target.budget) = (row_since, health, budget);
-            (target.failures, target.refusals) = (failures, refusals);
+            endpoint.next_health_check = kept_until;
+            (endpoint.row_since, endpoint.health, endpoint.budget) = (row_since, health, budget);
+            (endpoint.failures, endpoint.refusals) = (failures, refusals);
         }
-        target
+        endpoint
     }
 }
 
@@ -203,113 +208,122 @@
 
 #[derive(Default)]
 pub(super) struct IdleTable {
-    summaries: BTreeMap<(DestinationId, TargetId), Summary>,
-    destinations: BTreeMap<TargetId, DestinationId>,
-    bounds: BTreeMap<TargetId, Bounds>,
-    gone: BTreeSet<(Micros, TargetId)>, // by when each is forgotten
+    summaries: BTreeMap<(DestinationId, EndpointId), Summary>,
+    destinations: BTreeMap<EndpointId, DestinationId>,
+    bounds: BTreeMap<EndpointId, Bounds>,
+    gone: BTreeSet<(Micros, EndpointId)>, // by when each is forgotten
     queue: BTreeSet<(Micros, DestinationId)>, // full ones that may be summarised, by when
-    swept: Option<TargetId>,            // the last whose bounds were looked at
+    swept: Option<EndpointId>,            // the last whose bounds were looked at
     most_full: usize,
     restored: u64,
     summarised: u64,
 }
 
-const FIRST_TARGET: TargetId = TargetId {
+const FIRST_ENDPOINT: EndpointId = EndpointId {
     address: [0; 4],
     port: 0,
-    holder: 0,
+    incarnation: 0,
 };
-const LAST_TARGET: TargetId = TargetId {
+const LAST_ENDPOINT: EndpointId = EndpointId {
     address: [u8::MAX; 4],
     port: u16::MAX,
-    holder: u32::MAX,
+    incarnation: u32::MAX,
 };
 
 impl IdleTable {
     pub(super) fn holds(&self, id: DestinationId) -> bool {
-        self.targets_of(id).next().is_some()
+        self.endpoints_of(id).next().is_some()
     }
 
-    fn targets_of(&self, id: DestinationId) -> impl Iterator<Item = TargetId> + '_ {
+    fn endpoints_of(&self, id: DestinationId) -> impl Iterator<Item = EndpointId> + '_ {
         self.summaries
-            .range((id, FIRST_TARGET)..=(id, LAST_TARGET))
-            .map(|((_, target), _)| *target)
+            .range((id, FIRST_ENDPOINT)..=(id, LAST_ENDPOINT))
+            .map(|((_, endpoint), _)| *endpoint)
     }
 
-    /// All idle targets that have not left the list, each with its place.
-    pub(super) fn listed(&self) -> impl Iterator<Item = (TargetId, ZoneId, DestinationId)> + '_ {
+    /// All idle endpoints that have not left the list, each with its place.
+    pub(super) fn listed(&self) -> impl Iterator<Item = (EndpointId, ZoneId, DestinationId)> + '_ {
         let listed = self
             .summaries
             .iter()
-            .filter(|(_, s)| s.standing != Standing::Gone);
-        listed.map(|((destination, target), s)| (*target, ZoneId(s.zone), *destination))
+            .filter(|(_, s)| s.standing != EndpointStatus::Removed);
+        listed.map(|((destination, endpoint), s)| (*endpoint, ZoneId(s.zone), *destination))
     }
 
     fn insert(
         &mut self,
         id: DestinationId,
-        target: TargetId,
+        endpoint: EndpointId,
         summary: Summary,
         bounds: Option<Bounds>,
     ) {
-        if summary.standing == Standing::Gone {
+        if summary.standing == EndpointStatus::Removed {
             self.gone
-                .insert((bounds.as_ref().map_or(0, |b| b.kept_until), target));
+                .insert((bounds.as_ref().map_or(0, |b| b.kept_until), endpoint));
         }
-        self.destinations.insert(target, id);
-        self.summaries.insert((id, target), summary);
-        self.bounds.extend(bounds.map(|b| (target, b)));
+        self.destinations.insert(endpoint, id);
+        self.summaries.insert((id, endpoint), summary);
+        self.bounds.extend(bounds.map(|b| (endpoint, b)));
     }
 
-    fn remove(&mut self, id: DestinationId, target: TargetId) -> Option<(Summary, Option<Bounds>)> {
-        let summary = self.summaries.remove(&(id, target))?;
-        self.destinations.remove(&target);
-        let bounds = self.bounds.remove(&target);
+    fn remove(
+        &mut self,
+        id: DestinationId,
+        endpoint: EndpointId,
+    ) -> Option<(Summary, Option<Bounds>)> {
+        let summary = self.summaries.remove(&(id, endpoint))?;
+        self.destinations.remove(&endpoint);
+        let bounds = self.bounds.remove(&endpoint);
         self.gone
-            .remove(&(bounds.as_ref().map_or(0, |b| b.kept_until), target));
+            .remove(&(bounds.as_ref().map_or(0, |b| b.kept_until), endpoint));
         Some((summary, bounds))
     }
 
     /// Forgets those gone for long enough; one told to wait is kept until the wait is over.
     pub(super) fn forget_gone(&mut self, now: Micros, entries: usize) {
         for _ in 0..entries + FORGOTTEN_PER_LIST {
-            let Some((at, target)) = self.gone.first().copied().filter(|(at, _)| *at <= now) else {
+            let Some((at, endpoint)) = self.gone.first().copied().filter(|(at, _)| *at <= now)
+            else {
                 return;
             };
-            match self.bounds.get_mut(&target).filter(|b| b.held > now) {
+            match self.bounds.get_mut(&endpoint).filter(|b| b.held > now) {
                 Some(bounds) => {
                     bounds.kept_until = bounds.held;
-                    self.gone.remove(&(at, target));
-                    self.gone.insert((bounds.held, target));
+                    self.gone.remove(&(at, endpoint));
+                    self.gone.insert((bounds.held, endpoint));
                 }
                 None => {
-                    let id = self.destinations.get(&target).copied().unwrap_or_default();
-                    self.remove(id, target);
-                    self.gone.remove(&(at, target));
+                    let id = self
+                        .destinations
+                        .get(&endpoint)
+                        .copied()
+                        .unwrap_or_default();
+                    self.remove(id, endpoint);
+                    self.gone.remove(&(at, endpoint));
                 }
             }
         }
     }
 
     /// Looks at the next few bounds and drops those that bind no more.
-    fn sweep(&mut self, now: Micros, warm_after: Micros) {
+    fn sweep(&mut self, now: Micros, warm_up_time: Micros) {
         for _ in 0..SWEPT_PER_EVENT {
             let from = self.swept.map_or(Bound::Unbounded, Bound::Excluded);
             let next = self.bounds.range((from, Bound::Unbounded)).next();
-            let Some((target, bounds)) = next else {
+            let Some((endpoint, bounds)) = next else {
                 return self.swept = None;
             };
-            let (target, binds) = (*target, bounds.bind(now, warm_after));
-            self.swept = Some(target);
-            if !binds && !self.gone.contains(&(bounds.kept_until, target)) {
-                self.bounds.remove(&target);
+            let (endpoint, binds) = (*endpoint, bounds.bind(now, warm_up_time));
+            self.swept = Some(endpoint);
+            if !binds && !self.gone.contains(&(bounds.kept_until, endpoint)) {
+                self.bounds.remove(&endpoint);
             }
         }
     }
 }
 
 impl Forwarder {
-    /// How many destinations and targets are held in full and as summaries.
+    /// How many destinations and endpoints are held in full and as summaries.
     pub fn state_counts(&self) -> StateCounts {
         StateCounts {
             full: self.destinations.len(),
@@ -333,25 +347,25 @@
     /// Restores the destination that the event concerns. A list restores those that it names itself.
     pub(super) fn restore_for(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::Packet(arrival) => self.restore(now, arrival.destination),
-            Event::WaitTold { target, .. }
-            | Event::TripEnded { target, .. }
-            | Event::ProbeAnswered { target, .. } => self.restore_target(now, *target),
+            Event::Submitted(arrival) => self.restore(now, arrival.destination),
+            Event::RetryAfterReceived { endpoint, .. }
+            | Event::AttemptEnded { endpoint, .. }
+            | Event::HealthCheckEnded { endpoint, .. } => self.restore_endpoint(now, *endpoint),
             _ => {}
         }
     }
 
-    pub(super) fn restore_target(&mut self, now: Micros, target: TargetId) {
-        if let Some(id) = self.idle.destinations.get(&target).copied() {
+    pub(super) fn restore_endpoint(&mut self, now: Micros, endpoint: EndpointId) {
+        if let Some(id) = self.idle.destinations.get(&endpoint).copied() {
             self.restore(now, id);
         }
     }
 
     pub(super) fn restore(&mut self, now: Micros, id: DestinationId) {
-        let held: Vec<TargetId> = self.idle.targets_of(id).collect();
+        let held: Vec<EndpointId> = self.idle.endpoints_of(id).collect();
         let Some(first) = held
             .first()
-            .and_then(|target| self.idle.summaries.get(&(id, *target)))
+            .and_then(|endpoint| self.idle.summaries.get(&(id, *endpoint)))
         else {
             return;
         };
@@ -362,24 +376,24 @@
             per_call,
             ..Destination::default()
         };
-        for target in held {
-            let Some((summary, bounds)) = self.idle.remove(id, target) else {
+        for endpoint in held {
+            let Some((summary, bounds)) = self.idle.remove(id, endpoint) else {
                 continue;
             };
             let gate = summary.gate(bounds.as_ref(), now);
             destination
                 .gates
-                .entry(apart.then_some(target))
+                .entry(apart.then_some(endpoint))
                 .or_insert(gate);
-            destination.cards.insert(target, super::Card::default());
-            self.targets
-                .insert(target, summary.target(target, id, bounds));
+            destination.cards.insert(endpoint, super::Card::default());
+            self.endpoints
+                .insert(endpoint, summary.endpoint(endpoint, id, bounds));
         }
         let Forwarder {
             config,
             rng,
             mailboxes,
-            targets,
+            endpoints,
             times,
             ..
         } = self;
@@ -391,21 +405,21 @@
             scarce: false,
             times,
         };
-        let standing = |target| targets.get(target).map(|t| t.standing);
+        let standing = |endpoint| endpoints.get(endpoint).map(|t| t.standing);
         let ready = destination
             .cards
             .keys()
-            .filter(|t| standing(t) == Some(Standing::Ready))
+            .filter(|t| standing(t) == Some(EndpointStatus::Ready))
             .count()
             .max(1);
-        for (target, card) in &mut destination.cards {
-            let Some(t) = targets.get_mut(target) else {
+        for (endpoint, card) in &mut destination.cards {
+            let Some(t) = endpoints.get_mut(endpoint) else {
                 continue;
             };
-            let gate = destination.gates.get(&apart.then_some(*target));
+            let gate = destination.gates.get(&apart.then_some(*endpoint));
             t.capacity = gate.map_or(0.0, |g| g.capacity) / if apart { 1.0 } else { ready as f64 };
             let fee = config
-                .zone_fees
+                .zone_costs
                 .get(usize::from(t.card.zone))
                 .filter(|_| apart);
             t.card.fee = fee.copied().unwrap_or(0.0);
@@ -419,7 +433,7 @@
     /// Reads the note that an idle destination is at its limit; whether it is idle. Restoring each of which others speak
     /// would hold in full what is in use elsewhere.
     pub(super) fn limit_idle(&mut self, now: Micros, id: DestinationId) -> bool {
-        let held: Vec<TargetId> = self.idle.targets_of(id).collect();
+        let held: Vec<EndpointId> = self.idle.endpoints_of(id).collect();
         let Forwarder {
             config,
             rng,
@@ -430,14 +444,17 @@
         } = self;
         let Some(first) = held
             .first()
-            .and_then(|target| idle.summaries.get(&(id, *target)))
+            .and_then(|endpoint| idle.summaries.get(&(id, *endpoint)))
         else {
             return false;
         };
         if first.apart {
             return true; // each is at a limit of its own
         }
-        let mut gate = first.gate(held.first().and_then(|target| idle.bounds.get(target)), now);
+        let mut gate = first.gate(
+            held.first().and_then(|endpoint| idle.bounds.get(endpoint)),
+            now,
+        );
         gate.heard(&mut DecisionContext {
             now,
             config,
@@ -446,32 +463,34 @@
             scarce: false,
             times,
         });
-        for target in held {
-            let bounds = idle.bounds.entry(target).or_default();
+        for endpoint in held {
+            let bounds = idle.bounds.entry(endpoint).or_default();
             (bounds.next, bounds.paced_until) = (gate.next, gate.paced_until());
             idle.summaries
-                .entry((id, target))
+                .entry((id, endpoint))
                 .and_modify(|s| s.rest = gate.rest as f32);
         }
         true
     }
 
-    /// Applies an entry that names an idle destination's only target, neither gone, to its summary; whether it does.
-    pub(super) fn relist_idle(&mut self, entry: &Listing) -> bool {
+    /// Applies an entry that names an idle destination's only endpoint, neither gone, to its summary; whether it does.
+    pub(super) fn relist_idle(&mut self, entry: &EndpointEntry) -> bool {
         let id = entry.destination;
         let mut summaries = self
             .idle
             .summaries
-            .range_mut((id, FIRST_TARGET)..=(id, LAST_TARGET));
-        let (Some(((_, target), summary)), None) = (summaries.next(), summaries.next()) else {
+            .range_mut((id, FIRST_ENDPOINT)..=(id, LAST_ENDPOINT));
+        let (Some(((_, endpoint), summary)), None) = (summaries.next(), summaries.next()) else {
             return false;
         };
-        if *target != entry.target || [entry.standing, summary.standing].contains(&Standing::Gone) {
+        if *endpoint != entry.endpoint
+            || [entry.status, summary.standing].contains(&EndpointStatus::Removed)
+        {
             return false;
         }
         summary.capacity = Gate::listed(entry.rate.into(), &self.config).0 as f32;
-        (summary.zone, summary.standing) = (entry.zone.0, entry.standing);
-        summary.leaning = Target::leaning(&mut self.rng) as f32;
+        (summary.zone, summary.standing) = (entry.zone.0, entry.status);
+        summary.leaning = Endpoint::leaning(&mut self.rng) as f32;
         true
     }
 
@@ -481,7 +500,7 @@
             return;
         }
         let longest = Gate::longest(&self.config) as Micros;
-        let targets = &self.targets;
+        let endpoints = &self.endpoints;
         let Some(destination) = self
             .destinations
             .get_mut(&id)
@@ -496,7 +515,7 @@
         let answered = destination
             .cards
             .keys()
-            .filter_map(|t| targets.get(t))
+            .filter_map(|t| endpoints.get(t))
             .map(|t| t.answered);
         let passing = answered.filter(|at| *at > 0).map(|at| at + 2 * SILENCE);
         let at = paced.chain(passing).max().unwrap_or(now);
@@ -519,7 +538,7 @@
             return;
         }
         self.idle.most_full = self.idle.most_full.max(self.destinations.len());
-        self.idle.sweep(now, self.config.rules.warm_after);
+        self.idle.sweep(now, self.config.rules.warm_up_time);
         for _ in 0..most {
             let first = self
                 .idle
@@ -549,25 +568,25 @@
     fn summarise(
         &mut self,
         id: DestinationId,
-        summaries: Vec<(TargetId, Summary, Option<Bounds>)>,
+        summaries: Vec<(EndpointId, Summary, Option<Bounds>)>,
     ) {
         self.destinations.remove(&id);
-        for (target, summary, bounds) in summaries {
-            self.targets.remove(&target);
-            self.idle.insert(id, target, summary, bounds);
+        for (endpoint, summary, bounds) in summaries {
+            self.endpoints.remove(&endpoint);
+            self.idle.insert(id, endpoint, summary, bounds);
         }
         self.idle.summarised += 1;
     }
 
-    /// The summaries of a destination's targets, unless something is under way there or a summary would lose a bound.
+    /// The summaries of a destination's endpoints, unless something is under way there or a summary would lose a bound.
     fn summary_of(
         &mut self,
         now: Micros,
         id: DestinationId,
-    ) -> Option<Vec<(TargetId, Summary, Option<Bounds>)>> {
+    ) -> Option<Vec<(EndpointId, Summary, Option<Bounds>)>> {
         let destination = self.destinations.get_mut(&id)?;
         let (apart, cards) = (destination.apart, &destination.cards);
-        let listed = |t: &Option<TargetId>| t.map_or(!apart, |t| cards.contains_key(&t));
+        let listed = |t: &Option<EndpointId>| t.map_or(!apart, |t| cards.contains_key(&t));
         destination
             .gates
             .retain(|t, gate| listed(t) || gate.held > now);
@@ -581,20 +600,20 @@
         } else {
             1
         };
-        let unused = !self.states.contains_key(&id) && destination.packets.is_empty();
+        let unused = !self.states.contains_key(&id) && destination.messages.is_empty();
         if !unused || destination.cards.is_empty() || destination.gates.len() != gates {
             return None;
         }
-        let warm_after = self.config.rules.warm_after;
-        let summary = |target: &TargetId| {
+        let warm_up_time = self.config.rules.warm_up_time;
+        let summary = |endpoint: &EndpointId| {
             let gate = destination
                 .gates
-                .get(&destination.apart.then_some(*target))?;
+                .get(&destination.apart.then_some(*endpoint))?;
             let t = self
-                .targets
-                .get(target)
+                .endpoints
+                .get(endpoint)
                 .filter(|t| t.destination == id && t.calls.is_empty())?;
-            if t.next_probe == Micros::MAX || t.per_call != destination.per_call {
+            if t.next_health_check == Micros::MAX || t.per_call != destination.per_call {
                 return None;
             }
             let bounds = Bounds {
@@ -602,8 +621,8 @@
                 next: gate.next,
                 paced_until: gate.paced_until(),
                 row_since: t.row_since,
-                kept_until: if t.standing == Standing::Gone {
-                    t.next_probe
+                kept_until: if t.standing == EndpointStatus::Removed {
+                    t.next_health_check
                 } else {
                     0
                 },
@@ -612,8 +631,8 @@
                 failures: t.failures,
                 refusals: t.refusals,
             };
-            let bounds = Some(bounds).filter(|b| b.bind(now, warm_after));
-            Some((*target, Summary::of(t, gate, destination)?, bounds))
+            let bounds = Some(bounds).filter(|b| b.bind(now, warm_up_time));
+            Some((*endpoint, Summary::of(t, gate, destination)?, bounds))
         };
         destination.cards.keys().map(summary).collect()
     }
--- a/tests/at_size.rs
+++ b/tests/at_size.rs
@@ -11,16 +11,16 @@
 fn fleet() -> impl Iterator<Item = World> {
     let config = |n| Config {
         forwarder: n,
-        forwarders: 300,
+        fleet_size: 300,
         ..config()
     };
     (0..40).map(move |n| World::new(config(n), vec![listing(1, 0, 20.0), listing(2, 0, 20.0)]))
 }
 
-/// An even share, a call in fifteen seconds, once held packets back that nobody had refused; the first packets of many
+/// An even share, a call in fifteen seconds, once held messages back that nobody had refused; the first messages of many
 /// forwarders at once overran a small destination. None waits beyond its contract time, and not all go at once.
 #[test]
-fn at_size_no_packet_waits_for_an_even_share() -> Checked {
+fn at_size_no_message_waits_for_an_even_share() -> Checked {
     let mut at_once = 0;
     for mut world in fleet() {
         (0..2).try_for_each(|_| world.arrive(0, 0, None, 8_000 * MS).map(drop))?;
@@ -28,9 +28,9 @@
         world.pass(
             world
                 .config
-                .profiles
+                .classes
                 .iter()
-                .map(|p| p.contract_time)
+                .map(|p| p.latency_objective)
                 .min()
                 .unwrap_or(0)
                 * 3
@@ -50,11 +50,11 @@
 fn at_size_one_refusal_is_enough_for_all() -> Checked {
     let mut refused = fleet().next().ok_or("a forwarder")?;
     let id = refused.arrive(0, 0, None, 8_000 * MS)?;
-    refused.end(id, Outcome::Full { wait: None })?;
+    refused.end(id, Outcome::Rejected { retry_after: None })?;
     let told = refused.actions.iter().find_map(|a| match a {
         Action::SendGossip {
             peer: None,
-            message,
+            payload: message,
         } => Some(message.clone()),
         _ => None,
     });
@@ -66,16 +66,16 @@
                 (0..3).try_for_each(|_| {
                     world.give(Event::Gossip {
                         from: 7,
-                        message: message.clone(),
+                        payload: message.clone(),
                     })
                 })?;
             }
             (0..2).try_for_each(|_| world.arrive(0, 0, None, 8_000 * MS).map(drop))?;
             world.pass(200 * MS)?;
             calls += world.out().len();
-            // It is no more than a rest: told again and again, the packets go all the same.
+            // It is no more than a rest: told again and again, the messages go all the same.
             world.pass(4_500 * MS)?;
-            assert!(world.packets.values().any(|p| !p.trips.is_empty()));
+            assert!(world.messages.values().any(|p| !p.attempts.is_empty()));
         }
         Ok(calls)
     };
@@ -87,11 +87,11 @@
     Ok(())
 }
 
-/// A probe takes a call of the cold budget; the next one came seconds later, and the packets waited on.
+/// A health check takes a call of the cold budget; the next one came seconds later, and the messages waited on.
 #[test]
-fn at_size_a_packet_serves_as_the_probe() -> Checked {
+fn at_size_a_message_serves_as_the_health_check() -> Checked {
     let config = Config {
-        forwarders: 60,
+        fleet_size: 60,
         ..config()
     };
     let mut world = World::new(config, vec![listing(1, 0, 60.0)]);
@@ -107,23 +107,23 @@
     assert!(
         !world.actions[before..]
             .iter()
-            .any(|a| matches!(a, Action::Probe { .. })),
+            .any(|a| matches!(a, Action::HealthCheck { .. })),
         "probed"
     );
     assert!(world.out().len() == 1, "no packet tries");
     Ok(())
 }
 
-/// Forwarders that know little once all went to the first target of the list.
+/// Forwarders that know little once all went to the first endpoint of the list.
 #[test]
-fn at_size_not_all_choose_one_target() -> Checked {
+fn at_size_not_all_choose_one_endpoint() -> Checked {
     let chosen = fleet().map(|mut world| {
         let first = world.arrive(0, 0, None, 8_000 * MS)?;
         world.pass(100 * MS)?;
         world.end(first, Outcome::Delivered)?;
         world.pass(2_000 * MS)?;
         let id = world.arrive(0, 0, None, 8_000 * MS)?;
-        Ok(world.packets[&id].trips[0].target)
+        Ok(world.messages[&id].attempts[0].endpoint)
     });
     assert_eq!(
         chosen
@@ -142,8 +142,8 @@
         let first = world.arrive(0, 0, None, 8_000 * MS)?;
         world.end(
             first,
-            Outcome::Full {
-                wait: Some(5_000 * MS),
+            Outcome::Rejected {
+                retry_after: Some(5_000 * MS),
             },
         )?;
         world.pass(5_200 * MS)?;
@@ -161,13 +161,13 @@
 fn at_size_a_refused_forwarder_rests_on_the_scale_of_an_even_share() -> Checked {
     let mut world = World::new(
         Config {
-            forwarders: 300,
+            fleet_size: 300,
             ..config()
         },
         vec![listing(1, 0, 100.0)],
     );
     let first = world.arrive(0, 0, None, 8_000 * MS)?;
-    world.end(first, Outcome::Full { wait: None })?;
+    world.end(first, Outcome::Rejected { retry_after: None })?;
     let next = world.arrive(0, 0, None, 8_000 * MS)?;
     world.pass(700 * MS)?;
     assert!(sends(&world, first).len() == 1 && sends(&world, next).is_empty());
@@ -176,18 +176,18 @@
     Ok(())
 }
 
-/// A late packet leaves the first call that the pace allows to one in time, and goes when a whole rest more has passed.
+/// A late message leaves the first call that the pace allows to one in time, and goes when a whole rest more has passed.
 #[test]
-fn at_size_a_late_packet_waits_until_a_call_is_to_spare() -> Checked {
+fn at_size_a_late_message_waits_until_a_call_is_to_spare() -> Checked {
     let mut world = World::new(
         Config {
-            forwarders: 300,
+            fleet_size: 300,
             ..config()
         },
         vec![listing(1, 0, 100.0)],
     );
     let refused = world.arrive(0, 0, None, 8_000 * MS)?;
-    world.end(refused, Outcome::Full { wait: None })?;
+    world.end(refused, Outcome::Rejected { retry_after: None })?;
     world.withdraw(refused)?;
     let late = world.arrive(0, 0, None, 6_900 * MS)?;
     world.pass(2_100 * MS)?;
@@ -202,17 +202,17 @@
 fn at_size_two_refusals_set_nothing_aside() -> Checked {
     let mut world = World::new(
         Config {
-            forwarders: 300,
+            fleet_size: 300,
             ..config()
         },
         vec![listing(1, 0, 100.0)],
     );
     let id = world.arrive(0, 0, None, 8_000 * MS)?;
-    for trip in 1..=2 {
-        assert_eq!(sends(&world, id).len(), trip);
-        world.end(id, Outcome::Full { wait: None })?;
-        world.pass(4_500 * MS * (2 - trip as u64))?;
+    for attempt in 1..=2 {
+        assert_eq!(sends(&world, id).len(), attempt);
+        world.end(id, Outcome::Rejected { retry_after: None })?;
+        world.pass(4_500 * MS * (2 - attempt as u64))?;
     }
-    assert!(!logged(&world, "set aside"));
+    assert!(!logged(&world, "endpoint ejected"));
     Ok(())
 }
--- a/tests/cases.rs
+++ b/tests/cases.rs
@@ -8,27 +8,30 @@
 
 type Checked = Result<(), String>;
 
-fn one_target() -> World {
+fn one_endpoint() -> World {
     World::new(config(), vec![listing(1, 0, 20.0)])
 }
 
 /// Two routes apart in two zones.
 fn routes(config: Config) -> World {
-    let kinds = vec![KindConfig {
-        routes_apart: true,
-        per_call: 1,
+    let kinds = vec![EndpointKindConfig {
+        independent_limits: true,
+        batch_size: 1,
     }];
     World::new(
-        Config { kinds, ..config },
+        Config {
+            endpoint_kinds: kinds,
+            ..config
+        },
         vec![listing(1, 0, 20.0), listing(2, 0, 20.0)],
     )
 }
 
-fn written_off(world: &World, id: PacketId) -> bool {
-    world.actions.contains(&Action::WriteOff { id })
+fn written_off(world: &World, id: MessageId) -> bool {
+    world.actions.contains(&Action::Fail { id })
 }
 
-/// Keeps the target busy and answering well for a while.
+/// Keeps the endpoint busy and answering well for a while.
 fn good_times(world: &mut World, seconds: u64) -> Checked {
     for _ in 0..seconds * 5 {
         let id = world.arrive(0, 0, None, 8_000 * MS)?;
@@ -41,10 +44,10 @@
     Ok(())
 }
 
-/// Lets every call fail until the target is set aside.
+/// Lets every call fail until the endpoint is ejected.
 fn outage(world: &mut World) -> Checked {
     for _ in 0..40 {
-        if logged(world, "set aside") {
+        if logged(world, "endpoint ejected") {
             return Ok(());
         }
         world.arrive(0, 0, None, 8_000 * MS)?;
@@ -57,7 +60,7 @@
 }
 
 #[test]
-fn waits_between_trips_double_up_to_a_quarter_of_expiry() -> Checked {
+fn waits_between_attempts_double_up_to_a_quarter_of_expiry() -> Checked {
     let mut world = World::new(config(), (1..7).map(|n| listing(n, 0, 200.0)).collect());
     let id = world.arrive(0, 0, None, 8_000 * MS)?;
     let mut ended = Vec::new();
@@ -100,8 +103,8 @@
 
 #[test]
 fn a_told_wait_binds_the_destination_and_a_route_only_itself() -> Checked {
-    let full = Outcome::Full {
-        wait: Some(1_500 * MS),
+    let full = Outcome::Rejected {
+        retry_after: Some(1_500 * MS),
     };
     let mut shared = World::new(config(), vec![listing(1, 0, 20.0), listing(2, 0, 20.0)]);
     let mut apart = routes(config());
@@ -118,37 +121,37 @@
 }
 
 #[test]
-fn a_hold_past_expiry_ends_the_packet_at_once() -> Checked {
-    let mut world = one_target();
+fn a_hold_past_expiry_ends_the_message_at_once() -> Checked {
+    let mut world = one_endpoint();
     let first = world.arrive(0, 0, None, 8_000 * MS)?;
     let second = world.arrive(0, 0, None, 3_000 * MS)?;
     world.end(
         first,
-        Outcome::Full {
-            wait: Some(5_000 * MS),
+        Outcome::Rejected {
+            retry_after: Some(5_000 * MS),
         },
     )?;
     world.pass(50 * MS)?;
-    assert!(world.packets[&second].over || !sends(&world, second).is_empty());
+    assert!(world.messages[&second].over || !sends(&world, second).is_empty());
     let third = world.arrive(0, 0, None, 3_000 * MS)?;
     world.pass(50 * MS)?;
     // It was never sent on: it goes back, and has not failed.
-    let deferred = |a: &Action| matches!(a, Action::Defer { id, .. } if *id == third);
+    let deferred = |a: &Action| matches!(a, Action::Reject { id, .. } if *id == third);
     assert!(world.actions.iter().any(deferred) && !written_off(&world, third));
     Ok(())
 }
 
 #[test]
-fn a_fingerprinted_packet_is_not_sent_again_outside_its_window() -> Checked {
-    let mut world = one_target();
+fn a_fingerprinted_message_is_not_sent_again_outside_its_window() -> Checked {
+    let mut world = one_endpoint();
     let id = world.arrive(1, 0, None, 8_000 * MS)?;
     world.pass(1_000 * MS)?;
     world.end(id, Outcome::Reset)?;
     let hold = world.arrive(0, 0, None, 8_000 * MS)?;
     world.end(
         hold,
-        Outcome::Full {
-            wait: Some(4_000 * MS),
+        Outcome::Rejected {
+            retry_after: Some(4_000 * MS),
         },
     )?;
     world.pass(2_500 * MS)?;
@@ -157,9 +160,9 @@
 }
 
 #[test]
-fn a_binding_packet_that_may_have_run_is_written_off() -> Checked {
+fn a_binding_message_that_may_have_run_is_written_off() -> Checked {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::Timeout] {
-        let mut world = one_target();
+        let mut world = one_endpoint();
         let id = world.arrive(2, 0, None, 8_000 * MS)?;
         world.end(id, outcome)?;
         assert!(written_off(&world, id), "{outcome:?}");
@@ -167,14 +170,14 @@
     Ok(())
 }
 
-/// The cold budget once ran up a debt in good times, and a target set aside was not tried for minutes.
+/// The cold budget once ran up a debt in good times, and an endpoint ejected was not tried for minutes.
 #[test]
-fn a_target_set_aside_after_good_times_is_probed_soon() -> Checked {
-    let mut world = one_target();
+fn a_endpoint_set_aside_after_good_times_is_probed_soon() -> Checked {
+    let mut world = one_endpoint();
     good_times(&mut world, 20)?;
     outage(&mut world)?;
     world.pass(3_000 * MS)?;
-    assert!(!world.probes.is_empty());
+    assert!(!world.health_checks.is_empty());
     Ok(())
 }
 
@@ -183,7 +186,7 @@
 #[test]
 fn a_short_outage_is_told_from_a_full_connection_table() -> Checked {
     for (outage, set_aside) in [(true, true), (false, false)] {
-        let mut world = one_target();
+        let mut world = one_endpoint();
         good_times(&mut world, 3)?;
         for n in 0..12 {
             world.arrive(0, 0, None, 8_000 * MS)?;
@@ -200,7 +203,7 @@
                 )?;
             }
         }
-        if logged(&world, "set aside") != set_aside {
+        if logged(&world, "endpoint ejected") != set_aside {
             return Err(format!("outage: {outage}, within 0.6 s of the last answer"));
         }
     }
@@ -208,55 +211,55 @@
 }
 
 #[test]
-fn a_target_set_aside_comes_back_by_probe_then_call() -> Checked {
-    let mut world = one_target();
+fn a_endpoint_set_aside_comes_back_by_health_check_then_call() -> Checked {
+    let mut world = one_endpoint();
     outage(&mut world)?;
-    // Gone from the list and back, it is still set aside: it was once forgotten, and got its full pace while cold.
-    let gone = Listing {
-        standing: Standing::Gone,
+    // Gone from the list and back, it is still ejected: it was once forgotten, and got its full pace while cold.
+    let gone = EndpointEntry {
+        status: EndpointStatus::Removed,
         ..listing(1, 0, 20.0)
     };
-    world.list(ListNews::Changes(vec![gone]))?;
+    world.list(EndpointListUpdate::Changes(vec![gone]))?;
     world.pass(100 * MS)?;
-    world.list(ListNews::Changes(vec![listing(1, 0, 20.0)]))?;
+    world.list(EndpointListUpdate::Changes(vec![listing(1, 0, 20.0)]))?;
     world.pass(3_000 * MS)?;
     assert!(
         world.out().is_empty(),
         "nothing but probes while it is set aside"
     );
-    world.answer_probe(Outcome::Delivered)?;
+    world.answer_health_check(Outcome::Delivered)?;
     world.pass(2_000 * MS)?;
     let id = world.out()[0];
     world.end(id, Outcome::Delivered)?;
-    assert!(logged(&world, "taken back"));
+    assert!(logged(&world, "endpoint readmitted"));
     Ok(())
 }
 
-/// Probes alone may fail where calls would pass: a packet then tries.
+/// Probes alone may fail where calls would pass: a message then tries.
 #[test]
-fn a_packet_tries_where_probes_stay_unanswered() -> Checked {
-    let mut world = one_target();
+fn a_message_tries_where_health_checks_stay_unanswered() -> Checked {
+    let mut world = one_endpoint();
     outage(&mut world)?;
     for _ in 0..3 {
         world.pass(2_000 * MS)?;
-        world.answer_probe(Outcome::Timeout)?;
+        world.answer_health_check(Outcome::Timeout)?;
     }
     world.arrive(0, 0, None, 8_000 * MS)?;
     world.pass(2_000 * MS)?;
     assert!(
-        world.packets.values().any(|h| h.trips.len() > 1),
+        world.messages.values().any(|h| h.attempts.len() > 1),
         "no packet tried again"
     );
     Ok(())
 }
 
 #[test]
-fn a_returning_target_gets_this_forwarders_part_of_the_cold_budget() -> Checked {
-    let mut world = one_target();
+fn a_returning_endpoint_gets_this_forwarders_part_of_the_cold_budget() -> Checked {
+    let mut world = one_endpoint();
     good_times(&mut world, 3)?;
     outage(&mut world)?;
     world.pass(3_000 * MS)?;
-    world.answer_probe(Outcome::Delivered)?;
+    world.answer_health_check(Outcome::Delivered)?;
     let mut sent = 0;
     for _ in 0..40 {
         world.arrive(0, 0, None, 8_000 * MS)?;
@@ -274,10 +277,10 @@
     Ok(())
 }
 
-/// Half the trips of a day once got lost on the way and were waited out: slots filled with them.
+/// Half the attempts of a day once got lost on the way and were waited out: slots filled with them.
 #[test]
-fn a_trip_that_later_calls_have_passed_is_called_off() -> Checked {
-    let mut world = one_target();
+fn a_attempt_that_later_calls_have_passed_is_called_off() -> Checked {
+    let mut world = one_endpoint();
     good_times(&mut world, 5)?;
     let lost = world.arrive(0, 0, None, 8_000 * MS)?;
     world.pass(50 * MS)?;
@@ -286,11 +289,11 @@
     Ok(())
 }
 
-/// Binding trips whose answers got lost once held their slots until expiry.
+/// Binding attempts whose answers got lost once held their slots until expiry.
 #[test]
-fn a_binding_trip_is_called_off_only_when_passed_and_is_then_written_off() -> Checked {
+fn a_binding_attempt_is_called_off_only_when_passed_and_is_then_written_off() -> Checked {
     for passed in [false, true] {
-        let mut world = one_target();
+        let mut world = one_endpoint();
         good_times(&mut world, 5)?;
         let id = world.arrive(2, 0, None, 8_000 * MS)?;
         match passed {
@@ -298,7 +301,7 @@
             false => world.pass(3_500 * MS)?,
         }
         assert_eq!(
-            world.actions.contains(&Action::CallOff { id, trip: 0 }),
+            world.actions.contains(&Action::Cancel { id, attempt: 0 }),
             passed
         );
         assert_eq!(
@@ -328,12 +331,12 @@
 }
 
 #[test]
-fn calls_that_stay_silent_set_the_target_aside() -> Checked {
-    let mut world = one_target();
+fn calls_that_stay_silent_set_the_endpoint_aside() -> Checked {
+    let mut world = one_endpoint();
     good_times(&mut world, 5)?;
     (0..3).try_for_each(|_| world.arrive(0, 0, None, 8_000 * MS).map(drop))?;
     world.pass(1_500 * MS)?;
-    assert!(logged(&world, "silent"));
+    assert!(logged(&world, "unanswered"));
     Ok(())
 }
 
@@ -341,7 +344,11 @@
 #[test]
 fn the_pace_grows_by_even_shares() -> Checked {
     let mut config = config();
-    (config.forwarders, config.slots, config.room) = (10, 100, 1_000);
+    (
+        config.fleet_size,
+        config.concurrency_limit,
+        config.message_capacity,
+    ) = (10, 100, 1_000);
     let mut world = World::new(config, vec![listing(1, 0, 20.0)]);
     let mut sent = 0;
     for _ in 0..100 {
@@ -359,25 +366,25 @@
     Ok(())
 }
 
-/// A packet bound to the dearer zone once kept the whole line from the cheaper route.
+/// A message bound to the dearer zone once kept the whole line from the cheaper route.
 #[test]
-fn a_line_is_not_kept_by_a_packet_for_another_route() -> Checked {
+fn a_line_is_not_kept_by_a_message_for_another_route() -> Checked {
     let mut config = config();
     let window = 8_000 * MS;
-    config.profiles[1].effect = Effect::Fingerprinted {
-        group: RepeatGroup::Zone,
+    config.classes[1].semantics = DeliverySemantics::IdempotencyKeyed {
+        scope: DeduplicationScope::Zone,
         window,
     };
     let mut world = routes(config);
-    let entry = Listing {
-        standing: Standing::Draining,
+    let entry = EndpointEntry {
+        status: EndpointStatus::Draining,
         ..listing(2, 0, 20.0)
     };
-    world.list(ListNews::Changes(vec![entry]))?;
+    world.list(EndpointListUpdate::Changes(vec![entry]))?;
     let bound = world.arrive(1, 0, None, 8_000 * MS)?;
     world.pass(500 * MS)?;
     world.end(bound, Outcome::Reset)?;
-    world.list(ListNews::Whole(vec![listing(2, 0, 20.0)]))?;
+    world.list(EndpointListUpdate::Complete(vec![listing(2, 0, 20.0)]))?;
     world.pass(500 * MS)?;
     let free = world.arrive(1, 0, None, 8_000 * MS)?;
     world.pass(100 * MS)?;
@@ -391,39 +398,47 @@
 #[test]
 fn near_a_full_room_the_least_worth_is_deferred_at_once() -> Checked {
     let mut config = config();
-    config.room = 20;
+    config.message_capacity = 20;
     let mut world = World::new(config, vec![listing(1, 0, 2.0)]);
     (0..20).try_for_each(|_| world.arrive(0, 0, None, 8_000 * MS).map(drop))?;
     world.pass(50 * MS)?;
     assert!(world.actions.iter().any(|a| matches!(
         a,
-        Action::Defer {
-            come_back: Some(_),
+        Action::Reject {
+            retry_after: Some(_),
             ..
         }
     )));
-    assert!(world.packets.values().filter(|h| !h.over).count() < 20);
+    assert!(world.messages.values().filter(|h| !h.over).count() < 20);
     Ok(())
 }
 
 #[test]
-fn odd_configurations_and_packets_end_in_one_answer_each() -> Checked {
+fn odd_configurations_and_messages_end_in_one_answer_each() -> Checked {
     let mut odd = config();
-    (odd.slots, odd.room, odd.max_trips, odd.forwarders) = (1, 1, 1, 0);
-    (odd.profiles[0].contract_time, odd.kinds[0].per_call) = (0, 0);
-    odd.list_rates = ListRates::Untold;
+    (
+        odd.concurrency_limit,
+        odd.message_capacity,
+        odd.max_attempts,
+        odd.fleet_size,
+    ) = (1, 1, 1, 0);
+    (
+        odd.classes[0].latency_objective,
+        odd.endpoint_kinds[0].batch_size,
+    ) = (0, 0);
+    odd.listed_rates = ListedRates::Unlisted;
     let list = vec![
         listing(1, 0, f32::NAN),
         listing(2, 0, f32::INFINITY),
         listing(3, 1, -1.0),
     ];
     let mut bare = config();
-    (bare.slots, bare.profiles, bare.kinds) = (
+    (bare.concurrency_limit, bare.classes, bare.endpoint_kinds) = (
         0,
-        vec![profile(Effect::Binding)],
-        vec![KindConfig {
-            routes_apart: true,
-            per_call: 1,
+        vec![class(DeliverySemantics::AtMostOnce)],
+        vec![EndpointKindConfig {
+            independent_limits: true,
+            batch_size: 1,
         }],
     );
     for config in [odd, bare] {
@@ -432,7 +447,7 @@
             world.arrive(0, destination, None, left * MS)?;
         }
         world.pass(20_000 * MS)?;
-        assert!(world.packets.values().all(|h| h.over));
+        assert!(world.messages.values().all(|h| h.over));
     }
     Ok(())
 }
@@ -450,9 +465,9 @@
     Ok(())
 }
 
-/// The first answers of a target once set its time-out alone, and slow targets were called off at first meeting.
+/// The first answers of an endpoint once set its time-out alone, and slow endpoints were cancelled at first meeting.
 #[test]
-fn a_target_never_met_gets_the_time_that_others_take() -> Checked {
+fn a_endpoint_never_met_gets_the_time_that_others_take() -> Checked {
     let mut world = World::new(config(), vec![listing(1, 0, 20.0), listing(2, 1, 20.0)]);
     for _ in 0..5 {
         let id = world.arrive(0, 0, None, 8_000 * MS)?;
@@ -464,15 +479,18 @@
     assert!(!world
         .actions
         .iter()
-        .any(|a| matches!(a, Action::CallOff { .. })));
+        .any(|a| matches!(a, Action::Cancel { .. })));
     Ok(())
 }
 
-/// Packets with far less time than usual once counted as late and waited behind the others.
+/// Messages with far less time than usual once counted as late and waited behind the others.
 #[test]
-fn a_packet_with_little_time_goes_first() -> Checked {
+fn a_message_with_little_time_goes_first() -> Checked {
     let mut config = config();
-    (config.slots, config.profiles[0].late_share) = (1, 0.1);
+    (
+        config.concurrency_limit,
+        config.classes[0].late_weight_share,
+    ) = (1, 0.1);
     let mut world = World::new(config, vec![listing(1, 0, 20.0)]);
     world.pass(9_000 * MS)?;
     let first = world.arrive(0, 0, None, 8_000 * MS)?;
@@ -489,17 +507,17 @@
     Ok(())
 }
 
-/// Idle connections of hundreds of forwarders once filled the tables of small targets.
+/// Idle connections of hundreds of forwarders once filled the tables of small endpoints.
 #[test]
 fn once_a_connection_was_refused_none_is_kept_idle() -> Checked {
-    let mut world = one_target();
+    let mut world = one_endpoint();
     for (outcome, closed) in [(Outcome::Delivered, false), (Outcome::NoConnection, true)] {
         let id = world.arrive(0, 0, None, 8_000 * MS)?;
         world.end(id, outcome)?;
         assert_eq!(
-            world
-                .actions
-                .contains(&Action::CloseIdle { target: target(1) }),
+            world.actions.contains(&Action::CloseIdleConnections {
+                endpoint: endpoint(1)
+            }),
             closed
         );
         world.pass(2_000 * MS)?;
@@ -507,7 +525,7 @@
     Ok(())
 }
 
-/// A process that stood still once sent to targets that had been drained meanwhile, before it read the news that waited.
+/// A process that stood still once sent to endpoints that had been drained meanwhile, before it read the news that waited.
 #[test]
 fn after_standing_still_it_reads_before_it_sends() -> Checked {
     let mut world = World::new(config(), vec![listing(1, 0, 200.0), listing(2, 0, 200.0)]);
@@ -518,26 +536,26 @@
         sends(&world, id).is_empty(),
         "sent before what waits was read"
     );
-    world.list(ListNews::Changes(vec![Listing {
-        standing: Standing::Draining,
+    world.list(EndpointListUpdate::Changes(vec![EndpointEntry {
+        status: EndpointStatus::Draining,
         ..listing(1, 0, 200.0)
     }]))?;
     world.pass(100 * MS)?;
     assert_eq!(
-        world.packets[&id]
-            .trips
+        world.messages[&id]
+            .attempts
             .iter()
-            .map(|t| t.target)
+            .map(|t| t.endpoint)
             .collect::<Vec<_>>(),
-        [target(2)]
+        [endpoint(2)]
     );
     Ok(())
 }
 
-/// Looking at every target of the list, whatever was under way, once took more time than there was.
+/// Looking at every endpoint of the list, whatever was under way, once took more time than there was.
 #[test]
 fn nothing_is_looked_at_while_nothing_is_under_way() -> Checked {
-    let mut world = one_target();
+    let mut world = one_endpoint();
     good_times(&mut world, 2)?;
     world.pass(100 * MS)?;
     let before = world.actions.len();
@@ -546,10 +564,10 @@
     Ok(())
 }
 
-/// Guards rule 2 over a restart: a binding packet that may have run ends, others go on within their window.
+/// Guards rule 2 over a restart: a binding message that may have run ends, others go on within their window.
 #[test]
-fn a_restart_keeps_to_what_the_trips_out_may_have_done() -> Checked {
-    let mut world = one_target();
+fn a_restart_keeps_to_what_the_attempts_out_may_have_done() -> Checked {
+    let mut world = one_endpoint();
     let ids = [
         world.arrive(0, 0, None, 8_000 * MS)?,
         world.arrive(1, 0, None, 8_000 * MS)?,
@@ -561,9 +579,9 @@
     assert!(written_off(&world, binding));
     world.pass(500 * MS)?;
     for id in ids {
-        assert_eq!(world.packets[&id].trips.len(), 2);
+        assert_eq!(world.messages[&id].attempts.len(), 2);
     }
-    // Down for longer than the window of a fingerprinted packet, and than the time of any.
+    // Down for longer than the window of a fingerprinted message, and than the time of any.
     world.now += 3_000 * MS;
     world.restart()?;
     assert!(written_off(&world, ids[1]) && !written_off(&world, ids[0]));
@@ -574,10 +592,10 @@
 }
 
 #[test]
-fn trips_of_an_earlier_life_count() -> Checked {
+fn attempts_of_an_earlier_life_count() -> Checked {
     let mut world = World::new(
         Config {
-            max_trips: 1,
+            max_attempts: 1,
             ..config()
         },
         vec![listing(1, 0, 20.0)],
@@ -587,16 +605,16 @@
     assert_eq!(world.out(), [id]);
     world.restart()?;
     world.pass(50 * MS)?;
-    assert!(world.packets[&id].over);
+    assert!(world.messages[&id].over);
     Ok(())
 }
 
 #[test]
 fn nothing_new_is_sent_once_the_end_is_near() -> Checked {
-    let mut world = one_target();
+    let mut world = one_endpoint();
     let first = world.arrive(0, 0, None, 8_000 * MS)?;
     world.pass(300 * MS)?;
-    world.give(Event::Closing)?;
+    world.give(Event::ShuttingDown)?;
     let second = world.arrive(0, 0, None, 8_000 * MS)?;
     world.end(first, Outcome::Error)?;
     world.pass(2_000 * MS)?;
@@ -610,22 +628,22 @@
 /// The operators' full fleet: a wait was told while another call's connection came up, and that call went out. A drain,
 /// too, takes back what has not gone: its connection may come up after the grace.
 #[test]
-fn a_wait_or_a_drain_takes_back_what_has_not_gone_and_costs_it_no_trip() -> Checked {
+fn a_wait_or_a_drain_takes_back_what_has_not_gone_and_costs_it_no_attempt() -> Checked {
     let taken_back = |world: &World, n| {
-        world
-            .actions
-            .contains(&Action::TakeBack { target: target(n) })
+        world.actions.contains(&Action::WithdrawUnsent {
+            endpoint: endpoint(n),
+        })
     };
     for apart in [false, true] {
-        let kinds = vec![KindConfig {
-            routes_apart: apart,
-            per_call: 1,
+        let kinds = vec![EndpointKindConfig {
+            independent_limits: apart,
+            batch_size: 1,
         }];
         let config = Config {
-            kinds,
-            max_trips: 1,
-            forwarders: 1,
-            zone_fees: Vec::new(),
+            endpoint_kinds: kinds,
+            max_attempts: 1,
+            fleet_size: 1,
+            zone_costs: Vec::new(),
             ..config()
         };
         let mut world = World::new(
@@ -639,27 +657,27 @@
         for destination in [0, 0, 0, 0, 1] {
             let id = world.arrive(2, destination, None, 8_000 * MS)?;
             world.pass(30 * MS)?;
-            out.insert(world.packets[&id].trips[0].target, id);
+            out.insert(world.messages[&id].attempts[0].endpoint, id);
         }
-        let [told, other] = [1, 2].map(|n| out[&target(n)]);
+        let [told, other] = [1, 2].map(|n| out[&endpoint(n)]);
         world.end(
             told,
-            Outcome::Full {
-                wait: Some(700 * MS),
+            Outcome::Rejected {
+                retry_after: Some(700 * MS),
             },
         )?;
         assert_eq!(
             [1, 2, 3].map(|n| taken_back(&world, n)),
             [true, !apart, false]
         );
-        let standing = Standing::Draining;
-        world.list(ListNews::Changes(vec![Listing {
-            standing,
+        let standing = EndpointStatus::Draining;
+        world.list(EndpointListUpdate::Changes(vec![EndpointEntry {
+            status: standing,
             ..listing(3, 1, 200.0)
         }]))?;
         assert!(taken_back(&world, 3));
-        // Its only trip never went: it goes once the wait is over, at the latest a rest later.
-        world.end(other, Outcome::TakenBack)?;
+        // Its only attempt never went: it goes once the wait is over, at the latest a rest later.
+        world.end(other, Outcome::WithdrawnBeforeSend)?;
         world.pass(if apart { 0 } else { 690 * MS })?;
         assert_eq!(sends(&world, other).len(), usize::from(apart));
         world.pass(200 * MS)?;
@@ -674,7 +692,7 @@
 /// What is told ahead of an answer's end, or by an answer that turns out spoilt, binds all the same.
 #[test]
 fn a_wait_told_by_a_head_alone_binds() -> Checked {
-    let mut world = one_target();
+    let mut world = one_endpoint();
     let first = world.arrive(0, 0, None, 8_000 * MS)?;
     world.told_to_wait(first, 900 * MS)?;
     world.arrive(0, 0, None, 8_000 * MS)?;
@@ -691,15 +709,15 @@
 #[test]
 fn a_key_waits_until_the_end_before_is_heard() -> Checked {
     let mut config = Config {
-        ends: Ends::WhenHeard,
+        order_release: OrderRelease::OnAcknowledgement,
         ..config()
     };
-    config.profiles.iter_mut().for_each(|p| p.in_order = true);
+    config.classes.iter_mut().for_each(|p| p.ordered = true);
     let mut world = World::new(config, vec![listing(1, 0, 20.0)]);
-    let (earlier, key) = (PacketId(900), OrderKey(5));
+    let (earlier, key) = (MessageId(900), OrderKey(5));
     world.give(Event::PendingReport {
         id: earlier,
-        profile: ProfileId(0),
+        class: DeliveryClassId(0),
         key,
     })?;
     let first = world.arrive(0, 0, Some(5), 300 * MS)?;
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -14,7 +14,7 @@
 const DOWN_AT: Micros = 5_000 * MS; // after some calls that were answered
 const UP_AT: Micros = DOWN_AT + 10_000 * MS;
 const ANSWER_TIME: Micros = 30 * MS; // of a call that is served or answered with an error
-const PROBE_TIME: Micros = 10 * MS;
+const HEALTH_CHECK_TIME: Micros = 10 * MS;
 
 /// How the destination fails.
 #[derive(Clone, Copy, Debug)]
@@ -27,26 +27,26 @@
 #[derive(Clone, Copy, Debug)]
 struct Case {
     seed: u64,
-    may_probe: bool,
+    may_health_check: bool,
     capacity: f32,
-    /// Packets a second that come to each forwarder.
+    /// Messages a second that come to each forwarder.
     rate: f64,
     failure: Failure,
 }
 
 enum Happening {
-    Arrival,
-    Alarm(Token),
+    Submission,
+    Alarm(TimerToken),
     CallEnds {
-        id: PacketId,
+        id: MessageId,
         number: u8,
         sent: Micros,
-        target: TargetId,
+        endpoint: EndpointId,
         outcome: Outcome,
     },
-    ProbeEnds {
+    HealthCheckEnds {
         sent: Micros,
-        target: TargetId,
+        endpoint: EndpointId,
         outcome: Outcome,
     },
 }
@@ -60,10 +60,10 @@
     forwarders: Vec<Forwarder>,
     agenda: BTreeMap<(Micros, u64), (usize, Happening)>, // with a number for those of one moment
     scheduled: u64,
-    packets: u32,
-    calls_out: BTreeMap<(usize, PacketId), (u8, (Micros, u64))>, // each leaves with its outcome
+    messages: u32,
+    calls_out: BTreeMap<(usize, MessageId), (u8, (Micros, u64))>, // each leaves with its outcome
     saw_failure: Vec<bool>,
-    window: VecDeque<(Micros, usize)>, // calls and probes since the return, of the last overload time
+    window: VecDeque<(Micros, usize)>, // calls and health checks since the return, of the last overload time
     most: f64,                         // the most of the bound that a window took
     served: usize,
     pushed_over: Option<String>,
@@ -73,10 +73,10 @@
     fn new(case: Case) -> Fleet {
         let of = |n: usize| Config {
             forwarder: n as u16,
-            forwarders: FORWARDERS as u32,
-            may_probe: case.may_probe,
-            max_trips: 20,
-            room: 400,
+            fleet_size: FORWARDERS as u32,
+            may_health_check: case.may_health_check,
+            max_attempts: 20,
+            message_capacity: 400,
             ..config()
         };
         let forwarders = (0..FORWARDERS)
@@ -90,7 +90,7 @@
             forwarders,
             agenda: BTreeMap::new(),
             scheduled: 0,
-            packets: 0,
+            messages: 0,
             calls_out: BTreeMap::new(),
             saw_failure: vec![false; FORWARDERS],
             window: VecDeque::new(),
@@ -101,7 +101,11 @@
         for n in 0..FORWARDERS {
             fleet.give(
                 n,
-                Event::List(ListNews::Whole(vec![listing(1, 0, case.capacity)])),
+                Event::EndpointList(EndpointListUpdate::Complete(vec![listing(
+                    1,
+                    0,
+                    case.capacity,
+                )])),
             );
             fleet.next_arrival(n);
         }
@@ -117,14 +121,14 @@
 
     fn next_arrival(&mut self, forwarder: usize) {
         let gap = -(1.0 - self.chance.random::<f64>()).ln() / self.case.rate;
-        self.schedule((gap * 1e6) as Micros, forwarder, Happening::Arrival);
+        self.schedule((gap * 1e6) as Micros, forwarder, Happening::Submission);
     }
 
     fn down(&self, at: Micros) -> bool {
         (DOWN_AT..UP_AT).contains(&at)
     }
 
-    /// How a call or probe sent now ends, and after what time; `limit` is how long it is waited for.
+    /// How a call or health check sent now ends, and after what time; `limit` is how long it is waited for.
     fn outcome(&self, time: Micros, limit: Micros) -> (Outcome, Micros) {
         match self.case.failure {
             _ if !self.down(self.now) => (Outcome::Delivered, time),
@@ -134,24 +138,24 @@
         }
     }
 
-    /// Counts a call or probe to the cold destination, and notes where the fleet pushes it over.
+    /// Counts a call or health check to the cold destination, and notes where the fleet pushes it over.
     fn count(&mut self, forwarder: usize) {
         let rules = &self.config.rules;
-        if !(UP_AT..UP_AT + rules.warm_after).contains(&self.now) {
+        if !(UP_AT..UP_AT + rules.warm_up_time).contains(&self.now) {
             return;
         }
         while self
             .window
             .front()
-            .is_some_and(|(at, _)| at + rules.overload_for <= self.now)
+            .is_some_and(|(at, _)| at + rules.overload_window <= self.now)
         {
             self.window.pop_front();
         }
         self.window.push_back((self.now, forwarder));
-        let warmth = (self.now - UP_AT) as f64 / rules.warm_after as f64;
-        let part = rules.cold_from + (1.0 - rules.cold_from) * warmth;
-        let seconds = rules.overload_for as f64 / 1e6;
-        let allowed = rules.fall_multiple * part * f64::from(self.case.capacity) * seconds;
+        let warmth = (self.now - UP_AT) as f64 / rules.warm_up_time as f64;
+        let part = rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warmth;
+        let seconds = rules.overload_window as f64 / 1e6;
+        let allowed = rules.overload_multiple * part * f64::from(self.case.capacity) * seconds;
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
         let calls = self.window.len();
         let knew = self
@@ -182,7 +186,10 @@
     fn carry_out(&mut self, forwarder: usize, action: Action) {
         match action {
             Action::Send {
-                id, target, limit, ..
+                id,
+                endpoint,
+                timeout: limit,
+                ..
             } => {
                 let limit = limit.unwrap_or(8_000 * MS);
                 let (outcome, took) = self.outcome(ANSWER_TIME, limit);
@@ -195,28 +202,28 @@
                     id,
                     number,
                     sent,
-                    target,
+                    endpoint,
                     outcome,
                 };
                 let at = self.schedule(took.min(limit), forwarder, ends);
                 self.calls_out.insert((forwarder, id), (number, at));
                 self.count(forwarder);
             }
-            Action::Probe { target } => {
-                let (outcome, took) = self.outcome(PROBE_TIME, 1_500 * MS);
+            Action::HealthCheck { endpoint } => {
+                let (outcome, took) = self.outcome(HEALTH_CHECK_TIME, 1_500 * MS);
                 let sent = self.now;
                 self.schedule(
                     took,
                     forwarder,
-                    Happening::ProbeEnds {
+                    Happening::HealthCheckEnds {
                         sent,
-                        target,
+                        endpoint,
                         outcome,
                     },
                 );
                 self.count(forwarder);
             }
-            Action::CallOff { id, .. } => {
+            Action::Cancel { id, .. } => {
                 let out = self
                     .calls_out
                     .get(&(forwarder, id))
@@ -226,23 +233,23 @@
                     Happening::CallEnds {
                         number,
                         sent,
-                        target,
+                        endpoint,
                         ..
                     },
                 )) = out
                 {
-                    let outcome = Outcome::CalledOff;
+                    let outcome = Outcome::Cancelled;
                     let ends = Happening::CallEnds {
                         id,
                         number,
                         sent,
-                        target,
+                        endpoint,
                         outcome,
                     };
                     self.schedule(0, forwarder, ends);
                 }
             }
-            Action::Wake { after, token } => {
+            Action::SetTimer { after, token } => {
                 self.schedule(after, forwarder, Happening::Alarm(token));
             }
             _ => {}
@@ -251,55 +258,52 @@
 
     fn happen(&mut self, forwarder: usize, happening: Happening) {
         match happening {
-            Happening::Arrival => {
-                self.packets += 1;
-                let arrival = Arrival {
-                    id: PacketId(self.packets),
-                    profile: ProfileId(0),
+            Happening::Submission => {
+                self.messages += 1;
+                let arrival = Submission {
+                    id: MessageId(self.messages),
+                    class: DeliveryClassId(0),
                     tenant: TenantId(0),
                     key: None,
-                    left: 8_000 * MS,
-                    hint: None,
+                    time_left: 8_000 * MS,
                     destination: DestinationId(0),
-                    again: false,
-                    write: false,
-                    orphan: false,
-                    past: Past::default(),
+                    resubmitted: false,
+                    history: AttemptHistory::default(),
                 };
                 self.next_arrival(forwarder);
-                self.give(forwarder, Event::Packet(arrival));
+                self.give(forwarder, Event::Submitted(arrival));
             }
-            Happening::Alarm(token) => self.give(forwarder, Event::Alarm { token }),
+            Happening::Alarm(token) => self.give(forwarder, Event::TimerFired { token }),
             Happening::CallEnds {
                 id,
                 number,
                 sent,
-                target,
+                endpoint,
                 outcome,
             } => {
                 self.saw_failure[forwarder] |= outcome != Outcome::Delivered && self.down(sent);
                 self.served += usize::from(outcome == Outcome::Delivered && self.now > UP_AT);
                 let (took, closed) = (self.now - sent, outcome == Outcome::Delivered);
                 let report = Vec::new();
-                let ended = Event::TripEnded {
+                let ended = Event::AttemptEnded {
                     id,
-                    trip: number,
-                    target,
+                    attempt: number,
+                    endpoint,
                     outcome,
                     took,
-                    closed,
+                    completed: closed,
                     report,
                 };
                 self.give(forwarder, ended);
             }
-            Happening::ProbeEnds {
+            Happening::HealthCheckEnds {
                 sent,
-                target,
+                endpoint,
                 outcome,
             } => {
                 self.saw_failure[forwarder] |= outcome != Outcome::Delivered && self.down(sent);
-                let answered = Event::ProbeAnswered {
-                    target,
+                let answered = Event::HealthCheckEnded {
+                    endpoint,
                     outcome,
                     took: self.now - sent,
                     report: Vec::new(),
@@ -311,7 +315,7 @@
 
     /// Plays until the destination is warm.
     fn play(&mut self) {
-        let end = UP_AT + self.config.rules.warm_after;
+        let end = UP_AT + self.config.rules.warm_up_time;
         while let Some(((at, _), (forwarder, happening))) = self.agenda.pop_first() {
             if at > end {
                 return;
@@ -326,12 +330,12 @@
 fn play_all(failure: Failure) {
     let play = |seed: u64| {
         let (mut most, mut pushed_over): (f64, _) = (0.0, Vec::new());
-        for may_probe in [true, false] {
+        for may_health_check in [true, false] {
             for capacity in [3.0, 12.0, 40.0, 150.0] {
                 for rate in [0.1, 0.3, 1.0, 6.0] {
                     let case = Case {
                         seed,
-                        may_probe,
+                        may_health_check,
                         capacity,
                         rate,
                         failure,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,93 +8,93 @@
 
 pub const MS: Micros = 1_000;
 
-pub fn target(n: u8) -> TargetId {
-    TargetId {
+pub fn endpoint(n: u8) -> EndpointId {
+    EndpointId {
         address: [10, 0, 0, n],
         port: 80,
-        holder: 0,
+        incarnation: 0,
     }
 }
 
-pub fn listing(n: u8, destination: u32, rate: f32) -> Listing {
-    let (target, zone) = (target(n), ZoneId(u16::from(n % 2)));
-    let (standing, kind) = (Standing::Ready, KindId(0));
-    Listing {
-        target,
+pub fn listing(n: u8, destination: u32, rate: f32) -> EndpointEntry {
+    let (endpoint, zone) = (endpoint(n), ZoneId(u16::from(n % 2)));
+    let (standing, kind) = (EndpointStatus::Ready, EndpointKindId(0));
+    EndpointEntry {
+        endpoint,
         zone,
-        since: 0,
-        standing,
+        up_since: 0,
+        status: standing,
         rate,
         destination: DestinationId(destination),
         kind,
     }
 }
 
-pub fn profile(effect: Effect) -> ProfileConfig {
-    let (contract_time, expiry) = (1_000 * MS, 8_000 * MS);
-    ProfileConfig {
-        effect,
-        contract_time,
-        expiry,
-        importance: 1.0,
-        late_share: 0.5,
-        in_order: false,
+pub fn class(effect: DeliverySemantics) -> DeliveryClassConfig {
+    let (latency_objective, expiry) = (1_000 * MS, 8_000 * MS);
+    DeliveryClassConfig {
+        semantics: effect,
+        latency_objective,
+        time_to_live: expiry,
+        priority_weight: 1.0,
+        late_weight_share: 0.5,
+        ordered: false,
     }
 }
 
 pub fn config() -> Config {
-    let fingerprinted = Effect::Fingerprinted {
-        group: RepeatGroup::All,
+    let fingerprinted = DeliverySemantics::IdempotencyKeyed {
+        scope: DeduplicationScope::AllEndpoints,
         window: 3_000 * MS,
     };
     Config {
         forwarder: 0,
-        forwarders: 2,
-        slots: 8,
-        room: 100,
-        max_trips: 6,
-        ends: Ends::AtOnce,
-        may_probe: true,
-        may_call_off: true,
-        may_say_when: true,
+        fleet_size: 2,
+        concurrency_limit: 8,
+        message_capacity: 100,
+        max_attempts: 6,
+        order_release: OrderRelease::OnDecision,
+        may_health_check: true,
+        may_cancel: true,
+        may_send_retry_after: true,
         may_gossip: true,
-        longest_return: 2_000 * MS,
-        list_rates: ListRates::Nominal,
-        fading: Fading::Halving,
-        over_share_worth: 0.1,
-        profiles: vec![
-            profile(Effect::Retriable),
-            profile(fingerprinted),
-            profile(Effect::Binding),
+        max_retry_after: 2_000 * MS,
+        listed_rates: ListedRates::Nominal,
+        priority_decay: PriorityDecay::Exponential,
+        over_quota_weight: 0.1,
+        classes: vec![
+            class(DeliverySemantics::Idempotent),
+            class(fingerprinted),
+            class(DeliverySemantics::AtMostOnce),
         ],
         tenants: Vec::new(),
-        kinds: vec![KindConfig {
-            routes_apart: false,
-            per_call: 1,
+        endpoint_kinds: vec![EndpointKindConfig {
+            independent_limits: false,
+            batch_size: 1,
         }],
-        zone_fees: vec![0.0, 0.05],
-        ask_within: None,
-        told_within: None,
+        zone_costs: vec![0.0, 0.05],
+        poll_interval: None,
+        notified_within: None,
         rules: RuleConfig {
             answer_slack: 20 * MS,
             drain_grace: 500 * MS,
-            cold_from: 0.2,
-            warm_after: 10_000 * MS,
-            fall_multiple: 2.0,
-            overload_for: 2_000 * MS,
-            order_pause: 300 * MS,
+            cold_capacity_share: 0.2,
+            warm_up_time: 10_000 * MS,
+            overload_multiple: 2.0,
+            overload_window: 2_000 * MS,
+            order_settle_time: 300 * MS,
         },
-        round: 5 * MS,
+        scheduling_interval: 5 * MS,
         full_destinations: None,
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Trip {
+pub struct Attempt {
     pub sent: Micros,
-    pub target: TargetId,
+    pub endpoint: EndpointId,
     pub due: Micros,
-    /// Called off, or taken back before its bytes went: it ends so at the next step.
+    /// Called off, or withdrawn before its bytes went: it ends so at the next step.
     pub given_up: Option<Outcome>,
     pub outcome: Option<Outcome>,
     /// When its bytes go, where its connection comes up late; none once they have gone.
@@ -103,14 +103,14 @@
 
 #[derive(Clone, Debug)]
 pub struct Held {
-    pub arrival: Arrival,
+    pub arrival: Submission,
     pub expires: Micros,
-    pub trips: Vec<Trip>,
+    pub attempts: Vec<Attempt>,
     /// Over, by a final answer of either side.
     pub over: bool,
 }
 
-/// What the oracle saw of one target: failures in a row, the first answer after them, calls and probes.
+/// What the oracle saw of one endpoint: failures in a row, the first answer after them, calls and health checks.
 #[derive(Default)]
 struct Cold {
     row: u32,
@@ -126,38 +126,38 @@
     pub now: Micros,
     pub config: Config,
     pub forwarder: Forwarder,
-    pub packets: BTreeMap<PacketId, Held>,
-    pub order: Vec<PacketId>,
+    pub messages: BTreeMap<MessageId, Held>,
+    pub order: Vec<MessageId>,
     pub actions: Vec<Action>,
     /// Those of its earlier lives.
     pub earlier: Vec<Action>,
-    pub probes: Vec<TargetId>,
+    pub health_checks: Vec<EndpointId>,
     /// Ends given and not heard yet, where that counts.
-    pub unheard: BTreeSet<PacketId>,
+    pub unheard: BTreeSet<MessageId>,
     /// How late the connections of the next calls come up.
     pub late: Micros,
     alarms: BTreeSet<(Micros, u32)>,
-    listed: BTreeMap<TargetId, Listing>,
-    told_off: BTreeMap<TargetId, Micros>,
-    waits: BTreeMap<(DestinationId, Option<TargetId>), Micros>,
+    listed: BTreeMap<EndpointId, EndpointEntry>,
+    told_off: BTreeMap<EndpointId, Micros>,
+    waits: BTreeMap<(DestinationId, Option<EndpointId>), Micros>,
     rests: BTreeMap<OrderKey, Micros>,
-    cold: BTreeMap<TargetId, Cold>,
+    cold: BTreeMap<EndpointId, Cold>,
     next: u32,
     restored: u64,
 }
 
 impl World {
-    pub fn new(config: Config, list: Vec<Listing>) -> World {
+    pub fn new(config: Config, list: Vec<EndpointEntry>) -> World {
         let forwarder = Forwarder::new(config.clone(), 7 + u64::from(config.forwarder));
         let mut world = World {
             now: 1_000_000,
             config,
             forwarder,
-            packets: BTreeMap::new(),
+            messages: BTreeMap::new(),
             order: Vec::new(),
             actions: Vec::new(),
             earlier: Vec::new(),
-            probes: Vec::new(),
+            health_checks: Vec::new(),
             unheard: BTreeSet::new(),
             late: 0,
             alarms: BTreeSet::new(),
@@ -170,7 +170,7 @@
             restored: 0,
         };
         world
-            .list(ListNews::Cached(list))
+            .list(EndpointListUpdate::Cached(list))
             .expect("the first list breaks no rule");
         world
     }
@@ -182,7 +182,7 @@
 
     /// The forwarder dies: what it held is no longer its duty.
     pub fn die(&mut self) -> Result<(), String> {
-        let list = ListNews::Cached(self.listed.values().cloned().collect());
+        let list = EndpointListUpdate::Cached(self.listed.values().cloned().collect());
         let mut earlier = std::mem::take(&mut self.earlier);
         earlier.append(&mut self.actions);
         let (now, next, restored) = (self.now, self.next, self.restored());
@@ -196,116 +196,113 @@
         self.list(list)
     }
 
-    pub fn list(&mut self, news: ListNews) -> Result<(), String> {
+    pub fn list(&mut self, news: EndpointListUpdate) -> Result<(), String> {
         let (entries, whole) = match &news {
-            ListNews::Changes(entries) => (entries, false),
-            ListNews::Whole(entries) | ListNews::Cached(entries) => (entries, true),
-            ListNews::Failed => return self.give(Event::List(news)),
+            EndpointListUpdate::Changes(entries) => (entries, false),
+            EndpointListUpdate::Complete(entries) | EndpointListUpdate::Cached(entries) => {
+                (entries, true)
+            }
+            EndpointListUpdate::Failed => return self.give(Event::EndpointList(news)),
         };
         for old in self
             .listed
             .keys()
-            .filter(|t| whole && !entries.iter().any(|e| e.target == **t))
+            .filter(|t| whole && !entries.iter().any(|e| e.endpoint == **t))
         {
             self.told_off.entry(*old).or_insert(self.now);
         }
         for entry in entries {
-            match entry.standing {
-                Standing::Ready => drop(self.told_off.remove(&entry.target)),
-                _ => drop(self.told_off.entry(entry.target).or_insert(self.now)),
+            match entry.status {
+                EndpointStatus::Ready => drop(self.told_off.remove(&entry.endpoint)),
+                _ => drop(self.told_off.entry(entry.endpoint).or_insert(self.now)),
             }
-            self.listed.insert(entry.target, entry.clone());
+            self.listed.insert(entry.endpoint, entry.clone());
         }
-        self.give(Event::List(news))
+        self.give(Event::EndpointList(news))
     }
 
     pub fn arrive(
         &mut self,
-        profile: u16,
+        class: u16,
         destination: u32,
         key: Option<u64>,
         left: Micros,
-    ) -> Result<PacketId, String> {
+    ) -> Result<MessageId, String> {
         self.next += 1;
-        let arrival = Arrival {
-            id: PacketId(self.next),
-            profile: ProfileId(profile),
+        let arrival = Submission {
+            id: MessageId(self.next),
+            class: DeliveryClassId(class),
             tenant: TenantId(0),
             key: key.map(OrderKey),
-            left,
-            hint: None,
+            time_left: left,
             destination: DestinationId(destination),
-            again: false,
-            write: false,
-            orphan: false,
-            past: Past::default(),
+            resubmitted: false,
+            history: AttemptHistory::default(),
         };
         self.take(arrival, Vec::new())
     }
 
-    fn take(&mut self, arrival: Arrival, trips: Vec<Trip>) -> Result<PacketId, String> {
-        let (id, expires) = (arrival.id, self.now + arrival.left);
-        self.packets.insert(
+    fn take(&mut self, arrival: Submission, attempts: Vec<Attempt>) -> Result<MessageId, String> {
+        let (id, expires) = (arrival.id, self.now + arrival.time_left);
+        self.messages.insert(
             id,
             Held {
                 arrival: arrival.clone(),
                 expires,
-                trips,
+                attempts,
                 over: false,
             },
         );
         self.order.push(id);
-        self.give(Event::Packet(arrival))?;
+        self.give(Event::Submitted(arrival))?;
         Ok(id)
     }
 
-    /// The forwarder ends and starts again with a folder that lasts: it owes each packet its end.
+    /// The forwarder ends and starts again with a folder that lasts: it owes each message its end.
     pub fn restart(&mut self) -> Result<(), String> {
-        let packets = std::mem::take(&mut self.packets);
+        let messages = std::mem::take(&mut self.messages);
         self.die()?;
-        for (id, mut held) in packets.into_iter().filter(|(_, held)| !held.over) {
-            let open = held.trips.iter_mut().filter(|t| t.outcome.is_none());
+        for (id, mut held) in messages.into_iter().filter(|(_, held)| !held.over) {
+            let open = held.attempts.iter_mut().filter(|t| t.outcome.is_none());
             open.for_each(|t| (t.outcome, t.goes) = (Some(Outcome::Reset), None));
             let ran = held
-                .trips
+                .attempts
                 .iter()
-                .find(|t| t.outcome.is_some_and(Outcome::may_have_run));
-            let exposed = ran.map(|t| {
-                (
-                    t.sent,
-                    self.listed.get(&t.target).map_or(ZoneId(0), |l| l.zone),
-                )
+                .find(|t| t.outcome.is_some_and(Outcome::may_have_taken_effect));
+            let possible_effect = ran.map(|t| PossibleEffect {
+                sent_at: t.sent,
+                zone: self.listed.get(&t.endpoint).map_or(ZoneId(0), |l| l.zone),
             });
-            let past = Past {
-                trips: held.trips.len() as u32,
-                exposed,
+            let past = AttemptHistory {
+                attempts: held.attempts.len() as u32,
+                possible_effect,
             };
             let left = held.expires.saturating_sub(self.now);
             self.take(
-                Arrival {
+                Submission {
                     id,
-                    left,
+                    time_left: left,
                     key: None,
-                    again: true,
-                    past,
+                    resubmitted: true,
+                    history: past,
                     ..held.arrival
                 },
-                held.trips,
+                held.attempts,
             )?;
         }
         Ok(())
     }
 
-    /// The key by which the packet takes its turn.
+    /// The key by which the message takes its turn.
     fn key(&self, held: &Held) -> Option<OrderKey> {
         held.arrival
             .key
-            .filter(|_| self.config.profiles[usize::from(held.arrival.profile.0)].in_order)
+            .filter(|_| self.config.classes[usize::from(held.arrival.class.0)].ordered)
     }
 
-    pub fn out(&self) -> Vec<PacketId> {
-        let out = |h: &Held| h.trips.last().is_some_and(|t| t.outcome.is_none());
-        self.packets
+    pub fn out(&self) -> Vec<MessageId> {
+        let out = |h: &Held| h.attempts.last().is_some_and(|t| t.outcome.is_none());
+        self.messages
             .iter()
             .filter(|(_, h)| out(h))
             .map(|(id, _)| *id)
@@ -313,35 +310,39 @@
     }
 
     /// An end that was given is heard.
-    pub fn hear(&mut self, id: PacketId) -> Result<(), String> {
+    pub fn hear(&mut self, id: MessageId) -> Result<(), String> {
         self.unheard.remove(&id);
-        self.give(Event::Heard { id })
+        self.give(Event::ReportAcknowledged { id })
     }
 
-    pub fn withdraw(&mut self, id: PacketId) -> Result<(), String> {
-        self.packets.entry(id).and_modify(|h| h.over = true);
+    pub fn withdraw(&mut self, id: MessageId) -> Result<(), String> {
+        self.messages.entry(id).and_modify(|h| h.over = true);
         self.give(Event::Withdrawn { id })
     }
 
-    /// Ends the packet's trip.
-    pub fn end(&mut self, id: PacketId, outcome: Outcome) -> Result<(), String> {
-        let trip = self.packets[&id]
-            .trips
+    /// Ends the message's attempt.
+    pub fn end(&mut self, id: MessageId, outcome: Outcome) -> Result<(), String> {
+        let attempt = self.messages[&id]
+            .attempts
             .last()
             .cloned()
             .ok_or("no trip to end")?;
-        // A target answers only what has come.
-        let outcome = match (trip.given_up, trip.goes) {
-            (Some(Outcome::TakenBack), _) => Outcome::TakenBack,
+        // An endpoint answers only what has come.
+        let outcome = match (attempt.given_up, attempt.goes) {
+            (Some(Outcome::WithdrawnBeforeSend), _) => Outcome::WithdrawnBeforeSend,
             (None, Some(_)) if outcome != Outcome::Timeout => Outcome::NoConnection,
             _ => outcome,
         };
-        if let Outcome::Full { wait: Some(wait) } = outcome {
+        if let Outcome::Rejected {
+            retry_after: Some(wait),
+        } = outcome
+        {
             self.wait_binds(id, wait);
         }
-        let cold = self.cold.entry(trip.target).or_default();
-        // Packets of one call are judged as one.
-        let first = cold.judged.insert(trip.sent) || self.config.kinds[0].per_call == 1;
+        let cold = self.cold.entry(attempt.endpoint).or_default();
+        // Messages of one call are judged as one.
+        let first =
+            cold.judged.insert(attempt.sent) || self.config.endpoint_kinds[0].batch_size == 1;
         match outcome {
             Outcome::Delivered if first => {
                 if std::mem::take(&mut cold.sick) {
@@ -355,41 +356,41 @@
         if cold.row >= 3 && !std::mem::replace(&mut cold.sick, true) {
             cold.known = self.now;
         }
-        let held = self.packets.get_mut(&id).ok_or("no such packet")?;
-        let n = held.trips.len() - 1;
+        let held = self.messages.get_mut(&id).ok_or("no such packet")?;
+        let n = held.attempts.len() - 1;
         match outcome {
-            Outcome::TakenBack => drop(held.trips.pop()), // nothing of it counts
-            _ => held.trips[n].outcome = Some(outcome),
+            Outcome::WithdrawnBeforeSend => drop(held.attempts.pop()), // nothing of it counts
+            _ => held.attempts[n].outcome = Some(outcome),
         }
         held.over |= outcome == Outcome::Delivered;
-        let (closed, key) = (held.over, self.key(&self.packets[&id]));
-        if let (Outcome::Timeout | Outcome::Reset | Outcome::CalledOff, Some(key)) = (outcome, key)
+        let (closed, key) = (held.over, self.key(&self.messages[&id]));
+        if let (Outcome::Timeout | Outcome::Reset | Outcome::Cancelled, Some(key)) = (outcome, key)
         {
-            let until = self.now + self.config.rules.order_pause;
+            let until = self.now + self.config.rules.order_settle_time;
             self.rests
                 .entry(key)
                 .and_modify(|r| *r = until.max(*r))
                 .or_insert(until);
         }
-        let (took, report) = (self.now - trip.sent, Vec::new());
-        self.give(Event::TripEnded {
+        let (took, report) = (self.now - attempt.sent, Vec::new());
+        self.give(Event::AttemptEnded {
             id,
-            trip: n as u8,
-            target: trip.target,
+            attempt: n as u8,
+            endpoint: attempt.endpoint,
             outcome,
             took,
-            closed,
+            completed: closed,
             report,
         })
     }
 
-    fn wait_binds(&mut self, id: PacketId, wait: Micros) {
-        let held = &self.packets[&id];
+    fn wait_binds(&mut self, id: MessageId, wait: Micros) {
+        let held = &self.messages[&id];
         let route = held
-            .trips
+            .attempts
             .last()
-            .map(|t| t.target)
-            .filter(|_| self.config.kinds[0].routes_apart);
+            .map(|t| t.endpoint)
+            .filter(|_| self.config.endpoint_kinds[0].independent_limits);
         let until = self
             .waits
             .entry((held.arrival.destination, route))
@@ -398,22 +399,25 @@
     }
 
     /// The head of its answer tells a wait; how it ends comes later.
-    pub fn told_to_wait(&mut self, id: PacketId, wait: Micros) -> Result<(), String> {
-        let trip = self.packets[&id]
-            .trips
+    pub fn told_to_wait(&mut self, id: MessageId, wait: Micros) -> Result<(), String> {
+        let attempt = self.messages[&id]
+            .attempts
             .last()
             .filter(|t| t.goes.is_none() && t.outcome.is_none());
-        let Some(target) = trip.map(|t| t.target) else {
+        let Some(endpoint) = attempt.map(|t| t.endpoint) else {
             return Ok(());
         };
         self.wait_binds(id, wait);
-        self.give(Event::WaitTold { target, wait })
+        self.give(Event::RetryAfterReceived {
+            endpoint,
+            retry_after: wait,
+        })
     }
 
-    pub fn answer_probe(&mut self, outcome: Outcome) -> Result<(), String> {
-        match self.probes.pop() {
-            Some(target) => self.give(Event::ProbeAnswered {
-                target,
+    pub fn answer_health_check(&mut self, outcome: Outcome) -> Result<(), String> {
+        match self.health_checks.pop() {
+            Some(endpoint) => self.give(Event::HealthCheckEnded {
+                endpoint,
                 outcome,
                 took: MS,
                 report: Vec::new(),
@@ -422,37 +426,37 @@
         }
     }
 
-    /// Lets time pass; alarms ring, and trips that are over their limit time out.
+    /// Lets time pass; alarms ring, and attempts that are over their limit time out.
     pub fn pass(&mut self, time: Micros) -> Result<(), String> {
         let until = self.now + time;
         loop {
             let due = |h: &Held| {
-                let t = h.trips.last()?;
+                let t = h.attempts.last()?;
                 let end = t.given_up.map_or(t.due.min(h.expires), |_| self.now);
                 t.outcome
                     .is_none()
                     .then_some(t.goes.unwrap_or(end).min(end))
             };
-            let trip = self
-                .packets
+            let attempt = self
+                .messages
                 .iter()
                 .filter_map(|(id, h)| Some((due(h)?, *id)))
                 .min();
             let alarm = self.alarms.first().copied();
-            match (trip, alarm) {
+            match (attempt, alarm) {
                 (Some((at, id)), _) if at <= until && alarm.is_none_or(|a| at <= a.0) => {
                     self.now = self.now.max(at);
                     if self.goes_now(id)? {
                         continue;
                     }
-                    let given_up = self.packets[&id].trips.last().and_then(|t| t.given_up);
+                    let given_up = self.messages[&id].attempts.last().and_then(|t| t.given_up);
                     self.end(id, given_up.unwrap_or(Outcome::Timeout))?;
                 }
                 (_, Some((at, token))) if at <= until => {
                     self.alarms.pop_first();
                     self.now = self.now.max(at);
-                    self.give(Event::Alarm {
-                        token: Token(token),
+                    self.give(Event::TimerFired {
+                        token: TimerToken(token),
                     })?;
                 }
                 _ => break,
@@ -461,7 +465,7 @@
         self.now = until;
         let slack = self.config.rules.answer_slack;
         match self
-            .packets
+            .messages
             .iter()
             .find(|(_, h)| !h.over && h.expires + slack < self.now)
         {
@@ -470,17 +474,21 @@
         }
     }
 
-    /// Whether the bytes of its trip go at this moment; what binds now binds them.
-    fn goes_now(&mut self, id: PacketId) -> Result<bool, String> {
-        let Some(trip) = self.packets.get_mut(&id).and_then(|h| h.trips.last_mut()) else {
+    /// Whether the bytes of its attempt go at this moment; what binds now binds them.
+    fn goes_now(&mut self, id: MessageId) -> Result<bool, String> {
+        let Some(attempt) = self
+            .messages
+            .get_mut(&id)
+            .and_then(|h| h.attempts.last_mut())
+        else {
             return Ok(false);
         };
-        if trip.given_up.is_some() || trip.goes.is_none_or(|at| at > self.now) {
+        if attempt.given_up.is_some() || attempt.goes.is_none_or(|at| at > self.now) {
             return Ok(false);
         }
-        trip.goes = None;
-        let target = trip.target;
-        self.check_bound(target)
+        attempt.goes = None;
+        let endpoint = attempt.endpoint;
+        self.check_bound(endpoint)
             .map_err(|e| format!("{id:?} goes late at {}: {e}", self.now))
             .map(|()| true)
     }
@@ -499,16 +507,19 @@
     fn check(&mut self, action: &Action) -> Result<(), String> {
         match action {
             Action::Send {
-                id, target, limit, ..
+                id,
+                endpoint,
+                timeout: limit,
+                ..
             } => {
-                self.check_send(*id, *target)?;
-                let held = self.packets.get_mut(id).ok_or("unknown packet")?;
+                self.check_send(*id, *endpoint)?;
+                let held = self.messages.get_mut(id).ok_or("unknown packet")?;
                 let due = limit.map_or(held.expires, |l| self.now + l);
                 let goes = (self.late > 0).then_some(self.now + self.late);
                 let (given_up, outcome) = (None, None);
-                held.trips.push(Trip {
+                held.attempts.push(Attempt {
                     sent: self.now,
-                    target: *target,
+                    endpoint: *endpoint,
                     due,
                     given_up,
                     outcome,
@@ -516,54 +527,60 @@
                 });
                 self.check_slots()
             }
-            Action::Defer { id, .. } | Action::WriteOff { id } => {
-                let held = self.packets.get_mut(id).ok_or("unknown packet")?;
-                let open = held.trips.last().is_some_and(|t| t.outcome.is_none());
+            Action::Reject { id, .. } | Action::Fail { id } => {
+                let held = self.messages.get_mut(id).ok_or("unknown packet")?;
+                let open = held.attempts.last().is_some_and(|t| t.outcome.is_none());
                 let ran = open
                     || held
-                        .trips
+                        .attempts
                         .iter()
-                        .any(|t| t.outcome.is_some_and(Outcome::may_have_run));
+                        .any(|t| t.outcome.is_some_and(Outcome::may_have_taken_effect));
                 let harmless =
-                    match self.config.profiles[usize::from(held.arrival.profile.0)].effect {
-                        Effect::Retriable => true,
-                        Effect::Fingerprinted { group, .. } => !ran || group == RepeatGroup::All,
-                        Effect::Binding => !ran,
+                    match self.config.classes[usize::from(held.arrival.class.0)].semantics {
+                        DeliverySemantics::Idempotent => true,
+                        DeliverySemantics::IdempotencyKeyed { scope: group, .. } => {
+                            !ran || group == DeduplicationScope::AllEndpoints
+                        }
+                        DeliverySemantics::AtMostOnce => !ran,
                     };
                 if std::mem::replace(&mut held.over, true) {
                     return Err("a second final answer".into());
                 }
-                self.unheard
-                    .extend((self.config.ends == Ends::WhenHeard).then_some(*id));
-                match harmless || matches!(action, Action::WriteOff { .. }) {
+                self.unheard.extend(
+                    (self.config.order_release == OrderRelease::OnAcknowledgement).then_some(*id),
+                );
+                match harmless || matches!(action, Action::Fail { .. }) {
                     true => Ok(()),
                     false => Err("deferred though it may have run".into()),
                 }
             }
-            Action::Probe { target } => {
-                self.probes.push(*target);
-                if !self.config.may_probe {
+            Action::HealthCheck { endpoint } => {
+                self.health_checks.push(*endpoint);
+                if !self.config.may_health_check {
                     return Err("no probe allowed".into());
                 }
-                self.check_target(*target)
+                self.check_endpoint(*endpoint)
             }
-            Action::CallOff { id, .. } => {
-                let trip = self
-                    .packets
+            Action::Cancel { id, .. } => {
+                let attempt = self
+                    .messages
                     .get_mut(id)
-                    .and_then(|h| h.trips.last_mut())
+                    .and_then(|h| h.attempts.last_mut())
                     .ok_or("no such trip")?;
-                trip.given_up = trip.given_up.or(Some(Outcome::CalledOff));
+                attempt.given_up = attempt.given_up.or(Some(Outcome::Cancelled));
                 Ok(())
             }
-            Action::TakeBack { target } => {
-                let trips = self.packets.values_mut().filter_map(|h| h.trips.last_mut());
-                let late = trips
-                    .filter(|t| t.target == *target && t.outcome.is_none() && t.goes.is_some());
-                late.for_each(|t| t.given_up = t.given_up.or(Some(Outcome::TakenBack)));
+            Action::WithdrawUnsent { endpoint } => {
+                let attempts = self
+                    .messages
+                    .values_mut()
+                    .filter_map(|h| h.attempts.last_mut());
+                let late = attempts
+                    .filter(|t| t.endpoint == *endpoint && t.outcome.is_none() && t.goes.is_some());
+                late.for_each(|t| t.given_up = t.given_up.or(Some(Outcome::WithdrawnBeforeSend)));
                 Ok(())
             }
-            Action::Wake { after, token } => {
+            Action::SetTimer { after, token } => {
                 self.alarms.insert((self.now + after.max(&1), token.0));
                 Ok(())
             }
@@ -571,28 +588,35 @@
         }
     }
 
-    fn check_send(&mut self, id: PacketId, target: TargetId) -> Result<(), String> {
-        let held = self.packets.get(&id).ok_or("unknown packet")?;
-        let row = &self.config.profiles[usize::from(held.arrival.profile.0)];
-        let zone = |t: TargetId| self.listed.get(&t).map(|l| l.zone);
-        if held.over || held.trips.len() >= self.config.max_trips as usize {
+    fn check_send(&mut self, id: MessageId, endpoint: EndpointId) -> Result<(), String> {
+        let held = self.messages.get(&id).ok_or("unknown packet")?;
+        let row = &self.config.classes[usize::from(held.arrival.class.0)];
+        let zone = |t: EndpointId| self.listed.get(&t).map(|l| l.zone);
+        if held.over || held.attempts.len() >= self.config.max_attempts as usize {
             return Err(format!("over, or out of trips: {held:?}"));
         }
-        if held.trips.last().is_some_and(|t| t.outcome.is_none()) {
+        if held.attempts.last().is_some_and(|t| t.outcome.is_none()) {
             return Err("a trip is still out".into());
         }
-        if self.listed.get(&target).map(|l| l.destination) != Some(held.arrival.destination) {
+        if self.listed.get(&endpoint).map(|l| l.destination) != Some(held.arrival.destination) {
             return Err("no target of its destination".into());
         }
         let ran = held
-            .trips
+            .attempts
             .iter()
-            .find(|t| t.outcome.is_some_and(Outcome::may_have_run));
-        let allowed = match (row.effect, ran) {
-            (Effect::Retriable, _) | (_, None) => true,
-            (Effect::Binding, Some(_)) => false,
-            (Effect::Fingerprinted { group, window }, Some(first)) => {
-                let reach = group != RepeatGroup::Zone || zone(first.target) == zone(target);
+            .find(|t| t.outcome.is_some_and(Outcome::may_have_taken_effect));
+        let allowed = match (row.semantics, ran) {
+            (DeliverySemantics::Idempotent, _) | (_, None) => true,
+            (DeliverySemantics::AtMostOnce, Some(_)) => false,
+            (
+                DeliverySemantics::IdempotencyKeyed {
+                    scope: group,
+                    window,
+                },
+                Some(first),
+            ) => {
+                let reach =
+                    group != DeduplicationScope::Zone || zone(first.endpoint) == zone(endpoint);
                 reach && self.now <= first.sent + window
             }
         };
@@ -600,34 +624,36 @@
             return Err(format!("might take effect twice: {held:?}"));
         }
         if let Some(key) = self.key(held) {
-            let open = |h: &Held| !h.over || h.trips.last().is_some_and(|t| t.outcome.is_none());
+            let open = |h: &Held| !h.over || h.attempts.last().is_some_and(|t| t.outcome.is_none());
             let ahead = self
                 .order
                 .iter()
                 .take_while(|o| **o != id)
-                .map(|o| (o, &self.packets[o]));
+                .map(|o| (o, &self.messages[o]));
             let mut ahead = ahead.filter(|(_, h)| self.key(h) == Some(key));
             if ahead.any(|(o, h)| open(h) || self.unheard.contains(o)) {
                 return Err("an earlier packet of its key is not over".into());
             }
-            if held.trips.is_empty() && self.rests.get(&key).is_some_and(|r| self.now < *r) {
+            if held.attempts.is_empty() && self.rests.get(&key).is_some_and(|r| self.now < *r) {
                 return Err("its key rests".into());
             }
         }
-        self.check_target(target)
+        self.check_endpoint(endpoint)
     }
 
-    /// Drains and waits: they hold for calls and probes alike, when they are decided and when they go.
-    fn check_bound(&self, target: TargetId) -> Result<(), String> {
-        let (listing, rules) = (&self.listed[&target], &self.config.rules);
+    /// Drains and waits: they hold for calls and health checks alike, when they are decided and when they go.
+    fn check_bound(&self, endpoint: EndpointId) -> Result<(), String> {
+        let (listing, rules) = (&self.listed[&endpoint], &self.config.rules);
         if self
             .told_off
-            .get(&target)
+            .get(&endpoint)
             .is_some_and(|t| self.now > t + rules.drain_grace)
         {
             return Err("the target drains or is gone".into());
         }
-        let route = self.config.kinds[0].routes_apart.then_some(target);
+        let route = self.config.endpoint_kinds[0]
+            .independent_limits
+            .then_some(endpoint);
         if self
             .waits
             .get(&(listing.destination, route))
@@ -639,22 +665,22 @@
     }
 
     /// What binds, and the cold budget.
-    fn check_target(&mut self, target: TargetId) -> Result<(), String> {
-        self.check_bound(target)?;
-        let (listing, rules) = (&self.listed[&target], &self.config.rules);
-        let cold = self.cold.entry(target).or_default();
-        cold.sends.retain(|s| s + rules.overload_for > self.now);
-        if self.config.kinds[0].per_call == 1 || cold.sends.last() != Some(&self.now) {
+    fn check_endpoint(&mut self, endpoint: EndpointId) -> Result<(), String> {
+        self.check_bound(endpoint)?;
+        let (listing, rules) = (&self.listed[&endpoint], &self.config.rules);
+        let cold = self.cold.entry(endpoint).or_default();
+        cold.sends.retain(|s| s + rules.overload_window > self.now);
+        if self.config.endpoint_kinds[0].batch_size == 1 || cold.sends.last() != Some(&self.now) {
             cold.sends.push(self.now);
         }
         let since = cold.back.map(|b| self.now - b).filter(|_| !cold.sick);
-        let warmth = since.map_or(0.0, |s| s as f64 / rules.warm_after as f64);
+        let warmth = since.map_or(0.0, |s| s as f64 / rules.warm_up_time as f64);
         if cold.sick || warmth > 0.0 && warmth < 1.0 {
-            let share = rules.cold_from + (1.0 - rules.cold_from) * warmth;
-            let window = rules.overload_for as f64 / 1e6;
-            let budget = rules.fall_multiple * share * f64::from(listing.rate) * window;
+            let share = rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warmth;
+            let window = rules.overload_window as f64 / 1e6;
+            let budget = rules.overload_multiple * share * f64::from(listing.rate) * window;
             // A part of the budget, and the calls that were out before the row of failures was known.
-            let most = budget / f64::from(self.config.forwarders) + 2.0;
+            let most = budget / f64::from(self.config.fleet_size) + 2.0;
             let known = cold.sends.iter().filter(|s| **s >= cold.known).count();
             if known as f64 > most {
                 return Err(format!("{known} calls to a cold target, at most {most}"));
@@ -664,21 +690,24 @@
     }
 
     fn check_slots(&self) -> Result<(), String> {
-        let trips = || {
-            self.packets
+        let attempts = || {
+            self.messages
                 .values()
-                .filter_map(|h| h.trips.last())
+                .filter_map(|h| h.attempts.last())
                 .filter(|t| t.outcome.is_none())
         };
-        let calls: BTreeSet<_> = trips().map(|t| (t.target, t.sent)).collect();
-        let out = if self.config.kinds[0].per_call > 1 {
+        let calls: BTreeSet<_> = attempts().map(|t| (t.endpoint, t.sent)).collect();
+        let out = if self.config.endpoint_kinds[0].batch_size > 1 {
             calls.len()
         } else {
-            trips().count()
+            attempts().count()
         };
-        match out <= self.config.slots as usize {
+        match out <= self.config.concurrency_limit as usize {
             true => Ok(()),
-            false => Err(format!("{out} calls out, {} slots", self.config.slots)),
+            false => Err(format!(
+                "{out} calls out, {} slots",
+                self.config.concurrency_limit
+            )),
         }
     }
 }
@@ -689,8 +718,8 @@
     pub steps: usize,
     /// The longest pause between two steps.
     pub pause: Micros,
-    /// Targets of each destination.
-    pub targets: u8,
+    /// Endpoints of each destination.
+    pub endpoints: u8,
     /// The forwarder's setting of this name.
     pub full_destinations: Option<u32>,
 }
@@ -702,7 +731,7 @@
         &Play {
             steps,
             pause: 200 * MS,
-            targets: 2,
+            endpoints: 2,
             full_destinations: None,
         },
     )
@@ -716,40 +745,40 @@
         full_destinations: play.full_destinations,
         ..config()
     };
-    config.slots = chance.random_range(1..12);
-    config.room = chance.random_range(3..60);
-    config.max_trips = chance.random_range(1..7);
-    config.ends = if chance.random() {
-        Ends::WhenHeard
+    config.concurrency_limit = chance.random_range(1..12);
+    config.message_capacity = chance.random_range(3..60);
+    config.max_attempts = chance.random_range(1..7);
+    config.order_release = if chance.random() {
+        OrderRelease::OnAcknowledgement
     } else {
-        Ends::AtOnce
+        OrderRelease::OnDecision
     };
-    config.may_probe = chance.random();
-    config.may_call_off = chance.random();
-    config.fading = if chance.random() {
-        Fading::Evenly
+    config.may_health_check = chance.random();
+    config.may_cancel = chance.random();
+    config.priority_decay = if chance.random() {
+        PriorityDecay::Linear
     } else {
-        Fading::Halving
+        PriorityDecay::Exponential
     };
-    config.kinds[0] = KindConfig {
-        routes_apart: chance.random(),
-        per_call: if chance.random_bool(0.3) { 4 } else { 1 },
+    config.endpoint_kinds[0] = EndpointKindConfig {
+        independent_limits: chance.random(),
+        batch_size: if chance.random_bool(0.3) { 4 } else { 1 },
     };
     let group = if chance.random() {
-        RepeatGroup::Zone
+        DeduplicationScope::Zone
     } else {
-        RepeatGroup::All
+        DeduplicationScope::AllEndpoints
     };
-    config.profiles[1].effect = Effect::Fingerprinted {
-        group,
+    config.classes[1].semantics = DeliverySemantics::IdempotencyKeyed {
+        scope: group,
         window: chance.random_range(100..4_000) * MS,
     };
     config
-        .profiles
+        .classes
         .iter_mut()
-        .for_each(|p| p.in_order = chance.random());
-    let list: Vec<Listing> = (0..6)
-        .map(|n| listing(n, u32::from(n / play.targets), 4.0 + f32::from(n)))
+        .for_each(|p| p.ordered = chance.random());
+    let list: Vec<EndpointEntry> = (0..6)
+        .map(|n| listing(n, u32::from(n / play.endpoints), 4.0 + f32::from(n)))
         .collect();
     let mut world = World::new(config, list.clone());
     let mut mood = [0.1; 6];
@@ -780,20 +809,20 @@
                     if chance.random_bool(0.05) {
                         world.told_to_wait(*id, chance.random_range(1..3_000) * MS)?;
                     }
-                    let at = world.packets[id]
-                        .trips
+                    let at = world.messages[id]
+                        .attempts
                         .last()
-                        .map_or(0, |t| t.target.address[3]);
+                        .map_or(0, |t| t.endpoint.address[3]);
                     let outcome = match chance.random_bool(mood[usize::from(at)]) {
                         false => Outcome::Delivered,
                         true => match chance.random_range(0..6) {
-                            0 => Outcome::Full {
-                                wait: Some(chance.random_range(1..3_000) * MS),
+                            0 => Outcome::Rejected {
+                                retry_after: Some(chance.random_range(1..3_000) * MS),
                             },
-                            1 => Outcome::Full { wait: None },
+                            1 => Outcome::Rejected { retry_after: None },
                             2 => Outcome::NoConnection,
                             3 => Outcome::Reset,
-                            4 => Outcome::Moot { no_slot: true },
+                            4 => Outcome::NotAttempted { no_permit: true },
                             _ => Outcome::Error,
                         },
                     };
@@ -804,15 +833,17 @@
             90..92 => {
                 let mut entry = list[chance.random_range(0..6)].clone();
                 let states = [
-                    Standing::Ready,
-                    Standing::Ready,
-                    Standing::Draining,
-                    Standing::Gone,
+                    EndpointStatus::Ready,
+                    EndpointStatus::Ready,
+                    EndpointStatus::Draining,
+                    EndpointStatus::Removed,
                 ];
-                entry.standing = states[chance.random_range(0..4)];
-                world.list(ListNews::Changes(vec![entry]))?;
+                entry.status = states[chance.random_range(0..4)];
+                world.list(EndpointListUpdate::Changes(vec![entry]))?;
             }
-            92 => world.list(ListNews::Whole(list[chance.random_range(0..5)..].to_vec()))?,
+            92 => world.list(EndpointListUpdate::Complete(
+                list[chance.random_range(0..5)..].to_vec(),
+            ))?,
             93 => mood[chance.random_range(0..6)] = [0.0, 0.1, 0.9, 1.0][chance.random_range(0..4)],
             94..97 => {
                 let outcome = if chance.random() {
@@ -820,11 +851,11 @@
                 } else {
                     Outcome::Timeout
                 };
-                world.answer_probe(outcome)?;
+                world.answer_health_check(outcome)?;
             }
             97 => {
                 if let Some(id) = world
-                    .packets
+                    .messages
                     .iter()
                     .find(|(_, h)| !h.over)
                     .map(|(id, _)| *id)
@@ -845,21 +876,21 @@
                 });
                 world.give(Event::Gossip {
                     from: chance.random(),
-                    message,
+                    payload: message,
                 })?;
             }
             98 if chance.random_bool(0.1) => world.die()?,
             98 if chance.random_bool(0.1) => world.restart()?,
             _ => {
-                let id = PacketId(chance.random_range(0..1_000_000));
-                let (target, outcome) = (target(chance.random_range(0..9)), Outcome::Delivered);
-                world.give(Event::TripEnded {
+                let id = MessageId(chance.random_range(0..1_000_000));
+                let (endpoint, outcome) = (endpoint(chance.random_range(0..9)), Outcome::Delivered);
+                world.give(Event::AttemptEnded {
                     id,
-                    trip: 0,
-                    target,
+                    attempt: 0,
+                    endpoint,
                     outcome,
                     took: 0,
-                    closed: true,
+                    completed: true,
                     report: vec![],
                 })?;
             }
@@ -870,8 +901,12 @@
 }
 
 /// When each attempt of a message was sent.
-pub fn sends(world: &World, id: PacketId) -> Vec<Micros> {
-    world.packets[&id].trips.iter().map(|t| t.sent).collect()
+pub fn sends(world: &World, id: MessageId) -> Vec<Micros> {
+    world.messages[&id]
+        .attempts
+        .iter()
+        .map(|t| t.sent)
+        .collect()
 }
 
 /// Whether a log line holds these words.
@@ -879,5 +914,5 @@
     world
         .actions
         .iter()
-        .any(|a| matches!(a, Action::Log(l) if l.contains(words)))
+        .any(|a| matches!(a, Action::Log(event) if event.to_string().contains(words)))
 }
--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -29,7 +29,7 @@
                 &Play {
                     steps: 600,
                     pause,
-                    targets: 2,
+                    endpoints: 2,
                     full_destinations,
                 },
             )?;
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -11,22 +11,27 @@
 
 type Checked = Result<(), String>;
 
-/// Of a fleet so large that an ejected target is tried by messages only and is idle between them.
+/// Of a fleet so large that an ejected endpoint is tried by messages only and is idle between them.
 fn at_size(full_destinations: Option<u32>) -> Config {
     Config {
-        forwarders: 300,
+        fleet_size: 300,
         full_destinations,
         ..config()
     }
 }
 
-fn one_target(full_destinations: Option<u32>) -> World {
+fn one_endpoint(full_destinations: Option<u32>) -> World {
     World::new(at_size(full_destinations), vec![listing(1, 0, 20.0)])
 }
 
-fn sends(world: &World) -> Vec<(Micros, TargetId)> {
-    let trips = world.packets.values().flat_map(|held| held.trips.iter());
-    trips.map(|trip| (trip.sent, trip.target)).collect()
+fn sends(world: &World) -> Vec<(Micros, EndpointId)> {
+    let attempts = world
+        .messages
+        .values()
+        .flat_map(|held| held.attempts.iter());
+    attempts
+        .map(|attempt| (attempt.sent, attempt.endpoint))
+        .collect()
 }
 
 fn send_one(world: &mut World, outcome: Outcome) -> Checked {
@@ -42,7 +47,7 @@
 fn go_idle(world: &mut World) -> Checked {
     for _ in 0..10 {
         world.pass(3_000 * MS)?;
-        world.give(Event::List(ListNews::Failed))?; // any event at all
+        world.give(Event::EndpointList(EndpointListUpdate::Failed))?; // any event at all
     }
     let counts = world.forwarder.state_counts();
     match counts.full {
@@ -59,16 +64,16 @@
 }
 
 /// The rules' oracle over histories with long pauses, in which a destination is summarised whenever it is idle. It never
-/// forgets a target, the core forgets one that has been gone for the warm-up time: where that alone breaks a rule, it does
+/// forgets an endpoint, the core forgets one that has been gone for the warm-up time: where that alone breaks a rule, it does
 /// so with all state in full as well, and then in the same words.
 #[test]
 fn no_history_with_summaries_breaks_a_rule_that_the_full_state_keeps() {
     quickcheck(20_261_203, 60, |seed| {
-        let targets = if seed.is_multiple_of(2) { 1 } else { 2 };
+        let endpoints = if seed.is_multiple_of(2) { 1 } else { 2 };
         let play = Play {
             steps: 600,
             pause: 6_000 * MS,
-            targets,
+            endpoints,
             full_destinations: None,
         };
         let run = |full_destinations| {
@@ -100,11 +105,11 @@
     fn run(
         seed: u64,
         full_destinations: Option<u32>,
-    ) -> Result<(Vec<PacketId>, Vec<Action>, u64), String> {
+    ) -> Result<(Vec<MessageId>, Vec<Action>, u64), String> {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let targets = if seed.is_multiple_of(2) { 1 } else { 2 };
-        let list: Vec<Listing> = (0..6)
-            .map(|n| listing(n, u32::from(n / targets), 4.0))
+        let endpoints = if seed.is_multiple_of(2) { 1 } else { 2 };
+        let list: Vec<EndpointEntry> = (0..6)
+            .map(|n| listing(n, u32::from(n / endpoints), 4.0))
             .collect();
         let mut world = World::new(
             Config {
@@ -117,17 +122,17 @@
             match chance.random_range(0..10) {
                 0 => {
                     let standing = if chance.random() {
-                        Standing::Ready
+                        EndpointStatus::Ready
                     } else {
-                        Standing::Draining
+                        EndpointStatus::Draining
                     };
-                    let entry = Listing {
-                        standing,
+                    let entry = EndpointEntry {
+                        status: standing,
                         ..list[chance.random_range(0..6)].clone()
                     };
-                    world.list(ListNews::Changes(vec![entry]))?;
+                    world.list(EndpointListUpdate::Changes(vec![entry]))?;
                 }
-                1 => world.list(ListNews::Whole(list.clone()))?,
+                1 => world.list(EndpointListUpdate::Complete(list.clone()))?,
                 2..6 => _ = world.arrive(0, chance.random_range(0..3), None, 8_000 * MS)?,
                 _ => world.pass(chance.random_range(1..4_000) * MS)?,
             }
@@ -138,18 +143,18 @@
                 .try_for_each(|id| world.end(id, Outcome::Delivered))?;
         }
         let delivered = |held: &&Held| {
-            held.trips
+            held.attempts
                 .iter()
                 .any(|t| t.outcome == Some(Outcome::Delivered))
         };
         let delivered = world
-            .packets
+            .messages
             .values()
             .filter(delivered)
             .map(|held| held.arrival.id)
             .collect();
         let restored = world.restored();
-        let end = |a: &Action| matches!(a, Action::WriteOff { .. } | Action::Defer { .. });
+        let end = |a: &Action| matches!(a, Action::Fail { .. } | Action::Reject { .. });
         Ok((
             delivered,
             world.actions.into_iter().filter(end).collect(),
@@ -172,12 +177,12 @@
 #[test]
 fn a_wait_told_just_before_a_destination_goes_quiet_still_binds() -> Checked {
     let run = |full_destinations| -> Result<_, String> {
-        let mut world = one_target(full_destinations);
+        let mut world = one_endpoint(full_destinations);
         send_one(&mut world, Outcome::Delivered)?;
         send_one(
             &mut world,
-            Outcome::Full {
-                wait: Some(60_000 * MS),
+            Outcome::Rejected {
+                retry_after: Some(60_000 * MS),
             },
         )?;
         world.pass(9_000 * MS)?;
@@ -191,7 +196,7 @@
         world.pass(told + 55_000 * MS - world.now)?;
         let id = world.arrive(0, 0, None, 30_000 * MS)?;
         world.pass(25_000 * MS)?;
-        let sent = world.packets[&id].trips.first().map(|t| t.sent);
+        let sent = world.messages[&id].attempts.first().map(|t| t.sent);
         assert!(
             sent.is_some_and(|at| at >= told + 60_000 * MS),
             "{sent:?}, told at {told}"
@@ -203,9 +208,9 @@
 }
 
 #[test]
-fn a_target_ejected_before_it_goes_quiet_returns_within_its_cold_budget() -> Checked {
+fn a_endpoint_ejected_before_it_goes_quiet_returns_within_its_cold_budget() -> Checked {
     let run = |full_destinations| -> Result<_, String> {
-        let mut world = one_target(full_destinations);
+        let mut world = one_endpoint(full_destinations);
         send_one(&mut world, Outcome::Delivered)?;
         for _ in 0..4 {
             send_one(&mut world, Outcome::Error)?;
@@ -239,43 +244,43 @@
 
 #[test]
 fn a_drain_told_while_idle_binds_and_ends() -> Checked {
-    let mut world = one_target(Some(0));
+    let mut world = one_endpoint(Some(0));
     send_one(&mut world, Outcome::Delivered)?;
     go_idle(&mut world)?;
-    let entry = Listing {
-        standing: Standing::Draining,
+    let entry = EndpointEntry {
+        status: EndpointStatus::Draining,
         ..listing(1, 0, 20.0)
     };
-    world.list(ListNews::Changes(vec![entry]))?;
+    world.list(EndpointListUpdate::Changes(vec![entry]))?;
     go_idle(&mut world)?;
     let before = sends(&world).len();
     world.arrive(0, 0, None, 8_000 * MS)?;
     world.pass(9_000 * MS)?;
     assert_eq!(sends(&world).len(), before);
     go_idle(&mut world)?;
-    world.list(ListNews::Changes(vec![listing(1, 0, 20.0)]))?;
+    world.list(EndpointListUpdate::Changes(vec![listing(1, 0, 20.0)]))?;
     send_one(&mut world, Outcome::Delivered)?;
     assert_eq!(sends(&world).len(), before + 1);
     Ok(())
 }
 
 #[test]
-fn a_target_replaced_while_idle_gets_nothing_more() -> Checked {
-    let mut world = one_target(Some(0));
+fn a_endpoint_replaced_while_idle_gets_nothing_more() -> Checked {
+    let mut world = one_endpoint(Some(0));
     send_one(&mut world, Outcome::Delivered)?;
     go_idle(&mut world)?;
-    let old = Listing {
-        standing: Standing::Gone,
+    let old = EndpointEntry {
+        status: EndpointStatus::Removed,
         ..listing(1, 0, 20.0)
     };
-    let new = Listing {
-        target: TargetId {
-            holder: 1,
-            ..target(1)
+    let new = EndpointEntry {
+        endpoint: EndpointId {
+            incarnation: 1,
+            ..endpoint(1)
         },
         ..listing(1, 0, 20.0)
     };
-    world.list(ListNews::Changes(vec![old, new.clone()]))?;
+    world.list(EndpointListUpdate::Changes(vec![old, new.clone()]))?;
     go_idle(&mut world)?;
     assert_eq!(
         world.forwarder.state_counts().summaries,
@@ -283,9 +288,9 @@
         "the old one is not forgotten at once"
     );
     send_one(&mut world, Outcome::Delivered)?;
-    assert_eq!(sends(&world).last().map(|s| s.1), Some(new.target));
+    assert_eq!(sends(&world).last().map(|s| s.1), Some(new.endpoint));
     go_idle(&mut world)?;
-    world.list(ListNews::Whole(vec![new]))?;
+    world.list(EndpointListUpdate::Complete(vec![new]))?;
     world.pass(3_000 * MS)?;
     assert_eq!(world.forwarder.state_counts().summaries, 1, "now it is");
     Ok(())
@@ -295,7 +300,7 @@
 #[test]
 fn a_note_on_an_idle_destination_leaves_it_idle_and_slows_it() -> Checked {
     let run = |full_destinations, message: Option<Vec<u8>>| -> Result<_, String> {
-        let mut world = one_target(full_destinations);
+        let mut world = one_endpoint(full_destinations);
         send_one(&mut world, Outcome::Delivered)?;
         match full_destinations {
             Some(_) => go_idle(&mut world)?,
@@ -304,9 +309,12 @@
         let restored = world.restored();
         let (begin, before) = (world.now, sends(&world).len());
         let noted = message.is_some();
-        message
-            .into_iter()
-            .try_for_each(|message| world.give(Event::Gossip { from: 2, message }))?;
+        message.into_iter().try_for_each(|message| {
+            world.give(Event::Gossip {
+                from: 2,
+                payload: message,
+            })
+        })?;
         if full_destinations.is_some() {
             let counts = world.forwarder.state_counts();
             assert_eq!(
@@ -358,18 +366,18 @@
     Ok(())
 }
 
-fn many(count: u32, standing: impl Fn(u32) -> Standing) -> Vec<Listing> {
+fn many(count: u32, standing: impl Fn(u32) -> EndpointStatus) -> Vec<EndpointEntry> {
     let line = |n: u32| {
         let [_, a, b, c] = n.to_be_bytes();
-        let target = TargetId {
+        let endpoint = EndpointId {
             address: [10, a, b, c],
             port: 80,
-            holder: 0,
+            incarnation: 0,
         };
         let destination = DestinationId(n);
-        Listing {
-            target,
-            standing: standing(n),
+        EndpointEntry {
+            endpoint,
+            status: standing(n),
             destination,
             ..listing(0, 0, 20.0)
         }
@@ -396,7 +404,9 @@
         handle(
             &mut forwarder,
             now,
-            Event::List(ListNews::Whole(many(LINES, |_| Standing::Ready))),
+            Event::EndpointList(EndpointListUpdate::Complete(many(LINES, |_| {
+                EndpointStatus::Ready
+            }))),
         );
     }
     let counts = forwarder.state_counts();
@@ -405,32 +415,29 @@
         (FULL, LINES as usize),
         "{counts:?}"
     );
-    let arrival = |n: u32| Arrival {
-        id: PacketId(n),
-        profile: ProfileId(0),
+    let arrival = |n: u32| Submission {
+        id: MessageId(n),
+        class: DeliveryClassId(0),
         tenant: TenantId(0),
         key: None,
-        left: 8_000 * MS,
-        hint: None,
+        time_left: 8_000 * MS,
         destination: DestinationId(70_000 + n),
-        again: false,
-        write: false,
-        orphan: false,
-        past: Past::default(),
+        resubmitted: false,
+        history: AttemptHistory::default(),
     };
     for n in 0..50 {
         let mut actions = Vec::new();
-        forwarder.handle(2_000 * MS, Event::Packet(arrival(n)), &mut actions);
+        forwarder.handle(2_000 * MS, Event::Submitted(arrival(n)), &mut actions);
         for action in std::mem::take(&mut actions) {
-            if let Action::Send { id, target, .. } = action {
+            if let Action::Send { id, endpoint, .. } = action {
                 let (outcome, took, report) = (Outcome::Delivered, MS, Vec::new());
-                let ended = Event::TripEnded {
+                let ended = Event::AttemptEnded {
                     id,
-                    trip: 0,
-                    target,
+                    attempt: 0,
+                    endpoint,
                     outcome,
                     took,
-                    closed: true,
+                    completed: true,
                     report,
                 };
                 handle(&mut forwarder, 2_000 * MS, ended);
@@ -441,15 +448,21 @@
     handle(
         &mut forwarder,
         20_000 * MS,
-        Event::List(ListNews::Whole(Vec::new())),
+        Event::EndpointList(EndpointListUpdate::Complete(Vec::new())),
     );
     for n in 0..120 {
         let now = (40_000 + n * 100) * MS;
-        handle(&mut forwarder, now, Event::Alarm { token: Token(0) });
         handle(
             &mut forwarder,
             now,
-            Event::List(ListNews::Changes(Vec::new())),
+            Event::TimerFired {
+                token: TimerToken(0),
+            },
+        );
+        handle(
+            &mut forwarder,
+            now,
+            Event::EndpointList(EndpointListUpdate::Changes(Vec::new())),
         );
     }
     let counts = forwarder.state_counts();
@@ -469,22 +482,24 @@
     handle(
         &mut forwarder,
         0,
-        Event::List(ListNews::Whole(many(LINES, |_| Standing::Ready))),
+        Event::EndpointList(EndpointListUpdate::Complete(many(LINES, |_| {
+            EndpointStatus::Ready
+        }))),
     );
     let (rounds, before) = (4, forwarder.state_counts().restored);
     for round in 1..=rounds {
         let standing = |_: u32| {
             if round % 2 == 1 {
-                Standing::Gone
+                EndpointStatus::Removed
             } else {
-                Standing::Ready
+                EndpointStatus::Ready
             }
         };
         let flapping = many(LINES, standing).into_iter().step_by(2).collect();
         handle(
             &mut forwarder,
             round * 1_000 * MS,
-            Event::List(ListNews::Changes(flapping)),
+            Event::EndpointList(EndpointListUpdate::Changes(flapping)),
         );
         let counts = forwarder.state_counts();
         let gone = if round % 2 == 1 {
@@ -507,14 +522,14 @@
         "{counts:?}"
     );
     // A change of one line touches that one.
-    let one = many(LINES, |_| Standing::Draining)
+    let one = many(LINES, |_| EndpointStatus::Draining)
         .pop()
         .into_iter()
         .collect();
     handle(
         &mut forwarder,
         9_000 * MS,
-        Event::List(ListNews::Changes(one)),
+        Event::EndpointList(EndpointListUpdate::Changes(one)),
     );
     assert!(forwarder.state_counts().restored <= counts.restored + 1);
 }
