--- /dev/null
+++ b/src/destination.rs
@@ -0,0 +1,319 @@
+//! The state of one destination: its queue, its limits, and what it knows of its endpoints.
+//!
+//! [`Destination`] owns the messages for it, from their submission to the final answer. It calls
+//! the rules in [`crate::policy`] and holds no threshold of its own. `attempts` handles the end of
+//! attempts, `dispatch` chooses what goes next.
+
+mod attempts;
+mod dispatch;
+mod message;
+
+pub(crate) use message::{InFlightAttempt, Message};
+
+use crate::endpoint::EndpointSnapshot;
+use crate::forwarder::context::DecisionContext;
+use crate::forwarder::mailbox::{
+    Activity, DestinationMessage, EndpointMessage, EndpointTick, ForwarderMessage,
+};
+use crate::model::{Action, Config, DestinationId, EndpointId, MessageId, Micros};
+use crate::policy::admission::{self, FinalAnswer};
+use crate::policy::attempt_timeout::Permits;
+use crate::policy::outlier;
+use crate::policy::pacing::Pacer;
+use crate::policy::retry::{self, SEND_MARGIN};
+use crate::queue::DispatchQueue;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A destination: endpoints that share a queue, and a limit unless each has one of its own.
+#[derive(Default)]
+pub(crate) struct Destination {
+    pub id: DestinationId,
+    /// Whether each endpoint has its own limit, pace and outages.
+    pub has_independent_limits: bool,
+    /// Messages in one call at most.
+    pub batch_size: usize,
+    /// How each endpoint stands; emptied as endpoints are forgotten.
+    pub endpoints: BTreeMap<EndpointId, EndpointSnapshot>,
+    /// By [`Destination::limit_of`]; emptied as endpoints are forgotten and pauses end.
+    pub pacers: BTreeMap<Option<EndpointId>, Pacer>,
+    /// Messages without a final answer, or with an attempt out.
+    pub messages: BTreeMap<MessageId, Message>,
+    /// Those of them that wait.
+    queue: DispatchQueue,
+    /// Those of them with an attempt out.
+    in_flight: BTreeSet<MessageId>,
+    /// Where the next message would go, between a candidate and its permit.
+    candidate: Option<EndpointId>,
+    /// Its place in the queue of destinations that may be summarised.
+    pub idle_since: Option<Micros>,
+}
+
+impl Destination {
+    /// A destination without endpoints and messages.
+    pub fn new(id: DestinationId, has_independent_limits: bool, batch_size: usize) -> Destination {
+        Destination {
+            id,
+            has_independent_limits,
+            batch_size,
+            ..Destination::default()
+        }
+    }
+
+    /// Handles one message of its mailbox.
+    pub fn handle(&mut self, message: DestinationMessage, context: &mut DecisionContext) {
+        match message {
+            DestinationMessage::Enqueue(message) => self.enqueue(message, context),
+            DestinationMessage::OrderGranted(id) => self.grant_order(id, context.config),
+            DestinationMessage::AttemptEnded(ended) => {
+                let Some(attempt) = self.take_attempt(ended.id, ended.endpoint) else {
+                    return;
+                };
+                self.end_attempt(ended, attempt, context);
+            }
+            DestinationMessage::Withdrawn(id) => self.withdraw(id, context),
+            DestinationMessage::EndpointListed { endpoint, rate } => {
+                self.apply_listed_rate(endpoint, rate, context);
+            }
+            DestinationMessage::EndpointForgotten(endpoint) => {
+                self.endpoints.remove(&endpoint);
+            }
+            DestinationMessage::Snapshot { endpoint, snapshot } => {
+                if let Some(known) = self.endpoints.get_mut(&endpoint) {
+                    *known = snapshot;
+                }
+            }
+            DestinationMessage::TimerTick { permits } => self.tick(0.0, permits, context),
+            DestinationMessage::PeerRejected => self.peer_rejected(context),
+            DestinationMessage::RetryAfter {
+                endpoint,
+                retry_after,
+            } => {
+                self.honour_retry_after(endpoint, retry_after, context);
+            }
+            DestinationMessage::RequestCandidate => self.offer_candidate(context),
+            DestinationMessage::GrantPermit => self.start_call(context),
+            DestinationMessage::ShedLoad => self.shed_load(context),
+        }
+        self.report_activity(context);
+    }
+
+    /// Tells the forwarder what is under way here.
+    fn report_activity(&self, context: &mut DecisionContext) {
+        let is_known = !self.endpoints.is_empty() || self.pacers.is_empty();
+        let is_settled =
+            is_known && self.messages.is_empty() && self.endpoints.values().all(|e| e.is_settled);
+        let activity = (!is_settled).then(|| Activity {
+            calls: self.calls(),
+            is_degraded: self.is_degraded(),
+            waiting: self.queue.len(),
+        });
+        context.mailboxes.to_forwarder(ForwarderMessage::Activity {
+            destination: self.id,
+            activity,
+        });
+    }
+
+    /// The key of the pacer that an endpoint's calls go by: its own, or the destination's.
+    pub fn limit_of(&self, endpoint: EndpointId) -> Option<EndpointId> {
+        self.has_independent_limits.then_some(endpoint)
+    }
+
+    fn pacer_of(&mut self, endpoint: EndpointId) -> Option<&mut Pacer> {
+        self.pacers.get_mut(&self.limit_of(endpoint))
+    }
+
+    fn calls(&self) -> usize {
+        self.endpoints.values().map(|e| e.calls).sum()
+    }
+
+    fn is_degraded(&self) -> bool {
+        self.endpoints.values().any(|e| e.is_degraded)
+    }
+
+    /// Until when all of its limits are paused.
+    fn paused_until(&self) -> Micros {
+        let pauses = self.pacers.values().map(|pacer| pacer.paused_until);
+        pauses.min().unwrap_or(0)
+    }
+
+    fn waiting(&self, ids: Vec<MessageId>) -> impl Iterator<Item = &Message> {
+        ids.into_iter().filter_map(|id| self.messages.get(&id))
+    }
+
+    fn enqueue(&mut self, message: Message, context: &mut DecisionContext) {
+        self.queue.join(&message.entry(context.config));
+        self.messages.insert(message.id, message);
+        // At once: it may have less time than the next tick takes to come.
+        self.tick(1.0, Permits::Free, context);
+    }
+
+    fn grant_order(&mut self, id: MessageId, config: &Config) {
+        if let Some(message) = self.messages.get_mut(&id) {
+            message.is_order_granted = true;
+            self.queue.turn(&message.entry(config));
+        }
+    }
+
+    fn withdraw(&mut self, id: MessageId, context: &mut DecisionContext) {
+        match self.messages.get_mut(&id) {
+            // Its attempt still runs: it keeps its turn and its permit until the outcome comes.
+            Some(message) if message.in_flight.is_some() => message.is_completed = true,
+            Some(_) => self.end(id, None, context),
+            None => {}
+        }
+    }
+
+    fn apply_listed_rate(&mut self, endpoint: EndpointId, rate: f64, context: &DecisionContext) {
+        self.endpoints.entry(endpoint).or_default();
+        let pacer = self.pacers.entry(self.limit_of(endpoint)).or_default();
+        pacer.apply_listed_rate(context.now, rate, context.config);
+    }
+
+    /// Does nothing where each endpoint is at a limit of its own.
+    fn peer_rejected(&mut self, context: &mut DecisionContext) {
+        if let Some(pacer) = self.pacers.get_mut(&None) {
+            pacer.peer_rejected(context.now, context.config, context.rng);
+        }
+    }
+
+    /// A retry-after binds everything behind the limit from when it is received: also calls and
+    /// health checks that were chosen before and have not gone whole.
+    fn honour_retry_after(
+        &mut self,
+        endpoint: EndpointId,
+        retry_after: Micros,
+        context: &mut DecisionContext,
+    ) {
+        if retry_after == 0 {
+            return;
+        }
+        let Some(pacer) = self.pacer_of(endpoint) else {
+            return;
+        };
+        pacer.pause_until(context.now.saturating_add(retry_after));
+        let overload_window = context.config.rules.overload_window;
+        let is_long = outlier::is_long_retry_after(retry_after, overload_window);
+        for other in self.endpoints.keys() {
+            if !self.has_independent_limits || *other == endpoint {
+                let message = EndpointMessage::Paused { is_long };
+                context.mailboxes.to_endpoint(*other, message);
+            }
+        }
+    }
+
+    /// Looks at all timers. `arrivals`: messages that have just come.
+    fn tick(&mut self, arrivals: f64, permits: Permits, context: &mut DecisionContext) {
+        self.drop_unused_pacers(context.now, !self.endpoints.is_empty());
+        for pacer in self.pacers.values_mut() {
+            pacer.recover(context.now);
+        }
+        self.tick_endpoints(arrivals, context);
+        self.cancel_overdue(permits, context);
+        self.give_up_expired(context);
+    }
+
+    /// Drops the pacers of endpoints that are forgotten, and the shared one unless it is in use.
+    /// One whose pause still binds stays.
+    pub fn drop_unused_pacers(&mut self, now: Micros, is_shared_used: bool) {
+        let endpoints = &self.endpoints;
+        let is_used = |limit: &Option<EndpointId>| match limit {
+            Some(endpoint) => endpoints.contains_key(endpoint),
+            None => is_shared_used,
+        };
+        self.pacers
+            .retain(|limit, pacer| is_used(limit) || pacer.paused_until > now);
+    }
+
+    fn tick_endpoints(&self, arrivals: f64, context: &mut DecisionContext) {
+        let ready = self
+            .endpoints
+            .values()
+            .filter(|e| e.is_ready)
+            .count()
+            .max(1) as f64;
+        let sharing = if self.has_independent_limits {
+            1.0
+        } else {
+            ready
+        };
+        for endpoint in self.endpoints.keys() {
+            let Some(pacer) = self.pacers.get(&self.limit_of(*endpoint)) else {
+                continue;
+            };
+            let tick = EndpointTick {
+                capacity: pacer.capacity / sharing,
+                arrivals: arrivals / ready,
+                is_paused: context.now < pacer.paused_until,
+            };
+            context
+                .mailboxes
+                .to_endpoint(*endpoint, EndpointMessage::TimerTick(tick));
+        }
+    }
+
+    /// Gives up the waiting messages that can't be sent in time any more.
+    fn give_up_expired(&mut self, context: &mut DecisionContext) {
+        let paused_until = self.paused_until();
+        let horizon = paused_until.max(context.now + SEND_MARGIN);
+        let expired: Vec<MessageId> = self
+            .waiting(self.queue.expiring_by(horizon))
+            .filter(|message| {
+                paused_until >= message.deadline
+                    || retry::is_too_late(context.now, message.last_send(context.config))
+            })
+            .map(|message| message.id)
+            .collect();
+        for id in expired {
+            self.give_up(id, context);
+        }
+    }
+
+    /// Gives a waiting message its final answer.
+    fn give_up(&mut self, id: MessageId, context: &mut DecisionContext) {
+        let Some(message) = self.messages.get(&id) else {
+            return;
+        };
+        let undelivered = message.undelivered(context.config);
+        let answer = admission::final_answer(
+            context.now,
+            undelivered,
+            self.paused_until(),
+            context.config,
+        );
+        let action = match answer {
+            FinalAnswer::Reject { retry_after } => Action::Reject { id, retry_after },
+            FinalAnswer::Fail => Action::Fail { id },
+        };
+        self.end(id, Some(action), context);
+    }
+
+    /// Gives up the waiting message that counts least; of equal ones that with the latest
+    /// objective.
+    fn shed_load(&mut self, context: &mut DecisionContext) {
+        let weight = |message: &Message| message.weight_at(context.now, context.config);
+        let least = self
+            .waiting(self.queue.expiring_by(Micros::MAX))
+            .min_by(|a, b| {
+                let by_weight = weight(a).total_cmp(&weight(b));
+                by_weight.then(b.objective_at.cmp(&a.objective_at))
+            })
+            .map(|message| message.id);
+        if let Some(id) = least {
+            self.give_up(id, context);
+        }
+    }
+
+    /// A message leaves, with its final answer unless somebody else gave it.
+    fn end(&mut self, id: MessageId, answer: Option<Action>, context: &mut DecisionContext) {
+        self.in_flight.remove(&id);
+        if let Some(message) = self.messages.remove(&id) {
+            self.queue.leave(&message.entry(context.config));
+        }
+        let is_answered = answer.is_some();
+        if let Some(answer) = answer {
+            context.mailboxes.act(answer);
+        }
+        let ended = ForwarderMessage::MessageEnded { id, is_answered };
+        context.mailboxes.to_forwarder(ended);
+    }
+}
--- /dev/null
+++ b/src/destination/attempts.rs
@@ -0,0 +1,152 @@
+//! The end of attempts: what it means for the message, its key and the pace.
+
+use super::{Destination, InFlightAttempt};
+use crate::forwarder::context::DecisionContext;
+use crate::forwarder::mailbox::{EndedAttempt, EndpointMessage, ForwarderMessage};
+use crate::model::{Action, EndpointId, MessageId, Micros, Outcome, PossibleEffect, ZoneId};
+use crate::policy::attempt_timeout::{self, Permits};
+use crate::policy::{ordering, retry};
+use rand::Rng;
+
+impl Destination {
+    /// The attempt of a message that is out at this endpoint; from now on it is not.
+    pub(super) fn take_attempt(
+        &mut self,
+        id: MessageId,
+        endpoint: EndpointId,
+    ) -> Option<InFlightAttempt> {
+        let message = self.messages.get_mut(&id)?;
+        message
+            .in_flight
+            .take_if(|attempt| attempt.endpoint == endpoint)
+    }
+
+    /// Handles the end of an attempt that was out.
+    pub(super) fn end_attempt(
+        &mut self,
+        ended: EndedAttempt,
+        attempt: InFlightAttempt,
+        context: &mut DecisionContext,
+    ) {
+        let EndedAttempt {
+            id,
+            endpoint,
+            outcome,
+            took,
+            completed,
+        } = ended;
+        let sent_at = attempt.sent_at;
+        self.in_flight.remove(&id);
+        if let Some(message) = self.messages.get_mut(&id) {
+            message.is_completed |= completed;
+        }
+        let message = EndpointMessage::AttemptEnded {
+            sent_at,
+            outcome,
+            took,
+        };
+        context.mailboxes.to_endpoint(endpoint, message);
+        if let Outcome::Rejected { retry_after } = outcome {
+            self.apply_rejection(endpoint, sent_at, retry_after.unwrap_or(0), context);
+        }
+        self.note_possible_effect(id, attempt, outcome, context);
+        self.answer_or_retry(id, outcome, context);
+    }
+
+    fn apply_rejection(
+        &mut self,
+        endpoint: EndpointId,
+        sent_at: Micros,
+        retry_after: Micros,
+        context: &mut DecisionContext,
+    ) {
+        self.honour_retry_after(endpoint, retry_after, context);
+        if let Some(pacer) = self.pacer_of(endpoint) {
+            pacer.rejected(context.now, sent_at, context.config, context.rng);
+        }
+    }
+
+    /// Keeps what an unclear outcome binds: the window of a repeat, and the order of the key.
+    fn note_possible_effect(
+        &mut self,
+        id: MessageId,
+        attempt: InFlightAttempt,
+        outcome: Outcome,
+        context: &mut DecisionContext,
+    ) {
+        let Some(message) = self.messages.get_mut(&id) else {
+            return;
+        };
+        if let Some(key) = message
+            .key
+            .filter(|_| ordering::is_outcome_unknown(outcome))
+        {
+            context
+                .mailboxes
+                .to_forwarder(ForwarderMessage::OutcomeUnknown { key });
+        }
+        if outcome.may_have_taken_effect() && message.possible_effect.is_none() {
+            let zone = self.endpoints.get(&attempt.endpoint).map_or(0, |e| e.zone);
+            message.possible_effect = Some(PossibleEffect {
+                sent_at: attempt.sent_at,
+                zone: ZoneId(zone),
+            });
+        }
+    }
+
+    /// Ends the message, or puts it back into the queue.
+    fn answer_or_retry(&mut self, id: MessageId, outcome: Outcome, context: &mut DecisionContext) {
+        let Some(message) = self.messages.get_mut(&id) else {
+            return;
+        };
+        if message.is_completed || outcome == Outcome::Delivered {
+            // A delivery that came too late completes nothing: the final answer is still due.
+            let answer = (!message.is_completed).then_some(Action::Fail { id });
+            return self.end(id, answer, context);
+        }
+        if outcome == Outcome::WithdrawnBeforeSend {
+            message.attempts -= 1; // it keeps its place in the queue
+            return self.queue.join(&message.entry(context.config));
+        }
+        let time_to_live = context.config.classes[message.class].time_to_live;
+        let random = context.rng.random();
+        message.ready_at = context.now + retry::backoff(message.attempts, time_to_live, random);
+        let entry = message.entry(context.config);
+        self.queue.join(&entry);
+        if entry.ready_at >= entry.last_send {
+            self.end(id, Some(Action::Fail { id }), context);
+        }
+    }
+
+    /// Cancels attempts that take too long: they may have got lost on the way. An ejected endpoint
+    /// answers nobody, so that cancelling gains nothing there.
+    pub(super) fn cancel_overdue(&mut self, permits: Permits, context: &mut DecisionContext) {
+        if !context.config.may_cancel {
+            return;
+        }
+        for id in &self.in_flight {
+            let Some(message) = self.messages.get_mut(id) else {
+                continue;
+            };
+            let Some(attempt) = message.in_flight else {
+                continue;
+            };
+            let Some(endpoint) = self.endpoints.get(&attempt.endpoint) else {
+                continue;
+            };
+            if message.is_cancelled || message.is_completed || endpoint.is_ejected {
+                continue;
+            }
+            let elapsed = context.now - attempt.sent_at;
+            let bound = attempt_timeout::attempt_bound(endpoint.latency_bound, message.attempts);
+            let semantics = context.config.classes[message.class].semantics;
+            if attempt_timeout::is_overdue(elapsed, bound, semantics, permits) {
+                message.is_cancelled = true;
+                context.mailboxes.act(Action::Cancel {
+                    id: *id,
+                    attempt: (message.attempts - 1) as u8,
+                });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/destination/dispatch.rs
@@ -0,0 +1,189 @@
+//! What goes next: the candidate for a permit, and the call that uses it.
+
+use super::{Destination, InFlightAttempt};
+use crate::endpoint::EndpointSnapshot;
+use crate::forwarder::context::DecisionContext;
+use crate::forwarder::mailbox::{Candidate, EndpointMessage, ForwarderMessage};
+use crate::model::{Action, EndpointId, MessageId};
+use crate::policy::{attempt_timeout, concurrency, retry, selection};
+use crate::queue::DispatchQueue;
+
+/// A message that could go to an endpoint.
+struct Choice {
+    id: MessageId,
+    /// What is lost by leaving it.
+    loss: f64,
+}
+
+impl Destination {
+    /// Tells the forwarder what a permit would be used for, if anything.
+    pub(super) fn offer_candidate(&mut self, context: &mut DecisionContext) {
+        self.candidate = None;
+        let messages = &self.messages;
+        self.queue.wake(context.now, |id| {
+            messages
+                .get(&id)
+                .map(|message| message.entry(context.config))
+        });
+        let limit =
+            concurrency::destination_limit(context.config.concurrency_limit, self.is_degraded());
+        if self.calls() >= limit {
+            return;
+        }
+        for endpoint in self.open_endpoints(context) {
+            let Some(loss) = self.loss_at(endpoint, context) else {
+                continue;
+            };
+            self.candidate = Some(endpoint);
+            let candidate = Candidate {
+                destination: self.id,
+                loss,
+            };
+            context
+                .mailboxes
+                .to_forwarder(ForwarderMessage::Candidate(candidate));
+            return;
+        }
+    }
+
+    /// Endpoints that can take a call now, the best first. Limits that hold calls back are told
+    /// so: their interval recovers.
+    fn open_endpoints(&mut self, context: &DecisionContext) -> Vec<EndpointId> {
+        let mut ranked: Vec<(f64, EndpointId)> = Vec::new();
+        for (endpoint, snapshot) in &self.endpoints {
+            if !snapshot.is_ready || snapshot.free_permits == 0 {
+                continue;
+            }
+            let limit = self.has_independent_limits.then_some(*endpoint);
+            match self.pacers.get_mut(&limit) {
+                Some(pacer) if pacer.is_open(context.now) => {
+                    ranked.push((snapshot.rank(), *endpoint));
+                }
+                Some(pacer) => pacer.has_delayed = true,
+                None => {}
+            }
+        }
+        ranked.sort_by(|a, b| a.0.total_cmp(&b.0));
+        ranked.into_iter().map(|(_, endpoint)| endpoint).collect()
+    }
+
+    /// What is lost by not sending the best message to this endpoint now, per µs of the permit;
+    /// none where nothing may go.
+    fn loss_at(&self, endpoint: EndpointId, context: &DecisionContext) -> Option<f64> {
+        let snapshot = &self.endpoints[&endpoint];
+        let choice = self.best_message_for(snapshot, context)?;
+        let objective_at = self.messages[&choice.id].objective_at;
+        let pacer = self.pacers.get(&self.limit_of(endpoint));
+        let has_spare_call = pacer.is_none_or(|pacer| pacer.has_spare_call(context.now));
+        selection::may_take_call(context.now, objective_at, has_spare_call)
+            .then(|| selection::loss_per_permit_time(choice.loss, snapshot.mean_latency))
+    }
+
+    /// The waiting message that loses most by not going to this endpoint now. Of equal ones the
+    /// one with the earliest objective, then the one with the least id.
+    fn best_message_for(
+        &self,
+        endpoint: &EndpointSnapshot,
+        context: &DecisionContext,
+    ) -> Option<Choice> {
+        let loss_of = |id: MessageId| {
+            let message = self.messages.get(&id)?;
+            let loss = message.expected_loss(context.now, endpoint.mean_latency, context.config);
+            Some((message, loss))
+        };
+        self.best_of_each_rank(endpoint, context)
+            .into_iter()
+            .filter_map(loss_of)
+            .max_by(|(a, a_loss), (b, b_loss)| {
+                a_loss
+                    .total_cmp(b_loss)
+                    .then(b.objective_at.cmp(&a.objective_at))
+                    .then(b.id.cmp(&a.id))
+            })
+            .map(|(message, loss)| Choice {
+                id: message.id,
+                loss,
+            })
+    }
+
+    /// Messages among which the best for this endpoint is.
+    fn best_of_each_rank(
+        &self,
+        endpoint: &EndpointSnapshot,
+        context: &DecisionContext,
+    ) -> Vec<MessageId> {
+        let look_ahead = selection::look_ahead(context.config);
+        let mut ids = Vec::new();
+        for (rank, ranked) in self.queue.ranks() {
+            if rank.zone.is_some_and(|zone| zone != endpoint.zone) {
+                continue;
+            }
+            let class = context.class(rank.class);
+            let eligible = selection::eligible_objectives(
+                context.now,
+                rank.span,
+                rank.last,
+                class,
+                endpoint.is_degraded,
+            );
+            let decay_time = selection::decay_time(class);
+            let now = context.now as f64;
+            let cuts = || rank.cuts(now, endpoint.mean_latency, look_ahead, decay_time);
+            DispatchQueue::ends(ranked, eligible, cuts, &mut ids);
+        }
+        ids
+    }
+
+    /// Starts the call that the candidate stood for: an attempt at each message of the batch.
+    pub(super) fn start_call(&mut self, context: &mut DecisionContext) {
+        let Some(endpoint) = self.candidate.take() else {
+            return;
+        };
+        let Some(snapshot) = self.endpoints.get(&endpoint).copied() else {
+            return;
+        };
+        if let Some(pacer) = self.pacer_of(endpoint) {
+            pacer.start_call(context.now, context.rng);
+        }
+        for _ in 0..self.batch_size {
+            let Some(choice) = self.best_message_for(&snapshot, context) else {
+                break;
+            };
+            self.start_attempt(choice.id, endpoint, &snapshot, context);
+        }
+    }
+
+    fn start_attempt(
+        &mut self,
+        id: MessageId,
+        endpoint: EndpointId,
+        snapshot: &EndpointSnapshot,
+        context: &mut DecisionContext,
+    ) {
+        let Some(message) = self.messages.get_mut(&id) else {
+            return;
+        };
+        self.queue.leave(&message.entry(context.config));
+        self.in_flight.insert(id);
+        message.attempts += 1;
+        message.in_flight = Some(InFlightAttempt {
+            endpoint,
+            sent_at: context.now,
+        });
+        message.is_cancelled = false;
+        let class = context.class(message.class);
+        let bound = attempt_timeout::attempt_bound(snapshot.latency_bound, message.attempts);
+        let time_left = message.deadline - context.now;
+        let timeout = attempt_timeout::timeout(class, bound, time_left);
+        let send_by = retry::send_by(message.last_send(context.config));
+        context
+            .mailboxes
+            .to_endpoint(endpoint, EndpointMessage::MessageSent);
+        context.mailboxes.act(Action::Send {
+            id,
+            endpoint,
+            timeout,
+            send_by,
+        });
+    }
+}
--- /dev/null
+++ b/src/forwarder/endpoint_list.rs
@@ -0,0 +1,187 @@
+//! Applies the endpoint list to destinations and endpoints.
+//!
+//! A list that names more than may be held in full is applied in chunks; what a chunk has restored
+//! or created is summarised again before the next one.
+
+use super::mailbox::{DestinationMessage, EndpointMessage};
+use super::Forwarder;
+use crate::endpoint::Endpoint;
+use crate::idle::LIST_CHUNK;
+use crate::model::{
+    Action, DestinationId, EndpointEntry, EndpointId, EndpointKindId, EndpointListUpdate,
+    EndpointStatus, Micros, ZoneId,
+};
+use std::collections::BTreeSet;
+
+/// Destinations that one entry of the list may restore or create: its own, and the one that the
+/// endpoint belonged to.
+const DESTINATIONS_PER_ENTRY: usize = 2;
+
+/// What the kind of an endpoint says of it.
+struct KindProperties {
+    has_independent_limits: bool,
+    batch_size: usize,
+}
+
+impl Forwarder {
+    /// Applies what discovery reported.
+    pub(super) fn apply_list(
+        &mut self,
+        now: Micros,
+        update: EndpointListUpdate,
+        actions: &mut Vec<Action>,
+    ) {
+        let (mut entries, is_complete) = match update {
+            EndpointListUpdate::Changes(entries) => (entries, false),
+            EndpointListUpdate::Complete(entries) | EndpointListUpdate::Cached(entries) => {
+                (entries, true)
+            }
+            EndpointListUpdate::Failed => return,
+        };
+        let mut missing_idle = Vec::new();
+        if is_complete {
+            let named: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
+            entries.extend(self.missing_endpoints(&named));
+            missing_idle = self.missing_idle_endpoints(&named);
+        }
+        self.forget_removed(now, entries.len() + missing_idle.len());
+        if !self.is_beyond_full(entries.len()) && missing_idle.is_empty() {
+            for entry in entries {
+                self.restore_and_apply(now, entry);
+            }
+            return;
+        }
+        self.apply_in_chunks(now, entries, actions);
+        self.apply_in_chunks(now, missing_idle, actions);
+    }
+
+    /// Entries for the endpoints in use that a complete list does not name.
+    fn missing_endpoints(&self, named: &BTreeSet<EndpointId>) -> Vec<EndpointEntry> {
+        self.endpoints
+            .iter()
+            .filter(|(id, _)| !named.contains(id))
+            .map(|(id, e)| removed_entry(*id, ZoneId(e.snapshot.zone), e.destination))
+            .collect()
+    }
+
+    /// The same for the idle endpoints.
+    fn missing_idle_endpoints(&self, named: &BTreeSet<EndpointId>) -> Vec<EndpointEntry> {
+        self.idle
+            .listed()
+            .filter(|idle| !named.contains(&idle.endpoint))
+            .map(|idle| removed_entry(idle.endpoint, idle.zone, idle.destination))
+            .collect()
+    }
+
+    fn apply_in_chunks(
+        &mut self,
+        now: Micros,
+        entries: Vec<EndpointEntry>,
+        actions: &mut Vec<Action>,
+    ) {
+        let mut entries = entries.into_iter();
+        while entries.len() > 0 {
+            for entry in entries.by_ref().take(LIST_CHUNK) {
+                self.restore_and_apply(now, entry);
+            }
+            self.settle(now, actions);
+            self.summarise_idle(now, DESTINATIONS_PER_ENTRY * LIST_CHUNK);
+        }
+    }
+
+    /// Forgets the endpoints that left the list the warm-up time ago and have nothing under way.
+    fn forget_removed(&mut self, now: Micros, entries: usize) {
+        let forgotten = self
+            .endpoints
+            .extract_if(.., |_, endpoint| endpoint.is_forgettable(now));
+        for (id, endpoint) in forgotten {
+            let message = DestinationMessage::EndpointForgotten(id);
+            self.mailboxes.to_destination(endpoint.destination, message);
+        }
+        self.idle.forget_removed(now, entries);
+    }
+
+    fn restore_and_apply(&mut self, now: Micros, entry: EndpointEntry) {
+        if self.apply_to_summary(&entry) {
+            return;
+        }
+        self.restore_endpoint(now, entry.endpoint);
+        if entry.status != EndpointStatus::Removed {
+            self.restore(now, entry.destination);
+        }
+        self.apply_entry(now, entry);
+    }
+
+    fn apply_entry(&mut self, now: Micros, entry: EndpointEntry) {
+        let kind = self.kind_properties(entry.kind);
+        let cost = self.cost_in(entry.zone, kind.has_independent_limits);
+        if entry.status != EndpointStatus::Removed {
+            self.create_if_new(now, &entry, &kind);
+            let message = DestinationMessage::EndpointListed {
+                endpoint: entry.endpoint,
+                rate: entry.rate.into(),
+            };
+            self.mailboxes.to_destination(entry.destination, message);
+        }
+        let message = EndpointMessage::Listed {
+            zone: entry.zone,
+            status: entry.status,
+            cost,
+        };
+        self.mailboxes.to_endpoint(entry.endpoint, message);
+    }
+
+    /// An unknown kind counts as the last one.
+    fn kind_properties(&self, kind: EndpointKindId) -> KindProperties {
+        let kinds = &self.config.endpoint_kinds;
+        match kinds.get(kind.0 as usize).or(kinds.last()) {
+            Some(kind) => KindProperties {
+                has_independent_limits: kind.independent_limits,
+                batch_size: kind.batch_size.max(1) as usize,
+            },
+            None => KindProperties {
+                has_independent_limits: false,
+                batch_size: 1,
+            },
+        }
+    }
+
+    /// What a message to an endpoint in this zone costs: only those with limits of their own have
+    /// a price.
+    pub(super) fn cost_in(&self, zone: ZoneId, has_independent_limits: bool) -> f64 {
+        if !has_independent_limits {
+            return 0.0;
+        }
+        let cost = self.config.zone_costs.get(usize::from(zone.0));
+        cost.copied().unwrap_or(0.0)
+    }
+
+    fn create_if_new(&mut self, now: Micros, entry: &EndpointEntry, kind: &KindProperties) {
+        let is_beyond_full = self.is_beyond_full(1);
+        let destination = self.destinations.entry(entry.destination).or_default();
+        if destination.endpoints.is_empty() {
+            destination.id = entry.destination;
+            destination.has_independent_limits = kind.has_independent_limits;
+            destination.batch_size = kind.batch_size;
+        }
+        // Beyond what is held in full it counts as listed long ago: it is summarised at once.
+        let answered_at = if is_beyond_full { 0 } else { now };
+        self.endpoints.entry(entry.endpoint).or_insert_with(|| {
+            let mut endpoint = Endpoint::new(entry.endpoint, entry.destination, kind.batch_size);
+            endpoint.failures.answered_at = answered_at;
+            endpoint
+        });
+    }
+}
+
+fn removed_entry(endpoint: EndpointId, zone: ZoneId, destination: DestinationId) -> EndpointEntry {
+    EndpointEntry {
+        endpoint,
+        zone,
+        up_since: 0,
+        status: EndpointStatus::Removed,
+        rate: 0.0,
+        destination,
+        kind: EndpointKindId(0),
+    }
+}
--- /dev/null
+++ b/src/forwarder/idle_destinations.rs
@@ -0,0 +1,295 @@
+//! Summarises destinations out of use, and restores them before they are used again.
+
+use super::Forwarder;
+use crate::destination::Destination;
+use crate::endpoint::{Endpoint, EndpointSnapshot};
+use crate::idle::{BindingState, Summary, RETRY_INTERVAL};
+use crate::model::{
+    DestinationId, EndpointEntry, EndpointId, EndpointStatus, Event, Micros, ZoneId,
+};
+use crate::policy::outlier::CONNECTION_GRACE;
+use crate::policy::pacing::{self, ListedCapacity};
+use crate::policy::selection;
+
+/// An endpoint as the idle table holds it.
+struct SummarisedEndpoint {
+    endpoint: EndpointId,
+    summary: Summary,
+    binding: Option<BindingState>,
+}
+
+impl Forwarder {
+    /// Whether so many destinations more than now are more than are to be held in full.
+    pub(super) fn is_beyond_full(&self, more: usize) -> bool {
+        let full = self.config.full_destinations;
+        full.is_some_and(|full| self.destinations.len() + more > full as usize)
+    }
+
+    /// Restores the destination that the event concerns. A list restores those that it names.
+    pub(super) fn restore_for(&mut self, now: Micros, event: &Event) {
+        match event {
+            Event::Submitted(submission) => self.restore(now, submission.destination),
+            Event::RetryAfterReceived { endpoint, .. }
+            | Event::AttemptEnded { endpoint, .. }
+            | Event::HealthCheckEnded { endpoint, .. } => self.restore_endpoint(now, *endpoint),
+            _ => {}
+        }
+    }
+
+    /// Restores the destination of an endpoint, if it is idle.
+    pub(super) fn restore_endpoint(&mut self, now: Micros, endpoint: EndpointId) {
+        if let Some(id) = self.idle.destination_of(endpoint) {
+            self.restore(now, id);
+        }
+    }
+
+    /// Restores a destination, if it is idle.
+    pub(super) fn restore(&mut self, now: Micros, id: DestinationId) {
+        let endpoints = self.idle.endpoints_of(id);
+        let Some(first) = endpoints.first().and_then(|e| self.idle.summary(id, *e)) else {
+            return;
+        };
+        let batch_size = first.batch_size.into();
+        let mut destination = Destination::new(id, first.has_independent_limits, batch_size);
+        for endpoint in endpoints {
+            self.restore_into(&mut destination, now, endpoint);
+        }
+        self.update_restored(&mut destination, now);
+        self.destinations.insert(id, destination);
+        self.idle.count_restored();
+        self.join_idle_queue(now, id);
+    }
+
+    /// Restores an endpoint of a destination.
+    fn restore_into(&mut self, destination: &mut Destination, now: Micros, endpoint: EndpointId) {
+        let Some((summary, binding)) = self.idle.remove(destination.id, endpoint) else {
+            return;
+        };
+        let pacer = summary.pacer(binding.as_ref(), now);
+        let limit = destination.limit_of(endpoint);
+        destination.pacers.entry(limit).or_insert(pacer);
+        destination
+            .endpoints
+            .insert(endpoint, EndpointSnapshot::default());
+        let restored = summary.endpoint(endpoint, destination.id, binding);
+        self.endpoints.insert(endpoint, restored);
+    }
+
+    /// Brings the endpoints of a restored destination up to date, and what it knows of them.
+    fn update_restored(&mut self, destination: &mut Destination, now: Micros) {
+        let is_ready = |id: &&EndpointId| {
+            let endpoint = self.endpoints.get(id);
+            endpoint.is_some_and(|endpoint| endpoint.status == EndpointStatus::Ready)
+        };
+        let ready = destination.endpoints.keys().filter(is_ready).count().max(1) as f64;
+        let has_independent_limits = destination.has_independent_limits;
+        let sharing = if has_independent_limits { 1.0 } else { ready };
+        for (id, snapshot) in &mut destination.endpoints {
+            let Some(zone) = self.endpoints.get(id).map(|e| ZoneId(e.snapshot.zone)) else {
+                continue;
+            };
+            let cost = self.cost_in(zone, has_independent_limits);
+            let limit = has_independent_limits.then_some(*id);
+            let capacity = destination.pacers.get(&limit).map_or(0.0, |p| p.capacity);
+            let (endpoints, context) = self.split_endpoints(now);
+            if let Some(endpoint) = endpoints.get_mut(id) {
+                endpoint.capacity = capacity / sharing;
+                endpoint.snapshot.cost = cost;
+                endpoint.update_snapshot(&context);
+                *snapshot = endpoint.snapshot;
+            }
+        }
+    }
+
+    /// Another forwarder was rejected at a destination. If that is idle here, applies it to the
+    /// summaries, and gives true: restoring each of which others speak would hold in full what is
+    /// in use elsewhere.
+    pub(super) fn apply_peer_rejection_to_idle(&mut self, now: Micros, id: DestinationId) -> bool {
+        let endpoints = self.idle.endpoints_of(id);
+        let Some(first) = endpoints.first().copied() else {
+            return false;
+        };
+        let Some(summary) = self.idle.summary(id, first) else {
+            return false;
+        };
+        if summary.has_independent_limits {
+            return true; // each is at a limit of its own
+        }
+        let mut pacer = summary.pacer(self.idle.binding(first), now);
+        pacer.peer_rejected(now, &self.config, &mut self.rng);
+        for endpoint in endpoints {
+            let binding = self.idle.binding_mut(endpoint);
+            binding.next_call_at = pacer.next_call_at;
+            binding.pace_settled_at = pacer.settled_at();
+            if let Some(summary) = self.idle.summary_mut(id, endpoint) {
+                summary.interval = pacer.interval as f32;
+            }
+        }
+        true
+    }
+
+    /// Applies an entry of the list to the summary of an idle destination's only endpoint, where
+    /// neither says that it left; whether it did.
+    pub(super) fn apply_to_summary(&mut self, entry: &EndpointEntry) -> bool {
+        let Some((endpoint, summary)) = self.idle.only_summary_mut(entry.destination) else {
+            return false;
+        };
+        let has_left = [entry.status, summary.status].contains(&EndpointStatus::Removed);
+        if endpoint != entry.endpoint || has_left {
+            return false;
+        }
+        let listed = ListedCapacity::from_rate(entry.rate.into(), &self.config);
+        summary.capacity = listed.calls_per_second as f32;
+        summary.zone = entry.zone.0;
+        summary.status = entry.status;
+        summary.tie_breaker = selection::tie_breaker(&mut self.rng) as f32;
+        true
+    }
+
+    /// A destination has nothing under way: it may be summarised once its timers have run out.
+    pub(super) fn join_idle_queue(&mut self, now: Micros, id: DestinationId) {
+        if self.config.full_destinations.is_none() {
+            return;
+        }
+        let Some(destination) = self.destinations.get(&id) else {
+            return;
+        };
+        if destination.idle_since.is_some() {
+            return;
+        }
+        let due = self.timers_over_at(destination, now);
+        self.enqueue_idle(id, due);
+    }
+
+    /// When the last timer of a destination with nothing under way has run out.
+    fn timers_over_at(&self, destination: &Destination, now: Micros) -> Micros {
+        let latest_pace = now + pacing::max_interval(&self.config) as Micros;
+        let pace_settled = destination
+            .pacers
+            .values()
+            .map(|pacer| pacer.settled_at().min(latest_pace));
+        let connection_grace = destination
+            .endpoints
+            .keys()
+            .filter_map(|endpoint| self.endpoints.get(endpoint))
+            .map(|endpoint| endpoint.failures.answered_at)
+            .filter(|answered_at| *answered_at > 0)
+            .map(|answered_at| answered_at + CONNECTION_GRACE);
+        pace_settled.chain(connection_grace).max().unwrap_or(now)
+    }
+
+    fn enqueue_idle(&mut self, id: DestinationId, due: Micros) {
+        if let Some(destination) = self.destinations.get_mut(&id) {
+            destination.idle_since = Some(due);
+            self.idle.enqueue(due, id);
+        }
+    }
+
+    /// A destination is in use again, or about to be removed.
+    pub(super) fn leave_idle_queue(&mut self, id: DestinationId) {
+        if self.config.full_destinations.is_none() {
+            return;
+        }
+        let Some(destination) = self.destinations.get_mut(&id) else {
+            return;
+        };
+        if let Some(due) = destination.idle_since.take() {
+            self.idle.dequeue(due, id);
+        }
+    }
+
+    /// Summarises destinations that are due, the oldest first, while more are held in full than
+    /// are to be.
+    pub(super) fn summarise_idle(&mut self, now: Micros, max: usize) {
+        if self.config.full_destinations.is_none() {
+            return;
+        }
+        self.idle.count_full(self.destinations.len());
+        self.idle.sweep(now, self.config.rules.warm_up_time);
+        for _ in 0..max {
+            let Some(id) = self.idle.next_due(now) else {
+                return;
+            };
+            if !self.is_beyond_full(0) {
+                return;
+            }
+            self.leave_idle_queue(id);
+            match self.summaries_of(now, id) {
+                Some(summaries) => self.summarise(id, summaries),
+                None => self.retry_later(now, id),
+            }
+        }
+    }
+
+    /// A destination could not be summarised: it is looked at again, unless it is in use.
+    fn retry_later(&mut self, now: Micros, id: DestinationId) {
+        if !self.activities.contains_key(&id) {
+            self.enqueue_idle(id, now + RETRY_INTERVAL);
+        }
+    }
+
+    fn summarise(&mut self, id: DestinationId, summaries: Vec<SummarisedEndpoint>) {
+        self.destinations.remove(&id);
+        for SummarisedEndpoint {
+            endpoint,
+            summary,
+            binding,
+        } in summaries
+        {
+            self.endpoints.remove(&endpoint);
+            self.idle.insert(id, endpoint, summary, binding);
+        }
+        self.idle.count_summarised();
+    }
+
+    /// The summaries of a destination's endpoints; none while something is under way there, or
+    /// where a summary would lose what binds.
+    fn summaries_of(&mut self, now: Micros, id: DestinationId) -> Option<Vec<SummarisedEndpoint>> {
+        let destination = self.destinations.get_mut(&id)?;
+        destination.drop_unused_pacers(now, !destination.has_independent_limits);
+        for pacer in destination.pacers.values_mut() {
+            pacer.recover(now);
+        }
+        let limits = if destination.has_independent_limits {
+            destination.endpoints.len()
+        } else {
+            1
+        };
+        let is_unused = !self.activities.contains_key(&id) && destination.messages.is_empty();
+        let is_complete = !destination.endpoints.is_empty() && destination.pacers.len() == limits;
+        if !is_unused || !is_complete {
+            return None;
+        }
+        let destination = self.destinations.get(&id)?;
+        destination
+            .endpoints
+            .keys()
+            .map(|endpoint| self.summary_of(now, destination, *endpoint))
+            .collect()
+    }
+
+    fn summary_of(
+        &self,
+        now: Micros,
+        destination: &Destination,
+        id: EndpointId,
+    ) -> Option<SummarisedEndpoint> {
+        let pacer = destination.pacers.get(&destination.limit_of(id))?;
+        let endpoint = self.endpoints.get(&id)?;
+        let is_summarisable = |endpoint: &Endpoint| {
+            endpoint.destination == destination.id
+                && endpoint.is_idle()
+                && !endpoint.has_health_check_out()
+                && endpoint.batch_size == destination.batch_size
+        };
+        if !is_summarisable(endpoint) {
+            return None;
+        }
+        let warm_up_time = self.config.rules.warm_up_time;
+        Some(SummarisedEndpoint {
+            endpoint: id,
+            summary: Summary::of(endpoint, pacer, destination)?,
+            binding: BindingState::of(endpoint, pacer, now, warm_up_time),
+        })
+    }
+}
--- /dev/null
+++ b/src/forwarder/submissions.rs
@@ -0,0 +1,74 @@
+//! Takes a message on.
+
+use super::mailbox::DestinationMessage;
+use super::{Forwarder, MessageLocation};
+use crate::destination::Message;
+use crate::model::{Micros, Submission};
+use crate::policy::admission;
+use crate::policy::ordering::QueuedMessage;
+
+impl Forwarder {
+    /// Hands a submitted message to its destination.
+    pub(super) fn submit(&mut self, now: Micros, submission: Submission) {
+        let class = (submission.class.0 as usize).min(self.config.classes.len() - 1);
+        let message = self.new_message(now, class, &submission);
+        let key = message.key;
+        let id = submission.id;
+        let destination = submission.destination;
+        if let Some(key) = key {
+            let queued = QueuedMessage { id, destination };
+            self.ordered_queues.enqueue(key, queued);
+            // An attempt of an earlier run may still be at work.
+            if submission.history.possible_effect.is_some() {
+                let settled_at = now + self.config.rules.order_settle_time;
+                self.ordered_queues.pause(key, settled_at);
+            }
+        }
+        self.messages
+            .insert(id, MessageLocation { destination, key });
+        self.destinations.entry(destination).or_default().id = destination;
+        self.mailboxes
+            .to_destination(destination, DestinationMessage::Enqueue(message));
+        if let Some(key) = key {
+            self.grant_order(now, key);
+        }
+        self.shed_load_if_overloaded();
+    }
+
+    fn new_message(&mut self, now: Micros, class: usize, submission: &Submission) -> Message {
+        let class_config = &self.config.classes[class];
+        let factor = self
+            .tenant_quotas
+            .weight_factor(now, submission.tenant, &self.config);
+        let key = submission.key.filter(|_| class_config.ordered);
+        Message {
+            id: submission.id,
+            class,
+            weight: class_config.priority_weight * factor,
+            objective_at: admission::objective_at(now, submission, class_config),
+            deadline: now + submission.time_left,
+            attempts: submission.history.attempts,
+            key,
+            is_order_granted: key.is_none(),
+            possible_effect: submission.history.possible_effect,
+            ready_at: now,
+            ..Message::default()
+        }
+    }
+
+    /// Has the destination with the longest queue give up a message, where too many are held.
+    fn shed_load_if_overloaded(&mut self) {
+        if !admission::is_overloaded(self.messages.len(), self.config.message_capacity) {
+            return;
+        }
+        let longest = self
+            .activities
+            .iter()
+            .max_by_key(|(_, activity)| activity.waiting)
+            .map(|(id, _)| *id);
+        if let Some(id) = longest {
+            self.mailboxes
+                .to_destination(id, DestinationMessage::ShedLoad);
+        }
+    }
+}
--- a/src/times.rs
+++ b/src/latency.rs
@@ -1,17 +1,17 @@
 //! The mean and the deviation of answer times, both weighted towards the latest: arithmetic. It decides nothing.
 
 /// µs, but for the count.
-#[derive(Clone, Copy, Default)]
-pub struct Times {
+#[derive(Clone, Copy, Debug, Default)]
+pub struct LatencyEstimator {
     pub mean: f64,
     pub deviation: f64,
     count: f64, // answers learned from, up to what the short mean spans
 }
 
-impl Times {
+impl LatencyEstimator {
     /// As they were learned before from so many answers.
-    pub fn of(mean: f64, deviation: f64, count: f64) -> Times {
-        Times {
+    pub fn of(mean: f64, deviation: f64, count: f64) -> LatencyEstimator {
+        LatencyEstimator {
             mean,
             deviation,
             count,
@@ -24,7 +24,7 @@
     }
 
     /// Takes one answer in, `took` µs, by a weight between 0 and 1.
-    pub fn learn(&mut self, took: f64, weight: f64) {
+    pub fn observe(&mut self, took: f64, weight: f64) {
         if self.count == 0.0 {
             (self.mean, self.deviation) = (took, took / 2.0);
         }
@@ -34,7 +34,12 @@
     }
 
     /// One's own as far as they go, up to `few` answers, for the rest those of all.
-    pub fn with(&self, all: &Times, few: f64, of: fn(&Times) -> f64) -> f64 {
+    pub fn blended_with(
+        &self,
+        all: &LatencyEstimator,
+        few: f64,
+        of: fn(&LatencyEstimator) -> f64,
+    ) -> f64 {
         let own = (self.count / few).min(1.0);
         own * of(self) + (1.0 - own) * of(all)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,26 @@
 //! The decision core of opalpulley: a dispatcher of notifications to outside receivers.
 //!
-//! [`rules`] holds every decision on messages and endpoints (`queue` keeps the order of those that wait, `bucket` and `times`
-//! the arithmetic of rates and answer times: none decides), `membership` when the list is asked for,
-//! `gossip` what forwarders tell their peers, [`interface`] the plain data that goes in and out. None knows of any
-//! wire: a front end translates its protocol into [`model::Event`]s and carries out the [`model::Action`]s.
+//! [`Forwarder::handle`] takes an [`Event`] and gives the [`Action`]s to carry out. It knows no
+//! wire, clock or socket: a front translates its protocol into events and carries out the actions.
+//! The same configuration, seed and events give the same actions.
+//!
+//! `policy` has one rule a file, with its constants. `forwarder`, `destination` and `endpoint` hold
+//! the state and call the rules; `idle` holds destinations out of use as summaries. [`model`] is
+//! the vocabulary. `queue`, `token_bucket` and `latency` are data structures that decide nothing.
 
-mod bucket;
+mod destination;
+mod endpoint;
+mod forwarder;
 mod gossip;
+mod idle;
+mod latency;
 mod membership;
 pub mod model;
+mod policy;
 mod queue;
-pub mod rules;
-mod times;
+mod token_bucket;
 
+pub use forwarder::Forwarder;
+pub use idle::StateCounts;
 pub use membership::LONGEST_SILENCE;
 pub use model::*;
-pub use rules::{Forwarder, StateCounts};
--- a/src/model/config.rs
+++ b/src/model/config.rs
@@ -166,3 +166,17 @@
     /// Destinations whose state is held in full before idle ones are summarised. None: all, always.
     pub full_destinations: Option<u32>,
 }
+
+impl Config {
+    /// The shortest latency objective of all delivery classes.
+    pub fn shortest_latency_objective(&self) -> Micros {
+        let objectives = self.classes.iter().map(|class| class.latency_objective);
+        objectives.min().unwrap_or(0)
+    }
+
+    /// The longest time to live of all delivery classes.
+    pub fn longest_time_to_live(&self) -> Micros {
+        let lives = self.classes.iter().map(|class| class.time_to_live);
+        lives.max().unwrap_or(0)
+    }
+}
--- /dev/null
+++ b/src/policy/attempt_timeout.rs
@@ -0,0 +1,107 @@
+//! How long an attempt may take, and when it is cancelled.
+//!
+//! An endpoint's answers set a latency bound: their mean and a multiple of their deviation, one
+//! second at least. Each further attempt at a message gets twice the bound of the one before, for
+//! some messages take long wherever they go. An attempt beyond the bound is cancelled, where the
+//! deployment allows it: sooner while no concurrency permit is free, later for a message that
+//! must not be repeated. The timeout of the call itself is wider, for calls that hang.
+//! Times are µs. The rule is ours; `docs/design.md` has the reasons.
+
+use crate::latency::LatencyEstimator;
+use crate::model::{DeliveryClassConfig, DeliverySemantics, Micros};
+
+/// An attempt that is unanswered for less than this means nothing: pauses are shorter.
+pub const SILENCE_THRESHOLD: Micros = 1_000_000;
+
+/// Weight of a new answer in the running mean: some eight answers count.
+const ANSWER_WEIGHT: f64 = 0.125;
+/// Answers from which an endpoint's own estimate counts alone.
+const TRUSTED_ANSWERS: f64 = 3.0;
+/// Deviations above the mean within which an answer is expected: latencies have long tails.
+const BOUND_DEVIATIONS: f64 = 8.0;
+/// Deviations above the mean from which a call is slow.
+const SLOW_DEVIATIONS: f64 = BOUND_DEVIATIONS / 2.0;
+/// How much longer an attempt may take while nothing is gained by cancelling it.
+const SLACK: f64 = 2.0;
+/// Keeps the factor in range.
+const MAX_DOUBLINGS: u32 = 8;
+
+/// Whether another message waits for the permit that an attempt holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Permits {
+    /// Some are free.
+    Free,
+    /// All are taken.
+    Exhausted,
+}
+
+impl Permits {
+    fn slack(self) -> f64 {
+        match self {
+            Permits::Free => SLACK,
+            Permits::Exhausted => 1.0,
+        }
+    }
+}
+
+/// Takes an answer into an estimate.
+pub fn observe(estimate: &mut LatencyEstimator, latency: Micros) {
+    estimate.observe(latency as f64, ANSWER_WEIGHT);
+}
+
+/// The latency to expect of an endpoint; few answers of its own are eked out with those of all.
+pub fn mean_latency(own: &LatencyEstimator, all: &LatencyEstimator) -> f64 {
+    own.blended_with(all, TRUSTED_ANSWERS, |estimate| estimate.mean)
+}
+
+/// The time within which an answer of an endpoint is expected.
+pub fn latency_bound(own: &LatencyEstimator, all: &LatencyEstimator) -> f64 {
+    let bound = |estimate: &LatencyEstimator| estimate.mean + BOUND_DEVIATIONS * estimate.deviation;
+    own.blended_with(all, TRUSTED_ANSWERS, bound)
+        .max(SILENCE_THRESHOLD as f64)
+}
+
+/// The time from which a call counts as slow; 0 while nothing is known.
+pub fn slow_threshold(own: &LatencyEstimator, all: &LatencyEstimator) -> f64 {
+    own.blended_with(all, TRUSTED_ANSWERS, |estimate| {
+        estimate.mean + SLOW_DEVIATIONS * estimate.deviation
+    })
+}
+
+/// The latency bound of the `attempts`-th attempt at a message.
+pub fn attempt_bound(latency_bound: f64, attempts: u32) -> f64 {
+    let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
+    latency_bound * f64::from(1u32 << doublings)
+}
+
+/// Whether an attempt that has been out for `elapsed` is to be cancelled.
+pub fn is_overdue(
+    elapsed: Micros,
+    attempt_bound: f64,
+    semantics: DeliverySemantics,
+    permits: Permits,
+) -> bool {
+    let slack = match semantics {
+        DeliverySemantics::AtMostOnce => SLACK * permits.slack(),
+        _ => permits.slack(),
+    };
+    elapsed as f64 / attempt_bound > slack
+}
+
+/// The timeout of a call; none: it may take until the deadline.
+///
+/// At most half the time to live and half the deduplication window, so that a repeat fits in. A
+/// message that is lost with its attempt gains nothing by an early timeout.
+pub fn timeout(
+    class: &DeliveryClassConfig,
+    attempt_bound: f64,
+    time_left: Micros,
+) -> Option<Micros> {
+    let longest = (SLACK * SLACK * attempt_bound).min(class.time_to_live as f64 / 2.0);
+    let timeout = match class.semantics {
+        DeliverySemantics::AtMostOnce => return None,
+        DeliverySemantics::Idempotent => longest as Micros,
+        DeliverySemantics::IdempotencyKeyed { window, .. } => (longest as Micros).min(window / 2),
+    };
+    Some(timeout.clamp(1, time_left))
+}
--- /dev/null
+++ b/src/policy/connection_reuse.rs
@@ -0,0 +1,33 @@
+//! Whether idle connections to endpoints are kept.
+//!
+//! A fleet whose forwarders each keep a connection that they seldom use can fill an endpoint's
+//! connection table. So once connections fail here and there, none is kept. The rule is ours.
+
+use crate::model::Outcome;
+
+/// Weight of an attempt in the running share: some thirty attempts count.
+const ATTEMPT_WEIGHT: f64 = 0.03;
+/// Share of attempts without a connection from which none is kept: one in a hundred reaches it.
+const SCARCE_SHARE: f64 = 0.002;
+
+/// The running share of attempts, over all endpoints, that got no connection.
+#[derive(Debug, Default)]
+pub struct ConnectionScarcity {
+    share: f64,
+}
+
+impl ConnectionScarcity {
+    /// Takes the outcome of an attempt in. One that was withdrawn says nothing.
+    pub fn observe(&mut self, outcome: Outcome) {
+        if outcome == Outcome::WithdrawnBeforeSend {
+            return;
+        }
+        let refused = f64::from(u8::from(outcome == Outcome::NoConnection));
+        self.share += ATTEMPT_WEIGHT * (refused - self.share);
+    }
+
+    /// Whether idle connections are to be closed.
+    pub fn is_scarce(&self) -> bool {
+        self.share > SCARCE_SHARE
+    }
+}
--- /dev/null
+++ b/src/policy/outlier.rs
@@ -0,0 +1,191 @@
+//! When an endpoint is ejected, and when it counts as degraded.
+//!
+//! An endpoint is ejected after several failures in a row, once most of its latest attempts
+//! failed, when it answers none of several calls, or when it asks for a wait that is longer than
+//! an overload lasts. It is readmitted by its first success ([`super::health_check`],
+//! [`super::slow_start`]). Failed connections alone prove nothing while other calls get through:
+//! a connection table may be full.
+//! Inputs are outcomes of attempts, times in µs. The rule is ours (`docs/design.md`).
+
+use super::attempt_timeout::SILENCE_THRESHOLD;
+use crate::model::{Micros, Outcome};
+use std::collections::VecDeque;
+
+/// Latest outcomes that judge an endpoint: at a call per second a verdict turns within seconds.
+pub const WINDOW: usize = 8;
+/// Fewer successes than this in a full window eject: most attempts failed.
+const MIN_WINDOW_SUCCESSES: usize = 4;
+/// Failures in a row that eject: chance seldom makes three.
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
+/// The same while the endpoint may get next to nothing: the retries of a large fleet add up.
+const MAX_CONSECUTIVE_FAILURES_SCANT: u32 = 2;
+/// Failed connections in a row from which they count as failures.
+const MAX_REFUSED_CONNECTIONS: u32 = 4;
+/// Failures in the window that make an endpoint degraded: one may be chance.
+const DEGRADED_FAILURES: usize = 2;
+/// Unanswered calls beyond the latency bound that eject.
+const MAX_SILENT_CALLS: usize = 2;
+
+/// After an answer, failed connections prove nothing for this time.
+pub const CONNECTION_GRACE: Micros = 2 * SILENCE_THRESHOLD;
+
+/// The latest outcomes of an endpoint, the newest first, [`WINDOW`] at most.
+#[derive(Clone, Debug, Default)]
+pub struct OutcomeWindow {
+    successes: VecDeque<bool>,
+}
+
+impl OutcomeWindow {
+    /// Takes an outcome in.
+    pub fn record(&mut self, success: bool) {
+        self.successes.push_front(success);
+        self.successes.truncate(WINDOW);
+    }
+
+    /// Forgets all outcomes.
+    pub fn clear(&mut self) {
+        self.successes.clear();
+    }
+
+    /// Outcomes in the window.
+    pub fn len(&self) -> usize {
+        self.successes.len()
+    }
+
+    /// Failures in the window.
+    pub fn failures(&self) -> usize {
+        self.successes.iter().filter(|success| !**success).count()
+    }
+
+    fn has_mostly_failures(&self) -> bool {
+        self.len() == WINDOW && self.len() - self.failures() < MIN_WINDOW_SUCCESSES
+    }
+
+    /// One bit an outcome, the newest in the lowest, 1 for a success.
+    pub fn to_bits(&self) -> u8 {
+        self.successes
+            .iter()
+            .enumerate()
+            .fold(0, |bits, (place, success)| {
+                bits | u8::from(*success) << place
+            })
+    }
+
+    /// Reads what [`OutcomeWindow::to_bits`] wrote of `len` outcomes.
+    pub fn from_bits(bits: u8, len: u8) -> OutcomeWindow {
+        OutcomeWindow {
+            successes: (0..len).map(|place| bits >> place & 1 == 1).collect(),
+        }
+    }
+}
+
+/// What an outcome comes to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Verdict {
+    /// The endpoint stays as it is.
+    Keep,
+    /// The endpoint is to be ejected.
+    Eject,
+}
+
+/// Under what conditions an outcome is judged.
+#[derive(Clone, Copy, Debug)]
+pub struct Circumstances {
+    /// Now.
+    pub now: Micros,
+    /// How long a destination is overloaded before it falls over: rejections over a shorter time
+    /// come from a limit, not from an outage.
+    pub overload_window: Micros,
+    /// Whether the endpoint may get next to nothing while it warms up.
+    pub is_budget_scant: bool,
+}
+
+/// What the outcomes of attempts say of an endpoint.
+#[derive(Clone, Debug, Default)]
+pub struct FailureAccrual {
+    /// The latest outcomes.
+    pub window: OutcomeWindow,
+    /// Failures and rejections since the last success.
+    pub consecutive_failures: u32,
+    /// Failed connections since the last answer, while other calls got through.
+    pub refused_connections: u32,
+    /// When the failures in a row began.
+    pub run_started_at: Micros,
+    /// When the endpoint answered last.
+    pub answered_at: Micros,
+}
+
+impl FailureAccrual {
+    /// Takes the outcome of an attempt in.
+    pub fn record(&mut self, outcome: Outcome, circumstances: Circumstances) -> Verdict {
+        let now = circumstances.now;
+        if self.consecutive_failures == 0 {
+            self.run_started_at = now;
+        }
+        if matches!(outcome, Outcome::Delivered | Outcome::Rejected { .. }) {
+            self.refused_connections = 0;
+        }
+        match outcome {
+            Outcome::NoConnection if self.do_others_get_through(now) => {
+                self.refused_connections += 1;
+                return Verdict::Keep;
+            }
+            Outcome::WithdrawnBeforeSend | Outcome::NotAttempted { .. } => return Verdict::Keep,
+            Outcome::Cancelled if !circumstances.is_budget_scant => return Verdict::Keep,
+            Outcome::Delivered => {
+                self.answered_at = now;
+                self.consecutive_failures = 0;
+            }
+            Outcome::Rejected { .. } => {
+                self.answered_at = now;
+                self.consecutive_failures += 1;
+            }
+            _ => self.consecutive_failures += 1,
+        }
+        let is_rejection = matches!(outcome, Outcome::Rejected { .. });
+        if !is_rejection {
+            self.window.record(outcome == Outcome::Delivered);
+        }
+        self.judge(is_rejection, circumstances)
+    }
+
+    fn do_others_get_through(&self, now: Micros) -> bool {
+        now < self.answered_at + CONNECTION_GRACE
+            && self.refused_connections < MAX_REFUSED_CONNECTIONS
+    }
+
+    fn judge(&self, is_rejection: bool, circumstances: Circumstances) -> Verdict {
+        let min_run = if is_rejection {
+            circumstances.overload_window
+        } else {
+            0
+        };
+        let run = self.consecutive_failures.max(self.refused_connections);
+        let is_long_run =
+            run >= MAX_CONSECUTIVE_FAILURES && circumstances.now >= self.run_started_at + min_run;
+        let is_scant_run = !is_rejection
+            && circumstances.is_budget_scant
+            && self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES_SCANT;
+        if is_long_run || is_scant_run || self.window.has_mostly_failures() {
+            Verdict::Eject
+        } else {
+            Verdict::Keep
+        }
+    }
+
+    /// Whether the outcomes make the endpoint degraded.
+    pub fn is_degraded(&self) -> bool {
+        self.window.failures() >= DEGRADED_FAILURES
+    }
+}
+
+/// Whether so many calls, sent since the last answer and unanswered beyond the latency bound,
+/// eject an endpoint.
+pub fn is_silent(unanswered_calls: usize) -> bool {
+    unanswered_calls >= MAX_SILENT_CALLS
+}
+
+/// Whether a retry-after is too long for an overload: the destination is taken for shut.
+pub fn is_long_retry_after(retry_after: Micros, overload_window: Micros) -> bool {
+    retry_after > overload_window
+}
--- /dev/null
+++ b/src/policy/selection.rs
@@ -0,0 +1,132 @@
+//! Which message is sent next, and to which endpoint.
+//!
+//! Permits and paced calls are scarce, so the message goes first that loses most by waiting: what
+//! its delivery counts now, less what it counts somewhat later, on the scale of the shortest
+//! latency objective. Between destinations the loss per time that a permit is held decides.
+//! Among endpoints the cheapest goes first, then the one with the shortest expected wait.
+//! Times are µs; weights have no unit. The rule is ours (`docs/design.md`).
+
+use super::retry::SEND_MARGIN;
+use super::MICROS_PER_SECOND;
+use crate::model::{Config, DeliveryClassConfig, DeliverySemantics, Micros, PriorityDecay};
+use rand::Rng;
+use std::ops::RangeInclusive;
+
+/// One part in so many of the time to live is kept for a degraded endpoint to recover in.
+const RESERVED_LIFE_PART: Micros = 4;
+/// Width of the random tie-breaker between endpoints, in calls.
+const TIE_BREAKER: std::ops::Range<f64> = 0.5..1.5;
+
+/// What decides when a message is sent.
+#[derive(Clone, Copy, Debug)]
+pub struct Urgency {
+    /// What its delivery counts up to the latency objective.
+    pub weight: f64,
+    /// When it is late.
+    pub objective_at: Micros,
+    /// When it is over.
+    pub deadline: Micros,
+    /// The last moment at which it may be sent.
+    pub last_send: Micros,
+}
+
+impl Urgency {
+    /// What a delivery at this time counts.
+    pub fn weight_at(&self, at: f64, class: &DeliveryClassConfig, decay: PriorityDecay) -> f64 {
+        if at >= self.deadline as f64 {
+            return 0.0;
+        }
+        let late = (at - self.objective_at as f64).max(0.0);
+        let remaining = match decay {
+            PriorityDecay::Exponential => {
+                let half_life = (class.latency_objective as f64).max(1.0);
+                (-late / half_life).exp2().max(class.late_weight_share)
+            }
+            PriorityDecay::Linear => {
+                let span = self.deadline.saturating_sub(self.objective_at) as f64;
+                1.0 - (1.0 - class.late_weight_share) * late / span.max(1.0)
+            }
+        };
+        self.weight * remaining
+    }
+
+    /// What is lost by sending it somewhat later than now: its weight now, less the mean over
+    /// the later times of [`look_ahead`].
+    pub fn expected_loss(
+        &self,
+        now: Micros,
+        mean_latency: f64,
+        class: &DeliveryClassConfig,
+        config: &Config,
+    ) -> f64 {
+        let now = now as f64;
+        let weight_after = |delay: f64| {
+            if now + delay < self.last_send as f64 {
+                self.weight_at(now + delay + mean_latency, class, config.priority_decay)
+            } else {
+                0.0
+            }
+        };
+        let [first, soon, later, late] = look_ahead(config).map(weight_after);
+        first - (soon + later + late) / 3.0
+    }
+}
+
+/// How far ahead the loss is looked at: now, and on the scale of the shortest objective.
+pub fn look_ahead(config: &Config) -> [f64; 4] {
+    let objective = config.shortest_latency_objective() as f64;
+    [0.0, objective / 4.0, objective, 3.0 * objective]
+}
+
+/// How long after its objective the weight of a message falls, where it decays exponentially.
+pub fn decay_time(class: &DeliveryClassConfig) -> f64 {
+    let late_share = class.late_weight_share.max(f64::MIN_POSITIVE);
+    -late_share.log2() * class.latency_objective as f64
+}
+
+/// The latency objectives (`objective_at`) of messages that an endpoint may get now.
+///
+/// `objective_to_deadline` and `objective_to_last_send` are what the messages have in common. A
+/// message that must not be repeated is kept from a degraded endpoint while there is time: an
+/// endpoint that loses what it takes would lose it for good.
+pub fn eligible_objectives(
+    now: Micros,
+    objective_to_deadline: i64,
+    objective_to_last_send: i64,
+    class: &DeliveryClassConfig,
+    degraded: bool,
+) -> RangeInclusive<i64> {
+    let earliest = (now + SEND_MARGIN) as i64 - objective_to_last_send + 1;
+    let latest = if class.semantics == DeliverySemantics::AtMostOnce && degraded {
+        let reserved = (class.time_to_live / RESERVED_LIFE_PART) as i64;
+        now as i64 + reserved - objective_to_deadline - 1
+    } else {
+        i64::MAX
+    };
+    earliest..=latest
+}
+
+/// Whether a message may take the next paced call. A late one leaves it to messages that are not,
+/// for it loses no more by waiting, until a second call is to spare.
+pub fn may_take_call(now: Micros, objective_at: Micros, has_spare_call: bool) -> bool {
+    has_spare_call || objective_at > now
+}
+
+/// What is lost by waiting, per µs that the call would hold its permit.
+pub fn loss_per_permit_time(loss: f64, mean_latency: f64) -> f64 {
+    loss / mean_latency.max(1.0)
+}
+
+/// The rank of an endpoint among those that can take a call: the least goes first.
+///
+/// `cost` is its price for a message, `calls` those out there; latency in µs.
+pub fn endpoint_rank(cost: f64, mean_latency: f64, calls: usize, tie_breaker: f64) -> f64 {
+    let load = calls as f64 + tie_breaker;
+    cost * MICROS_PER_SECOND * MICROS_PER_SECOND + mean_latency * load
+}
+
+/// Draws a tie-breaker for [`endpoint_rank`]: forwarders that know little must not all choose the
+/// same endpoint.
+pub fn tie_breaker(rng: &mut impl Rng) -> f64 {
+    rng.random_range(TIE_BREAKER)
+}
--- /dev/null
+++ b/src/policy/slow_start.rs
@@ -0,0 +1,126 @@
+//! How much an endpoint gets that may have returned from an outage.
+//!
+//! Nobody sees a destination return, and a fleet that falls upon it at once pushes it over. So
+//! while an endpoint is ejected or warms up, the fleet keeps within a part of its capacity that
+//! grows over the warm-up time, and each forwarder within its even part of that. Where the even
+//! part is next to nothing, half of it goes to forwarders with messages for the endpoint.
+//! Rates are calls per second, times µs. Source: the design page (returning destinations); the
+//! division among forwarders is ours.
+
+use super::MICROS_PER_SECOND;
+use crate::model::{Config, Micros, RuleConfig};
+use crate::token_bucket::TokenBucket;
+
+/// Part of the allowed load that is used: capacity is only estimated, and by others too.
+const SAFETY_MARGIN: f64 = 0.8;
+/// Calls per overload window under which an even part is scant.
+const SCANT_CALLS: f64 = 0.25;
+/// What messages may add to a scant part, in halves of it: with the other half, the whole.
+const MAX_EARNED_SHARES: f64 = 1.5;
+/// What a further message in a call costs, in calls.
+const BATCHED_MESSAGE_COST: f64 = 0.15;
+/// Calls that a budget holds at most.
+const MAX_BUDGET: f64 = 1.0;
+
+/// What one forwarder may send to an endpoint that may be cold.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct FleetShare {
+    /// Calls per second, whatever messages there are.
+    pub calls_per_second: f64,
+    /// Whether it is next to nothing, so that messages earn calls on top.
+    pub is_scant: bool,
+}
+
+/// The part of its capacity that an endpoint may get from the whole fleet.
+///
+/// `warming_since`: when it was readmitted; none while it is ejected.
+pub fn capacity_share(now: Micros, warming_since: Option<Micros>, rules: &RuleConfig) -> f64 {
+    let warmth = match warming_since {
+        Some(since) => (now - since) as f64 / rules.warm_up_time.max(1) as f64,
+        None => 0.0,
+    };
+    let cold = rules.cold_capacity_share;
+    SAFETY_MARGIN * rules.overload_multiple * (cold + (1.0 - cold) * warmth.min(1.0))
+}
+
+/// This forwarder's part of `capacity_share` of the capacity (calls per second).
+pub fn fleet_share(capacity_share: f64, capacity: f64, config: &Config) -> FleetShare {
+    let even = capacity_share * capacity / f64::from(config.fleet_size.max(1));
+    let is_scant = even * (config.rules.overload_window as f64) < SCANT_CALLS * MICROS_PER_SECOND;
+    FleetShare {
+        calls_per_second: if is_scant { even / 2.0 } else { even },
+        is_scant,
+    }
+}
+
+/// Calls that an endpoint which may be cold still gets from this forwarder, one at most.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct SlowStartBudget {
+    calls: TokenBucket,
+    /// Bounds what messages add.
+    earned: TokenBucket,
+}
+
+impl SlowStartBudget {
+    /// A budget of an endpoint that is ejected now. `calls` is drawn from 0 to 1: forwarders that
+    /// eject an endpoint together are not to try it together.
+    pub fn new(calls: f64, now: Micros) -> SlowStartBudget {
+        SlowStartBudget {
+            calls: TokenBucket {
+                tokens: calls,
+                filled_at: now,
+            },
+            earned: TokenBucket {
+                tokens: 0.0,
+                filled_at: now,
+            },
+        }
+    }
+
+    /// Adds what has come since the last time.
+    ///
+    /// `arrivals`: messages for the endpoint since then; they count where the share is scant.
+    pub fn refill(&mut self, now: Micros, share: FleetShare, arrivals: f64, capacity_share: f64) {
+        let earned = if share.is_scant {
+            arrivals / 2.0 * capacity_share
+        } else {
+            0.0
+        };
+        let max_earned_per_second = MAX_EARNED_SHARES * share.calls_per_second;
+        self.earned.fill(now, max_earned_per_second, MAX_BUDGET);
+        let earned = earned.min(self.earned.tokens);
+        self.earned.tokens -= earned;
+        self.calls.tokens += earned;
+        self.calls.fill(now, share.calls_per_second, MAX_BUDGET);
+    }
+
+    /// Whole calls that may go now.
+    pub fn whole_calls(&self) -> usize {
+        self.calls.tokens as usize // a negative budget gives 0
+    }
+
+    /// Whether a call may go now.
+    pub fn has_call(&self) -> bool {
+        self.calls.tokens >= 1.0
+    }
+
+    /// A call goes.
+    pub fn spend_call(&mut self) {
+        self.calls.tokens -= 1.0;
+    }
+
+    /// A further message goes in the same call.
+    pub fn spend_batched_message(&mut self) {
+        self.calls.tokens -= BATCHED_MESSAGE_COST;
+    }
+
+    /// A call that was spent did not go.
+    pub fn refund_call(&mut self) {
+        self.calls.tokens = (self.calls.tokens + 1.0).min(MAX_BUDGET);
+    }
+
+    /// Spreads over time what a pause has kept back. `calls` is drawn from 0 to 1.
+    pub fn scatter(&mut self, calls: f64) {
+        self.calls.tokens = calls;
+    }
+}
