--- a/src/gossip/tests.rs
+++ b/src/policy/gossip/tests.rs
@@ -1,6 +1,6 @@
-use super::message::{decode, encode, MessageError};
+use super::message::{decode, encode, GossipError};
 use super::*;
-use crate::membership::tests::config;
+use crate::policy::list_polling::tests::config;
 use quickcheck::{Gen, QuickCheck};
 
 const MS: Micros = 1_000;
@@ -15,7 +15,7 @@
 /// What it makes of a message, and whether it logs a line.
 fn hear(gossip: &mut Gossip, now: Micros, message: &[u8]) -> (Option<DestinationId>, bool) {
     let mut actions = Vec::new();
-    let at = gossip.heard(now, 4, message, |d| d.0 < 1_000, &mut actions);
+    let at = gossip.receive(now, 4, message, |d| d.0 < 1_000, &mut actions);
     let logged = matches!(
         &actions[..],
         [Action::Log(LogEvent::UnreadableGossip { peer: 4, .. })]
@@ -32,11 +32,13 @@
     let Some(Action::SendGossip {
         peer: None,
         payload: message,
-    }) = one.refused(0, at, &gossiping(3))
+    }) = one.announce_rejection(0, at, &gossiping(3))
     else {
         panic!("not told")
     };
-    assert!(one.refused(999 * MS, at, &gossiping(3)).is_none());
+    assert!(one
+        .announce_rejection(999 * MS, at, &gossiping(3))
+        .is_none());
     assert_eq!(hear(&mut other, 10 * MS, &message), (Some(at), false));
     assert_eq!(
         hear(&mut other, 20 * MS, &message),
@@ -44,33 +46,41 @@
         "a message that comes twice"
     );
     assert!(
-        other.refused(500 * MS, at, &gossiping(3)).is_none(),
+        other
+            .announce_rejection(500 * MS, at, &gossiping(3))
+            .is_none(),
         "all know"
     );
     assert!(other
-        .refused(500 * MS, DestinationId(1), &gossiping(3))
+        .announce_rejection(500 * MS, DestinationId(1), &gossiping(3))
         .is_some());
-    assert!(other.refused(1_100 * MS, at, &gossiping(3)).is_some());
-    assert!(Gossip::default().refused(0, at, &gossiping(1)).is_none());
-    assert!(Gossip::default().refused(0, at, &config(3)).is_none());
+    assert!(other
+        .announce_rejection(1_100 * MS, at, &gossiping(3))
+        .is_some());
+    assert!(Gossip::default()
+        .announce_rejection(0, at, &gossiping(1))
+        .is_none());
+    assert!(Gossip::default()
+        .announce_rejection(0, at, &config(3))
+        .is_none());
 }
 
 #[test]
 fn messages_that_cannot_be_used_are_passed_over_with_one_line_a_minute() {
     for (bad, why) in [
-        (vec![], MessageError::Length(0)),
-        (vec![1; 256], MessageError::Length(256)),
-        (vec![2, 1, 0, 0], MessageError::Version(2)),
-        (vec![1, 9, 0, 0], MessageError::Subject(9)),
-        (vec![1, 9, 0, 0, 0, 0], MessageError::Subject(9)),
-        (vec![2, 2, 0, 0, 0, 0], MessageError::Version(2)),
-        (vec![1], MessageError::Length(1)),
-        (vec![1, 1], MessageError::Length(2)),
-        (vec![1, 1, 0], MessageError::Length(3)),
-        (vec![1, 1, 0, 0, 1, 0], MessageError::Length(6)),
-        (vec![1, 2, 0, 0], MessageError::Length(4)),
-        (vec![1, 2, 0, 0, 1], MessageError::Length(5)),
-        (vec![1, 2, 0, 0, 1, 0, 0], MessageError::Length(7)),
+        (vec![], GossipError::Length(0)),
+        (vec![1; 256], GossipError::Length(256)),
+        (vec![2, 1, 0, 0], GossipError::Version(2)),
+        (vec![1, 9, 0, 0], GossipError::Subject(9)),
+        (vec![1, 9, 0, 0, 0, 0], GossipError::Subject(9)),
+        (vec![2, 2, 0, 0, 0, 0], GossipError::Version(2)),
+        (vec![1], GossipError::Length(1)),
+        (vec![1, 1], GossipError::Length(2)),
+        (vec![1, 1, 0], GossipError::Length(3)),
+        (vec![1, 1, 0, 0, 1, 0], GossipError::Length(6)),
+        (vec![1, 2, 0, 0], GossipError::Length(4)),
+        (vec![1, 2, 0, 0, 1], GossipError::Length(5)),
+        (vec![1, 2, 0, 0, 1, 0, 0], GossipError::Length(7)),
     ] {
         assert_eq!(decode(&bad), Err(why));
         assert_eq!(hear(&mut Gossip::default(), 0, &bad), (None, true));
@@ -107,11 +117,13 @@
         let mut gossip = Gossip::default();
         let mut now = 0;
         messages.into_iter().all(|(gap, at, bytes)| {
-            now += Micros::from(gap) * MS + AGAIN / 8;
+            now += Micros::from(gap) * MS + ANNOUNCEMENT_INTERVAL / 8;
             let at = at >> (at % 32); // small numbers too
             let (heard, logged) = hear(&mut gossip, now, &encode(DestinationId(at)));
             hear(&mut gossip, now, &bytes);
-            !logged && heard.is_none_or(|d| d.0 == at && at < 1_000) && gossip.spoken.len() <= 16
+            !logged
+                && heard.is_none_or(|d| d.0 == at && at < 1_000)
+                && gossip.announced_at.len() <= 16
         })
     }
     QuickCheck::new()
--- a/src/membership/tests.rs
+++ b/src/policy/list_polling/tests.rs
@@ -58,7 +58,7 @@
 
     fn rings(&mut self, now: Micros) -> bool {
         self.alarm.take_if(|at| *at <= now).is_some()
-            && self.show(now, Event::TimerFired { token: DUE })
+            && self.show(now, Event::TimerFired { token: POLL_TIMER })
     }
 }
 
@@ -149,7 +149,7 @@
             now + 2 * WITHIN,
             Event::EndpointList(EndpointListUpdate::Failed),
         );
-        assert_eq!(poller.list_poller.failures, 1);
+        assert_eq!(poller.list_poller.consecutive_failures, 1);
     }
 }
 
@@ -194,7 +194,7 @@
     for poller in &mut fleet {
         poller.config.notified_within = outage.notified_within;
         poller.alarm = None;
-        poller.list_poller.at = None;
+        poller.list_poller.next_poll_at = None;
         fails.push(Some(silent_from + rng.random_range(MS..=outage.silence)));
     }
     // When the call under way is answered, and the last that was given up.
@@ -271,7 +271,7 @@
                 now = poller.alarm.expect("it is put off");
                 let next = now - called;
                 assert!(
-                    next + ANSWER_TIME <= TOLD,
+                    next + ANSWER_ALLOWANCE_US <= TOLD,
                     "{forwarders}, {failures} failures: {next} µs to the next call"
                 );
                 assert!(next > fails_after, "{forwarders}: asked again at once");
@@ -282,7 +282,7 @@
             poller.show(now, Event::EndpointList(EndpointListUpdate::Failed));
             let next = LONGEST_SILENCE + poller.alarm.expect("it is put off") - now;
             assert!(
-                next + ANSWER_TIME <= TOLD,
+                next + ANSWER_ALLOWANCE_US <= TOLD,
                 "{forwarders}: {next} µs from a silent watch to a new one"
             );
         }
@@ -324,7 +324,7 @@
             ..config(350)
         };
         let poller = PollingForwarder::under(long, seed);
-        assert!(poller.alarm.expect("it is put off") + ANSWER_TIME <= TOLD);
+        assert!(poller.alarm.expect("it is put off") + ANSWER_ALLOWANCE_US <= TOLD);
     }
 }
 
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -1,260 +1,288 @@
-//! The dispatch queue of a destination: messages that wait there, ordered so that finding the next costs little however many wait.
-//! It decides nothing. Messages that are alike in all that decides what is lost by waiting, but for when they were due, form
-//! a rank, ordered by that time. Within a rank the loss is a smooth curve of the due time between a few cuts, and rises or
-//! falls all the way from one cut to the next: the greatest and the least of each piece stand at its ends. So whoever looks
-//! for the best of a rank needs to weigh two messages a piece, not all (`DispatchQueue::ends`).
+//! The queue of a destination: its waiting messages, ordered so that the next one is found at little cost however many
+//! wait. The queue decides nothing.
 //!
-//! Invariant: a message that waits is in `expiring`; it is in its rank as well once it is its turn and its rest is over, in
-//! `resting` while only the rest is missing. It leaves all of them as it leaves the queue.
+//! Messages that differ only in when they were due form a group, ordered by that time. Within a group the expected loss
+//! of waiting is a smooth function of the due time between a few turning points, and rises or falls all the way from one
+//! to the next. The greatest and the least loss of each piece are therefore at its ends, so that a caller who looks for
+//! the best message of a group compares two messages a piece, not all ([`DispatchQueue::candidates`]).
+//!
+//! Invariant: every waiting message is in `by_last_send`. It is in its group as well once it is released by its order key
+//! and its backoff is over; it is in `backing_off` while only the backoff is missing. It leaves all three together.
 
 use crate::model::{MessageId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
 
-/// In a rank of so many a look at each is cheaper than looking for the ends.
-const FEW: usize = 16;
+/// Messages of a group up to which comparing all is cheaper than finding the ends of its pieces.
+const SMALL_GROUP: usize = 16;
 
-/// What messages of one rank have in common.
+/// What the messages of one group have in common.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Rank {
+pub struct MessageGroup {
+    /// The delivery class, as an index into the configured classes.
     pub class: usize,
-    /// The bits of what one is weight.
-    pub weight: u64,
-    /// From when it is due to when it expires, µs.
-    pub span: i64,
-    /// From when it is due to when it can be sent last, µs.
-    pub last: i64,
-    /// The zone in which it may have run, where only that one may have it again.
+    /// The bits of the priority weight, an `f64`.
+    pub weight_bits: u64,
+    /// µs from the due time to the deadline.
+    pub due_to_deadline: i64,
+    /// µs from the due time to the last moment to send.
+    pub due_to_last_send: i64,
+    /// The only zone that may receive the message, because it may have taken effect there.
     pub zone: Option<u16>,
 }
 
-/// One message as the queue sees it. It must not change while the message waits, but for `turn`.
+/// A message as the queue sees it. Nothing but `is_released` may change while it waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Entry {
+pub struct QueueEntry {
+    /// The message.
     pub id: MessageId,
-    pub rank: Rank,
+    /// What it has in common with others.
+    pub group: MessageGroup,
+    /// When it is due, in µs.
     pub due: Micros,
-    /// When it can be sent last.
+    /// The last moment to send it, in µs.
     pub last_send: Micros,
+    /// When its backoff is over, in µs.
     pub ready_at: Micros,
-    pub turn: bool,
+    /// Whether no earlier message of its order key is in the way.
+    pub is_released: bool,
+}
+
+/// A message and a time, ordered by the time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TimedMessage {
+    at: Micros,
+    id: MessageId,
+}
+
+impl TimedMessage {
+    fn first_at(at: Micros) -> TimedMessage {
+        let id = MessageId(0);
+        TimedMessage { at, id }
+    }
+
+    fn last_at(at: Micros) -> TimedMessage {
+        let id = MessageId(u32::MAX);
+        TimedMessage { at, id }
+    }
 }
 
-pub type Ranked = BTreeSet<(Micros, MessageId)>;
+/// The messages of one group that may be sent, by when they are due.
+pub type GroupMessages = BTreeSet<TimedMessage>;
 
+/// The waiting messages of one destination.
 #[derive(Debug, Default)]
 pub struct DispatchQueue {
-    ranks: BTreeMap<Rank, Ranked>, // emptied of ranks without messages
-    resting: BTreeSet<(Micros, MessageId)>, // by the end of their rest
-    expiring: BTreeSet<(Micros, MessageId)>, // all that wait, by when they can be sent last
+    /// Messages that may be sent. A group without messages is removed.
+    groups: BTreeMap<MessageGroup, GroupMessages>,
+    /// Released messages, by when their backoff is over.
+    backing_off: BTreeSet<TimedMessage>,
+    /// All waiting messages, by the last moment to send them.
+    by_last_send: BTreeSet<TimedMessage>,
 }
 
 impl DispatchQueue {
+    /// How many messages wait.
     pub fn len(&self) -> usize {
-        self.expiring.len()
+        self.by_last_send.len()
     }
 
-    /// A message begins to wait.
-    pub fn join(&mut self, entry: &Entry) {
-        self.expiring.insert((entry.last_send, entry.id));
-        if entry.turn {
-            self.resting.insert((entry.ready_at, entry.id));
+    /// Adds a message.
+    pub fn insert(&mut self, entry: &QueueEntry) {
+        self.by_last_send.insert(entry.by_last_send());
+        if entry.is_released {
+            self.backing_off.insert(entry.by_ready_at());
         }
     }
 
-    /// It is the message's turn: from now on `entry.turn` holds.
-    pub fn turn(&mut self, entry: &Entry) {
-        if self.expiring.contains(&(entry.last_send, entry.id)) && !self.ranked(entry) {
-            self.resting.insert((entry.ready_at, entry.id));
+    /// Records that no earlier message of its order key is in the way: `entry.is_released` holds from now on. Does
+    /// nothing for a message that does not wait.
+    pub fn release(&mut self, entry: &QueueEntry) {
+        let is_waiting = self.by_last_send.contains(&entry.by_last_send());
+        if is_waiting && !self.is_in_its_group(entry) {
+            self.backing_off.insert(entry.by_ready_at());
         }
     }
 
-    fn ranked(&self, entry: &Entry) -> bool {
-        self.ranks
-            .get(&entry.rank)
-            .is_some_and(|r| r.contains(&(entry.due, entry.id)))
-    }
-
-    /// A message waits no more. One that did not wait changes nothing.
-    pub fn leave(&mut self, entry: &Entry) {
-        self.expiring.remove(&(entry.last_send, entry.id));
-        self.resting.remove(&(entry.ready_at, entry.id));
-        if let Some(rank) = self.ranks.get_mut(&entry.rank) {
-            rank.remove(&(entry.due, entry.id));
-            if rank.is_empty() {
-                self.ranks.remove(&entry.rank);
+    /// Removes a message. Does nothing for a message that does not wait.
+    pub fn remove(&mut self, entry: &QueueEntry) {
+        self.by_last_send.remove(&entry.by_last_send());
+        self.backing_off.remove(&entry.by_ready_at());
+        if let Some(messages) = self.groups.get_mut(&entry.group) {
+            messages.remove(&entry.by_due());
+            if messages.is_empty() {
+                self.groups.remove(&entry.group);
             }
         }
     }
 
-    /// Those whose rest is over by now go to their ranks.
-    pub fn wake(&mut self, now: Micros, entry: impl Fn(MessageId) -> Option<Entry>) {
-        while let Some((_, id)) = self.resting.first().copied().filter(|(at, _)| *at <= now) {
-            self.resting.pop_first();
-            if let Some(Entry { rank, due, .. }) = entry(id) {
-                self.ranks.entry(rank).or_default().insert((due, id));
+    /// Moves the messages whose backoff is over by `now` into their groups. `entry_of` gives the entry of a message.
+    pub fn promote_ready(
+        &mut self,
+        now: Micros,
+        entry_of: impl Fn(MessageId) -> Option<QueueEntry>,
+    ) {
+        while let Some(first) = self.backing_off.first().copied() {
+            if first.at > now {
+                return;
+            }
+            self.backing_off.pop_first();
+            if let Some(entry) = entry_of(first.id) {
+                let messages = self.groups.entry(entry.group).or_default();
+                messages.insert(entry.by_due());
             }
         }
     }
 
-    pub fn ranks(&self) -> impl Iterator<Item = (&Rank, &Ranked)> {
-        self.ranks.iter()
+    /// The groups that have messages to send, each with these.
+    pub fn groups(&self) -> impl Iterator<Item = (&MessageGroup, &GroupMessages)> {
+        self.groups.iter()
     }
 
-    /// All that can't be sent any more from this time on, in the order of their ids.
+    /// The waiting messages whose last moment to send is at `time` or before, in the order of their ids.
     pub fn expiring_by(&self, time: Micros) -> Vec<MessageId> {
-        let mut ids: Vec<MessageId> = self
-            .expiring
-            .range(..=(time, MessageId(u32::MAX)))
-            .map(|(_, id)| *id)
-            .collect();
+        let expiring = self.by_last_send.range(..=TimedMessage::last_at(time));
+        let mut ids: Vec<MessageId> = expiring.map(|message| message.id).collect();
         ids.sort_unstable();
         ids
     }
 
-    /// Of a rank, those due within a span: for each piece between the cuts the first (of the earliest due the least id) and
-    /// that of the latest due with the least id. A cut is the last time of its piece. Of a few, all.
-    pub fn ends(
-        ranked: &Ranked,
+    /// Adds to `candidates` those messages of a group, due within a range, that can be the best to send next.
+    ///
+    /// Of each piece between two turning points these are the earliest message and the latest, at equal due times the one
+    /// with the least id. A turning point is the last due time of its piece. Of a small group they are all messages in the
+    /// range, and `turning_points` is not called.
+    pub fn candidates(
+        messages: &GroupMessages,
         due: RangeInclusive<i64>,
-        cuts: impl Fn() -> Vec<i64>,
-        ends: &mut Vec<MessageId>,
+        turning_points: impl Fn() -> Vec<i64>,
+        candidates: &mut Vec<MessageId>,
     ) {
-        let (Ok(to), from) = (
-            u64::try_from(*due.end()),
-            u64::try_from(*due.start()).unwrap_or(0),
-        ) else {
+        let Ok(to) = u64::try_from(*due.end()) else {
             return;
         };
+        let from = u64::try_from(*due.start()).unwrap_or(0);
         if from > to {
             return;
         }
-        let last = (to, MessageId(u32::MAX));
-        if ranked.len() <= FEW {
-            return ends.extend(ranked.range((from, MessageId(0))..=last).map(|(_, id)| *id));
+        if messages.len() <= SMALL_GROUP {
+            candidates.extend(due_within(messages, from, to).map(|message| message.id));
+            return;
         }
-        let mut cuts: Vec<u64> = cuts()
-            .into_iter()
-            .filter_map(|c| u64::try_from(c).ok())
-            .filter(|c| (from..to).contains(c))
-            .collect();
-        cuts.sort_unstable();
-        let mut next = ranked.range((from, MessageId(0))..=last).next();
-        while let Some(&(due, id)) = next {
-            ends.push(id);
-            let piece = cuts
-                .get(cuts.partition_point(|c| *c < due))
-                .copied()
-                .unwrap_or(to);
-            let until = (piece, MessageId(u32::MAX));
-            if let Some(&(latest, _)) = ranked
-                .range((due, id)..=until)
-                .next_back()
-                .filter(|(d, _)| *d > due)
-            {
-                ends.extend(
-                    ranked
-                        .range((latest, MessageId(0))..)
-                        .next()
-                        .map(|(_, id)| *id),
-                );
-            }
-            next = match piece < to {
-                true => ranked.range((piece + 1, MessageId(0))..=last).next(),
-                false => None,
+        let piece_ends = piece_ends_within(turning_points(), from, to);
+        let mut next = due_within(messages, from, to).next();
+        while let Some(earliest) = next {
+            candidates.push(earliest.id);
+            let piece_end = end_of_piece(&piece_ends, earliest.at).unwrap_or(to);
+            let latest = latest_with_least_id(messages, earliest.at, piece_end);
+            candidates.extend(latest.map(|message| message.id));
+            next = if piece_end < to {
+                due_within(messages, piece_end + 1, to).next()
+            } else {
+                None
             };
         }
     }
+
+    fn is_in_its_group(&self, entry: &QueueEntry) -> bool {
+        match self.groups.get(&entry.group) {
+            Some(messages) => messages.contains(&entry.by_due()),
+            None => false,
+        }
+    }
 }
 
-impl Rank {
-    /// Due times at which the loss turns: where one of the looks ahead (µs from now) finds a message due, at its late share,
-    /// expired, or too late to be sent. `fade` is how long after its due time the weight falls, µs. A turn lies between two
-    /// times; what rounding may have moved stands in pieces of its own.
-    pub fn cuts(&self, now: f64, answer_time: f64, looks: [f64; 4], fade: f64) -> Vec<i64> {
-        let turns = looks.iter().flat_map(|t| {
-            let answered = now + t + answer_time;
-            [
-                answered,
-                answered - fade,
-                answered - self.span as f64,
-                now + t - self.last as f64,
-            ]
-        });
-        turns
-            .flat_map(|turn| [-1, 0, 1].map(|near| turn.floor() as i64 + near))
-            .collect()
+/// The messages due from `from` to `to`, both included, in the order of their due times and ids. `from` must
+/// not be beyond `to`.
+fn due_within(
+    messages: &GroupMessages,
+    from: Micros,
+    to: Micros,
+) -> impl DoubleEndedIterator<Item = &TimedMessage> {
+    messages.range(TimedMessage::first_at(from)..=TimedMessage::last_at(to))
+}
+
+/// The last due times of the pieces within the range, in ascending order, but for that of the last piece, `to`.
+fn piece_ends_within(turning_points: Vec<i64>, from: Micros, to: Micros) -> Vec<Micros> {
+    let mut ends = Vec::new();
+    for point in turning_points {
+        match u64::try_from(point) {
+            Ok(point) if (from..to).contains(&point) => ends.push(point),
+            _ => {}
+        }
     }
+    ends.sort_unstable();
+    ends
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use quickcheck::{quickcheck, TestResult};
+/// The end of the piece in which `due` lies.
+fn end_of_piece(piece_ends: &[Micros], due: Micros) -> Option<Micros> {
+    let piece = piece_ends.partition_point(|end| *end < due);
+    piece_ends.get(piece).copied()
+}
 
-    /// A curve that rises or falls from cut to cut, in whole numbers: its steps at the cuts are drawn, too.
-    fn value(due: u64, cuts: &[i64], steps: &[i8]) -> i64 {
-        let piece = cuts.iter().filter(|c| **c < due as i64).count();
-        let slope = i64::from(steps.get(piece).copied().unwrap_or(1));
-        slope * due as i64 + slope * 1000
+/// The message with the least id among those due last in a piece, unless they are due at `earliest` like the first.
+fn latest_with_least_id(
+    messages: &GroupMessages,
+    earliest: Micros,
+    piece_end: Micros,
+) -> Option<&TimedMessage> {
+    let latest = due_within(messages, earliest, piece_end).next_back()?;
+    if latest.at > earliest {
+        due_within(messages, latest.at, latest.at).next()
+    } else {
+        None
     }
+}
 
-    quickcheck! {
-        fn the_best_of_the_ends_is_the_best_of_all(dues: Vec<u8>, cuts: Vec<u8>, steps: Vec<i8>, from: u8, to: u8) -> TestResult {
-            let mut queue = DispatchQueue::default();
-            let entry = |(n, due): (usize, &u8)| {
-                let (id, due) = (MessageId(n as u32), u64::from(*due));
-                Entry { id, due, last_send: 1000, turn: true, ..Entry::default() }
-            };
-            let entries: Vec<Entry> = dues.iter().enumerate().map(entry).collect();
-            entries.iter().for_each(|e| queue.join(e));
-            queue.wake(0, |id| entries.get(id.0 as usize).copied());
-            let mut cuts: Vec<i64> = cuts.into_iter().map(i64::from).collect();
-            cuts.sort_unstable();
-            let (from, to) = (i64::from(from.min(to)), i64::from(from.max(to)));
-            let Some((_, ranked)) = queue.ranks().next() else { return TestResult::discard() };
-            let best = |ids: Vec<MessageId>| {
-                let of = |id: MessageId| entries[id.0 as usize].due;
-                let order = |id: &MessageId| (value(of(*id), &cuts, &steps), std::cmp::Reverse((of(*id), *id)));
-                ids.into_iter().max_by_key(order)
-            };
-            let within = |e: &&Entry| (from..=to).contains(&(e.due as i64));
-            let all = entries.iter().filter(within).map(|e| e.id).collect();
-            let mut ends = Vec::new();
-            DispatchQueue::ends(ranked, from..=to, || cuts.clone(), &mut ends);
-            TestResult::from_bool(best(all) == best(ends))
-        }
+impl QueueEntry {
+    fn by_due(&self) -> TimedMessage {
+        let (at, id) = (self.due, self.id);
+        TimedMessage { at, id }
     }
 
-    #[test]
-    fn what_leaves_is_in_none_of_its_tables() {
-        let mut queue = DispatchQueue::default();
-        let entry = |n: u32| Entry {
-            id: MessageId(n),
-            last_send: u64::from(n),
-            ready_at: u64::from(n % 7),
-            turn: n.is_multiple_of(2),
-            ..Entry::default()
-        };
-        (0..50).for_each(|n| queue.join(&entry(n)));
-        queue.wake(3, |id| Some(entry(id.0)));
-        assert_eq!((queue.len(), queue.expiring_by(9).len()), (50, 10));
-        queue.turn(&Entry {
-            turn: true,
-            ..entry(7)
-        });
-        (0..50).for_each(|n| {
-            queue.leave(&Entry {
-                turn: true,
-                ..entry(n)
-            })
-        });
-        assert!(
-            queue.len() == 0 && queue.ranks.is_empty() && queue.resting.is_empty(),
-            "{queue:?}"
-        );
-        queue.leave(&entry(3));
-        queue.turn(&entry(3));
-        assert!(queue.resting.is_empty(), "it does not wait");
+    fn by_ready_at(&self) -> TimedMessage {
+        let (at, id) = (self.ready_at, self.id);
+        TimedMessage { at, id }
+    }
+
+    fn by_last_send(&self) -> TimedMessage {
+        let (at, id) = (self.last_send, self.id);
+        TimedMessage { at, id }
+    }
+}
+
+impl MessageGroup {
+    /// The due times at which the expected loss of waiting turns, each with the times beside it, in which rounding may
+    /// put the turn.
+    ///
+    /// `lookaheads` are the times, in µs from `now`, at which the loss is evaluated. At each of them, a message turns
+    /// where it is answered just as it is due, as its weight stops to fall (`fade` µs after its due time), or at its
+    /// deadline; and where it is at its last moment to send. `answer_time` is what an answer takes, in µs.
+    pub fn turning_points(
+        &self,
+        now: f64,
+        answer_time: f64,
+        lookaheads: [f64; 4],
+        fade: f64,
+    ) -> Vec<i64> {
+        let mut points = Vec::new();
+        for lookahead in lookaheads {
+            let answered = now + lookahead + answer_time;
+            let turns = [
+                answered,
+                answered - fade,
+                answered - self.due_to_deadline as f64,
+                now + lookahead - self.due_to_last_send as f64,
+            ];
+            for turn in turns {
+                let turn = turn.floor() as i64;
+                points.extend([turn - 1, turn, turn + 1]);
+            }
+        }
+        points
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -7,12 +7,12 @@
 mod idle;
 mod lists;
 
-use crate::bucket::{Bucket, ColdBudget};
-use crate::gossip::Gossip;
-use crate::membership::ListPoller;
+use crate::latency::LatencyEstimator;
 use crate::model::*;
-use crate::queue::{DispatchQueue, Entry, Rank};
-use crate::times::Times;
+use crate::policy::gossip::Gossip;
+use crate::policy::list_polling::ListPoller;
+use crate::queue::{DispatchQueue, MessageGroup, QueueEntry};
+use crate::token_bucket::{SlowStartBudget, TokenBucket};
 use idle::IdleTable;
 pub use idle::StateCounts;
 use rand::{Rng, SeedableRng};
@@ -66,8 +66,8 @@
     config: &'a Config,
     rng: &'a mut Pcg64Mcg,
     mailboxes: &'a mut Mailboxes,
-    scarce: bool,     // connections are refused here and there
-    times: &'a Times, // answer times over all endpoints
+    scarce: bool,                // connections are refused here and there
+    times: &'a LatencyEstimator, // answer times over all endpoints
 }
 
 impl<'a> DecisionContext<'a> {
@@ -229,7 +229,7 @@
         }
     }
 
-    fn entry(&self, config: &Config) -> Entry {
+    fn entry(&self, config: &Config) -> QueueEntry {
         let (last_send, row) = (self.last_send(config), &config.classes[self.class]);
         let bound = matches!(
             row.semantics,
@@ -240,20 +240,20 @@
         );
         let zone = self.exposed.map(|(_, zone)| zone).filter(|_| bound);
         let [span, last] = [self.expires, last_send].map(|t| t as i64 - self.due as i64);
-        let rank = Rank {
+        let rank = MessageGroup {
             class: self.class,
-            weight: self.weight.to_bits(),
-            span,
-            last,
+            weight_bits: self.weight.to_bits(),
+            due_to_deadline: span,
+            due_to_last_send: last,
             zone,
         };
-        Entry {
+        QueueEntry {
             id: self.id,
-            rank,
+            group: rank,
             due: self.due,
             last_send,
             ready_at: self.ready_at,
-            turn: self.turn,
+            is_released: self.turn,
         }
     }
 
@@ -390,13 +390,13 @@
     fn handle_message(&mut self, note: ToDestination, context: &mut DecisionContext) {
         match note {
             ToDestination::Take(message) => {
-                self.queue.join(&message.entry(context.config));
+                self.queue.insert(&message.entry(context.config));
                 self.messages.insert(message.id, message);
                 self.tick(1.0, LONE, context); // at once: it may have less time than the next look takes
             }
             ToDestination::Turn(id) => self.messages.get_mut(&id).into_iter().for_each(|message| {
                 message.turn = true;
-                self.queue.turn(&message.entry(context.config));
+                self.queue.release(&message.entry(context.config));
             }),
             ToDestination::Over {
                 id,
@@ -495,7 +495,7 @@
     fn end(&mut self, id: MessageId, answer: Option<Action>, context: &mut DecisionContext) {
         self.out.remove(&id);
         if let Some(message) = self.messages.remove(&id) {
-            self.queue.leave(&message.entry(context.config));
+            self.queue.remove(&message.entry(context.config));
         }
         let answered = answer.is_some();
         answer
@@ -537,7 +537,7 @@
         }
         if outcome == Outcome::WithdrawnBeforeSend {
             message.attempts -= 1; // it keeps its place in the queue
-            return self.queue.join(&message.entry(context.config));
+            return self.queue.insert(&message.entry(context.config));
         }
         let longest = (LONGEST_WAIT * context.row(message.class).time_to_live as f64) as Micros;
         let wait = (BASE_WAIT << message.attempts.saturating_sub(1).min(20)).min(longest);
@@ -545,7 +545,7 @@
         message.ready_at =
             context.now + wait + (wait as f64 * JITTER * context.rng.random::<f64>()) as Micros;
         let entry = message.entry(context.config);
-        self.queue.join(&entry);
+        self.queue.insert(&entry);
         if entry.ready_at >= entry.last_send {
             self.end(id, Some(Action::Fail { id }), context);
         }
@@ -673,29 +673,29 @@
         let mut ids = Vec::new();
         for (rank, ranked) in self
             .queue
-            .ranks()
+            .groups()
             .filter(|(r, _)| r.zone.is_none_or(|z| z == card.zone))
         {
             let (row, config) = (context.row(rank.class), context.config);
             // Guards binding messages against endpoints that lose what they take, while time remains.
-            let late = context.now as i64 + (row.time_to_live / 4) as i64 - rank.span;
+            let late = context.now as i64 + (row.time_to_live / 4) as i64 - rank.due_to_deadline;
             let to = if row.semantics == DeliverySemantics::AtMostOnce && card.troubled {
                 late - 1
             } else {
                 i64::MAX
             };
-            let from = (context.now + 2 * TICK) as i64 - rank.last + 1;
+            let from = (context.now + 2 * TICK) as i64 - rank.due_to_last_send + 1;
             let fade =
                 -row.late_weight_share.max(f64::MIN_POSITIVE).log2() * row.latency_objective as f64;
             let cuts = || {
-                rank.cuts(
+                rank.turning_points(
                     context.now as f64,
                     card.answer_time,
                     Message::ahead(config),
                     fade,
                 )
             };
-            DispatchQueue::ends(ranked, from..=to, cuts, &mut ids);
+            DispatchQueue::candidates(ranked, from..=to, cuts, &mut ids);
         }
         self.waiting(ids)
             .map(|p| {
@@ -710,7 +710,7 @@
 
     fn bid(&mut self, context: &mut DecisionContext) {
         self.pick = None;
-        self.queue.wake(context.now, |id| {
+        self.queue.promote_ready(context.now, |id| {
             self.messages.get(&id).map(|p| p.entry(context.config))
         });
         let share = if self.troubled() {
@@ -780,7 +780,7 @@
             let Some(message) = self.messages.get_mut(&id) else {
                 break;
             };
-            self.queue.leave(&message.entry(context.config));
+            self.queue.remove(&message.entry(context.config));
             self.out.insert(id);
             message.attempts += 1;
             message.out = Some((endpoint, context.now));
@@ -842,8 +842,8 @@
     row_since: Micros, // when their row began
     health: Health,
     capacity: f64,
-    budget: ColdBudget, // calls that the cold budget still allows
-    times: Times,
+    budget: SlowStartBudget, // calls that the cold budget still allows
+    times: LatencyEstimator,
     answered: Micros,
     next_health_check: Micros,
 }
@@ -875,7 +875,7 @@
             ToEndpoint::Board => match self.calls.last_mut() {
                 Some(call) if call.sent == context.now && call.riders < self.per_call => {
                     call.riders += 1;
-                    self.budget.left -= RIDER;
+                    self.budget.calls -= RIDER;
                 }
                 _ => {
                     self.calls.push(Call {
@@ -883,7 +883,7 @@
                         riders: 1,
                         judged: false,
                     });
-                    self.budget.left -= 1.0;
+                    self.budget.calls -= 1.0;
                     if self.health == Health::Probed && context.config.may_health_check {
                         self.health = Health::Aside;
                     }
@@ -975,13 +975,13 @@
             // Guards against taking a full connection table for an outage: others of our calls got through.
             Outcome::NoConnection if passing => return self.refusals += 1,
             Outcome::WithdrawnBeforeSend => {
-                return self.budget.left = (self.budget.left + 1.0).min(1.0)
+                return self.budget.calls = (self.budget.calls + 1.0).min(1.0)
             }
             Outcome::NotAttempted { .. } => return,
             Outcome::Cancelled if !self.fair_share(context.now, context.config).1 => return,
             Outcome::Delivered => {
                 (self.answered, self.failures) = (context.now, 0);
-                self.times.learn(took as f64, NEW_ANSWER);
+                self.times.observe(took as f64, NEW_ANSWER);
                 if self.aside() {
                     self.health = Health::Warming(context.now);
                     self.recent.clear();
@@ -1027,7 +1027,7 @@
             };
             context.enqueue(ToForwarder::Do(Action::Log(event)));
             // By chance, for forwarders that set it aside together are not to try it together.
-            self.budget = ColdBudget::new(context.rng.random(), context.now);
+            self.budget = SlowStartBudget::new(context.rng.random(), context.now);
         }
         self.health = if context.config.may_health_check {
             Health::Aside
@@ -1065,11 +1065,11 @@
             } else {
                 0.0
             };
-            self.budget.fill(context.now, even, own, EARNED * even);
+            self.budget.refill(context.now, even, own, EARNED * even);
         }
         // Guards against all that a hold has kept back: they must not come at once when it ends.
-        if held && self.budget.left >= 1.0 {
-            self.budget.left = context.rng.random();
+        if held && self.budget.calls >= 1.0 {
+            self.budget.calls = context.rng.random();
         }
         if matches!(self.health, Health::Warming(s) if context.now >= s + context.config.rules.warm_up_time)
         {
@@ -1084,14 +1084,14 @@
         if may
             && self.health == Health::Aside
             && context.now >= self.next_health_check
-            && self.budget.left >= 1.0
+            && self.budget.calls >= 1.0
         {
             // A message serves as the health check where a second call would come late, else by chance.
             let late = even * Message::ahead(context.config)[2] < SECOND;
             if scant || late || context.rng.random_bool(MESSAGE_TRIES) {
                 return self.health = Health::Probed;
             }
-            self.budget.left -= 1.0;
+            self.budget.calls -= 1.0;
             self.next_health_check = Micros::MAX; // until this one is answered
             context.enqueue(ToForwarder::Do(Action::HealthCheck { endpoint: self.id }));
         }
@@ -1108,15 +1108,15 @@
         matches!(self.health, Health::Aside | Health::Probed)
     }
 
-    fn places(&self, all: &Times) -> usize {
-        let busy = self.capacity * self.times.with(all, FEW, |t| t.mean) / SECOND;
+    fn places(&self, all: &LatencyEstimator) -> usize {
+        let busy = self.capacity * self.times.blend_with(all, FEW, |t| t.mean) / SECOND;
         ((1.0 + PLACES * busy).ceil() as usize).max(FIRST_PLACES)
     }
 
     fn card(&mut self, context: &DecisionContext) -> Card {
         let all = context.times;
         let room = self.places(all).saturating_sub(self.calls.len());
-        let cold = self.budget.left as usize; // no less than nought
+        let cold = self.budget.calls as usize; // no less than nought
         let open = match self.health {
             Health::Well => room,
             Health::Aside => 0,
@@ -1125,7 +1125,7 @@
         let failed = self.recent.iter().filter(|s| !**s).count();
         let late = self
             .times
-            .with(all, FEW, |t| t.mean + TAIL / 2.0 * t.deviation);
+            .blend_with(all, FEW, |t| t.mean + TAIL / 2.0 * t.deviation);
         let slow = late > 0.0 && self.silent(context.now, late) > 0;
         self.card = Card {
             open,
@@ -1135,10 +1135,10 @@
             troubled: self.aside() || slow || failed >= TROUBLED_FAILURES,
             still: self.calls.is_empty()
                 && (self.health == Health::Well || self.fair_share(context.now, context.config).1),
-            answer_time: self.times.with(all, FEW, |t| t.mean),
+            answer_time: self.times.blend_with(all, FEW, |t| t.mean),
             attempt_time: self
                 .times
-                .with(all, FEW, |t| t.mean + TAIL * t.deviation)
+                .blend_with(all, FEW, |t| t.mean + TAIL * t.deviation)
                 .max(SILENCE as f64),
             ..self.card
         };
@@ -1161,7 +1161,7 @@
     endpoints: BTreeMap<EndpointId, Endpoint>, // emptied of those gone for the warm-up time and idle
     turns: BTreeMap<OrderKey, Turns>, // emptied of a key once its queue is empty and its rest over
     unheard: BTreeMap<MessageId, OrderKey>, // of ends told and not heard yet; each leaves as it is heard
-    shares: Vec<Bucket>,                    // what is left of each tenant's share
+    shares: Vec<TokenBucket>,               // what is left of each tenant's share
     states: BTreeMap<DestinationId, State>, // only where anything is under way: work follows these
     bids: Vec<(f64, DestinationId)>,
     look: Option<Micros>, // when the next look at all timers is due
@@ -1169,7 +1169,7 @@
     list_poller: ListPoller,
     gossip: Gossip,
     refused: f64, // part of the latest attempts, over all endpoints, that got no connection
-    times: Times, // answer times over all endpoints
+    times: LatencyEstimator, // answer times over all endpoints
     idle: IdleTable,
 }
 
@@ -1181,9 +1181,9 @@
         let shares = config
             .tenants
             .iter()
-            .map(|_| Bucket {
-                left: f64::MAX,
-                filled: 0,
+            .map(|_| TokenBucket {
+                tokens: f64::MAX,
+                filled_at: 0,
             })
             .collect();
         Forwarder {
@@ -1203,7 +1203,7 @@
             list_poller: ListPoller::default(),
             gossip: Gossip::default(),
             refused: 0.0,
-            times: Times::default(),
+            times: LatencyEstimator::default(),
             idle: IdleTable::default(),
         }
     }
@@ -1232,7 +1232,7 @@
                 ..
             } => {
                 if outcome == Outcome::Delivered {
-                    self.times.learn(took as f64, NEW_ANSWER);
+                    self.times.observe(took as f64, NEW_ANSWER);
                 }
                 if outcome != Outcome::WithdrawnBeforeSend {
                     let refused = f64::from(u8::from(outcome == Outcome::NoConnection));
@@ -1242,9 +1242,10 @@
                     .endpoints
                     .get(&endpoint)
                     .filter(|_| matches!(outcome, Outcome::Rejected { .. }));
-                actions.extend(
-                    full.and_then(|t| self.gossip.refused(now, t.destination, &self.config)),
-                );
+                actions.extend(full.and_then(|t| {
+                    self.gossip
+                        .announce_rejection(now, t.destination, &self.config)
+                }));
                 self.pass_on(
                     id,
                     ToDestination::Over {
@@ -1297,7 +1298,7 @@
                 payload: message,
             } => {
                 let known = |at| self.destinations.contains_key(&at) || self.idle.holds(at);
-                let at = self.gossip.heard(now, from, &message, known, actions);
+                let at = self.gossip.receive(now, from, &message, known, actions);
                 let full = at.filter(|at| !self.limit_idle(now, *at));
                 self.mailboxes
                     .destinations
@@ -1352,9 +1353,9 @@
         {
             // Traffic over a tenant's share is weight little: its part here is taken as an even one.
             let rate = told.quota / f64::from(self.config.fleet_size.max(1));
-            share.fill(now, rate, rate * SHARE_BURST);
-            match share.left >= 1.0 {
-                true => share.left -= 1.0,
+            share.refill(now, rate, rate * SHARE_BURST);
+            match share.tokens >= 1.0 {
+                true => share.tokens -= 1.0,
                 false => weight *= self.config.over_quota_weight,
             }
         }
--- a/src/rules/idle.rs
+++ b/src/rules/idle.rs
@@ -15,9 +15,9 @@
     DecisionContext, Destination, Endpoint, Forwarder, Gate, Health, CATCH_REST, CATCH_UP,
     LAST_FEW, SECOND, SILENCE,
 };
-use crate::bucket::ColdBudget;
+use crate::latency::LatencyEstimator;
 use crate::model::*;
-use crate::times::Times;
+use crate::token_bucket::SlowStartBudget;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
@@ -106,7 +106,7 @@
     row_since: Micros,
     kept_until: Micros, // of an endpoint that is gone: until when it is not forgotten
     health: Health,
-    budget: ColdBudget,
+    budget: SlowStartBudget,
     failures: u32,
     refusals: u32,
 }
@@ -160,7 +160,7 @@
         destination: DestinationId,
         bounds: Option<Bounds>,
     ) -> Endpoint {
-        let times = Times::of(
+        let times = LatencyEstimator::from_parts(
             self.answer_time.into(),
             self.deviation.into(),
             self.learned.answers(),
