--- a/src/policy/gossip/tests.rs
+++ b/src/policy/gossip/tests.rs
@@ -1,73 +1,109 @@
 use super::message::{decode, encode, GossipError};
 use super::*;
-use crate::policy::list_polling::tests::config;
 use quickcheck::{Gen, QuickCheck};
 
 const MS: Micros = 1_000;
 
-fn gossiping(forwarders: u32) -> Config {
+/// Destinations with a smaller number are known to the receiver.
+const KNOWN_DESTINATIONS: u32 = 1_000;
+
+/// The number of the forwarder that all received messages come from.
+const PEER: u16 = 4;
+
+fn config(fleet_size: u32, may_gossip: bool) -> Config {
     Config {
-        may_gossip: true,
-        ..config(forwarders)
+        fleet_size,
+        may_gossip,
+        ..Config::default()
     }
 }
 
-/// What it makes of a message, and whether it logs a line.
-fn hear(gossip: &mut Gossip, now: Micros, message: &[u8]) -> (Option<DestinationId>, bool) {
+/// What a forwarder made of a message.
+#[derive(Debug, PartialEq)]
+struct Received {
+    destination: Option<DestinationId>,
+    logged: bool,
+}
+
+const IGNORED: Received = Received {
+    destination: None,
+    logged: false,
+};
+
+const IGNORED_WITH_LOG_LINE: Received = Received {
+    destination: None,
+    logged: true,
+};
+
+/// Receives a message. Nothing but a log line about it may be among the actions.
+fn receive(gossip: &mut Gossip, now: Micros, payload: &[u8]) -> Received {
     let mut actions = Vec::new();
-    let at = gossip.receive(now, 4, message, |d| d.0 < 1_000, &mut actions);
+    let is_known = |destination: DestinationId| destination.0 < KNOWN_DESTINATIONS;
+    let destination = gossip.receive(now, PEER, payload, is_known, &mut actions);
     let logged = matches!(
         &actions[..],
-        [Action::Log(LogEvent::UnreadableGossip { peer: 4, .. })]
+        [Action::Log(LogEvent::UnreadableGossip { peer: PEER, .. })]
     );
     assert!(logged || actions.is_empty());
-    (at, logged)
+    Received {
+        destination,
+        logged,
+    }
 }
 
-/// A refusal is told once a second by the whole fleet, and never where nobody may tell or nobody listens.
 #[test]
-fn what_went_round_is_not_told_again_for_a_second() {
-    let (mut one, mut other) = (Gossip::default(), Gossip::default());
-    let at = DestinationId(700);
+fn the_fleet_announces_a_destination_once_a_second() {
+    let config = config(3, true);
+    let (mut sender, mut receiver) = (Gossip::default(), Gossip::default());
+    let destination = DestinationId(700);
+    let announcement = sender.announce_rejection(0, destination, &config);
     let Some(Action::SendGossip {
         peer: None,
-        payload: message,
-    }) = one.announce_rejection(0, at, &gossiping(3))
+        payload,
+    }) = announcement
     else {
-        panic!("not told")
+        panic!("not announced to all: {announcement:?}")
     };
-    assert!(one
-        .announce_rejection(999 * MS, at, &gossiping(3))
+    assert!(sender
+        .announce_rejection(999 * MS, destination, &config)
         .is_none());
-    assert_eq!(hear(&mut other, 10 * MS, &message), (Some(at), false));
+
+    let accepted = Received {
+        destination: Some(destination),
+        logged: false,
+    };
+    assert_eq!(receive(&mut receiver, 10 * MS, &payload), accepted);
     assert_eq!(
-        hear(&mut other, 20 * MS, &message),
-        (None, false),
-        "a message that comes twice"
+        receive(&mut receiver, 20 * MS, &payload),
+        IGNORED,
+        "a duplicate"
     );
     assert!(
-        other
-            .announce_rejection(500 * MS, at, &gossiping(3))
+        receiver
+            .announce_rejection(500 * MS, destination, &config)
             .is_none(),
-        "all know"
+        "the fleet knows already"
     );
-    assert!(other
-        .announce_rejection(500 * MS, DestinationId(1), &gossiping(3))
+    assert!(receiver
+        .announce_rejection(500 * MS, DestinationId(1), &config)
         .is_some());
-    assert!(other
-        .announce_rejection(1_100 * MS, at, &gossiping(3))
+    assert!(receiver
+        .announce_rejection(1_100 * MS, destination, &config)
         .is_some());
-    assert!(Gossip::default()
-        .announce_rejection(0, at, &gossiping(1))
-        .is_none());
-    assert!(Gossip::default()
-        .announce_rejection(0, at, &config(3))
-        .is_none());
 }
 
 #[test]
-fn messages_that_cannot_be_used_are_passed_over_with_one_line_a_minute() {
-    for (bad, why) in [
+fn nothing_is_announced_without_peers_or_without_permission() {
+    let destination = DestinationId(700);
+    for config in [config(1, true), config(3, false)] {
+        let announcement = Gossip::default().announce_rejection(0, destination, &config);
+        assert!(announcement.is_none());
+    }
+}
+
+#[test]
+fn an_unreadable_message_is_ignored_with_a_log_line() {
+    for (payload, error) in [
         (vec![], GossipError::Length(0)),
         (vec![1; 256], GossipError::Length(256)),
         (vec![2, 1, 0, 0], GossipError::Version(2)),
@@ -82,21 +118,28 @@
         (vec![1, 2, 0, 0, 1], GossipError::Length(5)),
         (vec![1, 2, 0, 0, 1, 0, 0], GossipError::Length(7)),
     ] {
-        assert_eq!(decode(&bad), Err(why));
-        assert_eq!(hear(&mut Gossip::default(), 0, &bad), (None, true));
+        assert_eq!(decode(&payload), Err(error));
+        let received = receive(&mut Gossip::default(), 0, &payload);
+        assert_eq!(received, IGNORED_WITH_LOG_LINE);
     }
+}
+
+#[test]
+fn unreadable_messages_log_one_line_a_minute() {
     let mut gossip = Gossip::default();
-    let lines = (0..600)
-        .filter(|s| hear(&mut gossip, s * 100 * MS, &[]).1)
-        .count();
+    let mut lines = 0;
+    for tenth in 0..600 {
+        let received = receive(&mut gossip, tenth * 100 * MS, &[]);
+        lines += usize::from(received.logged);
+    }
     assert_eq!(lines, 1);
-    assert!(hear(&mut gossip, 60_000 * MS, &[]).1);
+    assert!(receive(&mut gossip, 60_000 * MS, &[]).logged);
 }
 
-/// Forwarders of earlier versions read the numbers that they have, and pass over the others.
+/// Forwarders of earlier versions read four bytes and ignore six.
 #[test]
-fn numbers_of_16_bits_are_told_in_four_bytes_and_larger_ones_in_six() {
-    for (number, bytes) in [
+fn numbers_of_16_bits_take_four_bytes_and_larger_ones_six() {
+    for (number, payload) in [
         (0, vec![1, 1, 0, 0]),
         (700, vec![1, 1, 0xbc, 2]),
         (65_535, vec![1, 1, 0xff, 0xff]),
@@ -104,29 +147,33 @@
         (70_000, vec![1, 2, 0x70, 0x11, 1, 0]),
         (u32::MAX, vec![1, 2, 0xff, 0xff, 0xff, 0xff]),
     ] {
-        assert_eq!(encode(DestinationId(number)), bytes);
-        assert_eq!(decode(&bytes), Ok(DestinationId(number)));
+        assert_eq!(encode(DestinationId(number)), payload);
+        assert_eq!(decode(&payload), Ok(DestinationId(number)));
     }
     assert_eq!(decode(&[1, 2, 7, 0, 0, 0]), Ok(DestinationId(7)));
 }
 
-/// Whatever comes: no panic, only destinations of the list, and a table no longer than what a second brings.
+/// Whatever is received, nothing panics, only known destinations are reported, and the table holds no more than what one
+/// second brings.
 #[test]
-fn any_bytes_leave_a_small_table() {
-    fn holds(messages: Vec<(u8, u32, Vec<u8>)>) -> bool {
+fn any_sequence_of_messages_leaves_a_small_table() {
+    fn property(messages: Vec<(u8, u32, Vec<u8>)>) -> bool {
         let mut gossip = Gossip::default();
         let mut now = 0;
-        messages.into_iter().all(|(gap, at, bytes)| {
+        messages.into_iter().all(|(gap, random, payload)| {
             now += Micros::from(gap) * MS + ANNOUNCEMENT_INTERVAL / 8;
-            let at = at >> (at % 32); // small numbers too
-            let (heard, logged) = hear(&mut gossip, now, &encode(DestinationId(at)));
-            hear(&mut gossip, now, &bytes);
-            !logged
-                && heard.is_none_or(|d| d.0 == at && at < 1_000)
-                && gossip.announced_at.len() <= 16
+            // Shifted, so that small numbers occur too.
+            let destination = DestinationId(random >> (random % 32));
+            let received = receive(&mut gossip, now, &encode(destination));
+            receive(&mut gossip, now, &payload);
+            let reported_rightly = match received.destination {
+                Some(reported) => reported == destination && reported.0 < KNOWN_DESTINATIONS,
+                None => true,
+            };
+            !received.logged && reported_rightly && gossip.announced_at.len() <= 16
         })
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(1_200, 20_261_201))
-        .quickcheck(holds as fn(Vec<(u8, u32, Vec<u8>)>) -> bool);
+        .quickcheck(property as fn(Vec<(u8, u32, Vec<u8>)>) -> bool);
 }
--- a/src/policy/list_polling/tests.rs
+++ b/src/policy/list_polling/tests.rs
@@ -1,448 +1,226 @@
+//! The delays of one forwarder, and how a fleet fares at its start and after an outage of discovery.
+
 use super::*;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
+mod discovery;
+mod outage;
+mod start;
+
 const MS: Micros = 1_000;
-const TIMEOUT: Micros = 2_000 * MS;
-const WITHIN: Micros = 10_000 * MS;
 
-pub(crate) fn config(forwarders: u32) -> Config {
+/// The poll interval of the service rules, where a test needs no other.
+const POLL_INTERVAL: Micros = 10_000 * MS;
+
+/// How long a poll waits for its answer, where a test needs no other.
+const POLL_TIMEOUT: Micros = 2_000 * MS;
+
+/// How long a rejected poll takes to fail.
+const REJECTION_TIME: Micros = 20 * MS;
+
+/// The time after a change at which a forwarder counts as notified, as on sockets.
+const NOTIFIED_WITHIN: Micros = 6_000 * MS;
+
+fn config(fleet_size: u32) -> Config {
     Config {
-        fleet_size: forwarders,
-        poll_interval: Some(WITHIN),
+        fleet_size,
+        poll_interval: Some(POLL_INTERVAL),
         ..Config::default()
     }
 }
 
-/// The list poller of one forwarder, with its alarms.
+/// The list poller of one forwarder, and the timer that it has set.
 struct PollingForwarder {
     list_poller: ListPoller,
     config: Config,
     rng: Pcg64Mcg,
-    alarm: Option<Micros>,
+    timer: Option<Micros>,
 }
 
 impl PollingForwarder {
-    fn new(forwarders: u32, seed: u64) -> PollingForwarder {
-        PollingForwarder::under(config(forwarders), seed)
-    }
-
-    fn under(config: Config, seed: u64) -> PollingForwarder {
-        let (rng, forwarders) = (Pcg64Mcg::seed_from_u64(seed), config.fleet_size);
-        let mut poller = PollingForwarder {
+    /// A forwarder that starts at time 0.
+    fn new(config: Config, seed: u64) -> PollingForwarder {
+        let is_alone = config.fleet_size == 1;
+        let mut forwarder = PollingForwarder {
             list_poller: ListPoller::default(),
             config,
-            rng,
-            alarm: None,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            timer: None,
         };
-        let asked = poller.show(
-            0,
-            Event::EndpointList(EndpointListUpdate::Cached(Vec::new())),
-        );
-        assert!(forwarders == 1 || !asked || poller.alarm == Some(0));
-        poller
+        let cached_list = Event::EndpointList(EndpointListUpdate::Cached(Vec::new()));
+        let polls = forwarder.handle(0, cached_list);
+        assert!(is_alone || !polls || forwarder.timer == Some(0));
+        forwarder
     }
 
-    /// Whether it asks.
-    fn show(&mut self, now: Micros, event: Event) -> bool {
+    /// The forwarders of a fleet that starts at time 0.
+    fn fleet(fleet_size: u32, seed: u64) -> Vec<PollingForwarder> {
+        (0..fleet_size)
+            .map(|number| PollingForwarder::new(config(fleet_size), seed << 32 | u64::from(number)))
+            .collect()
+    }
+
+    /// Handles an event; returns whether the forwarder polls.
+    fn handle(&mut self, now: Micros, event: Event) -> bool {
         let mut actions = Vec::new();
         self.list_poller
             .handle(now, &event, &self.config, &mut self.rng, &mut actions);
         for action in &actions {
             if let Action::SetTimer { after, .. } = action {
-                self.alarm = Some(now + after);
+                self.timer = Some(now + after);
             }
         }
         actions.contains(&Action::WatchEndpointList { on: true })
     }
 
-    fn rings(&mut self, now: Micros) -> bool {
-        self.alarm.take_if(|at| *at <= now).is_some()
-            && self.show(now, Event::TimerFired { token: POLL_TIMER })
+    /// Fires the timer if it is due; returns whether the forwarder polls.
+    fn fire_timer(&mut self, now: Micros) -> bool {
+        let is_due = self.timer.take_if(|at| *at <= now).is_some();
+        is_due && self.handle(now, Event::TimerFired { token: POLL_TIMER })
     }
-}
 
-/// A discovery that works off one call after the other, turns away what would wait longer than three time-outs, and
-/// spends its time on calls that nobody waits for any more. Gives when each forwarder was answered.
-fn told(forwarders: u32, call: Micros, seed: u64, until: Micros) -> Vec<Option<Micros>> {
-    let mut fleet: Vec<PollingForwarder> = (0..forwarders)
-        .map(|n| PollingForwarder::new(forwarders, seed << 32 | u64::from(n)))
-        .collect();
-    let mut answered = vec![None; fleet.len()];
-    let mut fails = vec![None; fleet.len()];
-    let mut free = 0;
-    for now in (0..until).step_by(MS as usize) {
-        for (n, poller) in fleet.iter_mut().enumerate() {
-            if poller.rings(now) {
-                let done = free.max(now) + call;
-                if done - now > 3 * TIMEOUT {
-                    fails[n] = Some(now + 20 * MS);
-                    continue;
-                }
-                free = done;
-                match done - now <= TIMEOUT {
-                    true => answered[n] = Some(done),
-                    false => fails[n] = Some(now + TIMEOUT),
-                }
-            }
-            if fails[n].take_if(|at| *at <= now).is_some() {
-                poller.show(now, Event::EndpointList(EndpointListUpdate::Failed));
-            }
-        }
+    fn fail_poll(&mut self, now: Micros) {
+        self.handle(now, Event::EndpointList(EndpointListUpdate::Failed));
     }
-    answered
-}
 
-/// A fleet that starts at once hears its list, however slow discovery is. Calls made again each second are never heard.
-#[test]
-fn a_fleet_that_starts_at_once_hears_its_list() {
-    for (forwarders, call) in [
-        (3, 500 * MS),
-        (100, 20 * MS),
-        (100, 80 * MS),
-        (300, 25 * MS),
-    ] {
-        for seed in 0..5 {
-            let answered = told(forwarders, call, seed, 30_000 * MS);
-            let late = answered
-                .iter()
-                .filter(|at| at.is_none_or(|at| at > 25_000 * MS))
-                .count();
-            assert!(
-                late * 50 <= forwarders as usize,
-                "{forwarders}, {call} µs: {late} not told in 25 s"
-            );
+    /// When the next poll is due.
+    fn next_poll_at(&self) -> Micros {
+        self.timer.expect("a poll is scheduled")
+    }
+
+    /// Polls when it is due and fails each poll `fails_after` it. Returns the delays from each failure to the next poll.
+    fn delays_after_failures(&mut self, failures: usize, fails_after: Micros) -> Vec<Micros> {
+        let mut delays = Vec::new();
+        for _ in 0..failures {
+            let polled_at = self.next_poll_at();
+            self.fire_timer(polled_at);
+            let failed_at = polled_at + fails_after;
+            self.fail_poll(failed_at);
+            delays.push(self.next_poll_at() - failed_at);
         }
+        delays
     }
 }
 
 #[test]
-fn the_first_call_comes_within_what_the_rules_want_and_a_lone_one_at_once() {
-    for forwarders in [1, 2, 50, 100_000] {
-        let wait = PollingForwarder::new(forwarders, 1)
-            .alarm
-            .expect("it is put off");
+fn the_first_poll_is_within_half_the_interval_and_a_lone_forwarder_polls_at_once() {
+    for fleet_size in [1, 2, 50, 100_000] {
+        let delay = PollingForwarder::new(config(fleet_size), 1).next_poll_at();
         assert!(
-            wait <= WITHIN / 2 && (forwarders > 1 || wait == 0),
-            "{forwarders}: {wait}"
+            delay <= POLL_INTERVAL / 2 && (fleet_size > 1 || delay == 0),
+            "{fleet_size} forwarders: {delay} µs"
         );
     }
 }
 
 #[test]
-fn failures_in_a_row_lengthen_the_wait_up_to_the_interval_and_a_call_that_held_ends_the_row() {
-    for forwarders in [1, 100] {
-        let mut poller = PollingForwarder::new(forwarders, 2);
-        let mut now = poller.alarm.expect("it is put off");
-        let mut waits = Vec::new();
-        for _ in 0..40 {
-            poller.rings(now);
-            now += TIMEOUT;
-            poller.show(now, Event::EndpointList(EndpointListUpdate::Failed));
-            waits.push(poller.alarm.expect("it is put off") - now);
-            now += waits[waits.len() - 1];
-        }
-        assert!(waits.iter().all(|w| *w <= WITHIN && *w > 0), "{waits:?}");
-        assert!(waits.iter().any(|w| *w >= WITHIN / 2), "{waits:?}");
-        poller.rings(now);
-        poller.show(
-            now + 2 * WITHIN,
-            Event::EndpointList(EndpointListUpdate::Failed),
+fn failures_in_a_row_lengthen_the_delay_up_to_the_interval() {
+    for fleet_size in [1, 100] {
+        let mut forwarder = PollingForwarder::new(config(fleet_size), 2);
+        let delays = forwarder.delays_after_failures(40, POLL_TIMEOUT);
+        assert!(
+            delays
+                .iter()
+                .all(|delay| (1..=POLL_INTERVAL).contains(delay)),
+            "{delays:?}"
+        );
+        assert!(
+            delays.iter().any(|delay| *delay >= POLL_INTERVAL / 2),
+            "{delays:?}"
         );
-        assert_eq!(poller.list_poller.consecutive_failures, 1);
     }
 }
 
-/// The protocol of sockets: news count as told so long after discovery had them and could be reached.
-const TOLD: Micros = 6_000 * MS;
-
-/// A discovery that falls silent, with all that the fleet's calls meet there.
-#[derive(Clone, Copy)]
-struct Outage {
-    forwarders: u32,
-    /// µs of discovery's time a call.
-    call: Micros,
-    /// It turns away, at once, what would wait for longer.
-    line: Micros,
-    down: Micros,
-    notified_within: Option<Micros>,
-    silence: Micros,
-    /// An answer to a call that was given up is heard all the same, up to so long after the call.
-    heard_until: Micros,
-}
-
-/// What became of the fleet: µs from discovery's return.
-#[derive(Debug, Default)]
-struct Healing {
-    /// To the first call of each forwarder.
-    calls: Vec<Micros>,
-    /// To the first answer of each.
-    answers: Vec<Micros>,
-    most_calls_a_second: usize,
-    all_calls: usize,
+#[test]
+fn a_poll_that_was_answered_for_long_ends_the_row_of_failures() {
+    for fleet_size in [1, 100] {
+        let mut forwarder = PollingForwarder::new(config(fleet_size), 2);
+        forwarder.delays_after_failures(40, POLL_TIMEOUT);
+        let polled_at = forwarder.next_poll_at();
+        forwarder.fire_timer(polled_at);
+        forwarder.fail_poll(polled_at + 2 * POLL_INTERVAL);
+        assert_eq!(forwarder.list_poller.consecutive_failures, 1);
+    }
 }
 
-/// Plays a fleet whose watches all fall silent as discovery goes down, until all are told or half a minute has passed.
-fn heal(outage: Outage, seed: u64) -> Healing {
-    let silent_from = 2 * WITHIN;
-    let back = silent_from + outage.down;
-    let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut fleet: Vec<PollingForwarder> = (0..outage.forwarders)
-        .map(|n| PollingForwarder::new(outage.forwarders, seed << 32 | u64::from(n)))
-        .collect();
-    let mut fails = Vec::new();
-    for poller in &mut fleet {
-        poller.config.notified_within = outage.notified_within;
-        poller.alarm = None;
-        poller.list_poller.next_poll_at = None;
-        fails.push(Some(silent_from + rng.random_range(MS..=outage.silence)));
-    }
-    // When the call under way is answered, and the last that was given up.
-    let (mut due, mut overdue) = (vec![None; fleet.len()], vec![None; fleet.len()]);
-    let mut answered = vec![None; fleet.len()];
-    let (mut called, mut calls_at) = (vec![None; fleet.len()], Vec::new());
-    let mut free = 0;
-    for now in (silent_from..back + 30_000 * MS).step_by(MS as usize) {
-        for (n, poller) in fleet.iter_mut().enumerate() {
-            answered[n] = [due[n], overdue[n]]
-                .into_iter()
-                .flatten()
-                .find(|at| *at <= now);
-            if answered[n].is_some() {
-                continue;
-            }
-            if poller.rings(now) {
-                if now < back {
-                    fails[n] = Some(now + outage.silence);
-                    continue;
-                }
-                called[n].get_or_insert(now);
-                calls_at.push(now);
-                let done = free.max(now) + outage.call;
-                if done - now > outage.line {
-                    fails[n] = Some(now + 20 * MS);
-                    continue;
+/// Polls fail by a rejection, by a break, or by the longest silence.
+#[test]
+fn after_any_failure_the_next_answer_is_in_by_the_time_of_notification() {
+    for fleet_size in [1, 20, 350] {
+        for poll_interval in [POLL_INTERVAL, 60 * POLL_INTERVAL] {
+            for fails_after in [REJECTION_TIME, 1_000 * MS, LONGEST_SILENCE] {
+                for seed in 0..200 {
+                    check_delays_between_polls(fleet_size, poll_interval, fails_after, seed);
                 }
-                free = done;
-                due[n] = (done - now <= outage.silence.max(outage.heard_until)).then_some(done);
-                fails[n] = (done - now > outage.silence).then_some(now + outage.silence);
-            }
-            if fails[n].take_if(|at| *at <= now).is_some() {
-                // Only the last that was given up is still heard; a refusal leaves it.
-                overdue[n] = due[n].take().or(overdue[n]);
-                poller.show(now, Event::EndpointList(EndpointListUpdate::Failed));
             }
         }
     }
-    let since = |at: &Option<Micros>| at.unwrap_or(Micros::MAX).saturating_sub(back);
-    let busiest = |from: &Micros| {
-        calls_at
-            .iter()
-            .filter(|at| (*from..from + 1_000 * MS).contains(at))
-            .count()
-    };
-    Healing {
-        calls: called.iter().map(since).collect(),
-        answers: answered.iter().map(since).collect(),
-        most_calls_a_second: calls_at.iter().map(busiest).max().unwrap_or(0),
-        all_calls: calls_at.len(),
-    }
 }
 
-/// The longest time from the moment of a call that failed to the next, over all counts of failures in a row.
-#[test]
-fn a_change_is_heard_by_the_time_that_counts_after_any_failed_call() {
-    for (forwarders, within, fails_after) in [1, 20, 350]
-        .iter()
-        .flat_map(|f| [WITHIN, 60 * WITHIN].map(|w| (*f, w)))
-        .flat_map(|(f, w)| [20 * MS, 1_000 * MS, LONGEST_SILENCE].map(|fails| (f, w, fails)))
-    {
-        for seed in 0..200 {
-            let mut poller = PollingForwarder::new(forwarders, seed);
-            (poller.config.poll_interval, poller.config.notified_within) =
-                (Some(within), Some(TOLD));
-            let mut now = poller.alarm.expect("it is put off");
-            for failures in 1..=20 {
-                // A lone one has made its first call as it began.
-                assert!(poller.rings(now) || forwarders == 1 && failures == 1);
-                let called = now;
-                now += fails_after;
-                poller.show(now, Event::EndpointList(EndpointListUpdate::Failed));
-                now = poller.alarm.expect("it is put off");
-                let next = now - called;
-                assert!(
-                    next + ANSWER_ALLOWANCE_US <= TOLD,
-                    "{forwarders}, {failures} failures: {next} µs to the next call"
-                );
-                assert!(next > fails_after, "{forwarders}: asked again at once");
-            }
-            // A watch that held falls silent: it is noticed so long after its last answer.
-            assert!(poller.rings(now));
-            now += 2 * WITHIN + LONGEST_SILENCE;
-            poller.show(now, Event::EndpointList(EndpointListUpdate::Failed));
-            let next = LONGEST_SILENCE + poller.alarm.expect("it is put off") - now;
-            assert!(
-                next + ANSWER_ALLOWANCE_US <= TOLD,
-                "{forwarders}: {next} µs from a silent watch to a new one"
-            );
-        }
+fn check_delays_between_polls(
+    fleet_size: u32,
+    poll_interval: Micros,
+    fails_after: Micros,
+    seed: u64,
+) {
+    let mut forwarder = PollingForwarder::new(config(fleet_size), seed);
+    forwarder.config.poll_interval = Some(poll_interval);
+    forwarder.config.notified_within = Some(NOTIFIED_WITHIN);
+    for failures in 1..=20 {
+        let polled_at = forwarder.next_poll_at();
+        // A lone forwarder has sent its first poll as it started.
+        assert!(forwarder.fire_timer(polled_at) || fleet_size == 1 && failures == 1);
+        forwarder.fail_poll(polled_at + fails_after);
+        let between = forwarder.next_poll_at() - polled_at;
+        assert!(
+            between + ANSWER_ALLOWANCE_US <= NOTIFIED_WITHIN,
+            "{fleet_size} forwarders, {failures} failures: {between} µs to the next poll"
+        );
+        assert!(
+            between > fails_after,
+            "{fleet_size} forwarders: polls again without a delay"
+        );
     }
+    // A watch that was answered for long falls silent. That is noticed after the longest silence.
+    let polled_at = forwarder.next_poll_at();
+    assert!(forwarder.fire_timer(polled_at));
+    let noticed_at = polled_at + 2 * POLL_INTERVAL + LONGEST_SILENCE;
+    forwarder.fail_poll(noticed_at);
+    let without_watch = LONGEST_SILENCE + forwarder.next_poll_at() - noticed_at;
+    assert!(
+        without_watch + ANSWER_ALLOWANCE_US <= NOTIFIED_WITHIN,
+        "{fleet_size} forwarders: {without_watch} µs from a silent watch to a new one"
+    );
 }
 
-/// Also where a silence is told a little late, as on sockets, and in a small fleet, which has no window of its own to spread.
+/// Also where a silence is reported a little late, as on sockets, and in a small fleet, whose window is nearly empty.
 #[test]
-fn failures_in_a_row_lengthen_the_wait_up_to_the_time_that_counts() {
-    for (forwarders, fails_after) in [
-        (1, 20 * MS),
+fn failures_in_a_row_lengthen_the_delay_under_a_time_of_notification() {
+    for (fleet_size, fails_after) in [
+        (1, REJECTION_TIME),
         (1, LONGEST_SILENCE + 30 * MS),
         (3, LONGEST_SILENCE + 30 * MS),
     ] {
-        let mut poller = PollingForwarder::new(forwarders, 2);
-        poller.config.notified_within = Some(TOLD);
-        let (mut now, mut waits) = (poller.alarm.expect("it is put off"), Vec::new());
-        for _ in 0..8 {
-            poller.rings(now);
-            now += fails_after;
-            poller.show(now, Event::EndpointList(EndpointListUpdate::Failed));
-            waits.push(poller.alarm.expect("it is put off") - now);
-            now = poller.alarm.expect("it is put off");
-        }
+        let mut forwarder = PollingForwarder::new(config(fleet_size), 2);
+        forwarder.config.notified_within = Some(NOTIFIED_WITHIN);
+        let delays = forwarder.delays_after_failures(8, fails_after);
         assert!(
-            waits[0] < 300 * MS && waits[7] >= 1_000 * MS,
-            "{forwarders}: {waits:?}"
+            delays[0] < 300 * MS && delays[7] >= 1_000 * MS,
+            "{fleet_size} forwarders: {delays:?}"
         );
     }
 }
 
-/// The first call of a process comes as soon, also where the settings want one in a minute.
 #[test]
-fn the_first_call_comes_by_the_time_that_counts() {
+fn the_first_answer_is_in_by_the_time_of_notification_however_long_the_interval() {
     for seed in 0..200 {
-        let long = Config {
-            poll_interval: Some(60 * WITHIN),
-            notified_within: Some(TOLD),
+        let long_interval = Config {
+            poll_interval: Some(60 * POLL_INTERVAL),
+            notified_within: Some(NOTIFIED_WITHIN),
             ..config(350)
         };
-        let poller = PollingForwarder::under(long, seed);
-        assert!(poller.alarm.expect("it is put off") + ANSWER_ALLOWANCE_US <= TOLD);
-    }
-}
-
-const OUTAGE: Outage = Outage {
-    forwarders: 350,
-    call: 16 * MS,
-    line: 3 * TIMEOUT,
-    down: 8_000 * MS,
-    notified_within: Some(TOLD),
-    silence: LONGEST_SILENCE,
-    heard_until: 7_000 * MS,
-};
-
-/// Where discovery can work off the calls of all within the time that counts, all are told by then.
-#[test]
-fn a_fleet_is_told_within_the_time_that_counts_after_an_outage() {
-    for (call, seed) in [1, 8, 14]
-        .iter()
-        .flat_map(|c| (0..5).map(move |seed| (c * MS, seed)))
-    {
-        let healing = heal(Outage { call, ..OUTAGE }, seed);
-        let last = healing.answers.iter().max().expect("a fleet");
-        assert!(
-            *last <= TOLD,
-            "{call} µs a call, seed {seed}: the last told after {last} µs"
-        );
-        assert!(
-            healing.most_calls_a_second <= 175,
-            "{} calls in a second",
-            healing.most_calls_a_second
-        );
-    }
-}
-
-/// The window exists for this: a discovery that can't work off so many is not kept down by the calls made again. A third
-/// of what it can do is the least that reaches the fleet; answers to calls that were given up are heard.
-#[test]
-fn a_discovery_slower_than_the_fleet_asks_still_tells_it() {
-    for (call, line) in [80, 40, 25]
-        .iter()
-        .flat_map(|c| [1_500, 6_000].map(move |l| (c * MS, l * MS)))
-    {
-        for seed in 0..5 {
-            let healing = heal(
-                Outage {
-                    call,
-                    line,
-                    ..OUTAGE
-                },
-                seed,
-            );
-            for seconds in [10, 20, 30] {
-                let told = healing
-                    .answers
-                    .iter()
-                    .filter(|at| **at <= seconds * 1_000 * MS)
-                    .count() as u64;
-                let could = (seconds * 1_000 * MS / call).min(350);
-                assert!(
-                    3 * told >= could,
-                    "{call} µs a call, line {line}: {told} of {could} told in {seconds} s"
-                );
-            }
-        }
-    }
-}
-
-/// The table of `docs/design/fleet-growth.md`: `cargo test --lib trade -- --ignored --nocapture`.
-#[test]
-#[ignore = "prints a table"]
-fn trade() {
-    let rows = [
-        ("before", None, 7_000 * MS, 0),
-        ("bounded", Some(TOLD), LONGEST_SILENCE, 0),
-        (
-            "bounded, late answers heard",
-            Some(TOLD),
-            LONGEST_SILENCE,
-            7_000 * MS,
-        ),
-    ];
-    for call in [80, 40, 25, 20, 16, 8, 1].map(|ms| ms * MS) {
-        for (name, notified_within, silence, heard_until) in rows {
-            let plays = (0..5).map(|seed| {
-                heal(
-                    Outage {
-                        call,
-                        notified_within,
-                        silence,
-                        heard_until,
-                        ..OUTAGE
-                    },
-                    seed,
-                )
-            });
-            let plays: Vec<Healing> = plays.collect();
-            let told = |s: Micros| {
-                let told = plays
-                    .iter()
-                    .flat_map(|h| &h.answers)
-                    .filter(|at| **at <= s * 1_000 * MS)
-                    .count();
-                told / plays.len()
-            };
-            let call_after = plays.iter().flat_map(|h| &h.calls).max().expect("calls") / MS;
-            let busiest = plays
-                .iter()
-                .map(|h| h.most_calls_a_second)
-                .max()
-                .expect("plays");
-            let calls = plays.iter().map(|h| h.all_calls).sum::<usize>() / plays.len();
-            println!(
-                "| {} | {name} | {call_after} | {} | {} | {} | {busiest} | {calls} |",
-                1_000 * MS / call,
-                told(6),
-                told(15),
-                told(30)
-            );
-        }
+        let forwarder = PollingForwarder::new(long_interval, seed);
+        assert!(forwarder.next_poll_at() + ANSWER_ALLOWANCE_US <= NOTIFIED_WITHIN);
     }
 }
--- /dev/null
+++ b/src/policy/list_polling/tests/discovery.rs
@@ -0,0 +1,33 @@
+//! A simulated discovery service.
+
+use super::*;
+
+/// Discovery that answers one poll after the other. It also works off the polls that nobody waits for any more.
+pub struct Discovery {
+    /// µs to work off one poll.
+    pub poll_cost: Micros,
+    /// A poll that would wait for longer is rejected at once, in µs.
+    pub longest_wait: Micros,
+    /// When the polls accepted so far are worked off.
+    busy_until: Micros,
+}
+
+impl Discovery {
+    pub fn new(poll_cost: Micros, longest_wait: Micros) -> Discovery {
+        Discovery {
+            poll_cost,
+            longest_wait,
+            busy_until: 0,
+        }
+    }
+
+    /// When a poll that is sent now is answered; none if it is rejected.
+    pub fn accept(&mut self, now: Micros) -> Option<Micros> {
+        let answered_at = self.busy_until.max(now) + self.poll_cost;
+        if answered_at - now > self.longest_wait {
+            return None;
+        }
+        self.busy_until = answered_at;
+        Some(answered_at)
+    }
+}
--- /dev/null
+++ b/src/policy/list_polling/tests/start.rs
@@ -0,0 +1,55 @@
+//! A fleet whose forwarders all start at once.
+
+use super::discovery::Discovery;
+use super::*;
+
+/// When each forwarder is answered. Discovery takes `poll_cost` µs a poll; the simulation lasts `until`.
+fn answers_after_start(
+    fleet_size: u32,
+    poll_cost: Micros,
+    seed: u64,
+    until: Micros,
+) -> Vec<Option<Micros>> {
+    let mut fleet = PollingForwarder::fleet(fleet_size, seed);
+    let mut discovery = Discovery::new(poll_cost, 3 * POLL_TIMEOUT);
+    let mut answered_at = vec![None; fleet.len()];
+    let mut fails_at = vec![None; fleet.len()];
+    for now in (0..until).step_by(MS as usize) {
+        for (number, forwarder) in fleet.iter_mut().enumerate() {
+            if forwarder.fire_timer(now) {
+                match discovery.accept(now) {
+                    None => fails_at[number] = Some(now + REJECTION_TIME),
+                    Some(at) if at - now <= POLL_TIMEOUT => answered_at[number] = Some(at),
+                    Some(_) => fails_at[number] = Some(now + POLL_TIMEOUT),
+                }
+            }
+            if fails_at[number].take_if(|at| *at <= now).is_some() {
+                forwarder.fail_poll(now);
+            }
+        }
+    }
+    answered_at
+}
+
+/// However slow discovery is. Polls repeated each second would never be answered.
+#[test]
+fn a_fleet_that_starts_at_once_gets_its_list() {
+    for (fleet_size, poll_cost) in [
+        (3, 500 * MS),
+        (100, 20 * MS),
+        (100, 80 * MS),
+        (300, 25 * MS),
+    ] {
+        for seed in 0..5 {
+            let answers = answers_after_start(fleet_size, poll_cost, seed, 30_000 * MS);
+            let late = answers
+                .iter()
+                .filter(|at| at.is_none_or(|at| at > 25_000 * MS))
+                .count();
+            assert!(
+                late * 50 <= fleet_size as usize,
+                "{fleet_size} forwarders, {poll_cost} µs a poll: {late} not answered in 25 s"
+            );
+        }
+    }
+}
