--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -119,3 +119,6 @@
         FinalAnswer::Fail
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -105,3 +105,6 @@
     };
     Some(timeout.clamp(1, time_left))
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -41,3 +41,6 @@
     let busy = capacity * mean_latency / MICROS_PER_SECOND;
     ((1.0 + ENDPOINT_QUEUE_FACTOR * busy).ceil() as usize).max(MIN_ENDPOINT_LIMIT)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/policy/concurrency/tests.rs
@@ -0,0 +1,24 @@
+//! What the rule on concurrency promises at its limits.
+
+use super::*;
+
+#[test]
+fn a_destination_gets_its_share_of_the_permits_and_one_at_least() {
+    assert_eq!(destination_limit(64, false), 48);
+    assert_eq!(destination_limit(64, true), 32);
+    assert_eq!(destination_limit(1, false), 1);
+    assert_eq!(destination_limit(0, true), 1);
+}
+
+#[test]
+fn all_degraded_destinations_leave_half_of_the_permits() {
+    assert_eq!(all_degraded_limit(64), 32);
+    assert_eq!(all_degraded_limit(1), 1);
+}
+
+#[test]
+fn an_endpoint_gets_twice_what_its_capacity_keeps_busy() {
+    // 100 calls per second of 50 ms keep 5 busy.
+    assert_eq!(endpoint_limit(100.0, 50_000.0), 11);
+    assert_eq!(endpoint_limit(0.0, 0.0), 4, "enough to learn from");
+}
--- a/src/policy/connection_reuse.rs
+++ b/src/policy/connection_reuse.rs
@@ -31,3 +31,6 @@
         self.share > SCARCE_SHARE
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -31,3 +31,6 @@
         Trial::HealthCheck
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/policy/health_check/tests.rs
@@ -0,0 +1,42 @@
+//! What the rule on trials of ejected endpoints promises at its limits.
+
+use super::*;
+use crate::model::DeliveryClassConfig;
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+
+fn trials(calls_per_second: f64, is_scant: bool) -> Vec<Trial> {
+    let config = Config {
+        classes: vec![DeliveryClassConfig {
+            latency_objective: 1_000_000,
+            ..DeliveryClassConfig::default()
+        }],
+        ..Config::default()
+    };
+    let share = FleetShare {
+        calls_per_second,
+        is_scant,
+    };
+    let mut rng = Pcg64Mcg::seed_from_u64(7);
+    (0..1_000)
+        .map(|_| choose_trial(share, &config, &mut rng))
+        .collect()
+}
+
+#[test]
+fn mostly_a_health_check_goes_and_now_and_then_a_message() {
+    let trials = trials(1.0, false);
+    let messages = trials.iter().filter(|trial| **trial == Trial::Message);
+    let messages = messages.count();
+    assert!((200..=300).contains(&messages), "{messages} of 1,000");
+}
+
+#[test]
+fn a_message_goes_where_the_next_call_would_miss_the_objective() {
+    assert!(!trials(0.99, false).contains(&Trial::HealthCheck));
+}
+
+#[test]
+fn a_message_goes_where_the_budget_is_scant() {
+    assert!(!trials(10.0, true).contains(&Trial::HealthCheck));
+}
--- a/src/policy/ordering.rs
+++ b/src/policy/ordering.rs
@@ -99,3 +99,6 @@
         Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
     )
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -189,3 +189,6 @@
 pub fn is_long_retry_after(retry_after: Micros, overload_window: Micros) -> bool {
     retry_after > overload_window
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -193,3 +193,6 @@
         self.next_call_at.saturating_add(settling)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -83,3 +83,6 @@
 pub fn send_by(last_send: Micros) -> Micros {
     last_send.saturating_sub(SEND_MARGIN)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/policy/retry/tests.rs
@@ -0,0 +1,102 @@
+//! What the rule on retries promises at its limits.
+
+use super::*;
+
+const SECOND: Micros = 1_000_000;
+const DEADLINE: Micros = 60 * SECOND;
+
+const KEYED: DeliverySemantics = DeliverySemantics::IdempotencyKeyed {
+    scope: DeduplicationScope::Zone,
+    window: 10 * SECOND,
+};
+
+fn effect_at(sent_at: Micros) -> Option<PossibleEffect> {
+    Some(PossibleEffect {
+        sent_at,
+        zone: ZoneId(3),
+    })
+}
+
+#[test]
+fn the_backoff_doubles_from_its_base_up_to_a_part_of_the_time_to_live() {
+    let waits: Vec<Micros> = (1..=6).map(|n| backoff(n, 4 * SECOND, 0.0)).collect();
+    assert_eq!(
+        waits,
+        [100_000, 200_000, 400_000, 800_000, 1_000_000, 1_000_000]
+    );
+}
+
+#[test]
+fn the_longest_backoff_holds_for_any_number_of_attempts() {
+    assert_eq!(backoff(u32::MAX, 4 * SECOND, 0.0), SECOND);
+    assert_eq!(backoff(0, 4 * SECOND, 0.0), 100_000);
+}
+
+#[test]
+fn jitter_adds_less_than_the_next_doubling() {
+    for attempts in 1..4 {
+        let longest = backoff(attempts, DEADLINE, 1.0);
+        assert_eq!(longest, backoff(attempts, DEADLINE, 0.0) * 3 / 2);
+        assert!(longest < backoff(attempts + 1, DEADLINE, 0.0));
+    }
+}
+
+#[test]
+fn the_attempt_limit_counts_for_every_class() {
+    for semantics in [
+        DeliverySemantics::Idempotent,
+        KEYED,
+        DeliverySemantics::AtMostOnce,
+    ] {
+        assert_eq!(last_send(semantics, 7, 8, DEADLINE, None), DEADLINE);
+        assert_eq!(last_send(semantics, 8, 8, DEADLINE, None), 0);
+    }
+}
+
+#[test]
+fn a_keyed_message_is_repeated_within_the_window_of_its_first_effect() {
+    let last = |sent_at| last_send(KEYED, 1, 8, DEADLINE, effect_at(sent_at));
+    assert_eq!(last(5 * SECOND), 15 * SECOND);
+    assert_eq!(last(55 * SECOND), DEADLINE, "the deadline comes first");
+    assert_eq!(last(Micros::MAX), DEADLINE, "no overflow");
+}
+
+#[test]
+fn an_at_most_once_message_is_not_repeated_after_a_possible_effect() {
+    let once = DeliverySemantics::AtMostOnce;
+    assert_eq!(last_send(once, 1, 8, DEADLINE, effect_at(0)), 0);
+    assert_eq!(last_send(once, 1, 8, DEADLINE, None), DEADLINE);
+}
+
+#[test]
+fn only_a_possible_effect_in_a_zone_scope_requires_a_zone() {
+    let everywhere = DeliverySemantics::IdempotencyKeyed {
+        scope: DeduplicationScope::AllEndpoints,
+        window: SECOND,
+    };
+    assert_eq!(required_zone(KEYED, effect_at(0)), Some(ZoneId(3)));
+    assert_eq!(required_zone(KEYED, None), None);
+    assert_eq!(required_zone(everywhere, effect_at(0)), None);
+}
+
+#[test]
+fn only_idempotent_messages_may_be_resubmitted_after_a_possible_effect() {
+    assert!(may_be_resubmitted(
+        DeliverySemantics::Idempotent,
+        effect_at(0)
+    ));
+    assert!(!may_be_resubmitted(KEYED, effect_at(0)));
+    assert!(!may_be_resubmitted(
+        DeliverySemantics::AtMostOnce,
+        effect_at(0)
+    ));
+    assert!(may_be_resubmitted(DeliverySemantics::AtMostOnce, None));
+}
+
+#[test]
+fn the_send_margin_is_kept_before_the_last_moment() {
+    assert!(!is_too_late(DEADLINE - SEND_MARGIN - 1, DEADLINE));
+    assert!(is_too_late(DEADLINE - SEND_MARGIN, DEADLINE));
+    assert_eq!(send_by(DEADLINE), DEADLINE - SEND_MARGIN);
+    assert_eq!(send_by(0), 0);
+}
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -131,3 +131,6 @@
 pub fn tie_breaker(rng: &mut impl Rng) -> f64 {
     rng.random_range(TIE_BREAKER)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -123,3 +123,6 @@
         self.calls.tokens = calls;
     }
 }
+
+#[cfg(test)]
+mod tests;
