--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -60,5 +60,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/src/gossip/golden_tests.rs
@@ -0,0 +1,45 @@
+//! Proves that gossip datagrams stay the same: the bytes written for each recorded destination, the destination read from
+//! each recorded datagram, and the words about those that can't be used.
+
+use super::message::{decode, encode};
+use crate::interface::DestinationId;
+
+const GOLDEN: &str = include_str!("../../tests/golden/gossip-datagrams.txt");
+
+fn to_bytes(hex: &str) -> Vec<u8> {
+    assert!(hex.len().is_multiple_of(2), "{hex}: two digits a byte");
+    let digits = (0..hex.len()).step_by(2);
+    digits.map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal digits")).collect()
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn decoded(datagram: &str) -> String {
+    match decode(&to_bytes(datagram)) {
+        Ok(destination) => format!("destination {}", destination.0),
+        Err(problem) => format!("not used: {problem}"),
+    }
+}
+
+fn encoded(destination: &str) -> String {
+    to_hex(&encode(DestinationId(destination.parse().expect("a destination"))))
+}
+
+#[test]
+fn datagrams_are_written_and_read_as_recorded() {
+    let mut compared = 0;
+    for line in GOLDEN.lines().filter(|line| !line.is_empty() && !line.starts_with('#')) {
+        let (operation, rest) = line.split_once(' ').expect("an operation");
+        let (input, expected) = rest.split_once(" -> ").expect("an input and what it gives");
+        let actual = match operation {
+            "write" => encoded(input),
+            "read" => decoded(input),
+            other => panic!("{other} is no operation"),
+        };
+        assert_eq!(actual, expected, "{line}");
+        compared += 1;
+    }
+    assert!(compared > 20, "{compared} datagrams");
+}
