--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -138,5 +138,7 @@
     })
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
