--- a/crates/forwarder/src/clients.rs
+++ b/crates/forwarder/src/clients.rs
@@ -430,5 +430,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/forwarder/src/clients/golden_tests.rs
@@ -0,0 +1,122 @@
+//! Proves that the bytes between clients and the forwarder stay the same: each recorded request is written to a real
+//! connection, the submission decoded from it and the bytes of the answer are compared with the recorded ones.
+
+use super::*;
+use crate::golden_cases::{text, GoldenCases};
+use serde_json::{json, Value};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+
+/// Two delivery classes: `record` may be repeated, `notice` needs an idempotency key.
+fn service(submissions: mpsc::Sender<HandIn>) -> Door {
+    let texts = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
+    let names = Names {
+        profiles: texts(&["record", "notice"]),
+        tenants: texts(&["plain", "campus"]),
+        zones: texts(&["a", "b"]),
+        kinds: texts(&["m1", "m2"]),
+        reports: texts(&["x0", "x1"]),
+    };
+    let record = ProfileConfig { effect: Effect::Retriable, expiry: 12_000_000, ..ProfileConfig::default() };
+    let keyed = Effect::Fingerprinted { group: opalpulley::RepeatGroup::All, window: 15_000_000 };
+    let notice = ProfileConfig { effect: keyed, expiry: 28_000_000, ..ProfileConfig::default() };
+    let config = Config { profiles: vec![record, notice], ..Config::default() };
+    Door::new(names, &config, submissions, Logger::root(slog::Discard, slog::o!()))
+}
+
+/// Serves the one connection that comes to this listener.
+async fn serve_one(listener: TcpListener, service: Door) {
+    let (stream, _) = listener.accept().await.expect("a client");
+    let presence = Arc::new(Presence::new(Arc::default()));
+    serve(stream, Desk { door: Arc::new(service), presence, crowded: false }).await;
+}
+
+fn verdict(input: &Value) -> Answer {
+    let come_back = input["retry_after_us"].as_u64();
+    match input["verdict"].as_str().unwrap_or("accepted") {
+        "accepted" => Answer::Taken,
+        "rejected" => Answer::Deferred { come_back },
+        "failed" => Answer::WrittenOff,
+        "no room" => Answer::NoRoom,
+        "other content" => Answer::OtherContent,
+        "destination not listed" => Answer::Unlisted,
+        other => panic!("{other} is no verdict"),
+    }
+}
+
+fn render_submission(handed: &crate::protocol::Handed) -> Value {
+    json!({
+        "request id": handed.request_id,
+        "class": handed.profile.0,
+        "tenant": handed.tenant.map(|tenant| tenant.0),
+        "destination": handed.destination.0,
+        "time left us": handed.left,
+        "idempotency key": handed.mark,
+        "order key": handed.key.map(|key| format!("{key:016x}")),
+        "repeated by client": handed.again,
+        "from a forwarder that died": handed.orphan,
+        "body": text(&handed.body),
+    })
+}
+
+/// The bytes of an answer as text, with the time of day in its `date` header left out.
+fn without_date(answer: &[u8]) -> String {
+    let answer = std::str::from_utf8(answer).expect("an answer is text");
+    let lines = answer.split_inclusive("\r\n");
+    lines.map(|line| if line.starts_with("date: ") { "date: DATE\r\n" } else { line }).collect()
+}
+
+/// The bytes of the answer that comes, to the last one that its head announces.
+async fn read_answer(client: &mut TcpStream) -> Vec<u8> {
+    let mut answer = Vec::new();
+    loop {
+        let text = String::from_utf8_lossy(&answer).into_owned();
+        if let Some(head) = text.find("\r\n\r\n") {
+            let length = text[..head].lines().find_map(|line| line.strip_prefix("content-length: "));
+            let length: usize = length.expect("an announced length").parse().expect("a length");
+            if answer.len() >= head + 4 + length {
+                return answer;
+            }
+        }
+        let read = tokio::time::timeout(Duration::from_secs(10), client.read_buf(&mut answer)).await;
+        assert_ne!(read.expect("in time").expect("readable"), 0, "the answer is cut off: {text}");
+    }
+}
+
+/// The submission decoded from a request, if one was, and the bytes of the answer.
+async fn exchange(input: &Value) -> Value {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("its address");
+    let (sender, mut submissions) = mpsc::channel::<HandIn>(1);
+    let service = service(sender);
+    service.ready.store(input["not ready"] != true, Ordering::Relaxed);
+    service.closing.store(input["closing"] == true, Ordering::Relaxed);
+    tokio::spawn(serve_one(listener, service));
+    let verdict = verdict(input);
+    let decode = tokio::spawn(async move {
+        let submission = submissions.recv().await?;
+        let rendered = render_submission(&submission.handed);
+        submission.answer.send(verdict).expect("it is awaited");
+        Some(rendered)
+    });
+    let mut client = TcpStream::connect(address).await.expect("a connection");
+    let request = input["request"].as_str().expect("a request");
+    // A server that has seen enough may close while the rest is written.
+    let _ = client.write_all(request.as_bytes()).await;
+    if input["client closes its side"] == true {
+        client.shutdown().await.expect("the end is written");
+    }
+    let answer = read_answer(&mut client).await;
+    // The end of the connection ends the service, and with it the wait for a submission.
+    drop(client);
+    let decoded = decode.await.expect("it ends");
+    json!({ "submission": decoded, "answer": without_date(&answer) })
+}
+
+#[tokio::test]
+async fn each_submission_is_decoded_and_answered_as_recorded() {
+    let mut golden = GoldenCases::read("submissions.json");
+    for input in golden.inputs() {
+        golden.compare_next(exchange(&input).await);
+    }
+    golden.finish();
+}
--- a/crates/forwarder/src/completion_reports.rs
+++ b/crates/forwarder/src/completion_reports.rs
@@ -90,3 +90,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod golden_tests;
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -5,6 +5,8 @@
 mod clock;
 mod completion_reports;
 mod dispatcher;
+#[cfg(test)]
+mod golden_cases;
 mod gossip_socket;
 mod journal;
 mod link;
--- a/crates/forwarder/src/list.rs
+++ b/crates/forwarder/src/list.rs
@@ -219,5 +219,7 @@
 
 mod held;
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/forwarder/src/startup_config.rs
+++ b/crates/forwarder/src/startup_config.rs
@@ -178,5 +178,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/forwarder/src/targets.rs
+++ b/crates/forwarder/src/targets.rs
@@ -495,5 +495,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/forwarder/src/targets/golden_tests.rs
@@ -0,0 +1,154 @@
+//! Proves that the bytes between the forwarder and endpoints stay the same: calls and health checks as they go on a real
+//! connection, and what each recorded answer is decoded to.
+
+use super::*;
+use crate::golden_cases::{text, GoldenCases};
+use bytes::Bytes;
+use serde_json::{json, Value};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
+
+const WITHIN: Duration = Duration::from_secs(10);
+
+/// An endpoint's actor, the listener of its endpoint and the events that it gives.
+struct Fixture {
+    listener: TcpListener,
+    mailbox: mpsc::Sender<TargetNote>,
+    events: mpsc::Receiver<Note>,
+}
+
+async fn fixture() -> Fixture {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let port = listener.local_addr().expect("its address").port();
+    let (dispatcher, events) = mpsc::channel(16);
+    let (mailbox, commands) = mpsc::channel(16);
+    let names = Names {
+        profiles: Vec::new(),
+        tenants: Vec::new(),
+        zones: Vec::new(),
+        kinds: Vec::new(),
+        reports: vec!["x0".into(), "x1".into()],
+    };
+    let context = TargetContext {
+        config: ConnectionConfig { idle_closed_after: 5_000_000, connect_within: 5_000_000 },
+        names,
+        idle: Arc::new(Semaphore::new(4)),
+        dispatcher,
+        log: Logger::root(slog::Discard, slog::o!()),
+    };
+    let id = TargetId { address: [127, 0, 0, 1], port, holder: 0 };
+    tokio::spawn(Target::new(id, Arc::new(context)).run(commands));
+    Fixture { listener, mailbox, events }
+}
+
+/// The command for a call or, without a request id, for a health check.
+fn command(input: &Value) -> TargetNote {
+    let Some(request_id) = input["request id"].as_str() else { return TargetNote::Probe };
+    let call = Call {
+        id: PacketId(1),
+        trip: 0,
+        request_id: request_id.to_owned(),
+        mark: input["idempotency key"].as_str().map(str::to_owned),
+        body: Bytes::from(input["body"].as_str().expect("a body").to_owned()),
+        limit: Duration::from_micros(input["attempt timeout us"].as_u64().expect("a timeout")),
+        begin_by: Instant::now() + WITHIN,
+    };
+    TargetNote::Call(Box::new(call))
+}
+
+fn render_outcome(outcome: Outcome) -> Value {
+    match outcome {
+        Outcome::Delivered => json!("delivered"),
+        Outcome::Error => json!("error"),
+        Outcome::Full { wait } => json!({ "rejected, retry-after us": wait }),
+        Outcome::Timeout => json!("timeout"),
+        Outcome::NoConnection => json!("no connection"),
+        Outcome::Reset => json!("reset"),
+        Outcome::CalledOff => json!("cancelled"),
+        Outcome::TakenBack => json!("withdrawn before send"),
+        Outcome::Moot { no_slot } => json!({ "not attempted, no permit": no_slot }),
+    }
+}
+
+fn render_event(note: Note) -> (Value, bool) {
+    match note {
+        Note::Event(Event::TripEnded { outcome, closed, report, .. }) => (
+            json!({ "attempt ended": render_outcome(outcome), "message over": closed, "report": report }),
+            true,
+        ),
+        Note::Event(Event::ProbeAnswered { outcome, report, .. }) => {
+            (json!({ "health check ended": render_outcome(outcome), "report": report }), true)
+        }
+        Note::Event(Event::WaitTold { wait, .. }) => (json!({ "retry-after us": wait }), false),
+        _ => panic!("another event"),
+    }
+}
+
+/// The bytes of the request that comes: its head and the body that the head announces.
+async fn read_request(stream: &mut TcpStream) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    loop {
+        let request = String::from_utf8_lossy(&bytes).into_owned();
+        if let Some(head) = request.find("\r\n\r\n") {
+            let length = request[..head].lines().find_map(|line| line.strip_prefix("content-length: "));
+            let length: usize = length.map_or(0, |length| length.parse().expect("a length"));
+            if bytes.len() >= head + 4 + length {
+                return bytes;
+            }
+        }
+        let read = tokio::time::timeout(WITHIN, stream.read_buf(&mut bytes)).await;
+        assert_ne!(read.expect("in time").expect("readable"), 0, "the request is cut off");
+    }
+}
+
+/// The bytes of the request, with the port of this run left out.
+async fn sent(input: &Value) -> Value {
+    let Fixture { listener, mailbox, .. } = fixture().await;
+    mailbox.send(command(input)).await.expect("the actor runs");
+    let (mut stream, address) = listener.accept().await.expect("a connection");
+    assert!(address.ip().is_loopback());
+    let port = listener.local_addr().expect("its address").port();
+    let request = String::from_utf8(read_request(&mut stream).await).expect("the recorded requests are text");
+    text(request.replace(&format!("127.0.0.1:{port}"), "127.0.0.1:PORT").as_bytes())
+}
+
+/// The events for one answer, up to the outcome.
+async fn decoded(input: &Value) -> Value {
+    let Fixture { listener, mailbox, mut events } = fixture().await;
+    let call = json!({ "request id": "a", "body": "", "attempt timeout us": 10_000_000 });
+    let command = command(if input["to"] == "health check" { &Value::Null } else { &call });
+    mailbox.send(command).await.expect("the actor runs");
+    let (mut stream, _) = listener.accept().await.expect("a connection");
+    read_request(&mut stream).await;
+    stream.write_all(input["answer"].as_str().expect("an answer").as_bytes()).await.expect("written");
+    if input["then closes"] == true {
+        drop(stream);
+    }
+    let mut rendered = Vec::new();
+    loop {
+        let event = tokio::time::timeout(WITHIN, events.recv()).await.expect("in time").expect("an event");
+        let (event, last) = render_event(event);
+        rendered.push(event);
+        if last {
+            return Value::from(rendered);
+        }
+    }
+}
+
+#[tokio::test]
+async fn calls_and_health_checks_go_out_as_recorded() {
+    let mut golden = GoldenCases::read("endpoint-requests.json");
+    for input in golden.inputs() {
+        golden.compare_next(sent(&input).await);
+    }
+    golden.finish();
+}
+
+#[tokio::test]
+async fn answers_of_endpoints_are_decoded_as_recorded() {
+    let mut golden = GoldenCases::read("endpoint-answers.json");
+    for input in golden.inputs() {
+        golden.compare_next(decoded(&input).await);
+    }
+    golden.finish();
+}
