--- a/crates/forwarder/src/journal.rs
+++ b/crates/forwarder/src/journal.rs
@@ -415,5 +415,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/forwarder/src/journal/golden_tests.rs
@@ -0,0 +1,183 @@
+//! Proves that stored data outlives a change of the program: the folders under `tests/golden/` were written before it. They
+//! are read as the same messages, attempts and pending completion reports, and the same operations write the same bytes.
+//!
+//! `state-by-operations` holds what the operations below write. `state-by-program` was left by the whole program as it was
+//! killed at work: one message was delivered, others were out at endpoints that did not answer, waited behind a 429, for
+//! their key's turn or for a connection to an endpoint that then drained, and one completion report was not acknowledged.
+
+use super::*;
+use crate::golden_cases::{text, GoldenCases};
+use serde_json::{json, Value};
+use tempfile::TempDir;
+
+const LIMIT: u64 = 300_000;
+const FAR: Micros = 4_102_444_800_000_000; // Unix µs, in the year 2100: no message of the folder is past its deadline
+
+fn render_ending(ending: Ending) -> Value {
+    match ending {
+        Ending::WrittenOff => json!("failed"),
+        Ending::Deferred { come_back } => json!({ "rejected, retry-after us": come_back }),
+    }
+}
+
+fn render_message(kept: &Kept) -> Value {
+    json!({
+        "serial": kept.serial,
+        "request id": kept.request_id,
+        "class": kept.profile,
+        "tenant": kept.tenant,
+        "destination": kept.destination,
+        "deadline unix us": kept.expires,
+        "idempotency key": kept.mark,
+        "repeated by client": kept.again,
+        "from a forwarder that died": kept.orphan,
+        "body": text(&kept.body),
+        "order key": kept.key,
+        "attempts": kept.trips,
+        "earliest attempt that may have run (started at us, zone)": kept.exposed,
+        "attempts without outcome (number, started at us, zone)": kept.out,
+        "pending completion report": kept.pending_report.map(render_ending),
+    })
+}
+
+/// The files of a folder under `tests/golden/`, copied to a folder of its own.
+fn copy_of(folder: &str) -> TempDir {
+    let copy = TempDir::new().expect("a folder");
+    for file in fs::read_dir(crate::golden_cases::path(folder)).expect("the stored folder") {
+        let file = file.expect("a file");
+        fs::copy(file.path(), copy.path().join(file.file_name())).expect("copied");
+    }
+    copy
+}
+
+/// Each file's name and bytes.
+fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
+    let files = fs::read_dir(folder).expect("a folder").map(|file| {
+        let file = file.expect("a file");
+        let bytes = fs::read(file.path()).expect("its bytes");
+        (file.file_name().into_string().expect("a name"), bytes)
+    });
+    files.collect()
+}
+
+fn message(request_id: &str, destination: u32) -> Kept {
+    Kept {
+        serial: 0,
+        request_id: request_id.to_owned(),
+        profile: 0,
+        tenant: None,
+        destination,
+        expires: FAR,
+        mark: Some(format!("key-of-{request_id}")),
+        again: false,
+        orphan: false,
+        body: Bytes::from(format!("body of {request_id}")),
+        key: None,
+        trips: 0,
+        exposed: None,
+        out: Vec::new(),
+        pending_report: None,
+    }
+}
+
+/// The operations that wrote `tests/golden/state-by-operations`, in two runs of which the second begins a segment.
+fn write_stored_messages(folder: &Path) -> io::Result<()> {
+    let (mut journal, _) = Journal::open(folder, LIMIT)?;
+    journal.accept(message("waiting", 7))?;
+    journal.accept(Kept {
+        tenant: Some(2),
+        mark: None,
+        again: true,
+        orphan: true,
+        ..message("waiting-every-flag", 65_535)
+    })?;
+    journal.accept(message("waiting-wide", 70_000))?;
+    journal.accept(Kept { key: Some(0x000b_832b_68ec_333d), ..message("keyed-first", 7) })?;
+    journal.accept(Kept { key: Some(0x000b_832b_68ec_333d), ..message("keyed-second", 7) })?;
+    journal.accept(Kept { key: Some(1), ..message("keyed-wide", 4_294_967_295) })?;
+    let begun = journal.accept(message("attempt-begun", 7))?;
+    journal.trip_started(begun, 0, 1_700_000_000_000_000, 0)?;
+    let begun_wide = journal.accept(message("attempt-begun-wide", 70_000))?;
+    journal.trip_started(begun_wide, 0, 1_700_000_000_100_000, 3)?;
+    let refused = journal.accept(message("attempts-that-never-ran", 7))?;
+    journal.trip_started(refused, 0, 1_700_000_000_200_000, 0)?;
+    journal.trip_ended(refused, 0, false)?;
+    journal.trip_started(refused, 1, 1_700_000_000_300_000, 0)?;
+    journal.trip_ended(refused, 1, false)?;
+    let ran = journal.accept(message("attempts-that-may-have-run", 7))?;
+    journal.trip_started(ran, 0, 1_700_000_000_400_000, 1)?;
+    journal.trip_ended(ran, 0, true)?;
+    journal.trip_started(ran, 1, 1_700_000_000_500_000, 0)?;
+    journal.trip_ended(ran, 1, true)?;
+    journal.trip_started(ran, 2, 1_700_000_000_600_000, 0)?;
+    let withdrawn = journal.accept(message("withdrawn-before-send", 7))?;
+    journal.trip_started(withdrawn, 0, 1_700_000_000_700_000, 0)?;
+    journal.trip_ended(withdrawn, 0, true)?;
+    journal.trip_started(withdrawn, 1, 1_700_000_000_800_000, 0)?;
+    journal.trip_taken_back(withdrawn, 1)?;
+    let over = journal.accept(message("over", 7))?;
+    journal.trip_started(over, 0, 1_700_000_000_900_000, 0)?;
+    journal.trip_ended(over, 0, true)?;
+    journal.ended(over)?;
+    let over_wide = journal.accept(message("over-wide", 70_000))?;
+    journal.ended(over_wide)?;
+    drop(journal);
+
+    let (mut journal, _) = Journal::open(folder, LIMIT)?;
+    let failed = journal.accept(message("report-failed", 7))?;
+    journal.owes(failed, Ending::WrittenOff)?;
+    let rejected = journal.accept(message("report-rejected", 7))?;
+    journal.owes(rejected, Ending::Deferred { come_back: None })?;
+    let told_when = journal.accept(message("report-rejected-with-retry-after", 70_000))?;
+    journal.owes(told_when, Ending::Deferred { come_back: Some(499_001) })?;
+    let keyed = journal.accept(Kept { key: Some(2), ..message("report-keyed", 7) })?;
+    journal.trip_started(keyed, 0, 1_700_000_001_000_000, 0)?;
+    journal.trip_ended(keyed, 0, true)?;
+    journal.owes(keyed, Ending::WrittenOff)?;
+    let acknowledged = journal.accept(message("report-acknowledged", 7))?;
+    journal.owes(acknowledged, Ending::WrittenOff)?;
+    journal.ended(acknowledged)?;
+    journal.trip_started(begun, 1, 1_700_000_001_100_000, 2)
+}
+
+#[test]
+fn stored_messages_attempts_and_pending_reports_are_taken_over() {
+    let mut golden = GoldenCases::read("stored-messages.json");
+    for input in golden.inputs() {
+        let folder = copy_of(input["folder"].as_str().expect("a folder"));
+        let (journal, messages) = Journal::open(folder.path(), LIMIT).expect("the journal opens");
+        golden.compare_next(messages.iter().map(render_message).collect());
+        drop(journal);
+        let (_, again) = Journal::open(folder.path(), LIMIT).expect("the journal opens again");
+        assert_eq!(again, messages, "what was taken over is there at the next start");
+    }
+    golden.finish();
+}
+
+#[test]
+fn the_same_operations_write_the_same_bytes() {
+    let folder = TempDir::new().expect("a folder");
+    write_stored_messages(folder.path()).expect("written");
+    assert_eq!(files(folder.path()), files(&crate::golden_cases::path("state-by-operations")));
+}
+
+/// Freeing a segment writes the messages that still live in it anew: those copies have the same bytes too.
+#[test]
+fn messages_copied_as_a_segment_is_freed_have_the_same_bytes() {
+    let folder = copy_of("state-by-operations");
+    let (mut journal, messages) = Journal::open(folder.path(), LIMIT).expect("the journal opens");
+    let mut filled = 0;
+    while path(folder.path(), 0).exists() {
+        assert!(filled < 100, "the oldest segment is freed");
+        filled += 1;
+        let serial = journal.accept(Kept { body: Bytes::from(vec![b'x'; 9_000]), ..message("fill", 7) });
+        journal.ended(serial.expect("room")).expect("room");
+    }
+    drop(journal);
+    let (_, after) = Journal::open(folder.path(), LIMIT).expect("the journal opens again");
+    assert_eq!(after, messages);
+    let all: Vec<u8> = files(folder.path()).into_values().flatten().collect();
+    let recorded = fs::read_to_string(crate::golden_cases::path("copied-segment.crc32")).expect("recorded");
+    // Messages until the segment was freed, bytes of all segments, their checksum.
+    assert_eq!(format!("{filled} {} {:08x}\n", all.len(), crc32fast::hash(&all)), recorded);
+}
