--- /dev/null
+++ b/crates/config/tests/golden.rs
@@ -0,0 +1,133 @@
+//! Proves that start objects are read as before: each recorded text gives the same configuration, field by field, or the
+//! same words about what is wrong.
+
+use opalpulley::{
+    DeduplicationScope, DeliveryClassConfig, DeliverySemantics, ListedRates, OrderRelease,
+    PriorityDecay,
+};
+use opalpulley_config::ForwarderSettings;
+use serde_json::{json, Value};
+use std::path::PathBuf;
+
+fn golden_file() -> PathBuf {
+    [
+        env!("CARGO_MANIFEST_DIR"),
+        "tests",
+        "golden",
+        "start-objects.json",
+    ]
+    .iter()
+    .collect()
+}
+
+fn render_class(class: &DeliveryClassConfig) -> Value {
+    let repeats = match class.semantics {
+        DeliverySemantics::Idempotent => json!("idempotent"),
+        DeliverySemantics::AtMostOnce => json!("at most once"),
+        DeliverySemantics::IdempotencyKeyed {
+            scope: group,
+            window,
+        } => {
+            let group = match group {
+                DeduplicationScope::AllEndpoints => "all endpoints",
+                DeduplicationScope::Zone => "one zone",
+                DeduplicationScope::Destination => "one destination",
+            };
+            json!({ "idempotency keyed, known to": group, "for us": window })
+        }
+    };
+    json!({
+        "repeats": repeats,
+        "latency objective us": class.latency_objective,
+        "deadline us": class.time_to_live,
+        "priority weight": class.priority_weight,
+        "late share": class.late_weight_share,
+        "keeps order": class.ordered,
+    })
+}
+
+fn render(start: &ForwarderSettings) -> Value {
+    let config = &start.config;
+    let rules = &config.rules;
+    let ends = match config.order_release {
+        OrderRelease::OnDecision => "at once",
+        OrderRelease::OnAcknowledgement => "when acknowledged",
+    };
+    let listed_rates = match config.listed_rates {
+        ListedRates::Unlisted => "none",
+        ListedRates::Nominal => "nominal",
+        ListedRates::Approximate => "rough",
+    };
+    let fading = match config.priority_decay {
+        PriorityDecay::Linear => "evenly",
+        PriorityDecay::Exponential => "by half",
+    };
+    let kinds = config.endpoint_kinds.iter();
+    let kinds = kinds.map(
+        |kind| json!({ "routes apart": kind.independent_limits, "messages a call": kind.batch_size }),
+    );
+    json!({
+        "number of the forwarder": config.forwarder,
+        "forwarders": config.fleet_size,
+        "concurrency permits": config.concurrency_limit,
+        "messages held": config.message_capacity,
+        "attempts": config.max_attempts,
+        "ends count": ends,
+        "may check health": config.may_health_check,
+        "may cancel": config.may_cancel,
+        "may say retry-after": config.may_send_retry_after,
+        "may gossip": config.may_gossip,
+        "longest retry-after us": config.max_retry_after,
+        "rates of the list": listed_rates,
+        "worth falls": fading,
+        "priority weight over the share": config.over_quota_weight,
+        "classes": config.classes.iter().map(render_class).collect::<Vec<_>>(),
+        "quotas of tenants": config.tenants.iter().map(|tenant| tenant.quota).collect::<Vec<_>>(),
+        "kinds": kinds.collect::<Vec<_>>(),
+        "fees of zones": config.zone_costs,
+        "list is asked for within us": config.poll_interval,
+        "list counts as told within us": config.notified_within,
+        "answer slack us": rules.answer_slack,
+        "drain grace us": rules.drain_grace,
+        "cold from": rules.cold_capacity_share,
+        "warm after us": rules.warm_up_time,
+        "fall multiple": rules.overload_multiple,
+        "overload for us": rules.overload_window,
+        "order pause us": rules.order_settle_time,
+        "shortest round us": config.scheduling_interval,
+        "destinations in full": config.full_destinations,
+        "names of classes": start.names.classes,
+        "names of tenants": start.names.tenants,
+        "names of zones": start.names.zones,
+        "names of kinds": start.names.endpoint_kinds,
+        "names of report values": start.names.reports,
+        "idle connections closed after us": start.connections.idle_closed_after,
+        "connections up within us": start.connections.connect_within,
+    })
+}
+
+fn read(text: &str) -> Value {
+    match opalpulley_config::read(text.as_bytes()) {
+        Ok(start) => render(&start),
+        Err(problem) => json!({ "wrong": problem }),
+    }
+}
+
+#[test]
+fn start_objects_are_read_as_recorded() {
+    let text = std::fs::read(golden_file()).expect("the golden file is readable");
+    let cases: Vec<Value> =
+        serde_json::from_slice(&text).expect("the golden file is a list of cases");
+    let mut differences = Vec::new();
+    for case in &cases {
+        let actual = read(case["input"].as_str().expect("a text"));
+        if case["expected"] != actual {
+            differences.push(format!(
+                "{}\nexpected {}\nactual   {actual}",
+                case["name"], case["expected"]
+            ));
+        }
+    }
+    assert!(!cases.is_empty(), "there are cases");
+    assert!(differences.is_empty(), "{}", differences.join("\n\n"));
+}
--- a/crates/forwarder/src/clients.rs
+++ b/crates/forwarder/src/clients.rs
@@ -507,5 +507,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/forwarder/src/completion_reports.rs
+++ b/crates/forwarder/src/completion_reports.rs
@@ -112,3 +112,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod golden_tests;
--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -681,6 +681,7 @@
                 }
             }
             Action::Log(event) => log_event(&self.log, &event),
+            Action::LogError(text) => error!(self.log, "{}", text),
         }
     }
 
--- a/crates/forwarder/src/endpoint_list.rs
+++ b/crates/forwarder/src/endpoint_list.rs
@@ -258,5 +258,7 @@
 
 mod table;
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/forwarder/src/journal.rs
+++ b/crates/forwarder/src/journal.rs
@@ -478,5 +478,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -8,6 +8,8 @@
 mod dispatcher;
 mod endpoint_list;
 mod endpoints;
+#[cfg(test)]
+mod golden_cases;
 mod gossip_socket;
 mod http_connection;
 mod journal;
--- a/crates/forwarder/src/startup_config.rs
+++ b/crates/forwarder/src/startup_config.rs
@@ -215,5 +215,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/lab/src/capacity/fleet/hollow.rs
+++ b/crates/lab/src/capacity/fleet/hollow.rs
@@ -340,6 +340,7 @@
                     },
                 ));
             }
+            Action::LogError(_) => self.counts.faults += 1,
             // A call goes whole as it is sent, and discovery holds a watch open for each forwarder.
             Action::WithdrawUnsent { .. }
             | Action::CloseIdleConnections { .. }
--- a/crates/lab/src/sim/stations.rs
+++ b/crates/lab/src/sim/stations.rs
@@ -278,7 +278,10 @@
                     );
                 }
             }
-            Action::WatchEndpointList { .. } | Action::FetchEndpointList | Action::Log(_) => {}
+            Action::WatchEndpointList { .. }
+            | Action::FetchEndpointList
+            | Action::Log(_)
+            | Action::LogError(_) => {}
         }
     }
 
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -366,6 +366,10 @@
                 put_bytes("Notify", &mut fields, message)?;
                 65
             }
+            Action::LogError(text) => {
+                put_bytes("Fatal", &mut fields, text.as_bytes())?;
+                71
+            }
             Action::Log(event) => return self.push_log_line(instance, &event.to_string()),
         };
         self.push_record(code, &fields)
--- a/src/model/action.rs
+++ b/src/model/action.rs
@@ -77,6 +77,8 @@
     },
     /// Writes a line to the log.
     Log(LogEvent),
+    /// Writes an error to the log: something that must never happen.
+    LogError(String),
 }
 
 /// What the core wants in the log.
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -113,3 +113,6 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+mod golden_tests;
