--- a/src/forwarder.rs
+++ b/src/forwarder.rs
@@ -43,6 +43,12 @@
     key: Option<OrderKey>,
 }
 
+/// The tables of the parts.
+struct PartTables<'a> {
+    destinations: &'a mut BTreeMap<DestinationId, Destination>,
+    endpoints: &'a mut BTreeMap<EndpointId, Endpoint>,
+}
+
 /// One forwarder: every decision on messages, destinations and endpoints.
 pub struct Forwarder {
     config: Config,
@@ -145,13 +151,13 @@
     fn settle(&mut self, now: Micros, actions: &mut Vec<Action>) {
         loop {
             if let Some((id, message)) = self.mailboxes.endpoints.pop_front() {
-                let (endpoints, mut context) = self.split_endpoints(now);
-                if let Some(endpoint) = endpoints.get_mut(&id) {
+                let (tables, mut context) = self.split(now);
+                if let Some(endpoint) = tables.endpoints.get_mut(&id) {
                     endpoint.handle(message, &mut context);
                 }
             } else if let Some((id, message)) = self.mailboxes.destinations.pop_front() {
-                let (destinations, mut context) = self.split_destinations(now);
-                if let Some(destination) = destinations.get_mut(&id) {
+                let (tables, mut context) = self.split(now);
+                if let Some(destination) = tables.destinations.get_mut(&id) {
                     destination.handle(message, &mut context);
                 }
             } else if let Some(message) = self.mailboxes.forwarder.pop_front() {
@@ -162,30 +168,12 @@
         }
     }
 
-    /// The endpoints, and beside them what they see of the forwarder.
-    fn split_endpoints(
-        &mut self,
-        now: Micros,
-    ) -> (&mut BTreeMap<EndpointId, Endpoint>, DecisionContext<'_>) {
-        let context = DecisionContext {
-            now,
-            config: &self.config,
-            rng: &mut self.rng,
-            mailboxes: &mut self.mailboxes,
-            are_connections_scarce: self.connection_scarcity.is_scarce(),
-            latency: &self.latency,
+    /// The tables of the parts, and beside them what the parts see of the forwarder.
+    fn split(&mut self, now: Micros) -> (PartTables<'_>, DecisionContext<'_>) {
+        let tables = PartTables {
+            destinations: &mut self.destinations,
+            endpoints: &mut self.endpoints,
         };
-        (&mut self.endpoints, context)
-    }
-
-    /// The destinations, and beside them what they see of the forwarder.
-    fn split_destinations(
-        &mut self,
-        now: Micros,
-    ) -> (
-        &mut BTreeMap<DestinationId, Destination>,
-        DecisionContext<'_>,
-    ) {
         let context = DecisionContext {
             now,
             config: &self.config,
@@ -194,7 +182,7 @@
             are_connections_scarce: self.connection_scarcity.is_scarce(),
             latency: &self.latency,
         };
-        (&mut self.destinations, context)
+        (tables, context)
     }
 
     /// How many destinations and endpoints are held in full and as summaries.
--- a/src/forwarder/events.rs
+++ b/src/forwarder/events.rs
@@ -11,7 +11,7 @@
 use crate::policy::ordering::QueuedMessage;
 
 impl Forwarder {
-    /// Applies one event; messages to the parts carry the rest.
+    /// Applies one event; messages to the parts carry the rest. Long, for it has an arm an event.
     pub(super) fn apply(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList(update) => self.apply_list(now, update, actions),
--- a/src/forwarder/idle_destinations.rs
+++ b/src/forwarder/idle_destinations.rs
@@ -91,8 +91,8 @@
             let cost = self.cost_in(zone, has_independent_limits);
             let limit = has_independent_limits.then_some(*id);
             let capacity = destination.pacers.get(&limit).map_or(0.0, |p| p.capacity);
-            let (endpoints, context) = self.split_endpoints(now);
-            if let Some(endpoint) = endpoints.get_mut(id) {
+            let (tables, context) = self.split(now);
+            if let Some(endpoint) = tables.endpoints.get_mut(id) {
                 endpoint.capacity = capacity / sharing;
                 endpoint.snapshot.cost = cost;
                 endpoint.update_snapshot(&context);
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -70,8 +70,8 @@
     ) -> Option<DestinationId> {
         match message::decode(payload) {
             Ok(destination) => {
-                let is_news = is_known(destination) && self.record_announcement(now, destination);
-                is_news.then_some(destination)
+                let is_new = is_known(destination) && self.record_announcement(now, destination);
+                is_new.then_some(destination)
             }
             Err(error) => {
                 self.log_unreadable(now, from, error, actions);
