--- a/src/queue.rs
+++ b/src/queue.rs
@@ -16,6 +16,9 @@
 /// Messages of a group up to which comparing all is cheaper than finding the ends of its pieces.
 const SMALL_GROUP: usize = 16;
 
+/// Turning points at four lookaheads: four each, and the times beside each.
+const MAX_TURNING_POINTS: usize = 4 * 4 * 3;
+
 /// What the messages of one group have in common.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageGroup {
@@ -204,7 +207,7 @@
 
 /// The last due times of the pieces within the range, in ascending order, but for that of the last piece, `to`.
 fn piece_ends_within(turning_points: Vec<i64>, from: Micros, to: Micros) -> Vec<Micros> {
-    let mut ends = Vec::new();
+    let mut ends = Vec::with_capacity(turning_points.len());
     for point in turning_points {
         match u64::try_from(point) {
             Ok(point) if (from..to).contains(&point) => ends.push(point),
@@ -266,7 +269,7 @@
         lookaheads: [f64; 4],
         fade: f64,
     ) -> Vec<i64> {
-        let mut points = Vec::new();
+        let mut points = Vec::with_capacity(MAX_TURNING_POINTS);
         for lookahead in lookaheads {
             let answered = now + lookahead + answer_time;
             let turns = [
