--- /dev/null
+++ b/crates/forwarder/src/dispatcher/attempts.rs
@@ -0,0 +1,149 @@
+//! Attempts: journalled before they are sent, and journalled again once their outcome is known.
+
+use super::in_flight::{InFlightMessage, OutstandingAttempt};
+use super::Dispatcher;
+use crate::commands::{AttemptRequest, EndpointCommand};
+use opalpulley::{EndpointId, Event, MessageId, Micros, Outcome};
+use slog::error;
+use std::time::Duration;
+use tokio::time::Instant;
+
+impl Dispatcher {
+    /// Journals the next attempt at a message and hands it to the endpoint's actor. Where either fails, the core gets
+    /// the outcome [`Outcome::NotAttempted`]. Times are in µs.
+    pub(super) fn start_attempt(
+        &mut self,
+        now: Micros,
+        id: MessageId,
+        endpoint: EndpointId,
+        timeout: Option<Micros>,
+        send_by: Micros,
+    ) {
+        let zone = self.listed.get(&endpoint).map_or(0, |listed| listed.zone.0);
+        let send_by = self.clock.at(send_by);
+        let Some(message) = self.in_flight.get_unanswered(id) else {
+            error!(self.log, "the core sent a message that is over"; "message" => id.0);
+            return;
+        };
+        let time_left = message.deadline.saturating_sub(now);
+        let timeout = timeout.map_or(time_left, |timeout| timeout.min(time_left));
+        let attempt = message.count_attempt();
+        let request = attempt_request(id, attempt, message, timeout, send_by);
+        let serial = message.serial;
+        let out = OutstandingAttempt { attempt, endpoint };
+        let journalled = self.journal.attempt_started(serial, attempt, now, zone);
+        if journalled.is_err() {
+            self.log_journal_error(journalled);
+            self.queue_not_attempted(id, out);
+            return;
+        }
+        if self.post(endpoint, EndpointCommand::StartAttempt(Box::new(request))) {
+            self.attempt_is_out(id, out);
+            return;
+        }
+        let ended = self.journal.attempt_ended(serial, attempt, false);
+        self.log_journal_error(ended);
+        self.queue_not_attempted(id, out);
+    }
+
+    fn attempt_is_out(&mut self, id: MessageId, attempt: OutstandingAttempt) {
+        self.endpoint_actors.attempt_started(attempt.endpoint);
+        if let Some(message) = self.in_flight.get_mut(id) {
+            message.attempts_out.push(attempt);
+        }
+    }
+
+    /// Queues the end of an attempt of which nothing was sent.
+    fn queue_not_attempted(&mut self, id: MessageId, attempt: OutstandingAttempt) {
+        self.queued_events.push_back(Event::AttemptEnded {
+            id,
+            attempt: attempt.attempt,
+            endpoint: attempt.endpoint,
+            outcome: Outcome::NotAttempted { no_permit: false },
+            took: 0,
+            completed: false,
+            report: Vec::new(),
+        });
+    }
+
+    /// Asks the endpoint's actor to end an attempt, if it is out.
+    pub(super) fn cancel_attempt(&mut self, id: MessageId, attempt: u8) {
+        if let Some(endpoint) = self.in_flight.endpoint_of(id, attempt) {
+            self.post(endpoint, EndpointCommand::Cancel { id, attempt });
+        }
+    }
+
+    /// Where the event is the end of an attempt, records it before the core gets it. A delivery that comes after the
+    /// message's deadline does not complete it: the message still needs its final answer.
+    pub(super) fn record_attempt_end(&mut self, event: &mut Event) {
+        let Event::AttemptEnded {
+            id,
+            attempt,
+            endpoint,
+            outcome,
+            completed,
+            ..
+        } = event
+        else {
+            return;
+        };
+        let late = self
+            .in_flight
+            .get(*id)
+            .is_some_and(|message| self.clock.now() >= message.deadline);
+        if late && *outcome == Outcome::Delivered {
+            *completed = false;
+        }
+        let now = self.clock.now();
+        self.endpoint_actors.attempt_ended(now, *endpoint);
+        self.forget_if_removed(*endpoint);
+        self.journal_attempt_end(*id, *attempt, *outcome, *completed);
+    }
+
+    fn journal_attempt_end(
+        &mut self,
+        id: MessageId,
+        attempt: u8,
+        outcome: Outcome,
+        completed: bool,
+    ) {
+        let Some(message) = self.in_flight.get_mut(id) else {
+            return;
+        };
+        message.attempts_out.retain(|out| out.attempt != attempt);
+        let serial = message.serial;
+        let written = if message.answered {
+            Ok(())
+        } else if completed {
+            message.answered = true;
+            self.journal.ended(serial)
+        } else if outcome == Outcome::WithdrawnBeforeSend {
+            message.attempts_started = u32::from(attempt);
+            self.journal.attempt_taken_back(serial, attempt)
+        } else {
+            let may_have_taken_effect = outcome.may_have_taken_effect();
+            self.journal
+                .attempt_ended(serial, attempt, may_have_taken_effect)
+        };
+        self.log_journal_error(written);
+        self.in_flight.remove_if_over(id);
+    }
+}
+
+fn attempt_request(
+    id: MessageId,
+    attempt: u8,
+    message: &InFlightMessage,
+    timeout: Micros,
+    send_by: Instant,
+) -> AttemptRequest {
+    AttemptRequest {
+        id,
+        attempt,
+        request_id: message.submitted.request_id.clone(),
+        idempotency_key: message.submitted.idempotency_key.clone(),
+        body: message.submitted.body.clone(),
+        timeout: Duration::from_micros(timeout),
+        send_by,
+    }
+}
--- /dev/null
+++ b/crates/forwarder/src/dispatcher/completion.rs
@@ -0,0 +1,67 @@
+//! The final answers to messages, and the completion reports that tell the platform of them.
+
+use super::Dispatcher;
+use crate::commands::PendingReport;
+use crate::protocol::Ending;
+use opalpulley::{Event, MessageId};
+use slog::error;
+
+impl Dispatcher {
+    /// Ends a message without delivery. The platform gets a completion report.
+    pub(super) fn finish_with_report(&mut self, id: MessageId, ending: Ending) {
+        let Some(message) = self.in_flight.get_unanswered(id) else {
+            return;
+        };
+        message.answered = true;
+        let ordered = message.submitted.key.is_some();
+        let report = PendingReport {
+            serial: message.serial,
+            request_id: message.submitted.request_id.clone(),
+            ending,
+        };
+        let written = self.journal.owes(report.serial, ending);
+        self.log_journal_error(written);
+        self.send_report(report, ordered.then_some(id));
+        self.in_flight.remove_if_over(id);
+    }
+
+    /// Ends a message whose client needs no completion report: it gets the answer itself, or has left.
+    pub(super) fn finish_without_report(&mut self, id: MessageId) {
+        let Some(message) = self.in_flight.get_unanswered(id) else {
+            return;
+        };
+        message.answered = true;
+        let serial = message.serial;
+        let written = self.journal.ended(serial);
+        self.log_journal_error(written);
+        self.in_flight.remove_if_over(id);
+    }
+
+    /// Sends a completion report until the platform acknowledges it. `ordered` is the message's id where the core
+    /// waits for the acknowledgement.
+    pub(super) fn send_report(&mut self, report: PendingReport, ordered: Option<MessageId>) {
+        let already_sent = self
+            .pending_reports
+            .insert(report.serial, ordered)
+            .is_some();
+        if already_sent {
+            return;
+        }
+        if self.completion_reports.send(report).is_err() {
+            error!(
+                self.log,
+                "completion report lost: the reporting actor has ended"
+            );
+        }
+    }
+
+    /// The platform has a completion report: nothing of its message needs to survive any more.
+    pub(super) fn report_acknowledged(&mut self, serial: u64) {
+        let ordered = self.pending_reports.remove(&serial).flatten();
+        let written = self.journal.ended(serial);
+        self.log_journal_error(written);
+        if let Some(id) = ordered {
+            self.handle(Event::ReportAcknowledged { id });
+        }
+    }
+}
--- /dev/null
+++ b/crates/forwarder/src/dispatcher/endpoint_list.rs
@@ -0,0 +1,108 @@
+//! The endpoints of the latest list, as far as the dispatcher needs them.
+
+use super::Dispatcher;
+use opalpulley::{
+    DestinationId, EndpointEntry, EndpointId, EndpointKindId, EndpointListUpdate, EndpointStatus,
+    Event, Micros, ZoneId,
+};
+use std::collections::btree_map::Entry;
+
+/// What the latest list says of an endpoint, without its id: the table has one for each listed endpoint.
+pub struct ListedEndpoint {
+    /// Where it runs.
+    pub zone: ZoneId,
+    kind: EndpointKindId,
+    status: EndpointStatus,
+    rate: f32,
+    destination: DestinationId,
+    up_since: Micros,
+}
+
+impl ListedEndpoint {
+    /// The entry of the list that this was made from.
+    pub fn to_entry(&self, endpoint: EndpointId) -> EndpointEntry {
+        EndpointEntry {
+            endpoint,
+            zone: self.zone,
+            up_since: self.up_since,
+            status: self.status,
+            rate: self.rate,
+            destination: self.destination,
+            kind: self.kind,
+        }
+    }
+}
+
+impl From<&EndpointEntry> for ListedEndpoint {
+    fn from(entry: &EndpointEntry) -> ListedEndpoint {
+        ListedEndpoint {
+            zone: entry.zone,
+            kind: entry.kind,
+            status: entry.status,
+            rate: entry.rate,
+            destination: entry.destination,
+            up_since: entry.up_since,
+        }
+    }
+}
+
+impl Dispatcher {
+    /// Applies a report of discovery to the table of endpoints, then gives it to the core. The messages of a previous
+    /// run wait no longer.
+    pub(super) fn update_endpoint_list(&mut self, update: EndpointListUpdate) {
+        match &update {
+            EndpointListUpdate::Complete(entries) | EndpointListUpdate::Cached(entries) => {
+                self.replace_endpoint_list(entries);
+            }
+            EndpointListUpdate::Changes(entries) => self.change_endpoint_list(entries),
+            EndpointListUpdate::Failed => {}
+        }
+        self.handle(Event::EndpointList(update));
+        self.submit_recovered_messages();
+    }
+
+    /// Both tables are built from the complete sorted list, which fills their nodes. Inserting one entry at a time
+    /// would take twice the memory.
+    fn replace_endpoint_list(&mut self, entries: &[EndpointEntry]) {
+        let mut destinations = entries.iter().map(|entry| entry.destination).collect();
+        self.known_destinations.append(&mut destinations);
+        let now_listed = entries
+            .iter()
+            .map(|entry| (entry.endpoint, ListedEndpoint::from(entry)))
+            .collect();
+        let listed_before = std::mem::replace(&mut self.listed, now_listed);
+        for (endpoint, listed) in listed_before {
+            if let Entry::Vacant(missing) = self.listed.entry(endpoint) {
+                missing.insert(ListedEndpoint {
+                    status: EndpointStatus::Removed,
+                    ..listed
+                });
+                self.forget_if_removed(endpoint);
+            }
+        }
+        for entry in entries {
+            self.forget_if_removed(entry.endpoint);
+        }
+    }
+
+    /// The work is proportional to the changes, not to the list.
+    fn change_endpoint_list(&mut self, entries: &[EndpointEntry]) {
+        for entry in entries {
+            self.known_destinations.insert(entry.destination);
+            self.listed.insert(entry.endpoint, entry.into());
+            self.forget_if_removed(entry.endpoint);
+        }
+    }
+
+    /// Forgets an endpoint that has left the list, once no attempt is out to it.
+    pub(super) fn forget_if_removed(&mut self, endpoint: EndpointId) {
+        let removed = self
+            .listed
+            .get(&endpoint)
+            .is_some_and(|listed| listed.status == EndpointStatus::Removed);
+        if removed && self.endpoint_actors.attempts_out(endpoint) == 0 {
+            self.listed.remove(&endpoint);
+            self.endpoint_actors.stop(endpoint);
+        }
+    }
+}
--- a/crates/forwarder/src/dispatcher/endpoints.rs
+++ b/crates/forwarder/src/dispatcher/endpoints.rs
@@ -1,8 +1,9 @@
-//! The actors of the endpoints in use. One begins with the first note to its endpoint, and ends when nothing has gone there
-//! for so long that no connection of it could still serve.
+//! The actors of the endpoints in use. An actor starts with the first command to its endpoint. It stops once the
+//! endpoint has been idle for so long that none of its connections could serve again.
 
 use crate::commands::EndpointCommand;
 use crate::endpoints::{Endpoint, EndpointContext};
+use crate::protocol::address;
 use opalpulley::{EndpointId, Micros};
 use slog::error;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,140 +11,163 @@
 use tokio::sync::mpsc;
 use tokio::sync::mpsc::error::TrySendError;
 
-/// Notes to an endpoint for each slot: a call, its call-off, and what a wait told by it takes back.
-const SLOT_NOTES: usize = 3;
+/// Commands in an actor's mailbox for each concurrency permit: an attempt, its cancellation, and the withdrawal that
+/// a retry-after of its answer causes.
+const COMMANDS_PER_PERMIT: usize = 3;
 
-/// Notes to an endpoint beyond those: health checks, closings, what a list takes back.
-const ENDPOINT_NOTES: usize = 64;
+/// Commands in an actor's mailbox beyond those: health checks, closing of connections, withdrawals after a change of
+/// the endpoint list.
+const OTHER_COMMANDS: usize = 64;
 
-/// Times what a connection may take to come up: over what a health check may take.
-const HEALTH_CHECK_TIMES: Micros = 2;
+/// How long a health check may take, in connect timeouts, rounded up.
+const HEALTH_CHECK_CONNECT_TIMEOUTS: Micros = 2;
 
-struct Running {
+struct RunningActor {
     mailbox: mpsc::Sender<EndpointCommand>,
-    /// Out there.
-    calls: usize,
-    /// When a note went there last, or a call came back.
-    used: Micros,
-    /// When it is looked at next.
-    look: Micros,
+    attempts_out: usize,
+    /// When the latest command was sent there, or the latest attempt ended, in µs.
+    last_used: Micros,
+    /// When it is next checked for being idle, in µs.
+    idle_check_at: Micros,
 }
 
-/// The actors that run; each leaves once it has rested, or with its endpoint.
+/// The actors that run.
 pub struct EndpointActors {
     context: Arc<EndpointContext>,
-    mailbox_room: usize,
-    rest: Micros,
-    running: BTreeMap<EndpointId, Running>,
-    looks: BTreeSet<(Micros, EndpointId)>, // one for each that runs
+    mailbox_capacity: usize,
+    /// An actor that was not used for so long stops, in µs.
+    idle_timeout: Micros,
+    running: BTreeMap<EndpointId, RunningActor>,
+    /// The next idle check of each actor that runs, the earliest first.
+    idle_checks: BTreeSet<(Micros, EndpointId)>,
 }
 
 impl EndpointActors {
-    pub fn new(context: Arc<EndpointContext>, slots: u32) -> EndpointActors {
-        let mailbox_room = SLOT_NOTES * slots as usize + ENDPOINT_NOTES;
-        // By then each connection has been retired, and each health check is over.
-        let rest = context
-            .config
-            .idle_closed_after
-            .saturating_add(HEALTH_CHECK_TIMES.saturating_mul(context.config.connect_within));
+    /// No actors. `concurrency_limit` is the number of attempts that may be out at once.
+    pub fn new(context: Arc<EndpointContext>, concurrency_limit: u32) -> EndpointActors {
+        let mailbox_capacity = COMMANDS_PER_PERMIT * concurrency_limit as usize + OTHER_COMMANDS;
+        // By then every idle connection is retired and every health check is over.
+        let connections = &context.config;
+        let health_check = HEALTH_CHECK_CONNECT_TIMEOUTS.saturating_mul(connections.connect_within);
+        let idle_timeout = connections.idle_closed_after.saturating_add(health_check);
         EndpointActors {
             context,
-            mailbox_room,
-            rest,
+            mailbox_capacity,
+            idle_timeout,
             running: BTreeMap::new(),
-            looks: BTreeSet::new(),
+            idle_checks: BTreeSet::new(),
         }
     }
 
-    /// Gives a note to the endpoint's actor, which begins if none runs. False where it takes no more.
-    pub fn post(&mut self, now: Micros, endpoint: EndpointId, note: EndpointCommand) -> bool {
-        let (context, room, look) = (
-            &self.context,
-            self.mailbox_room,
-            now.saturating_add(self.rest),
-        );
-        let running = self.running.entry(endpoint).or_insert_with(|| {
-            self.looks.insert((look, endpoint));
-            Running {
-                mailbox: begin(endpoint, context, room),
-                calls: 0,
-                used: now,
-                look,
+    /// Sends a command to the endpoint's actor, which is started if none runs. False where its mailbox is full.
+    pub fn post(&mut self, now: Micros, endpoint: EndpointId, command: EndpointCommand) -> bool {
+        let (context, capacity) = (&self.context, self.mailbox_capacity);
+        let idle_check_at = now.saturating_add(self.idle_timeout);
+        let actor = self.running.entry(endpoint).or_insert_with(|| {
+            self.idle_checks.insert((idle_check_at, endpoint));
+            RunningActor {
+                mailbox: start_actor(endpoint, context, capacity),
+                attempts_out: 0,
+                last_used: now,
+                idle_check_at,
             }
         });
-        running.used = now;
-        let sent = match running.mailbox.try_send(note) {
-            // An actor that has ended took nothing of this.
-            Err(TrySendError::Closed(note)) => {
-                running.mailbox = begin(endpoint, context, room);
-                running.mailbox.try_send(note)
+        actor.last_used = now;
+        let sent = match actor.mailbox.try_send(command) {
+            // The actor has ended without reading the command: a new one gets it.
+            Err(TrySendError::Closed(command)) => {
+                actor.mailbox = start_actor(endpoint, context, capacity);
+                actor.mailbox.try_send(command)
             }
             sent => sent,
         };
         if let Err(problem) = &sent {
-            error!(context.log, "a target's mailbox takes nothing"; "problem" => %problem);
+            error!(context.log, "endpoint command dropped";
+                "endpoint" => %address(endpoint), "problem" => %problem);
         }
         sent.is_ok()
     }
 
+    /// Whether an actor of the endpoint runs.
     pub fn is_running(&self, endpoint: EndpointId) -> bool {
         self.running.contains_key(&endpoint)
     }
 
-    pub fn call_begun(&mut self, endpoint: EndpointId) {
-        self.running.entry(endpoint).and_modify(|r| r.calls += 1);
+    /// Counts an attempt that was handed to the endpoint's actor.
+    pub fn attempt_started(&mut self, endpoint: EndpointId) {
+        if let Some(actor) = self.running.get_mut(&endpoint) {
+            actor.attempts_out += 1;
+        }
     }
 
-    pub fn call_ended(&mut self, now: Micros, endpoint: EndpointId) {
-        if let Some(running) = self.running.get_mut(&endpoint) {
-            running.calls = running.calls.saturating_sub(1);
-            running.used = now;
+    /// Counts an attempt whose outcome the endpoint's actor has reported.
+    pub fn attempt_ended(&mut self, now: Micros, endpoint: EndpointId) {
+        if let Some(actor) = self.running.get_mut(&endpoint) {
+            actor.attempts_out = actor.attempts_out.saturating_sub(1);
+            actor.last_used = now;
         }
     }
 
-    /// The calls out to an endpoint.
-    pub fn calls(&self, endpoint: EndpointId) -> usize {
-        self.running.get(&endpoint).map_or(0, |r| r.calls)
+    /// How many attempts are out to the endpoint.
+    pub fn attempts_out(&self, endpoint: EndpointId) -> usize {
+        self.running
+            .get(&endpoint)
+            .map_or(0, |actor| actor.attempts_out)
     }
 
-    /// Tells an endpoint's actor to end, once what is under way there is over.
-    pub fn end(&mut self, endpoint: EndpointId) {
-        if let Some(running) = self.running.remove(&endpoint) {
-            self.looks.remove(&(running.look, endpoint));
+    /// Stops the endpoint's actor. It finishes the commands that it has.
+    pub fn stop(&mut self, endpoint: EndpointId) {
+        if let Some(actor) = self.running.remove(&endpoint) {
+            self.idle_checks.remove(&(actor.idle_check_at, endpoint));
         }
     }
 
-    /// When [`EndpointActors::look`] is due.
-    pub fn next_look(&self) -> Option<Micros> {
-        self.looks.first().map(|(at, _)| *at)
+    /// When [`EndpointActors::stop_idle`] is due next, in µs.
+    pub fn next_idle_check(&self) -> Option<Micros> {
+        self.idle_checks.first().map(|(at, _)| *at)
     }
 
-    /// Ends those that have rested.
-    pub fn look(&mut self, now: Micros) {
-        while let Some((at, endpoint)) = self.looks.first().copied().filter(|(at, _)| *at <= now) {
-            self.looks.remove(&(at, endpoint));
-            let Some(running) = self.running.get_mut(&endpoint) else {
+    /// Stops the actors that were not used for the idle timeout.
+    pub fn stop_idle(&mut self, now: Micros) {
+        while let Some(endpoint) = self.pop_due_check(now) {
+            let Some(actor) = self.running.get_mut(&endpoint) else {
                 continue;
             };
-            let since = if running.calls > 0 { now } else { running.used };
-            if since.saturating_add(self.rest) <= now {
+            let idle_since = if actor.attempts_out > 0 {
+                now
+            } else {
+                actor.last_used
+            };
+            let idle_until = idle_since.saturating_add(self.idle_timeout);
+            if idle_until <= now {
                 self.running.remove(&endpoint);
             } else {
-                running.look = since.saturating_add(self.rest);
-                self.looks.insert((running.look, endpoint));
+                actor.idle_check_at = idle_until;
+                self.idle_checks.insert((idle_until, endpoint));
             }
         }
     }
+
+    /// Removes the earliest idle check, if it is due at `now`.
+    fn pop_due_check(&mut self, now: Micros) -> Option<EndpointId> {
+        let (at, endpoint) = self.idle_checks.first().copied()?;
+        if at > now {
+            return None;
+        }
+        self.idle_checks.remove(&(at, endpoint));
+        Some(endpoint)
+    }
 }
 
-/// Dropping the mailbox ends the actor: it takes what lies there, waits for what is under way, and closes its connections.
-fn begin(
+/// Starts an actor. Dropping its mailbox stops it: it reads what is left there, waits for the attempts and health
+/// checks in flight, and closes its connections.
+fn start_actor(
     endpoint: EndpointId,
     context: &Arc<EndpointContext>,
-    room: usize,
+    capacity: usize,
 ) -> mpsc::Sender<EndpointCommand> {
-    let (mailbox, notes) = mpsc::channel(room);
-    tokio::spawn(Endpoint::new(endpoint, context.clone()).run(notes));
+    let (mailbox, commands) = mpsc::channel(capacity);
+    tokio::spawn(Endpoint::new(endpoint, context.clone()).run(commands));
     mailbox
 }
 
--- a/crates/forwarder/src/dispatcher/endpoints/tests.rs
+++ b/crates/forwarder/src/dispatcher/endpoints/tests.rs
@@ -1,4 +1,4 @@
-//! Actors begin and end with the use of their endpoints, and nothing is lost between two of one endpoint.
+//! Actors run while their endpoints are in use, and no command is lost between two actors of one endpoint.
 
 use super::*;
 use crate::commands::{AttemptRequest, DispatcherCommand};
@@ -9,18 +9,18 @@
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 
-const IDLE: Micros = 5_000_000;
-const CONNECT: Micros = 1_000_000;
-const REST: Micros = IDLE + HEALTH_CHECK_TIMES * CONNECT;
-const SLOTS: u32 = 8;
+const IDLE_CLOSED_AFTER: Micros = 5_000_000;
+const CONNECT_WITHIN: Micros = 1_000_000;
+const IDLE_TIMEOUT: Micros = IDLE_CLOSED_AFTER + HEALTH_CHECK_CONNECT_TIMEOUTS * CONNECT_WITHIN;
+const CONCURRENCY_LIMIT: u32 = 8;
 
 fn actors() -> (EndpointActors, mpsc::Receiver<DispatcherCommand>) {
-    let (dispatcher, notes) = mpsc::channel(64);
+    let (dispatcher, commands) = mpsc::channel(64);
     let (classes, tenants, zones, kinds, reports) = Default::default();
     let context = EndpointContext {
         config: ConnectionConfig {
-            idle_closed_after: IDLE,
-            connect_within: CONNECT,
+            idle_closed_after: IDLE_CLOSED_AFTER,
+            connect_within: CONNECT_WITHIN,
         },
         names: Names {
             classes,
@@ -33,7 +33,10 @@
         dispatcher,
         log: slog::Logger::root(slog::Discard, slog::o!()),
     };
-    (EndpointActors::new(Arc::new(context), SLOTS), notes)
+    (
+        EndpointActors::new(Arc::new(context), CONCURRENCY_LIMIT),
+        commands,
+    )
 }
 
 fn endpoint(number: u32) -> EndpointId {
@@ -44,7 +47,7 @@
     }
 }
 
-fn call(attempt: u8) -> EndpointCommand {
+fn start_attempt(attempt: u8) -> EndpointCommand {
     EndpointCommand::StartAttempt(Box::new(AttemptRequest {
         id: MessageId(1),
         attempt,
@@ -56,69 +59,69 @@
     }))
 }
 
-fn tasks() -> usize {
+fn running_tasks() -> usize {
     tokio::runtime::Handle::current()
         .metrics()
         .num_alive_tasks()
 }
 
 /// Lets the actors run until so many tasks are left.
-async fn settle(wanted: usize) {
+async fn run_until_tasks(wanted: usize) {
     for _ in 0..1_000 {
-        if tasks() == wanted {
+        if running_tasks() == wanted {
             return;
         }
         tokio::task::yield_now().await;
     }
-    panic!("{} tasks instead of {wanted}", tasks());
+    panic!("{} tasks instead of {wanted}", running_tasks());
 }
 
-/// Guards memory: 91,000 endpoints, each visited once in 455 s, leave no more actors than the visits of one rest.
+/// Of 91,000 endpoints, each used once in 455 s, no more actors run than endpoints were used in one idle timeout.
 #[tokio::test]
 async fn actors_follow_the_endpoints_in_use_and_not_those_ever_used() {
-    const VISITS: u32 = 91_000;
-    const APART: Micros = 5_000; // µs between two visits
-    let (mut actors, _notes) = actors();
-    let most = (REST / APART) as usize;
-    for visit in 0..VISITS {
-        let now = Micros::from(visit) * APART;
-        actors.look(now);
-        assert!(actors.post(now, endpoint(visit), EndpointCommand::CloseIdle));
-        assert!(actors.running.len() <= most && actors.looks.len() == actors.running.len());
-        if visit % 1_000 == 0 {
-            settle(actors.running.len()).await;
+    const USES: u32 = 91_000;
+    const USE_INTERVAL: Micros = 5_000; // µs
+    let (mut actors, _commands) = actors();
+    let most = (IDLE_TIMEOUT / USE_INTERVAL) as usize;
+    for used in 0..USES {
+        let now = Micros::from(used) * USE_INTERVAL;
+        actors.stop_idle(now);
+        assert!(actors.post(now, endpoint(used), EndpointCommand::CloseIdle));
+        assert!(actors.running.len() <= most && actors.idle_checks.len() == actors.running.len());
+        if used % 1_000 == 0 {
+            run_until_tasks(actors.running.len()).await;
         }
     }
     assert_eq!(actors.running.len(), most);
-    actors.look(Micros::from(VISITS) * APART + REST);
-    assert!(actors.running.is_empty() && actors.looks.is_empty());
-    settle(0).await;
+    actors.stop_idle(Micros::from(USES) * USE_INTERVAL + IDLE_TIMEOUT);
+    assert!(actors.running.is_empty() && actors.idle_checks.is_empty());
+    run_until_tasks(0).await;
 }
 
-/// Guards calls and their call-offs: an actor with one out stays however long that takes, then rests from its end on.
+/// An actor with an attempt out runs on, however long that takes. Its idle timeout counts from the end of the attempt.
 #[tokio::test]
-async fn an_actor_with_a_call_out_stays() {
-    let (mut actors, _notes) = actors();
+async fn an_actor_with_an_attempt_out_runs_on() {
+    let (mut actors, _commands) = actors();
     assert!(actors.post(0, endpoint(1), EndpointCommand::CloseIdle));
-    actors.call_begun(endpoint(1));
-    actors.look(10 * REST);
+    actors.attempt_started(endpoint(1));
+    actors.stop_idle(10 * IDLE_TIMEOUT);
     assert!(actors.is_running(endpoint(1)));
-    let ended = 10 * REST + 1;
-    actors.call_ended(ended, endpoint(1));
-    actors.look(ended + REST - 1);
+    let ended = 10 * IDLE_TIMEOUT + 1;
+    actors.attempt_ended(ended, endpoint(1));
+    actors.stop_idle(ended + IDLE_TIMEOUT - 1);
     assert!(actors.is_running(endpoint(1)));
-    actors.look(actors.next_look().expect("one is due"));
+    actors.stop_idle(actors.next_idle_check().expect("one is due"));
     assert!(!actors.is_running(endpoint(1)));
-    assert_eq!(actors.next_look(), None);
-    // One that its list has sent off leaves nothing to be looked at.
+    assert_eq!(actors.next_idle_check(), None);
+    // Nothing is left of an actor whose endpoint was removed.
     assert!(actors.post(0, endpoint(2), EndpointCommand::CloseIdle));
-    actors.end(endpoint(2));
-    assert!(actors.running.is_empty() && actors.looks.is_empty());
+    actors.stop(endpoint(2));
+    assert!(actors.running.is_empty() && actors.idle_checks.is_empty());
 }
 
-/// Guards rule 1 where a call comes just as the actor ends: in each order the calls go out, each once.
+/// An attempt that is posted as the actor stops is sent exactly once, whichever comes first.
 #[tokio::test]
-async fn a_call_that_meets_the_end_of_an_actor_is_carried() {
+async fn an_attempt_posted_as_the_actor_stops_is_sent_once() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let port = listener.local_addr().expect("its address").port();
     tokio::spawn(async move {
@@ -133,30 +136,30 @@
             });
         }
     });
-    let (mut actors, mut notes) = actors();
+    let (mut actors, mut commands) = actors();
     let there = EndpointId {
         port,
         ..endpoint(1)
     };
-    // One lies in the mailbox as that is dropped, one comes behind it.
-    assert!(actors.post(0, there, call(0)));
-    actors.look(REST);
+    // The first is in the mailbox as that is dropped; the second comes after.
+    assert!(actors.post(0, there, start_attempt(0)));
+    actors.stop_idle(IDLE_TIMEOUT);
     assert!(!actors.is_running(there));
-    assert!(actors.post(REST, there, call(1)));
-    // One finds the mailbox closed by the actor's side.
+    assert!(actors.post(IDLE_TIMEOUT, there, start_attempt(1)));
+    // The third finds a mailbox whose actor has ended.
     let (closed, _) = mpsc::channel(1);
     actors.running.get_mut(&there).expect("it runs").mailbox = closed;
-    assert!(actors.post(REST, there, call(2)));
+    assert!(actors.post(IDLE_TIMEOUT, there, start_attempt(2)));
     let mut delivered = Vec::new();
     while delivered.len() < 3 {
-        let note = tokio::time::timeout(Duration::from_secs(5), notes.recv())
+        let command = tokio::time::timeout(Duration::from_secs(5), commands.recv())
             .await
             .expect("in time");
         let Some(DispatcherCommand::Event(Event::AttemptEnded {
             attempt,
             outcome: Outcome::Delivered,
             ..
-        })) = note
+        })) = command
         else {
             panic!("not delivered")
         };
@@ -165,16 +168,16 @@
     delivered.sort_unstable();
     assert_eq!(delivered, [0, 1, 2]);
     assert!(
-        tokio::time::timeout(Duration::from_millis(200), notes.recv())
+        tokio::time::timeout(Duration::from_millis(200), commands.recv())
             .await
             .is_err(),
-        "once is enough"
+        "an attempt was sent twice"
     );
 }
 
-/// Guards memory: what one visited endpoint costs beside its connection. A mailbox holds its notes in blocks of 32.
+/// A mailbox allocates its commands in blocks of 32, so that a large command would make each used endpoint costly.
 #[test]
-fn a_note_is_small_for_mailboxes_keep_room_for_dozens() {
+fn a_command_takes_few_bytes_in_a_mailbox() {
     assert!(
         std::mem::size_of::<EndpointCommand>() <= 16,
         "{} bytes",
--- /dev/null
+++ b/crates/forwarder/src/dispatcher/log_events.rs
@@ -0,0 +1,28 @@
+//! Writes the core's log events, with their values as fields.
+
+use crate::protocol::address;
+use opalpulley::LogEvent;
+use slog::{info, warn, Logger};
+
+/// Writes one line for one event.
+pub fn write(log: &Logger, event: &LogEvent) {
+    match event {
+        LogEvent::EndpointEjected {
+            destination,
+            endpoint,
+            reason,
+        } => info!(log, "endpoint ejected";
+            "destination" => destination.0,
+            "endpoint" => %address(*endpoint),
+            "reason" => %reason),
+        LogEvent::EndpointReadmitted {
+            destination,
+            endpoint,
+        } => info!(log, "endpoint readmitted";
+            "destination" => destination.0,
+            "endpoint" => %address(*endpoint)),
+        LogEvent::UnreadableGossip { peer, problem } => warn!(log, "gossip message ignored";
+            "forwarder" => peer,
+            "problem" => problem),
+    }
+}
--- /dev/null
+++ b/crates/forwarder/src/dispatcher/recovery.rs
@@ -0,0 +1,154 @@
+//! Recovery: a new core gets the messages of the journal, after a restart of the process or a panic of the core.
+
+use super::in_flight::InFlightMessage;
+use super::submissions::submission;
+use super::{CoreState, Dispatcher};
+use crate::commands::{EndpointCommand, PendingReport};
+use crate::journal::StoredMessage;
+use crate::protocol::{Ending, SubmittedMessage};
+use opalpulley::{
+    AttemptHistory, DeliveryClassId, DestinationId, EndpointListUpdate, Event, Forwarder,
+    MessageId, Micros, OrderKey, PossibleEffect, Submission, TenantId, ZoneId,
+};
+use slog::crit;
+use std::sync::atomic::Ordering;
+
+impl Dispatcher {
+    /// Takes over the messages of a previous run. They wait for an endpoint list: without one the core could send
+    /// them nowhere.
+    pub fn take_over(&mut self, messages: Vec<StoredMessage>) {
+        self.recovered_messages = Some(messages);
+        if !self.listed.is_empty() {
+            self.submit_recovered_messages();
+        }
+    }
+
+    /// Gives the core the messages of a previous run, if it has not got them yet. From then on clients may submit.
+    pub(super) fn submit_recovered_messages(&mut self) {
+        if let Some(messages) = self.recovered_messages.take() {
+            self.restore(messages);
+            self.up.store(true, Ordering::Relaxed);
+        }
+    }
+
+    /// Gives the core messages of the journal, with what is known of their attempts.
+    pub(super) fn restore(&mut self, messages: Vec<StoredMessage>) {
+        let now = self.clock.now();
+        for stored in messages {
+            let id = self.in_flight.new_id();
+            match stored.pending_report {
+                Some(ending) => self.restore_report(id, stored, ending),
+                None => self.restore_message(now, id, stored),
+            }
+        }
+    }
+
+    /// The message is over, and the platform has not acknowledged its completion report.
+    fn restore_report(&mut self, id: MessageId, stored: StoredMessage, ending: Ending) {
+        if let Some(key) = stored.key {
+            self.handle(Event::PendingReport {
+                id,
+                class: DeliveryClassId(stored.class),
+                key: OrderKey(key),
+            });
+        }
+        let ordered = stored.key.map(|_| id);
+        let report = PendingReport {
+            serial: stored.serial,
+            request_id: stored.request_id,
+            ending,
+        };
+        self.send_report(report, ordered);
+    }
+
+    fn restore_message(&mut self, now: Micros, id: MessageId, stored: StoredMessage) {
+        let history = AttemptHistory {
+            attempts: stored.attempts,
+            possible_effect: possible_effect(now, &stored),
+        };
+        let serial = stored.serial;
+        let deadline = stored.expires;
+        let submitted = submitted_message(now, stored);
+        let submission = Submission {
+            resubmitted: true,
+            ..submission(id, &submitted, history)
+        };
+        let message = InFlightMessage::new(serial, submitted, deadline, history.attempts);
+        self.in_flight.insert(id, message);
+        self.handle(Event::Submitted(submission));
+    }
+
+    /// Handles a panic of the core. `submitted` is the message whose submission it panicked on.
+    pub(super) fn core_panicked(&mut self, submitted: Option<MessageId>) {
+        match self.core_state {
+            CoreState::Running => self.replace_core(),
+            // A second replacement would panic on the same message again. So the message fails.
+            CoreState::Replacing => {
+                if let Some(id) = submitted {
+                    self.finish_with_report(id, Ending::Failed);
+                }
+            }
+        }
+    }
+
+    /// Replaces a core that panicked. The new one gets the endpoint list and the messages of the journal, as after a
+    /// restart of the process.
+    pub(super) fn replace_core(&mut self) {
+        self.core_panics += 1;
+        crit!(self.log, "the core panicked and is replaced"; "panics" => self.core_panics);
+        let seed = self.seed.wrapping_add(self.core_panics);
+        self.forwarder = Forwarder::new(self.config.clone(), seed);
+        self.timers.clear();
+        self.queued_events.clear();
+        // The journal has the messages of a previous run too. Once they are restored from it, clients may submit.
+        if self.recovered_messages.take().is_some() {
+            self.up.store(true, Ordering::Relaxed);
+        }
+        self.cancel_all_attempts();
+        self.core_state = CoreState::Replacing;
+        let entries = self
+            .listed
+            .iter()
+            .map(|(endpoint, listed)| listed.to_entry(*endpoint))
+            .collect();
+        self.decide(Event::EndpointList(EndpointListUpdate::Cached(entries)));
+        let messages = self.journal.after_restart();
+        self.restore(messages);
+        self.core_state = CoreState::Running;
+    }
+
+    /// Removes all messages in flight and cancels their attempts.
+    fn cancel_all_attempts(&mut self) {
+        for (id, message) in self.in_flight.take_all() {
+            for out in message.attempts_out {
+                let attempt = out.attempt;
+                self.post(out.endpoint, EndpointCommand::Cancel { id, attempt });
+            }
+        }
+    }
+}
+
+/// The earliest attempt that may have taken effect. A start in the future means that the clock was set back: how long
+/// ago the attempt began is not known then. 0 makes it older than any deduplication window, so that it is not repeated.
+fn possible_effect(now: Micros, stored: &StoredMessage) -> Option<PossibleEffect> {
+    let (started_at, zone) = stored.exposed?;
+    Some(PossibleEffect {
+        sent_at: if started_at > now { 0 } else { started_at },
+        zone: ZoneId(zone),
+    })
+}
+
+fn submitted_message(now: Micros, stored: StoredMessage) -> SubmittedMessage {
+    SubmittedMessage {
+        request_id: stored.request_id,
+        class: DeliveryClassId(stored.class),
+        tenant: stored.tenant.map(TenantId),
+        destination: DestinationId(stored.destination),
+        left: stored.expires.saturating_sub(now),
+        idempotency_key: stored.idempotency_key,
+        key: stored.key,
+        again: stored.again,
+        orphan: stored.orphan,
+        body: stored.body,
+    }
+}
--- /dev/null
+++ b/crates/forwarder/src/dispatcher/submissions.rs
@@ -0,0 +1,185 @@
+//! Accepting the messages that clients submit.
+
+use super::in_flight::InFlightMessage;
+use super::{Decision, Dispatcher};
+use crate::clock::micros;
+use crate::commands::{SubmissionAnswer, SubmissionRequest};
+use crate::journal::StoredMessage;
+use crate::protocol::SubmittedMessage;
+use opalpulley::{
+    Action, AttemptHistory, Event, MessageId, Micros, OrderKey, Submission, TenantId,
+};
+use slog::{debug, error};
+use tokio::sync::oneshot;
+
+/// A tenant that no deployment has: the core finds no quota for it.
+const NO_TENANT: TenantId = TenantId(u32::MAX);
+
+impl Dispatcher {
+    /// Accepts or rejects one submission and answers its client. The message is journalled before the answer.
+    pub(super) fn submit(&mut self, request: SubmissionRequest) {
+        let SubmissionRequest {
+            mut submitted,
+            received_at,
+            answer,
+        } = request;
+        // The client has left, and nothing was accepted yet: there is nothing to do.
+        if answer.is_closed() {
+            return;
+        }
+        if let Some(reply) = self.answer_without_acceptance(&submitted) {
+            send_answer(answer, reply);
+            return;
+        }
+        // The time left is counted from the last byte of the request, not from its turn in the mailbox.
+        submitted.left = submitted.left.saturating_sub(micros(received_at.elapsed()));
+        let Some(submission) = self.accept(submitted) else {
+            send_answer(answer, SubmissionAnswer::NoCapacity);
+            return;
+        };
+        let id = submission.id;
+        let ordered = submission.key.is_some();
+        match self.decide_submission(submission) {
+            Some(rejection) => self.reject_submission(id, ordered, rejection, answer),
+            None => self.confirm_submission(id, answer),
+        }
+        self.handle_queued_events();
+    }
+
+    /// The answer to a submission that needs no place in the journal: the repeat of a message in flight, which a
+    /// client sends where the first answer was lost, or one to an unknown destination.
+    fn answer_without_acceptance(&self, submitted: &SubmittedMessage) -> Option<SubmissionAnswer> {
+        if let Some(first) = self.in_flight.by_request_id(&submitted.request_id) {
+            return Some(if has_same_content(&first.submitted, submitted) {
+                SubmissionAnswer::Accepted
+            } else {
+                SubmissionAnswer::ConflictingContent
+            });
+        }
+        if !self.known_destinations.contains(&submitted.destination) {
+            return Some(SubmissionAnswer::UnknownDestination);
+        }
+        None
+    }
+
+    /// Journals a message and adds it to those in flight. None where there is no capacity for it.
+    fn accept(&mut self, submitted: SubmittedMessage) -> Option<Submission> {
+        let deadline = self.clock.now() + submitted.left;
+        let stored = stored_message(&submitted, deadline);
+        // The configured capacity is checked before the core is asked, as the simulator does.
+        let table_full = self.in_flight.len() >= self.config.message_capacity as usize;
+        if table_full || !self.journal.has_room(&stored) {
+            return None;
+        }
+        let serial = match self.journal.accept(stored) {
+            Ok(serial) => serial,
+            Err(problem) => {
+                error!(self.log, "a message could not be journalled"; "problem" => %problem);
+                return None;
+            }
+        };
+        let id = self.in_flight.new_id();
+        let submission = submission(id, &submitted, AttemptHistory::default());
+        let message = InFlightMessage::new(serial, submitted, deadline, 0);
+        self.in_flight.insert(id, message);
+        Some(submission)
+    }
+
+    /// Gives the core a submission and carries out its actions. The action that ends this message at once is returned
+    /// as the answer to its client instead.
+    fn decide_submission(&mut self, submission: Submission) -> Option<SubmissionAnswer> {
+        let submitted = submission.id;
+        let Decision { now, actions } = self.ask_core(Event::Submitted(submission));
+        let mut rejection = None;
+        for action in actions {
+            match action {
+                Action::Fail { id } if id == submitted => {
+                    rejection = Some(SubmissionAnswer::Failed);
+                }
+                Action::Reject { id, retry_after } if id == submitted => {
+                    rejection = Some(SubmissionAnswer::Rejected { retry_after });
+                }
+                other => self.carry_out(now, other),
+            }
+        }
+        rejection
+    }
+
+    /// The client's own answer ends the message: the platform gets no completion report.
+    fn reject_submission(
+        &mut self,
+        id: MessageId,
+        ordered: bool,
+        rejection: SubmissionAnswer,
+        answer: oneshot::Sender<SubmissionAnswer>,
+    ) {
+        self.finish_without_report(id);
+        if ordered {
+            let acknowledged = Event::ReportAcknowledged { id };
+            self.queued_events.push_back(acknowledged);
+        }
+        send_answer(answer, rejection);
+    }
+
+    /// Tells the client that its message is accepted. The message is withdrawn where the client has left meanwhile.
+    fn confirm_submission(&mut self, id: MessageId, answer: oneshot::Sender<SubmissionAnswer>) {
+        if answer.send(SubmissionAnswer::Accepted).is_err() {
+            debug!(self.log, "a client left before its answer"; "message" => id.0);
+            self.finish_without_report(id);
+            self.handle(Event::Withdrawn { id });
+        }
+    }
+}
+
+/// An answer to a client that has left is dropped: nothing was accepted from it.
+fn send_answer(answer: oneshot::Sender<SubmissionAnswer>, reply: SubmissionAnswer) {
+    let _ = answer.send(reply);
+}
+
+/// Whether two submissions with the same request id are the same message.
+fn has_same_content(first: &SubmittedMessage, second: &SubmittedMessage) -> bool {
+    first.class == second.class
+        && first.destination == second.destination
+        && first.key == second.key
+        && first.idempotency_key == second.idempotency_key
+        && first.body == second.body
+}
+
+/// A message as the journal stores it, before its first attempt. `deadline` is in µs.
+pub(super) fn stored_message(submitted: &SubmittedMessage, deadline: Micros) -> StoredMessage {
+    StoredMessage {
+        serial: 0,
+        request_id: submitted.request_id.clone(),
+        class: submitted.class.0,
+        tenant: submitted.tenant.map(|tenant| tenant.0),
+        destination: submitted.destination.0,
+        expires: deadline,
+        idempotency_key: submitted.idempotency_key.clone(),
+        again: submitted.again,
+        orphan: submitted.orphan,
+        body: submitted.body.clone(),
+        key: submitted.key,
+        attempts: 0,
+        exposed: None,
+        out: Vec::new(),
+        pending_report: None,
+    }
+}
+
+/// A message as the core gets it.
+pub(super) fn submission(
+    id: MessageId,
+    submitted: &SubmittedMessage,
+    history: AttemptHistory,
+) -> Submission {
+    Submission {
+        id,
+        class: submitted.class,
+        tenant: submitted.tenant.unwrap_or(NO_TENANT),
+        key: submitted.key.map(OrderKey),
+        time_left: submitted.left,
+        destination: submitted.destination,
+        resubmitted: submitted.again,
+        history,
+    }
+}
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -1,6 +1,14 @@
+use super::submissions::{stored_message, submission};
 use super::*;
+use crate::clock::micros;
+use crate::commands::SubmissionAnswer;
 use crate::protocol::SubmittedMessage;
+use opalpulley::{
+    AttemptHistory, DeliveryClassId, EndpointEntry, EndpointKindId, EndpointStatus, TenantId,
+    ZoneId,
+};
 use opalpulley_config::ConnectionConfig;
+use std::sync::atomic::Ordering;
 use tempfile::TempDir;
 use tokio::net::TcpListener;
 use tokio::sync::{oneshot, Semaphore};
@@ -23,30 +31,30 @@
     (start.config, start.names, start.connections)
 }
 
-struct Rig {
+struct Fixture {
     dispatcher: Dispatcher,
-    pending_report: mpsc::UnboundedReceiver<PendingReport>,
-    notes: mpsc::Receiver<DispatcherCommand>,
+    pending_reports: mpsc::UnboundedReceiver<PendingReport>,
+    commands: mpsc::Receiver<DispatcherCommand>,
     listener: TcpListener,
     _dir: TempDir,
 }
 
-/// The dispatcher with one endpoint that takes calls and answers none.
-async fn rig() -> Rig {
-    rig_within(15_000_000).await
+/// A dispatcher with one endpoint that accepts connections and answers nothing.
+async fn fixture() -> Fixture {
+    fixture_with_window(15_000_000).await
 }
 
-/// The same with another window for repeats, in µs.
-async fn rig_within(window: Micros) -> Rig {
+/// The same with another deduplication window, in µs.
+async fn fixture_with_window(window: Micros) -> Fixture {
     let (config, names, connections) = config(window);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let dir = TempDir::new().expect("a folder");
     let (journal, _) = Journal::open(dir.path(), 1_000_000).expect("a journal");
     let log = Logger::root(slog::Discard, slog::o!());
-    let (dispatcher, notes) = mpsc::channel(64);
+    let (dispatcher, commands) = mpsc::channel(64);
     let (list, _) = mpsc::channel(1);
     let (gossip, _) = mpsc::channel(1);
-    let (completion_reports, pending_report) = mpsc::unbounded_channel();
+    let (completion_reports, pending_reports) = mpsc::unbounded_channel();
     let idle = Arc::new(Semaphore::new(4));
     let context = Arc::new(EndpointContext {
         config: connections,
@@ -64,7 +72,7 @@
     };
     let mut dispatcher = Dispatcher::new(config, 1, Clock::start(), journal, handles, log);
     let port = listener.local_addr().expect("its address").port();
-    let listing = EndpointEntry {
+    let entry = EndpointEntry {
         endpoint: EndpointId {
             address: [127, 0, 0, 1],
             port,
@@ -75,22 +83,22 @@
         status: EndpointStatus::Ready,
         rate: 50.0,
         destination: DestinationId(7),
-        kind: opalpulley::EndpointKindId(0),
+        kind: EndpointKindId(0),
     };
     dispatcher.handle_message(DispatcherCommand::Event(Event::EndpointList(
-        EndpointListUpdate::Cached(vec![listing]),
+        EndpointListUpdate::Cached(vec![entry]),
     )));
     dispatcher.take_over(Vec::new());
-    Rig {
+    Fixture {
         dispatcher,
-        pending_report,
-        notes,
+        pending_reports,
+        commands,
         listener,
         _dir: dir,
     }
 }
 
-impl Rig {
+impl Fixture {
     fn submit(&mut self, id: &str, class: u16) -> oneshot::Receiver<SubmissionAnswer> {
         let (answer, answered) = oneshot::channel();
         let received_at = tokio::time::Instant::now();
@@ -102,27 +110,28 @@
         answered
     }
 
-    /// Lets time pass for the dispatcher and its endpoints.
-    async fn pass(&mut self, ms: u64) {
+    /// Runs the dispatcher and its endpoints for some milliseconds.
+    async fn run_for(&mut self, ms: u64) {
         let until = tokio::time::Instant::now() + Duration::from_millis(ms);
         while tokio::time::Instant::now() < until {
-            self.dispatcher.ring();
-            while let Ok(note) = self.notes.try_recv() {
-                self.dispatcher.handle_message(note);
+            self.dispatcher.fire_timers();
+            while let Ok(command) = self.commands.try_recv() {
+                self.dispatcher.handle_message(command);
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    async fn calls(&self) -> usize {
-        let mut calls = 0;
+    /// How many new connections the endpoint has got. Each carries one attempt.
+    async fn attempts(&self) -> usize {
+        let mut attempts = 0;
         while tokio::time::timeout(Duration::from_millis(20), self.listener.accept())
             .await
             .is_ok()
         {
-            calls += 1;
+            attempts += 1;
         }
-        calls
+        attempts
     }
 }
 
@@ -141,73 +150,87 @@
     }
 }
 
-/// Guards rules 1 and 2 where the core panics: the new one gets each open message with what its attempts may have done.
+/// After a panic of the core the new one gets each message in flight, with the attempts that may have taken effect: an
+/// at-most-once message is not sent again and fails.
 #[tokio::test]
-async fn a_new_core_takes_over_what_is_open() {
-    let mut rig = rig().await;
-    for (id, class) in [("marked", 0), ("free", 1), ("binding", 2)] {
-        assert_eq!(rig.submit(id, class).await, Ok(SubmissionAnswer::Accepted));
+async fn a_replaced_core_gets_the_messages_in_flight() {
+    let mut fixture = fixture().await;
+    for (id, class) in [("keyed", 0), ("idempotent", 1), ("at-most-once", 2)] {
+        assert_eq!(
+            fixture.submit(id, class).await,
+            Ok(SubmissionAnswer::Accepted)
+        );
     }
-    rig.pass(100).await;
-    assert_eq!(rig.calls().await, 3);
-    rig.dispatcher.begin_anew();
-    rig.pass(300).await;
-    assert_eq!(rig.calls().await, 2); // not the binding one
-    let pending_report = rig.pending_report.try_recv().expect("an end");
+    fixture.run_for(100).await;
+    assert_eq!(fixture.attempts().await, 3);
+    fixture.dispatcher.replace_core();
+    fixture.run_for(300).await;
+    assert_eq!(fixture.attempts().await, 2); // not the at-most-once message
+    let pending_report = fixture.pending_reports.try_recv().expect("an end");
     assert_eq!(
         (pending_report.request_id.as_str(), pending_report.ending),
-        ("binding", Ending::Failed)
+        ("at-most-once", Ending::Failed)
     );
-    assert!(rig.pending_report.try_recv().is_err());
-    assert_eq!(rig.dispatcher.open.len(), 2);
-    rig.dispatcher
+    assert!(fixture.pending_reports.try_recv().is_err());
+    assert_eq!(fixture.dispatcher.in_flight.len(), 2);
+    fixture
+        .dispatcher
         .handle_message(DispatcherCommand::ReportsAcknowledged(vec![
             pending_report.serial,
         ]));
-    assert_eq!(rig.dispatcher.journal.after_restart().len(), 2);
+    assert_eq!(fixture.dispatcher.journal.after_restart().len(), 2);
 }
 
-/// Guards the start where the core panics before a list is in: the process is up with the messages of the journal, not never.
+/// A core that panics before an endpoint list is known is replaced, and clients may submit from then on.
 #[tokio::test]
-async fn a_panic_before_the_list_is_in_leaves_the_process_up() {
-    let mut rig = rig().await;
-    rig.dispatcher.up.store(false, Ordering::Relaxed);
-    rig.dispatcher.earlier = Some(Vec::new());
-    rig.dispatcher.begin_anew();
-    assert!(rig.dispatcher.up.load(Ordering::Relaxed));
+async fn a_panic_before_the_first_list_makes_the_process_ready() {
+    let mut fixture = fixture().await;
+    fixture.dispatcher.up.store(false, Ordering::Relaxed);
+    fixture.dispatcher.recovered_messages = Some(Vec::new());
+    fixture.dispatcher.replace_core();
+    assert!(fixture.dispatcher.up.load(Ordering::Relaxed));
 }
 
-/// Guards against work for nobody: a client that leaves before its answer withdraws the message.
+/// A message is not accepted where its client has left before its turn.
 #[tokio::test]
-async fn a_client_that_leaves_withdraws_its_message() {
-    let mut rig = rig().await;
-    drop(rig.submit("early", 1)); // the answer was in before it left: taken on
+async fn a_client_that_has_left_submits_nothing() {
+    let mut fixture = fixture().await;
+    drop(fixture.submit("early", 1)); // its answer was sent before it left: accepted
     let (answer, answered) = oneshot::channel();
     drop(answered);
-    rig.dispatcher.submit(SubmissionRequest {
+    fixture.dispatcher.submit(SubmissionRequest {
         submitted: submitted("late", 1),
         received_at: tokio::time::Instant::now(),
         answer,
     });
     assert_eq!(
-        rig.dispatcher
-            .open
-            .values()
-            .map(|o| o.submitted.request_id.as_str())
+        fixture
+            .dispatcher
+            .in_flight
+            .iter()
+            .map(|(_, message)| message.submitted.request_id.as_str())
             .collect::<Vec<_>>(),
         ["early"]
     );
-    assert_eq!(rig.dispatcher.journal.after_restart().len(), 1);
+    assert_eq!(fixture.dispatcher.journal.after_restart().len(), 1);
 }
 
-/// Guards memory and rule 1: tables follow what is open, and an end owed stays until it is heard.
+/// A delivered message leaves the tables and the journal. A second outcome of its attempt changes nothing.
 #[tokio::test]
 async fn nothing_is_kept_of_messages_that_are_over() {
-    let mut rig = rig().await;
-    assert_eq!(rig.submit("short", 1).await, Ok(SubmissionAnswer::Accepted));
-    rig.pass(100).await;
-    let id = *rig.dispatcher.open.keys().next().expect("it is open");
-    let endpoint = *rig.dispatcher.listed.keys().next().expect("a target");
+    let mut fixture = fixture().await;
+    assert_eq!(
+        fixture.submit("short", 1).await,
+        Ok(SubmissionAnswer::Accepted)
+    );
+    fixture.run_for(100).await;
+    let (id, _) = fixture.dispatcher.in_flight.iter().next().expect("one");
+    let endpoint = *fixture
+        .dispatcher
+        .listed
+        .keys()
+        .next()
+        .expect("an endpoint");
     let ended = |outcome| Event::AttemptEnded {
         id,
         attempt: 0,
@@ -217,55 +240,57 @@
         completed: outcome == Outcome::Delivered,
         report: Vec::new(),
     };
-    rig.dispatcher
+    fixture
+        .dispatcher
         .handle_message(DispatcherCommand::Event(ended(Outcome::Delivered)));
-    assert!(rig.dispatcher.open.is_empty() && rig.dispatcher.ids.is_empty());
-    assert!(rig.dispatcher.journal.after_restart().is_empty());
-    // A second outcome of the same attempt changes nothing.
-    rig.dispatcher
+    assert!(fixture.dispatcher.in_flight.is_empty());
+    assert!(fixture.dispatcher.journal.after_restart().is_empty());
+    fixture
+        .dispatcher
         .handle_message(DispatcherCommand::Event(ended(Outcome::Error)));
-    assert!(rig.dispatcher.open.is_empty() && rig.dispatcher.pending_reports.is_empty());
+    assert!(fixture.dispatcher.in_flight.is_empty());
+    assert!(fixture.dispatcher.pending_reports.is_empty());
 }
 
-/// Guards the room that the configuration gives: what comes beyond it is refused at the door, and the tenant goes along.
+/// Messages beyond the configured capacity are rejected. The tenant reaches the core and the journal.
 #[tokio::test]
-async fn the_room_of_the_configuration_is_kept() {
-    let mut rig = rig().await;
-    rig.dispatcher.config.message_capacity = 2;
+async fn messages_beyond_the_configured_capacity_are_rejected() {
+    let mut fixture = fixture().await;
+    fixture.dispatcher.config.message_capacity = 2;
     for (id, answer) in [
         ("one", SubmissionAnswer::Accepted),
         ("two", SubmissionAnswer::Accepted),
         ("three", SubmissionAnswer::NoCapacity),
     ] {
-        assert_eq!(rig.submit(id, 1).await, Ok(answer));
+        assert_eq!(fixture.submit(id, 1).await, Ok(answer));
     }
     let tenant = SubmittedMessage {
         tenant: Some(TenantId(1)),
         left: 5,
         ..submitted("x", 1)
     };
-    let arrival = arrival(MessageId(9), &tenant, AttemptHistory::default());
-    assert_eq!((arrival.tenant, arrival.time_left), (TenantId(1), 5));
-    assert_eq!(super::kept(&tenant, 7).tenant, Some(1));
+    let submission = submission(MessageId(9), &tenant, AttemptHistory::default());
+    assert_eq!((submission.tenant, submission.time_left), (TenantId(1), 5));
+    assert_eq!(stored_message(&tenant, 7).tenant, Some(1));
 }
 
-/// Guards rule 1 where the inbox is long: a message's time runs from its last byte, and an answer after it delivers nothing.
+/// The deadline is counted from the last byte of the request, however long it waited in the mailbox.
 #[tokio::test]
-async fn a_messages_time_runs_from_its_last_byte() {
-    let mut rig = rig().await;
+async fn a_deadline_counts_from_the_last_byte_of_the_request() {
+    let mut fixture = fixture().await;
     let waited = Duration::from_millis(150);
     let (answer, _answered) = oneshot::channel();
     let received_at = tokio::time::Instant::now() - waited;
-    rig.dispatcher.submit(SubmissionRequest {
+    fixture.dispatcher.submit(SubmissionRequest {
         submitted: submitted("queued", 1),
         received_at,
         answer,
     });
-    let left = rig
+    let left = fixture
         .dispatcher
-        .open
-        .values()
-        .map(|o| o.expires - rig.dispatcher.clock.now())
+        .in_flight
+        .iter()
+        .map(|(_, message)| message.deadline - fixture.dispatcher.clock.now())
         .collect::<Vec<_>>();
     assert!(
         left.len() == 1 && left[0] <= 20_000_000 - micros(waited),
@@ -273,71 +298,89 @@
     );
 }
 
-impl Rig {
-    /// Takes over a message of the profile with a window, as a restart finds it: with one call out that began then.
-    fn take_over_with_call_out(&mut self, began: Micros) {
-        let kept = super::kept(
+impl Fixture {
+    /// Restores an idempotency-keyed message as a restart finds it: with one attempt out that started then.
+    fn restore_with_attempt_out(&mut self, started_at: Micros) {
+        let stored = stored_message(
             &submitted("out", 0),
             self.dispatcher.clock.now() + 20_000_000,
         );
-        let serial = self.dispatcher.journal.accept(kept).expect("it is kept");
+        let serial = self.dispatcher.journal.accept(stored).expect("room");
         self.dispatcher
             .journal
-            .attempt_started(serial, 0, began, 0)
-            .expect("it is kept");
+            .attempt_started(serial, 0, started_at, 0)
+            .expect("room");
         let messages = self.dispatcher.journal.after_restart();
         self.dispatcher.restore(messages);
     }
 }
 
-/// Guards rule 2 over a restart with a short window: a repeat that was decided inside it is not begun outside, however long
-/// the process takes with the rest of what it found before the endpoint's actor has its turn.
+/// A repeat that was decided inside the deduplication window is not sent outside it, however long the process blocks
+/// before the endpoint's actor runs.
 #[tokio::test]
-async fn a_repeat_whose_endpoint_reads_late_is_not_begun_outside_the_window() {
-    for (held_up, calls) in [(0, 1), (200, 0)] {
-        let mut rig = rig_within(1_000_000).await;
-        rig.take_over_with_call_out(rig.dispatcher.clock.now() - 900_000);
-        std::thread::sleep(Duration::from_millis(held_up)); // nobody else runs meanwhile
-        rig.pass(200).await;
-        assert_eq!(rig.calls().await, calls, "held up for {held_up} ms");
+async fn a_repeat_whose_endpoint_actor_runs_late_is_not_sent_outside_the_window() {
+    for (blocked_ms, attempts) in [(0, 1), (200, 0)] {
+        let mut fixture = fixture_with_window(1_000_000).await;
+        fixture.restore_with_attempt_out(fixture.dispatcher.clock.now() - 900_000);
+        std::thread::sleep(Duration::from_millis(blocked_ms)); // blocks all actors
+        fixture.run_for(200).await;
+        assert_eq!(
+            fixture.attempts().await,
+            attempts,
+            "blocked for {blocked_ms} ms"
+        );
     }
 }
 
-/// Guards rule 2 against a clock that was set back between two processes: when the call out began is not known then, and
-/// nothing proves that a repeat is inside the window.
+/// A start in the future means that the clock was set back between two runs. How long ago the attempt began is not
+/// known then, so nothing proves that a repeat is inside the deduplication window.
 #[tokio::test]
-async fn a_call_that_began_in_the_future_is_not_repeated() {
-    let mut rig = rig_within(1_000_000).await;
-    rig.take_over_with_call_out(rig.dispatcher.clock.now() + 5_000_000);
-    rig.pass(200).await;
-    assert_eq!(rig.calls().await, 0);
-    let pending_report = rig.pending_report.try_recv().expect("an end");
+async fn an_attempt_that_started_in_the_future_is_not_repeated() {
+    let mut fixture = fixture_with_window(1_000_000).await;
+    fixture.restore_with_attempt_out(fixture.dispatcher.clock.now() + 5_000_000);
+    fixture.run_for(200).await;
+    assert_eq!(fixture.attempts().await, 0);
+    let pending_report = fixture.pending_reports.try_recv().expect("an end");
     assert_eq!(
         (pending_report.request_id.as_str(), pending_report.ending),
         ("out", Ending::Failed)
     );
 }
 
-/// Guards rule 2 and a message's tries where an endpoint's mailbox is full: what could not be handed over has not run, whatever
-/// the journal was told before, and it goes once there is room.
+/// An attempt that finds the mailbox of its endpoint full has not taken effect, although its start is journalled. The
+/// message is sent once there is room.
 #[tokio::test]
-async fn a_message_that_finds_its_endpoints_mailbox_full_has_not_run_and_goes_later() {
-    let mut rig = rig().await;
-    assert_eq!(rig.submit("first", 1).await, Ok(SubmissionAnswer::Accepted));
-    let endpoint = *rig.dispatcher.listed.keys().next().expect("a target");
-    // Nobody reads it meanwhile.
-    while rig.dispatcher.post(endpoint, EndpointCommand::CloseIdle) {}
+async fn an_attempt_that_finds_the_mailbox_full_has_no_effect_and_is_repeated() {
+    let mut fixture = fixture().await;
+    assert_eq!(
+        fixture.submit("first", 1).await,
+        Ok(SubmissionAnswer::Accepted)
+    );
+    let endpoint = *fixture
+        .dispatcher
+        .listed
+        .keys()
+        .next()
+        .expect("an endpoint");
+    // The actor does not run meanwhile.
+    while fixture
+        .dispatcher
+        .post(endpoint, EndpointCommand::CloseIdle)
+    {}
     assert_eq!(
-        rig.submit("binding", 2).await,
+        fixture.submit("at-most-once", 2).await,
         Ok(SubmissionAnswer::Accepted)
     );
-    let kept = rig.dispatcher.journal.after_restart();
-    let binding = kept
+    let stored = fixture.dispatcher.journal.after_restart();
+    let message = stored
         .iter()
-        .find(|k| k.request_id == "binding")
-        .expect("it is kept");
-    assert_eq!((binding.attempts, binding.exposed), (1, None));
-    rig.pass(500).await;
-    assert!(rig.pending_report.try_recv().is_err(), "its end is told");
-    assert_eq!(rig.calls().await, 2);
+        .find(|message| message.request_id == "at-most-once")
+        .expect("it is stored");
+    assert_eq!((message.attempts, message.exposed), (1, None));
+    fixture.run_for(500).await;
+    assert!(
+        fixture.pending_reports.try_recv().is_err(),
+        "a report of its end"
+    );
+    assert_eq!(fixture.attempts().await, 2);
 }
