--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -20,7 +20,7 @@
     SubmissionRequest,
 };
 use crate::endpoints::EndpointContext;
-use crate::journal::{Journal, StoredMessage};
+use crate::journal::{Journal, JournalError, StoredMessage};
 use crate::protocol::Ending;
 use endpoint_list::ListedEndpoint;
 use endpoints::EndpointActors;
@@ -322,7 +322,7 @@
     }
 
     /// The dispatcher goes on after a failed write. Stopping would lose the messages that are already accepted.
-    fn log_journal_error(&self, result: std::io::Result<()>) {
+    fn log_journal_error(&self, result: Result<(), JournalError>) {
         if let Err(problem) = result {
             error!(self.log, "journal write failed"; "problem" => %problem);
         }
--- a/crates/forwarder/src/dispatcher/attempts.rs
+++ b/crates/forwarder/src/dispatcher/attempts.rs
@@ -119,7 +119,7 @@
             self.journal.ended(serial)
         } else if outcome == Outcome::WithdrawnBeforeSend {
             message.attempts_started = u32::from(attempt);
-            self.journal.attempt_taken_back(serial, attempt)
+            self.journal.attempt_withdrawn(serial, attempt)
         } else {
             let may_have_taken_effect = outcome.may_have_taken_effect();
             self.journal
--- a/crates/forwarder/src/dispatcher/completion.rs
+++ b/crates/forwarder/src/dispatcher/completion.rs
@@ -19,7 +19,7 @@
             request_id: message.submitted.request_id.clone(),
             ending,
         };
-        let written = self.journal.owes(report.serial, ending);
+        let written = self.journal.report_pending(report.serial, ending);
         self.log_journal_error(written);
         self.send_report(report, ordered.then_some(id));
         self.in_flight.remove_if_over(id);
--- a/crates/forwarder/src/dispatcher/recovery.rs
+++ b/crates/forwarder/src/dispatcher/recovery.rs
@@ -67,7 +67,7 @@
             possible_effect: possible_effect(now, &stored),
         };
         let serial = stored.serial;
-        let deadline = stored.expires;
+        let deadline = stored.deadline;
         let submitted = submitted_message(now, stored);
         let submission = Submission {
             resubmitted: true,
@@ -112,7 +112,7 @@
             .map(|(endpoint, listed)| listed.to_entry(*endpoint))
             .collect();
         self.decide(Event::EndpointList(EndpointListUpdate::Cached(entries)));
-        let messages = self.journal.after_restart();
+        let messages = self.journal.recover_messages();
         self.restore(messages);
         self.core_state = CoreState::Running;
     }
@@ -131,10 +131,15 @@
 /// The earliest attempt that may have taken effect. A start in the future means that the clock was set back: how long
 /// ago the attempt began is not known then. 0 makes it older than any deduplication window, so that it is not repeated.
 fn possible_effect(now: Micros, stored: &StoredMessage) -> Option<PossibleEffect> {
-    let (started_at, zone) = stored.exposed?;
+    let effect = stored.possible_effect?;
+    let started_in_future = effect.started_at > now;
     Some(PossibleEffect {
-        sent_at: if started_at > now { 0 } else { started_at },
-        zone: ZoneId(zone),
+        sent_at: if started_in_future {
+            0
+        } else {
+            effect.started_at
+        },
+        zone: ZoneId(effect.zone),
     })
 }
 
@@ -144,11 +149,11 @@
         class: DeliveryClassId(stored.class),
         tenant: stored.tenant.map(TenantId),
         destination: DestinationId(stored.destination),
-        left: stored.expires.saturating_sub(now),
+        left: stored.deadline.saturating_sub(now),
         idempotency_key: stored.idempotency_key,
         key: stored.key,
-        again: stored.again,
-        orphan: stored.orphan,
+        again: stored.resubmitted,
+        orphan: stored.from_failed_forwarder,
         body: stored.body,
     }
 }
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -178,7 +178,7 @@
         .handle_message(DispatcherCommand::ReportsAcknowledged(vec![
             pending_report.serial,
         ]));
-    assert_eq!(fixture.dispatcher.journal.after_restart().len(), 2);
+    assert_eq!(fixture.dispatcher.journal.recover_messages().len(), 2);
 }
 
 /// A core that panics before an endpoint list is known is replaced, and clients may submit from then on.
@@ -212,7 +212,7 @@
             .collect::<Vec<_>>(),
         ["early"]
     );
-    assert_eq!(fixture.dispatcher.journal.after_restart().len(), 1);
+    assert_eq!(fixture.dispatcher.journal.recover_messages().len(), 1);
 }
 
 /// A delivered message leaves the tables and the journal. A second outcome of its attempt changes nothing.
@@ -244,7 +244,7 @@
         .dispatcher
         .handle_message(DispatcherCommand::Event(ended(Outcome::Delivered)));
     assert!(fixture.dispatcher.in_flight.is_empty());
-    assert!(fixture.dispatcher.journal.after_restart().is_empty());
+    assert!(fixture.dispatcher.journal.recover_messages().is_empty());
     fixture
         .dispatcher
         .handle_message(DispatcherCommand::Event(ended(Outcome::Error)));
@@ -310,7 +310,7 @@
             .journal
             .attempt_started(serial, 0, started_at, 0)
             .expect("room");
-        let messages = self.dispatcher.journal.after_restart();
+        let messages = self.dispatcher.journal.recover_messages();
         self.dispatcher.restore(messages);
     }
 }
@@ -371,12 +371,12 @@
         fixture.submit("at-most-once", 2).await,
         Ok(SubmissionAnswer::Accepted)
     );
-    let stored = fixture.dispatcher.journal.after_restart();
+    let stored = fixture.dispatcher.journal.recover_messages();
     let message = stored
         .iter()
         .find(|message| message.request_id == "at-most-once")
         .expect("it is stored");
-    assert_eq!((message.attempts, message.exposed), (1, None));
+    assert_eq!((message.attempts, message.possible_effect), (1, None));
     fixture.run_for(500).await;
     assert!(
         fixture.pending_reports.try_recv().is_err(),
--- a/crates/forwarder/src/journal/tests.rs
+++ b/crates/forwarder/src/journal/tests.rs
@@ -1,8 +1,14 @@
+use super::record::*;
+use super::segment::{path, BLOCK_BYTES};
 use super::*;
+use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use std::fs;
 use tempfile::TempDir;
 
-const LIMIT: u64 = 300_000;
+const LIMIT: u64 = 300_000; // bytes
 
 fn message(n: u64, body: usize) -> StoredMessage {
     StoredMessage {
@@ -11,25 +17,25 @@
         class: 1,
         tenant: (n % 7 < 3).then_some(n as u32),
         destination: if n.is_multiple_of(6) { 70_000 } else { 7 },
-        expires: 1_000_000 + n,
+        deadline: 1_000_000 + n,
         idempotency_key: n.is_multiple_of(2).then(|| format!("idempotency_key-{n}")),
-        again: n.is_multiple_of(3),
-        orphan: n.is_multiple_of(5),
+        resubmitted: n.is_multiple_of(3),
+        from_failed_forwarder: n.is_multiple_of(5),
         body: Bytes::from(vec![n as u8; body]),
         key: n.is_multiple_of(4).then_some(n),
         attempts: 0,
-        exposed: None,
-        out: Vec::new(),
+        possible_effect: None,
+        attempts_out: Vec::new(),
         pending_report: None,
     }
 }
 
 fn on_disk(dir: &TempDir) -> u64 {
     let files = fs::read_dir(dir.path())
-        .expect("the folder")
+        .expect("the directory")
         .map(|f| f.expect("a file").metadata());
     files
-        .map(|m| m.expect("its size").len().div_ceil(BLOCK) * BLOCK)
+        .map(|m| m.expect("its size").len().div_ceil(BLOCK_BYTES) * BLOCK_BYTES)
         .sum()
 }
 
@@ -41,45 +47,47 @@
     Journal::open(dir.path(), limit).expect("the journal opens")
 }
 
-/// Guards against a kill at any moment of a write: what was whole before it is kept, and writing goes on.
+/// A kill may cut a write at any byte: the records before it are recovered, and writing goes on.
 #[test]
-fn a_journal_cut_at_any_byte_keeps_what_was_whole() {
-    let dir = TempDir::new().expect("a folder");
+fn a_journal_cut_at_any_byte_keeps_the_whole_records() {
+    let dir = TempDir::new().expect("a directory");
     let (mut journal, _) = open(&dir);
     let file = path(dir.path(), 0);
     let size = || fs::metadata(&file).expect("the segment").len();
     // After each write: the file's length and the messages that a restart there must find.
     let mut stages = vec![(0, Vec::new())];
-    let mut note = |journal: &mut Journal| {
-        let mut all: Vec<StoredMessage> = journal.live.values().map(|(k, _)| k.clone()).collect();
-        all.iter_mut().for_each(StoredMessage::forget_out);
-        stages.push((size(), all));
+    let mut add_stage = |journal: &mut Journal| {
+        let mut messages = journal.live.messages();
+        for message in &mut messages {
+            message.assume_effect_of_attempts_out();
+        }
+        stages.push((size(), messages));
     };
     let first = journal.accept(message(1, 40)).expect("room");
-    note(&mut journal);
+    add_stage(&mut journal);
     journal.attempt_started(first, 0, 500, 1).expect("room");
-    note(&mut journal);
+    add_stage(&mut journal);
     let second = journal.accept(message(2, 0)).expect("room");
-    note(&mut journal);
+    add_stage(&mut journal);
     journal.attempt_ended(first, 0, false).expect("room");
-    note(&mut journal);
+    add_stage(&mut journal);
     journal.attempt_started(first, 1, 900, 0).expect("room");
-    note(&mut journal);
+    add_stage(&mut journal);
     journal
-        .owes(
+        .report_pending(
             second,
             Ending::Rejected {
                 retry_after: Some(9),
             },
         )
         .expect("room");
-    note(&mut journal);
+    add_stage(&mut journal);
     journal.ended(first).expect("room");
-    note(&mut journal);
+    add_stage(&mut journal);
     drop(journal);
     let whole = fs::read(&file).expect("the segment");
     for cut in 0..=whole.len() {
-        let dir = TempDir::new().expect("a folder");
+        let dir = TempDir::new().expect("a directory");
         fs::write(path(dir.path(), 0), &whole[..cut]).expect("written");
         let (mut journal, found) = open(&dir);
         let (_, wanted) = stages
@@ -88,15 +96,16 @@
             .expect("a stage");
         assert_eq!(&found, wanted, "cut at {cut}");
         let serial = journal.accept(message(9, 10)).expect("room");
-        assert!(found.iter().all(|k| k.serial != serial));
+        assert!(found.iter().all(|message| message.serial != serial));
         drop(journal);
         assert_eq!(open(&dir).1.len(), wanted.len() + 1, "cut at {cut}");
     }
 }
 
+/// Attempts out at the end of a run may have taken effect; those that ended without one have not.
 #[test]
-fn attempts_out_at_the_end_may_have_run_and_refused_ones_have_not() {
-    let dir = TempDir::new().expect("a folder");
+fn attempts_out_at_the_end_of_a_run_may_have_taken_effect() {
+    let dir = TempDir::new().expect("a directory");
     let (mut journal, _) = open(&dir);
     let serial = journal.accept(message(1, 5)).expect("room");
     for (attempt, at) in [(0, 100), (1, 200), (2, 300)] {
@@ -109,31 +118,38 @@
     }
     drop(journal);
     let (_, found) = open(&dir);
-    assert_eq!((found[0].attempts, found[0].exposed), (3, Some((200, 1))));
-    // Once more without news: the facts stay.
+    let effect = StoredEffect {
+        started_at: 200,
+        zone: 1,
+    };
+    assert_eq!(found[0].attempts, 3);
+    assert_eq!(found[0].possible_effect, Some(effect));
+    // A second restart finds the same.
     assert_eq!(open(&dir).1, found);
 }
 
-/// Guards against a spoilt block: the journal opens, and messages of other segments are there.
+/// A journal with a damaged byte opens, and the messages of its other segments are recovered.
 #[test]
-fn a_spoilt_byte_hides_only_what_follows_in_its_segment() {
-    let dir = TempDir::new().expect("a folder");
+fn a_damaged_byte_hides_only_what_follows_in_its_segment() {
+    let dir = TempDir::new().expect("a directory");
     let (mut journal, _) = open(&dir);
     journal.accept(message(1, 10)).expect("room");
     journal.accept(message(2, 10)).expect("room");
     drop(journal);
-    let (mut journal, _) = open(&dir); // a start begins a new segment
+    let (mut journal, _) = open(&dir); // each start creates a new segment
     journal.accept(message(3, 10)).expect("room");
     drop(journal);
     let file = path(dir.path(), 0);
     let whole = fs::read(&file).expect("the segment");
     for at in 0..whole.len() {
-        let mut spoilt = whole.clone();
-        spoilt[at] ^= 0x10;
-        fs::write(&file, spoilt).expect("written");
+        let mut damaged = whole.clone();
+        damaged[at] ^= 0x10;
+        fs::write(&file, damaged).expect("written");
         let (_, found) = open(&dir);
         assert!(
-            found.iter().any(|k| k.request_id == format!("{:016x}", 3)),
+            found
+                .iter()
+                .any(|message| message.request_id == format!("{:016x}", 3)),
             "byte {at}"
         );
         assert!(
@@ -151,7 +167,7 @@
 enum Step {
     Accept(u16),
     Attempt(u8),
-    Owe(u8),
+    Report(u8),
     End(u8),
     Restart,
 }
@@ -161,16 +177,16 @@
         match u8::arbitrary(g) % 16 {
             0..=5 => Step::Accept(u16::arbitrary(g)),
             6..=9 => Step::Attempt(u8::arbitrary(g)),
-            10 => Step::Owe(u8::arbitrary(g)),
+            10 => Step::Report(u8::arbitrary(g)),
             11..=14 => Step::End(u8::arbitrary(g)),
             _ => Step::Restart,
         }
     }
 }
 
-/// Guards the platform's limit on the folder, copies included: a message that fits is never lost for want of room.
+/// The files never exceed the limit, and a message that has room at its acceptance is never lost for want of it.
 #[test]
-fn the_disk_limit_holds_and_nothing_taken_on_is_lost() {
+fn the_disk_limit_holds_and_no_accepted_message_is_lost() {
     fn run(steps: Vec<Step>, limit: u8) -> Result<(), String> {
         let limit = [100_000, 300_000, 900_000][usize::from(limit % 3)];
         let dir = TempDir::new().map_err(|e| e.to_string())?;
@@ -180,39 +196,42 @@
             let pick = |n: u8| wanted.keys().nth(n as usize % wanted.len().max(1)).copied();
             match step {
                 Step::Accept(size) => {
-                    let kept = message(n as u64, usize::from(size));
-                    if !journal.has_room(&kept) {
+                    let new = message(n as u64, usize::from(size));
+                    if !journal.has_room(&new) {
                         continue;
                     }
                     let serial = journal
-                        .accept(kept.clone())
+                        .accept(new.clone())
                         .map_err(|e| format!("accept: {e}"))?;
-                    wanted.insert(serial, StoredMessage { serial, ..kept });
+                    wanted.insert(serial, StoredMessage { serial, ..new });
                 }
                 Step::Attempt(n) => {
-                    let Some(kept) = pick(n).and_then(|s| wanted.get_mut(&s)) else {
+                    let Some(stored) = pick(n).and_then(|s| wanted.get_mut(&s)) else {
                         continue;
                     };
-                    let attempt = kept.attempts as u8;
+                    let attempt = stored.attempts as u8;
                     journal
-                        .attempt_started(kept.serial, attempt, n.into(), 0)
-                        .map_err(|e| format!("trip: {e}"))?;
+                        .attempt_started(stored.serial, attempt, n.into(), 0)
+                        .map_err(|e| format!("attempt: {e}"))?;
                     journal
-                        .attempt_ended(kept.serial, attempt, n.is_multiple_of(2))
-                        .map_err(|e| format!("trip: {e}"))?;
-                    kept.attempts += 1;
+                        .attempt_ended(stored.serial, attempt, n.is_multiple_of(2))
+                        .map_err(|e| format!("attempt: {e}"))?;
+                    stored.attempts += 1;
                     if n.is_multiple_of(2) {
-                        kept.expose(n.into(), 0);
+                        stored.add_possible_effect(StoredEffect {
+                            started_at: n.into(),
+                            zone: 0,
+                        });
                     }
                 }
-                Step::Owe(n) => {
+                Step::Report(n) => {
                     let Some(serial) = pick(n) else { continue };
                     journal
-                        .owes(serial, Ending::Failed)
-                        .map_err(|e| format!("owe: {e}"))?;
+                        .report_pending(serial, Ending::Failed)
+                        .map_err(|e| format!("report: {e}"))?;
                     wanted
                         .entry(serial)
-                        .and_modify(|k| k.pending_report = Some(Ending::Failed));
+                        .and_modify(|stored| stored.pending_report = Some(Ending::Failed));
                 }
                 Step::End(n) => {
                     let Some(serial) = pick(n) else { continue };
@@ -226,7 +245,7 @@
                     let all: Vec<StoredMessage> = wanted.values().cloned().collect();
                     if found != all {
                         return Err(format!(
-                            "{} packets found, {} wanted",
+                            "{} messages found, {} wanted",
                             found.len(),
                             all.len()
                         ));
@@ -245,14 +264,14 @@
         .quickcheck(run as fn(Vec<Step>, u8) -> Result<(), String>);
 }
 
-/// An attempt that was withdrawn never went: after a restart it counts neither as an attempt nor as one that may have run.
+/// After a restart a withdrawn attempt counts neither as an attempt nor as one that may have taken effect.
 #[test]
-fn a_attempt_taken_back_leaves_no_trace() {
-    let dir = TempDir::new().expect("a folder");
+fn a_withdrawn_attempt_leaves_no_trace() {
+    let dir = TempDir::new().expect("a directory");
     let (mut journal, _) = open(&dir);
     let serial = journal.accept(message(1, 40)).expect("room");
     journal.attempt_started(serial, 0, 900, 1).expect("room");
-    journal.attempt_taken_back(serial, 0).expect("room");
+    journal.attempt_withdrawn(serial, 0).expect("room");
     assert_eq!(
         open(&dir).1,
         [StoredMessage {
@@ -262,7 +281,8 @@
     );
 }
 
-/// The records as versions wrote and read them whose destinations had 16 bits.
+/// The records of earlier versions, whose destinations had 16 bits. Their field names are of no weight: the format has
+/// none.
 mod earlier {
     use super::*;
 
@@ -309,28 +329,32 @@
     }
 
     pub fn of(
-        kept: &super::StoredMessage,
+        stored: &super::StoredMessage,
         destination: u16,
         pending_report: Option<Ending>,
     ) -> Record {
-        let kept = kept.clone();
+        let stored = stored.clone();
+        let effect = stored.possible_effect;
+        let out = stored.attempts_out.iter();
         let old = StoredMessage {
-            serial: kept.serial,
-            request_id: kept.request_id,
-            class: kept.class,
-            tenant: kept.tenant,
+            serial: stored.serial,
+            request_id: stored.request_id,
+            class: stored.class,
+            tenant: stored.tenant,
             destination,
-            expires: kept.expires,
-            idempotency_key: kept.idempotency_key,
-            again: kept.again,
-            orphan: kept.orphan,
-            body: kept.body,
-            attempts: kept.attempts,
-            exposed: kept.exposed,
-            out: kept.out,
+            expires: stored.deadline,
+            idempotency_key: stored.idempotency_key,
+            again: stored.resubmitted,
+            orphan: stored.from_failed_forwarder,
+            body: stored.body.clone(),
+            attempts: stored.attempts,
+            exposed: effect.map(|effect| (effect.started_at, effect.zone)),
+            out: out
+                .map(|out| (out.attempt, out.started_at, out.zone))
+                .collect(),
             pending_report,
         };
-        match kept.key {
+        match stored.key {
             Some(key) => Record::Keyed(old, key),
             None => Record::Message(old),
         }
@@ -338,7 +362,7 @@
 
     pub fn read(segment: &[u8]) -> Option<Record> {
         let length = u32::from_le_bytes(segment[..4].try_into().ok()?) as usize;
-        postcard::from_bytes(&segment[HEADER..HEADER + length]).ok()
+        postcard::from_bytes(&segment[FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + length]).ok()
     }
 
     pub fn frame(record: &Record) -> Vec<u8> {
@@ -352,20 +376,27 @@
     }
 }
 
-fn to(destination: u32, n: u64, pending_report: Option<Ending>) -> StoredMessage {
+fn message_to(destination: u32, n: u64, pending_report: Option<Ending>) -> StoredMessage {
     StoredMessage {
         destination,
         pending_report,
         attempts: 2,
-        exposed: Some((5, 1)),
-        out: vec![(1, 6, 0)],
+        possible_effect: Some(StoredEffect {
+            started_at: 5,
+            zone: 1,
+        }),
+        attempts_out: vec![StoredAttempt {
+            attempt: 1,
+            started_at: 6,
+            zone: 0,
+        }],
         ..message(n, 40)
     }
 }
 
-/// Guards messages over the change of versions: both write the same bytes for the destinations that both have.
+/// This version and earlier ones write the same bytes for a destination of 16 bits.
 #[test]
-fn destinations_of_16_bits_are_kept_as_earlier_versions_keep_them() {
+fn destinations_of_16_bits_are_stored_as_by_earlier_versions() {
     for (destination, n) in [
         (0, 1),
         (127, 4),
@@ -381,24 +412,24 @@
                 retry_after: Some(9),
             }),
         ] {
-            let kept = to(destination, n, pending_report);
-            let bytes = earlier::frame(&earlier::of(&kept, destination as u16, pending_report));
+            let stored = message_to(destination, n, pending_report);
+            let bytes = earlier::frame(&earlier::of(&stored, destination as u16, pending_report));
             assert_eq!(
-                encode(&Record::message(kept.clone())).expect("a form"),
+                encode(&Record::message(stored.clone())).expect("a form"),
                 bytes
             );
-            let dir = TempDir::new().expect("a folder");
+            let dir = TempDir::new().expect("a directory");
             fs::write(path(dir.path(), 0), &bytes).expect("written");
-            let mut wanted = kept;
-            wanted.forget_out();
+            let mut wanted = stored;
+            wanted.assume_effect_of_attempts_out();
             assert_eq!(open(&dir).1, [wanted]);
         }
     }
 }
 
-/// Guards rule 1 where an earlier version takes the folder over: it owes a message that it can't send its end.
+/// An earlier version that takes the directory over reports a message to a larger destination as failed.
 #[test]
-fn larger_destinations_are_kept_and_earlier_versions_write_their_messages_off() {
+fn larger_destinations_are_stored_and_earlier_versions_fail_their_messages() {
     for (destination, n) in [(65_536, 1), (70_000, 2), (70_000, 4), (u32::MAX, 8)] {
         for (pending_report, theirs) in [
             (None, Ending::Failed),
@@ -408,26 +439,26 @@
                 Ending::Rejected { retry_after: None },
             ),
         ] {
-            let dir = TempDir::new().expect("a folder");
+            let dir = TempDir::new().expect("a directory");
             let (mut journal, _) = open(&dir);
-            let kept = to(destination, n, pending_report);
-            let serial = journal.accept(kept.clone()).expect("room");
+            let stored = message_to(destination, n, pending_report);
+            let serial = journal.accept(stored.clone()).expect("room");
             drop(journal);
             let segment = fs::read(path(dir.path(), 0)).expect("the segment");
             assert_eq!(
                 earlier::read(&segment),
-                Some(earlier::of(&kept, u16::MAX, Some(theirs)))
+                Some(earlier::of(&stored, u16::MAX, Some(theirs)))
             );
-            let mut wanted = StoredMessage { serial, ..kept };
-            wanted.forget_out();
+            let mut wanted = StoredMessage { serial, ..stored };
+            wanted.assume_effect_of_attempts_out();
             assert_eq!(open(&dir).1, [wanted.clone()]);
-            // An earlier version that copies the message on keeps the end that it owes.
+            // An earlier version that copies the message keeps its pending report.
             let copied = earlier::frame(&earlier::of(&wanted, u16::MAX, Some(theirs)));
             fs::write(path(dir.path(), 0), copied).expect("written");
             assert_eq!(
                 open(&dir).1,
                 [StoredMessage {
-                    destination: EARLIER_MOST,
+                    destination: MAX_DESTINATION_OF_EARLIER_VERSIONS,
                     pending_report: Some(theirs),
                     ..wanted
                 }]
@@ -436,12 +467,12 @@
     }
 }
 
-/// Bytes behind a record that are none of ours end the segment, as a spoilt record does.
+/// Bytes after a record that are not whole make it unreadable, as damage does.
 #[test]
-fn what_stands_behind_a_record_is_read_whole_or_not_at_all() {
-    let kept = to(70_000, 1, None);
-    let body = encode_body(&Record::message(kept.clone())).expect("a form");
-    let behind = postcard::to_allocvec(&BeyondEarlier {
+fn the_bytes_after_a_record_are_read_whole_or_not_at_all() {
+    let stored = message_to(70_000, 1, None);
+    let body = encode_body(&Record::message(stored.clone())).expect("a form");
+    let behind = postcard::to_allocvec(&LargeDestination {
         destination: 70_000,
         pending_report: None,
     })
@@ -452,5 +483,5 @@
             "{cut} bytes cut off"
         );
     }
-    assert!(matches!(decode_body(&body), Ok(Record::Message(found)) if found == kept));
+    assert!(matches!(decode_body(&body), Ok(Record::Message(found)) if found == stored));
 }
