--- a/crates/forwarder/src/clock.rs
+++ b/crates/forwarder/src/clock.rs
@@ -1,36 +1,42 @@
-//! Time: Unix microseconds at the start of the process, carried on by the monotonic clock. One scale serves the
-//! core and the journal; a step of the wall clock while the process runs moves nothing.
+//! Time: Unix microseconds at the start of the process, carried on by the monotonic clock. The core and the journal use
+//! the same scale. A step of the wall clock while the process runs changes nothing.
 
 use opalpulley::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
+/// The clock of the process.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    origin: Instant,
-    wall: Micros,
+    started: Instant,
+    /// The Unix time at the start, in µs.
+    started_unix: Micros,
 }
 
 impl Clock {
+    /// A clock that starts now.
     pub fn start() -> Clock {
-        let wall = SystemTime::now()
+        let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            origin: Instant::now(),
-            wall: micros(wall),
+            started: Instant::now(),
+            started_unix: micros(unix_time),
         }
     }
 
+    /// The time now, in Unix µs.
     pub fn now(&self) -> Micros {
-        self.wall + micros(self.origin.elapsed())
+        self.started_unix + micros(self.started.elapsed())
     }
 
+    /// The instant of a time in Unix µs. A time before the start is the start.
     pub fn at(&self, time: Micros) -> Instant {
-        self.origin + Duration::from_micros(time.saturating_sub(self.wall))
+        self.started + Duration::from_micros(time.saturating_sub(self.started_unix))
     }
 }
 
-pub fn micros(span: Duration) -> Micros {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+/// A duration in whole µs.
+pub fn micros(duration: Duration) -> Micros {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
