--- a/crates/forwarder/src/dispatcher/attempts.rs
+++ b/crates/forwarder/src/dispatcher/attempts.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 impl Dispatcher {
-    /// Journals the next attempt at a message and hands it to the endpoint's actor. Where either fails, the core gets
+    /// Journals the next attempt at a message and sends it to the endpoint's actor. Where either fails, the core gets
     /// the outcome [`Outcome::NotAttempted`]. Times are in µs.
     pub(super) fn start_attempt(
         &mut self,
--- a/crates/forwarder/src/dispatcher/endpoints.rs
+++ b/crates/forwarder/src/dispatcher/endpoints.rs
@@ -93,7 +93,7 @@
         self.running.contains_key(&endpoint)
     }
 
-    /// Counts an attempt that was handed to the endpoint's actor.
+    /// Counts an attempt that was sent to the endpoint's actor.
     pub fn attempt_started(&mut self, endpoint: EndpointId) {
         if let Some(actor) = self.running.get_mut(&endpoint) {
             actor.attempts_out += 1;
--- a/crates/forwarder/src/endpoint_list/table.rs
+++ b/crates/forwarder/src/endpoint_list/table.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints as last held: each member once, with what the core is told of it, found by id and by address.
+//! The endpoint list as it is known: each member once, found by its id and by its address.
 
 use crate::protocol::{EndpointListDocument, Member, Phase};
 use compact_str::CompactString;
@@ -9,150 +9,199 @@
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
 
-/// The list as last held. Each member leaves as it goes.
+/// The endpoint list as it is known.
 #[derive(Default)]
 pub struct EndpointTable {
-    /// Of the last news; none until some are in.
+    /// The revision of the latest document; none before the first.
     pub(super) revision: Option<u64>,
-    table: Table,
-    /// The number of the next member that is new. It comes round after four thousand million of them.
-    next: u32,
+    members: MemberTable,
+    /// The incarnation of the latest endpoint that was new. It wraps after 2³² of them.
+    last_incarnation: u32,
 }
 
+/// Members as they were before a document, by id; none for one that was not known.
+type MembersBefore = BTreeMap<CompactString, Option<EndpointEntry>>;
+
 impl EndpointTable {
-    /// Takes news in and gives them in the core's terms; nothing where they are of before. The work follows what is
-    /// told, not what is held.
+    /// Applies a document and returns what it says in the core's terms: nothing where it is older than the list that is
+    /// known, or changes nothing.
     pub fn take(
         &mut self,
-        text: EndpointListDocument,
+        document: EndpointListDocument,
         names: &Names,
     ) -> Option<EndpointListUpdate> {
-        if !text.complete && self.revision.is_some_and(|r| text.revision < r) {
+        let is_older = self.revision.is_some_and(|known| document.revision < known);
+        if !document.complete && is_older {
             return None;
         }
-        self.revision = Some(text.revision);
-        match text.complete {
-            true => Some(self.take_whole(text.members, names)),
-            false => self.take_changes(text.members, names),
+        self.revision = Some(document.revision);
+        if document.complete {
+            Some(self.replace_members(document.members, names))
+        } else {
+            self.change_members(document.members, names)
         }
     }
 
-    fn take_whole(&mut self, members: Vec<Member>, names: &Names) -> EndpointListUpdate {
-        let before = std::mem::replace(&mut self.table, Table::with_room(members.len()));
+    fn replace_members(&mut self, members: Vec<Member>, names: &Names) -> EndpointListUpdate {
+        let new_table = MemberTable::with_capacity(members.len());
+        let before = std::mem::replace(&mut self.members, new_table);
         for member in members {
             let old = before.get(&member.id).cloned();
-            self.take_member(member, old.as_ref(), names);
+            self.apply_member(member, old.as_ref(), names);
         }
-        let mut rows: Vec<&Row> = self.table.rows.iter().map(|(_, row)| row).collect();
+        let mut rows: Vec<&MemberRow> = self.members.rows.iter().map(|(_, row)| row).collect();
         rows.sort_unstable_by(|a, b| a.id.cmp(&b.id));
-        EndpointListUpdate::Complete(rows.into_iter().map(|row| row.listing.clone()).collect())
+        let entries = rows.into_iter().map(|row| row.entry.clone()).collect();
+        EndpointListUpdate::Complete(entries)
     }
 
-    fn take_changes(&mut self, members: Vec<Member>, names: &Names) -> Option<EndpointListUpdate> {
-        // Those that are told of, as they stood before.
-        let mut before: BTreeMap<CompactString, Option<EndpointEntry>> = BTreeMap::new();
+    /// The work is proportional to the changes, not to the list.
+    fn change_members(
+        &mut self,
+        members: Vec<Member>,
+        names: &Names,
+    ) -> Option<EndpointListUpdate> {
+        let mut before = MembersBefore::new();
         for member in members {
-            let old = before.entry(member.id.clone());
-            let old = old
-                .or_insert_with(|| self.table.get(&member.id).cloned())
+            let old = before
+                .entry(member.id.clone())
+                .or_insert_with(|| self.members.get(&member.id).cloned())
                 .clone();
-            if let Some(sent_off) = self.take_member(member, old.as_ref(), names) {
-                before.entry(sent_off.id).or_insert(Some(sent_off.listing));
+            if let Some(displaced) = self.apply_member(member, old.as_ref(), names) {
+                before.entry(displaced.id).or_insert(Some(displaced.entry));
             }
         }
-        let now = |id: &CompactString| self.table.get(id);
-        let was = before
-            .iter()
-            .filter_map(|(id, old)| Some((id, old.as_ref()?)));
-        let gone = was.filter(|(id, old)| {
-            now(id).is_none_or(|n| n.endpoint.incarnation != old.endpoint.incarnation)
-        });
-        let gone = gone.map(|(_, old)| EndpointEntry {
-            status: EndpointStatus::Removed,
-            ..old.clone()
-        });
-        let told = before
-            .iter()
-            .filter_map(|(id, old)| now(id).filter(|now| old.as_ref() != Some(now)));
-        let entries: Vec<EndpointEntry> = gone.chain(told.cloned()).collect();
-        (!entries.is_empty()).then_some(EndpointListUpdate::Changes(entries))
+        let mut entries = self.removed_endpoints(&before);
+        entries.extend(self.changed_members(&before));
+        if entries.is_empty() {
+            None
+        } else {
+            Some(EndpointListUpdate::Changes(entries))
+        }
+    }
+
+    /// The endpoints that members had before and have no more, in the order of the members' ids.
+    fn removed_endpoints(&self, before: &MembersBefore) -> Vec<EndpointEntry> {
+        let mut removed = Vec::new();
+        for (id, old) in before {
+            let Some(old) = old else { continue };
+            let is_same =
+                |now: &EndpointEntry| now.endpoint.incarnation == old.endpoint.incarnation;
+            if !self.members.get(id).is_some_and(is_same) {
+                removed.push(EndpointEntry {
+                    status: EndpointStatus::Removed,
+                    ..old.clone()
+                });
+            }
+        }
+        removed
     }
 
-    /// Takes one line in, whose member stood as `old` before these news. Gives the one that it sends off its address.
-    fn take_member(
+    /// The members that are new or differ from what they were before, in the order of their ids.
+    fn changed_members(&self, before: &MembersBefore) -> Vec<EndpointEntry> {
+        let mut changed = Vec::new();
+        for (id, old) in before {
+            let Some(now) = self.members.get(id) else {
+                continue;
+            };
+            if old.as_ref() != Some(now) {
+                changed.push(now.clone());
+            }
+        }
+        changed
+    }
+
+    /// Applies one line of a document, whose member was `old` before the document. Returns the member that it displaces
+    /// from its address.
+    fn apply_member(
         &mut self,
         member: Member,
         old: Option<&EndpointEntry>,
         names: &Names,
-    ) -> Option<Row> {
+    ) -> Option<MemberRow> {
         if member.phase == Phase::Gone {
-            self.table.remove(&member.id);
+            self.members.remove(&member.id);
             return None;
         }
-        let mut listing = member.listing(0, names);
-        let other = self
-            .table
-            .holder(address(&listing))
-            .filter(|row| row.id != member.id);
-        let other = other.map(|row| row.id.clone());
-        // Guards an address that another holds by now against what is told late of the one before.
-        if other.is_some() && member.phase != Phase::Ready {
+        let mut entry = member.listing(0, names);
+        let other_id = self
+            .members
+            .at_address(Address::of(&entry))
+            .filter(|row| row.id != member.id)
+            .map(|row| row.id.clone());
+        // Another member has the address by now: a late change of one that drains there must not touch it.
+        if other_id.is_some() && member.phase != Phase::Ready {
             return None;
         }
-        let sent_off = other.and_then(|id| self.table.remove(&id));
-        // Guards a new member against what was learned of another that had its address, or of itself elsewhere.
-        let place = |l: &EndpointEntry| (address(l), l.destination);
-        let same = old
-            .filter(|old| place(old) == place(&listing))
-            .map(|old| old.endpoint.incarnation);
-        listing.endpoint.incarnation = same.unwrap_or_else(|| self.new_number());
-        self.table.remove(&member.id);
-        self.table.insert(Row {
-            id: member.id,
-            listing,
-        });
-        sent_off
+        let displaced = other_id.and_then(|id| self.members.remove(&id));
+        // An endpoint with another address or destination is a new one: nothing learned of the old one applies to it.
+        let same_endpoint = old.filter(|old| has_same_place(old, &entry));
+        entry.endpoint.incarnation = match same_endpoint {
+            Some(old) => old.endpoint.incarnation,
+            None => self.new_incarnation(),
+        };
+        self.members.remove(&member.id);
+        let id = member.id;
+        self.members.insert(MemberRow { id, entry });
+        displaced
     }
 
-    fn new_number(&mut self) -> u32 {
-        self.next = self.next.wrapping_add(1);
-        self.next
+    fn new_incarnation(&mut self) -> u32 {
+        self.last_incarnation = self.last_incarnation.wrapping_add(1);
+        self.last_incarnation
     }
 
+    /// Whether nothing is kept of any member.
     #[cfg(test)]
     pub(super) fn is_empty(&self) -> bool {
-        self.table.rows.is_empty()
-            && self.table.by_id.is_empty()
-            && self.table.by_address.is_empty()
+        self.members.rows.is_empty()
+            && self.members.by_id.is_empty()
+            && self.members.by_address.is_empty()
     }
 }
 
-/// Where an endpoint listens: address and port.
-type Address = ([u8; 4], u16);
+fn has_same_place(a: &EndpointEntry, b: &EndpointEntry) -> bool {
+    Address::of(a) == Address::of(b) && a.destination == b.destination
+}
+
+/// Where an endpoint listens.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Address {
+    /// IPv4, in network order.
+    ip: [u8; 4],
+    port: u16,
+}
 
-fn address(listing: &EndpointEntry) -> Address {
-    (listing.endpoint.address, listing.endpoint.port)
+impl Address {
+    fn of(entry: &EndpointEntry) -> Address {
+        Address {
+            ip: entry.endpoint.address,
+            port: entry.endpoint.port,
+        }
+    }
 }
 
-/// A member as held.
-struct Row {
+/// A member with its id in the platform's list.
+struct MemberRow {
     id: CompactString,
-    listing: EndpointEntry,
+    entry: EndpointEntry,
 }
 
-/// Members, with two ways to find one. Each has an id and an address of its own. A row leaves with its member; the room
-/// of the rows is that of the longest list since the last whole one.
+/// The members, with an index by id and one by address: both are unique. The capacity of the rows is that of the longest
+/// list since the latest complete one.
 #[derive(Default)]
-struct Table {
-    rows: Slab<Row>,
-    by_id: HashTable<u32>,      // the place of each row
-    by_address: HashTable<u32>, // the same
+struct MemberTable {
+    rows: Slab<MemberRow>,
+    /// The keys of the rows in the slab.
+    by_id: HashTable<u32>,
+    /// The same.
+    by_address: HashTable<u32>,
     hasher: RandomState,
 }
 
-impl Table {
-    fn with_room(rows: usize) -> Table {
-        Table {
+impl MemberTable {
+    fn with_capacity(rows: usize) -> MemberTable {
+        MemberTable {
             rows: Slab::with_capacity(rows),
             by_id: HashTable::with_capacity(rows),
             by_address: HashTable::with_capacity(rows),
@@ -161,44 +210,43 @@
     }
 
     fn get(&self, id: &str) -> Option<&EndpointEntry> {
-        let place = self.by_id.find(self.hasher.hash_one(id), |place| {
-            self.rows[*place as usize].id == id
-        })?;
-        Some(&self.rows[*place as usize].listing)
+        let hash = self.hasher.hash_one(id);
+        let is_it = |key: &u32| self.rows[*key as usize].id == id;
+        let key = self.by_id.find(hash, is_it)?;
+        Some(&self.rows[*key as usize].entry)
     }
 
-    fn holder(&self, wanted: Address) -> Option<&Row> {
-        let is = |place: &u32| address(&self.rows[*place as usize].listing) == wanted;
-        let place = self.by_address.find(self.hasher.hash_one(wanted), is)?;
-        Some(&self.rows[*place as usize])
+    fn at_address(&self, address: Address) -> Option<&MemberRow> {
+        let hash = self.hasher.hash_one(address);
+        let is_it = |key: &u32| Address::of(&self.rows[*key as usize].entry) == address;
+        let key = self.by_address.find(hash, is_it)?;
+        Some(&self.rows[*key as usize])
     }
 
-    /// Takes a row whose id and address no other has.
-    fn insert(&mut self, row: Row) {
-        let (id, at) = (
-            self.hasher.hash_one(row.id.as_str()),
-            self.hasher.hash_one(address(&row.listing)),
-        );
-        let place = self.rows.insert(row) as u32;
+    /// Adds a member whose id and address no other has.
+    fn insert(&mut self, row: MemberRow) {
+        let id_hash = self.hasher.hash_one(row.id.as_str());
+        let address_hash = self.hasher.hash_one(Address::of(&row.entry));
+        let key = self.rows.insert(row) as u32;
         let (rows, hasher) = (&self.rows, &self.hasher);
-        self.by_id.insert_unique(id, place, |p| {
-            hasher.hash_one(rows[*p as usize].id.as_str())
+        self.by_id.insert_unique(id_hash, key, |key| {
+            hasher.hash_one(rows[*key as usize].id.as_str())
         });
-        self.by_address.insert_unique(at, place, |p| {
-            hasher.hash_one(address(&rows[*p as usize].listing))
+        self.by_address.insert_unique(address_hash, key, |key| {
+            hasher.hash_one(Address::of(&rows[*key as usize].entry))
         });
     }
 
-    fn remove(&mut self, id: &str) -> Option<Row> {
-        let is = |place: &u32| self.rows[*place as usize].id == id;
-        let (place, _) = self
-            .by_id
-            .find_entry(self.hasher.hash_one(id), is)
-            .ok()?
-            .remove();
-        let row = self.rows.remove(place as usize);
-        let at = self.hasher.hash_one(address(&row.listing));
-        if let Ok(found) = self.by_address.find_entry(at, |p| *p == place) {
+    fn remove(&mut self, id: &str) -> Option<MemberRow> {
+        let id_hash = self.hasher.hash_one(id);
+        let is_it = |key: &u32| self.rows[*key as usize].id == id;
+        let (key, _) = self.by_id.find_entry(id_hash, is_it).ok()?.remove();
+        let row = self.rows.remove(key as usize);
+        let address_hash = self.hasher.hash_one(Address::of(&row.entry));
+        if let Ok(found) = self
+            .by_address
+            .find_entry(address_hash, |other| *other == key)
+        {
             found.remove();
         }
         Some(row)
--- a/crates/forwarder/src/endpoint_list/tests.rs
+++ b/crates/forwarder/src/endpoint_list/tests.rs
@@ -1,8 +1,15 @@
 use super::*;
-use crate::protocol::{Member, Phase};
-use opalpulley::{EndpointEntry, EndpointStatus};
+use crate::commands::{DispatcherCommand, EndpointListCommand};
+use crate::platform::Platform;
+use crate::protocol::{EndpointListDocument, Member, Phase};
+use opalpulley::{EndpointEntry, EndpointListUpdate, EndpointStatus, Event};
+use opalpulley_config::Names;
+use slog::Logger;
+use std::net::SocketAddr;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
+use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
 fn names() -> Names {
@@ -15,7 +22,7 @@
     }
 }
 
-fn text(revision: u64, complete: bool, members: &[(&str, u16, Phase)]) -> EndpointListDocument {
+fn document(revision: u64, complete: bool, members: &[(&str, u16, Phase)]) -> EndpointListDocument {
     let member = |(id, port, phase): &(&str, u16, Phase)| Member {
         id: (*id).into(),
         host_port: format!("10.0.0.1:{port}").parse().expect("an address"),
@@ -33,127 +40,130 @@
     }
 }
 
-/// What some news say of each endpoint by that key, in order of keys.
-fn told_by<K: Ord>(
+/// The status of each endpoint in an update, by a key and in the order of keys.
+fn statuses_by<K: Ord>(
     key: fn(&EndpointEntry) -> K,
-    news: Option<EndpointListUpdate>,
+    update: Option<EndpointListUpdate>,
 ) -> Vec<(K, EndpointStatus)> {
     let (EndpointListUpdate::Changes(entries)
     | EndpointListUpdate::Complete(entries)
-    | EndpointListUpdate::Cached(entries)) = news.expect("news")
+    | EndpointListUpdate::Cached(entries)) = update.expect("an update")
     else {
         panic!("no entries")
     };
-    let mut told: Vec<_> = entries.iter().map(|e| (key(e), e.status)).collect();
-    told.sort_by(|(a, _), (b, _)| a.cmp(b));
-    told
+    let mut statuses: Vec<_> = entries.iter().map(|e| (key(e), e.status)).collect();
+    statuses.sort_by(|(a, _), (b, _)| a.cmp(b));
+    statuses
 }
 
-fn told(news: Option<EndpointListUpdate>) -> Vec<(u16, EndpointStatus)> {
-    told_by(|e| e.endpoint.port, news)
+fn by_port(update: Option<EndpointListUpdate>) -> Vec<(u16, EndpointStatus)> {
+    statuses_by(|e| e.endpoint.port, update)
 }
 
-fn numbers(news: Option<EndpointListUpdate>) -> Vec<(u32, EndpointStatus)> {
-    told_by(|e| e.endpoint.incarnation, news)
+fn by_incarnation(update: Option<EndpointListUpdate>) -> Vec<(u32, EndpointStatus)> {
+    statuses_by(|e| e.endpoint.incarnation, update)
 }
 
+/// Changes apply to the list that is known. Those of an earlier revision are ignored.
 #[test]
-fn changes_build_on_the_list_and_old_ones_are_passed_over() {
-    let mut held = EndpointTable::default();
-    let whole = text(5, true, &[("x", 1, Phase::Ready), ("y", 2, Phase::Ready)]);
+fn changes_apply_to_the_known_list_and_old_ones_are_ignored() {
+    let mut table = EndpointTable::default();
+    let whole = document(5, true, &[("x", 1, Phase::Ready), ("y", 2, Phase::Ready)]);
     assert_eq!(
-        told(held.take(whole, &names())),
+        by_port(table.take(whole, &names())),
         [(1, EndpointStatus::Ready), (2, EndpointStatus::Ready)]
     );
-    let change = text(6, false, &[("y", 2, Phase::Terminating)]);
+    let change = document(6, false, &[("y", 2, Phase::Terminating)]);
     assert_eq!(
-        told(held.take(change, &names())),
+        by_port(table.take(change, &names())),
         [(2, EndpointStatus::Draining)]
     );
-    assert!(held
-        .take(text(4, false, &[("y", 2, Phase::Ready)]), &names())
+    assert!(table
+        .take(document(4, false, &[("y", 2, Phase::Ready)]), &names())
         .is_none());
-    assert!(held.take(text(7, false, &[]), &names()).is_none());
-    assert_eq!(held.revision, Some(7));
+    assert!(table.take(document(7, false, &[]), &names()).is_none());
+    assert_eq!(table.revision, Some(7));
 }
 
-/// Guards drains, health and destinations where an address changes hands: each holder is an endpoint of its own.
+/// Members that use the same address one after the other are different endpoints: neither status, health nor
+/// destination of the first applies to the second.
 #[test]
-fn a_member_that_moves_leaves_its_address_and_a_new_one_keeps_it() {
-    let mut held = EndpointTable::default();
-    held.take(text(1, true, &[("x", 1, Phase::Ready)]), &names());
-    let moved = held.take(text(2, false, &[("x", 2, Phase::Ready)]), &names());
+fn each_member_at_an_address_is_an_endpoint_of_its_own() {
+    let mut table = EndpointTable::default();
+    table.take(document(1, true, &[("x", 1, Phase::Ready)]), &names());
+    let moved = table.take(document(2, false, &[("x", 2, Phase::Ready)]), &names());
     assert_eq!(
-        told(moved),
+        by_port(moved),
         [(1, EndpointStatus::Removed), (2, EndpointStatus::Ready)]
     );
-    // Another takes the address over: the first is gone, and the second is not it under the same address.
-    let taken = held.take(text(3, false, &[("z", 2, Phase::Ready)]), &names());
+    // Another member gets the address: the first endpoint is removed, and the second is a new one.
+    let taken = table.take(document(3, false, &[("z", 2, Phase::Ready)]), &names());
     assert_eq!(
-        numbers(taken),
+        by_incarnation(taken),
         [(2, EndpointStatus::Removed), (3, EndpointStatus::Ready)]
     );
-    // The drain and the end of the first, told late, are not those of the second.
-    assert!(held
-        .take(text(4, false, &[("x", 2, Phase::Terminating)]), &names())
+    // Late changes of the first member do not apply to the second.
+    assert!(table
+        .take(
+            document(4, false, &[("x", 2, Phase::Terminating)]),
+            &names()
+        )
         .is_none());
-    assert!(held
-        .take(text(5, false, &[("x", 2, Phase::Gone)]), &names())
+    assert!(table
+        .take(document(5, false, &[("x", 2, Phase::Gone)]), &names())
         .is_none());
     let both = &[("x", 2, Phase::Terminating), ("z", 2, Phase::Ready)];
     assert_eq!(
-        numbers(held.take(text(6, true, both), &names())),
+        by_incarnation(table.take(document(6, true, both), &names())),
         [(3, EndpointStatus::Ready)]
     );
     // The same address for another destination is another endpoint.
-    let mut other = text(7, false, &[("z", 2, Phase::Ready)]);
+    let mut other = document(7, false, &[("z", 2, Phase::Ready)]);
     other.members[0].cell = 4;
     assert_eq!(
-        numbers(held.take(other, &names())),
+        by_incarnation(table.take(other, &names())),
         [(3, EndpointStatus::Removed), (5, EndpointStatus::Ready)]
     );
-    // Nothing is kept of those that have gone.
-    held.take(text(8, false, &[("z", 2, Phase::Gone)]), &names());
-    assert!(held.is_empty());
+    // Nothing is kept of removed members.
+    table.take(document(8, false, &[("z", 2, Phase::Gone)]), &names());
+    assert!(table.is_empty());
 }
 
-/// Where the list must be asked for and one is known, nothing is asked before the core wants it, and then only once.
+/// Where discovery must be polled and a list is known, the first poll is a watch from its revision, once the core wants
+/// it. The same command again does not repeat it.
 #[tokio::test]
-async fn a_known_list_is_watched_from_its_revision_by_one_call() {
-    use tokio::io::AsyncReadExt;
-    let agent = tokio::net::TcpListener::bind("127.0.0.1:0")
-        .await
-        .expect("a port");
+async fn a_known_list_is_watched_from_its_revision_by_one_poll() {
+    let agent = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = agent.local_addr().expect("an address");
     let (_moves, discovery) = watch::channel(address);
-    let (notes, mailbox) = mpsc::channel(4);
+    let (commands, mailbox) = mpsc::channel(4);
     let (dispatcher, _events) = mpsc::channel(4);
-    let mut held = EndpointTable::default();
-    held.take(text(7, true, &[("x", 1, Phase::Ready)]), &names());
+    let mut table = EndpointTable::default();
+    table.take(document(7, true, &[("x", 1, Phase::Ready)]), &names());
     let log = Logger::root(slog::Discard, slog::o!());
     let platform = Platform::new(address);
     let list = EndpointListWatch {
         platform,
         discovery,
         names: names(),
-        held,
+        held: table,
         must_be_asked: true,
         dispatcher,
         log,
     };
     tokio::spawn(list.run(mailbox));
     let early = tokio::time::timeout(Duration::from_millis(100), agent.accept()).await;
-    assert!(early.is_err(), "asked before it was wanted");
-    notes
+    assert!(early.is_err(), "polled before it was wanted");
+    commands
         .send(EndpointListCommand::Watch(true))
         .await
         .expect("the actor runs");
-    let (mut stream, _) = agent.accept().await.expect("a call");
+    let (mut stream, _) = agent.accept().await.expect("a poll");
     let mut head = vec![0; 4096];
     let read = stream.read(&mut head).await.expect("a request");
     assert!(String::from_utf8_lossy(&head[..read]).starts_with("GET /discovery/hosts?index=7&"));
-    // The same wish once more while the call is out: it is left alone.
-    notes
+    // The same command once more while the poll is in flight: the poll goes on.
+    commands
         .send(EndpointListCommand::Watch(true))
         .await
         .expect("the actor runs");
@@ -161,16 +171,16 @@
         tokio::time::timeout(Duration::from_millis(100), agent.accept())
             .await
             .is_err(),
-        "asked again"
+        "polled again"
     );
     let more = tokio::time::timeout(Duration::from_millis(50), stream.read(&mut head)).await;
-    assert!(more.is_err(), "the call was dropped or made again");
+    assert!(more.is_err(), "the poll was dropped or made again");
 }
 
-/// A change to a list of thousands once cloned all of it, and each member of a whole list looked at all others.
+/// The work for a change does not grow with the list, nor that for a member of a complete list with its length.
 #[test]
-fn thousands_of_members_and_of_changes_are_taken_as_they_are_told() {
-    let mut held = EndpointTable::default();
+fn thousands_of_members_and_changes_are_applied_quickly() {
+    let mut table = EndpointTable::default();
     let ids: Vec<String> = (0..4_096).map(|n| format!("s-{n}")).collect();
     let whole: Vec<_> = ids
         .iter()
@@ -179,28 +189,31 @@
         .collect();
     let begun = std::time::Instant::now();
     assert_eq!(
-        told(held.take(text(1, true, &whole), &names())).len(),
+        by_port(table.take(document(1, true, &whole), &names())).len(),
         ids.len()
     );
     for (id, port, _) in whole {
-        let news = held.take(text(2, false, &[(id, port, Phase::Terminating)]), &names());
-        assert_eq!(told(news), [(port, EndpointStatus::Draining)]);
+        let update = table.take(
+            document(2, false, &[(id, port, Phase::Terminating)]),
+            &names(),
+        );
+        assert_eq!(by_port(update), [(port, EndpointStatus::Draining)]);
     }
-    // 25 s, where each change looks at all.
+    // It would take 25 s if each change looked at all members.
     assert!(
         begun.elapsed() < std::time::Duration::from_secs(2),
         "{:?}",
         begun.elapsed()
     );
-    // One named twice counts as it is told last; one that takes another's address sends that one off.
+    // The last line of a member counts. A member with the address of another displaces it.
     let twice = [
         ("s-0", 1, Phase::Gone),
         ("s-0", 1, Phase::Ready),
         ("new", 2, Phase::Ready),
     ];
-    let news = numbers(held.take(text(3, false, &twice), &names()));
+    let update = by_incarnation(table.take(document(3, false, &twice), &names()));
     assert_eq!(
-        news,
+        update,
         [
             (1, EndpointStatus::Ready),
             (2, EndpointStatus::Removed),
@@ -209,20 +222,20 @@
     );
 }
 
-/// Guards drains against a watch that falls silent as soon as it is opened, or within its answer: what it misses counts as
-/// told two seconds after the wait that was asked for, and the next watch is opened by then.
+/// A watch may fall silent as soon as it is opened, or within its answer. The forwarder counts as notified of what it
+/// misses two seconds after the wait that was asked for. The next watch is opened by then.
 #[tokio::test(start_paused = true)]
-async fn a_watch_that_falls_silent_is_opened_anew_by_the_time_that_counts() {
+async fn a_watch_that_falls_silent_is_opened_again_in_time() {
     for answer in [
         "",
         "HTTP/1.1 200 OK\r\nContent-",
         "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"revision\":2,",
     ] {
-        opened_anew(answer).await;
+        check_opened_again(answer).await;
     }
 }
 
-async fn opened_anew(half: &'static str) {
+async fn check_opened_again(half: &'static str) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     let (seen, mut watches) = mpsc::channel(8);
@@ -257,7 +270,7 @@
             }
         }
     });
-    let (dispatcher, _news) = mpsc::channel(8);
+    let (dispatcher, _events) = mpsc::channel(8);
     let (_moves, discovery) = watch::channel(address);
     let list = EndpointListWatch {
         platform: Platform::new(address),
@@ -268,22 +281,22 @@
         dispatcher,
         log: Logger::root(slog::Discard, slog::o!()),
     };
-    let (_mailbox, notes) = mpsc::channel(1);
-    tokio::spawn(list.run(notes));
+    let (_mailbox, commands) = mpsc::channel(1);
+    tokio::spawn(list.run(commands));
     let (opened, wait) = watches.recv().await.expect("a watch");
-    let (anew, _) = watches.recv().await.expect("another");
-    let counts = Duration::from_millis(wait) + Duration::from_secs(2);
+    let (opened_again, _) = watches.recv().await.expect("another");
+    let notified_after = Duration::from_millis(wait) + Duration::from_secs(2);
     assert!(
-        anew - opened < counts + Duration::from_millis(50),
+        opened_again - opened < notified_after + Duration::from_millis(50),
         "{half}: {:?}",
-        anew - opened
+        opened_again - opened
     );
 }
 
-/// Counts what is logged.
-struct Lines(std::sync::Arc<std::sync::atomic::AtomicUsize>);
+/// Counts the lines of a log.
+struct LineCounter(std::sync::Arc<std::sync::atomic::AtomicUsize>);
 
-impl slog::Drain for Lines {
+impl slog::Drain for LineCounter {
     type Ok = ();
     type Err = slog::Never;
 
@@ -293,12 +306,13 @@
     }
 }
 
-/// An agent that gives one answer a request, each to its last byte or to that many, then closes; then none.
+/// An agent that gives one answer on each connection, whole or cut off after so many bytes, and closes it. After the last
+/// one it answers nothing.
 async fn agent(answers: Vec<(String, Option<usize>)>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     tokio::spawn(async move {
-        let mut held = Vec::new();
+        let mut silent = Vec::new(); // connections that stay open
         for (body, cut) in answers {
             let (mut stream, _) = listener.accept().await.expect("a connection");
             let mut head = vec![0; 1024];
@@ -314,21 +328,21 @@
                 .expect("answered");
         }
         loop {
-            held.push(listener.accept().await.expect("a connection"));
+            silent.push(listener.accept().await.expect("a connection"));
         }
     });
     address
 }
 
-/// Guards the list as held, and the log, against a hundred thousand lines, half of them gone and back, and lists that are cut
-/// off or hold a line that can't be read: what is whole counts, what is not changes nothing and is told in one line.
+/// Lists of a hundred thousand members are applied. Lists that are cut off or have an unreadable member change nothing,
+/// and all failures in a row are one line of the log.
 #[tokio::test]
-async fn long_lists_are_taken_and_spoilt_ones_are_one_line_of_the_log() {
+async fn long_lists_are_applied_and_unreadable_ones_are_logged_once() {
     const MANY: u32 = 100_000;
     let line = |n: u32| {
         let [a, b, c, d] = (0x0a00_0000 + n).to_be_bytes();
         format!(
-            r#"{{"id":"target-{n:06}","host_port":"{a}.{b}.{c}.{d}:80","locality":"a","flavor":"m","cell":{n},"phase":"Ready"}}"#
+            r#"{{"id":"member-{n:06}","host_port":"{a}.{b}.{c}.{d}:80","locality":"a","flavor":"m","cell":{n},"phase":"Ready"}}"#
         )
     };
     let list = |lines: Vec<String>| {
@@ -339,7 +353,7 @@
     };
     let all = list((0..MANY).map(line).collect());
     let half = list((0..MANY).step_by(2).map(line).collect());
-    let spoilt = |from: &str, to: &str| list(vec![line(1), line(2).replace(from, to), line(3)]);
+    let unreadable = |from: &str, to: &str| list(vec![line(1), line(2).replace(from, to), line(3)]);
     let mut answers = vec![(all.clone(), None), (half.clone(), None)];
     answers.push((all[..all.len() / 2].to_owned(), None));
     answers.push((all.clone(), Some(all.len() / 2)));
@@ -351,7 +365,7 @@
             (":2,", ":4294967296,"),
             ("\"id\"", "\"name\""),
         ]
-        .map(|(from, to)| (spoilt(from, to), None)),
+        .map(|(from, to)| (unreadable(from, to), None)),
     );
     answers.extend([(half, None), (all, None)]);
     let address = agent(answers).await;
@@ -365,22 +379,22 @@
         held: EndpointTable::default(),
         must_be_asked: false,
         dispatcher,
-        log: Logger::root(Lines(std::sync::Arc::clone(&lines)), slog::o!()),
+        log: Logger::root(LineCounter(std::sync::Arc::clone(&lines)), slog::o!()),
     };
-    let (_mailbox, notes) = mpsc::channel(1);
-    tokio::spawn(list.run(notes));
+    let (_mailbox, commands) = mpsc::channel(1);
+    tokio::spawn(list.run(commands));
     for wanted in [MANY, MANY / 2, MANY / 2, MANY] {
-        let news = tokio::time::timeout(Duration::from_secs(20), events.recv())
+        let update = tokio::time::timeout(Duration::from_secs(20), events.recv())
             .await
             .expect("in time");
         let Some(DispatcherCommand::Event(Event::EndpointList(EndpointListUpdate::Complete(
             entries,
-        )))) = news
+        )))) = update
         else {
-            panic!("no whole list")
+            panic!("no complete list")
         };
         assert_eq!(entries.len(), wanted as usize);
     }
-    // That it is not told, and that it is told again.
+    // One line on the failures, and one on the recovery.
     assert_eq!(lines.load(std::sync::atomic::Ordering::Relaxed), 2);
 }
--- a/crates/forwarder/src/platform.rs
+++ b/crates/forwarder/src/platform.rs
@@ -1,4 +1,4 @@
-//! A connection to the platform's agent on this machine, opened anew after each trouble.
+//! The connection to the platform's agent on this machine. It is opened again after each failure.
 
 use crate::http_connection::HttpConnection;
 use bytes::Bytes;
@@ -11,109 +11,161 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-const MOST_ANSWER: usize = 16 * 1024 * 1024; // bytes of a list: over any that the memory limit allows to hold
+/// The longest answer that is read: more than any endpoint list that fits the memory limit.
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// How far an exchange with the platform had come when it failed.
+/// Why an exchange with the platform failed.
 #[derive(Debug)]
 pub enum PlatformError {
-    Connecting(io::Error),
-    Asking(hyper::Error),
-    Reading(Box<dyn std::error::Error + Send + Sync>),
-    OutOfTime,
-    /// It answered, with something else than was asked for.
-    Refused(StatusCode),
-    NotUnderstood(serde_json::Error),
+    /// No connection came up.
+    Connect(io::Error),
+    /// No head of an answer came.
+    Send(hyper::Error),
+    /// The body of the answer broke off or was too long.
+    ReadBody(Box<dyn std::error::Error + Send + Sync>),
+    /// The answer was not complete in time.
+    Timeout,
+    /// The status of the answer says that it is not what was asked for.
+    Status(StatusCode),
+    /// The body of the answer can't be decoded.
+    Decode(serde_json::Error),
 }
 
 impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PlatformError::Connecting(e) => write!(f, "no connection: {e}"),
-            PlatformError::Asking(e) => write!(f, "no answer: {e}"),
-            PlatformError::Reading(e) => write!(f, "the answer broke off: {e}"),
-            PlatformError::OutOfTime => write!(f, "no answer in time"),
-            PlatformError::Refused(status) => write!(f, "answered {status}"),
-            PlatformError::NotUnderstood(e) => write!(f, "the answer is not understood: {e}"),
+            PlatformError::Connect(e) => write!(f, "no connection: {e}"),
+            PlatformError::Send(e) => write!(f, "no answer: {e}"),
+            PlatformError::ReadBody(e) => write!(f, "the answer broke off: {e}"),
+            PlatformError::Timeout => write!(f, "no answer in time"),
+            PlatformError::Status(status) => write!(f, "answered {status}"),
+            PlatformError::Decode(e) => write!(f, "the answer is not understood: {e}"),
         }
     }
 }
 
 impl std::error::Error for PlatformError {}
 
+/// Whether the latest exchange of an actor with the platform succeeded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Reachability {
+    /// It did, or there was none yet.
+    Reachable,
+    /// It failed.
+    Unreachable,
+}
+
+impl Reachability {
+    /// Sets the state after an exchange. Returns whether it has changed.
+    pub fn set(&mut self, now: Reachability) -> bool {
+        let before = std::mem::replace(self, now);
+        before != now
+    }
+}
+
+/// An answer of the platform.
+pub struct PlatformAnswer {
+    /// Its status.
+    pub status: StatusCode,
+    /// Its whole body.
+    pub body: Bytes,
+}
+
+/// A connection to the platform's agent.
 pub struct Platform {
     address: SocketAddr,
-    link: Option<HttpConnection>,
+    /// None before the first exchange and after each failure.
+    connection: Option<HttpConnection>,
 }
 
 impl Platform {
+    /// The agent at an address. The connection is opened with the first exchange.
     pub fn new(address: SocketAddr) -> Platform {
         Platform {
             address,
-            link: None,
+            connection: None,
         }
     }
 
-    /// Another connection to the same place.
-    pub fn another(&self) -> Platform {
+    /// The same agent, with a connection of its own.
+    pub fn to_same_address(&self) -> Platform {
         Platform::new(self.address)
     }
 
-    /// From now on the platform is asked there.
+    /// Goes on with the agent at another address.
     pub fn move_to(&mut self, address: SocketAddr) {
-        (self.address, self.link) = (address, None);
+        self.address = address;
+        self.connection = None;
     }
 
-    /// Asks once. Whoever drops this before its end leaves no half answer behind.
+    /// Makes one exchange, which may take `within`. Dropping the future closes the connection: no half answer is read
+    /// as that to a later request.
     pub async fn ask(
         &mut self,
         method: Method,
         path: &str,
         body: Bytes,
         within: Duration,
-    ) -> Result<(StatusCode, Bytes), PlatformError> {
-        let kept = self.link.take();
+    ) -> Result<PlatformAnswer, PlatformError> {
+        let previous = self.connection.take();
         let address = self.address;
-        let ask = async {
-            let mut usable = None;
-            if let Some(mut link) = kept {
-                usable = link.usable().await.then_some(link);
-            }
-            let mut link = match usable {
-                Some(link) => link,
-                None => {
-                    let stream = TcpStream::connect(address)
-                        .await
-                        .map_err(PlatformError::Connecting)?;
-                    // Nothing may be held back that a close would take along.
-                    // A connection that refuses the option serves all the same.
-                    let _ = stream.set_nodelay(true);
-                    HttpConnection::over(stream, &Builder::new())
-                        .await
-                        .map_err(PlatformError::Asking)?
-                }
-            };
-            let request = Request::builder()
-                .method(method)
-                .uri(path)
-                .header("host", address.to_string())
-                .body(Full::new(body))
-                .map_err(|e| PlatformError::Connecting(io::Error::other(e)))?;
-            let answer = link
-                .sender
-                .send_request(request)
-                .await
-                .map_err(PlatformError::Asking)?;
-            let status = answer.status();
-            let body = Limited::new(answer.into_body(), MOST_ANSWER)
-                .collect()
-                .await
-                .map_err(PlatformError::Reading)?;
-            Ok((status, body.to_bytes(), link))
+        let exchange = async {
+            let mut connection = connect(address, previous).await?;
+            let answer = exchange(&mut connection, address, method, path, body).await?;
+            Ok((answer, connection))
         };
-        let (status, body, link) = tokio::time::timeout(within, ask)
+        let (answer, connection) = tokio::time::timeout(within, exchange)
             .await
-            .map_err(|_| PlatformError::OutOfTime)??;
-        self.link = Some(link);
-        Ok((status, body))
+            .map_err(|_| PlatformError::Timeout)??;
+        self.connection = Some(connection);
+        Ok(answer)
     }
 }
+
+/// The previous connection, where it can take a request; else a new one.
+async fn connect(
+    address: SocketAddr,
+    previous: Option<HttpConnection>,
+) -> Result<HttpConnection, PlatformError> {
+    if let Some(mut connection) = previous {
+        if connection.usable().await {
+            return Ok(connection);
+        }
+    }
+    let stream = TcpStream::connect(address)
+        .await
+        .map_err(PlatformError::Connect)?;
+    // Bytes that the kernel delays would be lost with a close. A connection that refuses the option works all the same.
+    let _ = stream.set_nodelay(true);
+    HttpConnection::over(stream, &Builder::new())
+        .await
+        .map_err(PlatformError::Send)
+}
+
+/// Sends one request and reads the whole answer.
+async fn exchange(
+    connection: &mut HttpConnection,
+    address: SocketAddr,
+    method: Method,
+    path: &str,
+    body: Bytes,
+) -> Result<PlatformAnswer, PlatformError> {
+    let request = Request::builder()
+        .method(method)
+        .uri(path)
+        .header("host", address.to_string())
+        .body(Full::new(body))
+        .map_err(|e| PlatformError::Connect(io::Error::other(e)))?;
+    let answer = connection
+        .sender
+        .send_request(request)
+        .await
+        .map_err(PlatformError::Send)?;
+    let status = answer.status();
+    let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES)
+        .collect()
+        .await
+        .map_err(PlatformError::ReadBody)?
+        .to_bytes();
+    Ok(PlatformAnswer { status, body })
+}
--- a/crates/forwarder/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -155,7 +155,7 @@
     });
     let log = std::fs::read_to_string(state.with_file_name(LOG)).expect("its log");
     assert!(
-        log.contains("the list is told again") && !log.contains("Too many open files"),
+        log.contains("endpoint list received again") && !log.contains("Too many open files"),
         "{log}"
     );
 }
