--- a/crates/forwarder/src/commands.rs
+++ b/crates/forwarder/src/commands.rs
@@ -1,4 +1,4 @@
-//! The messages that the actors send each other: plain data, below all actors. A sender need not know who reads it.
+//! The messages that the actors send each other: plain data that depends on no actor.
 
 use crate::protocol::{Ending, SubmittedMessage};
 use bytes::Bytes;
@@ -17,11 +17,11 @@
         /// When, where the deployment may say so.
         retry_after: Option<Micros>,
     },
-    /// Not accepted, and another try is of no use.
+    /// Not accepted, and submitting it again is of no use.
     Failed,
-    /// As many messages are held as may be, or the journal has no room for this one.
+    /// As many messages are in flight as may be, or the journal has no room for this one.
     NoCapacity,
-    /// A message with this id is in flight, and its content is another.
+    /// A message with this id and other content is in flight.
     ConflictingContent,
     /// No endpoint list has named its destination.
     UnknownDestination,
@@ -31,7 +31,7 @@
 pub struct SubmissionRequest {
     /// The message.
     pub submitted: SubmittedMessage,
-    /// When its last byte was read: its time runs from here.
+    /// When its last byte was read: its time left counts from here.
     pub received_at: Instant,
     /// Where the answer goes.
     pub answer: oneshot::Sender<SubmissionAnswer>,
@@ -39,9 +39,9 @@
 
 /// For the dispatcher.
 pub enum DispatcherCommand {
-    /// Something happened that the decision core is told.
+    /// An event for the decision core.
     Event(Event),
-    /// The platform has these completion reports, by serial number.
+    /// The platform has acknowledged these completion reports, by serial number.
     ReportsAcknowledged(Vec<u64>),
 }
 
@@ -74,7 +74,7 @@
 
 /// For the actor of an endpoint.
 pub enum EndpointCommand {
-    /// Start an attempt. Boxed: a mailbox keeps room for some dozens of commands once it has had one.
+    /// Start an attempt. Boxed, because a mailbox allocates room for some dozens of commands at once.
     StartAttempt(Box<AttemptRequest>),
     /// Check the endpoint's health.
     HealthCheck,
@@ -99,12 +99,12 @@
     pub attempt: u8,
     /// The client's id of the message.
     pub request_id: String,
-    /// Where the class is keyed: by what endpoints drop repeats.
+    /// By which endpoints drop repeats, where the delivery class has one.
     pub idempotency_key: Option<String>,
     /// The body.
     pub body: Bytes,
     /// How long it may take.
     pub timeout: Duration,
-    /// Its first byte goes out before this moment, or none does.
+    /// Its first byte is sent before this moment, or none is.
     pub send_by: Instant,
 }
--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -4,6 +4,7 @@
 //! What must survive the process is journalled before it takes effect: a message before its client is answered, an
 //! attempt before its bytes are sent. The dispatcher itself decides nothing.
 
+mod actions;
 mod attempts;
 mod completion;
 mod endpoint_list;
@@ -16,20 +17,15 @@
 
 use crate::clock::Clock;
 use crate::commands::{
-    DispatcherCommand, EndpointCommand, EndpointListCommand, GossipDatagram, PendingReport,
-    SubmissionRequest,
+    DispatcherCommand, EndpointListCommand, GossipDatagram, PendingReport, SubmissionRequest,
 };
 use crate::endpoints::EndpointContext;
 use crate::journal::{Journal, JournalError, StoredMessage};
-use crate::protocol::Ending;
 use endpoint_list::ListedEndpoint;
 use endpoints::EndpointActors;
 use in_flight::InFlightMessages;
-use opalpulley::{
-    Action, Config, DestinationId, EndpointId, EndpointListUpdate, Event, Forwarder, MessageId,
-    Micros, Outcome,
-};
-use slog::{error, warn, Logger};
+use opalpulley::{Action, Config, DestinationId, EndpointId, Event, Forwarder, MessageId, Micros};
+use slog::{error, Logger};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::future::Future;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -245,82 +241,6 @@
         Decision { now, actions }
     }
 
-    /// Carries out one action that the core decided on at `now`.
-    fn carry_out(&mut self, now: Micros, action: Action) {
-        match action {
-            Action::Send {
-                id,
-                endpoint,
-                timeout,
-                send_by,
-            } => self.start_attempt(now, id, endpoint, timeout, send_by),
-            Action::Fail { id } => self.finish_with_report(id, Ending::Failed),
-            Action::Reject { id, retry_after } => {
-                self.finish_with_report(id, Ending::Rejected { retry_after });
-            }
-            Action::SetTimer { after, token } => self.timers.set(now + after, token),
-            Action::HealthCheck { endpoint } => self.start_health_check(endpoint),
-            Action::Cancel { id, attempt } => self.cancel_attempt(id, attempt),
-            Action::WithdrawUnsent { endpoint } => {
-                self.post_if_running(endpoint, EndpointCommand::WithdrawUnsent);
-            }
-            Action::CloseIdleConnections { endpoint } => {
-                self.post_if_running(endpoint, EndpointCommand::CloseIdle);
-            }
-            Action::WatchEndpointList { on } => {
-                self.send_list_command(EndpointListCommand::Watch(on));
-            }
-            Action::FetchEndpointList => self.send_list_command(EndpointListCommand::Fetch),
-            Action::SendGossip { peer, payload } => {
-                self.send_gossip(GossipDatagram { peer, payload });
-            }
-            Action::Log(event) => log_events::write(&self.log, &event),
-        }
-    }
-
-    fn start_health_check(&mut self, endpoint: EndpointId) {
-        if self.post(endpoint, EndpointCommand::HealthCheck) {
-            return;
-        }
-        self.queued_events.push_back(Event::HealthCheckEnded {
-            endpoint,
-            outcome: Outcome::NoConnection,
-            took: 0,
-            report: Vec::new(),
-        });
-    }
-
-    /// A full mailbox counts as a failed poll: the core polls again later.
-    fn send_list_command(&mut self, command: EndpointListCommand) {
-        if self.list.try_send(command).is_err() {
-            let failed = Event::EndpointList(EndpointListUpdate::Failed);
-            self.queued_events.push_back(failed);
-        }
-    }
-
-    fn send_gossip(&self, datagram: GossipDatagram) {
-        if self.gossip.try_send(datagram).is_err() {
-            warn!(self.log, "gossip datagram dropped: the mailbox is full");
-        }
-    }
-
-    /// Sends a command to an endpoint's actor, which is started if none runs. False where the endpoint is not listed
-    /// or its mailbox is full.
-    fn post(&mut self, endpoint: EndpointId, command: EndpointCommand) -> bool {
-        if !self.listed.contains_key(&endpoint) {
-            return false;
-        }
-        let now = self.clock.now();
-        self.endpoint_actors.post(now, endpoint, command)
-    }
-
-    /// Sends a command only to an actor that runs: an endpoint without one has neither attempts nor connections.
-    fn post_if_running(&mut self, endpoint: EndpointId, command: EndpointCommand) {
-        if self.endpoint_actors.is_running(endpoint) {
-            self.post(endpoint, command);
-        }
-    }
-
     /// The dispatcher goes on after a failed write. Stopping would lose the messages that are already accepted.
     fn log_journal_error(&self, result: Result<(), JournalError>) {
         if let Err(problem) = result {
--- /dev/null
+++ b/crates/forwarder/src/dispatcher/actions.rs
@@ -0,0 +1,85 @@
+//! Carrying out the core's actions.
+
+use super::{log_events, Dispatcher};
+use crate::commands::{EndpointCommand, EndpointListCommand, GossipDatagram};
+use crate::protocol::Ending;
+use opalpulley::{Action, EndpointId, EndpointListUpdate, Event, Micros, Outcome};
+use slog::warn;
+
+impl Dispatcher {
+    /// Carries out one action that the core decided on at `now`.
+    pub(super) fn carry_out(&mut self, now: Micros, action: Action) {
+        match action {
+            Action::Send {
+                id,
+                endpoint,
+                timeout,
+                send_by,
+            } => self.start_attempt(now, id, endpoint, timeout, send_by),
+            Action::Fail { id } => self.finish_with_report(id, Ending::Failed),
+            Action::Reject { id, retry_after } => {
+                self.finish_with_report(id, Ending::Rejected { retry_after });
+            }
+            Action::SetTimer { after, token } => self.timers.set(now + after, token),
+            Action::HealthCheck { endpoint } => self.start_health_check(endpoint),
+            Action::Cancel { id, attempt } => self.cancel_attempt(id, attempt),
+            Action::WithdrawUnsent { endpoint } => {
+                self.post_if_running(endpoint, EndpointCommand::WithdrawUnsent);
+            }
+            Action::CloseIdleConnections { endpoint } => {
+                self.post_if_running(endpoint, EndpointCommand::CloseIdle);
+            }
+            Action::WatchEndpointList { on } => {
+                self.send_list_command(EndpointListCommand::Watch(on));
+            }
+            Action::FetchEndpointList => self.send_list_command(EndpointListCommand::Fetch),
+            Action::SendGossip { peer, payload } => {
+                self.send_gossip(GossipDatagram { peer, payload });
+            }
+            Action::Log(event) => log_events::write(&self.log, &event),
+        }
+    }
+
+    fn start_health_check(&mut self, endpoint: EndpointId) {
+        if self.post(endpoint, EndpointCommand::HealthCheck) {
+            return;
+        }
+        self.queued_events.push_back(Event::HealthCheckEnded {
+            endpoint,
+            outcome: Outcome::NoConnection,
+            took: 0,
+            report: Vec::new(),
+        });
+    }
+
+    /// A full mailbox counts as a failed poll: the core polls again later.
+    fn send_list_command(&mut self, command: EndpointListCommand) {
+        if self.list.try_send(command).is_err() {
+            let failed = Event::EndpointList(EndpointListUpdate::Failed);
+            self.queued_events.push_back(failed);
+        }
+    }
+
+    fn send_gossip(&self, datagram: GossipDatagram) {
+        if self.gossip.try_send(datagram).is_err() {
+            warn!(self.log, "gossip datagram dropped: the mailbox is full");
+        }
+    }
+
+    /// Sends a command to an endpoint's actor, which is started if none runs. False where the endpoint is not listed
+    /// or its mailbox is full.
+    pub(super) fn post(&mut self, endpoint: EndpointId, command: EndpointCommand) -> bool {
+        if !self.listed.contains_key(&endpoint) {
+            return false;
+        }
+        let now = self.clock.now();
+        self.endpoint_actors.post(now, endpoint, command)
+    }
+
+    /// Sends a command only to an actor that runs: an endpoint without one has neither attempts nor connections.
+    fn post_if_running(&mut self, endpoint: EndpointId, command: EndpointCommand) {
+        if self.endpoint_actors.is_running(endpoint) {
+            self.post(endpoint, command);
+        }
+    }
+}
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -1,11 +1,11 @@
 use super::submissions::{stored_message, submission};
 use super::*;
 use crate::clock::micros;
-use crate::commands::SubmissionAnswer;
-use crate::protocol::SubmittedMessage;
+use crate::commands::{EndpointCommand, SubmissionAnswer};
+use crate::protocol::{Ending, SubmittedMessage};
 use opalpulley::{
-    AttemptHistory, DeliveryClassId, EndpointEntry, EndpointKindId, EndpointStatus, TenantId,
-    ZoneId,
+    AttemptHistory, DeliveryClassId, EndpointEntry, EndpointKindId, EndpointListUpdate,
+    EndpointStatus, Outcome, TenantId, ZoneId,
 };
 use opalpulley_config::ConnectionConfig;
 use std::sync::atomic::Ordering;
--- a/crates/forwarder/src/endpoint_list.rs
+++ b/crates/forwarder/src/endpoint_list.rs
@@ -5,6 +5,3 @@
 
 pub use table::EndpointTable;
 pub use watch::EndpointListWatch;
-
-#[cfg(test)]
-mod tests;
--- a/crates/forwarder/src/endpoint_list/table/tests.rs
+++ b/crates/forwarder/src/endpoint_list/table/tests.rs
@@ -1,6 +1,9 @@
 //! The compact table compared with a plain one, and its memory at the expected size.
 
+mod plain;
+
 use super::*;
+use plain::PlainTable;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::net::SocketAddrV4;
 
@@ -21,103 +24,156 @@
     }
 }
 
-/// The same by two plain maps, with whole ids and members. The compact table must not differ from it.
-#[derive(Default)]
-struct PlainTable {
-    revision: Option<u64>,
-    members: BTreeMap<String, EndpointEntry>,
-    ids_by_address: BTreeMap<SocketAddrV4, String>,
-    last_incarnation: u32,
+fn document(revision: u64, complete: bool, members: &[(&str, u16, Phase)]) -> EndpointListDocument {
+    let member = |(id, port, phase): &(&str, u16, Phase)| Member {
+        id: (*id).into(),
+        host_port: format!("10.0.0.1:{port}").parse().expect("an address"),
+        locality: "a".into(),
+        flavor: "m".into(),
+        cell: 3,
+        phase: *phase,
+        size: 1.0,
+        up_since_ms: 0,
+    };
+    EndpointListDocument {
+        revision,
+        complete,
+        members: members.iter().map(member).collect(),
+    }
 }
 
-impl PlainTable {
-    fn take(
-        &mut self,
-        document: EndpointListDocument,
-        names: &Names,
-    ) -> Option<EndpointListUpdate> {
-        if !document.complete && self.revision.is_some_and(|r| document.revision < r) {
-            return None;
-        }
-        self.revision = Some(document.revision);
-        let mut before: BTreeMap<String, Option<EndpointEntry>> = BTreeMap::new();
-        if document.complete {
-            self.ids_by_address.clear();
-            before = std::mem::take(&mut self.members)
-                .into_iter()
-                .map(|(id, old)| (id, Some(old)))
-                .collect();
-        }
-        for member in document.members {
-            let id = member.id.to_string();
-            let old = before
-                .entry(id.clone())
-                .or_insert_with(|| self.members.get(&id).cloned())
-                .clone();
-            let other = self
-                .ids_by_address
-                .get(&member.host_port)
-                .filter(|id_there| **id_there != id)
-                .cloned();
-            if member.phase == Phase::Gone {
-                self.remove(&id);
-            } else if other.is_none() || member.phase == Phase::Ready {
-                let mut entry = member.listing(0, names);
-                let same = old.filter(|old| {
-                    (Address::of(old), old.destination) == (Address::of(&entry), entry.destination)
-                });
-                if let Some(other) = other {
-                    let removed = self.remove(&other);
-                    before.entry(other).or_insert(removed);
-                }
-                entry.endpoint.incarnation = same.map_or_else(
-                    || {
-                        self.last_incarnation += 1;
-                        self.last_incarnation
-                    },
-                    |old| old.endpoint.incarnation,
-                );
-                self.remove(&id);
-                self.ids_by_address.insert(member.host_port, id.clone());
-                self.members.insert(id, entry);
-            }
-        }
-        if document.complete {
-            return Some(EndpointListUpdate::Complete(
-                self.members.values().cloned().collect(),
-            ));
-        }
-        let was = before
-            .iter()
-            .filter_map(|(id, old)| Some((id, old.as_ref()?)));
-        let removed = was.filter(|(id, old)| {
-            self.members
-                .get(*id)
-                .is_none_or(|n| n.endpoint != old.endpoint)
-        });
-        let removed = removed.map(|(_, old)| EndpointEntry {
-            status: EndpointStatus::Removed,
-            ..old.clone()
-        });
-        let changed = before
-            .iter()
-            .filter_map(|(id, old)| self.members.get(id).filter(|now| old.as_ref() != Some(now)));
-        let entries: Vec<EndpointEntry> = removed.chain(changed.cloned()).collect();
-        (!entries.is_empty()).then_some(EndpointListUpdate::Changes(entries))
-    }
+/// The status of each endpoint in an update, by a key and in the order of keys.
+fn statuses_by<K: Ord>(
+    key: fn(&EndpointEntry) -> K,
+    update: Option<EndpointListUpdate>,
+) -> Vec<(K, EndpointStatus)> {
+    let (EndpointListUpdate::Changes(entries)
+    | EndpointListUpdate::Complete(entries)
+    | EndpointListUpdate::Cached(entries)) = update.expect("an update")
+    else {
+        panic!("no entries")
+    };
+    let mut statuses: Vec<_> = entries.iter().map(|e| (key(e), e.status)).collect();
+    statuses.sort_by(|(a, _), (b, _)| a.cmp(b));
+    statuses
+}
 
-    fn remove(&mut self, id: &str) -> Option<EndpointEntry> {
-        let removed = self.members.remove(id)?;
-        let at = SocketAddrV4::new(removed.endpoint.address.into(), removed.endpoint.port);
-        if self
-            .ids_by_address
-            .get(&at)
-            .is_some_and(|id_there| id_there == id)
-        {
-            self.ids_by_address.remove(&at);
-        }
-        Some(removed)
+fn by_port(update: Option<EndpointListUpdate>) -> Vec<(u16, EndpointStatus)> {
+    statuses_by(|e| e.endpoint.port, update)
+}
+
+fn by_incarnation(update: Option<EndpointListUpdate>) -> Vec<(u32, EndpointStatus)> {
+    statuses_by(|e| e.endpoint.incarnation, update)
+}
+
+/// Changes apply to the list that is known. Those of an earlier revision are ignored.
+#[test]
+fn changes_apply_to_the_known_list_and_old_ones_are_ignored() {
+    let mut table = EndpointTable::default();
+    let whole = document(5, true, &[("x", 1, Phase::Ready), ("y", 2, Phase::Ready)]);
+    assert_eq!(
+        by_port(table.take(whole, &names())),
+        [(1, EndpointStatus::Ready), (2, EndpointStatus::Ready)]
+    );
+    let change = document(6, false, &[("y", 2, Phase::Terminating)]);
+    assert_eq!(
+        by_port(table.take(change, &names())),
+        [(2, EndpointStatus::Draining)]
+    );
+    assert!(table
+        .take(document(4, false, &[("y", 2, Phase::Ready)]), &names())
+        .is_none());
+    assert!(table.take(document(7, false, &[]), &names()).is_none());
+    assert_eq!(table.revision, Some(7));
+}
+
+/// Members that use the same address one after the other are different endpoints: neither status, health nor
+/// destination of the first applies to the second.
+#[test]
+fn each_member_at_an_address_is_an_endpoint_of_its_own() {
+    let mut table = EndpointTable::default();
+    table.take(document(1, true, &[("x", 1, Phase::Ready)]), &names());
+    let moved = table.take(document(2, false, &[("x", 2, Phase::Ready)]), &names());
+    assert_eq!(
+        by_port(moved),
+        [(1, EndpointStatus::Removed), (2, EndpointStatus::Ready)]
+    );
+    // Another member gets the address: the first endpoint is removed, and the second is a new one.
+    let taken = table.take(document(3, false, &[("z", 2, Phase::Ready)]), &names());
+    assert_eq!(
+        by_incarnation(taken),
+        [(2, EndpointStatus::Removed), (3, EndpointStatus::Ready)]
+    );
+    // Late changes of the first member do not apply to the second.
+    assert!(table
+        .take(
+            document(4, false, &[("x", 2, Phase::Terminating)]),
+            &names()
+        )
+        .is_none());
+    assert!(table
+        .take(document(5, false, &[("x", 2, Phase::Gone)]), &names())
+        .is_none());
+    let both = &[("x", 2, Phase::Terminating), ("z", 2, Phase::Ready)];
+    assert_eq!(
+        by_incarnation(table.take(document(6, true, both), &names())),
+        [(3, EndpointStatus::Ready)]
+    );
+    // The same address for another destination is another endpoint.
+    let mut other = document(7, false, &[("z", 2, Phase::Ready)]);
+    other.members[0].cell = 4;
+    assert_eq!(
+        by_incarnation(table.take(other, &names())),
+        [(3, EndpointStatus::Removed), (5, EndpointStatus::Ready)]
+    );
+    // Nothing is kept of removed members.
+    table.take(document(8, false, &[("z", 2, Phase::Gone)]), &names());
+    assert!(table.is_empty());
+}
+
+/// The work for a change does not grow with the list, nor that for a member of a complete list with its length.
+#[test]
+fn thousands_of_members_and_changes_are_applied_quickly() {
+    let mut table = EndpointTable::default();
+    let ids: Vec<String> = (0..4_096).map(|n| format!("s-{n}")).collect();
+    let whole: Vec<_> = ids
+        .iter()
+        .zip(1..)
+        .map(|(id, port)| (id.as_str(), port, Phase::Ready))
+        .collect();
+    let begun = std::time::Instant::now();
+    assert_eq!(
+        by_port(table.take(document(1, true, &whole), &names())).len(),
+        ids.len()
+    );
+    for (id, port, _) in whole {
+        let update = table.take(
+            document(2, false, &[(id, port, Phase::Terminating)]),
+            &names(),
+        );
+        assert_eq!(by_port(update), [(port, EndpointStatus::Draining)]);
     }
+    // It would take 25 s if each change looked at all members.
+    assert!(
+        begun.elapsed() < std::time::Duration::from_secs(2),
+        "{:?}",
+        begun.elapsed()
+    );
+    // The last line of a member counts. A member with the address of another displaces it.
+    let twice = [
+        ("s-0", 1, Phase::Gone),
+        ("s-0", 1, Phase::Ready),
+        ("new", 2, Phase::Ready),
+    ];
+    let update = by_incarnation(table.take(document(3, false, &twice), &names()));
+    assert_eq!(
+        update,
+        [
+            (1, EndpointStatus::Ready),
+            (2, EndpointStatus::Removed),
+            (4_097, EndpointStatus::Ready)
+        ]
+    );
 }
 
 /// A document of few ids and addresses, so that they collide. Each name may be unknown.
--- a/crates/forwarder/src/endpoint_list/watch.rs
+++ b/crates/forwarder/src/endpoint_list/watch.rs
@@ -330,3 +330,6 @@
     }
     serde_json::from_slice(&answer.body).map_err(PlatformError::Decode)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/forwarder/src/endpoint_list/tests.rs
+++ b/crates/forwarder/src/endpoint_list/watch/tests.rs
@@ -1,15 +1,8 @@
+//! The actor against agents that fall silent, or send long or unreadable lists.
+
 use super::*;
-use crate::commands::{DispatcherCommand, EndpointListCommand};
-use crate::platform::Platform;
-use crate::protocol::{EndpointListDocument, Member, Phase};
-use opalpulley::{EndpointEntry, EndpointListUpdate, EndpointStatus, Event};
-use opalpulley_config::Names;
-use slog::Logger;
-use std::net::SocketAddr;
-use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
-use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
 fn names() -> Names {
@@ -22,111 +15,10 @@
     }
 }
 
-fn document(revision: u64, complete: bool, members: &[(&str, u16, Phase)]) -> EndpointListDocument {
-    let member = |(id, port, phase): &(&str, u16, Phase)| Member {
-        id: (*id).into(),
-        host_port: format!("10.0.0.1:{port}").parse().expect("an address"),
-        locality: "a".into(),
-        flavor: "m".into(),
-        cell: 3,
-        phase: *phase,
-        size: 1.0,
-        up_since_ms: 0,
-    };
-    EndpointListDocument {
-        revision,
-        complete,
-        members: members.iter().map(member).collect(),
-    }
-}
-
-/// The status of each endpoint in an update, by a key and in the order of keys.
-fn statuses_by<K: Ord>(
-    key: fn(&EndpointEntry) -> K,
-    update: Option<EndpointListUpdate>,
-) -> Vec<(K, EndpointStatus)> {
-    let (EndpointListUpdate::Changes(entries)
-    | EndpointListUpdate::Complete(entries)
-    | EndpointListUpdate::Cached(entries)) = update.expect("an update")
-    else {
-        panic!("no entries")
-    };
-    let mut statuses: Vec<_> = entries.iter().map(|e| (key(e), e.status)).collect();
-    statuses.sort_by(|(a, _), (b, _)| a.cmp(b));
-    statuses
-}
-
-fn by_port(update: Option<EndpointListUpdate>) -> Vec<(u16, EndpointStatus)> {
-    statuses_by(|e| e.endpoint.port, update)
-}
-
-fn by_incarnation(update: Option<EndpointListUpdate>) -> Vec<(u32, EndpointStatus)> {
-    statuses_by(|e| e.endpoint.incarnation, update)
-}
-
-/// Changes apply to the list that is known. Those of an earlier revision are ignored.
-#[test]
-fn changes_apply_to_the_known_list_and_old_ones_are_ignored() {
-    let mut table = EndpointTable::default();
-    let whole = document(5, true, &[("x", 1, Phase::Ready), ("y", 2, Phase::Ready)]);
-    assert_eq!(
-        by_port(table.take(whole, &names())),
-        [(1, EndpointStatus::Ready), (2, EndpointStatus::Ready)]
-    );
-    let change = document(6, false, &[("y", 2, Phase::Terminating)]);
-    assert_eq!(
-        by_port(table.take(change, &names())),
-        [(2, EndpointStatus::Draining)]
-    );
-    assert!(table
-        .take(document(4, false, &[("y", 2, Phase::Ready)]), &names())
-        .is_none());
-    assert!(table.take(document(7, false, &[]), &names()).is_none());
-    assert_eq!(table.revision, Some(7));
-}
-
-/// Members that use the same address one after the other are different endpoints: neither status, health nor
-/// destination of the first applies to the second.
-#[test]
-fn each_member_at_an_address_is_an_endpoint_of_its_own() {
-    let mut table = EndpointTable::default();
-    table.take(document(1, true, &[("x", 1, Phase::Ready)]), &names());
-    let moved = table.take(document(2, false, &[("x", 2, Phase::Ready)]), &names());
-    assert_eq!(
-        by_port(moved),
-        [(1, EndpointStatus::Removed), (2, EndpointStatus::Ready)]
-    );
-    // Another member gets the address: the first endpoint is removed, and the second is a new one.
-    let taken = table.take(document(3, false, &[("z", 2, Phase::Ready)]), &names());
-    assert_eq!(
-        by_incarnation(taken),
-        [(2, EndpointStatus::Removed), (3, EndpointStatus::Ready)]
-    );
-    // Late changes of the first member do not apply to the second.
-    assert!(table
-        .take(
-            document(4, false, &[("x", 2, Phase::Terminating)]),
-            &names()
-        )
-        .is_none());
-    assert!(table
-        .take(document(5, false, &[("x", 2, Phase::Gone)]), &names())
-        .is_none());
-    let both = &[("x", 2, Phase::Terminating), ("z", 2, Phase::Ready)];
-    assert_eq!(
-        by_incarnation(table.take(document(6, true, both), &names())),
-        [(3, EndpointStatus::Ready)]
-    );
-    // The same address for another destination is another endpoint.
-    let mut other = document(7, false, &[("z", 2, Phase::Ready)]);
-    other.members[0].cell = 4;
-    assert_eq!(
-        by_incarnation(table.take(other, &names())),
-        [(3, EndpointStatus::Removed), (5, EndpointStatus::Ready)]
-    );
-    // Nothing is kept of removed members.
-    table.take(document(8, false, &[("z", 2, Phase::Gone)]), &names());
-    assert!(table.is_empty());
+fn known_list() -> EndpointListDocument {
+    let text = r#"{"revision":7,"complete":true,"members":[
+        {"id":"x","host_port":"10.0.0.1:1","locality":"a","flavor":"m","cell":3,"phase":"Ready","size":1.0}]}"#;
+    serde_json::from_str(text).expect("a list")
 }
 
 /// Where discovery must be polled and a list is known, the first poll is a watch from its revision, once the core wants
@@ -139,7 +31,7 @@
     let (commands, mailbox) = mpsc::channel(4);
     let (dispatcher, _events) = mpsc::channel(4);
     let mut table = EndpointTable::default();
-    table.take(document(7, true, &[("x", 1, Phase::Ready)]), &names());
+    table.take(known_list(), &names());
     let log = Logger::root(slog::Discard, slog::o!());
     let platform = Platform::new(address);
     let list = EndpointListWatch {
@@ -177,51 +69,6 @@
     assert!(more.is_err(), "the poll was dropped or made again");
 }
 
-/// The work for a change does not grow with the list, nor that for a member of a complete list with its length.
-#[test]
-fn thousands_of_members_and_changes_are_applied_quickly() {
-    let mut table = EndpointTable::default();
-    let ids: Vec<String> = (0..4_096).map(|n| format!("s-{n}")).collect();
-    let whole: Vec<_> = ids
-        .iter()
-        .zip(1..)
-        .map(|(id, port)| (id.as_str(), port, Phase::Ready))
-        .collect();
-    let begun = std::time::Instant::now();
-    assert_eq!(
-        by_port(table.take(document(1, true, &whole), &names())).len(),
-        ids.len()
-    );
-    for (id, port, _) in whole {
-        let update = table.take(
-            document(2, false, &[(id, port, Phase::Terminating)]),
-            &names(),
-        );
-        assert_eq!(by_port(update), [(port, EndpointStatus::Draining)]);
-    }
-    // It would take 25 s if each change looked at all members.
-    assert!(
-        begun.elapsed() < std::time::Duration::from_secs(2),
-        "{:?}",
-        begun.elapsed()
-    );
-    // The last line of a member counts. A member with the address of another displaces it.
-    let twice = [
-        ("s-0", 1, Phase::Gone),
-        ("s-0", 1, Phase::Ready),
-        ("new", 2, Phase::Ready),
-    ];
-    let update = by_incarnation(table.take(document(3, false, &twice), &names()));
-    assert_eq!(
-        update,
-        [
-            (1, EndpointStatus::Ready),
-            (2, EndpointStatus::Removed),
-            (4_097, EndpointStatus::Ready)
-        ]
-    );
-}
-
 /// A watch may fall silent as soon as it is opened, or within its answer. The forwarder counts as notified of what it
 /// misses two seconds after the wait that was asked for. The next watch is opened by then.
 #[tokio::test(start_paused = true)]
