--- a/crates/forwarder/src/endpoint_list/watch.rs
+++ b/crates/forwarder/src/endpoint_list/watch.rs
@@ -69,8 +69,8 @@
     fetch_wanted: bool,
     /// Whether the latest poll succeeded. Only changes are logged.
     reachability: Reachability,
-    /// A poll that timed out, until it is answered or a later one ends. An overloaded discovery answers late. Dropping
-    /// its answers and polling again would add load without ever getting one in time.
+    /// A poll that timed out. It is dropped once a later one succeeds, or times out and takes its place. An overloaded
+    /// discovery answers late. Dropping its answers and polling again would add load without ever getting one in time.
     late_poll: Option<PollInFlight>,
 }
 
@@ -243,7 +243,7 @@
         let mut platform = std::mem::replace(&mut self.platform, substitute);
         Box::pin(async move {
             let answer = platform
-                .ask(Method::GET, &path, Default::default(), timeout)
+                .request(Method::GET, &path, Default::default(), timeout)
                 .await;
             let result = answer.and_then(decode_list);
             (platform, result)
--- a/crates/forwarder/src/platform.rs
+++ b/crates/forwarder/src/platform.rs
@@ -98,9 +98,9 @@
         self.connection = None;
     }
 
-    /// Makes one exchange, which may take `within`. Dropping the future closes the connection: no half answer is read
+    /// Sends one request and reads its answer, which may take `within`. Dropping the future closes the connection: no half answer is read
     /// as that to a later request.
-    pub async fn ask(
+    pub async fn request(
         &mut self,
         method: Method,
         path: &str,
