--- a/crates/forwarder/src/endpoint_list/golden_tests.rs
+++ b/crates/forwarder/src/endpoint_list/golden_tests.rs
@@ -2,11 +2,17 @@
 //! what each recorded answer is decoded to.
 
 use super::*;
+use crate::commands::{DispatcherCommand, EndpointListCommand};
 use crate::golden_cases::{text, GoldenCases};
-use opalpulley::{EndpointEntry, EndpointStatus};
+use crate::platform::Platform;
+use opalpulley::{EndpointEntry, EndpointListUpdate, EndpointStatus, Event};
+use opalpulley_config::Names;
 use serde_json::{json, Value};
+use slog::Logger;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
+use tokio::sync::{mpsc, watch};
 
 const WITHIN: Duration = Duration::from_secs(10);
 
--- a/crates/forwarder/src/journal/golden_tests.rs
+++ b/crates/forwarder/src/journal/golden_tests.rs
@@ -5,9 +5,13 @@
 //! killed at work: one message was delivered, others were out at endpoints that did not answer, waited behind a 429, for
 //! their key's turn or for a connection to an endpoint that then drained, and one completion report was not acknowledged.
 
+use super::segment::path;
 use super::*;
 use crate::golden_cases::{text, GoldenCases};
+use bytes::Bytes;
 use serde_json::{json, Value};
+use std::collections::BTreeMap;
+use std::fs;
 use tempfile::TempDir;
 
 const LIMIT: u64 = 300_000;
@@ -20,23 +24,23 @@
     }
 }
 
-fn render_message(kept: &StoredMessage) -> Value {
+fn render_message(message: &StoredMessage) -> Value {
     json!({
-        "serial": kept.serial,
-        "request id": kept.request_id,
-        "class": kept.class,
-        "tenant": kept.tenant,
-        "destination": kept.destination,
-        "deadline unix us": kept.expires,
-        "idempotency key": kept.idempotency_key,
-        "repeated by client": kept.again,
-        "from a forwarder that died": kept.orphan,
-        "body": text(&kept.body),
-        "order key": kept.key,
-        "attempts": kept.attempts,
-        "earliest attempt that may have run (started at us, zone)": kept.exposed,
-        "attempts without outcome (number, started at us, zone)": kept.out,
-        "pending completion report": kept.pending_report.map(render_ending),
+        "serial": message.serial,
+        "request id": message.request_id,
+        "class": message.class,
+        "tenant": message.tenant,
+        "destination": message.destination,
+        "deadline unix us": message.deadline,
+        "idempotency key": message.idempotency_key,
+        "repeated by client": message.resubmitted,
+        "from a forwarder that died": message.from_failed_forwarder,
+        "body": text(&message.body),
+        "order key": message.key,
+        "attempts": message.attempts,
+        "earliest attempt that may have run (started at us, zone)": message.possible_effect.map(|effect| (effect.started_at, effect.zone)),
+        "attempts without outcome (number, started at us, zone)": message.attempts_out.iter().map(|out| (out.attempt, out.started_at, out.zone)).collect::<Vec<_>>(),
+        "pending completion report": message.pending_report.map(render_ending),
     })
 }
 
@@ -67,28 +71,28 @@
         class: 0,
         tenant: None,
         destination,
-        expires: FAR,
+        deadline: FAR,
         idempotency_key: Some(format!("key-of-{request_id}")),
-        again: false,
-        orphan: false,
+        resubmitted: false,
+        from_failed_forwarder: false,
         body: Bytes::from(format!("body of {request_id}")),
         key: None,
         attempts: 0,
-        exposed: None,
-        out: Vec::new(),
+        possible_effect: None,
+        attempts_out: Vec::new(),
         pending_report: None,
     }
 }
 
 /// The operations that wrote `tests/golden/state-by-operations`, in two runs of which the second begins a segment.
-fn write_stored_messages(folder: &Path) -> io::Result<()> {
-    let (mut journal, _) = Journal::open(folder, LIMIT)?;
+fn write_stored_messages(folder: &Path) -> Result<(), JournalError> {
+    let (mut journal, _) = Journal::open(folder, LIMIT).map_err(JournalError::Io)?;
     journal.accept(message("waiting", 7))?;
     journal.accept(StoredMessage {
         tenant: Some(2),
         idempotency_key: None,
-        again: true,
-        orphan: true,
+        resubmitted: true,
+        from_failed_forwarder: true,
         ..message("waiting-every-flag", 65_535)
     })?;
     journal.accept(message("waiting-wide", 70_000))?;
@@ -123,7 +127,7 @@
     journal.attempt_started(withdrawn, 0, 1_700_000_000_700_000, 0)?;
     journal.attempt_ended(withdrawn, 0, true)?;
     journal.attempt_started(withdrawn, 1, 1_700_000_000_800_000, 0)?;
-    journal.attempt_taken_back(withdrawn, 1)?;
+    journal.attempt_withdrawn(withdrawn, 1)?;
     let over = journal.accept(message("over", 7))?;
     journal.attempt_started(over, 0, 1_700_000_000_900_000, 0)?;
     journal.attempt_ended(over, 0, true)?;
@@ -132,13 +136,13 @@
     journal.ended(over_wide)?;
     drop(journal);
 
-    let (mut journal, _) = Journal::open(folder, LIMIT)?;
+    let (mut journal, _) = Journal::open(folder, LIMIT).map_err(JournalError::Io)?;
     let failed = journal.accept(message("report-failed", 7))?;
-    journal.owes(failed, Ending::Failed)?;
+    journal.report_pending(failed, Ending::Failed)?;
     let rejected = journal.accept(message("report-rejected", 7))?;
-    journal.owes(rejected, Ending::Rejected { retry_after: None })?;
+    journal.report_pending(rejected, Ending::Rejected { retry_after: None })?;
     let told_when = journal.accept(message("report-rejected-with-retry-after", 70_000))?;
-    journal.owes(
+    journal.report_pending(
         told_when,
         Ending::Rejected {
             retry_after: Some(499_001),
@@ -150,9 +154,9 @@
     })?;
     journal.attempt_started(keyed, 0, 1_700_000_001_000_000, 0)?;
     journal.attempt_ended(keyed, 0, true)?;
-    journal.owes(keyed, Ending::Failed)?;
+    journal.report_pending(keyed, Ending::Failed)?;
     let acknowledged = journal.accept(message("report-acknowledged", 7))?;
-    journal.owes(acknowledged, Ending::Failed)?;
+    journal.report_pending(acknowledged, Ending::Failed)?;
     journal.ended(acknowledged)?;
     journal.attempt_started(begun, 1, 1_700_000_001_100_000, 2)
 }
