--- a/examples/resident.rs
+++ b/examples/resident.rs
@@ -1,30 +1,47 @@
 //! Measures the resident memory of the core alone: `cargo run --release --example resident -- DESTINATIONS [FULL]`.
-//! FULL is the number of destinations held in full before idle ones are summarised; without it all are.
 //!
-//! One endpoint a destination and 400 forwarders. Prints the growth of resident memory for the whole list, after a second
-//! whole list, and after 10 s of 200 messages a second to destinations by chance; how long each took is printed to compare.
+//! DESTINATIONS is the number of destinations, each with one endpoint. FULL is the number of destinations held in full
+//! before idle ones are summarised; without it all are held in full. The forwarder is one of a fleet of 400.
+//!
+//! Prints the growth of resident memory after the complete list, after the same list again, and after 10 s with 200
+//! messages a second to random destinations. The time that each step took is printed for comparison.
 
 use opalpulley::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Instant;
 
-const FORWARDERS: u32 = 400;
+const FLEET_SIZE: u32 = 400;
+
 const MESSAGES: u32 = 2_000;
-const BETWEEN: Micros = 5_000; // µs between messages: 200 a second
-const ANSWER: Micros = 30_000; // µs until each is delivered
+
+/// µs between two messages: 200 messages a second.
+const MESSAGE_INTERVAL: Micros = 5_000;
+
+/// µs until a message is delivered.
+const ANSWER_TIME: Micros = 30_000;
+
+/// µs from the submission of a message to its deadline.
+const TIME_TO_LIVE: Micros = 30_000_000;
+
+/// Entries of the list that are reported at a time, so that the list itself is not measured.
+const LIST_CHUNK: u32 = 4_096;
 
 fn config(full_destinations: Option<u32>) -> Config {
     let class = DeliveryClassConfig {
         semantics: DeliverySemantics::Idempotent,
         latency_objective: 1_000_000,
-        time_to_live: 30_000_000,
+        time_to_live: TIME_TO_LIVE,
         priority_weight: 1.0,
         late_weight_share: 0.5,
         ordered: false,
     };
+    let kind = EndpointKindConfig {
+        independent_limits: false,
+        batch_size: 1,
+    };
     Config {
-        fleet_size: FORWARDERS,
+        fleet_size: FLEET_SIZE,
         concurrency_limit: 64,
         message_capacity: 10_000,
         max_attempts: 6,
@@ -34,10 +51,7 @@
         max_retry_after: 2_000_000,
         listed_rates: ListedRates::Nominal,
         classes: vec![class],
-        endpoint_kinds: vec![EndpointKindConfig {
-            independent_limits: false,
-            batch_size: 1,
-        }],
+        endpoint_kinds: vec![kind],
         rules: RuleConfig {
             answer_slack: 20_000,
             drain_grace: 500_000,
@@ -53,27 +67,26 @@
     }
 }
 
-fn entry(n: u32) -> EndpointEntry {
-    let [_, a, b, c] = n.to_be_bytes();
-    let endpoint = EndpointId {
-        address: [10, a, b, c],
-        port: 443,
-        incarnation: 0,
-    };
-    let (standing, destination) = (EndpointStatus::Ready, DestinationId(n));
+/// The list entry of the only endpoint of a destination.
+fn entry(destination: u32) -> EndpointEntry {
+    let [_, a, b, c] = destination.to_be_bytes();
     EndpointEntry {
-        endpoint,
+        endpoint: EndpointId {
+            address: [10, a, b, c],
+            port: 443,
+            incarnation: 0,
+        },
         zone: ZoneId(0),
         up_since: 0,
-        status: standing,
+        status: EndpointStatus::Ready,
         rate: 20.0,
-        destination,
+        destination: DestinationId(destination),
         kind: EndpointKindId(0),
     }
 }
 
 /// Resident memory of this process, in bytes.
-fn resident() -> Result<u64, std::io::Error> {
+fn resident_bytes() -> Result<u64, std::io::Error> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status
         .lines()
@@ -87,81 +100,95 @@
     Ok(kilobytes * 1_024)
 }
 
-struct Run {
+/// An attempt that is delivered at its time.
+struct InFlight {
+    delivered_at: Micros,
+    id: MessageId,
+    endpoint: EndpointId,
+}
+
+/// A forwarder, and the attempts that it has sent.
+struct Measurement {
     forwarder: Forwarder,
     destinations: u32,
-    before: u64,
-    begun: Instant,
+    in_flight: Vec<InFlight>,
+    /// Resident memory before the first list, in bytes.
+    bytes_before: u64,
+    step_started: Instant,
 }
 
-impl Run {
-    fn list(&mut self, now: Micros) {
-        // In pieces, as a front end may hand them over: the list itself is not to be measured.
-        let chunk = 4_096;
-        for first in (0..self.destinations).step_by(chunk as usize) {
-            let entries = (first..self.destinations.min(first + chunk))
-                .map(entry)
-                .collect();
-            self.forwarder.handle(
-                now,
-                Event::EndpointList(EndpointListUpdate::Changes(entries)),
-                &mut Vec::new(),
-            );
+impl Measurement {
+    fn report_list(&mut self, now: Micros) {
+        for first in (0..self.destinations).step_by(LIST_CHUNK as usize) {
+            let end = self.destinations.min(first + LIST_CHUNK);
+            let entries = (first..end).map(entry).collect();
+            let update = EndpointListUpdate::Changes(entries);
+            self.handle(now, Event::EndpointList(update));
         }
     }
 
-    fn messages(&mut self, begin: Micros) {
-        let mut chance = Pcg64Mcg::seed_from_u64(1);
-        let mut actions = Vec::new();
-        let mut out: Vec<(Micros, MessageId, EndpointId)> = Vec::new();
-        for n in 0..MESSAGES {
-            let now = begin + BETWEEN * Micros::from(n);
-            let arrival = Submission {
-                id: MessageId(n),
+    fn send_messages(&mut self, start: Micros) {
+        let mut rng = Pcg64Mcg::seed_from_u64(1);
+        for number in 0..MESSAGES {
+            let now = start + MESSAGE_INTERVAL * Micros::from(number);
+            let submission = Submission {
+                id: MessageId(number),
                 class: DeliveryClassId(0),
                 tenant: TenantId(0),
                 key: None,
-                time_left: 30_000_000,
-                destination: DestinationId(chance.random_range(0..self.destinations)),
+                time_left: TIME_TO_LIVE,
+                destination: DestinationId(rng.random_range(0..self.destinations)),
                 resubmitted: false,
                 history: AttemptHistory::default(),
             };
-            self.forwarder
-                .handle(now, Event::Submitted(arrival), &mut actions);
-            self.forwarder.handle(
-                now,
-                Event::TimerFired {
-                    token: TimerToken(0),
-                },
-                &mut actions,
-            );
-            for (_, id, endpoint) in out.extract_if(.., |(at, ..)| *at <= now) {
-                let (outcome, report) = (Outcome::Delivered, Vec::new());
-                let ended = Event::AttemptEnded {
+            self.handle(now, Event::Submitted(submission));
+            let token = TimerToken(0);
+            self.handle(now, Event::TimerFired { token });
+            self.deliver_due(now);
+        }
+    }
+
+    /// Ends the attempts whose answer is in.
+    fn deliver_due(&mut self, now: Micros) {
+        let is_due = |attempt: &mut InFlight| attempt.delivered_at <= now;
+        let due: Vec<InFlight> = self.in_flight.extract_if(.., is_due).collect();
+        for InFlight { id, endpoint, .. } in due {
+            let delivered = Event::AttemptEnded {
+                id,
+                attempt: 0,
+                endpoint,
+                outcome: Outcome::Delivered,
+                took: ANSWER_TIME,
+                completed: true,
+                report: Vec::new(),
+            };
+            self.handle(now, delivered);
+        }
+    }
+
+    /// Handles an event and keeps the attempts that are sent.
+    fn handle(&mut self, now: Micros, event: Event) {
+        let mut actions = Vec::new();
+        self.forwarder.handle(now, event, &mut actions);
+        for action in actions {
+            if let Action::Send { id, endpoint, .. } = action {
+                self.in_flight.push(InFlight {
+                    delivered_at: now + ANSWER_TIME,
                     id,
-                    attempt: 0,
                     endpoint,
-                    outcome,
-                    took: ANSWER,
-                    completed: true,
-                    report,
-                };
-                self.forwarder.handle(now, ended, &mut actions);
+                });
             }
-            let sent = actions.drain(..).filter_map(|action| match action {
-                Action::Send { id, endpoint, .. } => Some((now + ANSWER, id, endpoint)),
-                _ => None,
-            });
-            out.extend(sent);
         }
     }
 
-    fn report(&mut self, what: &str) -> Result<(), std::io::Error> {
-        let bytes = resident()?.saturating_sub(self.before);
-        let (took, counts) = (self.begun.elapsed(), self.forwarder.state_counts());
+    /// Prints the memory since the start and the time since the last report.
+    fn report(&mut self, step: &str) -> Result<(), std::io::Error> {
+        let bytes = resident_bytes()?.saturating_sub(self.bytes_before);
+        let took = self.step_started.elapsed();
+        let counts = self.forwarder.state_counts();
         let each = bytes as f64 / f64::from(self.destinations);
-        println!("{what}: {bytes} bytes, {each:.0} a destination, {took:.1?}; {counts:?}");
-        self.begun = Instant::now();
+        println!("{step}: {bytes} bytes, {each:.0} a destination, {took:.1?}; {counts:?}");
+        self.step_started = Instant::now();
         Ok(())
     }
 }
@@ -169,18 +196,19 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let mut arguments = std::env::args().skip(1);
     let destinations = arguments.next().ok_or("how many destinations?")?.parse()?;
-    let full = arguments.next().map(|full| full.parse()).transpose()?;
-    let (forwarder, before) = (Forwarder::new(config(full), 1), resident()?);
-    let mut run = Run {
-        forwarder,
+    let full_destinations = arguments.next().map(|full| full.parse()).transpose()?;
+    let mut measurement = Measurement {
+        forwarder: Forwarder::new(config(full_destinations), 1),
         destinations,
-        before,
-        begun: Instant::now(),
+        in_flight: Vec::new(),
+        bytes_before: resident_bytes()?,
+        step_started: Instant::now(),
     };
-    run.list(1_000_000);
-    run.report("whole list")?;
-    run.list(2_000_000);
-    run.report("the same again")?;
-    run.messages(10_000_000);
-    run.report("after messages").map_err(Into::into)
+    measurement.report_list(1_000_000);
+    measurement.report("complete list")?;
+    measurement.report_list(2_000_000);
+    measurement.report("the same list again")?;
+    measurement.send_messages(10_000_000);
+    measurement.report("after the messages")?;
+    Ok(())
 }
--- a/src/latency.rs
+++ b/src/latency.rs
@@ -1,7 +1,7 @@
 //! Running estimates of answer times. Arithmetic only; the callers decide.
 //!
-//! The mean and the mean deviation are exponentially weighted towards the latest answers, as in the round-trip time
-//! estimate of TCP (RFC 6298, section 2).
+//! The mean and the mean deviation are exponentially weighted towards the latest answers, as in the estimate from
+//! which TCP takes its retransmission timeout (RFC 6298, section 2).
 
 /// The mean and the mean deviation of answer times, in µs.
 #[derive(Clone, Copy, Default)]
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -70,8 +70,9 @@
     ) -> Option<DestinationId> {
         match message::decode(payload) {
             Ok(destination) => {
-                let is_news = is_known(destination) && self.record_announcement(now, destination);
-                is_news.then_some(destination)
+                let is_accepted =
+                    is_known(destination) && self.record_announcement(now, destination);
+                is_accepted.then_some(destination)
             }
             Err(error) => {
                 self.log_unreadable(now, from, error, actions);
--- a/src/policy/list_polling/tests/outage.rs
+++ b/src/policy/list_polling/tests/outage.rs
@@ -241,7 +241,7 @@
         for (name, outage) in [
             ("before", unbounded),
             ("bounded", bounded),
-            ("bounded, late answers heard", OUTAGE),
+            ("bounded, late answers accepted", OUTAGE),
         ] {
             print_row(
                 name,
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -253,12 +253,12 @@
 }
 
 impl MessageGroup {
-    /// The due times at which the expected loss of waiting turns, each with the times beside it, in which rounding may
-    /// put the turn.
+    /// The due times at which the expected loss of waiting has a bend, each with the two times beside it, where rounding
+    /// may put the bend.
     ///
-    /// `lookaheads` are the times, in µs from `now`, at which the loss is evaluated. At each of them, a message turns
-    /// where it is answered just as it is due, as its weight stops to fall (`fade` µs after its due time), or at its
-    /// deadline; and where it is at its last moment to send. `answer_time` is what an answer takes, in µs.
+    /// The loss is evaluated at several moments, `lookaheads` in µs from `now`. It has a bend for a message that, sent at
+    /// one of them, would be answered at its due time, at the end of the fall of its weight (`fade` µs after its due
+    /// time) or at its deadline, and for a message whose last moment to send it is. An answer takes `answer_time` µs.
     pub fn turning_points(
         &self,
         now: f64,
@@ -269,15 +269,15 @@
         let mut points = Vec::new();
         for lookahead in lookaheads {
             let answered = now + lookahead + answer_time;
-            let turns = [
+            let bends = [
                 answered,
                 answered - fade,
                 answered - self.due_to_deadline as f64,
                 now + lookahead - self.due_to_last_send as f64,
             ];
-            for turn in turns {
-                let turn = turn.floor() as i64;
-                points.extend([turn - 1, turn, turn + 1]);
+            for bend in bends {
+                let bend = bend.floor() as i64;
+                points.extend([bend - 1, bend, bend + 1]);
             }
         }
         points
--- /dev/null
+++ b/tests/common/fixtures.rs
@@ -0,0 +1,132 @@
+//! Endpoints, delivery classes and a configuration for tests.
+
+use opalpulley::*;
+
+/// One millisecond in µs.
+pub const MS: Micros = 1_000;
+
+/// The time to live of every delivery class here, and the time left of a message unless a test says otherwise.
+pub const TIME_TO_LIVE: Micros = 8_000 * MS;
+
+/// The latency objective of every delivery class here.
+pub const LATENCY_OBJECTIVE: Micros = 1_000 * MS;
+
+/// The delivery class of messages that may be repeated.
+pub const IDEMPOTENT: u16 = 0;
+
+/// The delivery class of messages that may be repeated within a window.
+pub const IDEMPOTENCY_KEYED: u16 = 1;
+
+/// The delivery class of messages that may not be repeated.
+pub const AT_MOST_ONCE: u16 = 2;
+
+/// The endpoint with this number.
+pub fn endpoint(number: u8) -> EndpointId {
+    EndpointId {
+        address: [10, 0, 0, number],
+        port: 80,
+        incarnation: 0,
+    }
+}
+
+/// The list entry of an endpoint that is ready, with a rate in calls per second. Even numbers are in zone 0, odd ones in
+/// zone 1.
+pub fn listed_endpoint(number: u8, destination: u32, rate: f32) -> EndpointEntry {
+    EndpointEntry {
+        endpoint: endpoint(number),
+        zone: ZoneId(u16::from(number % 2)),
+        up_since: 0,
+        status: EndpointStatus::Ready,
+        rate,
+        destination: DestinationId(destination),
+        kind: EndpointKindId(0),
+    }
+}
+
+/// The same entry with another status.
+pub fn with_status(entry: EndpointEntry, status: EndpointStatus) -> EndpointEntry {
+    EndpointEntry { status, ..entry }
+}
+
+/// A delivery class without order keys.
+pub fn delivery_class(semantics: DeliverySemantics) -> DeliveryClassConfig {
+    DeliveryClassConfig {
+        semantics,
+        latency_objective: LATENCY_OBJECTIVE,
+        time_to_live: TIME_TO_LIVE,
+        priority_weight: 1.0,
+        late_weight_share: 0.5,
+        ordered: false,
+    }
+}
+
+/// The kind of endpoints, with one message a call.
+pub fn endpoint_kind(independent_limits: bool) -> EndpointKindConfig {
+    EndpointKindConfig {
+        independent_limits,
+        batch_size: 1,
+    }
+}
+
+/// One of two forwarders, with eight permits and every optional feature on.
+pub fn config() -> Config {
+    let keyed = DeliverySemantics::IdempotencyKeyed {
+        scope: DeduplicationScope::AllEndpoints,
+        window: 3_000 * MS,
+    };
+    Config {
+        forwarder: 0,
+        fleet_size: 2,
+        concurrency_limit: 8,
+        message_capacity: 100,
+        max_attempts: 6,
+        order_release: OrderRelease::OnDecision,
+        may_health_check: true,
+        may_cancel: true,
+        may_send_retry_after: true,
+        may_gossip: true,
+        max_retry_after: 2_000 * MS,
+        listed_rates: ListedRates::Nominal,
+        priority_decay: PriorityDecay::Exponential,
+        over_quota_weight: 0.1,
+        classes: vec![
+            delivery_class(DeliverySemantics::Idempotent),
+            delivery_class(keyed),
+            delivery_class(DeliverySemantics::AtMostOnce),
+        ],
+        tenants: Vec::new(),
+        endpoint_kinds: vec![endpoint_kind(false)],
+        zone_costs: vec![0.0, 0.05],
+        poll_interval: None,
+        notified_within: None,
+        rules: service_rules(),
+        scheduling_interval: 5 * MS,
+        full_destinations: None,
+    }
+}
+
+fn service_rules() -> RuleConfig {
+    RuleConfig {
+        answer_slack: 20 * MS,
+        drain_grace: 500 * MS,
+        cold_capacity_share: 0.2,
+        warm_up_time: 10_000 * MS,
+        overload_multiple: 2.0,
+        overload_window: 2_000 * MS,
+        order_settle_time: 300 * MS,
+    }
+}
+
+/// A submission of the first tenant, which was never submitted before and has no order key.
+pub fn submission(id: MessageId, class: u16, destination: u32, time_left: Micros) -> Submission {
+    Submission {
+        id,
+        class: DeliveryClassId(class),
+        tenant: TenantId(0),
+        key: None,
+        time_left,
+        destination: DestinationId(destination),
+        resubmitted: false,
+        history: AttemptHistory::default(),
+    }
+}
--- /dev/null
+++ b/tests/common/history.rs
@@ -0,0 +1,275 @@
+//! Random histories: a random configuration, then events in orders that are legal but hostile.
+//!
+//! A seed names one history. The order of the random draws must stay as it is: a change gives every seed another history.
+
+use super::fixtures::{config, endpoint, listed_endpoint, with_status, MS, TIME_TO_LIVE};
+use super::world::World;
+use super::Checked;
+use opalpulley::*;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+const ENDPOINTS: u8 = 6;
+
+/// Time after the last step, in which every message gets its final answer.
+const FINAL_PAUSE: Micros = 30_000 * MS;
+
+/// How a random history is played.
+#[derive(Clone, Copy, Debug)]
+pub struct HistoryOptions {
+    pub steps: usize,
+    /// The longest pause between two steps, in µs.
+    pub longest_pause: Micros,
+    pub endpoints_per_destination: u8,
+    /// The forwarder's setting of this name.
+    pub full_destinations: Option<u32>,
+}
+
+/// Plays a history with short pauses and two endpoints a destination. Fails with the rule that it breaks.
+pub fn check_history(seed: u64, steps: usize) -> Checked {
+    let options = HistoryOptions {
+        steps,
+        longest_pause: 200 * MS,
+        endpoints_per_destination: 2,
+        full_destinations: None,
+    };
+    play_history(seed, &options)?;
+    Ok(())
+}
+
+/// Plays a history; returns the world as it is in the end. Fails with the rule that the history breaks.
+pub fn play_history(seed: u64, options: &HistoryOptions) -> Checked<World> {
+    let mut history = RandomHistory::new(seed, options);
+    for _ in 0..options.steps {
+        history.step()?;
+    }
+    history.world.advance(FINAL_PAUSE)?;
+    Ok(history.world)
+}
+
+fn random_config(rng: &mut Pcg64Mcg, options: &HistoryOptions) -> Config {
+    let mut config = Config {
+        full_destinations: options.full_destinations,
+        ..config()
+    };
+    config.concurrency_limit = rng.random_range(1..12);
+    config.message_capacity = rng.random_range(3..60);
+    config.max_attempts = rng.random_range(1..7);
+    config.order_release = if rng.random() {
+        OrderRelease::OnAcknowledgement
+    } else {
+        OrderRelease::OnDecision
+    };
+    config.may_health_check = rng.random();
+    config.may_cancel = rng.random();
+    config.priority_decay = if rng.random() {
+        PriorityDecay::Linear
+    } else {
+        PriorityDecay::Exponential
+    };
+    config.endpoint_kinds[0] = EndpointKindConfig {
+        independent_limits: rng.random(),
+        batch_size: if rng.random_bool(0.3) { 4 } else { 1 },
+    };
+    let scope = if rng.random() {
+        DeduplicationScope::Zone
+    } else {
+        DeduplicationScope::AllEndpoints
+    };
+    config.classes[1].semantics = DeliverySemantics::IdempotencyKeyed {
+        scope,
+        window: rng.random_range(100..4_000) * MS,
+    };
+    for class in &mut config.classes {
+        class.ordered = rng.random();
+    }
+    config
+}
+
+struct RandomHistory {
+    rng: Pcg64Mcg,
+    world: World,
+    longest_pause: Micros,
+    /// The endpoint list with every endpoint ready.
+    list: Vec<EndpointEntry>,
+    /// The chance that an attempt to an endpoint fails.
+    failure_rates: [f64; ENDPOINTS as usize],
+}
+
+impl RandomHistory {
+    fn new(seed: u64, options: &HistoryOptions) -> RandomHistory {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let config = random_config(&mut rng, options);
+        let entry = |number: u8| {
+            let destination = u32::from(number / options.endpoints_per_destination);
+            listed_endpoint(number, destination, 4.0 + f32::from(number))
+        };
+        let list: Vec<EndpointEntry> = (0..ENDPOINTS).map(entry).collect();
+        RandomHistory {
+            rng,
+            world: World::new(config, list.clone()),
+            longest_pause: options.longest_pause,
+            list,
+            failure_rates: [0.1; ENDPOINTS as usize],
+        }
+    }
+
+    fn step(&mut self) -> Checked {
+        self.world.connect_delay = if self.rng.random_bool(0.3) {
+            self.rng.random_range(0..1_000) * MS
+        } else {
+            0
+        };
+        match self.rng.random_range(0..100) {
+            0..30 => self.submit(),
+            30..60 => self.end_an_attempt(),
+            60..90 => self.advance(),
+            90..92 => self.change_an_endpoint(),
+            92 => self.report_part_of_the_list(),
+            93 => {
+                self.change_a_failure_rate();
+                Ok(())
+            }
+            94..97 => self.end_a_health_check(),
+            97 => self.withdraw_and_acknowledge(),
+            98 if self.rng.random_bool(0.5) => self.receive_gossip(),
+            98 if self.rng.random_bool(0.1) => self.world.crash(),
+            98 if self.rng.random_bool(0.1) => self.world.restart(),
+            _ => self.end_an_unknown_attempt(),
+        }
+    }
+
+    /// Submits a message, seldom with next to no time left.
+    fn submit(&mut self) -> Checked {
+        let rng = &mut self.rng;
+        let time_left = if rng.random_bool(0.1) {
+            rng.random_range(0..50) * MS
+        } else {
+            TIME_TO_LIVE
+        };
+        let key = if rng.random_bool(0.5) {
+            Some(OrderKey(rng.random_range(1..4)))
+        } else {
+            None
+        };
+        let class = rng.random_range(0..3);
+        let destination = rng.random_range(0..4);
+        self.world
+            .submit_with_key(class, destination, key, time_left)?;
+        Ok(())
+    }
+
+    fn end_an_attempt(&mut self) -> Checked {
+        let in_flight = self.world.messages.in_flight();
+        let choice = self.rng.random_range(0..in_flight.len().max(1));
+        let Some(id) = in_flight.get(choice).copied() else {
+            return Ok(());
+        };
+        if self.rng.random_bool(0.05) {
+            let retry_after = self.random_retry_after();
+            self.world.receive_retry_after(id, retry_after)?;
+        }
+        let [.., number] = self.world.messages.last_attempt(id)?.endpoint.address;
+        let fails = self
+            .rng
+            .random_bool(self.failure_rates[usize::from(number)]);
+        let outcome = if fails {
+            self.random_failure()
+        } else {
+            Outcome::Delivered
+        };
+        self.world.end_attempt(id, outcome)
+    }
+
+    fn random_failure(&mut self) -> Outcome {
+        match self.rng.random_range(0..6) {
+            0 => Outcome::Rejected {
+                retry_after: Some(self.random_retry_after()),
+            },
+            1 => Outcome::Rejected { retry_after: None },
+            2 => Outcome::NoConnection,
+            3 => Outcome::Reset,
+            4 => Outcome::NotAttempted { no_permit: true },
+            _ => Outcome::Error,
+        }
+    }
+
+    fn random_retry_after(&mut self) -> Micros {
+        self.rng.random_range(1..3_000) * MS
+    }
+
+    fn advance(&mut self) -> Checked {
+        let pause = self.rng.random_range(1..self.longest_pause / MS) * MS;
+        self.world.advance(pause)
+    }
+
+    fn change_an_endpoint(&mut self) -> Checked {
+        let entry = self.list[self.rng.random_range(0..6)].clone();
+        let statuses = [
+            EndpointStatus::Ready,
+            EndpointStatus::Ready,
+            EndpointStatus::Draining,
+            EndpointStatus::Removed,
+        ];
+        let status = statuses[self.rng.random_range(0..4)];
+        self.world.report_change(with_status(entry, status))
+    }
+
+    fn report_part_of_the_list(&mut self) -> Checked {
+        let first = self.rng.random_range(0..5);
+        let part = self.list[first..].to_vec();
+        self.world.report_list(EndpointListUpdate::Complete(part))
+    }
+
+    fn change_a_failure_rate(&mut self) {
+        let rate = [0.0, 0.1, 0.9, 1.0][self.rng.random_range(0..4)];
+        self.failure_rates[self.rng.random_range(0..6)] = rate;
+    }
+
+    fn end_a_health_check(&mut self) -> Checked {
+        let outcome = if self.rng.random() {
+            Outcome::Delivered
+        } else {
+            Outcome::Timeout
+        };
+        self.world.end_health_check(outcome)
+    }
+
+    fn withdraw_and_acknowledge(&mut self) -> Checked {
+        if let Some(id) = self.world.messages.first_pending() {
+            self.world.withdraw(id)?;
+        }
+        if let Some(id) = self.world.messages.unacknowledged.first().copied() {
+            self.world.acknowledge(id)?;
+        }
+        Ok(())
+    }
+
+    /// Receives gossip of any forwarder, in the fleet or not, about a known destination or not, whole or cut short.
+    fn receive_gossip(&mut self) -> Checked {
+        let mut payload = vec![1, 1, self.rng.random_range(0..4), 0];
+        let length = if self.rng.random_bool(0.8) {
+            4
+        } else {
+            self.rng.random_range(0..4)
+        };
+        payload.truncate(length);
+        let from = self.rng.random();
+        self.world.receive_gossip(from, payload)
+    }
+
+    /// Reports the end of an attempt that the forwarder knows nothing of.
+    fn end_an_unknown_attempt(&mut self) -> Checked {
+        let id = MessageId(self.rng.random_range(0..1_000_000));
+        let endpoint = endpoint(self.rng.random_range(0..9));
+        self.world.handle(Event::AttemptEnded {
+            id,
+            attempt: 0,
+            endpoint,
+            outcome: Outcome::Delivered,
+            took: 0,
+            completed: true,
+            report: vec![],
+        })
+    }
+}
--- /dev/null
+++ b/tests/common/message_table.rs
@@ -0,0 +1,153 @@
+//! The messages that a forwarder was given, with all attempts at them.
+
+use super::Checked;
+use opalpulley::*;
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Index;
+
+/// An attempt at a message.
+#[derive(Clone, Debug)]
+pub struct Attempt {
+    pub sent_at: Micros,
+    pub endpoint: EndpointId,
+    pub times_out_at: Micros,
+    /// How the attempt ends at the next step, because the forwarder cancelled or withdrew it.
+    pub stopped_as: Option<Outcome>,
+    pub outcome: Option<Outcome>,
+    /// When its bytes are sent, where its connection comes up late. None once they are sent.
+    pub bytes_sent_at: Option<Micros>,
+}
+
+impl Attempt {
+    pub fn is_in_flight(&self) -> bool {
+        self.outcome.is_none()
+    }
+
+    pub fn may_have_taken_effect(&self) -> bool {
+        self.outcome.is_some_and(Outcome::may_have_taken_effect)
+    }
+}
+
+/// A message and what became of it.
+#[derive(Clone, Debug)]
+pub struct TrackedMessage {
+    pub submission: Submission,
+    pub deadline: Micros,
+    pub attempts: Vec<Attempt>,
+    /// It was delivered, withdrawn by the client, or got its final answer.
+    pub completed: bool,
+}
+
+impl TrackedMessage {
+    /// The last attempt, if it is not over.
+    pub fn attempt_in_flight(&self) -> Option<&Attempt> {
+        self.attempts.last().filter(|last| last.is_in_flight())
+    }
+
+    /// The first attempt that may have taken effect.
+    pub fn first_possible_effect(&self) -> Option<&Attempt> {
+        self.attempts
+            .iter()
+            .find(|attempt| attempt.may_have_taken_effect())
+    }
+
+    pub fn was_delivered(&self) -> bool {
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.outcome == Some(Outcome::Delivered))
+    }
+}
+
+/// All messages of one run of the forwarder.
+#[derive(Default)]
+pub struct MessageTable {
+    by_id: BTreeMap<MessageId, TrackedMessage>,
+    in_order_of_submission: Vec<MessageId>,
+    /// Messages whose final answer is not acknowledged, where order keys wait for that.
+    pub unacknowledged: BTreeSet<MessageId>,
+}
+
+impl Index<MessageId> for MessageTable {
+    type Output = TrackedMessage;
+
+    fn index(&self, id: MessageId) -> &TrackedMessage {
+        &self.by_id[&id]
+    }
+}
+
+impl MessageTable {
+    pub fn insert(&mut self, message: TrackedMessage) {
+        let id = message.submission.id;
+        self.by_id.insert(id, message);
+        self.in_order_of_submission.push(id);
+    }
+
+    pub fn get(&self, id: MessageId) -> Checked<&TrackedMessage> {
+        self.by_id.get(&id).ok_or("unknown message".into())
+    }
+
+    pub fn get_mut(&mut self, id: MessageId) -> Checked<&mut TrackedMessage> {
+        self.by_id.get_mut(&id).ok_or("unknown message".into())
+    }
+
+    /// The last attempt at a message.
+    pub fn last_attempt(&self, id: MessageId) -> Checked<&Attempt> {
+        let last = self.by_id.get(&id).and_then(|m| m.attempts.last());
+        last.ok_or("no such attempt".into())
+    }
+
+    /// The last attempt at a message.
+    pub fn last_attempt_mut(&mut self, id: MessageId) -> Checked<&mut Attempt> {
+        let last = self.by_id.get_mut(&id).and_then(|m| m.attempts.last_mut());
+        last.ok_or("no such attempt".into())
+    }
+
+    /// All messages, in the order of their ids.
+    pub fn all(&self) -> impl Iterator<Item = &TrackedMessage> {
+        self.by_id.values()
+    }
+
+    /// All messages, in the order of their ids.
+    pub fn into_all(self) -> impl Iterator<Item = TrackedMessage> {
+        self.by_id.into_values()
+    }
+
+    /// The messages submitted before this one.
+    pub fn submitted_before(&self, id: MessageId) -> impl Iterator<Item = &TrackedMessage> {
+        self.in_order_of_submission
+            .iter()
+            .take_while(move |earlier| **earlier != id)
+            .map(|earlier| &self.by_id[earlier])
+    }
+
+    /// The messages with an attempt in flight, in the order of their ids.
+    pub fn in_flight(&self) -> Vec<MessageId> {
+        self.all()
+            .filter(|message| message.attempt_in_flight().is_some())
+            .map(|message| message.submission.id)
+            .collect()
+    }
+
+    pub fn attempts_in_flight(&self) -> impl Iterator<Item = &Attempt> {
+        self.all().filter_map(TrackedMessage::attempt_in_flight)
+    }
+
+    /// The last attempt at each message, in flight or over.
+    pub fn last_attempts_mut(&mut self) -> impl Iterator<Item = &mut Attempt> {
+        self.by_id
+            .values_mut()
+            .filter_map(|message| message.attempts.last_mut())
+    }
+
+    /// The first message that is not completed.
+    pub fn first_pending(&self) -> Option<MessageId> {
+        self.all()
+            .find(|message| !message.completed)
+            .map(|message| message.submission.id)
+    }
+
+    /// How many messages are not completed.
+    pub fn pending(&self) -> usize {
+        self.all().filter(|message| !message.completed).count()
+    }
+}
--- /dev/null
+++ b/tests/common/oracle.rs
@@ -0,0 +1,177 @@
+//! The service rules, checked on what a forwarder does.
+
+mod endpoint_record;
+mod sending;
+
+use super::message_table::{Attempt, MessageTable, TrackedMessage};
+use super::Checked;
+use endpoint_record::EndpointRecord;
+use opalpulley::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What shares a limit and a retry-after: a destination, or one of its endpoints where they have limits of their own.
+type Route = (DestinationId, Option<EndpointId>);
+
+/// What happened so far, as far as the rules depend on it.
+pub struct Oracle {
+    config: Config,
+    /// The last entry of each endpoint in the endpoint list.
+    entries: BTreeMap<EndpointId, EndpointEntry>,
+    /// Endpoints that drain or have left the list, each with the time since when.
+    leaving_since: BTreeMap<EndpointId, Micros>,
+    /// The end of the retry-after pause of each route.
+    paused_until: BTreeMap<Route, Micros>,
+    /// Until when no next message of a key may begin, because an attempt ended without a clear outcome.
+    key_settles_at: BTreeMap<OrderKey, Micros>,
+    records: BTreeMap<EndpointId, EndpointRecord>,
+}
+
+impl Oracle {
+    pub fn new(config: Config) -> Oracle {
+        Oracle {
+            config,
+            entries: BTreeMap::new(),
+            leaving_since: BTreeMap::new(),
+            paused_until: BTreeMap::new(),
+            key_settles_at: BTreeMap::new(),
+            records: BTreeMap::new(),
+        }
+    }
+
+    /// The last entry of every endpoint that was ever listed.
+    pub fn entries(&self) -> Vec<EndpointEntry> {
+        self.entries.values().cloned().collect()
+    }
+
+    /// The zone of an endpoint, if it was ever listed.
+    pub fn zone(&self, endpoint: EndpointId) -> Option<ZoneId> {
+        self.entries.get(&endpoint).map(|entry| entry.zone)
+    }
+
+    /// The key by which a message keeps its order.
+    pub fn order_key(&self, message: &TrackedMessage) -> Option<OrderKey> {
+        let is_ordered = self.class(message).ordered;
+        message.submission.key.filter(|_| is_ordered)
+    }
+
+    fn class(&self, message: &TrackedMessage) -> &DeliveryClassConfig {
+        &self.config.classes[usize::from(message.submission.class.0)]
+    }
+
+    fn has_batches(&self) -> bool {
+        self.config.endpoint_kinds[0].batch_size > 1
+    }
+
+    fn route(&self, destination: DestinationId, endpoint: EndpointId) -> Route {
+        let has_own_limit = self.config.endpoint_kinds[0].independent_limits;
+        (destination, has_own_limit.then_some(endpoint))
+    }
+
+    /// Notes what the endpoint list says.
+    pub fn observe_list(&mut self, now: Micros, update: &EndpointListUpdate) {
+        let (entries, is_complete) = match update {
+            EndpointListUpdate::Changes(entries) => (entries, false),
+            EndpointListUpdate::Complete(entries) => (entries, true),
+            EndpointListUpdate::Cached(entries) => (entries, true),
+            EndpointListUpdate::Failed => return,
+        };
+        if is_complete {
+            self.observe_missing(now, entries);
+        }
+        for entry in entries {
+            if entry.status == EndpointStatus::Ready {
+                self.leaving_since.remove(&entry.endpoint);
+            } else {
+                self.leaving_since.entry(entry.endpoint).or_insert(now);
+            }
+            self.entries.insert(entry.endpoint, entry.clone());
+        }
+    }
+
+    /// Notes the endpoints that are missing in a complete list.
+    fn observe_missing(&mut self, now: Micros, entries: &[EndpointEntry]) {
+        let named: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
+        for endpoint in self.entries.keys() {
+            if !named.contains(endpoint) {
+                self.leaving_since.entry(*endpoint).or_insert(now);
+            }
+        }
+    }
+
+    /// Notes a retry-after that an endpoint asked for.
+    pub fn observe_retry_after(
+        &mut self,
+        now: Micros,
+        destination: DestinationId,
+        endpoint: EndpointId,
+        retry_after: Micros,
+    ) {
+        let route = self.route(destination, endpoint);
+        let paused_until = self.paused_until.entry(route).or_default();
+        *paused_until = (*paused_until).max(now + retry_after);
+    }
+
+    /// Notes how an attempt ended.
+    pub fn observe_outcome(&mut self, now: Micros, attempt: &Attempt, outcome: Outcome) {
+        let has_batches = self.has_batches();
+        let record = self.records.entry(attempt.endpoint).or_default();
+        record.observe_outcome(now, attempt.sent_at, outcome, has_batches);
+    }
+
+    /// Notes that an attempt at a message of this key ended without a clear outcome.
+    pub fn observe_unclear_outcome(&mut self, now: Micros, key: OrderKey) {
+        let settles_at = now + self.config.rules.order_settle_time;
+        let noted = self.key_settles_at.entry(key).or_default();
+        *noted = settles_at.max(*noted);
+    }
+
+    /// Rule: a message gets one final answer, and a message that may have taken effect is not given back to its client.
+    pub fn check_final_answer(&self, message: &TrackedMessage, answer: &Action) -> Checked {
+        if message.completed {
+            return Err("a second final answer".into());
+        }
+        let may_have_taken_effect =
+            message.attempt_in_flight().is_some() || message.first_possible_effect().is_some();
+        let is_repeatable = match self.class(message).semantics {
+            DeliverySemantics::Idempotent => true,
+            DeliverySemantics::IdempotencyKeyed { scope, .. } => {
+                !may_have_taken_effect || scope == DeduplicationScope::AllEndpoints
+            }
+            DeliverySemantics::AtMostOnce => !may_have_taken_effect,
+        };
+        if is_repeatable || matches!(answer, Action::Fail { .. }) {
+            Ok(())
+        } else {
+            Err("rejected though it may have taken effect".into())
+        }
+    }
+
+    /// Rule: no more calls are in flight than there are permits. Messages sent together in a batch are one call.
+    pub fn check_permits(&self, messages: &MessageTable) -> Checked {
+        let calls = if self.has_batches() {
+            let calls: BTreeSet<(EndpointId, Micros)> = messages
+                .attempts_in_flight()
+                .map(|attempt| (attempt.endpoint, attempt.sent_at))
+                .collect();
+            calls.len()
+        } else {
+            messages.attempts_in_flight().count()
+        };
+        let permits = self.config.concurrency_limit;
+        if calls <= permits as usize {
+            Ok(())
+        } else {
+            Err(format!("{calls} calls in flight, {permits} permits"))
+        }
+    }
+
+    /// Rule: every message gets its final answer by its deadline, with some slack.
+    pub fn check_deadlines(&self, now: Micros, messages: &MessageTable) -> Checked {
+        let slack = self.config.rules.answer_slack;
+        let mut pending = messages.all().filter(|message| !message.completed);
+        match pending.find(|message| message.deadline + slack < now) {
+            Some(lost) => Err(format!("no final answer at {now}: {lost:?}")),
+            None => Ok(()),
+        }
+    }
+}
--- /dev/null
+++ b/tests/common/oracle/sending.rs
@@ -0,0 +1,118 @@
+//! The rules on when a message, a call or a health check may be sent, and where to.
+
+use super::super::message_table::{MessageTable, TrackedMessage};
+use super::super::Checked;
+use super::Oracle;
+use opalpulley::*;
+
+impl Oracle {
+    /// The rules on an attempt at a message that is about to be sent.
+    pub fn check_attempt(
+        &mut self,
+        now: Micros,
+        messages: &MessageTable,
+        id: MessageId,
+        endpoint: EndpointId,
+    ) -> Checked {
+        let message = messages.get(id)?;
+        self.check_attempts_left(message)?;
+        self.check_destination(message, endpoint)?;
+        self.check_repeat(now, message, endpoint)?;
+        if let Some(key) = self.order_key(message) {
+            self.check_order(now, messages, message, key)?;
+        }
+        self.check_call(now, endpoint)
+    }
+
+    /// Rule: one attempt at a time, up to the limit, until the message is completed.
+    fn check_attempts_left(&self, message: &TrackedMessage) -> Checked {
+        let max_attempts = self.config.max_attempts as usize;
+        if message.completed || message.attempts.len() >= max_attempts {
+            return Err(format!("completed, or out of attempts: {message:?}"));
+        }
+        if message.attempt_in_flight().is_some() {
+            return Err("an attempt is still in flight".into());
+        }
+        Ok(())
+    }
+
+    /// Rule: a message goes to an endpoint of its destination.
+    fn check_destination(&self, message: &TrackedMessage, endpoint: EndpointId) -> Checked {
+        match self.entries.get(&endpoint) {
+            Some(entry) if entry.destination == message.submission.destination => Ok(()),
+            _ => Err("no endpoint of its destination".into()),
+        }
+    }
+
+    /// Rule: a message that may have taken effect is repeated only where a repeat is dropped or harmless.
+    fn check_repeat(&self, now: Micros, message: &TrackedMessage, endpoint: EndpointId) -> Checked {
+        let Some(first) = message.first_possible_effect() else {
+            return Ok(());
+        };
+        let is_allowed = match self.class(message).semantics {
+            DeliverySemantics::Idempotent => true,
+            DeliverySemantics::AtMostOnce => false,
+            DeliverySemantics::IdempotencyKeyed { scope, window } => {
+                let in_scope = scope != DeduplicationScope::Zone
+                    || self.zone(first.endpoint) == self.zone(endpoint);
+                in_scope && now <= first.sent_at + window
+            }
+        };
+        if is_allowed {
+            Ok(())
+        } else {
+            Err(format!("might take effect twice: {message:?}"))
+        }
+    }
+
+    /// Rule: messages of one key are sent one at a time, in the order of submission, with a pause after an unclear
+    /// outcome.
+    fn check_order(
+        &self,
+        now: Micros,
+        messages: &MessageTable,
+        message: &TrackedMessage,
+        key: OrderKey,
+    ) -> Checked {
+        for earlier in messages.submitted_before(message.submission.id) {
+            if self.order_key(earlier) != Some(key) {
+                continue;
+            }
+            let is_over = earlier.completed && earlier.attempt_in_flight().is_none();
+            let is_acknowledged = !messages.unacknowledged.contains(&earlier.submission.id);
+            if !is_over || !is_acknowledged {
+                return Err("an earlier message of its key is not over".into());
+            }
+        }
+        let settles_at = self.key_settles_at.get(&key);
+        if message.attempts.is_empty() && settles_at.is_some_and(|at| now < *at) {
+            return Err("its key settles after an unclear outcome".into());
+        }
+        Ok(())
+    }
+
+    /// The rules on a call or a health check to an endpoint, at the moment when the forwarder decides on it.
+    pub fn check_call(&mut self, now: Micros, endpoint: EndpointId) -> Checked {
+        self.check_endpoint_takes_calls(now, endpoint)?;
+        let rate = self.entries[&endpoint].rate;
+        let has_batches = self.has_batches();
+        let record = self.records.entry(endpoint).or_default();
+        record.check_slow_start(now, rate, has_batches, &self.config)
+    }
+
+    /// Rule: nothing is sent to an endpoint that drains or has left, after a grace, nor during a retry-after pause. The
+    /// rule holds when a call is decided on and again when its bytes are sent.
+    pub fn check_endpoint_takes_calls(&self, now: Micros, endpoint: EndpointId) -> Checked {
+        let drain_grace = self.config.rules.drain_grace;
+        let leaving_since = self.leaving_since.get(&endpoint);
+        if leaving_since.is_some_and(|since| now > since + drain_grace) {
+            return Err("the endpoint drains or has left".into());
+        }
+        let route = self.route(self.entries[&endpoint].destination, endpoint);
+        let paused_until = self.paused_until.get(&route);
+        if paused_until.is_some_and(|until| now < *until) {
+            return Err("in a retry-after pause".into());
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/tests/common/world.rs
@@ -0,0 +1,330 @@
+//! One forwarder in simulated surroundings: a clock, timers, clients, endpoints and the endpoint list.
+
+mod actions;
+mod clock;
+
+use super::fixtures::{submission, MS, TIME_TO_LIVE};
+use super::message_table::{Attempt, MessageTable, TrackedMessage};
+use super::oracle::Oracle;
+use super::Checked;
+use opalpulley::*;
+use std::collections::BTreeSet;
+
+/// When a world begins, in µs.
+const START: Micros = 1_000_000;
+
+/// A forwarder and all that it deals with. Each step is checked by the oracle.
+pub struct World {
+    pub now: Micros,
+    pub config: Config,
+    pub forwarder: Forwarder,
+    pub messages: MessageTable,
+    /// The actions of this run of the forwarder.
+    pub actions: Vec<Action>,
+    /// The actions of its previous runs.
+    pub earlier_actions: Vec<Action>,
+    /// Health checks in flight.
+    pub health_checks: Vec<EndpointId>,
+    /// How late the connections of the next attempts come up; 0 if they are up already.
+    pub connect_delay: Micros,
+    oracle: Oracle,
+    timers: BTreeSet<(Micros, TimerToken)>,
+    last_id: u32,
+    /// Destinations that previous runs restored from summaries.
+    restored_earlier: u64,
+}
+
+impl World {
+    /// A forwarder that has just started with this list.
+    pub fn new(config: Config, list: Vec<EndpointEntry>) -> World {
+        let mut world = World::before_list(config);
+        world
+            .report_list(EndpointListUpdate::Cached(list))
+            .expect("the first list breaks no rule");
+        world
+    }
+
+    fn before_list(config: Config) -> World {
+        let seed = 7 + u64::from(config.forwarder);
+        World {
+            now: START,
+            forwarder: Forwarder::new(config.clone(), seed),
+            oracle: Oracle::new(config.clone()),
+            config,
+            messages: MessageTable::default(),
+            actions: Vec::new(),
+            earlier_actions: Vec::new(),
+            health_checks: Vec::new(),
+            connect_delay: 0,
+            timers: BTreeSet::new(),
+            last_id: 0,
+            restored_earlier: 0,
+        }
+    }
+
+    /// The process crashes and starts again without a journal: it owes no answers any more.
+    pub fn crash(&mut self) -> Checked {
+        let known_list = EndpointListUpdate::Cached(self.oracle.entries());
+        let mut earlier_actions = std::mem::take(&mut self.earlier_actions);
+        earlier_actions.append(&mut self.actions);
+        *self = World {
+            now: self.now,
+            last_id: self.last_id,
+            earlier_actions,
+            restored_earlier: self.restored(),
+            ..World::new(self.config.clone(), Vec::new())
+        };
+        self.report_list(known_list)
+    }
+
+    /// The process ends and starts again with its journal: it owes every pending message a final answer.
+    pub fn restart(&mut self) -> Checked {
+        let messages = std::mem::take(&mut self.messages);
+        self.crash()?;
+        for message in messages.into_all() {
+            if !message.completed {
+                self.recover(message)?;
+            }
+        }
+        Ok(())
+    }
+
+    /// Submits a message of the previous run again, with what its journal says of the attempts.
+    fn recover(&mut self, mut message: TrackedMessage) -> Checked {
+        if let Some(last) = message.attempts.last_mut() {
+            if last.is_in_flight() {
+                last.outcome = Some(Outcome::Reset);
+                last.bytes_sent_at = None;
+            }
+        }
+        let possible_effect = message
+            .first_possible_effect()
+            .map(|attempt| PossibleEffect {
+                sent_at: attempt.sent_at,
+                zone: self.oracle.zone(attempt.endpoint).unwrap_or(ZoneId(0)),
+            });
+        let submission = Submission {
+            time_left: message.deadline.saturating_sub(self.now),
+            key: None,
+            resubmitted: true,
+            history: AttemptHistory {
+                attempts: message.attempts.len() as u32,
+                possible_effect,
+            },
+            ..message.submission
+        };
+        self.submit_with_attempts(submission, message.attempts)?;
+        Ok(())
+    }
+
+    /// Destinations that the forwarder has restored from summaries, in all its runs.
+    pub fn restored(&self) -> u64 {
+        self.restored_earlier + self.forwarder.state_counts().restored
+    }
+
+    /// Discovery reports the endpoint list.
+    pub fn report_list(&mut self, update: EndpointListUpdate) -> Checked {
+        self.oracle.observe_list(self.now, &update);
+        self.handle(Event::EndpointList(update))
+    }
+
+    /// Discovery reports a change of one entry.
+    pub fn report_change(&mut self, entry: EndpointEntry) -> Checked {
+        self.report_list(EndpointListUpdate::Changes(vec![entry]))
+    }
+
+    /// A client submits a message with its whole time to live and no order key.
+    pub fn submit(&mut self, class: u16, destination: u32) -> Checked<MessageId> {
+        self.submit_with_time_left(class, destination, TIME_TO_LIVE)
+    }
+
+    /// A client submits so many messages.
+    pub fn submit_many(&mut self, count: usize, class: u16, destination: u32) -> Checked {
+        for _ in 0..count {
+            self.submit(class, destination)?;
+        }
+        Ok(())
+    }
+
+    /// A client submits a message without order key.
+    pub fn submit_with_time_left(
+        &mut self,
+        class: u16,
+        destination: u32,
+        time_left: Micros,
+    ) -> Checked<MessageId> {
+        self.submit_with_key(class, destination, None, time_left)
+    }
+
+    /// A client submits a message.
+    pub fn submit_with_key(
+        &mut self,
+        class: u16,
+        destination: u32,
+        key: Option<OrderKey>,
+        time_left: Micros,
+    ) -> Checked<MessageId> {
+        self.last_id += 1;
+        let id = MessageId(self.last_id);
+        let submission = Submission {
+            key,
+            ..submission(id, class, destination, time_left)
+        };
+        self.submit_with_attempts(submission, Vec::new())
+    }
+
+    fn submit_with_attempts(
+        &mut self,
+        submission: Submission,
+        attempts: Vec<Attempt>,
+    ) -> Checked<MessageId> {
+        let id = submission.id;
+        self.messages.insert(TrackedMessage {
+            submission: submission.clone(),
+            deadline: self.now + submission.time_left,
+            attempts,
+            completed: false,
+        });
+        self.handle(Event::Submitted(submission))?;
+        Ok(id)
+    }
+
+    /// A client withdraws a message.
+    pub fn withdraw(&mut self, id: MessageId) -> Checked {
+        self.messages.get_mut(id)?.completed = true;
+        self.handle(Event::Withdrawn { id })
+    }
+
+    /// The final answer to a message is acknowledged.
+    pub fn acknowledge(&mut self, id: MessageId) -> Checked {
+        self.messages.unacknowledged.remove(&id);
+        self.handle(Event::ReportAcknowledged { id })
+    }
+
+    /// A gossip message comes from the forwarder with this number.
+    pub fn receive_gossip(&mut self, from: u16, payload: Vec<u8>) -> Checked {
+        self.handle(Event::Gossip { from, payload })
+    }
+
+    /// The endpoint of a message's attempt asks for a pause ahead of its answer, which comes later.
+    pub fn receive_retry_after(&mut self, id: MessageId, retry_after: Micros) -> Checked {
+        let Some(attempt) = self.messages[id].attempt_in_flight() else {
+            return Ok(());
+        };
+        if attempt.bytes_sent_at.is_some() {
+            return Ok(());
+        }
+        let endpoint = attempt.endpoint;
+        self.observe_retry_after(id, endpoint, retry_after);
+        self.handle(Event::RetryAfterReceived {
+            endpoint,
+            retry_after,
+        })
+    }
+
+    fn observe_retry_after(&mut self, id: MessageId, endpoint: EndpointId, retry_after: Micros) {
+        let destination = self.messages[id].submission.destination;
+        self.oracle
+            .observe_retry_after(self.now, destination, endpoint, retry_after);
+    }
+
+    /// Ends the last attempt at a message with this outcome, or as its state requires: an attempt that was withdrawn ends
+    /// so, and an endpoint answers only what it received.
+    pub fn end_attempt(&mut self, id: MessageId, outcome: Outcome) -> Checked {
+        let attempt = self.messages.last_attempt(id)?.clone();
+        let outcome = match (attempt.stopped_as, attempt.bytes_sent_at) {
+            (Some(Outcome::WithdrawnBeforeSend), _) => Outcome::WithdrawnBeforeSend,
+            (None, Some(_)) if outcome != Outcome::Timeout => Outcome::NoConnection,
+            _ => outcome,
+        };
+        if let Outcome::Rejected {
+            retry_after: Some(retry_after),
+        } = outcome
+        {
+            self.observe_retry_after(id, attempt.endpoint, retry_after);
+        }
+        self.oracle.observe_outcome(self.now, &attempt, outcome);
+        let number = self.messages[id].attempts.len() - 1;
+        self.record_outcome(id, outcome)?;
+        self.handle(Event::AttemptEnded {
+            id,
+            attempt: number as u8,
+            endpoint: attempt.endpoint,
+            outcome,
+            took: self.now - attempt.sent_at,
+            completed: self.messages[id].completed,
+            report: Vec::new(),
+        })
+    }
+
+    /// Ends all attempts in flight with this outcome; returns how many there were.
+    pub fn end_all_attempts(&mut self, outcome: Outcome) -> Checked<usize> {
+        let in_flight = self.messages.in_flight();
+        for id in &in_flight {
+            self.end_attempt(*id, outcome)?;
+        }
+        Ok(in_flight.len())
+    }
+
+    fn record_outcome(&mut self, id: MessageId, outcome: Outcome) -> Checked {
+        let message = self.messages.get_mut(id)?;
+        if outcome == Outcome::WithdrawnBeforeSend {
+            // A withdrawn attempt does not count.
+            message.attempts.pop();
+        } else if let Some(last) = message.attempts.last_mut() {
+            last.outcome = Some(outcome);
+        }
+        if outcome == Outcome::Delivered {
+            message.completed = true;
+        }
+        let is_unclear = matches!(
+            outcome,
+            Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
+        );
+        if let (true, Some(key)) = (is_unclear, self.oracle.order_key(&self.messages[id])) {
+            self.oracle.observe_unclear_outcome(self.now, key);
+        }
+        Ok(())
+    }
+
+    /// Ends the health check that was sent last, if one is in flight.
+    pub fn end_health_check(&mut self, outcome: Outcome) -> Checked {
+        match self.health_checks.pop() {
+            Some(endpoint) => self.handle(Event::HealthCheckEnded {
+                endpoint,
+                outcome,
+                took: MS,
+                report: Vec::new(),
+            }),
+            None => Ok(()),
+        }
+    }
+
+    /// When each attempt at a message was sent.
+    pub fn sent_at(&self, id: MessageId) -> Vec<Micros> {
+        let attempts = self.messages[id].attempts.iter();
+        attempts.map(|attempt| attempt.sent_at).collect()
+    }
+
+    /// How many attempts at a message were sent.
+    pub fn attempts(&self, id: MessageId) -> usize {
+        self.messages[id].attempts.len()
+    }
+
+    /// Whether the forwarder has failed a message.
+    pub fn has_failed(&self, id: MessageId) -> bool {
+        self.actions.contains(&Action::Fail { id })
+    }
+
+    /// Whether a log line contains these words.
+    pub fn has_logged(&self, words: &str) -> bool {
+        self.actions.iter().any(|action| match action {
+            Action::Log(event) => event.to_string().contains(words),
+            _ => false,
+        })
+    }
+
+    pub fn has_ejected(&self) -> bool {
+        self.has_logged("endpoint ejected")
+    }
+}
--- /dev/null
+++ b/tests/common/world/actions.rs
@@ -0,0 +1,101 @@
+//! The forwarder handles events; its actions are checked and carried out.
+
+use super::super::message_table::Attempt;
+use super::super::Checked;
+use super::World;
+use opalpulley::*;
+
+impl World {
+    /// Gives an event to the forwarder. All its actions are checked and carried out.
+    pub fn handle(&mut self, event: Event) -> Checked {
+        let mut actions = Vec::new();
+        self.forwarder.handle(self.now, event, &mut actions);
+        for action in &actions {
+            self.carry_out(action)
+                .map_err(|broken| format!("at {}: {action:?}: {broken}", self.now))?;
+        }
+        self.actions.extend(actions);
+        Ok(())
+    }
+
+    fn carry_out(&mut self, action: &Action) -> Checked {
+        match action {
+            Action::Send {
+                id,
+                endpoint,
+                timeout,
+                ..
+            } => self.send(*id, *endpoint, *timeout),
+            Action::Reject { id, .. } | Action::Fail { id } => self.complete(*id, action),
+            Action::HealthCheck { endpoint } => self.send_health_check(*endpoint),
+            Action::Cancel { id, .. } => self.cancel(*id),
+            Action::WithdrawUnsent { endpoint } => {
+                self.withdraw_unsent(*endpoint);
+                Ok(())
+            }
+            Action::SetTimer { after, token } => {
+                // A timer fires after the moment at which it was set.
+                self.timers.insert((self.now + after.max(&1), *token));
+                Ok(())
+            }
+            _ => Ok(()),
+        }
+    }
+
+    fn send(&mut self, id: MessageId, endpoint: EndpointId, timeout: Option<Micros>) -> Checked {
+        self.oracle
+            .check_attempt(self.now, &self.messages, id, endpoint)?;
+        let is_late = self.connect_delay > 0;
+        let bytes_sent_at = is_late.then_some(self.now + self.connect_delay);
+        let message = self.messages.get_mut(id)?;
+        let times_out_at = match timeout {
+            Some(timeout) => self.now + timeout,
+            None => message.deadline,
+        };
+        message.attempts.push(Attempt {
+            sent_at: self.now,
+            endpoint,
+            times_out_at,
+            stopped_as: None,
+            outcome: None,
+            bytes_sent_at,
+        });
+        self.oracle.check_permits(&self.messages)
+    }
+
+    fn complete(&mut self, id: MessageId, answer: &Action) -> Checked {
+        self.oracle
+            .check_final_answer(self.messages.get(id)?, answer)?;
+        self.messages.get_mut(id)?.completed = true;
+        if self.config.order_release == OrderRelease::OnAcknowledgement {
+            self.messages.unacknowledged.insert(id);
+        }
+        Ok(())
+    }
+
+    fn send_health_check(&mut self, endpoint: EndpointId) -> Checked {
+        self.health_checks.push(endpoint);
+        if !self.config.may_health_check {
+            return Err("health checks are off".into());
+        }
+        self.oracle.check_call(self.now, endpoint)
+    }
+
+    fn cancel(&mut self, id: MessageId) -> Checked {
+        let attempt = self.messages.last_attempt_mut(id)?;
+        attempt.stopped_as.get_or_insert(Outcome::Cancelled);
+        Ok(())
+    }
+
+    /// Stops the attempts to an endpoint whose bytes are not sent.
+    fn withdraw_unsent(&mut self, endpoint: EndpointId) {
+        for attempt in self.messages.last_attempts_mut() {
+            let is_unsent = attempt.is_in_flight() && attempt.bytes_sent_at.is_some();
+            if attempt.endpoint == endpoint && is_unsent {
+                attempt
+                    .stopped_as
+                    .get_or_insert(Outcome::WithdrawnBeforeSend);
+            }
+        }
+    }
+}
--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -1,46 +1,52 @@
-//! Seeded random histories: the oracle checks the six rules after every step.
+//! Random histories from fixed seeds. The oracle checks the service rules after every step.
 
 mod common;
 
-use common::{Play, MS};
+use common::{check_history, play_history, Checked, HistoryOptions, MS};
+use opalpulley::Action;
 use quickcheck::{Gen, QuickCheck};
 
+const STEPS: usize = 600;
+
 #[test]
-fn no_history_breaks_a_rule() {
-    let source = Gen::from_size_and_seed(100, 20_261_201);
+fn no_history_breaks_a_service_rule() {
+    fn property(seed: u64) -> Checked {
+        check_history(seed, STEPS)
+    }
     QuickCheck::new()
-        .rng(source)
+        .rng(Gen::from_size_and_seed(100, 20_261_201))
         .tests(200)
-        .quickcheck((|seed: u64| common::history(seed, 600)) as fn(u64) -> Result<(), String>);
+        .quickcheck(property as fn(u64) -> Checked);
 }
 
-/// Off, or at today's size, idle destinations change nothing: the same actions, to the byte.
-#[test]
-fn no_history_tells_whether_idle_destinations_may_be_summarised() {
-    let same = |seed: u64| {
-        let pause = if seed.is_multiple_of(8) {
-            6_000 * MS
-        } else {
-            200 * MS
-        };
-        let run = |full_destinations| {
-            let world = common::play(
-                seed,
-                &Play {
-                    steps: 600,
-                    pause,
-                    endpoints: 2,
-                    full_destinations,
-                },
-            )?;
-            assert_eq!(world.restored(), 0, "too few destinations for a summary");
-            Ok::<_, String>((world.earlier, world.actions))
-        };
-        run(None) == run(Some(1_024))
+/// The actions of all runs of the forwarder in a history. One history in eight has long pauses.
+fn actions_of_history(seed: u64, full_destinations: Option<u32>) -> Checked<Vec<Action>> {
+    let longest_pause = if seed.is_multiple_of(8) {
+        6_000 * MS
+    } else {
+        200 * MS
+    };
+    let options = HistoryOptions {
+        steps: STEPS,
+        longest_pause,
+        endpoints_per_destination: 2,
+        full_destinations,
     };
-    let source = Gen::from_size_and_seed(100, 20_261_202);
+    let world = play_history(seed, &options)?;
+    assert_eq!(world.restored(), 0, "too few destinations for a summary");
+    let mut actions = world.earlier_actions;
+    actions.extend(world.actions);
+    Ok(actions)
+}
+
+/// With summaries off, or on with room for every destination in full, the actions are the same.
+#[test]
+fn no_history_depends_on_whether_idle_destinations_may_be_summarised() {
+    fn property(seed: u64) -> bool {
+        actions_of_history(seed, None) == actions_of_history(seed, Some(1_024))
+    }
     QuickCheck::new()
-        .rng(source)
+        .rng(Gen::from_size_and_seed(100, 20_261_202))
         .tests(100)
-        .quickcheck(same as fn(u64) -> bool);
+        .quickcheck(property as fn(u64) -> bool);
 }
--- /dev/null
+++ b/tests/idle/large_lists.rs
@@ -0,0 +1,156 @@
+//! Lists of more destinations than are held in full.
+
+use super::common::*;
+use super::config_in_fleet;
+use opalpulley::*;
+
+/// Entries of the list, each an endpoint of a destination of its own.
+const ENTRIES: u32 = 100_000;
+
+/// Destinations held in full before idle ones are summarised.
+const HELD_IN_FULL: usize = 1_024;
+
+/// Destinations held in full beyond the setting: what one chunk of a list may restore or create before it is summarised.
+const PASSING: usize = 2 * 64;
+
+fn forwarder() -> Forwarder {
+    Forwarder::new(config_in_fleet(Some(HELD_IN_FULL as u32)), 1)
+}
+
+fn list(count: u32, status: EndpointStatus) -> Vec<EndpointEntry> {
+    let entry = |number: u32| {
+        let [_, a, b, c] = number.to_be_bytes();
+        let endpoint = EndpointId {
+            address: [10, a, b, c],
+            port: 80,
+            incarnation: 0,
+        };
+        EndpointEntry {
+            endpoint,
+            status,
+            ..listed_endpoint(0, number, 20.0)
+        }
+    };
+    (0..count).map(entry).collect()
+}
+
+/// Handles an event. No more destinations may be held in full than allowed, not even for a moment.
+fn handle(forwarder: &mut Forwarder, now: Micros, event: Event) -> Vec<Action> {
+    let mut actions = Vec::new();
+    forwarder.handle(now, event, &mut actions);
+    let counts = forwarder.state_counts();
+    assert!(counts.most_full <= HELD_IN_FULL + PASSING, "{counts:?}");
+    actions
+}
+
+fn report_complete(forwarder: &mut Forwarder, now: Micros, entries: Vec<EndpointEntry>) {
+    let update = EndpointListUpdate::Complete(entries);
+    handle(forwarder, now, Event::EndpointList(update));
+}
+
+fn report_changes(forwarder: &mut Forwarder, now: Micros, entries: Vec<EndpointEntry>) {
+    let update = EndpointListUpdate::Changes(entries);
+    handle(forwarder, now, Event::EndpointList(update));
+}
+
+/// Submits a message and delivers its attempt, if it is sent at once.
+fn deliver(forwarder: &mut Forwarder, now: Micros, id: MessageId, destination: u32) {
+    let submission = submission(id, IDEMPOTENT, destination, TIME_TO_LIVE);
+    for action in handle(forwarder, now, Event::Submitted(submission)) {
+        if let Action::Send { id, endpoint, .. } = action {
+            let delivered = Event::AttemptEnded {
+                id,
+                attempt: 0,
+                endpoint,
+                outcome: Outcome::Delivered,
+                took: MS,
+                completed: true,
+                report: Vec::new(),
+            };
+            handle(forwarder, now, delivered);
+        }
+    }
+}
+
+/// Destinations beyond 65,536 included.
+#[test]
+fn a_list_of_100_000_entries_is_never_held_in_full_and_leaves_nothing_behind() {
+    let mut forwarder = forwarder();
+    for now in [0, 1_000 * MS] {
+        report_complete(&mut forwarder, now, list(ENTRIES, EndpointStatus::Ready));
+    }
+    let counts = forwarder.state_counts();
+    assert_eq!(
+        (counts.full, counts.full + counts.summaries),
+        (HELD_IN_FULL, ENTRIES as usize),
+        "{counts:?}"
+    );
+    for number in 0..50 {
+        let id = MessageId(number);
+        deliver(&mut forwarder, 2_000 * MS, id, 70_000 + number);
+    }
+    assert_eq!(forwarder.state_counts().restored, counts.restored + 50);
+
+    report_complete(&mut forwarder, 20_000 * MS, Vec::new());
+    for tick in 0..120 {
+        let now = (40_000 + tick * 100) * MS;
+        let token = TimerToken(0);
+        handle(&mut forwarder, now, Event::TimerFired { token });
+        report_changes(&mut forwarder, now, Vec::new());
+    }
+    let counts = forwarder.state_counts();
+    let left = [
+        counts.full,
+        counts.summaries,
+        counts.bounds,
+        counts.gone,
+        counts.queued,
+    ];
+    assert_eq!(left, [0; 5], "{counts:?}");
+}
+
+/// Removes and returns every second entry, a number of times. Each change restores no more destinations than it names.
+fn flap_half_of_the_list(forwarder: &mut Forwarder) {
+    const ROUNDS: u64 = 4;
+    let restored_before = forwarder.state_counts().restored;
+    for round in 1..=ROUNDS {
+        let is_removal = round % 2 == 1;
+        let status = if is_removal {
+            EndpointStatus::Removed
+        } else {
+            EndpointStatus::Ready
+        };
+        let half = list(ENTRIES, status).into_iter().step_by(2).collect();
+        report_changes(forwarder, round * 1_000 * MS, half);
+        let counts = forwarder.state_counts();
+        let least_gone = if is_removal {
+            ENTRIES as usize / 2 - HELD_IN_FULL
+        } else {
+            0
+        };
+        let most_gone = least_gone + HELD_IN_FULL;
+        assert!(
+            (least_gone..=most_gone).contains(&counts.gone),
+            "{counts:?}"
+        );
+    }
+    let counts = forwarder.state_counts();
+    let restored = counts.restored - restored_before;
+    assert!(restored <= ROUNDS * u64::from(ENTRIES) / 2, "{counts:?}");
+}
+
+#[test]
+fn changes_of_half_a_list_restore_no_more_than_they_name() {
+    let mut forwarder = forwarder();
+    report_complete(&mut forwarder, 0, list(ENTRIES, EndpointStatus::Ready));
+    flap_half_of_the_list(&mut forwarder);
+    let counts = forwarder.state_counts();
+    assert!(
+        counts.summaries <= ENTRIES as usize && counts.bounds <= ENTRIES as usize,
+        "{counts:?}"
+    );
+    let last_entry = list(ENTRIES, EndpointStatus::Draining).pop();
+    let change = last_entry.into_iter().collect();
+    report_changes(&mut forwarder, 9_000 * MS, change);
+    assert!(forwarder.state_counts().restored <= counts.restored + 1);
+}
--- /dev/null
+++ b/tests/idle/main.rs
@@ -0,0 +1,89 @@
+//! Idle destinations that are held as summaries: nothing that binds the forwarder is forgotten, and no table grows without
+//! end. The reference is the same core that holds every destination in full.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod bounds;
+mod histories;
+mod large_lists;
+
+use common::*;
+use opalpulley::*;
+
+/// In a fleet so large, an ejected endpoint gets messages only and no health checks. It is idle between them.
+const FLEET_SIZE: u32 = 300;
+
+/// Holds every idle destination as a summary.
+const SUMMARIES: Option<u32> = Some(0);
+
+/// Holds every destination in full.
+const FULL: Option<u32> = None;
+
+fn config_in_fleet(full_destinations: Option<u32>) -> Config {
+    Config {
+        fleet_size: FLEET_SIZE,
+        full_destinations,
+        ..config()
+    }
+}
+
+/// A destination with one endpoint.
+fn one_endpoint(full_destinations: Option<u32>) -> World {
+    let list = vec![listed_endpoint(1, 0, 20.0)];
+    World::new(config_in_fleet(full_destinations), list)
+}
+
+/// All attempts, in the order of the messages' ids.
+fn attempts(world: &World) -> Vec<&Attempt> {
+    let messages = world.messages.all();
+    messages.flat_map(|message| &message.attempts).collect()
+}
+
+/// When all attempts but the first `skipped` ones were sent.
+fn sent_at_after(world: &World, skipped: usize) -> Vec<Micros> {
+    let mut sent_at: Vec<Micros> = attempts(world).iter().map(|a| a.sent_at).collect();
+    sent_at.sort_unstable();
+    sent_at.split_off(skipped)
+}
+
+/// Submits a message and ends its attempt with this outcome.
+fn send_one(world: &mut World, outcome: Outcome) -> Checked {
+    world.submit(IDEMPOTENT, 0)?;
+    world.advance(3_000 * MS)?;
+    world.end_all_attempts(outcome)?;
+    Ok(())
+}
+
+/// Submits messages one by one and delivers every attempt.
+fn deliver_one_by_one(world: &mut World, count: usize, interval: Micros) -> Checked {
+    for _ in 0..count {
+        world.submit(IDEMPOTENT, 0)?;
+        world.advance(interval)?;
+        world.end_all_attempts(Outcome::Delivered)?;
+    }
+    Ok(())
+}
+
+/// Lets half a minute pass, by which every destination is held as a summary.
+fn become_idle(world: &mut World) -> Checked {
+    for _ in 0..10 {
+        world.advance(3_000 * MS)?;
+        // Destinations are summarised after an event, whichever it is.
+        world.handle(Event::EndpointList(EndpointListUpdate::Failed))?;
+    }
+    let counts = world.forwarder.state_counts();
+    match counts.full {
+        0 => Ok(()),
+        _ => Err(format!("still held in full: {counts:?}")),
+    }
+}
+
+/// Lets half a minute pass, by which every destination is held as a summary if summaries are on.
+fn pause(world: &mut World) -> Checked {
+    if world.config.full_destinations.is_some() {
+        become_idle(world)
+    } else {
+        world.advance(30_000 * MS)
+    }
+}
--- /dev/null
+++ b/tests/rules/admission.rs
@@ -0,0 +1,69 @@
+//! Which messages are accepted, and what happens near the capacity.
+
+use super::common::*;
+use opalpulley::*;
+
+#[test]
+fn near_the_capacity_the_message_of_the_least_weight_is_rejected_at_once() -> Checked {
+    let mut config = config();
+    config.message_capacity = 20;
+    let mut world = World::new(config, vec![listed_endpoint(1, 0, 2.0)]);
+    world.submit_many(20, IDEMPOTENT, 0)?;
+    world.advance(50 * MS)?;
+    let has_rejected = world.actions.iter().any(|action| {
+        matches!(
+            action,
+            Action::Reject {
+                retry_after: Some(_),
+                ..
+            }
+        )
+    });
+    assert!(has_rejected);
+    assert!(world.messages.pending() < 20);
+    Ok(())
+}
+
+/// Every limit at its least.
+fn config_with_least_limits() -> Config {
+    let mut config = Config {
+        concurrency_limit: 1,
+        message_capacity: 1,
+        max_attempts: 1,
+        fleet_size: 0,
+        listed_rates: ListedRates::Unlisted,
+        ..config()
+    };
+    config.classes[0].latency_objective = 0;
+    config.endpoint_kinds[0].batch_size = 0;
+    config
+}
+
+/// No permits, and one delivery class only.
+fn config_without_permits() -> Config {
+    Config {
+        concurrency_limit: 0,
+        classes: vec![delivery_class(DeliverySemantics::AtMostOnce)],
+        endpoint_kinds: vec![endpoint_kind(true)],
+        ..config()
+    }
+}
+
+/// Also with rates that no list should have, and with messages that have no time left or an unknown destination.
+#[test]
+fn odd_configurations_and_messages_end_in_one_answer_each() -> Checked {
+    let list = vec![
+        listed_endpoint(1, 0, f32::NAN),
+        listed_endpoint(2, 0, f32::INFINITY),
+        listed_endpoint(3, 1, -1.0),
+    ];
+    for config in [config_with_least_limits(), config_without_permits()] {
+        let mut world = World::new(config, list.clone());
+        for (destination, time_left) in [(0, 8_000), (0, 0), (1, 1), (9, 8_000), (1, 8_000)] {
+            world.submit_with_time_left(IDEMPOTENT, destination, time_left * MS)?;
+        }
+        world.advance(20_000 * MS)?;
+        assert!(world.messages.all().all(|message| message.completed));
+    }
+    Ok(())
+}
--- /dev/null
+++ b/tests/rules/outliers.rs
@@ -0,0 +1,130 @@
+//! Ejection of endpoints that fail, health checks, and readmission.
+
+use super::common::*;
+use super::support::{deliver_for, fail_until_ejected, one_endpoint};
+use opalpulley::*;
+
+/// The slow-start budget must not be used up by the calls before the ejection, or the first health check comes minutes
+/// late.
+#[test]
+fn an_endpoint_ejected_after_a_busy_time_gets_a_health_check_soon() -> Checked {
+    let mut world = one_endpoint();
+    deliver_for(&mut world, 20)?;
+    fail_until_ejected(&mut world)?;
+    world.advance(3_000 * MS)?;
+    assert!(!world.health_checks.is_empty());
+    Ok(())
+}
+
+/// A few refused connections between answers are a full connection table. Refused connections without an answer are an
+/// outage, however short, and the endpoint needs a slow start after it.
+#[test]
+fn a_short_outage_ejects_and_a_full_connection_table_does_not() -> Checked {
+    for is_outage in [true, false] {
+        let mut world = one_endpoint();
+        deliver_for(&mut world, 3)?;
+        for number in 0..12 {
+            world.submit(IDEMPOTENT, 0)?;
+            world.advance(50 * MS)?;
+            let answers = !is_outage && number % 3 == 2;
+            let outcome = if answers {
+                Outcome::Delivered
+            } else {
+                Outcome::NoConnection
+            };
+            world.end_all_attempts(outcome)?;
+        }
+        if world.has_ejected() != is_outage {
+            let since = "within 0.6 s of the last answer";
+            return Err(format!("outage: {is_outage}, {since}"));
+        }
+    }
+    Ok(())
+}
+
+#[test]
+fn an_ejected_endpoint_is_readmitted_by_a_health_check_and_then_a_call() -> Checked {
+    let mut world = one_endpoint();
+    fail_until_ejected(&mut world)?;
+    // It stays ejected though it leaves the list and returns, or it would get its full rate without a slow start.
+    let entry = listed_endpoint(1, 0, 20.0);
+    world.report_change(with_status(entry.clone(), EndpointStatus::Removed))?;
+    world.advance(100 * MS)?;
+    world.report_change(entry)?;
+    world.advance(3_000 * MS)?;
+    assert!(
+        world.messages.in_flight().is_empty(),
+        "nothing but health checks while it is ejected"
+    );
+    world.end_health_check(Outcome::Delivered)?;
+    world.advance(2_000 * MS)?;
+    let id = world.messages.in_flight()[0];
+    world.end_attempt(id, Outcome::Delivered)?;
+    assert!(world.has_logged("endpoint readmitted"));
+    Ok(())
+}
+
+/// Health checks may fail where calls would succeed.
+#[test]
+fn a_message_is_sent_where_health_checks_stay_unanswered() -> Checked {
+    let mut world = one_endpoint();
+    fail_until_ejected(&mut world)?;
+    for _ in 0..3 {
+        world.advance(2_000 * MS)?;
+        world.end_health_check(Outcome::Timeout)?;
+    }
+    world.submit(IDEMPOTENT, 0)?;
+    world.advance(2_000 * MS)?;
+    assert!(
+        world.messages.all().any(|m| m.attempts.len() > 1),
+        "no message was sent again"
+    );
+    Ok(())
+}
+
+#[test]
+fn a_returning_endpoint_gets_this_forwarders_part_of_the_slow_start_budget() -> Checked {
+    let mut world = one_endpoint();
+    deliver_for(&mut world, 3)?;
+    fail_until_ejected(&mut world)?;
+    world.advance(3_000 * MS)?;
+    world.end_health_check(Outcome::Delivered)?;
+    let mut calls = 0;
+    for _ in 0..40 {
+        world.submit(IDEMPOTENT, 0)?;
+        world.advance(50 * MS)?;
+        calls += world.end_all_attempts(Outcome::Delivered)?;
+    }
+    // Two seconds at 2.0 x 0.2 x 20 calls per second, half of them of this forwarder, and a little more as it warms up.
+    assert!(
+        (3..=10).contains(&calls),
+        "{calls} calls in the first two seconds"
+    );
+    Ok(())
+}
+
+#[test]
+fn an_endpoint_whose_calls_stay_unanswered_is_ejected() -> Checked {
+    let mut world = one_endpoint();
+    deliver_for(&mut world, 5)?;
+    world.submit_many(3, IDEMPOTENT, 0)?;
+    world.advance(1_500 * MS)?;
+    assert!(world.has_logged("unanswered"));
+    Ok(())
+}
+
+/// Idle connections of hundreds of forwarders fill the connection table of a small endpoint.
+#[test]
+fn idle_connections_are_closed_once_a_connection_was_refused() -> Checked {
+    let mut world = one_endpoint();
+    let close_idle = Action::CloseIdleConnections {
+        endpoint: endpoint(1),
+    };
+    for (outcome, closes) in [(Outcome::Delivered, false), (Outcome::NoConnection, true)] {
+        let id = world.submit(IDEMPOTENT, 0)?;
+        world.end_attempt(id, outcome)?;
+        assert_eq!(world.actions.contains(&close_idle), closes);
+        world.advance(2_000 * MS)?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/tests/rules/pacing.rs
@@ -0,0 +1,27 @@
+//! The rate of calls to a destination.
+
+use super::common::*;
+use opalpulley::*;
+
+/// If each of many forwarders grew its rate by the whole listed rate, a third of all calls would be rejected.
+#[test]
+fn the_rate_of_calls_grows_by_the_even_share_of_a_forwarder() -> Checked {
+    let config = Config {
+        fleet_size: 10,
+        concurrency_limit: 100,
+        message_capacity: 1_000,
+        ..config()
+    };
+    let mut world = World::new(config, vec![listed_endpoint(1, 0, 20.0)]);
+    let mut calls = 0;
+    for _ in 0..100 {
+        world.submit_many(2, IDEMPOTENT, 0)?;
+        world.advance(50 * MS)?;
+        calls += world.end_all_attempts(Outcome::Delivered)?;
+    }
+    assert!(
+        (10..30).contains(&calls),
+        "{calls} calls in five seconds at an even share of two calls per second"
+    );
+    Ok(())
+}
--- /dev/null
+++ b/tests/rules/repeats.rs
@@ -0,0 +1,33 @@
+//! Whether a message that may have taken effect is sent again.
+
+use super::common::*;
+use super::support::one_endpoint;
+use opalpulley::*;
+
+#[test]
+fn a_keyed_message_is_not_repeated_outside_its_window() -> Checked {
+    let mut world = one_endpoint();
+    let keyed = world.submit(IDEMPOTENCY_KEYED, 0)?;
+    world.advance(1_000 * MS)?;
+    world.end_attempt(keyed, Outcome::Reset)?;
+    // The pause lasts beyond the window.
+    let rejected = world.submit(IDEMPOTENT, 0)?;
+    let outcome = Outcome::Rejected {
+        retry_after: Some(4_000 * MS),
+    };
+    world.end_attempt(rejected, outcome)?;
+    world.advance(2_500 * MS)?;
+    assert!(world.has_failed(keyed) && world.attempts(keyed) == 1);
+    Ok(())
+}
+
+#[test]
+fn an_at_most_once_message_that_may_have_taken_effect_fails() -> Checked {
+    for outcome in [Outcome::Error, Outcome::Reset, Outcome::Timeout] {
+        let mut world = one_endpoint();
+        let id = world.submit(AT_MOST_ONCE, 0)?;
+        world.end_attempt(id, outcome)?;
+        assert!(world.has_failed(id), "{outcome:?}");
+    }
+    Ok(())
+}
