--- a/examples/resident.rs
+++ b/examples/resident.rs
@@ -1,10 +1,14 @@
-//! Measures the resident memory of the core alone: `cargo run --release --example resident -- DESTINATIONS [FULL]`.
+//! Measures the resident memory of the core alone.
 //!
-//! DESTINATIONS is the number of destinations, each with one endpoint. FULL is the number of destinations held in full
-//! before idle ones are summarised; without it all are held in full. The forwarder is one of a fleet of 400.
+//!     cargo run --release --example resident -- DESTINATIONS [FULL]
 //!
-//! Prints the growth of resident memory after the complete list, after the same list again, and after 10 s with 200
-//! messages a second to random destinations. The time that each step took is printed for comparison.
+//! DESTINATIONS is the number of destinations, each with one endpoint. FULL is the number of
+//! destinations held in full before idle ones are summarised; without it all are held in full. The
+//! forwarder is one of a fleet of 400.
+//!
+//! Prints the growth of resident memory after the complete list, after the same list again, and
+//! after 10 s with 200 messages a second to random destinations. The time that each step took is
+//! printed for comparison.
 
 use opalpulley::*;
 use rand::{Rng, SeedableRng};
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -1,14 +1,16 @@
 //! Gossip between forwarders about destinations that are at their rate limit.
 //!
-//! Rule: the first rejection that a forwarder receives from a destination is announced to the whole fleet, at most once
-//! a second for each destination. A forwarder that receives the announcement slows down to an even share of the
-//! destination's rate for a while, as it does after a rejection of its own.
+//! Rule: the first rejection that a forwarder receives from a destination is announced to the whole
+//! fleet, at most once a second for each destination. A forwarder that receives the announcement
+//! slows down to an even share of the destination's rate for a while, as it does after a rejection
+//! of its own.
 //!
-//! In a fleet of hundreds, a forwarder calls a given destination every few seconds only. Without gossip, each forwarder
-//! finds a lowered limit by a rejection of its own, and the rejected calls use up what the limit still allows.
+//! In a fleet of hundreds, a forwarder calls a given destination every few seconds only. Without
+//! gossip, each forwarder finds a lowered limit by a rejection of its own, and the rejected calls
+//! use up what the limit still allows.
 //!
-//! A message only slows its receiver down. A lost, late, duplicated or false message therefore breaks no service rule:
-//! at worst a destination is called at even shares for a while.
+//! A message only slows its receiver down. A lost, late, duplicated or false message therefore
+//! breaks no service rule: at worst a destination is called at even shares for a while.
 //!
 //! Source: our own rule, see `docs/incidents/many-forwarders.md`.
 
@@ -17,11 +19,12 @@
 use crate::model::{Action, Config, DestinationId, LogEvent, Micros};
 use std::collections::BTreeMap;
 
-/// µs in which a destination is announced once at most, by whichever forwarder. All forwarders have received the first
-/// announcement by then.
+/// µs in which a destination is announced once at most, by whichever forwarder. All forwarders have
+/// received the first announcement by then.
 const ANNOUNCEMENT_INTERVAL: Micros = 1_000_000;
 
-/// µs between two log lines about unreadable messages. Bounds what a faulty peer can write to the log.
+/// µs between two log lines about unreadable messages. Bounds what a faulty peer can write to the
+/// log.
 const LOG_INTERVAL: Micros = 60_000_000;
 
 /// What a forwarder knows of the announcements in the fleet.
@@ -58,8 +61,9 @@
 
     /// Reads a message from the forwarder number `from`.
     ///
-    /// Returns the destination that is at its limit, if `is_known` accepts it and it was not announced recently. An
-    /// unreadable message adds a log line to `actions`, at most one in [`LOG_INTERVAL`].
+    /// Returns the destination that is at its limit, if `is_known` accepts it and it was not
+    /// announced recently. An unreadable message adds a log line to `actions`, at most one in
+    /// [`LOG_INTERVAL`].
     pub fn receive(
         &mut self,
         now: Micros,
@@ -99,8 +103,8 @@
         }));
     }
 
-    /// Records an announcement of the destination, unless there was one within [`ANNOUNCEMENT_INTERVAL`]. Returns
-    /// whether it was recorded.
+    /// Records an announcement of the destination, unless there was one within
+    /// [`ANNOUNCEMENT_INTERVAL`]. Returns whether it was recorded.
     fn record_announcement(&mut self, now: Micros, destination: DestinationId) -> bool {
         self.announced_at
             .retain(|_, announced_at| now < *announced_at + ANNOUNCEMENT_INTERVAL);
--- a/src/policy/gossip/message.rs
+++ b/src/policy/gossip/message.rs
@@ -1,7 +1,8 @@
-//! The wire format of gossip: a version byte, a subject byte and the number of a destination in little-endian order.
+//! The wire format of gossip: a version byte, a subject byte and the number of a destination in
+//! little-endian order.
 //!
-//! A number of 16 bits takes two bytes, which forwarders of every version read. A larger number takes four bytes under
-//! a subject of its own, which earlier versions ignore.
+//! A number of 16 bits takes two bytes, which forwarders of every version read. A larger number
+//! takes four bytes under a subject of its own, which earlier versions ignore.
 
 use crate::model::DestinationId;
 use std::fmt;
--- a/src/policy/gossip/tests.rs
+++ b/src/policy/gossip/tests.rs
@@ -153,8 +153,8 @@
     assert_eq!(decode(&[1, 2, 7, 0, 0, 0]), Ok(DestinationId(7)));
 }
 
-/// Whatever is received, nothing panics, only known destinations are reported, and the table holds no more than what one
-/// second brings.
+/// Whatever is received, nothing panics, only known destinations are reported, and the table holds
+/// no more than what one second brings.
 #[test]
 fn any_sequence_of_messages_leaves_a_small_table() {
     fn property(messages: Vec<(u8, u32, Vec<u8>)>) -> bool {
--- a/src/policy/list_polling.rs
+++ b/src/policy/list_polling.rs
@@ -1,15 +1,16 @@
 //! When a forwarder polls discovery for the endpoint list, where the list is not pushed.
 //!
-//! Rule: the first poll comes at a random moment within a window that grows with the fleet. Each failed poll in a row
-//! doubles the window. The window stays within the poll interval of the service rules and leaves room for an answer
-//! before the forwarder counts as notified of a change.
+//! Rule: the first poll comes at a random moment within a window that grows with the fleet. Each
+//! failed poll in a row doubles the window. The window stays within the poll interval of the
+//! service rules and leaves room for an answer before the forwarder counts as notified of a change.
 //!
-//! Discovery serves the whole fleet. It rejects polls, or answers them too late, once more are in flight than it can
-//! work off. Polls that fail together and are repeated together keep it overloaded, so that no forwarder gets a list.
-//! The random delay spreads them.
+//! Discovery serves the whole fleet. It rejects polls, or answers them too late, once more are in
+//! flight than it can work off. Polls that fail together and are repeated together keep it
+//! overloaded, so that no forwarder gets a list. The random delay spreads them.
 //!
-//! A forwarder may count as notified a fixed time after a change, whether it received the list or not. Discovery may
-//! have recovered right after the failed poll, so the time since that poll is taken off the longest delay.
+//! A forwarder may count as notified a fixed time after a change, whether it received the list or
+//! not. Discovery may have recovered right after the failed poll, so the time since that poll is
+//! taken off the longest delay.
 //!
 //! All times are in µs. Source: our own rule, see `docs/design/fleet-growth.md` and
 //! `docs/incidents/overbooked-discovery.md`.
@@ -17,13 +18,16 @@
 use crate::model::{Action, Config, EndpointListUpdate, Event, Micros, TimerToken};
 use rand::Rng;
 
-/// µs within which the caller has to report a poll as failed, counted from the poll or from its last answer.
+/// µs within which the caller has to report a poll as failed, counted from the poll or from its
+/// last answer.
 pub const LONGEST_SILENCE: Micros = 3_000_000;
 
-/// µs left for the answer to the next poll, out of the time after which a forwarder counts as notified.
+/// µs left for the answer to the next poll, out of the time after which a forwarder counts as
+/// notified.
 const ANSWER_ALLOWANCE_US: Micros = 1_000_000;
 
-/// µs of discovery's time that one poll may take. Some tens a second can be served until more is known of discovery.
+/// µs of discovery's time that one poll may take. Some tens a second can be served until more is
+/// known of discovery.
 const POLL_COST_US: Micros = 50_000;
 
 /// The window of a first poll is at most the poll interval divided by this.
@@ -32,7 +36,8 @@
 /// The shortest delay after a failure is at most the longest delay divided by this.
 const SHORTEST_DELAY_DIVISOR: Micros = 2;
 
-/// Doublings of the window at most. They take it past any poll interval that the service rules may name.
+/// Doublings of the window at most. They take it past any poll interval that the service rules may
+/// name.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// The name of the timer for the next poll. The forwarder's own timers have the name 0.
@@ -48,8 +53,8 @@
     consecutive_failures: u32,
 }
 
-/// The next poll is sent after a random delay, in µs, from `shortest` up to but without `end`. If the range is empty it
-/// is sent after `shortest`.
+/// The next poll is sent after a random delay, in µs, from `shortest` up to but without `end`. If
+/// the range is empty it is sent after `shortest`.
 #[derive(Clone, Copy, Debug)]
 struct DelayWindow {
     shortest: Micros,
@@ -67,8 +72,8 @@
 }
 
 impl ListPoller {
-    /// Reacts to any event of the forwarder: adds the poll to `actions` when it is due, and sets its timer when it is
-    /// scheduled.
+    /// Reacts to any event of the forwarder: adds the poll to `actions` when it is due, and sets
+    /// its timer when it is scheduled.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -117,7 +122,8 @@
         delay
     }
 
-    /// Counts a failed poll. A poll that lasted long was answered before it failed and starts a new row of failures.
+    /// Counts a failed poll. A poll that lasted long was answered before it failed and starts a new
+    /// row of failures.
     fn count_failure(&mut self, since_poll: Micros, poll_interval: Micros, config: &Config) {
         // Twice the longest silence, because a silence may be reported late.
         let answered_after = match config.notified_within {
@@ -140,7 +146,8 @@
     ) -> DelayWindow {
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
         let doubled = base_window(poll_interval, config) << doublings;
-        // A lone forwarder has an empty window. The shortest delay keeps it from polling without a pause.
+        // A lone forwarder has an empty window. The shortest delay keeps it from polling without a
+        // pause.
         let shortest = (POLL_COST_US << doublings).min(longest / SHORTEST_DELAY_DIVISOR);
         DelayWindow {
             shortest,
@@ -158,7 +165,8 @@
     }
 }
 
-/// µs in which discovery works off one poll of each other forwarder, as far as the poll interval has room for it.
+/// µs in which discovery works off one poll of each other forwarder, as far as the poll interval
+/// has room for it.
 fn base_window(poll_interval: Micros, config: &Config) -> Micros {
     let other_forwarders = Micros::from(config.fleet_size.saturating_sub(1));
     (POLL_COST_US * other_forwarders).min(poll_interval / FIRST_WINDOW_DIVISOR)
--- a/src/policy/list_polling/tests.rs
+++ b/src/policy/list_polling/tests.rs
@@ -1,4 +1,5 @@
-//! The delays of one forwarder, and how a fleet fares at its start and after an outage of discovery.
+//! The delays of one forwarder, and how a fleet fares at its start and after an outage of
+//! discovery.
 
 use super::*;
 use rand::SeedableRng;
@@ -89,7 +90,8 @@
         self.timer.expect("a poll is scheduled")
     }
 
-    /// Polls when it is due and fails each poll `fails_after` it. Returns the delays from each failure to the next poll.
+    /// Polls when it is due and fails each poll `fails_after` it. Returns the delays from each
+    /// failure to the next poll.
     fn delays_after_failures(&mut self, failures: usize, fails_after: Micros) -> Vec<Micros> {
         let mut delays = Vec::new();
         for _ in 0..failures {
@@ -194,7 +196,8 @@
     );
 }
 
-/// Also where a silence is reported a little late, as on sockets, and in a small fleet, whose window is nearly empty.
+/// Also where a silence is reported a little late, as on sockets, and in a small fleet, whose
+/// window is nearly empty.
 #[test]
 fn failures_in_a_row_lengthen_the_delay_under_a_time_of_notification() {
     for (fleet_size, fails_after) in [
--- a/src/policy/list_polling/tests/discovery.rs
+++ b/src/policy/list_polling/tests/discovery.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// Discovery that answers one poll after the other. It also works off the polls that nobody waits for any more.
+/// Discovery that answers one poll after the other. It also works off the polls that nobody waits
+/// for any more.
 pub struct Discovery {
     /// µs to work off one poll.
     pub poll_cost: Micros,
--- a/src/policy/list_polling/tests/outage.rs
+++ b/src/policy/list_polling/tests/outage.rs
@@ -36,7 +36,8 @@
     late_answer_limit: 7_000 * MS,
 };
 
-/// How the fleet recovered. Times are in µs from discovery's return; `Micros::MAX` or near it is never.
+/// How the fleet recovered. Times are in µs from discovery's return; `Micros::MAX` or near it is
+/// never.
 #[derive(Debug)]
 struct Recovery {
     /// The first poll of each forwarder.
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Notes an answer that is in. Where both the last poll and one that failed are answered, the last poll counts, even
-    /// if its answer is the later one.
+    /// Notes an answer that is in. Where both the last poll and one that failed are answered, the
+    /// last poll counts, even if its answer is the later one.
     fn check_answers(&mut self, now: Micros) {
         let is_in = |at: &Micros| *at <= now;
         let late_answer = self.late_answer_at.filter(is_in);
@@ -196,8 +197,8 @@
     }
 }
 
-/// The window exists for this: repeated polls do not keep an overloaded discovery down. At least a third of what it can
-/// work off reaches the fleet, late answers included.
+/// The window exists for this: repeated polls do not keep an overloaded discovery down. At least a
+/// third of what it can work off reaches the fleet, late answers included.
 #[test]
 fn a_discovery_slower_than_the_fleet_polls_still_answers_it() {
     for poll_cost in [80, 40, 25].map(|ms| ms * MS) {
@@ -223,7 +224,9 @@
     }
 }
 
-/// Prints the table of `docs/design/fleet-growth.md`: `cargo test --lib trade -- --ignored --nocapture`.
+/// Prints the table of `docs/design/fleet-growth.md`.
+///
+///     cargo test --lib trade -- --ignored --nocapture
 #[test]
 #[ignore = "prints a table"]
 fn trade_off_of_the_longest_delay() {
@@ -254,7 +257,8 @@
     }
 }
 
-/// Prints the means of five seeds, but for the first polls and the busiest second, which are the most of all.
+/// Prints the means of five seeds, but for the first polls and the busiest second, which are the
+/// most of all.
 fn print_row(name: &str, outage: Outage) {
     let runs: Vec<Recovery> = (0..5).map(|seed| recover(outage, seed)).collect();
     let first_polls = runs.iter().flat_map(|run| &run.first_polls);
--- a/src/policy/list_polling/tests/start.rs
+++ b/src/policy/list_polling/tests/start.rs
@@ -3,7 +3,8 @@
 use super::discovery::Discovery;
 use super::*;
 
-/// When each forwarder is answered. Discovery takes `poll_cost` µs a poll; the simulation lasts `until`.
+/// When each forwarder is answered. Discovery takes `poll_cost` µs a poll; the simulation lasts
+/// `until`.
 fn answers_after_start(
     fleet_size: u32,
     poll_cost: Micros,
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -1,13 +1,15 @@
-//! The queue of a destination: its waiting messages, ordered so that the next one is found at little cost however many
-//! wait. The queue decides nothing.
+//! The queue of a destination: its waiting messages, ordered so that the next one is found at
+//! little cost however many wait. The queue decides nothing.
 //!
-//! Messages that differ only in when they were due form a group, ordered by that time. Within a group the expected loss
-//! of waiting is a smooth function of the due time between a few turning points, and rises or falls all the way from one
-//! to the next. The greatest and the least loss of each piece are therefore at its ends, so that a caller who looks for
-//! the best message of a group compares two messages a piece, not all ([`DispatchQueue::candidates`]).
+//! Messages that differ only in when they were due form a group, ordered by that time. Within a
+//! group the expected loss of waiting is a smooth function of the due time between a few turning
+//! points, and rises or falls all the way from one to the next. The greatest and the least loss of
+//! each piece are therefore at its ends, so that a caller who looks for the best message of a group
+//! compares two messages a piece, not all ([`DispatchQueue::candidates`]).
 //!
-//! Invariant: every waiting message is in `by_last_send`. It is in its group as well once it is released by its order key
-//! and its backoff is over; it is in `backing_off` while only the backoff is missing. It leaves all three together.
+//! Invariant: every waiting message is in `by_last_send`. It is in its group as well once it is
+//! released by its order key and its backoff is over; it is in `backing_off` while only the backoff
+//! is missing. It leaves all three together.
 
 use crate::model::{MessageId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -56,14 +58,18 @@
 }
 
 impl TimedMessage {
-    fn first_at(at: Micros) -> TimedMessage {
-        let id = MessageId(0);
+    fn new(at: Micros, id: MessageId) -> TimedMessage {
         TimedMessage { at, id }
     }
 
+    /// The first message that there can be at this time.
+    fn first_at(at: Micros) -> TimedMessage {
+        TimedMessage::new(at, MessageId(0))
+    }
+
+    /// The last message that there can be at this time.
     fn last_at(at: Micros) -> TimedMessage {
-        let id = MessageId(u32::MAX);
-        TimedMessage { at, id }
+        TimedMessage::new(at, MessageId(u32::MAX))
     }
 }
 
@@ -95,8 +101,8 @@
         }
     }
 
-    /// Records that no earlier message of its order key is in the way: `entry.is_released` holds from now on. Does
-    /// nothing for a message that does not wait.
+    /// Records that no earlier message of its order key is in the way: `entry.is_released` holds
+    /// from now on. Does nothing for a message that does not wait.
     pub fn release(&mut self, entry: &QueueEntry) {
         let is_waiting = self.by_last_send.contains(&entry.by_last_send());
         if is_waiting && !self.is_in_its_group(entry) {
@@ -116,7 +122,8 @@
         }
     }
 
-    /// Moves the messages whose backoff is over by `now` into their groups. `entry_of` gives the entry of a message.
+    /// Moves the messages whose backoff is over by `now` into their groups. `entry_of` gives the
+    /// entry of a message.
     pub fn promote_ready(
         &mut self,
         now: Micros,
@@ -139,7 +146,8 @@
         self.groups.iter()
     }
 
-    /// The waiting messages whose last moment to send is at `time` or before, in the order of their ids.
+    /// The waiting messages whose last moment to send is at `time` or before, in the order of their
+    /// ids.
     pub fn expiring_by(&self, time: Micros) -> Vec<MessageId> {
         let expiring = self.by_last_send.range(..=TimedMessage::last_at(time));
         let mut ids: Vec<MessageId> = expiring.map(|message| message.id).collect();
@@ -147,11 +155,13 @@
         ids
     }
 
-    /// Adds to `candidates` those messages of a group, due within a range, that can be the best to send next.
+    /// Adds to `candidates` those messages of a group, due within a range, that can be the best to
+    /// send next.
     ///
-    /// Of each piece between two turning points these are the earliest message and the latest, at equal due times the one
-    /// with the least id. A turning point is the last due time of its piece. Of a small group they are all messages in the
-    /// range, and `turning_points` is not called.
+    /// Of each piece between two turning points these are the earliest message and the latest, at
+    /// equal due times the one with the least id. A turning point is the last due time of its
+    /// piece. Of a small group they are all messages in the range, and `turning_points` is not
+    /// called.
     pub fn candidates(
         messages: &GroupMessages,
         due: RangeInclusive<i64>,
@@ -192,8 +202,8 @@
     }
 }
 
-/// The messages due from `from` to `to`, both included, in the order of their due times and ids. `from` must
-/// not be beyond `to`.
+/// The messages due from `from` to `to`, both included, in the order of their due times and ids.
+/// `from` must not be beyond `to`.
 fn due_within(
     messages: &GroupMessages,
     from: Micros,
@@ -202,7 +212,8 @@
     messages.range(TimedMessage::first_at(from)..=TimedMessage::last_at(to))
 }
 
-/// The last due times of the pieces within the range, in ascending order, but for that of the last piece, `to`.
+/// The last due times of the pieces within the range, in ascending order, but for that of the last
+/// piece, `to`.
 fn piece_ends_within(turning_points: Vec<i64>, from: Micros, to: Micros) -> Vec<Micros> {
     let mut ends = Vec::new();
     for point in turning_points {
@@ -221,7 +232,8 @@
     piece_ends.get(piece).copied()
 }
 
-/// The message with the least id among those due last in a piece, unless they are due at `earliest` like the first.
+/// The message with the least id among those due last in a piece, unless they are due at `earliest`
+/// like the first.
 fn latest_with_least_id(
     messages: &GroupMessages,
     earliest: Micros,
@@ -237,28 +249,26 @@
 
 impl QueueEntry {
     fn by_due(&self) -> TimedMessage {
-        let (at, id) = (self.due, self.id);
-        TimedMessage { at, id }
+        TimedMessage::new(self.due, self.id)
     }
 
     fn by_ready_at(&self) -> TimedMessage {
-        let (at, id) = (self.ready_at, self.id);
-        TimedMessage { at, id }
+        TimedMessage::new(self.ready_at, self.id)
     }
 
     fn by_last_send(&self) -> TimedMessage {
-        let (at, id) = (self.last_send, self.id);
-        TimedMessage { at, id }
+        TimedMessage::new(self.last_send, self.id)
     }
 }
 
 impl MessageGroup {
-    /// The due times at which the expected loss of waiting has a bend, each with the two times beside it, where rounding
-    /// may put the bend.
+    /// The due times at which the expected loss of waiting has a bend, each with the two times
+    /// beside it, where rounding may put the bend.
     ///
-    /// The loss is evaluated at several moments, `lookaheads` in µs from `now`. It has a bend for a message that, sent at
-    /// one of them, would be answered at its due time, at the end of the fall of its weight (`fade` µs after its due
-    /// time) or at its deadline, and for a message whose last moment to send it is. An answer takes `answer_time` µs.
+    /// The loss is evaluated at several moments, `lookaheads` in µs from `now`. It has a bend for a
+    /// message that, sent at one of them, would be answered at its due time, at the end of the fall
+    /// of its weight (`fade` µs after its due time) or at its deadline, and for a message whose
+    /// last moment to send it is. An answer takes `answer_time` µs.
     pub fn turning_points(
         &self,
         now: f64,
--- a/src/queue/tests.rs
+++ b/src/queue/tests.rs
@@ -2,8 +2,8 @@
 use quickcheck::{quickcheck, TestResult};
 use std::cmp::Reverse;
 
-/// A loss that is linear between two turning points, with a slope of its own in each piece. A steep jump lies at each
-/// turning point.
+/// A loss that is linear between two turning points, with a slope of its own in each piece. A steep
+/// jump lies at each turning point.
 fn loss(due: Micros, turning_points: &[i64], slopes: &[i8]) -> i64 {
     let due = due as i64;
     let piece = turning_points.iter().filter(|point| **point < due).count();
@@ -84,7 +84,8 @@
     }
 }
 
-/// A queue of fifty messages, some of them released and some ready, from which all are removed again.
+/// A queue of fifty messages, some of them released and some ready, from which all are removed
+/// again.
 fn queue_after_all_are_removed() -> DispatchQueue {
     let mut queue = DispatchQueue::default();
     for number in 0..50 {
--- a/src/token_bucket.rs
+++ b/src/token_bucket.rs
@@ -14,8 +14,8 @@
 }
 
 impl TokenBucket {
-    /// Refills the bucket up to `now`, at `rate` tokens per second, up to `capacity` tokens or one token, whichever is
-    /// more.
+    /// Refills the bucket up to `now`, at `rate` tokens per second, up to `capacity` tokens or one
+    /// token, whichever is more.
     pub fn refill(&mut self, now: Micros, rate: f64, capacity: f64) {
         let elapsed = (now - self.filled_at) as f64;
         self.tokens = (self.tokens + rate * elapsed / MICROS_PER_SECOND).min(capacity.max(1.0));
@@ -25,8 +25,9 @@
 
 /// Calls that this forwarder may still send to an endpoint that warms up after an outage.
 ///
-/// They come from two sources: an even part of the fleet's budget, which grows with time, and an extra for the messages
-/// that arrive at this forwarder, at a bounded rate. Each source holds one call at most.
+/// They come from two sources: an even part of the fleet's budget, which grows with time, and an
+/// extra for the messages that arrive at this forwarder, at a bounded rate. Each source holds one
+/// call at most.
 #[derive(Clone, Copy, Default)]
 pub struct SlowStartBudget {
     /// Calls left.
@@ -50,8 +51,8 @@
         }
     }
 
-    /// Refills the budget up to `now`: at `rate` calls per second, and by `extra` calls for arrivals. Of the extra,
-    /// `max_extra_rate` calls per second are granted at most.
+    /// Refills the budget up to `now`: at `rate` calls per second, and by `extra` calls for
+    /// arrivals. Of the extra, `max_extra_rate` calls per second are granted at most.
     pub fn refill(&mut self, now: Micros, rate: f64, extra: f64, max_extra_rate: f64) {
         let granted = self.take_extra(now, extra, max_extra_rate);
         let mut bucket = TokenBucket {
--- a/tests/common/fixtures.rs
+++ b/tests/common/fixtures.rs
@@ -5,7 +5,8 @@
 /// One millisecond in µs.
 pub const MS: Micros = 1_000;
 
-/// The time to live of every delivery class here, and the time left of a message unless a test says otherwise.
+/// The time to live of every delivery class here, and the time left of a message unless a test says
+/// otherwise.
 pub const TIME_TO_LIVE: Micros = 8_000 * MS;
 
 /// The latency objective of every delivery class here.
@@ -29,8 +30,8 @@
     }
 }
 
-/// The list entry of an endpoint that is ready, with a rate in calls per second. Even numbers are in zone 0, odd ones in
-/// zone 1.
+/// The list entry of an endpoint that is ready, with a rate in calls per second. Even numbers are
+/// in zone 0, odd ones in zone 1.
 pub fn listed_endpoint(number: u8, destination: u32, rate: f32) -> EndpointEntry {
     EndpointEntry {
         endpoint: endpoint(number),
--- a/tests/common/history.rs
+++ b/tests/common/history.rs
@@ -1,6 +1,7 @@
 //! Random histories: a random configuration, then events in orders that are legal but hostile.
 //!
-//! A seed names one history. The order of the random draws must stay as it is: a change gives every seed another history.
+//! A seed names one history. The order of the random draws must stay as it is: a change gives every
+//! seed another history.
 
 use super::fixtures::{config, endpoint, listed_endpoint, with_status, MS, TIME_TO_LIVE};
 use super::world::World;
@@ -25,7 +26,8 @@
     pub full_destinations: Option<u32>,
 }
 
-/// Plays a history with short pauses and two endpoints a destination. Fails with the rule that it breaks.
+/// Plays a history with short pauses and two endpoints a destination. Fails with the rule that it
+/// breaks.
 pub fn check_history(seed: u64, steps: usize) -> Checked {
     let options = HistoryOptions {
         steps,
@@ -37,7 +39,8 @@
     Ok(())
 }
 
-/// Plays a history; returns the world as it is in the end. Fails with the rule that the history breaks.
+/// Plays a history; returns the world as it is in the end. Fails with the rule that the history
+/// breaks.
 pub fn play_history(seed: u64, options: &HistoryOptions) -> Checked<World> {
     let mut history = RandomHistory::new(seed, options);
     for _ in 0..options.steps {
@@ -245,7 +248,8 @@
         Ok(())
     }
 
-    /// Receives gossip of any forwarder, in the fleet or not, about a known destination or not, whole or cut short.
+    /// Receives gossip of any forwarder, in the fleet or not, about a known destination or not,
+    /// whole or cut short.
     fn receive_gossip(&mut self) -> Checked {
         let mut payload = vec![1, 1, self.rng.random_range(0..4), 0];
         let length = if self.rng.random_bool(0.8) {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,8 @@
-//! A forwarder in simulated surroundings, and an oracle that checks the service rules on everything it does.
+//! A forwarder in simulated surroundings, and an oracle that checks the service rules on everything
+//! it does.
 //!
-//! The oracle knows the service rules and what happened, but nothing of the decision core's state. A test drives a
-//! [`World`]; every step of it fails with the rule that the forwarder broke.
+//! The oracle knows the service rules and what happened, but nothing of the decision core's state.
+//! A test drives a [`World`]; every step of it fails with the rule that the forwarder broke.
 //!
 //! Each test program uses a part of this module, hence the allowance for unused code.
 #![allow(dead_code, unused_imports)]
--- a/tests/common/oracle.rs
+++ b/tests/common/oracle.rs
@@ -9,7 +9,8 @@
 use opalpulley::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What shares a limit and a retry-after: a destination, or one of its endpoints where they have limits of their own.
+/// What shares a limit and a retry-after: a destination, or one of its endpoints where they have
+/// limits of their own.
 type Route = (DestinationId, Option<EndpointId>);
 
 /// What happened so far, as far as the rules depend on it.
@@ -21,7 +22,8 @@
     leaving_since: BTreeMap<EndpointId, Micros>,
     /// The end of the retry-after pause of each route.
     paused_until: BTreeMap<Route, Micros>,
-    /// Until when no next message of a key may begin, because an attempt ended without a clear outcome.
+    /// Until when no next message of a key may begin, because an attempt ended without a clear
+    /// outcome.
     key_settles_at: BTreeMap<OrderKey, Micros>,
     records: BTreeMap<EndpointId, EndpointRecord>,
 }
@@ -125,7 +127,8 @@
         *noted = settles_at.max(*noted);
     }
 
-    /// Rule: a message gets one final answer, and a message that may have taken effect is not given back to its client.
+    /// Rule: a message gets one final answer, and a message that may have taken effect is not given
+    /// back to its client.
     pub fn check_final_answer(&self, message: &TrackedMessage, answer: &Action) -> Checked {
         if message.completed {
             return Err("a second final answer".into());
@@ -146,7 +149,8 @@
         }
     }
 
-    /// Rule: no more calls are in flight than there are permits. Messages sent together in a batch are one call.
+    /// Rule: no more calls are in flight than there are permits. Messages sent together in a batch
+    /// are one call.
     pub fn check_permits(&self, messages: &MessageTable) -> Checked {
         let calls = if self.has_batches() {
             let calls: BTreeSet<(EndpointId, Micros)> = messages
--- a/tests/common/oracle/endpoint_record.rs
+++ b/tests/common/oracle/endpoint_record.rs
@@ -1,4 +1,5 @@
-//! The health of one endpoint as the rules see it, and the rule on calls to an endpoint that returns from an outage.
+//! The health of one endpoint as the rules see it, and the rule on calls to an endpoint that
+//! returns from an outage.
 
 use super::super::Checked;
 use opalpulley::*;
@@ -59,8 +60,9 @@
 
     /// Counts a call or a health check that is sent now.
     ///
-    /// Rule: to an endpoint that fails or warms up, the forwarder sends no more than its part of the fleet's slow-start
-    /// budget, plus the calls in flight before the outage was known. `rate` is in calls per second.
+    /// Rule: to an endpoint that fails or warms up, the forwarder sends no more than its part of
+    /// the fleet's slow-start budget, plus the calls in flight before the outage was known. `rate`
+    /// is in calls per second.
     pub fn check_slow_start(
         &mut self,
         now: Micros,
--- a/tests/common/oracle/sending.rs
+++ b/tests/common/oracle/sending.rs
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Rule: a message that may have taken effect is repeated only where a repeat is dropped or harmless.
+    /// Rule: a message that may have taken effect is repeated only where a repeat is dropped or
+    /// harmless.
     fn check_repeat(&self, now: Micros, message: &TrackedMessage, endpoint: EndpointId) -> Checked {
         let Some(first) = message.first_possible_effect() else {
             return Ok(());
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Rule: messages of one key are sent one at a time, in the order of submission, with a pause after an unclear
-    /// outcome.
+    /// Rule: messages of one key are sent one at a time, in the order of submission, with a pause
+    /// after an unclear outcome.
     fn check_order(
         &self,
         now: Micros,
@@ -91,7 +92,8 @@
         Ok(())
     }
 
-    /// The rules on a call or a health check to an endpoint, at the moment when the forwarder decides on it.
+    /// The rules on a call or a health check to an endpoint, at the moment when the forwarder
+    /// decides on it.
     pub fn check_call(&mut self, now: Micros, endpoint: EndpointId) -> Checked {
         self.check_endpoint_takes_calls(now, endpoint)?;
         let rate = self.entries[&endpoint].rate;
@@ -100,8 +102,9 @@
         record.check_slow_start(now, rate, has_batches, &self.config)
     }
 
-    /// Rule: nothing is sent to an endpoint that drains or has left, after a grace, nor during a retry-after pause. The
-    /// rule holds when a call is decided on and again when its bytes are sent.
+    /// Rule: nothing is sent to an endpoint that drains or has left, after a grace, nor during a
+    /// retry-after pause. The rule holds when a call is decided on and again when its bytes are
+    /// sent.
     pub fn check_endpoint_takes_calls(&self, now: Micros, endpoint: EndpointId) -> Checked {
         let drain_grace = self.config.rules.drain_grace;
         let leaving_since = self.leaving_since.get(&endpoint);
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -1,4 +1,5 @@
-//! One forwarder in simulated surroundings: a clock, timers, clients, endpoints and the endpoint list.
+//! One forwarder in simulated surroundings: a clock, timers, clients, endpoints and the endpoint
+//! list.
 
 mod actions;
 mod clock;
@@ -77,7 +78,8 @@
         self.report_list(known_list)
     }
 
-    /// The process ends and starts again with its journal: it owes every pending message a final answer.
+    /// The process ends and starts again with its journal: it owes every pending message a final
+    /// answer.
     pub fn restart(&mut self) -> Checked {
         let messages = std::mem::take(&mut self.messages);
         self.crash()?;
@@ -228,8 +230,8 @@
             .observe_retry_after(self.now, destination, endpoint, retry_after);
     }
 
-    /// Ends the last attempt at a message with this outcome, or as its state requires: an attempt that was withdrawn ends
-    /// so, and an endpoint answers only what it received.
+    /// Ends the last attempt at a message with this outcome, or as its state requires: an attempt
+    /// that was withdrawn ends so, and an endpoint answers only what it received.
     pub fn end_attempt(&mut self, id: MessageId, outcome: Outcome) -> Checked {
         let attempt = self.messages.last_attempt(id)?.clone();
         let outcome = match (attempt.stopped_as, attempt.bytes_sent_at) {
--- a/tests/common/world/clock.rs
+++ b/tests/common/world/clock.rs
@@ -62,8 +62,8 @@
         self.end_attempt(id, stopped_as.unwrap_or(Outcome::Timeout))
     }
 
-    /// Sends the bytes of an attempt whose connection has come up; returns whether it has. The rules that hold at this
-    /// moment are checked again.
+    /// Sends the bytes of an attempt whose connection has come up; returns whether it has. The
+    /// rules that hold at this moment are checked again.
     fn send_bytes(&mut self, id: MessageId) -> Checked<bool> {
         let now = self.now;
         let attempt = self.messages.last_attempt_mut(id)?;
--- a/tests/idle/bounds.rs
+++ b/tests/idle/bounds.rs
@@ -1,9 +1,11 @@
-//! What binds the forwarder at an endpoint outlasts the summary: pauses, drains, ejections and paces.
+//! What binds the forwarder at an endpoint outlasts the summary: pauses, drains, ejections and
+//! paces.
 
 use super::common::*;
 use super::*;
 
-/// When the message is sent that is submitted within a pause of a minute, which began before the destination became idle.
+/// When the message is sent that is submitted within a pause of a minute, which began before the
+/// destination became idle.
 fn sent_at_after_pause(full_destinations: Option<u32>) -> Checked<Option<Micros>> {
     let mut world = one_endpoint(full_destinations);
     send_one(&mut world, Outcome::Delivered)?;
@@ -34,7 +36,8 @@
     Ok(())
 }
 
-/// When the calls are sent that follow the ejection of the endpoint and half a minute without messages.
+/// When the calls are sent that follow the ejection of the endpoint and half a minute without
+/// messages.
 fn calls_after_ejection(full_destinations: Option<u32>) -> Checked<Vec<Micros>> {
     let mut world = one_endpoint(full_destinations);
     send_one(&mut world, Outcome::Delivered)?;
@@ -111,7 +114,8 @@
     Ok(())
 }
 
-/// When calls are sent within ten seconds, from the moment when gossip, if any, reached the idle destination.
+/// When calls are sent within ten seconds, from the moment when gossip, if any, reached the idle
+/// destination.
 fn calls_after_gossip(
     full_destinations: Option<u32>,
     gossip: Option<&[u8]>,
@@ -137,7 +141,8 @@
     Ok(sent_at.into_iter().map(|at| at - start).collect())
 }
 
-/// Delivers what is left and one message more. The pace of the calls binds no more in the next summary.
+/// Delivers what is left and one message more. The pace of the calls binds no more in the next
+/// summary.
 fn check_pace_is_forgotten(world: &mut World) -> Checked {
     for _ in 0..90 {
         world.advance(100 * MS)?;
--- a/tests/idle/histories.rs
+++ b/tests/idle/histories.rs
@@ -37,8 +37,9 @@
     TestResult::error(format!("{with:?}, in full {without:?}"))
 }
 
-/// The oracle never forgets an endpoint, and the core forgets one that has been gone for the warm-up time. A history that
-/// breaks a rule by that alone breaks it in full as well, and in the same words; it is discarded.
+/// The oracle never forgets an endpoint, and the core forgets one that has been gone for the
+/// warm-up time. A history that breaks a rule by that alone breaks it in full as well, and in the
+/// same words; it is discarded.
 #[test]
 fn no_history_with_summaries_breaks_a_rule_that_it_keeps_in_full() {
     check_seeds(20_261_203, 60, |seed| {
--- a/tests/idle/large_lists.rs
+++ b/tests/idle/large_lists.rs
@@ -10,7 +10,8 @@
 /// Destinations held in full before idle ones are summarised.
 const HELD_IN_FULL: usize = 1_024;
 
-/// Destinations held in full beyond the setting: what one chunk of a list may restore or create before it is summarised.
+/// Destinations held in full beyond the setting: what one chunk of a list may restore or create
+/// before it is summarised.
 const PASSING: usize = 2 * 64;
 
 fn forwarder() -> Forwarder {
@@ -109,7 +110,8 @@
     assert_eq!(left, [0; 5], "{counts:?}");
 }
 
-/// Removes and returns every second entry, a number of times. Each change restores no more destinations than it names.
+/// Removes and returns every second entry, a number of times. Each change restores no more
+/// destinations than it names.
 fn flap_half_of_the_list(forwarder: &mut Forwarder) {
     const ROUNDS: u64 = 4;
     let restored_before = forwarder.state_counts().restored;
--- a/tests/idle/main.rs
+++ b/tests/idle/main.rs
@@ -1,5 +1,5 @@
-//! Idle destinations that are held as summaries: nothing that binds the forwarder is forgotten, and no table grows without
-//! end. The reference is the same core that holds every destination in full.
+//! Idle destinations that are held as summaries: nothing that binds the forwarder is forgotten, and
+//! no table grows without end. The reference is the same core that holds every destination in full.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -11,7 +11,8 @@
 use common::*;
 use opalpulley::*;
 
-/// In a fleet so large, an ejected endpoint gets messages only and no health checks. It is idle between them.
+/// In a fleet so large, an ejected endpoint gets messages only and no health checks. It is idle
+/// between them.
 const FLEET_SIZE: u32 = 300;
 
 /// Holds every idle destination as a summary.
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,4 +1,5 @@
-//! Single forwarders of a large fleet: what one of them sends must be little beside what all of them send.
+//! Single forwarders of a large fleet: what one of them sends must be little beside what all of
+//! them send.
 
 mod common;
 
@@ -16,8 +17,8 @@
     }
 }
 
-/// Forty of three hundred forwarders, and a destination with two endpoints of 20 calls per second. The even share of a
-/// forwarder in a rate or in a slow-start budget is next to nothing.
+/// Forty of three hundred forwarders, and a destination with two endpoints of 20 calls per second.
+/// The even share of a forwarder in a rate or in a slow-start budget is next to nothing.
 fn forwarders() -> impl Iterator<Item = World> {
     (0..SIMULATED as u16).map(|number| {
         let config = Config {
@@ -29,16 +30,17 @@
     })
 }
 
-/// One of three hundred forwarders, and a destination with one endpoint of 100 calls per second. The even share of a
-/// forwarder is a call in three seconds.
+/// One of three hundred forwarders, and a destination with one endpoint of 100 calls per second.
+/// The even share of a forwarder is a call in three seconds.
 fn one_of_300() -> World {
     World::new(config_in_fleet(300), vec![listed_endpoint(1, 0, 100.0)])
 }
 
 const REJECTED: Outcome = Outcome::Rejected { retry_after: None };
 
-/// An even share is a call in some seconds. Without a rejection no message may wait for that; but not all forwarders may
-/// send their first messages at once either, which would overload a small destination.
+/// An even share is a call in some seconds. Without a rejection no message may wait for that; but
+/// not all forwarders may send their first messages at once either, which would overload a small
+/// destination.
 #[test]
 fn without_a_rejection_no_message_waits_for_an_even_share() -> Checked {
     let mut sent_at_once = 0;
@@ -91,7 +93,8 @@
     Ok(calls)
 }
 
-/// If each of hundreds learned of a limit by a rejection of its own, the rejected calls would use the limit up.
+/// If each of hundreds learned of a limit by a rejection of its own, the rejected calls would use
+/// the limit up.
 #[test]
 fn one_rejection_slows_the_whole_fleet_down() -> Checked {
     let gossip = gossip_after_rejection()?;
@@ -104,8 +107,8 @@
     Ok(())
 }
 
-/// A health check uses a call of the slow-start budget, and the next call comes seconds later. A message makes better use
-/// of it.
+/// A health check uses a call of the slow-start budget, and the next call comes seconds later. A
+/// message makes better use of it.
 #[test]
 fn where_the_slow_start_budget_is_scant_a_message_serves_as_the_health_check() -> Checked {
     let mut world = World::new(config_in_fleet(60), vec![listed_endpoint(1, 0, 60.0)]);
@@ -148,7 +151,8 @@
     Ok(())
 }
 
-/// If all forwarders called when the same retry-after pause ends, they would overload the destination.
+/// If all forwarders called when the same retry-after pause ends, they would overload the
+/// destination.
 #[test]
 fn few_forwarders_call_as_soon_as_a_pause_ends() -> Checked {
     let mut repeated = 0;
@@ -168,7 +172,8 @@
     Ok(())
 }
 
-/// One rejection is enough for a pacing interval on the scale of an even share, not of the time of one call.
+/// One rejection is enough for a pacing interval on the scale of an even share, not of the time of
+/// one call.
 #[test]
 fn after_a_rejection_the_pacing_interval_is_on_the_scale_of_an_even_share() -> Checked {
     let mut world = one_of_300();
@@ -182,8 +187,8 @@
     Ok(())
 }
 
-/// A late message leaves the first call that pacing allows to a message in time. It is sent when a whole pacing interval
-/// more has passed.
+/// A late message leaves the first call that pacing allows to a message in time. It is sent when a
+/// whole pacing interval more has passed.
 #[test]
 fn a_late_message_waits_for_a_call_to_spare() -> Checked {
     let mut world = one_of_300();
@@ -198,7 +203,8 @@
     Ok(())
 }
 
-/// Two rejections mean a destination at its limit, also where the slow-start budget of a forwarder is scant.
+/// Two rejections mean a destination at its limit, also where the slow-start budget of a forwarder
+/// is scant.
 #[test]
 fn two_rejections_eject_no_endpoint() -> Checked {
     let mut world = one_of_300();
--- a/tests/rules/admission.rs
+++ b/tests/rules/admission.rs
@@ -49,7 +49,8 @@
     }
 }
 
-/// Also with rates that no list should have, and with messages that have no time left or an unknown destination.
+/// Also with rates that no list should have, and with messages that have no time left or an unknown
+/// destination.
 #[test]
 fn odd_configurations_and_messages_end_in_one_answer_each() -> Checked {
     let list = vec![
--- a/tests/rules/concurrency.rs
+++ b/tests/rules/concurrency.rs
@@ -23,8 +23,9 @@
     Ok(())
 }
 
-/// Several destinations may stop to answer at once, with the calls in flight that they got while they answered well.
-/// Unless these calls are cancelled in time, no permit is left for the other destinations.
+/// Several destinations may stop to answer at once, with the calls in flight that they got while
+/// they answered well. Unless these calls are cancelled in time, no permit is left for the other
+/// destinations.
 #[test]
 fn destinations_that_stop_to_answer_do_not_keep_all_permits() -> Checked {
     let list = (0..4).map(|n| listed_endpoint(n, u32::from(n), 50.0));
--- a/tests/rules/ordering.rs
+++ b/tests/rules/ordering.rs
@@ -3,8 +3,8 @@
 use super::common::*;
 use opalpulley::*;
 
-/// The final answer travels to the platform apart from calls, so the next message of the key must not overtake it, nor the
-/// answer of a previous run.
+/// The final answer travels to the platform apart from calls, so the next message of the key must
+/// not overtake it, nor the answer of a previous run.
 #[test]
 fn a_key_waits_until_the_final_answer_before_is_acknowledged() -> Checked {
     let key = OrderKey(5);
--- a/tests/rules/outliers.rs
+++ b/tests/rules/outliers.rs
@@ -4,8 +4,8 @@
 use super::support::{deliver_for, fail_until_ejected, one_endpoint};
 use opalpulley::*;
 
-/// The slow-start budget must not be used up by the calls before the ejection, or the first health check comes minutes
-/// late.
+/// The slow-start budget must not be used up by the calls before the ejection, or the first health
+/// check comes minutes late.
 #[test]
 fn an_endpoint_ejected_after_a_busy_time_gets_a_health_check_soon() -> Checked {
     let mut world = one_endpoint();
@@ -16,8 +16,8 @@
     Ok(())
 }
 
-/// A few refused connections between answers are a full connection table. Refused connections without an answer are an
-/// outage, however short, and the endpoint needs a slow start after it.
+/// A few refused connections between answers are a full connection table. Refused connections
+/// without an answer are an outage, however short, and the endpoint needs a slow start after it.
 #[test]
 fn a_short_outage_ejects_and_a_full_connection_table_does_not() -> Checked {
     for is_outage in [true, false] {
@@ -46,7 +46,8 @@
 fn an_ejected_endpoint_is_readmitted_by_a_health_check_and_then_a_call() -> Checked {
     let mut world = one_endpoint();
     fail_until_ejected(&mut world)?;
-    // It stays ejected though it leaves the list and returns, or it would get its full rate without a slow start.
+    // It stays ejected though it leaves the list and returns, or it would get its full rate without
+    // a slow start.
     let entry = listed_endpoint(1, 0, 20.0);
     world.report_change(with_status(entry.clone(), EndpointStatus::Removed))?;
     world.advance(100 * MS)?;
@@ -95,7 +96,8 @@
         world.advance(50 * MS)?;
         calls += world.end_all_attempts(Outcome::Delivered)?;
     }
-    // Two seconds at 2.0 x 0.2 x 20 calls per second, half of them of this forwarder, and a little more as it warms up.
+    // Two seconds at 2.0 x 0.2 x 20 calls per second, half of them of this forwarder, and a little
+    // more as it warms up.
     assert!(
         (3..=10).contains(&calls),
         "{calls} calls in the first two seconds"
--- a/tests/rules/pacing.rs
+++ b/tests/rules/pacing.rs
@@ -3,7 +3,8 @@
 use super::common::*;
 use opalpulley::*;
 
-/// If each of many forwarders grew its rate by the whole listed rate, a third of all calls would be rejected.
+/// If each of many forwarders grew its rate by the whole listed rate, a third of all calls would be
+/// rejected.
 #[test]
 fn the_rate_of_calls_grows_by_the_even_share_of_a_forwarder() -> Checked {
     let config = Config {
--- a/tests/rules/restart.rs
+++ b/tests/rules/restart.rs
@@ -59,8 +59,8 @@
     Ok(())
 }
 
-/// While the process was suspended, endpoints may have drained. The events that wait must be handled before anything is
-/// sent.
+/// While the process was suspended, endpoints may have drained. The events that wait must be
+/// handled before anything is sent.
 #[test]
 fn a_suspended_process_handles_waiting_events_before_it_sends() -> Checked {
     let list = vec![listed_endpoint(1, 0, 200.0), listed_endpoint(2, 0, 200.0)];
--- a/tests/rules/retry_after.rs
+++ b/tests/rules/retry_after.rs
@@ -1,4 +1,5 @@
-//! Retry-after pauses, and what becomes of attempts whose bytes are not sent as a pause or a drain begins.
+//! Retry-after pauses, and what becomes of attempts whose bytes are not sent as a pause or a drain
+//! begins.
 
 use super::common::*;
 use super::support::{deliver_for, one_endpoint, two_independent_endpoints};
@@ -82,8 +83,9 @@
     })
 }
 
-/// A pause or a drain may begin while the connection of another attempt comes up. Its bytes must not follow, so the
-/// attempt is withdrawn, and the message may be sent again even if it had one attempt only.
+/// A pause or a drain may begin while the connection of another attempt comes up. Its bytes must
+/// not follow, so the attempt is withdrawn, and the message may be sent again even if it had one
+/// attempt only.
 #[test]
 fn a_pause_or_a_drain_withdraws_unsent_attempts_which_do_not_count() -> Checked {
     for independent_limits in [false, true] {
@@ -111,7 +113,8 @@
         world.report_change(with_status(entry, EndpointStatus::Draining))?;
         assert!(has_withdrawn_unsent(&world, 3));
 
-        // The only attempt was not sent. It is repeated after the pause, at the latest a pacing interval later.
+        // The only attempt was not sent. It is repeated after the pause, at the latest a pacing
+        // interval later.
         world.end_attempt(withdrawn, Outcome::WithdrawnBeforeSend)?;
         world.advance(if independent_limits { 0 } else { 690 * MS })?;
         assert_eq!(world.attempts(withdrawn), usize::from(independent_limits));
--- a/tests/rules/selection.rs
+++ b/tests/rules/selection.rs
@@ -4,8 +4,8 @@
 use super::support::two_independent_endpoints;
 use opalpulley::*;
 
-/// The first message may have taken effect in the dearer zone and must be repeated there. The second one may go to the
-/// other zone.
+/// The first message may have taken effect in the dearer zone and must be repeated there. The
+/// second one may go to the other zone.
 #[test]
 fn a_message_for_one_endpoint_does_not_block_the_queue_for_another() -> Checked {
     let mut config = config();
@@ -33,7 +33,8 @@
     Ok(())
 }
 
-/// A message submitted with far less time left than usual is wanted now. It must not count as late already.
+/// A message submitted with far less time left than usual is wanted now. It must not count as late
+/// already.
 #[test]
 fn a_message_with_little_time_left_is_sent_first() -> Checked {
     let mut config = config();
--- a/tests/slow_start_fleet/budget.rs
+++ b/tests/slow_start_fleet/budget.rs
@@ -43,11 +43,11 @@
         self.returns_at + self.rules.warm_up_time
     }
 
-    /// Counts a call or a health check, if the destination warms up. `saw_failure` says of each forwarder whether it has
-    /// seen the destination fail.
+    /// Counts a call or a health check, if the destination warms up. `saw_failure` says of each
+    /// forwarder whether it has seen the destination fail.
     ///
-    /// A window counts only if more than two thirds of its calls come from such forwarders: the others can't know that
-    /// the destination warms up.
+    /// A window counts only if more than two thirds of its calls come from such forwarders: the
+    /// others can't know that the destination warms up.
     pub fn count(&mut self, now: Micros, forwarder: usize, saw_failure: &[bool]) {
         if !(self.returns_at..self.warm_at()).contains(&now) {
             return;
--- a/tests/slow_start_fleet/fleet.rs
+++ b/tests/slow_start_fleet/fleet.rs
@@ -151,7 +151,8 @@
         self.schedule((seconds * 1e6) as Micros, forwarder, Scheduled::Submission);
     }
 
-    /// How a call or a health check that is sent now ends, and after what time. `answer_time` is what an answer takes.
+    /// How a call or a health check that is sent now ends, and after what time. `answer_time` is
+    /// what an answer takes.
     fn outcome(&self, answer_time: Micros, timeout: Micros) -> (Outcome, Micros) {
         if !fails_at(self.now) {
             return (Outcome::Delivered, answer_time);
--- a/tests/slow_start_fleet/main.rs
+++ b/tests/slow_start_fleet/main.rs
@@ -1,5 +1,5 @@
-//! Thirty forwarders and one destination that fails for ten seconds and then warms up. All that they send it together
-//! stays within what the service rules allow, with some slack for chance.
+//! Thirty forwarders and one destination that fails for ten seconds and then warms up. All that
+//! they send it together stays within what the service rules allow, with some slack for chance.
 
 #[path = "../common/mod.rs"]
 mod common;
