--- a/crates/simhost/tests/golden.rs
+++ b/crates/simhost/tests/golden.rs
@@ -84,7 +84,7 @@
     let (address, port) = address.split_once(':').expect("a port");
     port.parse::<u16>().expect("a port is a number");
     let ended = match (what, reason) {
-        ("endpoint ejected", "most attempts fail") => "set aside: most calls fail",
+        ("endpoint ejected", "too many failures") => "set aside: most calls fail",
         ("endpoint ejected", "attempts stay unanswered") => "set aside: it keeps silent",
         ("endpoint ejected", "asked for a long retry-after") => "set aside: it is shut",
         ("endpoint readmitted", "") => "taken back: it answers",
--- a/src/destination.rs
+++ b/src/destination.rs
@@ -34,7 +34,7 @@
     pub batch_size: usize,
     /// How each endpoint stands; emptied as endpoints are forgotten.
     pub endpoints: BTreeMap<EndpointId, EndpointSnapshot>,
-    /// By [`Destination::limit_of`]; emptied as endpoints are forgotten and pauses end.
+    /// By [`Destination::pacer_key`]; emptied as endpoints are forgotten and pauses end.
     pub pacers: BTreeMap<Option<EndpointId>, Pacer>,
     /// Messages without a final answer, or with an attempt out.
     pub messages: BTreeMap<MessageId, Message>,
@@ -44,8 +44,8 @@
     in_flight: BTreeSet<MessageId>,
     /// Where the next message would go, between a candidate and its permit.
     candidate: Option<EndpointId>,
-    /// Its place in the queue of destinations that may be summarised.
-    pub idle_since: Option<Micros>,
+    /// When it may be summarised, while it is in the queue for that.
+    pub summarise_due_at: Option<Micros>,
 }
 
 impl Destination {
@@ -100,9 +100,10 @@
     /// Tells the forwarder what is under way here.
     fn report_activity(&self, context: &mut DecisionContext) {
         let is_known = !self.endpoints.is_empty() || self.pacers.is_empty();
-        let is_settled =
-            is_known && self.messages.is_empty() && self.endpoints.values().all(|e| e.is_settled);
-        let activity = (!is_settled).then(|| Activity {
+        let needs_no_ticks = is_known
+            && self.messages.is_empty()
+            && self.endpoints.values().all(|e| e.needs_no_ticks);
+        let activity = (!needs_no_ticks).then(|| Activity {
             calls: self.calls(),
             is_degraded: self.is_degraded(),
             waiting: self.queue.len(),
@@ -115,19 +116,20 @@
             });
     }
 
-    /// The key of the pacer that an endpoint's calls go by: its own, or the destination's.
-    pub fn limit_of(&self, endpoint: EndpointId) -> Option<EndpointId> {
+    /// The key of the pacer that an endpoint's calls go by: its own, or that of all.
+    pub fn pacer_key(&self, endpoint: EndpointId) -> Option<EndpointId> {
         self.has_independent_limits.then_some(endpoint)
     }
 
     fn pacer_of(&mut self, endpoint: EndpointId) -> Option<&mut Pacer> {
-        self.pacers.get_mut(&self.limit_of(endpoint))
+        self.pacers.get_mut(&self.pacer_key(endpoint))
     }
 
     fn calls(&self) -> usize {
         self.endpoints.values().map(|e| e.calls).sum()
     }
 
+    /// Whether any of its endpoints is degraded: then the smaller share of permits holds for all.
     fn is_degraded(&self) -> bool {
         self.endpoints.values().any(|e| e.is_degraded)
     }
@@ -167,7 +169,7 @@
 
     fn apply_listed_rate(&mut self, endpoint: EndpointId, rate: f64, context: &DecisionContext) {
         self.endpoints.entry(endpoint).or_default();
-        let pacer = self.pacers.entry(self.limit_of(endpoint)).or_default();
+        let pacer = self.pacers.entry(self.pacer_key(endpoint)).or_default();
         pacer.apply_listed_rate(context.now, rate, context.config);
     }
 
@@ -239,7 +241,7 @@
             ready
         };
         for endpoint in self.endpoints.keys() {
-            let Some(pacer) = self.pacers.get(&self.limit_of(*endpoint)) else {
+            let Some(pacer) = self.pacers.get(&self.pacer_key(*endpoint)) else {
                 continue;
             };
             let tick = EndpointTick {
--- a/src/destination/attempts.rs
+++ b/src/destination/attempts.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 
 impl Destination {
-    /// The attempt of a message that is out at this endpoint; from now on it is not.
+    /// Removes the attempt in flight of a message, where it went to this endpoint, and returns it.
     pub(super) fn take_attempt(
         &mut self,
         id: MessageId,
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Ends the message, or puts it back into the queue.
+    /// Ends the message, or puts it back into the queue. It fails where its backoff ends too late
+    /// for another attempt; a rejection is only for messages that wait ([`Destination::give_up`]).
     fn answer_or_retry(&mut self, id: MessageId, outcome: Outcome, context: &mut DecisionContext) {
         let Some(message) = self.messages.get_mut(&id) else {
             return;
--- a/src/destination/dispatch.rs
+++ b/src/destination/dispatch.rs
@@ -51,11 +51,11 @@
     fn open_endpoints(&mut self, context: &DecisionContext) -> Vec<EndpointId> {
         let mut ranked: Vec<(f64, EndpointId)> = Vec::new();
         for (endpoint, snapshot) in &self.endpoints {
-            if !snapshot.is_ready || snapshot.free_permits == 0 {
+            if !snapshot.is_ready || snapshot.free_calls == 0 {
                 continue;
             }
-            let limit = self.has_independent_limits.then_some(*endpoint);
-            match self.pacers.get_mut(&limit) {
+            let pacer_key = self.pacer_key(*endpoint);
+            match self.pacers.get_mut(&pacer_key) {
                 Some(pacer) if pacer.is_open(context.now) => {
                     ranked.push((snapshot.rank(), *endpoint));
                 }
@@ -73,7 +73,7 @@
         let snapshot = &self.endpoints[&endpoint];
         let choice = self.best_message_for(snapshot, context)?;
         let objective_at = self.messages[&choice.id].objective_at;
-        let pacer = self.pacers.get(&self.limit_of(endpoint));
+        let pacer = self.pacers.get(&self.pacer_key(endpoint));
         let has_spare_call = pacer.is_none_or(|pacer| pacer.has_spare_call(context.now));
         selection::may_take_call(context.now, objective_at, has_spare_call)
             .then(|| selection::loss_per_permit_time(choice.loss, snapshot.mean_latency))
@@ -121,8 +121,8 @@
             let class = context.class(group.class);
             let eligible = selection::eligible_objectives(
                 context.now,
-                group.due_to_deadline,
-                group.due_to_last_send,
+                group.objective_to_deadline,
+                group.objective_to_last_send,
                 class,
                 endpoint.is_degraded,
             );
--- a/src/destination/message.rs
+++ b/src/destination/message.rs
@@ -85,8 +85,8 @@
         let group = MessageGroup {
             class: self.class,
             weight_bits: self.weight.to_bits(),
-            due_to_deadline: since_objective(self.deadline),
-            due_to_last_send: since_objective(last_send),
+            objective_to_deadline: since_objective(self.deadline),
+            objective_to_last_send: since_objective(last_send),
             zone: retry::required_zone(semantics, self.possible_effect).map(|zone| zone.0),
         };
         QueueEntry {
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -18,7 +18,7 @@
 use crate::policy::health_check::{self, Trial};
 use crate::policy::outlier::{self, Circumstances, FailureAccrual, Verdict};
 use crate::policy::selection;
-use crate::policy::slow_start::{self, FleetShare, SlowStartBudget};
+use crate::policy::slow_start::{self, ForwarderShare, SlowStartBudget};
 use rand::Rng;
 
 /// What an endpoint may get.
@@ -232,7 +232,7 @@
         let circumstances = Circumstances {
             now: context.now,
             overload_window: context.config.rules.overload_window,
-            is_budget_scant: self.fleet_share(context.now, context.config).is_scant,
+            is_budget_scant: self.forwarder_share(context.now, context.config).is_scant,
         };
         if outcome == Outcome::WithdrawnBeforeSend {
             self.budget.refund_call();
@@ -284,30 +284,30 @@
     }
 
     /// The part of its capacity that it may get from the whole fleet while it is not healthy.
-    fn capacity_share(&self, now: Micros, config: &Config) -> f64 {
+    fn allowed_load(&self, now: Micros, config: &Config) -> f64 {
         let warming_since = match self.health {
             Health::WarmingUp { since } => Some(since),
             _ => None,
         };
-        slow_start::capacity_share(now, warming_since, &config.rules)
+        slow_start::allowed_load(now, warming_since, &config.rules)
     }
 
     /// What it may get from this forwarder while it is not healthy.
-    fn fleet_share(&self, now: Micros, config: &Config) -> FleetShare {
-        slow_start::fleet_share(self.capacity_share(now, config), self.capacity, config)
+    fn forwarder_share(&self, now: Micros, config: &Config) -> ForwarderShare {
+        slow_start::forwarder_share(self.allowed_load(now, config), self.capacity, config)
     }
 
     fn tick(&mut self, tick: EndpointTick, context: &mut DecisionContext) {
         self.capacity = tick.capacity;
-        let share = self.fleet_share(context.now, context.config);
+        let share = self.forwarder_share(context.now, context.config);
         if self.health != Health::Healthy {
-            let capacity_share = self.capacity_share(context.now, context.config);
+            let allowed_load = self.allowed_load(context.now, context.config);
             self.budget
-                .refill(context.now, share, tick.arrivals, capacity_share);
+                .refill(context.now, share, tick.arrivals, allowed_load);
         }
-        // Forwarders that a pause holds back together must not all call as it ends.
+        // Without this, the forwarders that a pause holds back would all call as it ends.
         if tick.is_paused && self.budget.has_call() {
-            self.budget.scatter(context.rng.random());
+            self.budget.randomise(context.rng.random());
         }
         self.finish_warm_up(context.now, context.config);
         let latency_bound = self.snapshot.latency_bound;
@@ -316,7 +316,7 @@
             self.eject(EjectionReason::Silence, context);
         }
         if !tick.is_paused {
-            self.try_readmission(share, context);
+            self.start_trial_if_due(share, context);
         }
     }
 
@@ -328,8 +328,8 @@
         }
     }
 
-    /// Tries an ejected endpoint once its budget holds a call.
-    fn try_readmission(&mut self, share: FleetShare, context: &mut DecisionContext) {
+    /// Starts a trial of an ejected endpoint once its budget holds a call.
+    fn start_trial_if_due(&mut self, share: ForwarderShare, context: &mut DecisionContext) {
         let is_due = context.config.may_health_check
             && self.status == EndpointStatus::Ready
             && self.health == Health::Ejected
--- a/src/endpoint/snapshot.rs
+++ b/src/endpoint/snapshot.rs
@@ -14,7 +14,7 @@
     /// Drawn at random; see [`selection::tie_breaker`].
     pub tie_breaker: f64,
     /// Calls that it may get now.
-    pub free_permits: usize,
+    pub free_calls: usize,
     /// Calls out there.
     pub calls: usize,
     /// Whether the list has it as ready.
@@ -22,8 +22,9 @@
     pub is_ejected: bool,
     /// Whether it fails, is slow or is ejected.
     pub is_degraded: bool,
-    /// Whether time changes nothing here: no call, health check or warm-up is under way.
-    pub is_settled: bool,
+    /// Whether it needs no ticks: no call is out, and it is healthy or its budget is scant. An
+    /// endpoint with a scant budget is tried by the next message.
+    pub needs_no_ticks: bool,
     /// µs.
     pub mean_latency: f64,
     /// Time within which an answer is expected, µs.
@@ -41,23 +42,23 @@
     /// Brings the snapshot up to date.
     pub fn update_snapshot(&mut self, context: &DecisionContext) {
         let all = context.latency;
-        let is_settled = self.calls.is_empty()
+        let needs_no_ticks = self.calls.is_empty()
             && (self.health == Health::Healthy
-                || self.fleet_share(context.now, context.config).is_scant);
+                || self.forwarder_share(context.now, context.config).is_scant);
         self.snapshot = EndpointSnapshot {
-            free_permits: self.free_permits(context),
+            free_calls: self.free_calls(context),
             calls: self.calls.len(),
             is_ready: self.status == EndpointStatus::Ready,
             is_ejected: self.is_ejected(),
             is_degraded: self.is_ejected() || self.is_slow(context) || self.failures.is_degraded(),
-            is_settled,
+            needs_no_ticks,
             mean_latency: attempt_timeout::mean_latency(&self.latency, all),
             latency_bound: attempt_timeout::latency_bound(&self.latency, all),
             ..self.snapshot
         };
     }
 
-    fn free_permits(&self, context: &DecisionContext) -> usize {
+    fn free_calls(&self, context: &DecisionContext) -> usize {
         let mean_latency = attempt_timeout::mean_latency(&self.latency, context.latency);
         let limit = concurrency::endpoint_limit(self.capacity, mean_latency);
         let free = limit.saturating_sub(self.calls.len());
--- a/src/forwarder.rs
+++ b/src/forwarder.rs
@@ -68,8 +68,8 @@
     candidates: Vec<Candidate>,
     /// When the next tick is due.
     next_tick_at: Option<Micros>,
-    /// Nothing is sent before: the process stood still.
-    stalled_until: Micros,
+    /// Nothing is sent before, after the process stood still.
+    sends_paused_until: Micros,
     list_poller: ListPoller,
     gossip: Gossip,
     connection_scarcity: ConnectionScarcity,
@@ -96,7 +96,7 @@
             activities: BTreeMap::new(),
             candidates: Vec::new(),
             next_tick_at: None,
-            stalled_until: 0,
+            sends_paused_until: 0,
             list_poller: ListPoller::default(),
             gossip: Gossip::default(),
             connection_scarcity: ConnectionScarcity::default(),
@@ -116,7 +116,7 @@
         self.restore_for(now, &event);
         let max_summaries = crate::idle::max_summaries_after(&event);
         self.apply(now, event, actions);
-        self.settle(now, actions);
+        self.drain_mailboxes(now, actions);
         self.run_scheduling_rounds(now, actions);
         self.summarise_idle(now, max_summaries);
         self.schedule_tick(now, actions);
@@ -128,7 +128,7 @@
         let tolerance = self.config.rules.drain_grace / 2;
         if self.next_tick_at.is_some_and(|due| now > due + tolerance) {
             self.next_tick_at = Some(now);
-            self.stalled_until = now + TIMER_INTERVAL;
+            self.sends_paused_until = now + TIMER_INTERVAL;
         }
     }
 
@@ -148,7 +148,7 @@
 
     /// Lets the parts handle their messages until all mailboxes are empty. Endpoints go first,
     /// then destinations, then the forwarder itself.
-    fn settle(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn drain_mailboxes(&mut self, now: Micros, actions: &mut Vec<Action>) {
         loop {
             if let Some((id, message)) = self.mailboxes.endpoints.pop_front() {
                 let (tables, mut context) = self.split(now);
--- a/src/forwarder/context.rs
+++ b/src/forwarder/context.rs
@@ -11,7 +11,7 @@
     pub config: &'a Config,
     pub rng: &'a mut Pcg64Mcg,
     pub mailboxes: &'a mut Mailboxes,
-    /// Whether connections fail here and there, so that idle ones are closed.
+    /// Whether so many attempts get no connection that idle ones are closed.
     pub are_connections_scarce: bool,
     /// Latency over all endpoints.
     pub latency: &'a LatencyEstimator,
--- a/src/forwarder/endpoint_list.rs
+++ b/src/forwarder/endpoint_list.rs
@@ -84,7 +84,7 @@
             for entry in entries.by_ref().take(LIST_CHUNK) {
                 self.restore_and_apply(now, entry);
             }
-            self.settle(now, actions);
+            self.drain_mailboxes(now, actions);
             self.summarise_idle(now, DESTINATIONS_PER_ENTRY * LIST_CHUNK);
         }
     }
@@ -166,7 +166,8 @@
             destination.has_independent_limits = kind.has_independent_limits;
             destination.batch_size = kind.batch_size;
         }
-        // Beyond what is held in full it counts as listed long ago: it is summarised at once.
+        // A new endpoint gets the same grace for failed connections as one that has just answered.
+        // Beyond what is held in full it gets none: it can be summarised at once.
         let answered_at = if is_beyond_full { 0 } else { now };
         self.endpoints.entry(entry.endpoint).or_insert_with(|| {
             let mut endpoint = Endpoint::new(entry.endpoint, entry.destination, kind.batch_size);
--- a/src/forwarder/events.rs
+++ b/src/forwarder/events.rs
@@ -190,7 +190,7 @@
                 destination,
                 activity: None,
             } => {
-                self.settle_destination(now, destination);
+                self.release_destination(now, destination);
             }
         }
     }
@@ -209,7 +209,7 @@
     }
 
     /// Nothing is under way at a destination: it may be forgotten or summarised.
-    fn settle_destination(&mut self, now: Micros, id: DestinationId) {
+    fn release_destination(&mut self, now: Micros, id: DestinationId) {
         self.activities.remove(&id);
         let is_empty = |d: &Destination| d.endpoints.is_empty() && d.messages.is_empty();
         if self.destinations.get(&id).is_some_and(is_empty) {
--- a/src/forwarder/idle_destinations.rs
+++ b/src/forwarder/idle_destinations.rs
@@ -3,7 +3,7 @@
 use super::Forwarder;
 use crate::destination::Destination;
 use crate::endpoint::{Endpoint, EndpointSnapshot};
-use crate::idle::{BindingState, Summary, RETRY_INTERVAL};
+use crate::idle::{BindingState, Summary, SUMMARISE_RETRY_INTERVAL};
 use crate::model::{
     DestinationId, EndpointEntry, EndpointId, EndpointStatus, Event, Micros, ZoneId,
 };
@@ -66,7 +66,7 @@
             return;
         };
         let pacer = summary.pacer(binding.as_ref(), now);
-        let limit = destination.limit_of(endpoint);
+        let limit = destination.pacer_key(endpoint);
         destination.pacers.entry(limit).or_insert(pacer);
         destination
             .endpoints
@@ -89,8 +89,10 @@
                 continue;
             };
             let cost = self.cost_in(zone, has_independent_limits);
-            let limit = has_independent_limits.then_some(*id);
-            let capacity = destination.pacers.get(&limit).map_or(0.0, |p| p.capacity);
+            let pacer = destination
+                .pacers
+                .get(&has_independent_limits.then_some(*id));
+            let capacity = pacer.map_or(0.0, |pacer| pacer.capacity);
             let (tables, context) = self.split(now);
             if let Some(endpoint) = tables.endpoints.get_mut(id) {
                 endpoint.capacity = capacity / sharing;
@@ -154,7 +156,7 @@
         let Some(destination) = self.destinations.get(&id) else {
             return;
         };
-        if destination.idle_since.is_some() {
+        if destination.summarise_due_at.is_some() {
             return;
         }
         let due = self.timers_over_at(destination, now);
@@ -180,7 +182,7 @@
 
     fn enqueue_idle(&mut self, id: DestinationId, due: Micros) {
         if let Some(destination) = self.destinations.get_mut(&id) {
-            destination.idle_since = Some(due);
+            destination.summarise_due_at = Some(due);
             self.idle.enqueue(due, id);
         }
     }
@@ -193,7 +195,7 @@
         let Some(destination) = self.destinations.get_mut(&id) else {
             return;
         };
-        if let Some(due) = destination.idle_since.take() {
+        if let Some(due) = destination.summarise_due_at.take() {
             self.idle.dequeue(due, id);
         }
     }
@@ -216,15 +218,15 @@
             self.leave_idle_queue(id);
             match self.summaries_of(now, id) {
                 Some(summaries) => self.summarise(id, summaries),
-                None => self.retry_later(now, id),
+                None => self.summarise_later(now, id),
             }
         }
     }
 
     /// A destination could not be summarised: it is looked at again, unless it is in use.
-    fn retry_later(&mut self, now: Micros, id: DestinationId) {
+    fn summarise_later(&mut self, now: Micros, id: DestinationId) {
         if !self.activities.contains_key(&id) {
-            self.enqueue_idle(id, now + RETRY_INTERVAL);
+            self.enqueue_idle(id, now + SUMMARISE_RETRY_INTERVAL);
         }
     }
 
@@ -274,7 +276,7 @@
         destination: &Destination,
         id: EndpointId,
     ) -> Option<SummarisedEndpoint> {
-        let pacer = destination.pacers.get(&destination.limit_of(id))?;
+        let pacer = destination.pacers.get(&destination.pacer_key(id))?;
         let endpoint = self.endpoints.get(&id)?;
         let is_summarisable = |endpoint: &Endpoint| {
             endpoint.destination == destination.id
--- a/src/forwarder/mailbox.rs
+++ b/src/forwarder/mailbox.rs
@@ -1,9 +1,10 @@
 //! The messages between the three parts of the core, and their mailboxes.
 //!
 //! [`Forwarder`](super::Forwarder), [`Destination`](crate::destination::Destination) and
-//! [`Endpoint`](crate::endpoint::Endpoint) share no state. Each handles one message at a time and
-//! answers by messages; `Forwarder::settle` empties the mailboxes within the event that filled
-//! them.
+//! [`Endpoint`](crate::endpoint::Endpoint) decide on their own state alone. Each
+//! handles one message at a time and answers by messages; `Forwarder::drain_mailboxes` empties the
+//! mailboxes within the event that filled them. Only creating and restoring a part writes its state
+//! from outside.
 
 use crate::destination::Message;
 use crate::endpoint::EndpointSnapshot;
@@ -27,7 +28,8 @@
     OutcomeUnknown { key: OrderKey },
     /// A destination would use a permit.
     Candidate(Candidate),
-    /// What is under way at a destination; none: nothing, and time changes nothing there.
+    /// What is under way at a destination. None: no messages, no calls, and no timer that needs a
+    /// tick.
     Activity {
         destination: DestinationId,
         activity: Option<Activity>,
@@ -81,9 +83,9 @@
         endpoint: EndpointId,
         retry_after: Micros,
     },
-    /// Say what you would do with a permit.
+    /// Name a candidate for a permit, if there is one.
     RequestCandidate,
-    /// You have the permit.
+    /// Use a permit for the candidate.
     GrantPermit,
     /// Too many messages are held: give one up.
     ShedLoad,
--- a/src/forwarder/scheduler.rs
+++ b/src/forwarder/scheduler.rs
@@ -41,16 +41,16 @@
             if free.total > 0 {
                 self.request_candidates();
             }
-            self.settle(now, actions);
+            self.drain_mailboxes(now, actions);
             if self.grant_permits(free) == 0 {
                 return;
             }
-            self.settle(now, actions);
+            self.drain_mailboxes(now, actions);
         }
     }
 
     fn free_permits(&self, now: Micros) -> FreePermits {
-        let permits = if now < self.stalled_until {
+        let permits = if now < self.sends_paused_until {
             0
         } else {
             self.config.concurrency_limit as usize
--- a/src/forwarder/submissions.rs
+++ b/src/forwarder/submissions.rs
@@ -8,7 +8,7 @@
 use crate::policy::ordering::QueuedMessage;
 
 impl Forwarder {
-    /// Hands a submitted message to its destination.
+    /// Hands a submitted message to its destination. An unknown class counts as the last one.
     pub(super) fn submit(&mut self, now: Micros, submission: Submission) {
         let class = (submission.class.0 as usize).min(self.config.classes.len() - 1);
         let message = self.new_message(now, class, &submission);
--- a/src/idle.rs
+++ b/src/idle.rs
@@ -30,8 +30,8 @@
 /// Destinations summarised after an event other than a list. It restores one at most, so that a
 /// backlog shrinks, at some µs each.
 const SUMMARIES_PER_EVENT: usize = 8;
-/// Until a destination that could not be summarised is looked at again.
-pub(crate) const RETRY_INTERVAL: Micros = 2 * SILENCE_THRESHOLD;
+/// How long a destination that could not be summarised waits until it is looked at again.
+pub(crate) const SUMMARISE_RETRY_INTERVAL: Micros = 2 * SILENCE_THRESHOLD;
 
 /// How many destinations may be summarised after this event.
 pub(crate) fn max_summaries_after(event: &Event) -> usize {
--- a/src/model/action.rs
+++ b/src/model/action.rs
@@ -77,7 +77,8 @@
     },
     /// Writes a line to the log.
     Log(LogEvent),
-    /// Writes an error to the log: something that must never happen.
+    /// Writes an error to the log: something that must never happen. The core has no such case now;
+    /// the simulator's protocol names it.
     LogError(String),
 }
 
@@ -93,7 +94,7 @@
         /// Why.
         reason: EjectionReason,
     },
-    /// An ejected endpoint answers: it gets calls again, few at first.
+    /// An ejected endpoint took a message: it gets calls again, few at first.
     EndpointReadmitted {
         /// The group of the endpoint.
         destination: DestinationId,
@@ -112,7 +113,7 @@
 /// Why an endpoint was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionReason {
-    /// Too many of the latest attempts failed.
+    /// Several failures or rejections in a row, or too many among the latest attempts.
     Failures,
     /// It takes calls and answers none.
     Silence,
@@ -123,7 +124,7 @@
 impl fmt::Display for EjectionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            EjectionReason::Failures => "most attempts fail",
+            EjectionReason::Failures => "too many failures",
             EjectionReason::Silence => "attempts stay unanswered",
             EjectionReason::LongRetryAfter => "asked for a long retry-after",
         })
--- a/src/model/config.rs
+++ b/src/model/config.rs
@@ -22,11 +22,11 @@
 /// Endpoints that drop each other's repeats of an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All endpoints of the destination.
+    /// All endpoints.
     AllEndpoints,
-    /// Those of one zone.
+    /// Those of the same zone.
     Zone,
-    /// Those of one destination; a message that may have taken effect can't be rejected with a retry-after then.
+    /// Those of the same destination. The settings can name it (`cell`); no deployment does.
     Destination,
 }
 
@@ -161,7 +161,8 @@
     pub notified_within: Option<Micros>,
     /// The figures of the service rules.
     pub rules: RuleConfig,
-    /// The shortest time between two scheduling rounds.
+    /// The shortest time between two ticks of the core's timers. Scheduling rounds run after every
+    /// event.
     pub scheduling_interval: Micros,
     /// Destinations whose state is held in full before idle ones are summarised. None: all, always.
     pub full_destinations: Option<u32>,
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -74,9 +74,10 @@
         outcome: Outcome,
         /// Time since it was sent.
         took: Micros,
-        /// The message is over and needs no further answer.
+        /// The front has closed the message: it needs no further answer. A delivery that comes with
+        /// `false` was too late, and the message fails.
         completed: bool,
-        /// What the endpoint said of its load, in the order of the settings.
+        /// What the endpoint said of its load: one figure for each name in the settings.
         report: Vec<f32>,
     },
     /// An answer asks to be left alone for a while. How its attempt or health check ended comes later, and may be
@@ -128,7 +129,7 @@
         outcome: Outcome,
         /// Time since it was sent.
         took: Micros,
-        /// What the endpoint said of its load, in the order of the settings.
+        /// What the endpoint said of its load: one figure for each name in the settings.
         report: Vec<f32>,
     },
     /// The forwarder ends soon: nothing new is to be sent.
--- a/src/model/outcome.rs
+++ b/src/model/outcome.rs
@@ -24,7 +24,7 @@
     Cancelled,
     /// Withdrawn before its last byte went: it has surely not run, and the attempt does not count.
     WithdrawnBeforeSend,
-    /// Not sent at all.
+    /// Not sent at all. Unlike a withdrawn attempt it counts, and the message backs off.
     NotAttempted {
         /// Whether a concurrency permit was missing, as the front found.
         no_permit: bool,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -2,9 +2,10 @@
 //! hears.
 //!
 //! Messages beyond a tenant's quota count less. Once nearly as many messages are held as may be,
-//! the one that counts least in the longest queue is given up. A message that waits and can't be
-//! delivered in time is rejected with a retry-after where another try does no harm, else it
-//! fails. Times are µs, quotas messages per second for the whole fleet.
+//! the one that counts least in the longest queue is given up. A waiting message that is given up
+//! is rejected with a retry-after where another try does no harm, else it fails. Two further ends
+//! are in `destination/attempts.rs`: a message fails without a question where its next attempt
+//! would come too late, and where it was delivered after its deadline. Times are µs, quotas messages per second for the whole fleet.
 //! Source: the design page (bounded work, final answers); the quota's burst is ours.
 
 use super::retry;
@@ -17,7 +18,7 @@
 const QUOTA_BURST_SECONDS: f64 = 2.0;
 /// Part of the message capacity that is used: beyond it the front turns work away unseen.
 const CAPACITY_IN_USE: f64 = 0.95;
-/// What a client is asked to wait at least.
+/// What a client is asked to wait at least, unless `max_retry_after` is shorter.
 const MIN_RETRY_AFTER: Micros = 1_000_000;
 
 /// What is left of each tenant's quota.
@@ -101,7 +102,7 @@
 
 /// The final answer to a message that waits at a destination which is paused until then.
 ///
-/// A message that was never sent has not failed, however late it is.
+/// A message without an attempt has not failed, however late it is.
 pub fn final_answer(
     now: Micros,
     message: Undelivered,
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -10,7 +10,8 @@
 use crate::latency::LatencyEstimator;
 use crate::model::{DeliveryClassConfig, DeliverySemantics, Micros};
 
-/// An attempt that is unanswered for less than this means nothing: pauses are shorter.
+/// An attempt that is unanswered for less than this says nothing: a healthy endpoint may stall for
+/// as long.
 pub const SILENCE_THRESHOLD: Micros = 1_000_000;
 
 /// Weight of a new answer in the running mean: some eight answers count.
@@ -21,12 +22,15 @@
 const BOUND_DEVIATIONS: f64 = 8.0;
 /// Deviations above the mean from which a call is slow.
 const SLOW_DEVIATIONS: f64 = BOUND_DEVIATIONS / 2.0;
-/// How much longer an attempt may take while nothing is gained by cancelling it.
+/// How much longer an attempt may take while permits are free, and again where it must not be
+/// repeated.
 const SLACK: f64 = 2.0;
+/// The timeout of a call, in attempt bounds: beyond any moment at which it is cancelled.
+const TIMEOUT_BOUNDS: f64 = SLACK * SLACK;
 /// Keeps the factor in range.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// Whether another message waits for the permit that an attempt holds.
+/// Whether concurrency permits are left: if none is, other messages may wait for one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permits {
     /// Some are free.
@@ -49,7 +53,8 @@
     estimate.observe(latency as f64, ANSWER_WEIGHT);
 }
 
-/// The latency to expect of an endpoint; few answers of its own are eked out with those of all.
+/// The latency to expect of an endpoint. Where it has few answers of its own, the estimate over all
+/// endpoints makes up for the rest.
 pub fn mean_latency(own: &LatencyEstimator, all: &LatencyEstimator) -> f64 {
     own.blend_with(all, TRUSTED_ANSWERS, |estimate| estimate.mean)
 }
@@ -97,7 +102,7 @@
     attempt_bound: f64,
     time_left: Micros,
 ) -> Option<Micros> {
-    let longest = (SLACK * SLACK * attempt_bound).min(class.time_to_live as f64 / 2.0);
+    let longest = (TIMEOUT_BOUNDS * attempt_bound).min(class.time_to_live as f64 / 2.0);
     let timeout = match class.semantics {
         DeliverySemantics::AtMostOnce => return None,
         DeliverySemantics::Idempotent => longest as Micros,
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -2,7 +2,8 @@
 //! one endpoint.
 //!
 //! A forwarder has a fixed number of concurrency permits. A destination gets a share of them, a
-//! smaller one while it is degraded, and all degraded ones together leave the rest to the others.
+//! smaller one while any of its endpoints is degraded, and all degraded ones together leave the
+//! rest to the others.
 //! An endpoint gets what its capacity keeps busy, and as much again.
 //! Source: the design page ("calls per destination under a share of slots").
 
--- a/src/policy/connection_reuse.rs
+++ b/src/policy/connection_reuse.rs
@@ -1,7 +1,8 @@
 //! Whether idle connections to endpoints are kept.
 //!
 //! A fleet whose forwarders each keep a connection that they seldom use can fill an endpoint's
-//! connection table. So once connections fail here and there, none is kept. The rule is ours.
+//! connection table. So while more than 0.2% of attempts get no connection, none is kept. The rule
+//! is ours.
 
 use crate::model::Outcome;
 
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -5,7 +5,7 @@
 //! would come too late for it, and now and then at random, for health checks may be what fails.
 //! The rule is ours.
 
-use super::slow_start::FleetShare;
+use super::slow_start::ForwarderShare;
 use crate::model::{Config, MICROS_PER_SECOND};
 use rand::Rng;
 
@@ -22,7 +22,7 @@
 }
 
 /// Chooses what tries an ejected endpoint whose budget holds a call.
-pub fn choose_trial(share: FleetShare, config: &Config, rng: &mut impl Rng) -> Trial {
+pub fn choose_trial(share: ForwarderShare, config: &Config, rng: &mut impl Rng) -> Trial {
     let objective = config.shortest_latency_objective() as f64;
     let is_next_call_late = share.calls_per_second * objective < MICROS_PER_SECOND;
     if share.is_scant || is_next_call_late || rng.random_bool(MESSAGE_CHANCE) {
--- a/src/policy/health_check/tests.rs
+++ b/src/policy/health_check/tests.rs
@@ -13,7 +13,7 @@
         }],
         ..Config::default()
     };
-    let share = FleetShare {
+    let share = ForwarderShare {
         calls_per_second,
         is_scant,
     };
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -2,8 +2,8 @@
 //!
 //! An endpoint is ejected after several failures in a row, once most of its latest attempts
 //! failed, when it answers none of several calls, or when it asks for a wait that is longer than
-//! an overload lasts. It is readmitted by its first success ([`super::health_check`],
-//! [`super::slow_start`]). Failed connections alone prove nothing while other calls get through:
+//! an overload lasts. The first delivered message readmits it; a successful health check only
+//! lets a message try it ([`super::health_check`]). Failed connections alone prove nothing while other calls get through:
 //! a connection table may be full.
 //! Inputs are outcomes of attempts, times in µs. The rule is ours (`docs/design.md`).
 
@@ -14,17 +14,17 @@
 /// Latest outcomes that judge an endpoint: at a call per second a verdict turns within seconds.
 pub const WINDOW: usize = 8;
 /// Fewer successes than this in a full window eject: most attempts failed.
-const MIN_WINDOW_SUCCESSES: usize = 4;
-/// Failures in a row that eject: chance seldom makes three.
-const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// The same while the endpoint may get next to nothing: the retries of a large fleet add up.
-const MAX_CONSECUTIVE_FAILURES_SCANT: u32 = 2;
-/// Failed connections in a row from which they count as failures.
-const MAX_REFUSED_CONNECTIONS: u32 = 4;
+const EJECT_BELOW_SUCCESSES: usize = 4;
+/// Failures or rejections in a row from which an endpoint is ejected: chance seldom makes three.
+const EJECT_AFTER_FAILURES: u32 = 3;
+/// The same where a cold endpoint would get next to nothing: the retries of a large fleet add up.
+const EJECT_AFTER_FAILURES_SCANT: u32 = 2;
+/// Failed connections in a row that are excused while other calls get through.
+const EXCUSED_CONNECTION_FAILURES: u32 = 4;
 /// Failures in the window that make an endpoint degraded: one may be chance.
 const DEGRADED_FAILURES: usize = 2;
 /// Unanswered calls beyond the latency bound that eject.
-const MAX_SILENT_CALLS: usize = 2;
+const EJECT_AFTER_SILENT_CALLS: usize = 2;
 
 /// After an answer, failed connections prove nothing for this time.
 pub const CONNECTION_GRACE: Micros = 2 * SILENCE_THRESHOLD;
@@ -58,7 +58,7 @@
     }
 
     fn has_mostly_failures(&self) -> bool {
-        self.len() == WINDOW && self.len() - self.failures() < MIN_WINDOW_SUCCESSES
+        self.len() == WINDOW && self.len() - self.failures() < EJECT_BELOW_SUCCESSES
     }
 
     /// One bit an outcome, the newest in the lowest, 1 for a success.
@@ -96,7 +96,8 @@
     /// How long a destination is overloaded before it falls over: rejections over a shorter time
     /// come from a limit, not from an outage.
     pub overload_window: Micros,
-    /// Whether the endpoint may get next to nothing while it warms up.
+    /// Whether this forwarder's share of the endpoint is next to nothing. For a healthy endpoint:
+    /// whether it would be, if the endpoint were cold.
     pub is_budget_scant: bool,
 }
 
@@ -105,11 +106,11 @@
 pub struct FailureAccrual {
     /// The latest outcomes.
     pub window: OutcomeWindow,
-    /// Failures and rejections since the last success.
+    /// Failures and rejections since the last success. Excused connection failures don't count.
     pub consecutive_failures: u32,
     /// Failed connections since the last answer, while other calls got through.
     pub refused_connections: u32,
-    /// When the failures in a row began.
+    /// When the failures in a row began; while there are none, the time of the last outcome.
     pub run_started_at: Micros,
     /// When the endpoint answered last.
     pub answered_at: Micros,
@@ -151,7 +152,7 @@
 
     fn do_others_get_through(&self, now: Micros) -> bool {
         now < self.answered_at + CONNECTION_GRACE
-            && self.refused_connections < MAX_REFUSED_CONNECTIONS
+            && self.refused_connections < EXCUSED_CONNECTION_FAILURES
     }
 
     fn judge(&self, is_rejection: bool, circumstances: Circumstances) -> Verdict {
@@ -162,10 +163,10 @@
         };
         let run = self.consecutive_failures.max(self.refused_connections);
         let is_long_run =
-            run >= MAX_CONSECUTIVE_FAILURES && circumstances.now >= self.run_started_at + min_run;
+            run >= EJECT_AFTER_FAILURES && circumstances.now >= self.run_started_at + min_run;
         let is_scant_run = !is_rejection
             && circumstances.is_budget_scant
-            && self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES_SCANT;
+            && self.consecutive_failures >= EJECT_AFTER_FAILURES_SCANT;
         if is_long_run || is_scant_run || self.window.has_mostly_failures() {
             Verdict::Eject
         } else {
@@ -180,9 +181,9 @@
 }
 
 /// Whether so many calls, sent since the last answer and unanswered beyond the latency bound,
-/// eject an endpoint.
+/// eject an endpoint. Only a healthy one is judged by it.
 pub fn is_silent(unanswered_calls: usize) -> bool {
-    unanswered_calls >= MAX_SILENT_CALLS
+    unanswered_calls >= EJECT_AFTER_SILENT_CALLS
 }
 
 /// Whether a retry-after is too long for an overload: the destination is taken for shut.
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -23,10 +23,11 @@
 const REJECTION_RATE_FACTOR: f64 = 0.85;
 /// Growth of the interval after a rejection at most.
 const REJECTION_INTERVAL_FACTOR: f64 = 2.0;
-/// Seconds in which an interval recovers to 1/e.
-const RECOVERY_SECONDS: f64 = 4.0;
+/// Seconds in which the interval between calls recovers to 1/e. The recovery ramp of an endpoint
+/// is in [`super::slow_start`].
+const INTERVAL_RECOVERY_SECONDS: f64 = 4.0;
 /// The same in intervals, where calls are rare: what was learned serves for some calls.
-const RECOVERY_INTERVALS: f64 = 24.0;
+const INTERVAL_RECOVERY_INTERVALS: f64 = 24.0;
 /// An interval under this part of a call's time at the known capacity is none.
 const MIN_INTERVAL_CALLS: f64 = FIRST_INTERVAL_CALLS / 2.0;
 /// Seconds of missed sending that may be made up at once.
@@ -39,7 +40,8 @@
 pub struct ListedCapacity {
     /// For the whole fleet.
     pub calls_per_second: f64,
-    /// Whether the list knows it; else it is a guess that never binds.
+    /// Whether the list knows it; else it is a guess from the concurrency limit, which paces only
+    /// where the wait is shorter than the shortest latency objective.
     pub is_known: bool,
 }
 
@@ -92,9 +94,9 @@
             return;
         }
         let interval = EVEN_INTERVAL_SHARES * self.even_share_interval(config);
-        let harmless = config.shortest_latency_objective() as f64;
-        self.interval = if listed.is_known || interval < harmless {
-            interval.min(harmless)
+        let shortest_objective = config.shortest_latency_objective() as f64;
+        self.interval = if listed.is_known || interval < shortest_objective {
+            interval.min(shortest_objective)
         } else {
             0.0
         };
@@ -105,13 +107,15 @@
         f64::from(config.fleet_size.max(1)) * MICROS_PER_SECOND / self.capacity
     }
 
-    /// Shortens the interval by the time that calls have waited for it.
+    /// Shortens the interval by the time since the last recovery step, where any call waited for it
+    /// in between.
     pub fn recover(&mut self, now: Micros) {
         let passed = now.saturating_sub(self.recovered_at) as f64 / MICROS_PER_SECOND;
         self.recovered_at = now;
         let has_delayed = std::mem::take(&mut self.has_delayed);
         if has_delayed && now >= self.paused_until {
-            let span = RECOVERY_SECONDS.max(RECOVERY_INTERVALS * self.interval / MICROS_PER_SECOND);
+            let span = INTERVAL_RECOVERY_SECONDS
+                .max(INTERVAL_RECOVERY_INTERVALS * self.interval / MICROS_PER_SECOND);
             self.interval *= (-passed / span).exp();
         }
         if self.interval < MIN_INTERVAL_CALLS * MICROS_PER_SECOND / self.capacity {
@@ -129,9 +133,14 @@
         now >= self.next_call_at + self.interval as Micros
     }
 
-    /// Takes a call on. The next may go after the interval, half of it more or less at random, so
-    /// that forwarders fall out of step.
+    /// Takes a call on.
     pub fn start_call(&mut self, now: Micros, rng: &mut impl Rng) {
+        self.delay_next_call(now, rng);
+    }
+
+    /// The next call may go after the interval, half of it more or less at random, so that
+    /// forwarders don't call in step.
+    fn delay_next_call(&mut self, now: Micros, rng: &mut impl Rng) {
         let interval = self.interval * (0.5 + rng.random::<f64>());
         let earliest = now.saturating_sub(self.catch_up_time() as Micros);
         self.next_call_at = self.next_call_at.max(earliest) + interval as Micros;
@@ -155,14 +164,14 @@
         }
     }
 
-    /// A call sent at `sent_at` was rejected. Lengthens the interval once for all calls that were
-    /// sent before it was lengthened last, so that retries do not breed rejections.
+    /// A call that was sent at `sent_at` was rejected. Lengthens the interval, unless the call was
+    /// sent before the interval was lengthened last: that rejection is accounted for.
     pub fn rejected(&mut self, now: Micros, sent_at: Micros, config: &Config, rng: &mut impl Rng) {
         if sent_at >= self.lengthened_at {
             self.interval = self.interval_after_rejection(config);
             self.lengthened_at = now;
         }
-        self.start_call(now, rng);
+        self.delay_next_call(now, rng);
     }
 
     fn interval_after_rejection(&self, config: &Config) -> f64 {
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -10,7 +10,7 @@
 
 /// Wait before the first retry.
 const BASE_BACKOFF: Micros = 100_000;
-/// Longest wait, as a part of the time to live.
+/// Longest wait before jitter, as a part of the time to live.
 const MAX_BACKOFF_SHARE: f64 = 0.25;
 /// Largest random part, of the wait. Under 1, so that doubled waits still grow.
 const JITTER: f64 = 0.5;
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -13,8 +13,9 @@
 use rand::Rng;
 use std::ops::RangeInclusive;
 
-/// One part in so many of the time to live is kept for a degraded endpoint to recover in.
-const RESERVED_LIFE_PART: Micros = 4;
+/// In the last part of its time to live (one in so many) a message that must not be repeated may
+/// go to a degraded endpoint.
+const LAST_RESORT_LIFE_DIVISOR: Micros = 4;
 /// Width of the random tie-breaker between endpoints, in calls.
 const TIE_BREAKER: std::ops::Range<f64> = 0.5..1.5;
 
@@ -88,8 +89,8 @@
 /// The latency objectives (`objective_at`) of messages that an endpoint may get now.
 ///
 /// `objective_to_deadline` and `objective_to_last_send` are what the messages have in common. A
-/// message that must not be repeated is kept from a degraded endpoint while there is time: an
-/// endpoint that loses what it takes would lose it for good.
+/// message that must not be repeated is kept from a degraded endpoint until the last quarter of
+/// its time to live: an endpoint that loses what it takes would lose it for good.
 pub fn eligible_objectives(
     now: Micros,
     objective_to_deadline: i64,
@@ -99,16 +100,17 @@
 ) -> RangeInclusive<i64> {
     let earliest = (now + SEND_MARGIN) as i64 - objective_to_last_send + 1;
     let latest = if class.semantics == DeliverySemantics::AtMostOnce && degraded {
-        let reserved = (class.time_to_live / RESERVED_LIFE_PART) as i64;
-        now as i64 + reserved - objective_to_deadline - 1
+        let last_resort = (class.time_to_live / LAST_RESORT_LIFE_DIVISOR) as i64;
+        now as i64 + last_resort - objective_to_deadline - 1
     } else {
         i64::MAX
     };
     earliest..=latest
 }
 
-/// Whether a message may take the next paced call. A late one leaves it to messages that are not,
-/// for it loses no more by waiting, until a second call is to spare.
+/// Whether the best message may take the next paced call. A late one loses no more by waiting: it
+/// leaves the call to messages that come in time, until a second call is to spare. Only the best
+/// message is asked: where it is late, none goes.
 pub fn may_take_call(now: Micros, objective_at: Micros, has_spare_call: bool) -> bool {
     has_spare_call || objective_at > now
 }
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -26,8 +26,8 @@
 #[test]
 fn the_share_grows_over_the_warm_up_time_and_keeps_a_margin() {
     let rules = config(1).rules;
-    let share = |now| capacity_share(now, Some(0), &rules);
-    assert_close(capacity_share(SECOND, None, &rules), 0.8 * 2.0 * 0.1);
+    let share = |now| allowed_load(now, Some(0), &rules);
+    assert_close(allowed_load(SECOND, None, &rules), 0.8 * 2.0 * 0.1);
     assert_close(share(0), 0.8 * 2.0 * 0.1);
     assert_close(share(5 * SECOND), 0.8 * 2.0 * 0.55);
     assert_close(share(10 * SECOND), 0.8 * 2.0);
@@ -37,7 +37,7 @@
 #[test]
 fn the_shares_of_the_fleet_sum_to_the_allowed_load() {
     for fleet_size in [1, 4, 8] {
-        let share = fleet_share(0.16, 100.0, &config(fleet_size));
+        let share = forwarder_share(0.16, 100.0, &config(fleet_size));
         assert!(!share.is_scant);
         assert_close(share.calls_per_second * f64::from(fleet_size), 16.0);
     }
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_scant_share_is_halved_and_the_other_half_earned_by_messages() {
-    let share = fleet_share(0.16, 100.0, &config(400));
+    let share = forwarder_share(0.16, 100.0, &config(400));
     assert!(share.is_scant);
     assert_close(share.calls_per_second, 16.0 / 400.0 / 2.0);
     let mut budget = SlowStartBudget::new(0.0, 0);
@@ -55,9 +55,9 @@
 
 #[test]
 fn messages_earn_nothing_where_the_share_is_not_scant() {
-    let share = fleet_share(0.16, 1.0, &config(1));
+    let share = forwarder_share(0.16, 1.0, &config(1));
     assert!(share.is_scant);
-    let ample = FleetShare {
+    let ample = ForwarderShare {
         is_scant: false,
         ..share
     };
@@ -68,7 +68,7 @@
 
 #[test]
 fn many_messages_earn_one_and_a_half_halves_at_most() {
-    let share = fleet_share(0.16, 100.0, &config(400));
+    let share = forwarder_share(0.16, 100.0, &config(400));
     let mut budget = SlowStartBudget::new(0.0, 0);
     budget.refill(10 * SECOND, share, 1e6, 0.16);
     assert_close(budget.calls.tokens, 0.2 + 1.5 * 0.2);
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_budget_holds_one_call_at_most() {
-    let share = fleet_share(0.16, 100.0, &config(1));
+    let share = forwarder_share(0.16, 100.0, &config(1));
     let mut budget = SlowStartBudget::new(0.5, 0);
     assert!(!budget.has_call());
     budget.refill(100 * SECOND, share, 0.0, 0.16);
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -1,7 +1,8 @@
 //! The queue of a destination: its waiting messages, ordered so that the next one is found at
 //! little cost however many wait. The queue decides nothing.
 //!
-//! Messages that differ only in when they were due form a group, ordered by that time. Within a
+//! A message is due when its latency objective is over. Messages that differ only in when they are
+//! due form a group, ordered by that time. Within a
 //! group the expected loss of waiting is a smooth function of the due time between a few turning
 //! points, and rises or falls all the way from one to the next. The greatest and the least loss of
 //! each piece are therefore at its ends, so that a caller who looks for the best message of a group
@@ -18,7 +19,7 @@
 /// Messages of a group up to which comparing all is cheaper than finding the ends of its pieces.
 const SMALL_GROUP: usize = 16;
 
-/// Turning points at four lookaheads: four each, and the times beside each.
+/// Turning points at four moments ahead: four each, and the two times beside each.
 const MAX_TURNING_POINTS: usize = 4 * 4 * 3;
 
 /// What the messages of one group have in common.
@@ -28,10 +29,10 @@
     pub class: usize,
     /// The bits of the priority weight, an `f64`.
     pub weight_bits: u64,
-    /// µs from the due time to the deadline.
-    pub due_to_deadline: i64,
+    /// µs from the due time (its latency objective) to the deadline.
+    pub objective_to_deadline: i64,
     /// µs from the due time to the last moment to send.
-    pub due_to_last_send: i64,
+    pub objective_to_last_send: i64,
     /// The only zone that may receive the message, because it may have taken effect there.
     pub zone: Option<u16>,
 }
@@ -43,7 +44,7 @@
     pub id: MessageId,
     /// What it has in common with others.
     pub group: MessageGroup,
-    /// When it is due, in µs.
+    /// When it is due: its latency objective is over then, in µs.
     pub due: Micros,
     /// The last moment to send it, in µs.
     pub last_send: Micros,
@@ -268,25 +269,25 @@
     /// The due times at which the expected loss of waiting has a bend, each with the two times
     /// beside it, where rounding may put the bend.
     ///
-    /// The loss is evaluated at several moments, `lookaheads` in µs from `now`. It has a bend for a
+    /// The loss is evaluated at several moments, `look_ahead` in µs from `now`. It has a bend for a
     /// message that, sent at one of them, would be answered at its due time, at the end of the fall
-    /// of its weight (`fade` µs after its due time) or at its deadline, and for a message whose
-    /// last moment to send it is. An answer takes `answer_time` µs.
+    /// of its weight (`decay_time` µs after its due time) or at its deadline, and for a message whose
+    /// last moment to send it is. An answer takes `mean_latency` µs.
     pub fn turning_points(
         &self,
         now: f64,
-        answer_time: f64,
-        lookaheads: [f64; 4],
-        fade: f64,
+        mean_latency: f64,
+        look_ahead: [f64; 4],
+        decay_time: f64,
     ) -> Vec<i64> {
         let mut points = Vec::with_capacity(MAX_TURNING_POINTS);
-        for lookahead in lookaheads {
-            let answered = now + lookahead + answer_time;
+        for lookahead in look_ahead {
+            let answered = now + lookahead + mean_latency;
             let bends = [
                 answered,
-                answered - fade,
-                answered - self.due_to_deadline as f64,
-                now + lookahead - self.due_to_last_send as f64,
+                answered - decay_time,
+                answered - self.objective_to_deadline as f64,
+                now + lookahead - self.objective_to_last_send as f64,
             ];
             for bend in bends {
                 let bend = bend.floor() as i64;
