--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -2,7 +2,8 @@
 //!
 //! It turns the reports of the other actors into the core's events and carries out the core's actions in order.
 //! What must survive the process is journalled before it takes effect: a message before its client is answered, an
-//! attempt before its bytes are sent. The dispatcher itself decides nothing.
+//! attempt before its bytes are sent. It refuses submissions that it can't
+//! hold or route, and a delivery after the deadline does not complete a message; all other decisions are the core's.
 
 mod actions;
 mod attempts;
@@ -46,7 +47,7 @@
     seed: u64,
     forwarder: Forwarder,
     core_state: CoreState,
-    /// How often the core has panicked in this process.
+    /// How often the core was replaced in this process. Panics while it is being replaced don't count.
     core_panics: u64,
     journal: Journal,
     list: mpsc::Sender<EndpointListCommand>,
@@ -146,7 +147,7 @@
         let mut shutting_down = false;
         let list_wait_over = Instant::now() + LIST_WAIT;
         loop {
-            if shutting_down && self.is_idle() {
+            if shutting_down && self.has_nothing_out() {
                 return;
             }
             let next_timer = self.timers.next().map(|at| self.clock.at(at));
@@ -172,7 +173,7 @@
     }
 
     /// Whether neither an attempt nor a completion report is out.
-    fn is_idle(&self) -> bool {
+    fn has_nothing_out(&self) -> bool {
         !self.in_flight.has_attempts_out() && self.pending_reports.is_empty()
     }
 
--- a/crates/forwarder/src/dispatcher/completion.rs
+++ b/crates/forwarder/src/dispatcher/completion.rs
@@ -50,7 +50,7 @@
         if self.completion_reports.send(report).is_err() {
             error!(
                 self.log,
-                "completion report lost: the reporting actor has ended"
+                "completion report delayed until the next start: the reporting actor has ended"
             );
         }
     }
