--- /dev/null
+++ b/crates/forwarder/src/endpoints/stream.rs
@@ -0,0 +1,231 @@
+//! The stream under a connection to an endpoint.
+//!
+//! It counts the bytes written, passes what comes through the response filter, and fails where bytes come that belong to no
+//! request: they must not be taken for the answer to the next one.
+
+use super::response_filter::{ResponseFilter, MAX_FIRST_LINE_BYTES};
+use socket2::SockRef;
+use std::io::{self, Read};
+use std::pin::Pin;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::sync::watch;
+
+/// Bytes read at once while a first line is awaited. Most answers fit whole.
+const READ_BYTES: usize = 2048;
+
+/// How far the answer to the present request has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AnswerProgress {
+    /// No request is out: bytes that come now belong to none.
+    NoRequest,
+    /// A request is out. Nothing of its answer is in, or 1xx heads alone.
+    Awaited,
+    /// The first bytes of the answer are in.
+    Started,
+    /// The first line is in and has this status. What follows may still be invalid.
+    Status(u16),
+}
+
+impl AnswerProgress {
+    fn has_started(self) -> bool {
+        matches!(self, AnswerProgress::Started | AnswerProgress::Status(_))
+    }
+}
+
+/// What a stream shows to those who use its connection.
+pub struct StreamState {
+    bytes_written: AtomicU64,
+    /// Bytes written before the present request.
+    bytes_before_request: AtomicU64,
+    answer: watch::Sender<AnswerProgress>,
+}
+
+impl StreamState {
+    fn new() -> StreamState {
+        StreamState {
+            bytes_written: AtomicU64::new(0),
+            bytes_before_request: AtomicU64::new(0),
+            answer: watch::Sender::new(AnswerProgress::NoRequest),
+        }
+    }
+
+    /// Bytes of the present request that were written to the socket.
+    pub fn request_bytes_written(&self) -> u64 {
+        let before = self.bytes_before_request.load(Ordering::Relaxed);
+        self.bytes_written.load(Ordering::Relaxed) - before
+    }
+
+    /// How far the answer has come.
+    pub fn answer_progress(&self) -> AnswerProgress {
+        *self.answer.borrow()
+    }
+
+    /// Waits until an answer has started and its exchange has not ended for so long. A 1xx head starts the wait anew.
+    pub async fn answer_head_stalled(&self, timeout: Duration) {
+        let mut answer = self.answer.subscribe();
+        while answer.wait_for(|now| now.has_started()).await.is_ok() {
+            let back = answer.wait_for(|now| !now.has_started());
+            if tokio::time::timeout(timeout, back).await.is_err() {
+                return;
+            }
+        }
+    }
+
+    /// Marks the present exchange as over.
+    pub fn end_exchange(&self) {
+        let written = self.bytes_written.load(Ordering::Relaxed);
+        self.bytes_before_request.store(written, Ordering::Relaxed);
+        self.answer.send_replace(AnswerProgress::NoRequest);
+    }
+
+    fn add_bytes_written(&self, count: usize) {
+        self.bytes_written
+            .fetch_add(count as u64, Ordering::Relaxed);
+    }
+
+    /// Notes a step of the answer. Further bytes of a first line that has started already wake nobody.
+    fn set_answer_progress(&self, progress: AnswerProgress) {
+        self.answer.send_if_modified(|now| {
+            let again = *now == progress && progress == AnswerProgress::Started;
+            *now = progress;
+            !again
+        });
+    }
+}
+
+/// A stream to an endpoint.
+pub struct EndpointStream {
+    socket: TcpStream,
+    state: Arc<StreamState>,
+    filter: ResponseFilter,
+}
+
+impl EndpointStream {
+    /// A stream over a new connection, and its state.
+    pub fn new(socket: TcpStream) -> (EndpointStream, Arc<StreamState>) {
+        let state = Arc::new(StreamState::new());
+        let stream = EndpointStream {
+            socket,
+            state: state.clone(),
+            filter: ResponseFilter::new(),
+        };
+        (stream, state)
+    }
+
+    /// Starts an exchange with the first byte of a request. Fails where bytes lie in the socket that belong to no request.
+    /// The socket itself is asked, because the runtime may not have read it yet.
+    fn begin_exchange(&mut self) -> io::Result<()> {
+        if self.state.answer_progress() != AnswerProgress::NoRequest {
+            return Ok(());
+        }
+        match (&*SockRef::from(&self.socket)).read(&mut [0]) {
+            Err(problem) if problem.kind() == io::ErrorKind::WouldBlock => {}
+            _ => return Err(io::ErrorKind::ConnectionReset.into()),
+        }
+        self.state.set_answer_progress(AnswerProgress::Awaited);
+        self.filter.expect_answer();
+        Ok(())
+    }
+
+    fn count_written(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        if let Poll::Ready(Ok(count)) = &written {
+            self.state.add_bytes_written(*count);
+        }
+        written
+    }
+
+    /// Reads bytes of an answer after its first line, straight to the library.
+    fn poll_read_through(
+        &mut self,
+        cx: &mut Context<'_>,
+        output: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let before = output.filled().len();
+        ready!(Pin::new(&mut self.socket).poll_read(cx, output))?;
+        let bytes_came = output.filled().len() > before;
+        if bytes_came && self.state.answer_progress() == AnswerProgress::NoRequest {
+            return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
+        }
+        Poll::Ready(Ok(()))
+    }
+
+    /// Reads until the filter lets bytes through to the library, or to the end of the stream. A first line that the end
+    /// cuts off is dropped.
+    fn poll_read_filtered(
+        &mut self,
+        cx: &mut Context<'_>,
+        output: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        loop {
+            // What was kept back of a first line must fit beside what comes now.
+            let space = output.remaining().saturating_sub(MAX_FIRST_LINE_BYTES);
+            let mut buffer = [0; READ_BYTES];
+            let mut input = ReadBuf::new(&mut buffer[..space.clamp(1, READ_BYTES)]);
+            ready!(Pin::new(&mut self.socket).poll_read(cx, &mut input))?;
+            if input.filled().is_empty() {
+                return Poll::Ready(Ok(()));
+            }
+            let before = output.filled().len();
+            let state = &self.state;
+            self.filter.push(input.filled(), output, |progress| {
+                state.set_answer_progress(progress);
+            })?;
+            if output.filled().len() > before {
+                return Poll::Ready(Ok(()));
+            }
+        }
+    }
+}
+
+impl AsyncRead for EndpointStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        output: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        if self.filter.passes_through() {
+            self.poll_read_through(cx, output)
+        } else {
+            self.poll_read_filtered(cx, output)
+        }
+    }
+}
+
+impl AsyncWrite for EndpointStream {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        self.begin_exchange()?;
+        let written = Pin::new(&mut self.socket).poll_write(cx, bytes);
+        self.count_written(written)
+    }
+
+    fn poll_write_vectored(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        slices: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        self.begin_exchange()?;
+        let written = Pin::new(&mut self.socket).poll_write_vectored(cx, slices);
+        self.count_written(written)
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.socket.is_write_vectored()
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.socket).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.socket).poll_shutdown(cx)
+    }
+}
--- /dev/null
+++ b/crates/forwarder/src/endpoints/tests/answers.rs
@@ -0,0 +1,272 @@
+//! What an answer, whole or not, says of its attempt.
+
+use super::*;
+
+#[tokio::test]
+async fn each_status_has_its_outcome() {
+    let mut fixture = TestFixture::new().await;
+    let retry_after = |ms: u64| Outcome::Rejected {
+        retry_after: Some(ms * 1000),
+    };
+    let answers = [
+        ("200 OK", Outcome::Delivered, true),
+        ("500 Oops", Outcome::Error, false),
+        ("429 Wait\r\nWait-Ms: 250", retry_after(250), false),
+        ("429 Wait", Outcome::Rejected { retry_after: None }, false),
+        ("503 Full", Outcome::Rejected { retry_after: None }, false),
+        (
+            "503 Slots\r\nSlots-Taken: 1",
+            Outcome::NotAttempted { no_permit: true },
+            false,
+        ),
+        (
+            "504 Used",
+            Outcome::NotAttempted { no_permit: false },
+            false,
+        ),
+        ("410 Over", Outcome::NotAttempted { no_permit: false }, true),
+        ("400 What", Outcome::Error, false),
+    ];
+    fixture.start_attempt(&Bytes::new(), 1000).await;
+    let mut stream = fixture.accept().await;
+    for (n, (line, outcome, completed)) in answers.iter().enumerate() {
+        if n > 0 {
+            fixture.start_attempt(&Bytes::new(), 1000).await; // on the same connection: it stays open
+        }
+        read_request(&mut stream).await;
+        stream
+            .write_all(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n").as_bytes())
+            .await
+            .expect("sent");
+        assert_eq!(
+            fixture.next_outcome().await,
+            (*outcome, *completed),
+            "{line}"
+        );
+        tokio::time::sleep(Duration::from_millis(20)).await; // until the connection is idle again
+    }
+}
+
+#[tokio::test]
+async fn status_200_delivers_whatever_becomes_of_the_body() {
+    let mut fixture = TestFixture::new().await;
+    fixture.start_attempt(&Bytes::new(), 5000).await;
+    let mut stream = fixture.accept().await;
+    read_request(&mut stream).await;
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf")
+        .await
+        .expect("sent");
+    assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
+    assert!(is_closed(&mut stream).await); // such a connection serves no more
+}
+
+/// Rules 1 and 2: a first line with status 200 alone proves delivery. That a message did not take effect is believed only of
+/// a whole answer. 1xx heads ahead, 101 too, change nothing.
+#[tokio::test]
+async fn an_invalid_answer_is_a_reset_unless_its_first_line_has_status_200() {
+    let full = Outcome::Rejected { retry_after: None };
+    let early = "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n";
+    let cases = [
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n".to_owned(),
+            Outcome::Delivered,
+            false,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nX: without an end".to_owned(),
+            Outcome::Delivered,
+            false,
+        ),
+        (
+            format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(100_000)),
+            Outcome::Delivered,
+            false,
+        ),
+        (
+            "HTTP/1.1 503 Full\r\nContent-Length: 5\r\n\r\nab".to_owned(),
+            Outcome::Reset,
+            false,
+        ),
+        (
+            "HTTP/1.1 503 Full\r\nX: without an end".to_owned(),
+            Outcome::Reset,
+            false,
+        ),
+        (
+            format!(
+                "HTTP/1.1 429 W\r\nContent-Length: 3000000000\r\n\r\n{}",
+                "x".repeat(100_000)
+            ),
+            Outcome::Reset,
+            false,
+        ),
+        (
+            "HTTP/1.1 410 Over\r\nContent-Length: -1\r\n\r\n".to_owned(),
+            Outcome::Reset,
+            false,
+        ),
+        (
+            "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n".to_owned(),
+            Outcome::Reset,
+            false,
+        ),
+        ("\0\u{1}noise\r\n\r\n".to_owned(), Outcome::Reset, false),
+        ("HTT".to_owned(), Outcome::Reset, false),
+        ("HTTP/1.1 200 O".to_owned(), Outcome::Reset, false),
+        (
+            format!("HTTP/1.1 200 {}\r\n\r\n", "x".repeat(100_000)),
+            Outcome::Reset,
+            false,
+        ),
+        (
+            format!("{early}HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
+            Outcome::Delivered,
+            true,
+        ),
+        (
+            format!("{early}HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno"),
+            full,
+            true,
+        ),
+    ];
+    for (text, outcome, stays_open) in cases {
+        let mut fixture = TestFixture::new().await;
+        fixture.start_attempt(&Bytes::new(), 20_000).await;
+        let mut stream = fixture.accept().await;
+        read_request(&mut stream).await;
+        let begun = Instant::now();
+        // Where the other side has seen enough it closes.
+        let _ = stream.write_all(text.as_bytes()).await;
+        let shown: String = text.chars().take(60).collect();
+        assert_eq!(
+            fixture.next_outcome().await,
+            (outcome, outcome == Outcome::Delivered),
+            "{shown}"
+        );
+        assert!(begun.elapsed() < Duration::from_secs(1), "{shown}");
+        if stays_open {
+            fixture.start_attempt(&Bytes::new(), 1000).await;
+            assert!(!read_request(&mut stream).await.is_empty(), "{shown}");
+        } else {
+            assert!(is_closed(&mut stream).await, "{shown}");
+        }
+    }
+}
+
+#[tokio::test]
+async fn a_health_check_reports_the_outcome_of_its_answer() {
+    let mut fixture = TestFixture::new().await;
+    for (line, outcome) in [
+        ("200 OK", Outcome::Delivered),
+        ("503 No", Outcome::Rejected { retry_after: None }),
+    ] {
+        fixture
+            .mailbox
+            .send(EndpointCommand::HealthCheck)
+            .await
+            .expect("the actor runs");
+        let mut stream = fixture.accept().await;
+        assert!(read_request(&mut stream)
+            .await
+            .starts_with(b"GET /alive HTTP/1.1\r\n"));
+        let answer = format!("HTTP/1.1 {line}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n");
+        stream.write_all(answer.as_bytes()).await.expect("sent");
+        assert_eq!(fixture.next_outcome().await.0, outcome);
+    }
+}
+
+/// A retry-after binds from the head of its answer on. The body may be late, invalid or cut off, the status another.
+#[tokio::test]
+async fn a_retry_after_is_reported_with_its_head_whatever_becomes_of_the_body() {
+    let cases = [
+        (
+            "429 W",
+            "4\r\n\r\n",
+            "late",
+            Outcome::Rejected {
+                retry_after: Some(700_000),
+            },
+        ),
+        ("429 W", "4\r\n\r\n", "", Outcome::Reset),
+        ("429 W", "3000000000\r\n\r\nxx", "", Outcome::Reset),
+        (
+            "503 F",
+            "4\r\n\r\n",
+            "late",
+            Outcome::Rejected { retry_after: None },
+        ),
+        ("500 E", "0\r\n\r\n", "", Outcome::Error),
+    ];
+    for (status, rest, late, outcome) in cases {
+        let mut fixture = TestFixture::new().await;
+        fixture.start_attempt(&Bytes::new(), 20_000).await;
+        let mut stream = fixture.accept().await;
+        read_request(&mut stream).await;
+        let head = format!("HTTP/1.1 {status}\r\nWait-Ms: 700\r\nContent-Length: {rest}");
+        stream.write_all(head.as_bytes()).await.expect("sent");
+        // Within the protocol's time for it, well before the wait for the body ends.
+        let reported =
+            tokio::time::timeout(Duration::from_millis(100), fixture.events.recv()).await;
+        assert!(
+            matches!(
+                reported,
+                Ok(Some(DispatcherCommand::Event(Event::RetryAfterReceived {
+                    retry_after: 700_000,
+                    ..
+                })))
+            ),
+            "{head}"
+        );
+        tokio::time::sleep(Duration::from_millis(100)).await;
+        stream.write_all(late.as_bytes()).await.expect("sent");
+        stream.shutdown().await.expect("cut off");
+        assert_eq!(fixture.next_outcome().await, (outcome, false), "{head}");
+    }
+}
+
+/// A cancellation in the moment in which the answer came once closed the connection on an unread retry-after.
+#[tokio::test]
+async fn an_answer_in_the_socket_counts_before_a_cancellation() {
+    let mut fixture = TestFixture::new().await;
+    fixture.start_attempt(&Bytes::new(), 20_000).await;
+    let mut stream = fixture.accept().await;
+    read_request(&mut stream).await;
+    stream
+        .try_write(b"HTTP/1.1 429 W\r\nWait-Ms: 700\r\nContent-Length: 0\r\n\r\n")
+        .expect("sent");
+    fixture
+        .mailbox
+        .try_send(EndpointCommand::Cancel {
+            id: MessageId(1),
+            attempt: 0,
+        })
+        .expect("room");
+    assert_eq!(
+        fixture.next_outcome().await,
+        (
+            Outcome::Rejected {
+                retry_after: Some(700_000)
+            },
+            false
+        )
+    );
+}
+
+/// Rule 1: half a first line that arrives in the moment of a cancellation is no answer, whatever it begins with.
+#[tokio::test]
+async fn half_a_first_line_in_the_socket_is_no_answer() {
+    let mut fixture = TestFixture::new().await;
+    fixture.start_attempt(&Bytes::new(), 20_000).await;
+    let mut stream = fixture.accept().await;
+    read_request(&mut stream).await;
+    stream.try_write(b"HTTP/1.1 200 OK\r").expect("sent");
+    fixture
+        .mailbox
+        .try_send(EndpointCommand::Cancel {
+            id: MessageId(1),
+            attempt: 0,
+        })
+        .expect("room");
+    assert_eq!(fixture.next_outcome().await, (Outcome::Cancelled, false));
+}
--- /dev/null
+++ b/crates/forwarder/src/endpoints/tests/connections.rs
@@ -0,0 +1,94 @@
+//! Which connection carries a request.
+
+use super::*;
+
+/// A request that crosses the endpoint's own close would be reset. It must not go out a second time on a new connection.
+#[tokio::test]
+async fn idle_connections_are_retired_early_and_closed_ones_are_not_used() {
+    let mut fixture = TestFixture::new().await;
+    fixture.start_attempt(&Bytes::new(), 1000).await;
+    let mut first = fixture.accept().await;
+    read_request(&mut first).await;
+    first.write_all(OK).await.expect("sent");
+    assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
+    let begun = Instant::now();
+    assert!(is_closed(&mut first).await);
+    assert!(begun.elapsed() < Duration::from_micros(IDLE));
+    // A connection that the endpoint has closed is not used: the request goes out once, on a new one.
+    fixture.start_attempt(&Bytes::new(), 1000).await;
+    let mut second = fixture.accept().await;
+    read_request(&mut second).await;
+    second.write_all(OK).await.expect("sent");
+    assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
+    tokio::time::sleep(Duration::from_millis(20)).await;
+    drop(second);
+    tokio::time::sleep(Duration::from_millis(20)).await;
+    fixture.start_attempt(&Bytes::new(), 1000).await;
+    let mut third = fixture.accept().await;
+    read_request(&mut third).await;
+    third.write_all(OK).await.expect("sent");
+    assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
+    fixture
+        .mailbox
+        .send(EndpointCommand::CloseIdle)
+        .await
+        .expect("the actor runs");
+    assert!(is_closed(&mut third).await);
+}
+
+/// Rule 1: bytes behind an answer never answer the next request, however soon that follows.
+#[tokio::test]
+async fn bytes_behind_an_answer_do_not_answer_the_next_request() {
+    for gap in [0, 1] {
+        let mut fixture = TestFixture::new().await;
+        fixture.start_attempt(&Bytes::new(), 1000).await;
+        let mut first = fixture.accept().await;
+        read_request(&mut first).await;
+        first.write_all(OK).await.expect("sent");
+        if gap > 0 {
+            assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
+            fixture.start_attempt(&Bytes::new(), 1000).await;
+            tokio::time::sleep(Duration::from_millis(gap)).await;
+            first.write_all(OK).await.expect("sent");
+        } else {
+            first.write_all(OK).await.expect("sent");
+            assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
+            fixture.start_attempt(&Bytes::new(), 1000).await;
+        }
+        let mut second = fixture.accept().await; // not on the first one
+        read_request(&mut second).await;
+        second
+            .write_all(b"HTTP/1.1 503 Full\r\ncontent-length: 0\r\n\r\n")
+            .await
+            .expect("sent");
+        assert_eq!(
+            fixture.next_outcome().await,
+            (Outcome::Rejected { retry_after: None }, false)
+        );
+        assert!(is_closed(&mut first).await);
+    }
+}
+
+/// A request does not wait for the settle time of one connection where another has passed it.
+#[tokio::test]
+async fn a_settled_connection_is_used_first() {
+    let mut fixture = TestFixture::new().await;
+    fixture.start_attempt(&Bytes::new(), 1000).await;
+    let mut first = fixture.accept().await;
+    fixture.start_attempt(&Bytes::new(), 1000).await;
+    let mut second = fixture.accept().await;
+    for stream in [&mut first, &mut second] {
+        tokio::time::sleep(Duration::from_millis(30)).await;
+        read_request(stream).await;
+        stream.write_all(OK).await.expect("sent");
+        let Some(DispatcherCommand::Event(Event::AttemptEnded { outcome, .. })) =
+            fixture.events.recv().await
+        else {
+            panic!("no end")
+        };
+        assert_eq!(outcome, Outcome::Delivered);
+    }
+    tokio::time::sleep(Duration::from_millis(1)).await; // until the second is idle too
+    fixture.start_attempt(&Bytes::new(), 1000).await;
+    assert!(!read_request(&mut first).await.is_empty());
+}
--- a/crates/forwarder/src/http_connection.rs
+++ b/crates/forwarder/src/http_connection.rs
@@ -7,8 +7,9 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::task::JoinHandle;
 
-/// Dropping it closes the connection, whatever is under way there.
+/// A connection and the task that drives it. Dropping it closes the connection, whatever request is out there.
 pub struct HttpConnection {
+    /// Sends requests, one at a time.
     pub sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
@@ -20,16 +21,18 @@
 }
 
 impl HttpConnection {
+    /// Starts HTTP/1.1 over a stream. Nothing is written before the first request.
     pub async fn over<S>(stream: S, http: &Builder) -> hyper::Result<HttpConnection>
     where
         S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
     {
         let (sender, connection) = http.handshake(TokioIo::new(stream)).await?;
+        // An error on the connection reaches the request that is out there.
         let driver = tokio::spawn(async move { drop(connection.await) });
         Ok(HttpConnection { sender, driver })
     }
 
-    /// Whether it can take a request; one that has ended can't.
+    /// Waits until it can take a request. Returns false where it has ended.
     pub async fn usable(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -16,7 +16,6 @@
 mod reload;
 mod shutdown;
 mod startup_config;
-mod stream;
 
 pub use startup_config::{ConfigError, StartupConfig};
 
--- a/crates/forwarder/src/protocol.rs
+++ b/crates/forwarder/src/protocol.rs
@@ -197,18 +197,18 @@
 
 /// A request to an endpoint, and how many bytes it takes on the connection.
 #[derive(Clone)]
-pub struct Outgoing {
+pub struct EndpointRequest {
     pub request: Request<Full<Bytes>>,
     pub length: u64,
 }
 
-pub fn encode_call(
+pub fn encode_attempt(
     endpoint: EndpointId,
     request_id: &str,
     idempotency_key: Option<&str>,
     limit: Duration,
     body: &Bytes,
-) -> Result<Outgoing, hyper::http::Error> {
+) -> Result<EndpointRequest, hyper::http::Error> {
     let mut call = Request::post("/inbox")
         .header("host", address(endpoint).to_string())
         .header(ID, request_id);
@@ -220,16 +220,16 @@
         .header("content-length", body.len().to_string())
         .body(Full::new(body.clone()))?;
     let length = on_the_wire(&request) + body.len() as u64;
-    Ok(Outgoing { request, length })
+    Ok(EndpointRequest { request, length })
 }
 
-pub fn encode_health_check(endpoint: EndpointId) -> Result<Outgoing, hyper::http::Error> {
+pub fn encode_health_check(endpoint: EndpointId) -> Result<EndpointRequest, hyper::http::Error> {
     let host = address(endpoint).to_string();
     let request = Request::get("/alive")
         .header("host", host)
         .body(Full::new(Bytes::new()))?;
     let length = on_the_wire(&request);
-    Ok(Outgoing { request, length })
+    Ok(EndpointRequest { request, length })
 }
 
 /// The bytes of a request's head: its first line and a line a header.
@@ -245,9 +245,35 @@
     (first + lines.sum::<usize>() + "\r\n".len()) as u64
 }
 
+/// The head of an endpoint's answer.
+pub struct EndpointAnswer {
+    /// What it says of the attempt or health check.
+    pub outcome: Outcome,
+    /// Whether the message is over: no further attempt is wanted.
+    pub completed: bool,
+    /// How long the endpoint asks not to be called, µs.
+    pub retry_after: Option<Micros>,
+    /// The load that it reports, in the order of the settings. Empty where it reports none.
+    pub load_report: Vec<f32>,
+}
+
+impl EndpointAnswer {
+    /// Decodes a head. Headers that can't be read count as absent.
+    pub fn decode(status: StatusCode, headers: &HeaderMap, names: &Names) -> EndpointAnswer {
+        let retry_after = decode_retry_after(headers);
+        let (outcome, completed) = decode_answer(status, headers, retry_after);
+        EndpointAnswer {
+            outcome,
+            completed,
+            retry_after,
+            load_report: decode_load_report(headers, names),
+        }
+    }
+}
+
 /// The wait that an answer asks for, whatever its status: the longest of those that can be read, a day at most. One
 /// that is no number of milliseconds above nought is none.
-pub fn decode_wait(headers: &HeaderMap) -> Option<Micros> {
+pub fn decode_retry_after(headers: &HeaderMap) -> Option<Micros> {
     let told = headers
         .get_all("wait-ms")
         .iter()
@@ -283,7 +309,7 @@
 
 /// What an endpoint tells of its limit, in the order of the settings. A report that can't be read, is told twice or
 /// lacks a figure is none.
-pub fn decode_report(headers: &HeaderMap, names: &Names) -> Vec<f32> {
+pub fn decode_load_report(headers: &HeaderMap, names: &Names) -> Vec<f32> {
     let mut texts = headers.get_all("server-load").iter();
     let (Some(text), None) = (texts.next(), texts.next()) else {
         return Vec::new();
--- a/crates/forwarder/src/protocol/tests.rs
+++ b/crates/forwarder/src/protocol/tests.rs
@@ -210,12 +210,12 @@
 #[test]
 fn a_report_is_read_by_its_names() {
     let mut headers = HeaderMap::new();
-    assert!(decode_report(&headers, &names()).is_empty());
+    assert!(decode_load_report(&headers, &names()).is_empty());
     headers.insert(
         "server-load",
         hyper::header::HeaderValue::from_static("{\"x1\":25,\"x0\":0.4}"),
     );
-    assert_eq!(decode_report(&headers, &names()), [0.4, 25.0]);
+    assert_eq!(decode_load_report(&headers, &names()), [0.4, 25.0]);
     // One that can't be read, lacks a figure or comes twice is no report: nought would mean an idle endpoint.
     for text in [
         "{\"x0\":0.4}",
@@ -224,13 +224,13 @@
         "0.4",
     ] {
         headers.insert("server-load", hyper::header::HeaderValue::from_static(text));
-        assert!(decode_report(&headers, &names()).is_empty(), "{text}");
+        assert!(decode_load_report(&headers, &names()).is_empty(), "{text}");
     }
     headers.append(
         "server-load",
         hyper::header::HeaderValue::from_static("{\"x1\":25,\"x0\":0.4}"),
     );
-    assert!(decode_report(&headers, &names()).is_empty());
+    assert!(decode_load_report(&headers, &names()).is_empty());
 }
 
 /// Guards against waits without end: one beyond a day is taken for none.
@@ -248,6 +248,10 @@
         let mut headers = HeaderMap::new();
         text.split(';')
             .for_each(|v| _ = headers.append("wait-ms", v.parse().expect("a value")));
-        assert_eq!(decode_wait(&headers), (wait > 0).then_some(wait), "{text}");
+        assert_eq!(
+            decode_retry_after(&headers),
+            (wait > 0).then_some(wait),
+            "{text}"
+        );
     }
 }
