--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,13 +1,17 @@
-//! The instances of this process, and the records that reach them.
+//! The instances of the decision core in this process, and the records that reach them.
 
-use crate::wire::{records, BatchHead, Fields, Raw, Reply, WireError};
-use opalpulley::{
-    Action, EndpointEntry, EndpointListUpdate, Event, Forwarder, MessageId, Micros, TimerToken,
-};
+use crate::error::{RecordProblem, WireError};
+use crate::field_reader::FieldReader;
+use crate::frame::{split_records, BatchHead, RawRecord};
+use crate::record::{self, EventKind, ListUpdate, ListUpdateKind, RecordKind};
+use crate::reply::Reply;
+use opalpulley::{Action, EndpointEntry, EndpointListUpdate, Event, Forwarder, Micros};
 use std::collections::BTreeMap;
 
-const LISTS: u32 = 16;
+/// How many lists may be registered.
+const MAX_LISTS: u32 = 16;
 
+/// All instances, and the lists that their records refer to.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Forwarder>,
@@ -17,146 +21,118 @@
 }
 
 impl Host {
-    /// Plays one batch and gives the frame that answers it.
+    /// Plays one batch. Returns the frame that answers it.
     pub fn answer(&mut self, head: BatchHead, body: &[u8]) -> Result<Vec<u8>, WireError> {
         self.reply.clear();
-        for raw in records(head, body)? {
-            self.record(head.clock, &raw)?;
+        for raw in split_records(head, body)? {
+            // The wire may grow: unknown records are skipped.
+            if let Some(kind) = RecordKind::from_code(raw.code) {
+                self.play_record(head.clock, kind, &raw)?;
+            }
         }
         self.reply.frame(head.number)
     }
 
-    fn record(&mut self, now: Micros, raw: &Raw) -> Result<(), WireError> {
-        let code = raw.code;
-        let Some(name) = name_of(code) else {
-            return Ok(());
-        };
-        let mut fields = Fields::new(name, raw.offset, raw.fields);
-        if code == 11 {
-            let number = fields.u32()?;
-            if number >= LISTS {
-                return Err(fields.bad(format!("there is no list {number}")));
-            }
-            let entries = fields.listings()?;
-            self.lists.insert(number, entries);
-            return Ok(());
+    fn play_record(
+        &mut self,
+        now: Micros,
+        kind: RecordKind,
+        raw: &RawRecord,
+    ) -> Result<(), WireError> {
+        let mut fields = FieldReader::new(kind.wire_name(), raw.offset, raw.fields);
+        match kind {
+            RecordKind::ListRegistered => self.register_list(&mut fields),
+            RecordKind::InstanceStarted => self.start_instance(&mut fields),
+            RecordKind::InstanceEnded => self.end_instance(&mut fields),
+            RecordKind::Event(event) => self.play_event(now, event, &mut fields),
         }
-        let instance = fields.u16()?;
-        if code == 10 {
-            let seed = fields.u64()?;
-            let n = fields.u32()? as usize;
-            let config = opalpulley_config::read(fields.take(n)?)
-                .map(|w| w.config)
-                .map_err(|e| fields.bad(e))?;
-            self.instances
-                .insert(instance, Forwarder::new(config, seed));
-            return Ok(());
+    }
+
+    fn register_list(&mut self, fields: &mut FieldReader) -> Result<(), WireError> {
+        let number = fields.u32()?;
+        if number >= MAX_LISTS {
+            return Err(fields.error(RecordProblem::NoSuchList(number)));
         }
-        if !self.instances.contains_key(&instance) {
-            return Err(fields.bad(format!("instance {instance} was never started")));
+        let entries = record::decode_endpoint_list(fields)?;
+        self.lists.insert(number, entries);
+        Ok(())
+    }
+
+    fn start_instance(&mut self, fields: &mut FieldReader) -> Result<(), WireError> {
+        let instance = fields.u16()?;
+        let start = record::decode_instance_start(fields)?;
+        let settings = opalpulley_config::read(start.settings)
+            .map_err(|problem| fields.error(RecordProblem::Settings(problem)))?;
+        let forwarder = Forwarder::new(settings.config, start.seed);
+        self.instances.insert(instance, forwarder);
+        Ok(())
+    }
+
+    fn end_instance(&mut self, fields: &mut FieldReader) -> Result<(), WireError> {
+        let instance = fields.u16()?;
+        if self.instances.remove(&instance).is_none() {
+            return Err(fields.error(RecordProblem::UnknownInstance(instance)));
         }
-        let event = match code {
-            5 => {
-                self.instances.remove(&instance);
-                return Ok(());
-            }
-            1 => Event::EndpointList(self.list_news(&mut fields)?),
-            9 => Event::Submitted(fields.arrival()?),
-            7 => Event::AttemptStarted {
-                id: MessageId(fields.u32()?),
-                attempt: fields.u8()?,
-                endpoint: fields.endpoint()?,
-                took: fields.u32()?.into(),
-            },
-            8 => Event::Withdrawn {
-                id: MessageId(fields.u32()?),
-            },
-            3 => Event::TimerFired {
-                token: TimerToken(fields.u32()?),
-            },
-            6 => {
-                let from = fields.u16()?;
-                let n = fields.u16()?;
-                Event::Gossip {
-                    from,
-                    payload: fields.take(n.into())?.to_vec(),
-                }
-            }
-            2 => {
-                let endpoint = fields.endpoint()?;
-                let status = fields.u16()?;
-                Event::HealthCheckEnded {
-                    endpoint,
-                    outcome: fields.outcome(status, 0)?,
-                    took: fields.u32()?.into(),
-                    report: fields.report()?,
-                }
-            }
-            _ => attempt_ended(&mut fields)?,
+        Ok(())
+    }
+
+    /// Gives an event to its instance, and adds the actions of the instance to the reply.
+    fn play_event(
+        &mut self,
+        now: Micros,
+        kind: EventKind,
+        fields: &mut FieldReader,
+    ) -> Result<(), WireError> {
+        let instance = fields.u16()?;
+        let Some(forwarder) = self.instances.get_mut(&instance) else {
+            return Err(fields.error(RecordProblem::UnknownInstance(instance)));
         };
-        if let Some(forwarder) = self.instances.get_mut(&instance) {
-            forwarder.handle(now, event, &mut self.actions);
-        }
+        let event = decode_event(kind, fields, &self.lists)?;
+        forwarder.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             self.reply.push(instance, &action)?;
         }
         Ok(())
     }
+}
 
-    fn list_news(&self, fields: &mut Fields) -> Result<EndpointListUpdate, WireError> {
-        let number = fields.u32()?;
-        let kind = fields.u8()?;
-        let entries = || {
-            self.lists
-                .get(&number)
-                .cloned()
-                .ok_or_else(|| fields.bad(format!("list {number} was never registered")))
-        };
-        match kind {
-            1 => Ok(EndpointListUpdate::Failed),
-            2 => Ok(EndpointListUpdate::Cached(entries()?)),
-            3 => Ok(EndpointListUpdate::Complete(entries()?)),
-            4 => Ok(EndpointListUpdate::Changes(entries()?)),
-            other => Err(fields.bad(format!("no list has the kind {other}"))),
+fn decode_event(
+    kind: EventKind,
+    fields: &mut FieldReader,
+    lists: &BTreeMap<u32, Vec<EndpointEntry>>,
+) -> Result<Event, WireError> {
+    match kind {
+        EventKind::EndpointListUpdate => {
+            let update = record::decode_list_update(fields)?;
+            resolve_list_update(&update, fields, lists)
         }
+        EventKind::HealthCheckEnded => record::decode_health_check_ended(fields),
+        EventKind::TimerFired => record::decode_timer_fired(fields),
+        EventKind::AttemptEnded => record::decode_attempt_ended(fields),
+        EventKind::Gossip => record::decode_gossip(fields),
+        EventKind::AttemptStarted => record::decode_attempt_started(fields),
+        EventKind::Withdrawn => record::decode_withdrawn(fields),
+        EventKind::Submitted => record::decode_submission(fields).map(Event::Submitted),
     }
 }
 
-fn attempt_ended(fields: &mut Fields) -> Result<Event, WireError> {
-    let id = MessageId(fields.u32()?);
-    let attempt = fields.u8()?;
-    let endpoint = fields.endpoint()?;
-    let status = fields.u16()?;
-    let took = fields.u32()?.into();
-    let closed = fields.u8()? != 0;
-    let remark = fields.u32()?;
-    let outcome = fields.outcome(status, remark)?;
-    Ok(Event::AttemptEnded {
-        id,
-        attempt,
-        endpoint,
-        outcome,
-        took,
-        completed: closed,
-        report: fields.report()?,
-    })
-}
-
-fn name_of(code: u16) -> Option<&'static str> {
-    Some(match code {
-        1 => "Targets",
-        2 => "Echo",
-        3 => "Due",
-        4 => "Result",
-        5 => "Teardown",
-        6 => "NeighbourSays",
-        7 => "Accepted",
-        8 => "Vanished",
-        9 => "Incoming",
-        10 => "Start",
-        11 => "Register",
-        _ => return None,
-    })
+/// The update with the entries of its registered list. A failed one needs none.
+fn resolve_list_update(
+    update: &ListUpdate,
+    fields: &FieldReader,
+    lists: &BTreeMap<u32, Vec<EndpointEntry>>,
+) -> Result<Event, WireError> {
+    let entries = || {
+        let list = lists.get(&update.list).cloned();
+        list.ok_or_else(|| fields.error(RecordProblem::UnregisteredList(update.list)))
+    };
+    let update = match update.kind {
+        ListUpdateKind::Failed => EndpointListUpdate::Failed,
+        ListUpdateKind::Cached => EndpointListUpdate::Cached(entries()?),
+        ListUpdateKind::Complete => EndpointListUpdate::Complete(entries()?),
+        ListUpdateKind::Changes => EndpointListUpdate::Changes(entries()?),
+    };
+    Ok(Event::EndpointList(update))
 }
 
 #[cfg(test)]
--- a/crates/simhost/src/host/tests.rs
+++ b/crates/simhost/src/host/tests.rs
@@ -1,5 +1,8 @@
+//! Frames as the wire document has them, and bad input.
+
 use super::*;
-use crate::wire::read_batch;
+use crate::frame::read_batch;
+use opalpulley::{MessageId, TimerToken};
 
 const EMPTY: &str = "00000000000000005a5c80000000000001000000";
 const START: &str = r#"{"Balancers": 2, "Domain": {"Fades": "halving", "PerCall": [1], "RoutesApart": [false],
@@ -57,7 +60,7 @@
 }
 
 #[test]
-fn the_pages_events_are_understood() {
+fn the_events_of_the_wire_document_are_decoded() {
     let list = record(
         11,
         &bytes(
@@ -66,24 +69,32 @@
         ),
     );
     let endpoints = record(1, &bytes("0300 00000000 02 2900000000000000"));
-    let incoming = record(
+    let submission = record(
         9,
         &bytes("0300 c4913a5d 0000 00000000 640ad2557c3bf091 80a90300 e02e0000 00006442 01"),
     );
-    let due = record(3, &bytes("0300 4d000000"));
+    let timer = record(3, &bytes("0300 4d000000"));
     let unknown = record(999, &bytes("0300"));
-    let vanished = record(8, &bytes("0300 192b6f0e"));
+    let withdrawn = record(8, &bytes("0300 192b6f0e"));
     let mut host = Host::default();
     let reply = play(
         &mut host,
-        &batch(&[start(), list, endpoints, incoming, due, unknown, vanished]),
+        &batch(&[
+            start(),
+            list,
+            endpoints,
+            submission,
+            timer,
+            unknown,
+            withdrawn,
+        ]),
     )
     .expect("all good");
-    // A call of message 0x5d3a91c4 to one of the two endpoints of destination 57.
-    let relay = bytes("4200 10000000 0300 c4913a5d");
+    // An attempt at message 0x5d3a91c4 at one of the two endpoints of destination 57.
+    let send = bytes("4200 10000000 0300 c4913a5d");
     let endpoints = [bytes("0a124a07 931f"), bytes("0a9011f2 bc1f")];
-    let sent = |w: &[u8]| w.starts_with(&relay) && endpoints.iter().any(|t| w.ends_with(t));
-    assert!(reply.windows(relay.len() + 6).any(sent), "{reply:02x?}");
+    let sent = |w: &[u8]| w.starts_with(&send) && endpoints.iter().any(|t| w.ends_with(t));
+    assert!(reply.windows(send.len() + 6).any(sent), "{reply:02x?}");
     let ended = bytes("0300 c4913a5d 00 0a124a07 931f c800 44480000 01 00000000 00");
     let restart = [
         record(4, &ended),
@@ -91,11 +102,11 @@
         start(),
         record(3, &bytes("0300 01000000")),
     ];
-    play(&mut host, &batch(&restart)).expect("a death and a start in one batch");
+    play(&mut host, &batch(&restart)).expect("an end and a start in one batch");
 }
 
 #[test]
-fn actions_are_written_as_the_page_has_them() {
+fn actions_are_encoded_as_in_the_wire_document() {
     let mut reply = Reply::default();
     let endpoint = opalpulley::EndpointId {
         address: [10, 18, 74, 7],
@@ -141,7 +152,7 @@
 }
 
 #[test]
-fn bad_input_is_named() {
+fn an_error_names_the_record_and_the_problem() {
     assert!(problem(&bytes(&EMPTY[..20])).contains("batch header"));
     assert!(
         problem(&bytes("01000000 ffffffff 5a5c800000000000 01000000 00"))
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,20 +1,25 @@
 //! Hosts instances of opalpulley's decision core on the simulator's wire, over standard input and output.
 
+mod error;
+mod field_reader;
+mod frame;
 mod host;
-mod wire;
+mod record;
+mod reply;
 
+use error::WireError;
 use std::io::{self, Write};
 use std::process::ExitCode;
-use wire::WireError;
 
+/// Answers batches until the input ends.
 fn run() -> Result<(), WireError> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut host = host::Host::default();
     let mut body = Vec::new();
-    while let Some(head) = wire::read_batch(&mut input, &mut body)? {
-        let frame = host.answer(head, &body)?;
-        output.write_all(&frame)?;
+    while let Some(head) = frame::read_batch(&mut input, &mut body)? {
+        let reply = host.answer(head, &body)?;
+        output.write_all(&reply)?;
         output.flush()?;
     }
     Ok(())
--- /dev/null
+++ b/crates/simhost/src/reply.rs
@@ -0,0 +1,179 @@
+//! The reply to a batch: the actions of the instances, as records.
+
+use crate::error::{RecordProblem, WireError};
+use opalpulley::{Action, EndpointId, MessageId, Micros};
+
+/// Bytes of the header of a reply.
+const REPLY_HEADER_BYTES: usize = 12;
+/// The number of a peer that stands for all peers.
+const ALL_PEERS: u32 = u32::MAX;
+
+const CODE_GOSSIP: u16 = 65;
+const CODE_SEND: u16 = 66;
+const CODE_WATCH_ENDPOINT_LIST: u16 = 67;
+const CODE_CANCEL: u16 = 68;
+const CODE_CLOSE_IDLE_CONNECTIONS: u16 = 69;
+const CODE_LOG: u16 = 70;
+const CODE_FAIL: u16 = 72;
+const CODE_SET_TIMER: u16 = 73;
+const CODE_FETCH_ENDPOINT_LIST: u16 = 74;
+const CODE_REJECT: u16 = 75;
+const CODE_HEALTH_CHECK: u16 = 76;
+
+/// A reply being built.
+#[derive(Default)]
+pub struct Reply {
+    body: Vec<u8>,
+    record_count: u32,
+}
+
+impl Reply {
+    /// Starts a new reply.
+    pub fn clear(&mut self) {
+        self.body.clear();
+        self.record_count = 0;
+    }
+
+    /// The frame of the reply to the batch with this number.
+    pub fn frame(&self, batch_number: u32) -> Result<Vec<u8>, WireError> {
+        let body_bytes = narrow("reply", self.body.len() as u64)?;
+        let mut frame = Vec::with_capacity(REPLY_HEADER_BYTES + self.body.len());
+        frame.extend(body_bytes.to_le_bytes());
+        frame.extend(self.record_count.to_le_bytes());
+        frame.extend(batch_number.to_le_bytes());
+        frame.extend(&self.body);
+        Ok(frame)
+    }
+
+    /// Adds an action of an instance.
+    pub fn push(&mut self, instance: u16, action: &Action) -> Result<(), WireError> {
+        let mut record = ActionRecord::new(instance);
+        let code = match action {
+            Action::Send {
+                id,
+                endpoint,
+                timeout,
+                ..
+            } => {
+                record.put_message(*id);
+                record.put_endpoint(*endpoint);
+                record.put_micros("Relay", timeout.unwrap_or(0))?;
+                CODE_SEND
+            }
+            Action::Fail { id } => {
+                record.put_message(*id);
+                CODE_FAIL
+            }
+            Action::Reject { id, retry_after } => {
+                record.put_message(*id);
+                record.put_micros("Reject", retry_after.unwrap_or(0))?;
+                CODE_REJECT
+            }
+            Action::SetTimer { after, token } => {
+                record.put_micros("NotifyMe", *after)?;
+                record.put_u32(token.0);
+                CODE_SET_TIMER
+            }
+            Action::HealthCheck { endpoint } => {
+                record.put_endpoint(*endpoint);
+                CODE_HEALTH_CHECK
+            }
+            Action::Cancel { id, attempt } => {
+                record.put_message(*id);
+                record.put_u8(*attempt);
+                CODE_CANCEL
+            }
+            // On this wire an attempt is written whole in the moment in which it is sent.
+            Action::WithdrawUnsent { .. } => return Ok(()),
+            Action::CloseIdleConnections { endpoint } => {
+                record.put_endpoint(*endpoint);
+                CODE_CLOSE_IDLE_CONNECTIONS
+            }
+            Action::WatchEndpointList { on } => {
+                record.put_u8(u8::from(*on));
+                CODE_WATCH_ENDPOINT_LIST
+            }
+            Action::FetchEndpointList => CODE_FETCH_ENDPOINT_LIST,
+            Action::SendGossip { peer, payload } => {
+                record.put_u32(peer.map_or(ALL_PEERS, u32::from));
+                record.put_bytes("Notify", payload)?;
+                CODE_GOSSIP
+            }
+            Action::Log(event) => return self.push_log_line(instance, &event.to_string()),
+        };
+        self.push_record(code, &record)
+    }
+
+    /// Adds a line for the simulator's log.
+    pub fn push_log_line(&mut self, instance: u16, line: &str) -> Result<(), WireError> {
+        let mut record = ActionRecord::new(instance);
+        record.put_bytes("Log", line.as_bytes())?;
+        self.push_record(CODE_LOG, &record)
+    }
+
+    fn push_record(&mut self, code: u16, record: &ActionRecord) -> Result<(), WireError> {
+        self.body.extend(code.to_le_bytes());
+        let length = narrow("action", record.fields.len() as u64)?;
+        self.body.extend(length.to_le_bytes());
+        self.body.extend(&record.fields);
+        self.record_count += 1;
+        Ok(())
+    }
+}
+
+/// The fields of one action. All numbers are little-endian.
+struct ActionRecord {
+    fields: Vec<u8>,
+}
+
+impl ActionRecord {
+    /// The first field of each action is its instance.
+    fn new(instance: u16) -> ActionRecord {
+        ActionRecord {
+            fields: instance.to_le_bytes().to_vec(),
+        }
+    }
+
+    fn put_u8(&mut self, value: u8) {
+        self.fields.push(value);
+    }
+
+    fn put_u32(&mut self, value: u32) {
+        self.fields.extend(value.to_le_bytes());
+    }
+
+    fn put_message(&mut self, id: MessageId) {
+        self.put_u32(id.0);
+    }
+
+    fn put_endpoint(&mut self, endpoint: EndpointId) {
+        self.fields.extend(endpoint.address);
+        self.fields.extend(endpoint.port.to_le_bytes());
+    }
+
+    fn put_micros(&mut self, record: &'static str, value: Micros) -> Result<(), WireError> {
+        self.put_u32(narrow(record, value)?);
+        Ok(())
+    }
+
+    /// A length and so many bytes.
+    fn put_bytes(&mut self, record: &'static str, bytes: &[u8]) -> Result<(), WireError> {
+        let length = u16::try_from(bytes.len())
+            .map_err(|_| encode_error(record, RecordProblem::TextTooLong(bytes.len())))?;
+        self.fields.extend(length.to_le_bytes());
+        self.fields.extend(bytes);
+        Ok(())
+    }
+}
+
+fn narrow(record: &'static str, value: u64) -> Result<u32, WireError> {
+    u32::try_from(value).map_err(|_| encode_error(record, RecordProblem::NumberTooLarge(value)))
+}
+
+fn encode_error(record: &'static str, problem: RecordProblem) -> WireError {
+    WireError::Record {
+        record,
+        offset: 0,
+        problem,
+    }
+}
