--- a/crates/forwarder/src/endpoints/response_filter.rs
+++ b/crates/forwarder/src/endpoints/response_filter.rs
@@ -16,11 +16,14 @@
 /// Bytes of 1xx heads before an answer, over what well-behaved endpoints send.
 const MAX_INTERIM_BYTES: usize = 32 * 1024;
 
+/// Line ends directly behind each other that end a head: that of its last line, and an empty line.
+const LINE_ENDS_AFTER_HEAD: u8 = 2;
+
 /// What the next byte belongs to.
 enum Position {
     /// The first line, not whole yet: its bytes so far.
     FirstLine(Vec<u8>),
-    /// A 1xx head: the line ends directly behind each other up to here. Two end the head.
+    /// A 1xx head: the line ends directly behind each other up to here.
     Interim { line_ends: u8 },
     /// The answer after its first line.
     PassThrough,
@@ -68,31 +71,15 @@
                     return Ok(());
                 }
                 Position::FirstLine(line) => {
-                    let line_ended = take_line(line, &mut bytes);
-                    if !line_ended && line.len() < MAX_FIRST_LINE_BYTES {
-                        on_progress(AnswerProgress::Started);
-                        return Ok(());
-                    }
-                    let status = if line_ended { parse_status(line) } else { None };
-                    if let Some(100..=199) = status {
-                        on_progress(AnswerProgress::Awaited);
-                        self.position = Position::Interim { line_ends: 1 };
-                        continue;
+                    if let Some(next) = push_first_line(line, &mut bytes, output, &on_progress) {
+                        self.position = next;
                     }
-                    on_progress(status.map_or(AnswerProgress::Started, AnswerProgress::Status));
-                    output.put_slice(line);
-                    self.position = Position::PassThrough;
                 }
                 Position::Interim { line_ends } => {
-                    let byte = bytes[0];
+                    let head_ended = push_interim(line_ends, bytes[0]);
                     bytes = &bytes[1..];
                     self.interim_bytes += 1;
-                    match byte {
-                        b'\n' => *line_ends += 1,
-                        b'\r' => {}
-                        _ => *line_ends = 0,
-                    }
-                    if *line_ends == 2 {
+                    if head_ended {
                         self.position = Position::first_line();
                     }
                     if self.interim_bytes > MAX_INTERIM_BYTES {
@@ -111,6 +98,39 @@
     }
 }
 
+/// Takes bytes of a first line. Returns what follows the line, nothing while it is not whole. A line that is too long goes to
+/// the library as it is.
+fn push_first_line(
+    line: &mut Vec<u8>,
+    bytes: &mut &[u8],
+    output: &mut ReadBuf<'_>,
+    on_progress: impl Fn(AnswerProgress),
+) -> Option<Position> {
+    let line_ended = take_line(line, bytes);
+    if !line_ended && line.len() < MAX_FIRST_LINE_BYTES {
+        on_progress(AnswerProgress::Started);
+        return None;
+    }
+    let status = if line_ended { parse_status(line) } else { None };
+    if let Some(100..=199) = status {
+        on_progress(AnswerProgress::Awaited);
+        return Some(Position::Interim { line_ends: 1 });
+    }
+    on_progress(status.map_or(AnswerProgress::Started, AnswerProgress::Status));
+    output.put_slice(line);
+    Some(Position::PassThrough)
+}
+
+/// Takes one byte of a 1xx head. Returns whether the head has ended.
+fn push_interim(line_ends: &mut u8, byte: u8) -> bool {
+    match byte {
+        b'\n' => *line_ends += 1,
+        b'\r' => {}
+        _ => *line_ends = 0,
+    }
+    *line_ends == LINE_ENDS_AFTER_HEAD
+}
+
 /// Moves bytes to `line` up to and with the line end. Returns whether the line has ended.
 fn take_line(line: &mut Vec<u8>, bytes: &mut &[u8]) -> bool {
     let line_end = bytes.iter().position(|byte| *byte == b'\n');
