--- a/crates/forwarder/tests/asked_list.rs
+++ b/crates/forwarder/tests/asked_list.rs
@@ -1,42 +1,46 @@
-//! The list where it must be asked for, in a fleet of hundreds: after each trouble of discovery the next call comes early
-//! enough that a change is told by the time at which it counts as told. Discovery is a stand-in that falls silent, refuses
-//! or answers late at the point; several forwarders of one fleet play side by side, so that no lucky moment hides a late call.
+//! The list where it must be polled, in a fleet of hundreds: after each fault of discovery the next poll comes early enough
+//! that a change arrives by the time at which it counts as notified. Discovery is a scripted peer that falls silent, rejects or
+//! answers late at the right point. Several forwarders of one fleet run side by side, so that no lucky moment hides a late poll.
 
-use opalpulley_lab::scripted::{self, *};
+mod common;
+
+use common::*;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_opalpulley-forwarder");
-const FORWARDERS: usize = 10; // that are played, of the fleet's 350
-const TOLD: Duration = Duration::from_secs(6); // what discovery had and could be asked for counts as told by then
-const READY: Duration = Duration::from_secs(10); // nine in ten restarted processes
+/// The forwarders that run, of the fleet's 350.
+const FORWARDERS: usize = 10;
+/// A change counts as notified so long after discovery had it and could be reached.
+const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
+/// For nine in ten restarted processes to be ready.
+const READY_WITHIN: Duration = Duration::from_secs(10);
 
-/// What discovery does with calls.
+/// What discovery does with polls.
 #[derive(Clone, Copy, PartialEq)]
 #[repr(u8)]
-enum Mood {
+enum DiscoveryMode {
     Answers,
     Silent,
-    Refuses,
-    /// The first call in this mood falls silent, even where it is out already; later ones are answered.
+    Rejects,
+    /// The first poll in this mode is never answered, even where it is out already. Later ones are.
     SilentOnce,
 }
 
-/// One discovery for each forwarder, all in the same mood.
+/// One discovery for each forwarder, all in the same mode.
 struct Discovery {
-    mood: Arc<AtomicU8>,
-    /// When each call came that was answered.
-    heard: Arc<Mutex<Vec<Instant>>>,
+    mode: Arc<AtomicU8>,
+    /// When each poll came that was answered.
+    polls: Arc<Mutex<Vec<Instant>>>,
     address: SocketAddr,
 }
 
 impl Discovery {
-    fn start(mood: Arc<AtomicU8>, members: Vec<String>) -> Discovery {
-        let heard: Arc<Mutex<Vec<Instant>>> = Arc::default();
-        let (is, log) = (mood.clone(), heard.clone());
+    fn start(mode: Arc<AtomicU8>, members: Vec<String>) -> Discovery {
+        let polls: Arc<Mutex<Vec<Instant>>> = Arc::default();
+        let (is, log) = (mode.clone(), polls.clone());
         let (address, _) = serve(move |m, _| {
             if !m.first.contains("/discovery/") {
                 return plain("204 No Content");
@@ -48,59 +52,59 @@
                 .and_then(|w| w.split(' ').next()?.parse().ok());
             let until = Instant::now() + Duration::from_millis(wait.unwrap_or(0));
             let before = is.load(Ordering::SeqCst);
-            if before == Mood::Silent as u8 {
+            if before == DiscoveryMode::Silent as u8 {
                 return None;
             }
-            if before == Mood::Refuses as u8 {
+            if before == DiscoveryMode::Rejects as u8 {
                 return plain("503 Busy");
             }
             log.lock().expect("the log").push(Instant::now());
             while Instant::now() < until {
                 let now = is.load(Ordering::SeqCst);
-                if now != before && now != Mood::Answers as u8 {
+                if now != before && now != DiscoveryMode::Answers as u8 {
                     return None; // a watch that falls silent
                 }
-                thread::sleep(Duration::from_millis(5));
+                pause(5);
             }
             let whole = wait.is_none();
             with_body(&list(1, whole, if whole { &members } else { &[] }))
         });
         Discovery {
-            mood,
-            heard,
+            mode,
+            polls,
             address,
         }
     }
 
     fn calls(&self) -> usize {
-        self.heard.lock().expect("the log").len()
+        self.polls.lock().expect("the log").len()
     }
 
-    /// How long after that moment the first call came that was answered.
+    /// How long after that moment the first poll came that was answered.
     fn first_after(&self, moment: Instant) -> Option<Duration> {
-        let heard = self.heard.lock().expect("the log");
-        heard.iter().find(|at| **at > moment).map(|at| *at - moment)
+        let polls = self.polls.lock().expect("the log");
+        polls.iter().find(|at| **at > moment).map(|at| *at - moment)
     }
 }
 
-/// A part of a fleet with an asked list, and the settings' interval in seconds; all have watches open.
+/// A part of a fleet that polls its list. All have watches open.
 struct Fleet {
-    mood: Arc<AtomicU8>,
+    mode: Arc<AtomicU8>,
     members: Vec<(Discovery, Forwarder, tempfile::TempDir)>,
 }
 
 impl Fleet {
     fn watching(poll_interval: u64) -> Fleet {
-        let mood = Arc::new(AtomicU8::new(Mood::Answers as u8));
+        let mode = Arc::new(AtomicU8::new(DiscoveryMode::Answers as u8));
         let begin = |number: usize| {
-            let discovery = Discovery::start(mood.clone(), Vec::new());
+            let discovery = Discovery::start(mode.clone(), Vec::new());
             let (dir, state) = folder();
             let text = config_file(number, poll_interval);
-            let forwarder = scripted::start(PROGRAM, &state, &text, discovery.address);
+            let forwarder = start(&state, &text, discovery.address);
             (discovery, forwarder, dir)
         };
         let members: Vec<_> = (0..FORWARDERS).map(begin).collect();
-        let fleet = Fleet { mood, members };
+        let fleet = Fleet { mode, members };
         until("all watch", || {
             fleet
                 .members
@@ -110,27 +114,27 @@
         fleet
     }
 
-    fn turns(&self, mood: Mood) -> Instant {
-        self.mood.store(mood as u8, Ordering::SeqCst);
+    fn switch_to(&self, mode: DiscoveryMode) -> Instant {
+        self.mode.store(mode as u8, Ordering::SeqCst);
         Instant::now()
     }
 
-    /// Each makes a call that is answered before what discovery had at that moment counts as told.
-    fn is_told_in_time_from(&self, moment: Instant) {
+    /// Checks that each makes a poll that is answered before what discovery had at that moment counts as notified.
+    fn assert_polled_in_time_after(&self, moment: Instant) {
         let first = || {
             self.members
                 .iter()
                 .map(|(discovery, ..)| discovery.first_after(moment))
         };
-        thread::sleep(TOLD.saturating_sub(moment.elapsed()));
+        thread::sleep(NOTIFIED_WITHIN.saturating_sub(moment.elapsed()));
         let late = first()
-            .filter(|after| after.is_none_or(|after| after > TOLD))
+            .filter(|after| after.is_none_or(|after| after > NOTIFIED_WITHIN))
             .count();
         assert_eq!(late, 0, "{:?}", first().collect::<Vec<_>>());
     }
 }
 
-/// The start papers of one of the fleet's forwarders.
+/// The start-up configuration of one of the fleet's forwarders. The poll interval is in seconds.
 fn config_file(number: usize, poll_interval: u64) -> String {
     config("notice", "free", 200, 3.0)
         .replace(
@@ -147,38 +151,38 @@
         )
 }
 
-/// A watch that has fallen silent is broken: what it misses counts as told 6 s after it fell silent.
+/// A watch that has fallen silent is broken: what it misses counts as notified 6 s after it fell silent.
 #[test]
-fn an_asked_watch_that_falls_silent_is_opened_anew_by_the_time_that_counts() {
+fn a_watch_of_a_polled_list_that_falls_silent_is_opened_anew_in_time() {
     let fleet = Fleet::watching(10);
-    let silent = fleet.turns(Mood::SilentOnce);
-    thread::sleep(Duration::from_millis(100));
-    fleet.turns(Mood::Answers); // reachable for whoever asks
-    fleet.is_told_in_time_from(silent);
+    let silent = fleet.switch_to(DiscoveryMode::SilentOnce);
+    pause(100);
+    fleet.switch_to(DiscoveryMode::Answers); // reachable for further polls
+    fleet.assert_polled_in_time_after(silent);
 }
 
 #[test]
-fn discovery_is_asked_by_the_time_that_counts_after_it_was_down() {
+fn discovery_is_polled_in_time_after_it_was_silent() {
     let fleet = Fleet::watching(10);
-    fleet.turns(Mood::Silent);
+    fleet.switch_to(DiscoveryMode::Silent);
     thread::sleep(Duration::from_secs(8));
-    fleet.is_told_in_time_from(fleet.turns(Mood::Answers));
+    fleet.assert_polled_in_time_after(fleet.switch_to(DiscoveryMode::Answers));
 }
 
-/// The settings may want a call in a minute only; what counts as told does not wait for it.
+/// The settings may want a poll in a minute only. What counts as notified does not wait for it.
 #[test]
-fn discovery_is_asked_by_the_time_that_counts_after_it_refused() {
+fn discovery_is_polled_in_time_after_it_rejected_polls() {
     let fleet = Fleet::watching(60);
-    fleet.turns(Mood::Refuses);
+    fleet.switch_to(DiscoveryMode::Rejects);
     thread::sleep(Duration::from_secs(8));
-    fleet.is_told_in_time_from(fleet.turns(Mood::Answers));
+    fleet.assert_polled_in_time_after(fleet.switch_to(DiscoveryMode::Answers));
 }
 
-/// An overbooked discovery answers later than a call is waited for: the answer counts all the same, and no call is lost on it.
+/// An overloaded discovery answers after a poll has timed out. The answer counts all the same, and no poll is lost on it.
 #[test]
-fn an_answer_to_a_call_that_was_given_up_is_heard() {
+fn the_answer_to_a_poll_that_timed_out_counts() {
     const LATE: Duration = Duration::from_millis(4_500);
-    let (endpoint, seen) = serve(|_, _| plain("200 OK"));
+    let (endpoint, seen) = endpoint_with("200 OK");
     let members = vec![member(endpoint, 7, "Ready")];
     let calls: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let log = calls.clone();
@@ -191,22 +195,22 @@
             log.push(Instant::now());
             log.len() == 1
         };
-        // Only the call made first is ever answered with the list.
+        // Only the first poll is ever answered with the list.
         if first {
             thread::sleep(LATE);
             return with_body(&list(1, true, &members));
         }
         if m.first.contains("index=1&") {
-            thread::sleep(Duration::from_millis(1_900));
+            pause(1_900);
             return with_body(&list(1, false, &[]));
         }
         None
     });
     let (_dir, state) = folder();
-    let forwarder = scripted::start(PROGRAM, &state, &config_file(1, 10), discovery);
+    let forwarder = start(&state, &config_file(1, 10), discovery);
     let mut tries = 0;
-    // Turned away until a list names the destination.
-    until("the list is heard", || {
+    // Rejected until a list names the destination.
+    until("the list is in", || {
         tries += 1;
         forwarder.hand_in(&format!("p{tries}"), "notice") == 202
     });
@@ -221,41 +225,40 @@
     });
 }
 
-/// A restarted process with what it held is ready, whatever discovery does.
+/// A restarted process with a journal is ready in time, whatever discovery does.
 #[test]
 fn a_restarted_process_is_ready_in_time_whatever_discovery_does() {
-    for mode in ["pushed", "on_request"] {
-        for mood in [Mood::Silent, Mood::Refuses] {
-            restart(mode, Some(mood));
+    for list_mode in ["pushed", "on_request"] {
+        for discovery_mode in [DiscoveryMode::Silent, DiscoveryMode::Rejects] {
+            restart(list_mode, Some(discovery_mode));
         }
-        restart(mode, None);
+        restart(list_mode, None);
     }
 }
 
-/// With discovery's machine gone (its connections do not come up) where there is no mood.
-fn restart(mode: &str, mood: Option<Mood>) {
+/// Where there is no mode, discovery's machine is gone: connections to it do not open.
+fn restart(list_mode: &str, discovery_mode: Option<DiscoveryMode>) {
     let shut = SlowDoor::shut("127.0.0.1");
-    let (endpoint, _) = serve(|_, _| None); // so that the message is still open at the kill
-    let mood_now = Arc::new(AtomicU8::new(Mood::Answers as u8));
-    let discovery = Discovery::start(mood_now, vec![member(endpoint, 7, "Ready")]);
+    let (endpoint, _) = silent_endpoint(); // so that the message is still in flight at the kill
+    let mode_now = Arc::new(AtomicU8::new(DiscoveryMode::Answers as u8));
+    let discovery = Discovery::start(mode_now, vec![member(endpoint, 7, "Ready")]);
     let (_dir, state) = folder();
-    let text = config_file(1, 10).replace("on_request", mode);
-    let mut forwarder = scripted::start(PROGRAM, &state, &text, discovery.address);
+    let text = config_file(1, 10).replace("on_request", list_mode);
+    let mut forwarder = start(&state, &text, discovery.address);
     until("the list is in", || discovery.calls() >= 1);
-    until("a packet is taken on", || {
+    until("a message is accepted", || {
         forwarder.hand_in("held", "notice") == 202
     });
-    forwarder.child.kill().expect("killed");
-    forwarder.child.wait().expect("ended");
-    let address = mood.map_or(shut.address, |mood| {
-        discovery.mood.store(mood as u8, Ordering::SeqCst);
+    kill(&mut forwarder);
+    let address = discovery_mode.map_or(shut.address, |mode| {
+        discovery.mode.store(mode as u8, Ordering::SeqCst);
         discovery.address
     });
     let begun = Instant::now();
-    let _again: Forwarder = scripted::start(PROGRAM, &state, &text, address);
+    let _again: Forwarder = start(&state, &text, address);
     assert!(
-        begun.elapsed() < READY,
-        "{mode}: ready after {:?}",
+        begun.elapsed() < READY_WITHIN,
+        "{list_mode}: ready after {:?}",
         begun.elapsed()
     );
 }
--- a/crates/forwarder/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -1,7 +1,8 @@
-//! The program under a limit of descriptors that the system enforces, with every kind of connection that it can be made to
-//! hold at once.
+//! The program under a limit of descriptors that the system enforces, with every kind of connection open at once.
 
-use opalpulley_lab::scripted::{self, *};
+mod common;
+
+use common::*;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::os::unix::fs::PermissionsExt;
@@ -9,19 +10,21 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread;
-use std::time::Duration;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_opalpulley-forwarder");
-const LIMIT: usize = 80; // descriptors: 8 go to slots, 32 to clients, 16 to idle connections, 24 to the program itself
-const LOG: &str = "log"; // what the program writes, beside its folder
-const ENDPOINTS: u16 = 40; // more than idle connections are kept
-const IDLE_CLIENTS: usize = 120; // more than descriptors
+/// Descriptors: 8 go to attempts, 32 to clients, 16 to idle connections to endpoints, 24 to the program itself.
+const LIMIT: usize = 80;
+/// The file of the program's log, beside its state directory.
+const LOG: &str = "log";
+/// More than connections to endpoints may be idle.
+const ENDPOINTS: u16 = 40;
+/// More than descriptors.
+const IDLE_CLIENTS: usize = 120;
 
 /// Starts the program with so many descriptors and no more.
 fn start_limited(state: &Path, text: &str, discovery: SocketAddr) -> Forwarder {
     let script = state
         .parent()
-        .expect("a folder round it")
+        .expect("a directory around it")
         .join("limited.sh");
     let log = script.with_file_name(LOG);
     let lines = format!(
@@ -30,7 +33,7 @@
     );
     std::fs::write(&script, lines).expect("written");
     std::fs::set_permissions(&script, PermissionsExt::from_mode(0o755)).expect("it may run");
-    scripted::start(
+    opalpulley_lab::scripted::start(
         script.to_str().expect("a plain path"),
         state,
         text,
@@ -38,7 +41,7 @@
     )
 }
 
-/// Clients that connect, ask one thing, and then say nothing; one that is closed comes again at once. Until told to stop.
+/// Clients that connect, send one request at most, and then nothing. One that is closed connects again at once.
 fn idle_clients(forwarder: SocketAddr, stop: &AtomicBool) {
     let connect = |n: usize| {
         let stream = TcpStream::connect(forwarder).ok()?;
@@ -67,21 +70,19 @@
                 *stream = connect(n);
             }
         }
-        thread::sleep(Duration::from_millis(1));
+        pause(1);
     }
 }
 
-/// Guards the platform's connections and a call's where clients, idle connections to endpoints and slots hold all descriptors
-/// that they may, while discovery is silent: as it comes back, the list is fetched, a message goes to an endpoint that is new in
-/// it, and an end is told.
+/// Clients, idle connections to endpoints and attempts have all descriptors that they may, while discovery is silent. As it
+/// comes back, the list is fetched, a message goes to an endpoint that is new in it, and a failed message is reported.
 #[test]
-fn with_idle_clients_on_every_descriptor_the_list_a_call_and_a_notice_go_through() {
-    let (endpoint, seen) = serve(|_, _| plain("200 OK"));
-    let (mute, _) = serve(|_, _| None);
-    let (full, refused) = serve(|_, _| plain("503 Full"));
-    let (endpoints, _logs): (Vec<_>, Vec<_>) = (0..ENDPOINTS)
-        .map(|_| serve(|_, _| plain("200 OK")))
-        .unzip();
+fn with_idle_clients_on_every_descriptor_the_list_an_attempt_and_a_report_go_through() {
+    let (endpoint, seen) = endpoint_with("200 OK");
+    let (mute, _) = silent_endpoint();
+    let (full, refused) = endpoint_with("503 Full");
+    let (endpoints, _logs): (Vec<_>, Vec<_>) =
+        (0..ENDPOINTS).map(|_| endpoint_with("200 OK")).unzip();
     let mut members: Vec<String> = endpoints
         .iter()
         .zip(100..)
@@ -97,7 +98,7 @@
             return plain("204 No Content");
         }
         if m.first.contains("index=") && !returned.load(Ordering::Relaxed) {
-            thread::sleep(Duration::from_millis(100));
+            pause(100);
         }
         if gate.load(Ordering::Relaxed) {
             return None;
@@ -117,14 +118,14 @@
             .replace("20000", time);
         forwarder.ask(&head, b"body")
     };
-    // Idle connections to endpoints and slots are taken first.
+    // The descriptors of idle connections to endpoints and of attempts are taken first.
     for cell in 100..100 + ENDPOINTS {
-        until("it is taken on", || {
+        until("it is accepted", || {
             submit(&format!("t{cell}"), cell, "20000") == 202
         });
     }
     for n in 0..8 {
-        until("it is taken on", || {
+        until("it is accepted", || {
             submit(&format!("m{n}"), 8, "20000") == 202
         });
     }
@@ -132,20 +133,20 @@
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
         scope.spawn(|| idle_clients(forwarder.listen, &stop));
-        // A watch that was out is given up within 7 s, and asked for again in vain.
-        thread::sleep(Duration::from_millis(8_000));
+        // A watch that was open times out within 7 s, and is opened again in vain.
+        pause(8_000);
         let (_, open) = forwarder.holds();
         println!("{open} descriptors");
         assert!(open > LIMIT / 2 && open <= LIMIT, "{open} descriptors");
         back.store(true, Ordering::Relaxed);
         silent.store(false, Ordering::Relaxed);
-        until("the new list counts and a packet is taken on", || {
+        until("the new list counts and a message is accepted", || {
             submit("new", 7, "20000") == 202
         });
         until("it is delivered", || calls(&seen, "new") == 1);
-        until("another is taken on", || submit("end", 9, "600") == 202);
+        until("another is accepted", || submit("end", 9, "600") == 202);
         until("it is tried", || calls(&refused, "end") > 0);
-        until("its end is told", || {
+        until("it is reported", || {
             let asked = asked.lock().expect("the log");
             asked
                 .iter()
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -1,19 +1,17 @@
-//! The whole program with lists of a hundred thousand lines. In a file of its own: it takes the processor for seconds, and the
-//! tests of a file run side by side, some of which hold answers to tenths of a second.
+//! The whole program with lists of a hundred thousand entries. In a file of its own: it takes the processor for seconds, and the
+//! tests of a file run side by side, some of which want answers within tenths of a second.
 
-use opalpulley_lab::scripted::{self, *};
-use std::net::SocketAddr;
-use std::thread;
-use std::time::Duration;
+mod common;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_opalpulley-forwarder");
+use common::*;
+use std::net::SocketAddr;
 
-/// Guards rule 1 where the list has a hundred thousand lines, half of them come and go, and others are cut off or name what
-/// nobody knows: the endpoint that is in each of them gets each message once, and the program stays up.
+/// Rule 1 where lists have a hundred thousand entries, half of which come and go, and others are cut off or have unknown names:
+/// the endpoint that is in each of them gets each message once, and the program stays up.
 #[test]
 fn lists_that_are_long_flap_or_are_cut_off_lose_no_message() {
     const OTHERS: u32 = 100_000;
-    let (endpoint, seen) = serve(|_, _| plain("200 OK"));
+    let (endpoint, seen) = endpoint_with("200 OK");
     let other = |n: u32| {
         let address = SocketAddr::from((std::net::Ipv4Addr::from(0x0a00_0000 + n), 80));
         member_named(&format!("t-{n}"), address, 1_000 + n, "Ready")
@@ -31,13 +29,12 @@
     let cut = whole[..whole.len() / 2].to_owned();
     let platform = platform(all, 0);
     let (_dir, state) = folder();
-    let forwarder = scripted::start(
-        PROGRAM,
+    let forwarder = start(
         &state,
         &config("notice", "guarded", 200, 3.0),
         platform.address,
     );
-    let told = [
+    let changes = [
         half.clone(),
         whole.clone(),
         cut,
@@ -45,12 +42,12 @@
         list(2, false, &unknown),
         whole,
     ];
-    for (round, text) in told.into_iter().enumerate() {
-        platform.changes.lock().expect("the changes").push(text);
+    for (round, text) in changes.into_iter().enumerate() {
+        push_change(&platform, text);
         let ids: Vec<String> = (0..10).map(|n| format!("p-{round}-{n}")).collect();
         for id in &ids {
             assert_eq!(forwarder.hand_in(id, "notice"), 202, "{id}");
-            thread::sleep(Duration::from_millis(100)); // so that the list comes amid them
+            pause(100); // so that the list comes amid them
         }
         until("each is delivered", || {
             ids.iter().all(|id| calls(&seen, id) == 1)
@@ -58,13 +55,9 @@
     }
     assert!(
         platform.changes.lock().expect("the changes").is_empty(),
-        "a list was not asked for"
+        "a list was not fetched"
     );
-    assert!(platform
-        .completion_reports
-        .lock()
-        .expect("the notices")
-        .is_empty());
+    assert!(report_bodies(&platform).is_empty());
     assert_eq!(
         seen.lock()
             .expect("the log")
--- /dev/null
+++ b/crates/forwarder/tests/program/endpoint_list.rs
@@ -0,0 +1,68 @@
+//! Changes of the endpoint list.
+
+use crate::common::*;
+
+/// Rule 3: a change that the watch brings takes effect at once.
+#[test]
+fn a_draining_endpoint_gets_no_new_message() {
+    let (old, seen_old) = endpoint_with("200 OK");
+    let (new, seen_new) = endpoint_with("200 OK");
+    let platform = platform(vec![member(old, 7, "Ready")], 0);
+    let (_dir, state) = folder();
+    let forwarder = start(
+        &state,
+        &config("notice", "free", 200, 3.0),
+        platform.address,
+    );
+    assert_eq!(forwarder.hand_in("first", "notice"), 202);
+    until("the old one serves", || calls(&seen_old, "first") == 1);
+    let change = list(
+        2,
+        false,
+        &[member(old, 7, "Terminating"), member(new, 7, "Ready")],
+    );
+    push_change(&platform, change);
+    until_changes_are_sent(&platform);
+    pause(100);
+    for n in 0..10 {
+        assert_eq!(forwarder.hand_in(&format!("n{n}"), "notice"), 202);
+    }
+    until("the new one serves", || {
+        (0..10).all(|n| calls(&seen_new, &format!("n{n}")) == 1)
+    });
+    assert_eq!(seen_old.lock().expect("the log").len(), 1);
+}
+
+/// Where another process takes over an address it is another endpoint: its destination, health and connections are its own.
+#[test]
+fn a_new_holder_of_an_address_inherits_nothing() {
+    // The first holder only rejects, with a long retry-after.
+    let (endpoint, seen) = serve(|m, _| {
+        plain(if m.headers["request-id"].starts_with("old") {
+            "429 Wait\r\nWait-Ms: 9000"
+        } else {
+            "200 OK"
+        })
+    });
+    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = folder();
+    let forwarder = start(
+        &state,
+        &config("notice", "free", 200, 3.0),
+        platform.address,
+    );
+    assert_eq!(forwarder.hand_in("old", "notice"), 202);
+    until("the old one refuses", || calls(&seen, "old") == 1);
+    let new = member(endpoint, 8, "Ready").replace("s-", "t-");
+    push_change(&platform, list(2, false, &[new]));
+    until_changes_are_sent(&platform);
+    pause(100);
+    assert_eq!(
+        forwarder.ask(&hand_in_head("lost", "notice", 4), b"body"),
+        202
+    ); // 7 has no endpoint any more
+    let head = hand_in_head("new", "notice", 4).replace("dest=7", "dest=8");
+    assert_eq!(forwarder.ask(&head, b"body"), 202);
+    until("the new one serves", || calls(&seen, "new") == 1);
+    assert_eq!((calls(&seen, "old"), calls(&seen, "lost")), (1, 0));
+}
