--- a/crates/forwarder/src/clients/client_stream.rs
+++ b/crates/forwarder/src/clients/client_stream.rs
@@ -11,8 +11,8 @@
 
 /// A client's stream.
 ///
-/// It reads the socket itself where the runtime knows of no bytes: the runtime looks at sockets only between turns. Whoever
-/// closes a connection must see the request that lies unread in its socket.
+/// It reads the socket itself where the runtime has no bytes, because the runtime polls sockets only between turns. A request
+/// that lies unread in the socket must be seen before the connection is closed.
 pub struct ClientStream {
     socket: TcpStream,
     connection: Arc<ConnectionState>,
--- a/crates/forwarder/src/clients/connection_state.rs
+++ b/crates/forwarder/src/clients/connection_state.rs
@@ -1,4 +1,4 @@
-//! The phase of one client connection, shared between its task and whoever may close it.
+//! The phase of one client connection, shared between its task and the listener, which may close it.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/forwarder/src/clients/listener.rs
+++ b/crates/forwarder/src/clients/listener.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// After accepting failed: descriptors may be free again.
+/// From a failed accept to the next one. Descriptors may be free again by then.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Accepts clients and serves them.
@@ -66,7 +66,7 @@
     }
 }
 
-/// Waits for ever where there is no listener, or no capacity.
+/// Accepts the next connection. Never resolves where there is no listener, or no capacity.
 async fn accept(listener: Option<&TcpListener>, has_capacity: bool) -> io::Result<TcpStream> {
     match listener {
         Some(listener) if has_capacity => {
@@ -77,8 +77,8 @@
     }
 }
 
-/// Admits the connections that wait to be accepted, and closes the listener. Those that it closes over would be reset
-/// without an answer.
+/// Admits the connections that wait to be accepted, and closes the listener. The system resets the connections that still wait
+/// when it is closed.
 fn admit_waiting(listener: TcpListener, connections: &mut OpenConnections) {
     let capacity = connections.remaining_capacity();
     for socket in waiting_connections(listener).take(capacity) {
@@ -86,7 +86,7 @@
     }
 }
 
-/// The connections that the system has set up and nobody has accepted. The listener is closed with the iterator.
+/// The connections that the system has set up and that are not accepted yet. The listener is closed with the iterator.
 fn waiting_connections(listener: TcpListener) -> impl Iterator<Item = TcpStream> {
     let listener = listener.into_std().ok();
     std::iter::from_fn(move || {
--- a/crates/forwarder/src/clients/tests.rs
+++ b/crates/forwarder/src/clients/tests.rs
@@ -167,7 +167,7 @@
             client.write_all(REQUEST.as_bytes()).expect("written");
             reaches(ConnectionPhase::Idle).await;
         }
-        // In one turn: nobody looks at the sockets between these.
+        // In one turn: the runtime reads no socket between these.
         client.write_all(REQUEST.as_bytes()).expect("written");
         state.request_close();
         served.await.expect("it ends");
--- a/crates/forwarder/src/endpoints/connection.rs
+++ b/crates/forwarder/src/endpoints/connection.rs
@@ -97,7 +97,7 @@
     fn call(&mut self, request: EndpointRequest) -> Self::Future {
         let stream_state = self.stream_state.clone();
         let length = request.length;
-        let response = self.http.sender.send_request(request.request);
+        let response = self.http.sender.send_request(request.http_request);
         Box::pin(async move {
             response.await.map_err(|_| AttemptError {
                 stage: stage_reached(stream_state.request_bytes_written(), length),
--- a/crates/forwarder/src/endpoints/stream.rs
+++ b/crates/forwarder/src/endpoints/stream.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// What a stream shows to those who use its connection.
+/// What is known of the bytes on a stream, shared with the attempt that uses its connection.
 pub struct StreamState {
     bytes_written: AtomicU64,
     /// Bytes written before the present request.
@@ -88,7 +88,7 @@
             .fetch_add(count as u64, Ordering::Relaxed);
     }
 
-    /// Notes a step of the answer. Further bytes of a first line that has started already wake nobody.
+    /// Records a step of the answer. Further bytes of a first line that has started already notify no waiter.
     fn set_answer_progress(&self, progress: AnswerProgress) {
         self.answer.send_if_modified(|now| {
             let again = *now == progress && progress == AnswerProgress::Started;
--- a/crates/forwarder/src/endpoints/tests/attempts.rs
+++ b/crates/forwarder/src/endpoints/tests/attempts.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Rule 2: what was written tells an attempt that can't have taken effect from one that may have.
+/// Rule 2: whether an attempt may have taken effect follows from the bytes that were written.
 #[tokio::test]
 async fn a_lost_connection_is_a_reset_only_after_the_last_byte() {
     let mut fixture = TestFixture::new().await;
--- a/crates/forwarder/src/protocol/attempt.rs
+++ b/crates/forwarder/src/protocol/attempt.rs
@@ -29,7 +29,7 @@
 #[derive(Clone)]
 pub struct EndpointRequest {
     /// The request.
-    pub request: Request<Full<Bytes>>,
+    pub http_request: Request<Full<Bytes>>,
     /// The bytes that it takes on the connection.
     pub length: u64,
 }
@@ -54,21 +54,27 @@
     if let Some(key) = idempotency_key {
         head = head.header(IDEMPOTENCY_KEY, key);
     }
-    let request = head
+    let http_request = head
         .header(REQUEST_TIMEOUT_MS, timeout.as_millis().to_string())
         .header(CONTENT_LENGTH, body.len().to_string())
         .body(Full::new(body.clone()))?;
-    let length = head_bytes(&request) + body.len() as u64;
-    Ok(EndpointRequest { request, length })
+    let length = head_bytes(&http_request) + body.len() as u64;
+    Ok(EndpointRequest {
+        http_request,
+        length,
+    })
 }
 
 /// A health check.
 pub fn encode_health_check(endpoint: EndpointId) -> Result<EndpointRequest, hyper::http::Error> {
-    let request = Request::get(HEALTH_CHECK_PATH)
+    let http_request = Request::get(HEALTH_CHECK_PATH)
         .header(HOST, address(endpoint).to_string())
         .body(Full::new(Bytes::new()))?;
-    let length = head_bytes(&request);
-    Ok(EndpointRequest { request, length })
+    let length = head_bytes(&http_request);
+    Ok(EndpointRequest {
+        http_request,
+        length,
+    })
 }
 
 /// The bytes of a request's head on the connection (RFC 9112 section 2.1): its first line, a line a header, an empty line.
--- a/crates/forwarder/src/protocol/submission_error.rs
+++ b/crates/forwarder/src/protocol/submission_error.rs
@@ -91,27 +91,27 @@
     /// The status of the answer.
     pub fn status(&self) -> StatusCode {
         match self {
-            SubmissionError::BodyWithoutLength => StatusCode::LENGTH_REQUIRED,
-            SubmissionError::UnknownPath { .. } => StatusCode::NOT_FOUND,
-            SubmissionError::NotPost | SubmissionError::NotGet => StatusCode::METHOD_NOT_ALLOWED,
-            SubmissionError::RepeatedHeader { .. }
-            | SubmissionError::UnreadableHeader { .. }
-            | SubmissionError::MissingHeader { .. }
-            | SubmissionError::ClassMismatch { .. }
-            | SubmissionError::InvalidTimeLeft { .. }
-            | SubmissionError::TimeLeftTooLong { .. }
-            | SubmissionError::NoDestination
-            | SubmissionError::InvalidDestination { .. }
-            | SubmissionError::MissingIdempotencyKey { .. }
-            | SubmissionError::BodyUnreadable(_) => StatusCode::BAD_REQUEST,
-            SubmissionError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            SubmissionError::BodyTimedOut => StatusCode::REQUEST_TIMEOUT,
-            SubmissionError::ConflictingContent => StatusCode::CONFLICT,
-            SubmissionError::NotReady
-            | SubmissionError::AllConnectionsTaken
-            | SubmissionError::TooManySubmissions
-            | SubmissionError::ShuttingDown
-            | SubmissionError::UnknownDestination => StatusCode::SERVICE_UNAVAILABLE,
+            Self::BodyWithoutLength => StatusCode::LENGTH_REQUIRED,
+            Self::UnknownPath { .. } => StatusCode::NOT_FOUND,
+            Self::NotPost | Self::NotGet => StatusCode::METHOD_NOT_ALLOWED,
+            Self::RepeatedHeader { .. }
+            | Self::UnreadableHeader { .. }
+            | Self::MissingHeader { .. }
+            | Self::ClassMismatch { .. }
+            | Self::InvalidTimeLeft { .. }
+            | Self::TimeLeftTooLong { .. }
+            | Self::NoDestination
+            | Self::InvalidDestination { .. }
+            | Self::MissingIdempotencyKey { .. }
+            | Self::BodyUnreadable(_) => StatusCode::BAD_REQUEST,
+            Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::BodyTimedOut => StatusCode::REQUEST_TIMEOUT,
+            Self::ConflictingContent => StatusCode::CONFLICT,
+            Self::NotReady
+            | Self::AllConnectionsTaken
+            | Self::TooManySubmissions
+            | Self::ShuttingDown
+            | Self::UnknownDestination => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
 
@@ -120,10 +120,10 @@
     pub fn closes_connection(&self) -> bool {
         matches!(
             self,
-            SubmissionError::BodyWithoutLength
-                | SubmissionError::BodyTooLarge
-                | SubmissionError::BodyUnreadable(_)
-                | SubmissionError::BodyTimedOut
+            Self::BodyWithoutLength
+                | Self::BodyTooLarge
+                | Self::BodyUnreadable(_)
+                | Self::BodyTimedOut
         )
     }
 }
@@ -131,52 +131,42 @@
 impl fmt::Display for SubmissionError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SubmissionError::BodyWithoutLength => {
-                write!(f, "a body comes with its length, not in chunks")
-            }
-            SubmissionError::UnknownPath { path } => {
-                write!(f, "no profile is handed in at {path}")
-            }
-            SubmissionError::NotPost => write!(f, "a packet is handed in with POST"),
-            SubmissionError::NotGet => write!(f, "this is read with GET"),
-            SubmissionError::RepeatedHeader { name } => write!(f, "{name} comes more than once"),
-            SubmissionError::UnreadableHeader { name } => write!(
+            Self::BodyWithoutLength => write!(f, "a body comes with its length, not in chunks"),
+            Self::UnknownPath { path } => write!(f, "no profile is handed in at {path}"),
+            Self::NotPost => write!(f, "a packet is handed in with POST"),
+            Self::NotGet => write!(f, "this is read with GET"),
+            Self::RepeatedHeader { name } => write!(f, "{name} comes more than once"),
+            Self::UnreadableHeader { name } => write!(
                 f,
                 "{name} is no plain text of at most {MAX_VALUE_BYTES} characters"
             ),
-            SubmissionError::MissingHeader { name } => write!(f, "{name} is missing"),
-            SubmissionError::ClassMismatch { class, path } => {
+            Self::MissingHeader { name } => write!(f, "{name} is missing"),
+            Self::ClassMismatch { class, path } => {
                 write!(f, "{DELIVERY_CLASS} says {class}, the path {path}")
             }
-            SubmissionError::InvalidTimeLeft { value } => {
+            Self::InvalidTimeLeft { value } => {
                 write!(f, "{REQUEST_TIMEOUT_MS}: {value} is no whole number of ms")
             }
-            SubmissionError::TimeLeftTooLong { class, max_ms } => write!(
+            Self::TimeLeftTooLong { class, max_ms } => write!(
                 f,
                 "{REQUEST_TIMEOUT_MS} is over what {class} packets have: {max_ms} ms"
             ),
-            SubmissionError::NoDestination => write!(f, "{ENVELOPE} has no dest"),
-            SubmissionError::InvalidDestination { value } => {
+            Self::NoDestination => write!(f, "{ENVELOPE} has no dest"),
+            Self::InvalidDestination { value } => {
                 write!(f, "{ENVELOPE}: {value} is no number of a destination")
             }
-            SubmissionError::MissingIdempotencyKey { class } => {
+            Self::MissingIdempotencyKey { class } => {
                 write!(f, "{IDEMPOTENCY_KEY} is missing, and {class} needs one")
             }
-            SubmissionError::BodyTooLarge => {
-                write!(f, "a body holds {MAX_BODY_BYTES} bytes at most")
-            }
-            SubmissionError::BodyUnreadable(problem) => write!(f, "{problem}"),
-            SubmissionError::BodyTimedOut => write!(f, "the body did not come"),
-            SubmissionError::NotReady => write!(f, "not ready yet"),
-            SubmissionError::AllConnectionsTaken => write!(f, "all connections are taken"),
-            SubmissionError::TooManySubmissions => write!(f, "too many packets at once"),
-            SubmissionError::ShuttingDown => write!(f, "going down"),
-            SubmissionError::ConflictingContent => {
-                write!(f, "another packet with this id is open")
-            }
-            SubmissionError::UnknownDestination => {
-                write!(f, "no list has named this destination")
-            }
+            Self::BodyTooLarge => write!(f, "a body holds {MAX_BODY_BYTES} bytes at most"),
+            Self::BodyUnreadable(problem) => write!(f, "{problem}"),
+            Self::BodyTimedOut => write!(f, "the body did not come"),
+            Self::NotReady => write!(f, "not ready yet"),
+            Self::AllConnectionsTaken => write!(f, "all connections are taken"),
+            Self::TooManySubmissions => write!(f, "too many packets at once"),
+            Self::ShuttingDown => write!(f, "going down"),
+            Self::ConflictingContent => write!(f, "another packet with this id is open"),
+            Self::UnknownDestination => write!(f, "no list has named this destination"),
         }
     }
 }
--- a/crates/forwarder/src/protocol/tests.rs
+++ b/crates/forwarder/src/protocol/tests.rs
@@ -1,4 +1,4 @@
-//! Each codec against the text of the wire document, and against input that nobody has thought of.
+//! Each codec against the text of the wire document, and against random input.
 
 use super::attempt::{decode_load_report, decode_retry_after};
 use super::submission::MAX_VALUE_BYTES;
--- a/crates/forwarder/src/startup.rs
+++ b/crates/forwarder/src/startup.rs
@@ -43,7 +43,7 @@
 /// For answers on their way when the process ends.
 const LAST_ANSWERS_TIME: Duration = Duration::from_millis(50);
 
-/// How whoever started a forwarder controls it.
+/// How the program controls a running forwarder.
 pub struct ProcessControl {
     /// Resolves when the forwarder is to end. It then ends in order, within 3.3 s.
     pub terminate: Pin<Box<dyn Future<Output = ()> + Send>>,
@@ -117,9 +117,7 @@
         gossip: senders.gossip,
         up: submission_service.ready.clone(),
     };
-    let config = starter.config.clone();
-    let mut dispatcher =
-        Dispatcher::new(config, startup.seed, clock, journal, handles, log.clone());
+    let mut dispatcher = starter.create_dispatcher(clock, journal, handles);
     let endpoints = starter.restore_cached_list(cached_list, &mut dispatcher);
     dispatcher.take_over(messages);
 
@@ -127,12 +125,7 @@
     starter.start_list_watch(endpoints, discovery.clone(), receivers.endpoint_list);
     starter.start_completion_reports(discovery, receivers.completion_reports);
     starter.start_gossip(gossip_peers, receivers.gossip);
-    let end = shutdown::run(
-        control.terminate,
-        &shutdown_stage,
-        senders.dispatcher.clone(),
-        log.clone(),
-    );
+    let end = starter.run_shutdown(control.terminate, &shutdown_stage);
     dispatcher
         .run(receivers.dispatcher, receivers.submissions, end)
         .await;
@@ -211,6 +204,26 @@
             "listen" => %startup.listen, "discovery" => %startup.discovery);
     }
 
+    fn create_dispatcher(
+        &self,
+        clock: Clock,
+        journal: Journal,
+        handles: DispatcherHandles,
+    ) -> Dispatcher {
+        let config = self.config.clone();
+        let log = self.log.clone();
+        Dispatcher::new(config, self.startup.seed, clock, journal, handles, log)
+    }
+
+    /// Waits for `terminate`, and then until the dispatcher is to end.
+    async fn run_shutdown(
+        &self,
+        terminate: impl Future<Output = ()>,
+        stage: &watch::Sender<ShutdownStage>,
+    ) {
+        shutdown::run(terminate, stage, self.dispatcher.clone(), self.log.clone()).await;
+    }
+
     /// Gives the dispatcher the list of the start-up configuration, if there is one. Returns the endpoints of that list.
     fn restore_cached_list(
         &self,
--- a/crates/simhost/src/reply.rs
+++ b/crates/simhost/src/reply.rs
@@ -1,7 +1,7 @@
 //! The reply to a batch: the actions of the instances, as records.
 
 use crate::error::{RecordProblem, WireError};
-use opalpulley::{Action, EndpointId, MessageId, Micros};
+use opalpulley::{Action, EndpointId, MessageId, Micros, TimerToken};
 
 /// Bytes of the header of a reply.
 const REPLY_HEADER_BYTES: usize = 12;
@@ -54,51 +54,18 @@
                 endpoint,
                 timeout,
                 ..
-            } => {
-                record.put_message(*id);
-                record.put_endpoint(*endpoint);
-                record.put_micros("Relay", timeout.unwrap_or(0))?;
-                CODE_SEND
-            }
-            Action::Fail { id } => {
-                record.put_message(*id);
-                CODE_FAIL
-            }
-            Action::Reject { id, retry_after } => {
-                record.put_message(*id);
-                record.put_micros("Reject", retry_after.unwrap_or(0))?;
-                CODE_REJECT
-            }
-            Action::SetTimer { after, token } => {
-                record.put_micros("NotifyMe", *after)?;
-                record.put_u32(token.0);
-                CODE_SET_TIMER
-            }
-            Action::HealthCheck { endpoint } => {
-                record.put_endpoint(*endpoint);
-                CODE_HEALTH_CHECK
-            }
-            Action::Cancel { id, attempt } => {
-                record.put_message(*id);
-                record.put_u8(*attempt);
-                CODE_CANCEL
-            }
+            } => record.put_send(*id, *endpoint, *timeout)?,
+            Action::Fail { id } => record.put_fail(*id),
+            Action::Reject { id, retry_after } => record.put_reject(*id, *retry_after)?,
+            Action::SetTimer { after, token } => record.put_set_timer(*after, *token)?,
+            Action::HealthCheck { endpoint } => record.put_health_check(*endpoint),
+            Action::Cancel { id, attempt } => record.put_cancel(*id, *attempt),
             // On this wire an attempt is written whole in the moment in which it is sent.
             Action::WithdrawUnsent { .. } => return Ok(()),
-            Action::CloseIdleConnections { endpoint } => {
-                record.put_endpoint(*endpoint);
-                CODE_CLOSE_IDLE_CONNECTIONS
-            }
-            Action::WatchEndpointList { on } => {
-                record.put_u8(u8::from(*on));
-                CODE_WATCH_ENDPOINT_LIST
-            }
+            Action::CloseIdleConnections { endpoint } => record.put_close_idle(*endpoint),
+            Action::WatchEndpointList { on } => record.put_watch_endpoint_list(*on),
             Action::FetchEndpointList => CODE_FETCH_ENDPOINT_LIST,
-            Action::SendGossip { peer, payload } => {
-                record.put_u32(peer.map_or(ALL_PEERS, u32::from));
-                record.put_bytes("Notify", payload)?;
-                CODE_GOSSIP
-            }
+            Action::SendGossip { peer, payload } => record.put_gossip(*peer, payload)?,
             Action::Log(event) => return self.push_log_line(instance, &event.to_string()),
         };
         self.push_record(code, &record)
@@ -121,7 +88,7 @@
     }
 }
 
-/// The fields of one action. All numbers are little-endian.
+/// The fields of one action. All numbers are little-endian. The encoder of an action returns the code of its record.
 struct ActionRecord {
     fields: Vec<u8>,
 }
@@ -134,6 +101,62 @@
         }
     }
 
+    fn put_send(
+        &mut self,
+        id: MessageId,
+        endpoint: EndpointId,
+        timeout: Option<Micros>,
+    ) -> Result<u16, WireError> {
+        self.put_message(id);
+        self.put_endpoint(endpoint);
+        self.put_micros("Relay", timeout.unwrap_or(0))?;
+        Ok(CODE_SEND)
+    }
+
+    fn put_fail(&mut self, id: MessageId) -> u16 {
+        self.put_message(id);
+        CODE_FAIL
+    }
+
+    fn put_reject(&mut self, id: MessageId, retry_after: Option<Micros>) -> Result<u16, WireError> {
+        self.put_message(id);
+        self.put_micros("Reject", retry_after.unwrap_or(0))?;
+        Ok(CODE_REJECT)
+    }
+
+    fn put_set_timer(&mut self, after: Micros, token: TimerToken) -> Result<u16, WireError> {
+        self.put_micros("NotifyMe", after)?;
+        self.put_u32(token.0);
+        Ok(CODE_SET_TIMER)
+    }
+
+    fn put_health_check(&mut self, endpoint: EndpointId) -> u16 {
+        self.put_endpoint(endpoint);
+        CODE_HEALTH_CHECK
+    }
+
+    fn put_cancel(&mut self, id: MessageId, attempt: u8) -> u16 {
+        self.put_message(id);
+        self.put_u8(attempt);
+        CODE_CANCEL
+    }
+
+    fn put_close_idle(&mut self, endpoint: EndpointId) -> u16 {
+        self.put_endpoint(endpoint);
+        CODE_CLOSE_IDLE_CONNECTIONS
+    }
+
+    fn put_watch_endpoint_list(&mut self, on: bool) -> u16 {
+        self.put_u8(u8::from(on));
+        CODE_WATCH_ENDPOINT_LIST
+    }
+
+    fn put_gossip(&mut self, peer: Option<u16>, payload: &[u8]) -> Result<u16, WireError> {
+        self.put_u32(peer.map_or(ALL_PEERS, u32::from));
+        self.put_bytes("Notify", payload)?;
+        Ok(CODE_GOSSIP)
+    }
+
     fn put_u8(&mut self, value: u8) {
         self.fields.push(value);
     }
