--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,8 +1,7 @@
 //! The settings as programs use them: checked, with defaults, in the core's terms.
 
 use crate::start_object::{
-    DeliveryClass, EndpointListMode, ListedRatesMode, PriorityDecayMode, Scope, Semantics,
-    StartObject,
+    EndpointListMode, ListedRatesMode, PriorityDecayMode, Profile, Scope, Semantics, StartObject,
 };
 use opalpulley::{
     Config, DeduplicationScope, DeliveryClassConfig, DeliverySemantics, EndpointKindConfig,
@@ -249,7 +248,7 @@
     }
 }
 
-fn delivery_class_config(class: &DeliveryClass) -> DeliveryClassConfig {
+fn delivery_class_config(class: &Profile) -> DeliveryClassConfig {
     let scope = match class.deduplication_scope {
         Scope::AllEndpoints => DeduplicationScope::AllEndpoints,
         Scope::Zone => DeduplicationScope::Zone,
--- a/crates/config/src/start_object.rs
+++ b/crates/config/src/start_object.rs
@@ -1,4 +1,6 @@
 //! The JSON of the operators. Each key is mapped here to the term that the code uses.
+//!
+//! The structs have the operators' names: serde writes the name of a struct into its error messages.
 
 use opalpulley::Micros;
 use serde::Deserialize;
@@ -10,13 +12,13 @@
 #[derive(Deserialize)]
 pub struct StartObject {
     #[serde(rename = "Accounts", default)]
-    pub(crate) tenants: Vec<Tenant>,
+    pub(crate) tenants: Vec<Account>,
     #[serde(rename = "Azs", default)]
     pub(crate) zones: Vec<String>,
     #[serde(rename = "Balancers")]
     pub(crate) fleet_size: u32,
     #[serde(rename = "Domain")]
-    pub(crate) destinations: Destinations,
+    pub(crate) destinations: Domain,
     #[serde(rename = "HostTypes")]
     pub(crate) endpoint_kinds: Vec<String>,
     #[serde(rename = "Limits")]
@@ -32,7 +34,7 @@
     #[serde(rename = "OverShareWorth", default)]
     pub(crate) over_quota_weight: f64,
     #[serde(rename = "Profiles")]
-    pub(crate) classes: Vec<DeliveryClass>,
+    pub(crate) classes: Vec<Profile>,
     #[serde(rename = "QuantumUs")]
     pub(crate) scheduling_interval: Micros,
     #[serde(rename = "Rules")]
@@ -43,7 +45,7 @@
 
 /// One tenant.
 #[derive(Deserialize)]
-pub(crate) struct Tenant {
+pub(crate) struct Account {
     #[serde(rename = "Name", default)]
     pub name: String,
     /// Messages a second.
@@ -53,7 +55,7 @@
 
 /// What holds for all destinations. The lists are in the order of the endpoint kinds, or of the zones.
 #[derive(Deserialize)]
-pub(crate) struct Destinations {
+pub(crate) struct Domain {
     #[serde(rename = "Fades")]
     pub priority_decay: PriorityDecayMode,
     /// Messages in one call, for each kind.
@@ -135,7 +137,7 @@
 
 /// One delivery class.
 #[derive(Deserialize)]
-pub(crate) struct DeliveryClass {
+pub(crate) struct Profile {
     #[serde(rename = "Effect")]
     pub semantics: Semantics,
     #[serde(rename = "Group", default)]
--- a/crates/forwarder/src/startup_config.rs
+++ b/crates/forwarder/src/startup_config.rs
@@ -5,7 +5,7 @@
 
 use crate::protocol::EndpointListDocument;
 use descriptors::DescriptorShares;
-use file::ConfigFile;
+use file::File;
 use opalpulley::{Config, OrderRelease};
 use opalpulley_config::ForwarderSettings;
 use std::fmt;
@@ -117,7 +117,7 @@
         text: &[u8],
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<StartupConfig, ConfigError> {
-        let file = ConfigFile::parse(text)?;
+        let file = File::parse(text)?;
         let discovery_in_file = file.discovery_address()?;
         let descriptors = file.limits.descriptors()?;
         let journal_bytes = file.limits.journal_bytes()?;
--- a/crates/forwarder/src/startup_config/file.rs
+++ b/crates/forwarder/src/startup_config/file.rs
@@ -19,9 +19,9 @@
 const MIN_DISK_MB: f64 = 0.1;
 const BYTES_PER_MB: f64 = 1e6;
 
-/// The file as it is written.
+/// The file as it is written. serde writes the name of a struct into its error messages.
 #[derive(Deserialize)]
-pub struct ConfigFile {
+pub struct File {
     #[serde(rename = "name")]
     pub name: Option<String>,
     #[serde(rename = "listen")]
@@ -55,9 +55,9 @@
     memory_mb: Option<f64>,
 }
 
-impl ConfigFile {
+impl File {
     /// Parses the text of a file. An error names the path of its key.
-    pub fn parse(text: &[u8]) -> Result<ConfigFile, ConfigError> {
+    pub fn parse(text: &[u8]) -> Result<File, ConfigError> {
         let text = &mut serde_json::Deserializer::from_slice(text);
         serde_path_to_error::deserialize(text)
             .map_err(|e| ConfigError::new(format!("GW_CONFIG {}", e.path()), e.inner()))
