--- a/crates/forwarder/src/endpoints/tests.rs
+++ b/crates/forwarder/src/endpoints/tests.rs
@@ -3,6 +3,7 @@
 mod answers;
 mod attempts;
 mod connections;
+mod response_filter;
 
 use super::attempt::{AttemptKind, InFlight, StopRequest};
 use super::*;
--- /dev/null
+++ b/crates/forwarder/src/endpoints/tests/response_filter.rs
@@ -0,0 +1,95 @@
+//! What the HTTP library sees of an answer, and what is known of it meanwhile, without a socket.
+
+use crate::endpoints::response_filter::{ResponseFilter, MAX_FIRST_LINE_BYTES};
+use crate::endpoints::stream::AnswerProgress;
+use std::cell::RefCell;
+use std::io;
+use tokio::io::ReadBuf;
+
+const BUFFER_BYTES: usize = 64 * 1024;
+
+/// What a filter made of the pieces of one answer.
+struct Filtered {
+    output: Vec<u8>,
+    progress: Vec<AnswerProgress>,
+    result: io::Result<()>,
+}
+
+/// Pushes pieces to a filter that expects an answer, up to the first error.
+fn filter(pieces: &[&[u8]]) -> Filtered {
+    let mut filter = ResponseFilter::new();
+    filter.expect_answer();
+    let mut buffer = vec![0; BUFFER_BYTES];
+    let mut output = ReadBuf::new(&mut buffer);
+    let progress = RefCell::new(Vec::new());
+    let mut result = Ok(());
+    for piece in pieces {
+        let record = |step| progress.borrow_mut().push(step);
+        result = filter.push(piece, &mut output, record);
+        if result.is_err() {
+            break;
+        }
+    }
+    Filtered {
+        output: output.filled().to_vec(),
+        progress: progress.into_inner(),
+        result,
+    }
+}
+
+#[test]
+fn a_first_line_is_kept_back_until_it_is_whole() {
+    let half = filter(&[b"HTTP/1.1 200 OK\r"]);
+    assert_eq!(half.output, b"");
+    assert_eq!(half.progress, [AnswerProgress::Started]);
+    let whole = filter(&[b"HTTP/1.1 200 OK\r", b"\nX: y"]);
+    assert_eq!(whole.output, b"HTTP/1.1 200 OK\r\nX: y");
+    assert_eq!(
+        whole.progress,
+        [AnswerProgress::Started, AnswerProgress::Status(200)]
+    );
+}
+
+#[test]
+fn heads_with_a_1xx_status_are_dropped_wherever_they_are_cut() {
+    let text = b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 101 Up\n\nHTTP/1.0 503 Full\r\nX: y\r\n\r\n";
+    for cut in 0..text.len() {
+        let (first, second) = text.split_at(cut);
+        let filtered = filter(&[first, second]);
+        assert_eq!(
+            filtered.output, b"HTTP/1.0 503 Full\r\nX: y\r\n\r\n",
+            "{cut}"
+        );
+        assert_eq!(
+            filtered.progress.last(),
+            Some(&AnswerProgress::Status(503)),
+            "{cut}"
+        );
+    }
+}
+
+#[test]
+fn a_line_without_a_status_or_an_end_goes_to_the_library_as_it_is() {
+    let endless = vec![b'x'; MAX_FIRST_LINE_BYTES];
+    let lines: [&[u8]; 5] = [
+        b"HTTP/1.1 2000 OK\r\n",
+        b"HTTP/1.1 +20 OK\r\n",
+        b"HTTP/2.0 200 OK\r\n",
+        b"noise\n",
+        &endless,
+    ];
+    for line in lines {
+        let filtered = filter(&[line]);
+        assert_eq!(filtered.output, line);
+        assert_eq!(filtered.progress, [AnswerProgress::Started]);
+    }
+}
+
+#[test]
+fn heads_with_a_1xx_status_that_never_end_are_an_error() {
+    let piece = vec![b'x'; 33 * 1024];
+    let filtered = filter(&[b"HTTP/1.1 100 Continue\r\n", &piece]);
+    let problem = filtered.result.expect_err("too long");
+    assert_eq!(problem.kind(), io::ErrorKind::InvalidData);
+    assert_eq!(filtered.output, b"");
+}
