--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -109,7 +109,7 @@
 fn read(text: &str) -> Value {
     match opalpulley_config::read(text.as_bytes()) {
         Ok(start) => render(&start),
-        Err(problem) => json!({ "wrong": problem }),
+        Err(problem) => json!({ "wrong": problem.to_string() }),
     }
 }
 
--- a/crates/forwarder/src/clients/golden_tests.rs
+++ b/crates/forwarder/src/clients/golden_tests.rs
@@ -1,10 +1,22 @@
 //! Proves that the bytes between clients and the forwarder stay the same: each recorded request is written to a real
 //! connection, the submission decoded from it and the bytes of the answer are compared with the recorded ones.
 
+use super::connection::{serve_connection, ConnectionService};
+use super::connection_state::ConnectionState;
+use super::submission_service::ConnectionUse;
 use super::*;
+use crate::commands::{SubmissionAnswer, SubmissionRequest};
 use crate::golden_cases::{text, GoldenCases};
+use opalpulley::{Config, DeliveryClassConfig, DeliverySemantics};
+use opalpulley_config::Names;
 use serde_json::{json, Value};
+use slog::Logger;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc;
 
 /// Two delivery classes: `record` may be repeated, `notice` needs an idempotency key.
 fn service(submissions: mpsc::Sender<SubmissionRequest>) -> SubmissionService {
@@ -45,13 +57,13 @@
 /// Serves the one connection that comes to this listener.
 async fn serve_one(listener: TcpListener, service: SubmissionService) {
     let (stream, _) = listener.accept().await.expect("a client");
-    let presence = Arc::new(Presence::new(Arc::default()));
-    serve(
+    let state = Arc::new(ConnectionState::new(Arc::default()));
+    serve_connection(
         stream,
         ConnectionService {
             submission_service: Arc::new(service),
-            presence,
-            crowded: false,
+            state,
+            connection_use: ConnectionUse::Serve,
         },
     )
     .await;
@@ -136,9 +148,9 @@
     service
         .ready
         .store(input["not ready"] != true, Ordering::Relaxed);
-    service
-        .closing
-        .store(input["closing"] == true, Ordering::Relaxed);
+    if input["closing"] == true {
+        service.close_connections_after_answers();
+    }
     tokio::spawn(serve_one(listener, service));
     let verdict = verdict(input);
     let decode = tokio::spawn(async move {
--- a/crates/forwarder/src/endpoints/golden_tests.rs
+++ b/crates/forwarder/src/endpoints/golden_tests.rs
@@ -2,11 +2,15 @@
 //! connection, and what each recorded answer is decoded to.
 
 use super::*;
+use crate::commands::{AttemptRequest, EndpointCommand};
 use crate::golden_cases::{text, GoldenCases};
 use bytes::Bytes;
+use opalpulley::{EndpointId, MessageId, Outcome};
 use serde_json::{json, Value};
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::Instant;
 
 const WITHIN: Duration = Duration::from_secs(10);
 
--- a/crates/forwarder/src/startup_config/golden_tests.rs
+++ b/crates/forwarder/src/startup_config/golden_tests.rs
@@ -22,13 +22,13 @@
         "discovery": startup.discovery,
         "discovery in the file": startup.discovery_in_file,
         "seed": format!("{:016x}", startup.seed),
-        "disk bytes": startup.disk,
-        "client sockets": startup.client_sockets,
-        "idle sockets": startup.idle_sockets,
+        "disk bytes": startup.journal_bytes,
+        "client sockets": startup.max_client_connections,
+        "idle sockets": startup.max_idle_connections,
         "gossip address": gossip.listen,
         "gossip peers": gossip.each,
         "gossip address of all": gossip.all,
-        "known list: revision, complete, ids": startup.known.as_ref().map(|known| {
+        "known list: revision, complete, ids": startup.cached_list.as_ref().map(|known| {
             let ids: Vec<&str> = known.members.iter().map(|member| member.id.as_str()).collect();
             json!([known.revision, known.complete, ids])
         }),
--- a/crates/simhost/src/host/golden_tests.rs
+++ b/crates/simhost/src/host/golden_tests.rs
@@ -2,7 +2,7 @@
 //! never.
 
 use super::*;
-use opalpulley::EndpointId;
+use opalpulley::{EndpointId, MessageId, TimerToken};
 
 const GOLDEN: &str = include_str!("../../tests/golden/actions.txt");
 const ENDPOINT: EndpointId = EndpointId {
