--- a/crates/forwarder/src/clients/golden_tests.rs
+++ b/crates/forwarder/src/clients/golden_tests.rs
@@ -88,11 +88,11 @@
         "class": submitted.class.0,
         "tenant": submitted.tenant.map(|tenant| tenant.0),
         "destination": submitted.destination.0,
-        "time left us": submitted.left,
+        "time left us": submitted.time_left,
         "idempotency key": submitted.idempotency_key,
         "order key": submitted.key.map(|key| format!("{key:016x}")),
-        "repeated by client": submitted.again,
-        "from a forwarder that died": submitted.orphan,
+        "repeated by client": submitted.resubmitted,
+        "from a forwarder that died": submitted.from_failed_forwarder,
         "body": text(&submitted.body),
     })
 }
--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -158,7 +158,7 @@
                 () = &mut exit => return,
                 Some(command) = commands.recv() => {
                     shutting_down |= matches!(command, DispatcherCommand::Event(Event::ShuttingDown));
-                    self.handle_message(command);
+                    self.handle_command(command);
                 }
                 () = sleep_until(next_timer) => self.fire_timers(),
                 () = sleep_until(next_idle_check) => {
@@ -178,7 +178,7 @@
     }
 
     /// Handles one message of another actor.
-    pub fn handle_message(&mut self, command: DispatcherCommand) {
+    pub fn handle_command(&mut self, command: DispatcherCommand) {
         match command {
             DispatcherCommand::Event(Event::EndpointList(update)) => {
                 self.update_endpoint_list(update);
--- a/crates/forwarder/src/dispatcher/recovery.rs
+++ b/crates/forwarder/src/dispatcher/recovery.rs
@@ -149,11 +149,11 @@
         class: DeliveryClassId(stored.class),
         tenant: stored.tenant.map(TenantId),
         destination: DestinationId(stored.destination),
-        left: stored.deadline.saturating_sub(now),
+        time_left: stored.deadline.saturating_sub(now),
         idempotency_key: stored.idempotency_key,
         key: stored.key,
-        again: stored.resubmitted,
-        orphan: stored.from_failed_forwarder,
+        resubmitted: stored.resubmitted,
+        from_failed_forwarder: stored.from_failed_forwarder,
         body: stored.body,
     }
 }
--- a/crates/forwarder/src/dispatcher/submissions.rs
+++ b/crates/forwarder/src/dispatcher/submissions.rs
@@ -32,7 +32,9 @@
             return;
         }
         // The time left is counted from the last byte of the request, not from its turn in the mailbox.
-        submitted.left = submitted.left.saturating_sub(micros(received_at.elapsed()));
+        submitted.time_left = submitted
+            .time_left
+            .saturating_sub(micros(received_at.elapsed()));
         let Some(submission) = self.accept(submitted) else {
             send_answer(answer, SubmissionAnswer::NoCapacity);
             return;
@@ -64,7 +66,7 @@
 
     /// Journals a message and adds it to those in flight. None where there is no capacity for it.
     fn accept(&mut self, submitted: SubmittedMessage) -> Option<Submission> {
-        let deadline = self.clock.now() + submitted.left;
+        let deadline = self.clock.now() + submitted.time_left;
         let stored = stored_message(&submitted, deadline);
         // The configured capacity is checked before the core is asked, as the simulator does.
         let table_full = self.in_flight.len() >= self.config.message_capacity as usize;
@@ -155,8 +157,8 @@
         destination: submitted.destination.0,
         deadline,
         idempotency_key: submitted.idempotency_key.clone(),
-        resubmitted: submitted.again,
-        from_failed_forwarder: submitted.orphan,
+        resubmitted: submitted.resubmitted,
+        from_failed_forwarder: submitted.from_failed_forwarder,
         body: submitted.body.clone(),
         key: submitted.key,
         attempts: 0,
@@ -177,9 +179,9 @@
         class: submitted.class,
         tenant: submitted.tenant.unwrap_or(NO_TENANT),
         key: submitted.key.map(OrderKey),
-        time_left: submitted.left,
+        time_left: submitted.time_left,
         destination: submitted.destination,
-        resubmitted: submitted.again,
+        resubmitted: submitted.resubmitted,
         history,
     }
 }
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -85,7 +85,7 @@
         destination: DestinationId(7),
         kind: EndpointKindId(0),
     };
-    dispatcher.handle_message(DispatcherCommand::Event(Event::EndpointList(
+    dispatcher.handle_command(DispatcherCommand::Event(Event::EndpointList(
         EndpointListUpdate::Cached(vec![entry]),
     )));
     dispatcher.take_over(Vec::new());
@@ -116,7 +116,7 @@
         while tokio::time::Instant::now() < until {
             self.dispatcher.fire_timers();
             while let Ok(command) = self.commands.try_recv() {
-                self.dispatcher.handle_message(command);
+                self.dispatcher.handle_command(command);
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -141,11 +141,11 @@
         class: DeliveryClassId(class),
         tenant: None,
         destination: DestinationId(7),
-        left: 20_000_000,
+        time_left: 20_000_000,
         idempotency_key: Some(id.into()),
         key: None,
-        again: false,
-        orphan: false,
+        resubmitted: false,
+        from_failed_forwarder: false,
         body: bytes::Bytes::from_static(b"ride"),
     }
 }
@@ -175,7 +175,7 @@
     assert_eq!(fixture.dispatcher.in_flight.len(), 2);
     fixture
         .dispatcher
-        .handle_message(DispatcherCommand::ReportsAcknowledged(vec![
+        .handle_command(DispatcherCommand::ReportsAcknowledged(vec![
             pending_report.serial,
         ]));
     assert_eq!(fixture.dispatcher.journal.recover_messages().len(), 2);
@@ -195,7 +195,7 @@
 #[tokio::test]
 async fn a_client_that_has_left_submits_nothing() {
     let mut fixture = fixture().await;
-    drop(fixture.submit("early", 1)); // its answer was sent before it left: accepted
+    drop(fixture.submit("early", 1)); // its answer was sent before it time_left: accepted
     let (answer, answered) = oneshot::channel();
     drop(answered);
     fixture.dispatcher.submit(SubmissionRequest {
@@ -242,12 +242,12 @@
     };
     fixture
         .dispatcher
-        .handle_message(DispatcherCommand::Event(ended(Outcome::Delivered)));
+        .handle_command(DispatcherCommand::Event(ended(Outcome::Delivered)));
     assert!(fixture.dispatcher.in_flight.is_empty());
     assert!(fixture.dispatcher.journal.recover_messages().is_empty());
     fixture
         .dispatcher
-        .handle_message(DispatcherCommand::Event(ended(Outcome::Error)));
+        .handle_command(DispatcherCommand::Event(ended(Outcome::Error)));
     assert!(fixture.dispatcher.in_flight.is_empty());
     assert!(fixture.dispatcher.pending_reports.is_empty());
 }
@@ -266,7 +266,7 @@
     }
     let tenant = SubmittedMessage {
         tenant: Some(TenantId(1)),
-        left: 5,
+        time_left: 5,
         ..submitted("x", 1)
     };
     let submission = submission(MessageId(9), &tenant, AttemptHistory::default());
--- a/crates/forwarder/src/endpoint_list/golden_tests.rs
+++ b/crates/forwarder/src/endpoint_list/golden_tests.rs
@@ -67,16 +67,16 @@
     let (_moves, discovery) = watch::channel(address);
     let (dispatcher, mut events) = mpsc::channel(64);
     let (commands, mailbox) = mpsc::channel(4);
-    let must_be_asked = input["must be asked"] == true;
+    let must_be_polled = input["must be asked"] == true;
     let log = Logger::root(slog::Discard, slog::o!());
     let platform = Platform::new(address);
-    let held = EndpointTable::default();
+    let table = EndpointTable::default();
     let list = EndpointListWatch {
         platform,
         discovery,
         names: names(),
-        held,
-        must_be_asked,
+        table,
+        must_be_polled,
         dispatcher,
         log,
     };
@@ -117,7 +117,7 @@
             "HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
         );
         stream.write_all(answer.as_bytes()).await.expect("answered");
-        if must_be_asked {
+        if must_be_polled {
             let event = tokio::time::timeout(WITHIN, events.recv())
                 .await
                 .expect("in time");
--- a/crates/forwarder/src/endpoint_list/table.rs
+++ b/crates/forwarder/src/endpoint_list/table.rs
@@ -25,7 +25,7 @@
 impl EndpointTable {
     /// Applies a document and returns what it says in the core's terms: nothing where it is older than the list that is
     /// known, or changes nothing.
-    pub fn take(
+    pub fn apply(
         &mut self,
         document: EndpointListDocument,
         names: &Names,
--- a/crates/forwarder/src/endpoint_list/table/tests.rs
+++ b/crates/forwarder/src/endpoint_list/table/tests.rs
@@ -27,10 +27,10 @@
 fn document(revision: u64, complete: bool, members: &[(&str, u16, Phase)]) -> EndpointListDocument {
     let member = |(id, port, phase): &(&str, u16, Phase)| Member {
         id: (*id).into(),
-        host_port: format!("10.0.0.1:{port}").parse().expect("an address"),
-        locality: "a".into(),
-        flavor: "m".into(),
-        cell: 3,
+        address: format!("10.0.0.1:{port}").parse().expect("an address"),
+        zone_name: "a".into(),
+        kind_name: "m".into(),
+        destination: 3,
         phase: *phase,
         size: 1.0,
         up_since_ms: 0,
@@ -72,18 +72,18 @@
     let mut table = EndpointTable::default();
     let whole = document(5, true, &[("x", 1, Phase::Ready), ("y", 2, Phase::Ready)]);
     assert_eq!(
-        by_port(table.take(whole, &names())),
+        by_port(table.apply(whole, &names())),
         [(1, EndpointStatus::Ready), (2, EndpointStatus::Ready)]
     );
     let change = document(6, false, &[("y", 2, Phase::Terminating)]);
     assert_eq!(
-        by_port(table.take(change, &names())),
+        by_port(table.apply(change, &names())),
         [(2, EndpointStatus::Draining)]
     );
     assert!(table
-        .take(document(4, false, &[("y", 2, Phase::Ready)]), &names())
+        .apply(document(4, false, &[("y", 2, Phase::Ready)]), &names())
         .is_none());
-    assert!(table.take(document(7, false, &[]), &names()).is_none());
+    assert!(table.apply(document(7, false, &[]), &names()).is_none());
     assert_eq!(table.revision, Some(7));
 }
 
@@ -92,42 +92,42 @@
 #[test]
 fn each_member_at_an_address_is_an_endpoint_of_its_own() {
     let mut table = EndpointTable::default();
-    table.take(document(1, true, &[("x", 1, Phase::Ready)]), &names());
-    let moved = table.take(document(2, false, &[("x", 2, Phase::Ready)]), &names());
+    table.apply(document(1, true, &[("x", 1, Phase::Ready)]), &names());
+    let moved = table.apply(document(2, false, &[("x", 2, Phase::Ready)]), &names());
     assert_eq!(
         by_port(moved),
         [(1, EndpointStatus::Removed), (2, EndpointStatus::Ready)]
     );
     // Another member gets the address: the first endpoint is removed, and the second is a new one.
-    let taken = table.take(document(3, false, &[("z", 2, Phase::Ready)]), &names());
+    let taken = table.apply(document(3, false, &[("z", 2, Phase::Ready)]), &names());
     assert_eq!(
         by_incarnation(taken),
         [(2, EndpointStatus::Removed), (3, EndpointStatus::Ready)]
     );
     // Late changes of the first member do not apply to the second.
     assert!(table
-        .take(
+        .apply(
             document(4, false, &[("x", 2, Phase::Terminating)]),
             &names()
         )
         .is_none());
     assert!(table
-        .take(document(5, false, &[("x", 2, Phase::Gone)]), &names())
+        .apply(document(5, false, &[("x", 2, Phase::Gone)]), &names())
         .is_none());
     let both = &[("x", 2, Phase::Terminating), ("z", 2, Phase::Ready)];
     assert_eq!(
-        by_incarnation(table.take(document(6, true, both), &names())),
+        by_incarnation(table.apply(document(6, true, both), &names())),
         [(3, EndpointStatus::Ready)]
     );
     // The same address for another destination is another endpoint.
     let mut other = document(7, false, &[("z", 2, Phase::Ready)]);
-    other.members[0].cell = 4;
+    other.members[0].destination = 4;
     assert_eq!(
-        by_incarnation(table.take(other, &names())),
+        by_incarnation(table.apply(other, &names())),
         [(3, EndpointStatus::Removed), (5, EndpointStatus::Ready)]
     );
     // Nothing is kept of removed members.
-    table.take(document(8, false, &[("z", 2, Phase::Gone)]), &names());
+    table.apply(document(8, false, &[("z", 2, Phase::Gone)]), &names());
     assert!(table.is_empty());
 }
 
@@ -143,11 +143,11 @@
         .collect();
     let begun = std::time::Instant::now();
     assert_eq!(
-        by_port(table.take(document(1, true, &whole), &names())).len(),
+        by_port(table.apply(document(1, true, &whole), &names())).len(),
         ids.len()
     );
     for (id, port, _) in whole {
-        let update = table.take(
+        let update = table.apply(
             document(2, false, &[(id, port, Phase::Terminating)]),
             &names(),
         );
@@ -165,7 +165,7 @@
         ("s-0", 1, Phase::Ready),
         ("new", 2, Phase::Ready),
     ];
-    let update = by_incarnation(table.take(document(3, false, &twice), &names()));
+    let update = by_incarnation(table.apply(document(3, false, &twice), &names()));
     assert_eq!(
         update,
         [
@@ -193,10 +193,10 @@
                 .expect("one");
             Member {
                 id: id.into(),
-                host_port: SocketAddrV4::new([10, 0, 0, 1].into(), u16::arbitrary(g) % 4),
-                locality: (*g.choose(&["a", "b", "unknown-zone", ""]).expect("one")).into(),
-                flavor: (*g.choose(&["m", "unknown-kind"]).expect("one")).into(),
-                cell: *g.choose(&[0, 1, u32::MAX]).expect("one"),
+                address: SocketAddrV4::new([10, 0, 0, 1].into(), u16::arbitrary(g) % 4),
+                zone_name: (*g.choose(&["a", "b", "unknown-zone", ""]).expect("one")).into(),
+                kind_name: (*g.choose(&["m", "unknown-kind"]).expect("one")).into(),
+                destination: *g.choose(&[0, 1, u32::MAX]).expect("one"),
                 phase: *g
                     .choose(&[Phase::Ready, Phase::Ready, Phase::Terminating, Phase::Gone])
                     .expect("one"),
@@ -220,14 +220,14 @@
     fn equal(documents: Vec<AnyDocument>) -> bool {
         let (mut table, mut plain) = (EndpointTable::default(), PlainTable::default());
         documents.into_iter().all(|AnyDocument(document)| {
-            let update = table.take(document.clone(), &names());
+            let update = table.apply(document.clone(), &names());
             let members = &table.members;
             let sizes = [
                 members.rows.len(),
                 members.by_id.len(),
                 members.by_address.len(),
             ];
-            update == plain.take(document, &names())
+            update == plain.apply(document, &names())
                 && table.revision == plain.revision
                 && sizes == [plain.members.len(); 3]
         })
@@ -240,10 +240,10 @@
 fn many(revision: u64, complete: bool, numbers: impl Iterator<Item = u32>) -> EndpointListDocument {
     let member = |n: u32| Member {
         id: format!("member-{n:06}").into(),
-        host_port: SocketAddrV4::new((0x0a00_0000 + n).into(), 8080),
-        locality: "a".into(),
-        flavor: "m".into(),
-        cell: n,
+        address: SocketAddrV4::new((0x0a00_0000 + n).into(), 8080),
+        zone_name: "a".into(),
+        kind_name: "m".into(),
+        destination: n,
         phase: Phase::Ready,
         size: 50.0,
         up_since_ms: 0,
@@ -281,7 +281,7 @@
 #[test]
 fn a_hundred_thousand_members_take_few_bytes_each_however_they_flap() {
     let mut table = EndpointTable::default();
-    let first = complete_list(table.take(many(1, true, 0..MANY), &names()));
+    let first = complete_list(table.apply(many(1, true, 0..MANY), &names()));
     assert_eq!(first.len(), MANY as usize);
     let room = table.bytes();
     assert!(
@@ -290,9 +290,9 @@
     );
     for revision in 1..6 {
         let half =
-            complete_list(table.take(many(2 * revision, true, (0..MANY).step_by(2)), &names()));
+            complete_list(table.apply(many(2 * revision, true, (0..MANY).step_by(2)), &names()));
         assert_eq!(half.len(), MANY as usize / 2);
-        let all = complete_list(table.take(many(2 * revision + 1, true, 0..MANY), &names()));
+        let all = complete_list(table.apply(many(2 * revision + 1, true, 0..MANY), &names()));
         // Members that stayed are the same endpoints; those that left and came back are new ones.
         assert!(all.iter().step_by(2).eq(first.iter().step_by(2)));
         assert!(all
@@ -310,7 +310,7 @@
                 member.phase = Phase::Gone;
             }
         }
-        let Some(EndpointListUpdate::Changes(entries)) = table.take(change, &names()) else {
+        let Some(EndpointListUpdate::Changes(entries)) = table.apply(change, &names()) else {
             panic!("no changes")
         };
         assert_eq!(entries.len(), MANY as usize / 2);
--- a/crates/forwarder/src/endpoint_list/table/tests/plain.rs
+++ b/crates/forwarder/src/endpoint_list/table/tests/plain.rs
@@ -15,7 +15,7 @@
 
 impl PlainTable {
     /// The same as [`EndpointTable::take`].
-    pub fn take(
+    pub fn apply(
         &mut self,
         document: EndpointListDocument,
         names: &Names,
@@ -40,7 +40,7 @@
                 .clone();
             let other = self
                 .ids_by_address
-                .get(&member.host_port)
+                .get(&member.address)
                 .filter(|id_there| **id_there != id)
                 .cloned();
             if member.phase == Phase::Gone {
@@ -62,7 +62,7 @@
                     |old| old.endpoint.incarnation,
                 );
                 self.remove(&id);
-                self.ids_by_address.insert(member.host_port, id.clone());
+                self.ids_by_address.insert(member.address, id.clone());
                 self.members.insert(id, entry);
             }
         }
--- a/crates/forwarder/src/endpoint_list/watch.rs
+++ b/crates/forwarder/src/endpoint_list/watch.rs
@@ -47,9 +47,9 @@
     /// The names of zones and kinds in the settings.
     pub names: Names,
     /// The list as it is known.
-    pub held: EndpointTable,
+    pub table: EndpointTable,
     /// Whether discovery must be polled. Otherwise it reports changes by itself.
-    pub must_be_asked: bool,
+    pub must_be_polled: bool,
     /// The mailbox of the dispatcher.
     pub dispatcher: mpsc::Sender<DispatcherCommand>,
     /// Where failures are logged.
@@ -129,9 +129,9 @@
     /// Runs until the dispatcher ends.
     pub async fn run(mut self, mut commands: mpsc::Receiver<EndpointListCommand>) {
         // Where discovery must be polled, a known list is not fetched again: a watch gets what has changed since.
-        let fetch_wanted = !self.must_be_asked || self.held.revision.is_none();
+        let fetch_wanted = !self.must_be_polled || self.table.revision.is_none();
         let mut state = WatchState {
-            watch_wanted: !self.must_be_asked,
+            watch_wanted: !self.must_be_polled,
             fetch_wanted,
             reachability: Reachability::Reachable,
             late_poll: None,
@@ -191,7 +191,7 @@
                     return Ok(PollEnd::Finished(result));
                 }
                 () = &mut timeout => {
-                    if self.must_be_asked {
+                    if self.must_be_polled {
                         state.late_poll = Some(poll);
                     } else {
                         state.late_poll = None;
@@ -213,13 +213,13 @@
 
     fn next_request(&self, state: &WatchState) -> PollRequest {
         // Where discovery must be polled, a fetch may take as long as a watch: giving it up would waste its cost.
-        let (wait, answer_timeout, fetch_timeout) = if self.must_be_asked {
+        let (wait, answer_timeout, fetch_timeout) = if self.must_be_polled {
             let longest = POLLED_WATCH_WAIT + POLLED_ANSWER_TIMEOUT;
             (POLLED_WATCH_WAIT, POLLED_ANSWER_TIMEOUT, longest)
         } else {
             (WATCH_WAIT, ANSWER_TIMEOUT, ANSWER_TIMEOUT)
         };
-        match self.held.revision {
+        match self.table.revision {
             Some(revision) if !state.fetch_wanted => PollRequest {
                 watch: Some((revision, wait)),
                 timeout: wait + answer_timeout,
@@ -234,7 +234,7 @@
     /// Starts a poll on the connection. A new one to the same address takes its place, until the poll returns it.
     fn start_poll(&mut self, request: &PollRequest) -> PollInFlight {
         let path = list_path(request.watch);
-        let timeout = if self.must_be_asked {
+        let timeout = if self.must_be_polled {
             LATE_POLL_TIMEOUT
         } else {
             request.timeout
@@ -259,7 +259,7 @@
         if state.reachability.set(Reachability::Reachable) {
             info!(self.log, "endpoint list received again"; "revision" => document.revision);
         }
-        match self.held.take(document, &self.names) {
+        match self.table.apply(document, &self.names) {
             Some(update) => self.send(update).await,
             None => Ok(()),
         }
@@ -277,7 +277,7 @@
             return Ok(());
         };
         let is_outdated = self
-            .held
+            .table
             .revision
             .is_some_and(|known| known > document.revision);
         if is_outdated {
@@ -296,7 +296,7 @@
         if state.reachability.set(Reachability::Unreachable) {
             warn!(self.log, "endpoint list poll failed"; "problem" => %problem);
         }
-        if self.must_be_asked {
+        if self.must_be_polled {
             state.watch_wanted = false;
             state.fetch_wanted = false;
             self.send(EndpointListUpdate::Failed).await?;
@@ -318,7 +318,7 @@
     fn address_changed(&mut self, state: &mut WatchState) {
         let address = *self.discovery.borrow_and_update();
         self.platform.move_to(address);
-        self.held.revision = None;
+        self.table.revision = None;
         state.fetch_wanted = true;
         state.late_poll = None;
     }
--- a/crates/forwarder/src/endpoint_list/watch/tests.rs
+++ b/crates/forwarder/src/endpoint_list/watch/tests.rs
@@ -31,15 +31,15 @@
     let (commands, mailbox) = mpsc::channel(4);
     let (dispatcher, _events) = mpsc::channel(4);
     let mut table = EndpointTable::default();
-    table.take(known_list(), &names());
+    table.apply(known_list(), &names());
     let log = Logger::root(slog::Discard, slog::o!());
     let platform = Platform::new(address);
     let list = EndpointListWatch {
         platform,
         discovery,
         names: names(),
-        held: table,
-        must_be_asked: true,
+        table,
+        must_be_polled: true,
         dispatcher,
         log,
     };
@@ -123,8 +123,8 @@
         platform: Platform::new(address),
         discovery,
         names: names(),
-        held: EndpointTable::default(),
-        must_be_asked: false,
+        table: EndpointTable::default(),
+        must_be_polled: false,
         dispatcher,
         log: Logger::root(slog::Discard, slog::o!()),
     };
@@ -223,8 +223,8 @@
         platform: Platform::new(address),
         discovery,
         names: names(),
-        held: EndpointTable::default(),
-        must_be_asked: false,
+        table: EndpointTable::default(),
+        must_be_polled: false,
         dispatcher,
         log: Logger::root(LineCounter(std::sync::Arc::clone(&lines)), slog::o!()),
     };
--- a/crates/forwarder/src/protocol/endpoint_list.rs
+++ b/crates/forwarder/src/protocol/endpoint_list.rs
@@ -34,16 +34,16 @@
     pub id: CompactString,
     /// Where it listens.
     #[serde(rename = "host_port")]
-    pub host_port: SocketAddrV4,
+    pub address: SocketAddrV4,
     /// The name of its zone.
     #[serde(rename = "locality", default)]
-    pub locality: CompactString,
+    pub zone_name: CompactString,
     /// The name of its kind of endpoint.
     #[serde(rename = "flavor", default)]
-    pub flavor: CompactString,
+    pub kind_name: CompactString,
     /// The number of its destination.
     #[serde(rename = "cell")]
-    pub cell: u32,
+    pub destination: u32,
     /// Whether it takes requests.
     #[serde(rename = "phase")]
     pub phase: Phase,
@@ -83,8 +83,8 @@
     /// The endpoint, as the holder of its address with this number.
     pub fn endpoint(&self, incarnation: u32) -> EndpointId {
         EndpointId {
-            address: self.host_port.ip().octets(),
-            port: self.host_port.port(),
+            address: self.address.ip().octets(),
+            port: self.address.port(),
             incarnation,
         }
     }
@@ -93,12 +93,12 @@
     pub fn listing(&self, incarnation: u32, names: &Names) -> EndpointEntry {
         EndpointEntry {
             endpoint: self.endpoint(incarnation),
-            zone: ZoneId(index_or_last(&names.zones, &self.locality)),
+            zone: ZoneId(index_or_last(&names.zones, &self.zone_name)),
             up_since: self.up_since_ms.saturating_mul(MICROS_PER_MILLI),
             status: self.phase.endpoint_status(),
             rate: self.size,
-            destination: DestinationId(self.cell),
-            kind: EndpointKindId(index_or_last(&names.endpoint_kinds, &self.flavor)),
+            destination: DestinationId(self.destination),
+            kind: EndpointKindId(index_or_last(&names.endpoint_kinds, &self.kind_name)),
         }
     }
 }
--- a/crates/forwarder/src/protocol/submission.rs
+++ b/crates/forwarder/src/protocol/submission.rs
@@ -50,15 +50,15 @@
     /// Where it goes.
     pub destination: DestinationId,
     /// The time to its deadline, µs.
-    pub left: Micros,
+    pub time_left: Micros,
     /// The key by which endpoints recognize a repeat.
     pub idempotency_key: Option<String>,
     /// Messages of an ordered class go one at a time where they have the same key.
     pub key: Option<u64>,
     /// Whether the client has submitted it before.
-    pub again: bool,
+    pub resubmitted: bool,
     /// Whether a forwarder that has ended may have sent it before.
-    pub orphan: bool,
+    pub from_failed_forwarder: bool,
     /// Its body.
     pub body: Bytes,
 }
@@ -102,13 +102,13 @@
         class: DeliveryClassId(class as u16),
         tenant: tenant.and_then(|name| tenant_of_name(name, names)),
         destination,
-        left: time_left,
+        time_left,
         idempotency_key,
         key: order_key
             .filter(|key| !key.is_empty())
             .map(order_key_number),
-        again: retry == Some(RETRY_RESUBMITTED),
-        orphan: retry == Some(RETRY_ORPHANED),
+        resubmitted: retry == Some(RETRY_RESUBMITTED),
+        from_failed_forwarder: retry == Some(RETRY_ORPHANED),
         body: Bytes::new(),
     })
 }
--- a/crates/forwarder/src/protocol/tests.rs
+++ b/crates/forwarder/src/protocol/tests.rs
@@ -66,11 +66,11 @@
         class: DeliveryClassId(1),
         tenant: None,
         destination: DestinationId(7),
-        left: 480_000,
+        time_left: 480_000,
         idempotency_key: Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211".into()),
         key: None,
-        again: false,
-        orphan: false,
+        resubmitted: false,
+        from_failed_forwarder: false,
         body: Bytes::new(),
     };
     assert_eq!(submitted, wanted);
@@ -78,7 +78,10 @@
         let headers = [SUBMISSION_HEADERS.as_slice(), &[("Client-Retry", value)]].concat();
         let submitted =
             decode_head(&head("/notice", &headers), &names(), &requirements(false)).expect("good");
-        assert_eq!((submitted.again, submitted.orphan), (again, orphan));
+        assert_eq!(
+            (submitted.resubmitted, submitted.from_failed_forwarder),
+            (again, orphan)
+        );
     }
     let long = crc32fast::hash(b"account 000b832b68ec333d").into();
     for (text, key) in [
--- a/crates/forwarder/src/startup.rs
+++ b/crates/forwarder/src/startup.rs
@@ -231,12 +231,12 @@
         dispatcher: &mut Dispatcher,
     ) -> EndpointTable {
         let mut endpoints = EndpointTable::default();
-        let update = cached_list.and_then(|list| endpoints.take(list, &self.names()));
+        let update = cached_list.and_then(|list| endpoints.apply(list, &self.names()));
         if let Some(EndpointListUpdate::Complete(entries) | EndpointListUpdate::Changes(entries)) =
             update
         {
             let cached = Event::EndpointList(EndpointListUpdate::Cached(entries));
-            dispatcher.handle_message(DispatcherCommand::Event(cached));
+            dispatcher.handle_command(DispatcherCommand::Event(cached));
         }
         endpoints
     }
@@ -268,8 +268,8 @@
             platform: self.platform(),
             discovery,
             names: self.names(),
-            held: endpoints,
-            must_be_asked: self.config.poll_interval.is_some(),
+            table: endpoints,
+            must_be_polled: self.config.poll_interval.is_some(),
             dispatcher: self.dispatcher.clone(),
             log: self.log.clone(),
         };
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -110,7 +110,7 @@
         EventKind::TimerFired => record::decode_timer_fired(fields),
         EventKind::AttemptEnded => record::decode_attempt_ended(fields),
         EventKind::Gossip => record::decode_gossip(fields),
-        EventKind::AttemptStarted => record::decode_attempt_started(fields),
+        EventKind::AnswerStarted => record::decode_answer_started(fields),
         EventKind::Withdrawn => record::decode_withdrawn(fields),
         EventKind::Submitted => record::decode_submission(fields).map(Event::Submitted),
     }
--- a/crates/simhost/src/record.rs
+++ b/crates/simhost/src/record.rs
@@ -43,7 +43,7 @@
     /// Gossip of another forwarder.
     Gossip,
     /// An attempt has reached its endpoint.
-    AttemptStarted,
+    AnswerStarted,
     /// The client has withdrawn a message.
     Withdrawn,
     /// A client submits a message.
@@ -60,7 +60,7 @@
             4 => Some(RecordKind::Event(EventKind::AttemptEnded)),
             5 => Some(RecordKind::InstanceEnded),
             6 => Some(RecordKind::Event(EventKind::Gossip)),
-            7 => Some(RecordKind::Event(EventKind::AttemptStarted)),
+            7 => Some(RecordKind::Event(EventKind::AnswerStarted)),
             8 => Some(RecordKind::Event(EventKind::Withdrawn)),
             9 => Some(RecordKind::Event(EventKind::Submitted)),
             10 => Some(RecordKind::InstanceStarted),
@@ -80,7 +80,7 @@
             RecordKind::Event(EventKind::TimerFired) => "Due",
             RecordKind::Event(EventKind::AttemptEnded) => "Result",
             RecordKind::Event(EventKind::Gossip) => "NeighbourSays",
-            RecordKind::Event(EventKind::AttemptStarted) => "Accepted",
+            RecordKind::Event(EventKind::AnswerStarted) => "Accepted",
             RecordKind::Event(EventKind::Withdrawn) => "Vanished",
             RecordKind::Event(EventKind::Submitted) => "Incoming",
         }
@@ -140,8 +140,8 @@
 }
 
 /// Decodes the start of an attempt.
-pub fn decode_attempt_started(fields: &mut FieldReader) -> Result<Event, WireError> {
-    Ok(Event::AttemptStarted {
+pub fn decode_answer_started(fields: &mut FieldReader) -> Result<Event, WireError> {
+    Ok(Event::AnswerStarted {
         id: MessageId(fields.u32()?),
         attempt: fields.u8()?,
         endpoint: fields.endpoint()?,
--- a/src/forwarder/events.rs
+++ b/src/forwarder/events.rs
@@ -56,7 +56,7 @@
             Event::TimerFired { token: TICK_TIMER } => self.tick(now),
             Event::ShuttingDown => self.config.concurrency_limit = 0,
             Event::Gossip { from, payload } => self.receive_gossip(now, from, &payload, actions),
-            Event::TimerFired { .. } | Event::AttemptStarted { .. } => {}
+            Event::TimerFired { .. } | Event::AnswerStarted { .. } => {}
         }
     }
 
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -52,7 +52,7 @@
     /// A message came.
     Submitted(Submission),
     /// The answer to an attempt has begun to stream.
-    AttemptStarted {
+    AnswerStarted {
         /// The message.
         id: MessageId,
         /// The number of the attempt, from 0.
