--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -6,6 +6,7 @@
 pub mod command;
 pub mod core;
 pub mod fleet;
+pub mod outputs;
 pub mod process;
 pub mod slope;
 pub mod usage;
--- a/crates/lab/src/capacity/backlog.rs
+++ b/crates/lab/src/capacity/backlog.rs
@@ -4,7 +4,7 @@
 pub mod core_point;
 pub mod process_point;
 
-use super::command::Outputs;
+use super::outputs::Outputs;
 use super::process::point::Shape;
 use super::slope::{show, Row, Table};
 use crate::sockets::run::program_beside;
--- a/crates/lab/src/capacity/command.rs
+++ b/crates/lab/src/capacity/command.rs
@@ -1,9 +1,9 @@
 //! The command line of `opalpulley-lab capacity`: one variant for each thing that is measured.
 
 use super::{backlog, core, fleet, process};
-use clap::{Args, Subcommand};
-use std::path::PathBuf;
+use clap::Subcommand;
 
+/// One thing that `opalpulley-lab capacity` measures, with its options.
 #[derive(Subcommand, Clone, Debug)]
 pub enum Command {
     /// The core alone, without sockets, on a simulated clock
@@ -22,18 +22,7 @@
     Fleet(fleet::options::Options),
 }
 
-/// Where the figures go beside the terminal.
-#[derive(Args, Clone, Debug)]
-pub struct Outputs {
-    /// Writes the figures and slopes as JSON
-    #[arg(long)]
-    pub json: Option<PathBuf>,
-    /// Writes a plot of each slope as SVG
-    #[arg(long)]
-    pub plot: Option<PathBuf>,
-}
-
-/// Runs what was asked for. The error is told to the person in these words.
+/// Runs one measurement and prints its figures.
 pub fn run(command: Command) -> Result<(), String> {
     match command {
         Command::Core(options) => core::run(&options),
--- a/crates/lab/src/capacity/core.rs
+++ b/crates/lab/src/capacity/core.rs
@@ -4,7 +4,7 @@
 pub mod point;
 pub mod world;
 
-use super::command::Outputs;
+use super::outputs::Outputs;
 use super::slope::{show, Row, Table};
 use clap::Args;
 use point::{Point, Stretch};
--- a/crates/lab/src/capacity/fleet/options.rs
+++ b/crates/lab/src/capacity/fleet/options.rs
@@ -2,7 +2,7 @@
 
 use super::plan::{FullDestinations, Incident, Plan, SECOND};
 use super::report::{FleetOutcome, MeanAndWorst};
-use crate::capacity::command::Outputs;
+use crate::capacity::outputs::Outputs;
 use crate::capacity::slope::{Row, Table};
 use clap::Args;
 use plotters::prelude::*;
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -4,7 +4,7 @@
 pub mod point;
 pub mod standins;
 
-use super::command::Outputs;
+use super::outputs::Outputs;
 use super::slope::{show, Row, Table};
 use crate::sockets::run::program_beside;
 use clap::Args;
--- a/crates/lab/src/capacity/slope.rs
+++ b/crates/lab/src/capacity/slope.rs
@@ -1,6 +1,6 @@
 //! Tables of figures by size, the least-squares slope of each figure, and how they are shown: as text, JSON and SVG.
 
-use super::command::Outputs;
+use super::outputs::Outputs;
 use plotters::prelude::*;
 use serde::Serialize;
 use std::fmt;
--- /dev/null
+++ b/crates/lab/src/commands/hunt.rs
@@ -0,0 +1,61 @@
+//! `hunt`: draws worlds round a scenario and saves the worst, shrunk.
+
+use super::error::CommandError;
+use super::options::load_scenario;
+use super::output::{create_folder, progress_bar, write_file};
+use super::CommandResult;
+use clap::Args;
+use opalpulley_lab::experiments::hunt::{hunt, Catch};
+use opalpulley_lab::report;
+use opalpulley_lab::subject::Make;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+
+/// Options of `hunt`.
+#[derive(Args)]
+pub struct Options {
+    scenario: PathBuf,
+    #[arg(long, default_value_t = 200)]
+    worlds: usize,
+    /// The first seed; worlds take those after it
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    #[arg(long, default_value_t = Make::True)]
+    make: Make,
+    /// Where what was found is saved
+    #[arg(long, default_value = "found")]
+    save: PathBuf,
+}
+
+/// Hunts, prints the worst world's figures and saves it as a scenario.
+pub fn execute(options: &Options) -> CommandResult {
+    let scenario = load_scenario(&options.scenario, &[])?;
+    let bar = progress_bar("worlds");
+    let worlds = options.worlds;
+    let worst = hunt(&scenario, options.seed, worlds, options.make, |played| {
+        bar.set_length(worlds as u64);
+        bar.set_position(played as u64);
+    })?;
+    bar.finish_and_clear();
+    println!(
+        "the worst of {} worlds, seed {}, after {} runs of shrinking:",
+        worst.drawn, worst.seed, worst.shrinking
+    );
+    print!("{}", report::text(&worst.outcome));
+    let path = save(&worst, &options.save)?;
+    println!("saved as {}", path.display());
+    Ok(match worst.outcome.broken.is_empty() {
+        true => ExitCode::SUCCESS,
+        false => ExitCode::FAILURE,
+    })
+}
+
+/// Writes the world as a scenario file with its seed; returns the file's path.
+fn save(worst: &Catch, folder: &Path) -> Result<PathBuf, CommandError> {
+    create_folder(folder)?;
+    let mut scenario = worst.scenario.clone();
+    scenario.seed = worst.seed;
+    let path = folder.join(format!("{}.toml", scenario.name));
+    write_file(&path, &toml::to_string(&scenario)?)?;
+    Ok(path)
+}
--- /dev/null
+++ b/crates/lab/src/commands/run.rs
@@ -0,0 +1,58 @@
+//! `run`: plays one scenario and judges it.
+
+use super::options::{ClockOptions, WorldOptions};
+use super::output::{write_file, write_json};
+use super::play::{exit_code, play};
+use super::CommandResult;
+use clap::Args;
+use opalpulley_lab::report;
+use opalpulley_lab::tally::Outcome;
+use std::path::{Path, PathBuf};
+
+/// Options of `run`.
+#[derive(Args)]
+pub struct Options {
+    scenario: PathBuf,
+    #[command(flatten)]
+    clocks: ClockOptions,
+    #[command(flatten)]
+    world: WorldOptions,
+    /// Writes the outcome as JSON; with both clocks, both
+    #[arg(long)]
+    json: Option<PathBuf>,
+    /// Writes the report as one HTML page, with the outcome as JSON beside it
+    #[arg(long)]
+    report: Option<PathBuf>,
+}
+
+impl Options {
+    /// Where the outcome goes as JSON: the named file, else beside the report.
+    fn json_path(&self) -> Option<PathBuf> {
+        let beside_report = || Some(self.report.as_ref()?.with_extension("json"));
+        self.json.clone().or_else(beside_report)
+    }
+}
+
+/// Plays the scenario, prints its figures and writes the files that were asked for.
+pub fn execute(options: &Options) -> CommandResult {
+    let scenario = options.world.load_scenario(&options.scenario)?;
+    let outcomes = play(&scenario, &options.clocks, &options.world)?;
+    for outcome in &outcomes {
+        print!("{}", report::text(outcome));
+    }
+    if let Some(path) = options.json_path() {
+        write_outcomes(&path, &outcomes)?;
+    }
+    if let Some(path) = &options.report {
+        write_file(path, &report::html(&outcomes)?)?;
+    }
+    Ok(exit_code(&outcomes))
+}
+
+/// Writes one run as one object, several as a list; `report` reads both.
+fn write_outcomes(path: &Path, outcomes: &[Outcome]) -> Result<(), super::CommandError> {
+    match outcomes {
+        [outcome] => write_json(path, outcome),
+        several => write_json(path, &several),
+    }
+}
--- /dev/null
+++ b/crates/lab/src/commands/stand_ins.rs
@@ -0,0 +1,66 @@
+//! `stand-ins`: receivers and discovery of a scenario, to try a forwarder by hand.
+
+use super::error::CommandError;
+use super::options::WorldOptions;
+use super::output::write_json;
+use super::play::runtime;
+use super::CommandResult;
+use clap::Args;
+use opalpulley_lab::scenario::Scenario;
+use opalpulley_lab::sockets::run::stand_ins;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+
+/// Options of `stand-ins`.
+#[derive(Args)]
+pub struct Options {
+    scenario: PathBuf,
+    #[command(flatten)]
+    world: WorldOptions,
+    /// The port of discovery on loopback
+    #[arg(long, default_value_t = 8500)]
+    discovery_port: u16,
+    /// Writes the start-up configuration of a forwarder in this world
+    #[arg(long = "papers")]
+    startup_config: Option<PathBuf>,
+    /// Where that forwarder is to listen
+    #[arg(long, default_value = "127.0.0.1:7070")]
+    listen: SocketAddr,
+}
+
+/// Starts the stand-ins, prints their addresses and goes on until Ctrl-C.
+pub fn execute(options: &Options) -> CommandResult {
+    let scenario = options.world.load_scenario(&options.scenario)?;
+    let seed = options.world.seed_for(&scenario);
+    runtime()?.block_on(serve(&scenario, seed, options))
+}
+
+async fn serve(scenario: &Scenario, seed: u64, options: &Options) -> CommandResult {
+    let (discovery, endpoints) = stand_ins(scenario, seed, options.discovery_port).await?;
+    if let Some(path) = &options.startup_config {
+        write_startup_config(path, scenario, seed, options.listen, discovery)?;
+        println!("start-up configuration: {}", path.display());
+    }
+    println!("discovery and completion reports at {discovery}");
+    let addresses: Vec<String> = endpoints.iter().map(ToString::to_string).collect();
+    println!("receivers at {}", addresses.join(", "));
+    if let Err(error) = tokio::signal::ctrl_c().await {
+        eprintln!("opalpulley-lab: Ctrl-C can't be waited for, ends now: {error}");
+    }
+    Ok(ExitCode::SUCCESS)
+}
+
+fn write_startup_config(
+    path: &Path,
+    scenario: &Scenario,
+    seed: u64,
+    listen: SocketAddr,
+    discovery: SocketAddr,
+) -> Result<(), CommandError> {
+    let mut config = scenario.startup_config(0, seed);
+    config["listen"] = listen.to_string().into();
+    config["discovery"] = discovery.to_string().into();
+    config["settings"]["Balancers"] = 1.into();
+    write_json(path, &config)
+}
