--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -5,6 +5,7 @@
 pub mod backlog;
 pub mod command;
 pub mod core;
+pub mod error;
 pub mod fleet;
 pub mod outputs;
 pub mod process;
--- a/crates/lab/src/capacity/backlog.rs
+++ b/crates/lab/src/capacity/backlog.rs
@@ -7,6 +7,7 @@
 use super::outputs::Outputs;
 use super::process::point::Shape;
 use super::slope::{show, Row, Table};
+use crate::capacity::error::CapacityError;
 use crate::sockets::run::program_beside;
 use clap::Args;
 use core_point::CorePoint;
@@ -58,8 +59,8 @@
     }
 }
 
-fn core_in_fresh_process(options: &Options, messages: u32) -> Result<CorePoint, String> {
-    let program = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
+fn core_in_fresh_process(options: &Options, messages: u32) -> Result<CorePoint, CapacityError> {
+    let program = std::env::current_exe().map_err(CapacityError::OwnPath)?;
     let mut command = Command::new(program);
     command.args(["capacity", "backlog-point"]);
     for (name, value) in [
@@ -70,11 +71,13 @@
     ] {
         command.args([name, &value]);
     }
-    let ended = command.output().map_err(|e| e.to_string())?;
+    let ended = command.output()?;
     if !ended.status.success() {
-        return Err(String::from_utf8_lossy(&ended.stderr).trim().to_owned());
+        return Err(CapacityError::FreshProcess {
+            stderr: String::from_utf8_lossy(&ended.stderr).trim().to_owned(),
+        });
     }
-    serde_json::from_slice(&ended.stdout).map_err(|e| e.to_string())
+    Ok(serde_json::from_slice(&ended.stdout)?)
 }
 
 type CoreFigure = (&'static str, &'static str, fn(&CorePoint) -> f64);
@@ -125,13 +128,13 @@
 ];
 
 /// The core and one real forwarder with the same numbers of messages that wait.
-pub fn tables(options: &Options) -> Result<Vec<Table>, String> {
+pub fn tables(options: &Options) -> Result<Vec<Table>, CapacityError> {
     let mut core = Vec::new();
     let mut process = Vec::new();
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| e.to_string())?;
+    let runtime = runtime?;
     for messages in &options.sizes {
         let point = core_in_fresh_process(options, *messages)?;
         core.push(Row {
@@ -179,13 +182,10 @@
     ])
 }
 
-pub fn run(options: &Options) -> Result<(), String> {
+pub fn run(options: &Options) -> Result<(), CapacityError> {
     let program = options.program();
     if !program.is_file() {
-        return Err(format!(
-            "{}: no such program; build it, or name one with --forwarder",
-            program.display()
-        ));
+        return Err(CapacityError::NoForwarderProgram { program });
     }
     show(&tables(options)?, &options.outputs)
 }
--- a/crates/lab/src/capacity/backlog/core_point.rs
+++ b/crates/lab/src/capacity/backlog/core_point.rs
@@ -1,6 +1,7 @@
 //! The core with so many messages that wait, measured in this process, which has to be a fresh one.
 
 use crate::capacity::core::world::{Plan, Spread, World, SECOND};
+use crate::capacity::error::CapacityError;
 use crate::capacity::usage::{own_memory, own_processor_time};
 use clap::Args;
 use opalpulley::{EndpointListUpdate, Event};
@@ -36,7 +37,7 @@
     pub processor: f64,
 }
 
-pub fn measure(setup: &Setup) -> Result<CorePoint, String> {
+pub fn measure(setup: &Setup) -> Result<CorePoint, CapacityError> {
     let plan = Plan::new(
         setup.destinations,
         Spread::Uniform,
--- a/crates/lab/src/capacity/backlog/process_point.rs
+++ b/crates/lab/src/capacity/backlog/process_point.rs
@@ -1,5 +1,6 @@
 //! One real forwarder with so many messages that wait: handed in, then killed and started again on the same folder.
 
+use crate::capacity::error::CapacityError;
 use crate::capacity::process::point::{load, startup_config, Load, Shape, Subject, READY_WITHIN};
 use crate::capacity::process::standins::{discovery, nowhere, Listed};
 use crate::capacity::usage::Usage;
@@ -58,16 +59,15 @@
     Ok(bytes)
 }
 
-pub async fn measure(setup: &Setup, shape: &Shape) -> Result<ProcessPoint, String> {
-    let say = |e: std::io::Error| e.to_string();
-    let folder = tempfile::tempdir().map_err(say)?;
-    let listen = nowhere().await.map_err(say)?;
+pub async fn measure(setup: &Setup, shape: &Shape) -> Result<ProcessPoint, CapacityError> {
+    let folder = tempfile::tempdir()?;
+    let listen = nowhere().await?;
     // Nobody listens at the targets: each refuses connections.
     let list = Listed {
         targets: setup.destinations,
-        port: nowhere().await.map_err(say)?.port(),
+        port: nowhere().await?.port(),
     };
-    let (discovery, completion_reports) = discovery(list.text().to_string()).await.map_err(say)?;
+    let (discovery, completion_reports) = discovery(list.text().to_string()).await?;
     let papers = startup_config(shape, listen, discovery, Some(list.text()));
     let start = || Subject::start(&setup.program, folder.path(), listen, &papers);
     let begun = Instant::now();
@@ -87,13 +87,13 @@
     tokio::time::sleep(SETTLED).await;
     let with_backlog = subject.usage()?;
     let completion_reports = completion_reports.load(Ordering::Relaxed);
-    subject.child.kill().await.map_err(say)?;
-    let journal = folder_bytes(&folder.path().join("state")).map_err(say)?;
+    subject.child.kill().await?;
+    let journal = folder_bytes(&folder.path().join("state"))?;
     let begun = Instant::now();
     let mut subject = start()?;
     let ready_again = subject.ready(begun, READY_WITHIN).await?;
     let at_ready_again = subject.usage()?;
-    subject.child.kill().await.map_err(say)?;
+    subject.child.kill().await?;
     Ok(ProcessPoint {
         handed_in: u64::from(setup.messages),
         taken: taken.load(Ordering::Relaxed),
--- a/crates/lab/src/capacity/command.rs
+++ b/crates/lab/src/capacity/command.rs
@@ -1,6 +1,7 @@
 //! The command line of `opalpulley-lab capacity`: one variant for each thing that is measured.
 
 use super::{backlog, core, fleet, process};
+use crate::capacity::error::CapacityError;
 use clap::Subcommand;
 
 /// One thing that `opalpulley-lab capacity` measures, with its options.
@@ -23,7 +24,7 @@
 }
 
 /// Runs one measurement and prints its figures.
-pub fn run(command: Command) -> Result<(), String> {
+pub fn run(command: Command) -> Result<(), CapacityError> {
     match command {
         Command::Core(options) => core::run(&options),
         Command::CorePoint(setup) => print_json(&core::point::measure(&setup)?),
@@ -34,10 +35,7 @@
     }
 }
 
-fn print_json(figures: &impl serde::Serialize) -> Result<(), String> {
-    println!(
-        "{}",
-        serde_json::to_string(figures).map_err(|e| e.to_string())?
-    );
+fn print_json(figures: &impl serde::Serialize) -> Result<(), CapacityError> {
+    println!("{}", serde_json::to_string(figures)?);
     Ok(())
 }
--- a/crates/lab/src/capacity/core.rs
+++ b/crates/lab/src/capacity/core.rs
@@ -6,6 +6,7 @@
 
 use super::outputs::Outputs;
 use super::slope::{show, Row, Table};
+use crate::capacity::error::CapacityError;
 use clap::Args;
 use point::{Point, Stretch};
 use std::fmt;
@@ -30,16 +31,21 @@
     }
 }
 
+/// A text that is neither `all` nor a number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("`all` or a number")]
+pub struct BadFullDestinations;
+
 impl FromStr for FullDestinations {
-    type Err = String;
+    type Err = BadFullDestinations;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, BadFullDestinations> {
         match text {
             "all" => Ok(FullDestinations::All),
             number => number
                 .parse()
                 .map(FullDestinations::UpTo)
-                .map_err(|_| "`all` or a number".to_owned()),
+                .map_err(|_| BadFullDestinations),
         }
     }
 }
@@ -87,8 +93,8 @@
 /// Measured beside one target a destination, to tell what a target takes from what a destination takes.
 const MORE_TARGETS: u32 = 3;
 
-fn fresh(options: &Options, destinations: u32, case: Case) -> Result<Point, String> {
-    let program = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
+fn fresh(options: &Options, destinations: u32, case: Case) -> Result<Point, CapacityError> {
+    let program = std::env::current_exe().map_err(CapacityError::OwnPath)?;
     let spread = if case.spread == Spread::Uniform {
         "uniform"
     } else {
@@ -107,15 +113,16 @@
     ] {
         command.args([name, &value]);
     }
-    let ended = command.output().map_err(|e| e.to_string())?;
+    let ended = command.output()?;
     if !ended.status.success() {
-        let words = String::from_utf8_lossy(&ended.stderr).trim().to_owned();
-        return Err(format!(
-            "{destinations} destinations, {} in full, {} targets each: {words}",
-            case.full, case.targets_each
-        ));
+        return Err(CapacityError::CorePoint {
+            destinations,
+            full_destinations: case.full.to_string(),
+            endpoints_each: case.targets_each,
+            stderr: String::from_utf8_lossy(&ended.stderr).trim().to_owned(),
+        });
     }
-    serde_json::from_slice(&ended.stdout).map_err(|e| e.to_string())
+    Ok(serde_json::from_slice(&ended.stdout)?)
 }
 
 type FigureOf = (&'static str, &'static str, fn(&Point) -> f64);
@@ -269,9 +276,9 @@
 
 /// The tables: one target each with uniform and with skewed traffic, several targets each, and where destinations are
 /// summarised the same once more beside all of them in full.
-pub fn tables(options: &Options) -> Result<Vec<Table>, String> {
+pub fn tables(options: &Options) -> Result<Vec<Table>, CapacityError> {
     let full = options.full_destinations;
-    let points = |targets_each, spread, full| -> Result<Vec<Point>, String> {
+    let points = |targets_each, spread, full| -> Result<Vec<Point>, CapacityError> {
         let case = Case {
             targets_each,
             spread,
@@ -306,7 +313,7 @@
     Ok(tables)
 }
 
-pub fn run(options: &Options) -> Result<(), String> {
+pub fn run(options: &Options) -> Result<(), CapacityError> {
     let tables = tables(options)?;
     show(&tables, &options.outputs)?;
     let name = LIST_FIGURES[0].0;
--- a/crates/lab/src/capacity/core/point.rs
+++ b/crates/lab/src/capacity/core/point.rs
@@ -3,6 +3,7 @@
 
 use super::world::{Counts, Plan, Spread, World};
 use super::FullDestinations;
+use crate::capacity::error::CapacityError;
 use crate::capacity::usage::{own_memory, own_processor_time};
 use clap::Args;
 use opalpulley::{EndpointListUpdate, Event};
@@ -107,13 +108,13 @@
 }
 
 /// Processor time of some work, us.
-fn timed(work: impl FnOnce()) -> Result<f64, String> {
+fn timed(work: impl FnOnce()) -> Result<f64, CapacityError> {
     let begun = own_processor_time()?;
     work();
     Ok(microseconds(own_processor_time()? - begun))
 }
 
-pub fn measure(setup: &Setup) -> Result<Point, String> {
+pub fn measure(setup: &Setup) -> Result<Point, CapacityError> {
     let full = setup.full_destinations.limit();
     let plan = Plan::new(
         setup.destinations,
@@ -150,7 +151,7 @@
         }
     })?;
     let held_changed = Held::of(&world);
-    let mut stretch = |rate: u64, down: Option<f64>| -> Result<Stretch, String> {
+    let mut stretch = |rate: u64, down: Option<f64>| -> Result<Stretch, CapacityError> {
         down.into_iter().for_each(|share| world.put_down(share));
         let mut counts = Counts::default();
         let mut problem = None;
--- a/crates/lab/src/capacity/core/world.rs
+++ b/crates/lab/src/capacity/core/world.rs
@@ -1,6 +1,7 @@
 //! The simulated surroundings of one core: a list of destinations, messages, and answers to its calls after fixed times.
 //! They cost little beside the core, and are a function of the seed.
 
+use crate::capacity::error::CapacityError;
 use crate::chance::stream;
 use opalpulley::{
     Action, AttemptHistory, Config, DeduplicationScope, DeliveryClassConfig, DeliveryClassId,
@@ -396,10 +397,10 @@
     }
 
     /// So many seconds of messages, evenly spaced; a rate of 0 is rest. Gives what was counted.
-    pub fn run(&mut self, seconds: u64, rate: u64) -> Result<Counts, String> {
+    pub fn run(&mut self, seconds: u64, rate: u64) -> Result<Counts, CapacityError> {
         self.counts = Counts::default();
         let (begin, ranks) = (self.now, f64::from(self.plan.destinations));
-        let zipf = Zipf::new(ranks, SKEW).map_err(|e| e.to_string())?;
+        let zipf = Zipf::new(ranks, SKEW)?;
         for message in 0..seconds * rate {
             self.advance(begin + message * SECOND / rate);
             let destination = match self.plan.spread {
--- /dev/null
+++ b/crates/lab/src/capacity/error.rs
@@ -0,0 +1,81 @@
+//! Why a capacity measurement could not be carried out.
+
+use super::fleet::plan::BadPlan;
+use crate::report::PlotError;
+use std::io;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// Why a capacity measurement could not be carried out.
+#[derive(Debug, thiserror::Error)]
+pub enum CapacityError {
+    /// The program that is running can't be found, so no fresh process can be started.
+    #[error("this program's own path: {0}")]
+    OwnPath(#[source] io::Error),
+    /// A fresh process failed; its words say why.
+    #[error("{stderr}")]
+    FreshProcess { stderr: String },
+    /// A fresh process failed at one size of the core.
+    #[error("{destinations} destinations, {full_destinations} in full, {endpoints_each} targets each: {stderr}")]
+    CorePoint {
+        destinations: u32,
+        full_destinations: String,
+        endpoints_each: u32,
+        stderr: String,
+    },
+    /// A socket, a process or the runtime can't be used.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// Figures can't be read or written as JSON.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// A file can't be read or written.
+    #[error("{}: {source}", path.display())]
+    File { path: PathBuf, source: io::Error },
+    /// The kernel's account of a process lacks a value.
+    #[error("{path}: {text}")]
+    Account { path: String, text: String },
+    /// The kernel's account of a process has no such line.
+    #[error("/proc/{pid}/status has no {name}")]
+    NoStatusLine { pid: u32, name: String },
+    /// The processor time of this process can't be read.
+    #[error("the processor time can't be read: {0}")]
+    ProcessorTime(#[source] nix::Error),
+    /// A plot can't be drawn.
+    #[error(transparent)]
+    Plot(#[from] PlotError),
+    /// The plan of a fleet can't be run.
+    #[error(transparent)]
+    Plan(#[from] BadPlan),
+    /// The skew of the traffic can't be drawn from.
+    #[error(transparent)]
+    Skew(#[from] rand_distr::ZipfError),
+    /// The forwarder's program is not there.
+    #[error("{}: no such program; build it, or name one with --forwarder", program.display())]
+    NoForwarderProgram { program: PathBuf },
+    /// The forwarder's program or its folder can't be used.
+    #[error("{}: {source}", program.display())]
+    Program { program: PathBuf, source: io::Error },
+    /// The forwarder's process ended at once.
+    #[error("{}: ended at once", program.display())]
+    EndedAtOnce { program: PathBuf },
+    /// The forwarder did not answer `GET /up` in time.
+    #[error("not up within {within:?}; its log: {log}")]
+    NotUp { within: Duration, log: String },
+    /// The forwarder did not come up with a list of this length.
+    #[error("{listed} targets: {source}")]
+    AtListLength {
+        listed: u32,
+        source: Box<CapacityError>,
+    },
+}
+
+impl CapacityError {
+    /// For a file that can't be read or written; an argument for `map_err`.
+    pub fn file(path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> CapacityError {
+        |source| CapacityError::File {
+            path: path.into(),
+            source,
+        }
+    }
+}
--- a/crates/lab/src/capacity/fleet/options.rs
+++ b/crates/lab/src/capacity/fleet/options.rs
@@ -2,6 +2,7 @@
 
 use super::plan::{FullDestinations, Incident, Plan, SECOND};
 use super::report::{FleetOutcome, MeanAndWorst};
+use crate::capacity::error::CapacityError;
 use crate::capacity::outputs::Outputs;
 use crate::capacity::slope::{Row, Table};
 use clap::Args;
@@ -80,22 +81,18 @@
 }
 
 /// Plays one run and shows it. The error is told to the person in these words.
-pub fn run(options: &Options) -> Result<(), String> {
-    let outcome = super::run(&options.plan(), options.threads).map_err(|e| e.to_string())?;
+pub fn run(options: &Options) -> Result<(), CapacityError> {
+    let outcome = super::run(&options.plan(), options.threads)?;
     println!("{}", table(&outcome));
     println!(
         "  held in full before idle ones are summarised: {}",
         outcome.plan.full_destinations
     );
     show_changes(&outcome);
-    let write = |path: &Path, text: String| {
-        std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
-    };
+    let write =
+        |path: &Path, text: String| std::fs::write(path, text).map_err(CapacityError::file(path));
     if let Some(path) = &options.outputs.json {
-        write(
-            path,
-            serde_json::to_string_pretty(&outcome).map_err(|e| e.to_string())? + "\n",
-        )?;
+        write(path, serde_json::to_string_pretty(&outcome)? + "\n")?;
     }
     if let Some(path) = &options.outputs.plot {
         write(path, plot(&outcome)?)?;
@@ -309,9 +306,8 @@
 }
 
 /// Two plots over the time of the run: control bytes that a forwarder takes in, and what becomes of the messages.
-fn plot(outcome: &FleetOutcome) -> Result<String, String> {
+fn plot(outcome: &FleetOutcome) -> Result<String, CapacityError> {
     type Series<'a> = (&'a str, RGBColor, Box<dyn Fn(usize) -> f64 + 'a>);
-    let say = |e: DrawingAreaErrorKind<_>| e.to_string();
     let (columns, forwarders) = (&outcome.columns, f64::from(outcome.plan.forwarders));
     let each = |bytes: u64| bytes as f64 / forwarders;
     let control: [Series; 2] = [
@@ -334,7 +330,7 @@
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, (PLOT.0, 2 * PLOT.1)).into_drawing_area();
-        area.fill(&WHITE).map_err(say)?;
+        area.fill(&WHITE)?;
         let parts = area.split_evenly((2, 1));
         let captions = [
             "control of one forwarder (bytes a second)",
@@ -355,19 +351,15 @@
                 .margin(6)
                 .x_label_area_size(26)
                 .y_label_area_size(62)
-                .build_cartesian_2d(0.0..ends, 0.0..most)
-                .map_err(say)?;
+                .build_cartesian_2d(0.0..ends, 0.0..most)?;
             chart
                 .configure_mesh()
                 .x_desc("s")
                 .light_line_style(WHITE)
-                .draw()
-                .map_err(say)?;
+                .draw()?;
             for (name, colour, of) in series {
                 let points = (0..columns.len()).map(|n| ((n + 1) as f64, of(n)));
-                let drawn = chart
-                    .draw_series(LineSeries::new(points, colour.stroke_width(1)))
-                    .map_err(say)?;
+                let drawn = chart.draw_series(LineSeries::new(points, colour.stroke_width(1)))?;
                 drawn
                     .label(*name)
                     .legend(|(x, y)| PathElement::new(vec![(x, y), (x + 14, y)], *colour));
@@ -376,10 +368,9 @@
             labels
                 .background_style(WHITE.mix(0.8))
                 .border_style(BLACK.mix(0.3))
-                .draw()
-                .map_err(say)?;
+                .draw()?;
         }
-        area.present().map_err(say)?;
+        area.present()?;
     }
     Ok(svg)
 }
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -6,6 +6,7 @@
 
 use super::outputs::Outputs;
 use super::slope::{show, Row, Table};
+use crate::capacity::error::CapacityError;
 use crate::sockets::run::program_beside;
 use clap::Args;
 use point::{measure, Point, Shape};
@@ -140,12 +141,11 @@
     points
 }
 
-pub fn tables(options: &Options) -> Result<Vec<Table>, String> {
+pub fn tables(options: &Options) -> Result<Vec<Table>, CapacityError> {
     let runtime = || {
         tokio::runtime::Builder::new_multi_thread()
             .enable_all()
             .build()
-            .map_err(|e| e.to_string())
     };
     let by_size: Vec<(u32, u32)> = options
         .sizes
@@ -177,13 +177,10 @@
     ])
 }
 
-pub fn run(options: &Options) -> Result<(), String> {
+pub fn run(options: &Options) -> Result<(), CapacityError> {
     let program = options.program();
     if !program.is_file() {
-        return Err(format!(
-            "{}: no such program; build it, or name one with --forwarder",
-            program.display()
-        ));
+        return Err(CapacityError::NoForwarderProgram { program });
     }
     show(&tables(options)?, &options.outputs)
 }
--- a/crates/lab/src/capacity/process/point.rs
+++ b/crates/lab/src/capacity/process/point.rs
@@ -2,6 +2,7 @@
 
 use super::standins::{discovery, nowhere, targets, Listed};
 use super::{ListFrom, Options};
+use crate::capacity::error::CapacityError;
 use crate::capacity::usage::Usage;
 use crate::chance::stream;
 use crate::sockets::wire::Conn;
@@ -133,8 +134,11 @@
         folder: &Path,
         listen: SocketAddr,
         papers: &Value,
-    ) -> Result<Subject, String> {
-        let say = |e: std::io::Error| format!("{}: {e}", program.display());
+    ) -> Result<Subject, CapacityError> {
+        let say = |source: std::io::Error| CapacityError::Program {
+            program: program.to_owned(),
+            source,
+        };
         let (state, file) = (folder.join("state"), folder.join("papers.json"));
         std::fs::create_dir_all(&state).map_err(say)?;
         std::fs::write(&file, papers.to_string()).map_err(say)?;
@@ -149,9 +153,9 @@
             .kill_on_drop(true)
             .spawn()
             .map_err(say)?;
-        let pid = child
-            .id()
-            .ok_or_else(|| format!("{}: ended at once", program.display()))?;
+        let pid = child.id().ok_or_else(|| CapacityError::EndedAtOnce {
+            program: program.to_owned(),
+        })?;
         Ok(Subject {
             child,
             pid,
@@ -160,14 +164,14 @@
         })
     }
 
-    pub fn usage(&self) -> Result<Usage, String> {
+    pub fn usage(&self) -> Result<Usage, CapacityError> {
         Usage::of(self.pid)
     }
 
     async fn stretch(
         &self,
         work: impl std::future::Future<Output = ()>,
-    ) -> Result<Stretch, String> {
+    ) -> Result<Stretch, CapacityError> {
         let (before, begun) = (self.usage()?, Instant::now());
         work.await;
         let lasted = begun.elapsed();
@@ -185,12 +189,12 @@
     }
 
     /// Waits until it is up; gives the time since `begun`, s.
-    pub async fn ready(&mut self, begun: Instant, within: Duration) -> Result<f64, String> {
+    pub async fn ready(&mut self, begun: Instant, within: Duration) -> Result<f64, CapacityError> {
         let up = |_| "GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".to_owned();
         let ready = self.until(begun, within, 200, up).await;
         if ready.is_nan() {
             let log = std::fs::read_to_string(&self.log).unwrap_or_default();
-            return Err(format!("not up within {within:?}; its log: {log}"));
+            return Err(CapacityError::NotUp { within, log });
         }
         Ok(ready)
     }
@@ -290,15 +294,12 @@
     listed: u32,
     in_use: u32,
     from: ListFrom,
-) -> Result<Point, String> {
-    let say = |e: std::io::Error| e.to_string();
-    let folder = tempfile::tempdir().map_err(say)?;
-    let listen = nowhere().await.map_err(say)?;
+) -> Result<Point, CapacityError> {
+    let folder = tempfile::tempdir()?;
+    let listen = nowhere().await?;
     let port = {
-        let free = TcpListener::bind((Ipv4Addr::new(127, 1, 0, 0), 0))
-            .await
-            .map_err(say)?;
-        free.local_addr().map_err(say)?.port()
+        let free = TcpListener::bind((Ipv4Addr::new(127, 1, 0, 0), 0)).await?;
+        free.local_addr()?.port()
     };
     let list = Listed {
         targets: listed,
@@ -309,26 +310,25 @@
     let mut used: BTreeSet<u32> = draws.iter().copied().collect();
     let distinct = used.len() as u32;
     used.insert(last);
-    let calls = targets(list, &used).map_err(say)?;
+    let calls = targets(list, &used)?;
     let shape = options.shape();
     let papers = match from {
-        ListFrom::Known => startup_config(
-            &shape,
-            listen,
-            nowhere().await.map_err(say)?,
-            Some(list.text()),
-        ),
+        ListFrom::Known => startup_config(&shape, listen, nowhere().await?, Some(list.text())),
         ListFrom::Discovery => {
-            let (at, _) = discovery(list.text().to_string()).await.map_err(say)?;
+            let (at, _) = discovery(list.text().to_string()).await?;
             startup_config(&shape, listen, at, None)
         }
     };
     let begun = Instant::now();
     let mut subject = Subject::start(&options.program(), folder.path(), listen, &papers)?;
-    let ready = subject
-        .ready(begun, READY_WITHIN)
-        .await
-        .map_err(|e| format!("{listed} targets: {e}"))?;
+    let ready =
+        subject
+            .ready(begun, READY_WITHIN)
+            .await
+            .map_err(|error| CapacityError::AtListLength {
+                listed,
+                source: Box::new(error),
+            })?;
     let at_ready = subject.usage()?;
     let to_last = |question| hand_in(&format!("first-{question}"), last, MESSAGE_TIME);
     let last_taken = subject.until(begun, LISTED_WITHIN, 202, to_last).await;
@@ -359,7 +359,7 @@
     let after_load = subject.usage()?;
     let rest_after = subject.stretch(rest()).await?;
     let after_rest = subject.usage()?;
-    subject.child.kill().await.map_err(say)?;
+    subject.child.kill().await?;
     Ok(Point {
         listed,
         used: distinct,
--- a/crates/lab/src/capacity/slope.rs
+++ b/crates/lab/src/capacity/slope.rs
@@ -1,6 +1,7 @@
 //! Tables of figures by size, the least-squares slope of each figure, and how they are shown: as text, JSON and SVG.
 
 use super::outputs::Outputs;
+use crate::capacity::error::CapacityError;
 use plotters::prelude::*;
 use serde::Serialize;
 use std::fmt;
@@ -156,8 +157,7 @@
 }
 
 /// One plot a figure: the points as measured and the line through them.
-pub fn plot(tables: &[Table]) -> Result<String, String> {
-    let say = |e: DrawingAreaErrorKind<_>| e.to_string();
+pub fn plot(tables: &[Table]) -> Result<String, CapacityError> {
     let panels: Vec<(&Table, usize)> = tables
         .iter()
         .flat_map(|t| (0..t.figures.len()).map(move |n| (t, n)))
@@ -167,7 +167,7 @@
     {
         let size = (PANEL.0 * PANELS_A_ROW as u32, PANEL.1 * rows as u32);
         let area = SVGBackend::with_string(&mut svg, size).into_drawing_area();
-        area.fill(&WHITE).map_err(say)?;
+        area.fill(&WHITE)?;
         for ((table, place), panel) in panels.iter().zip(area.split_evenly((rows, PANELS_A_ROW))) {
             let figure = &table.figures[*place];
             let all = table.rows.iter().map(|r| (r.size, r.values[*place]));
@@ -193,37 +193,30 @@
                 .margin(6)
                 .x_label_area_size(34)
                 .y_label_area_size(62)
-                .build_cartesian_2d(0.0..widest * 1.05, low..high)
-                .map_err(say)?;
+                .build_cartesian_2d(0.0..widest * 1.05, low..high)?;
             let mesh = &mut chart.configure_mesh();
             mesh.x_desc(&table.size)
                 .x_labels(6)
                 .y_labels(5)
                 .light_line_style(WHITE)
-                .draw()
-                .map_err(say)?;
-            chart
-                .draw_series(LineSeries::new(ends, BLUE.stroke_width(1)))
-                .map_err(say)?;
+                .draw()?;
+            chart.draw_series(LineSeries::new(ends, BLUE.stroke_width(1)))?;
             let dots = points.iter().map(|p| Circle::new(*p, POINT, RED.filled()));
-            chart.draw_series(dots).map_err(say)?;
+            chart.draw_series(dots)?;
         }
-        area.present().map_err(say)?;
+        area.present()?;
     }
     Ok(svg)
 }
 
 /// Prints the tables and writes them where they were asked for.
-pub fn show(tables: &[Table], outputs: &Outputs) -> Result<(), String> {
+pub fn show(tables: &[Table], outputs: &Outputs) -> Result<(), CapacityError> {
     tables.iter().for_each(|table| println!("{table}"));
     let write = |path: &std::path::Path, text: String| {
-        std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
+        std::fs::write(path, text).map_err(CapacityError::file(path))
     };
     if let Some(path) = &outputs.json {
-        write(
-            path,
-            serde_json::to_string_pretty(tables).map_err(|e| e.to_string())? + "\n",
-        )?;
+        write(path, serde_json::to_string_pretty(tables)? + "\n")?;
     }
     if let Some(path) = &outputs.plot {
         write(path, plot(tables)?)?;
--- a/crates/lab/src/capacity/usage.rs
+++ b/crates/lab/src/capacity/usage.rs
@@ -1,5 +1,6 @@
 //! What a process uses, from the kernel's own account.
 
+use crate::capacity::error::CapacityError;
 use nix::time::{clock_gettime, ClockId};
 use std::fs;
 use std::time::Duration;
@@ -7,23 +8,26 @@
 const PAGE: u64 = 4096; // bytes, on every Linux that this runs on
 
 /// Processor time of this process so far, user and system.
-pub fn own_processor_time() -> Result<Duration, String> {
+pub fn own_processor_time() -> Result<Duration, CapacityError> {
     let used = clock_gettime(ClockId::CLOCK_PROCESS_CPUTIME_ID);
     used.map(Duration::from)
-        .map_err(|e| format!("the processor time can't be read: {e}"))
+        .map_err(CapacityError::ProcessorTime)
 }
 
 /// Resident memory of this process, bytes.
-pub fn own_memory() -> Result<u64, String> {
+pub fn own_memory() -> Result<u64, CapacityError> {
     let path = "/proc/self/statm";
-    let text = fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
+    let text = fs::read_to_string(path).map_err(CapacityError::file(path))?;
     let pages = text
         .split_whitespace()
         .nth(1)
         .and_then(|pages| pages.parse::<u64>().ok());
     pages
         .map(|pages| pages * PAGE)
-        .ok_or_else(|| format!("{path}: {text}"))
+        .ok_or_else(|| CapacityError::Account {
+            path: path.to_owned(),
+            text: text.clone(),
+        })
 }
 
 /// What another process uses at one moment.
@@ -38,10 +42,10 @@
 }
 
 impl Usage {
-    pub fn of(pid: u32) -> Result<Usage, String> {
+    pub fn of(pid: u32) -> Result<Usage, CapacityError> {
         let read = |name: &str| {
             let path = format!("/proc/{pid}/{name}");
-            fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))
+            fs::read_to_string(&path).map_err(CapacityError::file(path))
         };
         let status = read("status")?;
         let memory = |name: &str| {
@@ -51,11 +55,14 @@
             let kilobytes = line.and_then(|line| line.trim().parse::<u64>().ok());
             kilobytes
                 .map(|kb| kb * 1024)
-                .ok_or_else(|| format!("/proc/{pid}/status has no {name}"))
+                .ok_or_else(|| CapacityError::NoStatusLine {
+                    pid,
+                    name: name.to_owned(),
+                })
         };
         let entries = |name: &str| {
             let path = format!("/proc/{pid}/{name}");
-            fs::read_dir(&path).map_err(|e| format!("{path}: {e}"))
+            fs::read_dir(&path).map_err(CapacityError::file(path))
         };
         let mut nanoseconds = 0;
         for thread in entries("task")?.flatten() {
--- a/crates/lab/src/commands/error.rs
+++ b/crates/lab/src/commands/error.rs
@@ -1,7 +1,12 @@
 //! Why a subcommand could not be carried out.
 
 use super::EXIT_VOID;
+use opalpulley_lab::capacity::error::CapacityError;
+use opalpulley_lab::experiments::ExperimentError;
+use opalpulley_lab::load::ReplayError;
+use opalpulley_lab::report::PlotError;
 use opalpulley_lab::scenario::BadScenario;
+use opalpulley_lab::sockets::SocketsError;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -15,9 +20,21 @@
     /// A scenario file is wrong.
     #[error(transparent)]
     Scenario(#[from] BadScenario),
-    /// The laboratory's library could not do it.
-    #[error("{0}")]
-    Library(String),
+    /// An experiment could not be carried out.
+    #[error(transparent)]
+    Experiment(#[from] ExperimentError),
+    /// The load can't be replayed from its file.
+    #[error(transparent)]
+    Replay(#[from] ReplayError),
+    /// A run on sockets could not be carried out.
+    #[error(transparent)]
+    Sockets(#[from] SocketsError),
+    /// A plot of the report could not be drawn.
+    #[error(transparent)]
+    Plot(#[from] PlotError),
+    /// A capacity measurement could not be carried out.
+    #[error(transparent)]
+    Capacity(#[from] CapacityError),
     /// A file or folder can't be read or written.
     #[error("{}: {source}", path.display())]
     File { path: PathBuf, source: io::Error },
@@ -71,9 +88,3 @@
         })
     }
 }
-
-impl From<String> for CommandError {
-    fn from(words: String) -> CommandError {
-        CommandError::Library(words)
-    }
-}
--- a/crates/lab/src/experiments.rs
+++ b/crates/lab/src/experiments.rs
@@ -2,9 +2,13 @@
 
 pub mod bids;
 pub mod compare;
+mod error;
 pub mod hunt;
 pub mod sweep;
 
+pub use error::ExperimentError;
+
+use crate::load::ReplayError;
 use crate::scenario::Scenario;
 use crate::sim::Sim;
 use crate::subject::Make;
@@ -13,56 +17,74 @@
 use std::sync::Mutex;
 
 /// The scenario with values set by their keys, as in `forwarders.slots=16` or `destinations[0].rate=50.0`.
-pub fn with_values(scenario: &Scenario, sets: &[String]) -> Result<Scenario, String> {
-    let mut value = toml::Value::try_from(scenario).map_err(|e| e.to_string())?;
+pub fn with_values(scenario: &Scenario, sets: &[String]) -> Result<Scenario, ExperimentError> {
+    let mut value = toml::Value::try_from(scenario)?;
     for set in sets {
         let (key, text) = set
             .split_once('=')
-            .ok_or(format!("{set}: write KEY=VALUE"))?;
-        let text = text.trim();
-        // A bare word is a string; all else is read as the file would be.
-        let new = toml::from_str::<toml::Table>(&format!("v = {text}"))
-            .ok()
-            .and_then(|t| t.get("v").cloned())
-            .unwrap_or_else(|| toml::Value::String(text.into()));
-        put(&mut value, key.trim(), new)?;
+            .ok_or_else(|| ExperimentError::NotKeyAndValue { set: set.clone() })?;
+        set_value(&mut value, key.trim(), read_value(text.trim()))?;
     }
-    let text = toml::to_string(&value).map_err(|e| e.to_string())?;
-    Scenario::read(
-        &text,
-        &format!("{} with {}", scenario.name, sets.join(", ")),
-    )
-    .map_err(|e| e.to_string())
+    let text = toml::to_string(&value)?;
+    let name = format!("{} with {}", scenario.name, sets.join(", "));
+    Ok(Scenario::read(&text, &name)?)
+}
+
+/// Reads a value as the file would; a bare word is a string.
+fn read_value(text: &str) -> toml::Value {
+    toml::from_str::<toml::Table>(&format!("v = {text}"))
+        .ok()
+        .and_then(|table| table.get("v").cloned())
+        .unwrap_or_else(|| toml::Value::String(text.into()))
 }
 
-fn put(value: &mut toml::Value, key: &str, new: toml::Value) -> Result<(), String> {
-    let mut here = value;
+/// Sets the value at a key such as `destinations[0].rate`; tables on the way are made where they are missing.
+fn set_value(root: &mut toml::Value, key: &str, new: toml::Value) -> Result<(), ExperimentError> {
+    let mut place = root;
     for part in key.split('.') {
-        let (name, numbers) = part.split_once('[').map_or((part, ""), |(n, r)| (n, r));
-        let table = here
+        let (name, index) = match part.split_once('[') {
+            Some((name, "")) => (name, None),
+            Some((name, index)) => (name, Some(index.trim_end_matches(']'))),
+            None => (part, None),
+        };
+        let table = place
             .as_table_mut()
-            .ok_or(format!("{key}: {name} is not in a table"))?;
-        here = table
+            .ok_or_else(|| ExperimentError::NotInTable {
+                key: key.into(),
+                name: name.into(),
+            })?;
+        place = table
             .entry(name)
             .or_insert_with(|| toml::Value::Table(toml::Table::new()));
-        if !numbers.is_empty() {
-            let number = numbers.trim_end_matches(']');
-            let at: usize = number
-                .parse()
-                .map_err(|_| format!("{key}: [{number}] is no place"))?;
-            here = here
-                .get_mut(at)
-                .ok_or(format!("{key}: there is no [{at}]"))?;
+        if let Some(index) = index {
+            place = element_of(place, key, index)?;
         }
     }
-    // Whole figures may stand where others are meant.
-    *here = match (&*here, new) {
-        (toml::Value::Float(_), toml::Value::Integer(n)) => toml::Value::Float(n as f64),
+    // A whole number may be given where the file holds a float.
+    *place = match (&*place, new) {
+        (toml::Value::Float(_), toml::Value::Integer(number)) => toml::Value::Float(number as f64),
         (_, new) => new,
     };
     Ok(())
 }
 
+/// The element of a list that a key names by its index.
+fn element_of<'a>(
+    list: &'a mut toml::Value,
+    key: &str,
+    index: &str,
+) -> Result<&'a mut toml::Value, ExperimentError> {
+    let index: usize = index.parse().map_err(|_| ExperimentError::BadIndex {
+        key: key.into(),
+        index: index.into(),
+    })?;
+    list.get_mut(index)
+        .ok_or_else(|| ExperimentError::NoSuchIndex {
+            key: key.into(),
+            index,
+        })
+}
+
 /// Runs jobs on so many threads, and gives what they came to in the order of the jobs.
 pub fn in_parallel<J: Sync, R: Send>(
     jobs: &[J],
@@ -89,10 +111,11 @@
 }
 
 /// One simulated run.
-pub fn simulate(scenario: &Scenario, seed: u64, make: Make) -> Result<Outcome, String> {
+pub fn simulate(scenario: &Scenario, seed: u64, make: Make) -> Result<Outcome, ReplayError> {
     Ok(Sim::new(scenario, seed, make)?.run(|_, _| {}))
 }
 
+/// How many runs are played at once: one for each processor core.
 pub fn threads() -> usize {
     std::thread::available_parallelism().map_or(1, |n| n.get())
 }
--- a/crates/lab/src/experiments/hunt.rs
+++ b/crates/lab/src/experiments/hunt.rs
@@ -1,8 +1,9 @@
 //! A hunt: worlds drawn by chance round a scenario until a rule breaks or the loss is greatest, then shrunk to the smallest
 //! that still shows it.
 
-use super::{in_parallel, simulate, threads};
+use super::{in_parallel, simulate, threads, ExperimentError};
 use crate::chance::stream;
+use crate::load::ReplayError;
 use crate::scenario::{Scenario, Span, Trouble, What, When, Where};
 use crate::subject::Make;
 use crate::tally::Outcome;
@@ -149,7 +150,7 @@
     worlds: usize,
     make: Make,
     told: impl Fn(usize) + Sync,
-) -> Result<Catch, String> {
+) -> Result<Catch, ExperimentError> {
     let jobs: Vec<u64> = (first..first + worlds.max(1) as u64).collect();
     let done = std::sync::atomic::AtomicUsize::new(0);
     let runs = in_parallel(&jobs, threads(), |seed| {
@@ -164,7 +165,7 @@
         a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
     });
     let Some((seed, outcome)) = worst else {
-        return Err("no world was drawn".into());
+        return Err(ExperimentError::NoWorld);
     };
     let mut catch = Catch {
         scenario: draw(base, seed),
@@ -177,7 +178,7 @@
     Ok(catch)
 }
 
-fn shrink(catch: &mut Catch, make: Make) -> Result<(), String> {
+fn shrink(catch: &mut Catch, make: Make) -> Result<(), ReplayError> {
     let mut smaller = true;
     while std::mem::take(&mut smaller) {
         for candidate in candidates(&catch.scenario) {
--- a/crates/lab/src/experiments/sweep.rs
+++ b/crates/lab/src/experiments/sweep.rs
@@ -1,6 +1,6 @@
 //! One value over a range.
 
-use super::{in_parallel, simulate, threads, with_values};
+use super::{in_parallel, simulate, threads, with_values, ExperimentError};
 use crate::scenario::Scenario;
 use crate::subject::Make;
 use serde::Serialize;
@@ -31,7 +31,7 @@
     values: &[String],
     seeds: u64,
     make: Make,
-) -> Result<Sweep, String> {
+) -> Result<Sweep, ExperimentError> {
     let scenarios: Vec<Scenario> = values
         .iter()
         .map(|v| with_values(scenario, &[format!("{key}={v}")]))
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -7,6 +7,7 @@
 use opalpulley::Micros;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
+use std::path::{Path, PathBuf};
 
 /// A packet that is due.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,8 +32,8 @@
     destinations: Vec<u32>,
     profiles: Vec<u16>,
     tenant: Option<u32>,
-    replay: std::vec::IntoIter<(Micros, Option<u32>)>,
-    next: Option<(Micros, Option<u32>)>,
+    replay: std::vec::IntoIter<ReplayedTime>,
+    next: Option<ReplayedTime>,
 }
 
 /// All streams of a scenario, merged by time.
@@ -43,7 +44,7 @@
 }
 
 impl Loads {
-    pub fn new(scenario: &Scenario, layout: &Layout, seed: u64) -> Result<Loads, String> {
+    pub fn new(scenario: &Scenario, layout: &Layout, seed: u64) -> Result<Loads, ReplayError> {
         let ends = scenario.lasts.0;
         let mut streams = Vec::new();
         for (n, load) in scenario.loads.iter().enumerate() {
@@ -201,37 +202,86 @@
     }
 }
 
-fn read_times(
-    file: &std::path::Path,
-    destinations: usize,
-) -> Result<Vec<(Micros, Option<u32>)>, String> {
-    let shown = file.display();
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{shown}: {e}"))?;
+/// Why a file of submission times can't be replayed.
+#[derive(Debug, thiserror::Error)]
+pub enum ReplayError {
+    /// The file can't be read.
+    #[error("{}: {source}", file.display())]
+    File {
+        file: PathBuf,
+        source: std::io::Error,
+    },
+    /// A line of it is wrong.
+    #[error("{}:{line_number}: {line}: {problem}", file.display())]
+    Line {
+        file: PathBuf,
+        line_number: usize,
+        line: String,
+        problem: LineProblem,
+    },
+}
+
+/// What is wrong with a line of a file of submission times.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum LineProblem {
+    /// The first column is no number.
+    #[error("write a time in seconds first")]
+    Time,
+    /// The second column is no number.
+    #[error("the destination is a number")]
+    Destination,
+    /// The time is negative or too late, or there is no such destination.
+    #[error("the time or the destination is out of range")]
+    OutOfRange,
+}
+
+/// A replayed time must be earlier, s.
+const REPLAY_TIME_LIMIT: f64 = 1e9;
+
+/// When a replayed message is due, and its destination where the file names one.
+type ReplayedTime = (Micros, Option<u32>);
+
+/// Reads a file of submission times, sorted by time. Empty lines and comments (`#`) are passed over.
+fn read_times(file: &Path, destinations: usize) -> Result<Vec<ReplayedTime>, ReplayError> {
+    let text = std::fs::read_to_string(file).map_err(|source| ReplayError::File {
+        file: file.to_owned(),
+        source,
+    })?;
     let mut times = Vec::new();
-    for (n, line) in text
-        .lines()
-        .enumerate()
-        .filter(|(_, l)| !l.trim().is_empty() && !l.starts_with('#'))
-    {
-        let mut parts = line.split(',').map(str::trim);
-        let bad = |what: &str| format!("{shown}:{}: {line}: {what}", n + 1);
-        let at: f64 = parts
-            .next()
-            .unwrap_or("")
-            .parse()
-            .map_err(|_| bad("write a time in seconds first"))?;
-        let destination: Option<u32> = parts
-            .next()
-            .map(|d| d.parse().map_err(|_| bad("the destination is a number")))
-            .transpose()?;
-        if !(0.0..1e9).contains(&at) || destination.is_some_and(|d| d as usize >= destinations) {
-            return Err(bad("the time or the destination is out of range"));
+    for (index, line) in text.lines().enumerate() {
+        if line.trim().is_empty() || line.starts_with('#') {
+            continue;
         }
-        times.push(((at * 1e6) as Micros, destination));
+        let time = parse_line(line, destinations).map_err(|problem| ReplayError::Line {
+            file: file.to_owned(),
+            line_number: index + 1,
+            line: line.to_owned(),
+            problem,
+        })?;
+        times.push(time);
     }
     times.sort_unstable();
     Ok(times)
 }
 
+/// Reads one line: a time in seconds, then the number of a destination where one is named.
+fn parse_line(line: &str, destinations: usize) -> Result<ReplayedTime, LineProblem> {
+    let mut columns = line.split(',').map(str::trim);
+    let seconds: f64 = columns
+        .next()
+        .unwrap_or("")
+        .parse()
+        .map_err(|_| LineProblem::Time)?;
+    let destination: Option<u32> = columns
+        .next()
+        .map(|column| column.parse().map_err(|_| LineProblem::Destination))
+        .transpose()?;
+    let unknown = destination.is_some_and(|number| number as usize >= destinations);
+    if unknown || !(0.0..REPLAY_TIME_LIMIT).contains(&seconds) {
+        return Err(LineProblem::OutOfRange);
+    }
+    Ok(((seconds * 1e6) as Micros, destination))
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/lab/src/load/tests.rs
+++ b/crates/lab/src/load/tests.rs
@@ -67,5 +67,5 @@
     let bad = Loads::new(&scenario, &Layout::new(&scenario), 1)
         .err()
         .expect("it is wrong");
-    assert!(bad.contains(":2:"), "{bad}");
+    assert!(bad.to_string().contains(":2:"), "{bad}");
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -4,6 +4,9 @@
 use plotters::prelude::*;
 use std::fmt::Write;
 
+/// Why a plot could not be drawn.
+pub type PlotError = DrawingAreaErrorKind<std::io::Error>;
+
 const SIZE: (u32, u32) = (900, 240);
 const COLOURS: [RGBColor; 4] = [
     RGBColor(31, 119, 180),
@@ -22,12 +25,11 @@
     unit: &str,
     log: bool,
     series: &[Series],
-) -> Result<String, String> {
+) -> Result<String, PlotError> {
     let mut svg = String::new();
     {
-        let say = |e: DrawingAreaErrorKind<_>| e.to_string();
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        area.fill(&WHITE).map_err(say)?;
+        area.fill(&WHITE)?;
         let seconds = |n: usize| n as f64 * outcome.column as f64 / 1e6;
         let ends = seconds(outcome.columns.len()).max(1.0);
         let values = series
@@ -50,8 +52,7 @@
                     .x_labels(12)
                     .y_labels(6)
                     .light_line_style(WHITE)
-                    .draw()
-                    .map_err(say)?;
+                    .draw()?;
                 for spell in &outcome.spells {
                     let (from, until) = (
                         spell.from as f64 / 1e6,
@@ -59,7 +60,7 @@
                     );
                     let shade =
                         Rectangle::new([(from, $low), (until, most)], SHADE.mix(0.10).filled());
-                    chart.draw_series(std::iter::once(shade)).map_err(say)?;
+                    chart.draw_series(std::iter::once(shade))?;
                 }
                 for ((name, of), colour) in series.iter().zip(COLOURS) {
                     let points = outcome
@@ -68,8 +69,7 @@
                         .enumerate()
                         .map(|(n, c)| (seconds(n), of(c).max($low)));
                     chart
-                        .draw_series(LineSeries::new(points, colour.stroke_width(1)))
-                        .map_err(say)?
+                        .draw_series(LineSeries::new(points, colour.stroke_width(1)))?
                         .label(*name)
                         .legend(move |(x, y)| {
                             PathElement::new(vec![(x, y), (x + 14, y)], colour.stroke_width(2))
@@ -80,30 +80,22 @@
                 style
                     .background_style(WHITE.mix(0.8))
                     .border_style(BLACK.mix(0.3))
-                    .draw()
-                    .map_err(say)?;
+                    .draw()?;
             }};
         }
         match log {
             true => draw!(
-                builder
-                    .build_cartesian_2d(0.0..ends, (0.1..most).log_scale())
-                    .map_err(say)?,
+                builder.build_cartesian_2d(0.0..ends, (0.1..most).log_scale())?,
                 0.1
             ),
-            false => draw!(
-                builder
-                    .build_cartesian_2d(0.0..ends, 0.0..most)
-                    .map_err(say)?,
-                0.0
-            ),
+            false => draw!(builder.build_cartesian_2d(0.0..ends, 0.0..most)?, 0.0),
         }
-        area.present().map_err(say)?;
+        area.present()?;
     }
     Ok(svg)
 }
 
-fn plots(outcome: &Outcome) -> Result<String, String> {
+fn plots(outcome: &Outcome) -> Result<String, PlotError> {
     let a_second = 1e6 / outcome.column as f64;
     let rate = |of: fn(&Column) -> u64| move |c: &Column| of(c) as f64 * a_second;
     let traffic: [Series; 3] = [
@@ -212,7 +204,7 @@
 ];
 
 /// The page. Runs stand side by side; where both clocks played the same, the difference is told in figures.
-pub fn html(outcomes: &[Outcome]) -> Result<String, String> {
+pub fn html(outcomes: &[Outcome]) -> Result<String, PlotError> {
     let title = outcomes.first().map_or("nothing", |o| o.scenario.as_str());
     let mut page = format!(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>{0}</title><style>\
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -4,7 +4,7 @@
 mod config;
 mod units;
 
-pub use units::{Span, Spans};
+pub use units::{BadSpan, Span, Spans};
 
 use opalpulley::Micros;
 use serde::{Deserialize, Serialize};
--- a/crates/lab/src/scenario/units.rs
+++ b/crates/lab/src/scenario/units.rs
@@ -5,10 +5,26 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 
+/// Why a text is no span of time.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum BadSpan {
+    /// It is not a figure followed by a known unit.
+    #[error("\"{text}\": {SPAN_FORMAT}")]
+    Malformed { text: String },
+    /// It is negative, or too long to be counted in µs.
+    #[error("\"{text}\": is out of range, {SPAN_FORMAT}")]
+    OutOfRange { text: String },
+}
+
+const SPAN_FORMAT: &str = "write a figure and a unit: 300us, 20ms, 2.5s, 5m or 1h";
+/// A span must be shorter, µs: up to here `f64` still counts each one.
+const SPAN_LIMIT: f64 = 9e15;
+
 /// A span of time in µs; written with a unit: `"300us"`, `"20ms"`, `"2.5s"`, `"5m"`, `"1h"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Micros);
 
+/// Spans of time, as a list of the file.
 pub type Spans = Vec<Span>;
 
 const UNITS: [(&str, f64); 5] = [
@@ -20,26 +36,28 @@
 ];
 
 impl Span {
+    /// The span in seconds.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// From text with a unit; what is wrong is told.
-    pub fn parse(text: &str) -> Result<Span, String> {
+    /// Reads a figure with a unit.
+    pub fn parse(text: &str) -> Result<Span, BadSpan> {
+        let malformed = || BadSpan::Malformed { text: text.into() };
         let split = text
             .find(|c: char| c.is_ascii_alphabetic())
             .unwrap_or(text.len());
         let (figure, unit) = (text[..split].trim(), &text[split..]);
-        let mend = "write a figure and a unit: 300us, 20ms, 2.5s, 5m or 1h";
         let (_, size) = UNITS
             .iter()
             .find(|(u, _)| *u == unit)
-            .ok_or(format!("\"{text}\": {mend}"))?;
-        let figure: f64 = figure.parse().map_err(|_| format!("\"{text}\": {mend}"))?;
-        match figure * size {
-            span if (0.0..9e15).contains(&span) => Ok(Span(span.round() as Micros)),
-            _ => Err(format!("\"{text}\": is out of range, {mend}")),
+            .ok_or_else(malformed)?;
+        let figure: f64 = figure.parse().map_err(|_| malformed())?;
+        let span = figure * size;
+        if !(0.0..SPAN_LIMIT).contains(&span) {
+            return Err(BadSpan::OutOfRange { text: text.into() });
         }
+        Ok(Span(span.round() as Micros))
     }
 }
 
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -8,7 +8,7 @@
 mod troubles;
 
 use crate::chance::stream;
-use crate::load::{Due, Loads};
+use crate::load::{Due, Loads, ReplayError};
 use crate::oracle::Oracle;
 use crate::receivers::{Receivers, Says};
 use crate::scenario::{Effect, Scenario};
@@ -201,7 +201,7 @@
 }
 
 impl Sim {
-    pub fn new(scenario: &Scenario, seed: u64, make: Make) -> Result<Sim, String> {
+    pub fn new(scenario: &Scenario, seed: u64, make: Make) -> Result<Sim, ReplayError> {
         let layout = Layout::new(scenario);
         let mut sim = Sim {
             loads: Loads::new(scenario, &layout, seed)?,
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -5,11 +5,14 @@
 
 pub mod agents;
 pub mod clients;
+mod error;
 pub mod processes;
 pub mod run;
 pub mod targets;
 pub(crate) mod wire;
 
+pub use error::SocketsError;
+
 use crate::oracle::{Final, Oracle};
 use crate::receivers::Receivers;
 use crate::scenario::{Effect, Scenario};
--- a/crates/lab/src/sockets/agents.rs
+++ b/crates/lab/src/sockets/agents.rs
@@ -37,6 +37,20 @@
     whole_from: u64,
 }
 
+/// Why completion reports were not accepted; the text is the body of the answer.
+#[derive(Debug, thiserror::Error)]
+enum BadReport {
+    /// A line is no completion report as JSON.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// The report names a message that was never submitted.
+    #[error("{id}: nobody handed that in")]
+    UnknownMessage { id: String },
+    /// The report's status is none that the platform knows.
+    #[error("{status}: no such status")]
+    UnknownStatus { status: String },
+}
+
 /// The agent of one forwarder.
 pub struct Agent {
     pub address: SocketAddr,
@@ -195,7 +209,10 @@
         if request.method == "POST" && request.path == "/v1/outcomes" {
             return match self.completion_reports(stage, &request.body) {
                 Ok(()) => conn.reply("204 No Content", "", "").await,
-                Err(problem) => conn.reply("400 Bad Request", "", &problem).await,
+                Err(problem) => {
+                    let problem = problem.to_string();
+                    conn.reply("400 Bad Request", "", &problem).await
+                }
             };
         }
         let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
@@ -219,12 +236,11 @@
         conn.reply("200 OK", "", &text).await
     }
 
-    fn completion_reports(&self, stage: &Arc<Stage>, body: &[u8]) -> Result<(), String> {
+    fn completion_reports(&self, stage: &Arc<Stage>, body: &[u8]) -> Result<(), BadReport> {
         let lines = body.split(|b| *b == b'\n').filter(|l| !l.is_empty());
         let completion_reports: Vec<CompletionReport> = lines
             .map(serde_json::from_slice)
-            .collect::<Result<_, _>>()
-            .map_err(|e| e.to_string())?;
+            .collect::<Result<_, _>>()?;
         let now = stage.now();
         for completion_report in completion_reports {
             let duty = completion_report
@@ -239,12 +255,18 @@
                 continue;
             }
             let Some(duty) = duty else {
-                return Err(format!("{}: nobody handed that in", completion_report.id));
+                return Err(BadReport::UnknownMessage {
+                    id: completion_report.id,
+                });
             };
             let end = match completion_report.status.as_str() {
                 "undeliverable" => Final::WrittenOff,
                 "deferred" => Final::Deferred,
-                other => return Err(format!("{other}: no such status")),
+                other => {
+                    return Err(BadReport::UnknownStatus {
+                        status: other.to_owned(),
+                    })
+                }
             };
             let come_back: Option<Micros> =
                 completion_report.again_ms.map(|ms| (ms * 1e3) as Micros);
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/lab/src/sockets/processes.rs
@@ -1,5 +1,6 @@
 //! Forwarder processes: started with the configuration of the scenario, killed, stopped, continued and started again.
 
+use super::SocketsError;
 use crate::scenario::Scenario;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -55,8 +56,11 @@
     }
 
     /// Starts it and waits until it takes packets.
-    pub async fn start(&mut self) -> Result<(), String> {
-        let told = |e: io::Error| format!("{}: {e}", self.program.display());
+    pub async fn start(&mut self) -> Result<(), SocketsError> {
+        let told = |source: io::Error| SocketsError::Program {
+            program: self.program.clone(),
+            source,
+        };
         let state = self.folder.join("state");
         std::fs::create_dir_all(&state).map_err(told)?;
         let papers = self.folder.join("papers.json");
@@ -100,16 +104,16 @@
         let begun = Instant::now();
         while !self.up().await {
             if let Some(Ok(Some(status))) = self.child.as_mut().map(Child::try_wait) {
-                return Err(format!(
-                    "forwarder {} ended as it started: {status}",
-                    self.number
-                ));
+                return Err(SocketsError::EndedAtStart {
+                    forwarder: self.number,
+                    status,
+                });
             }
             if begun.elapsed() > READY {
-                return Err(format!(
-                    "forwarder {} was not up after {READY:?}",
-                    self.number
-                ));
+                return Err(SocketsError::NotUp {
+                    forwarder: self.number,
+                    waited: READY,
+                });
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
--- a/crates/lab/src/sockets/run.rs
+++ b/crates/lab/src/sockets/run.rs
@@ -5,7 +5,7 @@
 use super::processes::Process;
 use super::targets::{self, Standin};
 use super::wire::Port;
-use super::{Stage, MOST_LATE};
+use super::{SocketsError, Stage, MOST_LATE};
 use crate::chance::stream;
 use crate::load::Loads;
 use crate::oracle::Rule;
@@ -74,19 +74,18 @@
     seed: u64,
     means: &Means,
     mut watch: impl FnMut(Micros, Micros),
-) -> Result<(Outcome, Usage), String> {
-    let told = |e: std::io::Error| format!("the stage could not be set: {e}");
-    let folder = tempfile::tempdir().map_err(told)?;
+) -> Result<(Outcome, Usage), SocketsError> {
+    let folder = tempfile::tempdir().map_err(SocketsError::Stage)?;
     let (stage, agains) = Stage::new(scenario, seed, false);
-    let standins = targets::start(&stage).await.map_err(told)?;
+    let standins = targets::start(&stage).await.map_err(SocketsError::Stage)?;
     let (mut agents, mut doors, mut processes) = (Vec::new(), Vec::new(), Vec::new());
     let mut ports = Vec::new(); // of the forwarders, kept while they are down
 
     for number in 0..scenario.forwarders.count {
         let agent = Agent::start(&stage, number, &standins, 0)
             .await
-            .map_err(told)?;
-        let port = Port::hold(0).map_err(told)?;
+            .map_err(SocketsError::Stage)?;
+        let port = Port::hold(0).map_err(SocketsError::Stage)?;
         let listen = port.address;
         ports.push(port);
         let logs = means.logs.as_deref();
@@ -123,7 +122,8 @@
     });
     stage.lock().tally.begins(begin);
     let loads = Loads::new(scenario, &stage.layout, seed)?;
-    let load = clients::start(stage.clone(), doors, loads, agains, begin).map_err(told)?;
+    let load =
+        clients::start(stage.clone(), doors, loads, agains, begin).map_err(SocketsError::Stage)?;
     let troubles: Vec<_> = (0..scenario.troubles.len())
         .map(|n| tokio::spawn(timeline.clone().trouble(n)))
         .collect();
@@ -362,7 +362,7 @@
                     .store(true, Ordering::Relaxed);
                 locked(&self.down).remove(&forwarder);
             }
-            Err(problem) => locked(&self.crashes).push(problem),
+            Err(error) => locked(&self.crashes).push(error.to_string()),
         }
     }
 
@@ -432,13 +432,12 @@
     scenario: &Scenario,
     seed: u64,
     port: u16,
-) -> Result<(SocketAddr, Vec<SocketAddr>), String> {
-    let told = |e: std::io::Error| format!("the stage could not be set: {e}");
+) -> Result<(SocketAddr, Vec<SocketAddr>), SocketsError> {
     let (stage, _) = Stage::new(scenario, seed, true);
-    let standins = targets::start(&stage).await.map_err(told)?;
+    let standins = targets::start(&stage).await.map_err(SocketsError::Stage)?;
     let agent = Agent::start(&stage, 0, &standins, port)
         .await
-        .map_err(told)?;
+        .map_err(SocketsError::Stage)?;
     let addresses = standins.iter().map(|s| s.address).collect();
     let discovery = agent.address;
     let timeline = Arc::new(Timeline {
@@ -470,14 +469,14 @@
     seed: u64,
     at: &[SocketAddr],
     mut watch: impl FnMut(Micros, Micros),
-) -> Result<Outcome, String> {
-    let told = |e: std::io::Error| format!("the load tool could not start: {e}");
+) -> Result<Outcome, SocketsError> {
     let (stage, agains) = Stage::new(scenario, seed, true);
     let begin = stage.now() + 100_000;
     let loads = Loads::new(scenario, &stage.layout, seed)?;
     stage.lock().tally.begins(begin);
     let doors = at.iter().map(|a| Door::new(*a)).collect();
-    let load = clients::start(stage.clone(), doors, loads, agains, begin).map_err(told)?;
+    let load = clients::start(stage.clone(), doors, loads, agains, begin)
+        .map_err(SocketsError::LoadTool)?;
     let ends = begin + scenario.lasts.0 + 1_000_000;
     while stage.now() < ends {
         tokio::time::sleep(SWEEP).await;
