--- a/crates/lab/src/chance.rs
+++ b/crates/lab/src/chance.rs
@@ -1,6 +1,6 @@
 //! Chance, seeded: each user draws from a stream of its own, so that one more draw here moves nothing there.
 
-use crate::scenario::Service;
+use crate::scenario::ServiceTime;
 use opalpulley::Micros;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
@@ -24,15 +24,15 @@
 }
 
 /// A service time in µs, one at least.
-pub fn service(service: &Service, rng: &mut Pcg64Mcg) -> Micros {
+pub fn service(service: &ServiceTime, rng: &mut Pcg64Mcg) -> Micros {
     let time = match service {
-        Service::Constant { time } => time.0 as f64,
-        Service::Exponential { mean } => mean.0 as f64 * exponential(rng),
-        Service::Lognormal { mean, sigma } => {
+        ServiceTime::Constant { time } => time.0 as f64,
+        ServiceTime::Exponential { mean } => mean.0 as f64 * exponential(rng),
+        ServiceTime::Lognormal { mean, sigma } => {
             let mu = (mean.0.max(1) as f64).ln() - sigma * sigma / 2.0;
             LogNormal::new(mu, *sigma).map_or(mean.0 as f64, |l| l.sample(rng))
         }
-        Service::Bimodal {
+        ServiceTime::Bimodal {
             fast,
             slow,
             slow_share,
@@ -48,11 +48,11 @@
 }
 
 /// The mean of the service times, µs.
-pub fn service_mean(service: &Service) -> f64 {
+pub fn service_mean(service: &ServiceTime) -> f64 {
     match service {
-        Service::Constant { time } => time.0 as f64,
-        Service::Exponential { mean } | Service::Lognormal { mean, .. } => mean.0 as f64,
-        Service::Bimodal {
+        ServiceTime::Constant { time } => time.0 as f64,
+        ServiceTime::Exponential { mean } | ServiceTime::Lognormal { mean, .. } => mean.0 as f64,
+        ServiceTime::Bimodal {
             fast,
             slow,
             slow_share,
--- a/crates/lab/src/commands/compare.rs
+++ b/crates/lab/src/commands/compare.rs
@@ -9,8 +9,8 @@
 use opalpulley_lab::experiments::compare::{compare, Verdict};
 use opalpulley_lab::experiments::{in_parallel, simulate, threads};
 use opalpulley_lab::scenario::Scenario;
-use opalpulley_lab::sockets::run::{program_beside, run, Means};
-use opalpulley_lab::subject::Make;
+use opalpulley_lab::sockets::run::{program_beside, run, SocketRunOptions};
+use opalpulley_lab::subject::ForwarderVariant;
 use opalpulley_lab::tally::Outcome;
 use std::path::{Path, PathBuf};
 use std::process::{self, ExitCode};
@@ -34,10 +34,10 @@
     /// B is played by another build of this program
     #[arg(long)]
     build_b: Option<PathBuf>,
-    #[arg(long, default_value_t = Make::True)]
-    make_a: Make,
-    #[arg(long, default_value_t = Make::True)]
-    make_b: Make,
+    #[arg(long = "make-a", default_value_t = ForwarderVariant::True)]
+    variant_a: ForwarderVariant,
+    #[arg(long = "make-b", default_value_t = ForwarderVariant::True)]
+    variant_b: ForwarderVariant,
     /// On sockets, with these forwarders for A and B; needs --sockets
     #[arg(long)]
     forwarder_a: Option<PathBuf>,
@@ -84,7 +84,7 @@
             file: self.a,
             set: self.set_a,
             build: self.build_a,
-            make: self.make_a,
+            variant: self.variant_a,
             forwarder: self.forwarder_a,
         };
         let side_b = Side {
@@ -92,7 +92,7 @@
             file: self.b,
             set: self.set_b,
             build: self.build_b,
-            make: self.make_b,
+            variant: self.variant_b,
             forwarder: self.forwarder_b,
         };
         Ok((side_a, side_b))
@@ -120,7 +120,7 @@
     set: Vec<String>,
     scenario: Scenario,
     build: Option<PathBuf>,
-    make: Make,
+    variant: ForwarderVariant,
     forwarder: Option<PathBuf>,
 }
 
@@ -133,7 +133,7 @@
     fn simulate(&self, seed: u64) -> Result<Outcome, CommandError> {
         match &self.build {
             Some(build) => self.simulate_by_build(build, seed),
-            None => Ok(simulate(&self.scenario, seed, self.make)?),
+            None => Ok(simulate(&self.scenario, seed, self.variant)?),
         }
     }
 
@@ -163,7 +163,7 @@
     }
 
     fn play_on_sockets(&self, seed: u64) -> Result<Outcome, CommandError> {
-        let means = Means {
+        let means = SocketRunOptions {
             program: self.forwarder.clone().unwrap_or_else(program_beside),
             logs: None,
             pin: None,
--- a/crates/lab/src/commands/hunt.rs
+++ b/crates/lab/src/commands/hunt.rs
@@ -7,7 +7,7 @@
 use clap::Args;
 use opalpulley_lab::experiments::hunt::{hunt, Catch};
 use opalpulley_lab::report;
-use opalpulley_lab::subject::Make;
+use opalpulley_lab::subject::ForwarderVariant;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -20,8 +20,8 @@
     /// The first seed; worlds take those after it
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    #[arg(long, default_value_t = Make::True)]
-    make: Make,
+    #[arg(long = "make", default_value_t = ForwarderVariant::True)]
+    variant: ForwarderVariant,
     /// Where what was found is saved
     #[arg(long, default_value = "found")]
     save: PathBuf,
@@ -32,7 +32,7 @@
     let scenario = load_scenario(&options.scenario, &[])?;
     let bar = progress_bar("worlds");
     let worlds = options.worlds;
-    let worst = hunt(&scenario, options.seed, worlds, options.make, |played| {
+    let worst = hunt(&scenario, options.seed, worlds, options.variant, |played| {
         bar.set_length(worlds as u64);
         bar.set_position(played as u64);
     })?;
--- a/crates/lab/src/commands/load.rs
+++ b/crates/lab/src/commands/load.rs
@@ -41,7 +41,7 @@
     let counts = &outcome.counts;
     println!(
         "due {}, submitted {}, rejected {}, turned away {}",
-        counts.due, counts.hand_ins, counts.deferrals, counts.turned_away
+        counts.due, counts.submissions, counts.rejections, counts.turned_away
     );
     for (name, count) in &counts.outcomes {
         println!("{name}: {count}");
--- a/crates/lab/src/commands/options.rs
+++ b/crates/lab/src/commands/options.rs
@@ -4,7 +4,7 @@
 use clap::Args;
 use opalpulley_lab::experiments::with_values;
 use opalpulley_lab::scenario::Scenario;
-use opalpulley_lab::subject::Make;
+use opalpulley_lab::subject::ForwarderVariant;
 use std::path::{Path, PathBuf};
 
 /// On which clock a scenario is played, and with which forwarder program on sockets.
@@ -37,8 +37,8 @@
     #[arg(long)]
     pub set: Vec<String>,
     /// Which forwarder is simulated
-    #[arg(long, default_value_t = Make::True)]
-    pub make: Make,
+    #[arg(long = "make", default_value_t = ForwarderVariant::True)]
+    pub variant: ForwarderVariant,
 }
 
 impl WorldOptions {
--- a/crates/lab/src/commands/play.rs
+++ b/crates/lab/src/commands/play.rs
@@ -6,7 +6,7 @@
 use super::EXIT_VOID;
 use opalpulley_lab::scenario::Scenario;
 use opalpulley_lab::sim::Sim;
-use opalpulley_lab::sockets::run::{program_beside, run, Means};
+use opalpulley_lab::sockets::run::{program_beside, run, SocketRunOptions};
 use opalpulley_lab::tally::Outcome;
 use std::process::ExitCode;
 use std::time::Instant;
@@ -35,13 +35,13 @@
 ) -> Result<Outcome, CommandError> {
     let bar = progress_bar(&scenario.name);
     let started = Instant::now();
-    let sim = Sim::new(scenario, seed, world.make)?;
+    let sim = Sim::new(scenario, seed, world.variant)?;
     let (outcome, work) = sim.run_until(u64::MAX, progress_of(&bar));
     bar.finish_and_clear();
     let seconds = started.elapsed().as_secs_f64();
     eprintln!(
         "simulated in {seconds:.2} s: {} happenings, {} events of the core ({:.0} a second)",
-        work.happenings,
+        work.events,
         work.core_events,
         work.core_events as f64 / seconds
     );
@@ -60,7 +60,7 @@
     if let Some(logs) = &clocks.logs {
         create_folder(logs)?;
     }
-    let means = Means {
+    let means = SocketRunOptions {
         program,
         logs: clocks.logs.clone(),
         pin: clocks.pin,
--- a/crates/lab/src/commands/sweep.rs
+++ b/crates/lab/src/commands/sweep.rs
@@ -5,7 +5,7 @@
 use super::CommandResult;
 use clap::Args;
 use opalpulley_lab::experiments::sweep::sweep;
-use opalpulley_lab::subject::Make;
+use opalpulley_lab::subject::ForwarderVariant;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -20,8 +20,8 @@
     values: Vec<String>,
     #[arg(long, default_value_t = 8)]
     seeds: u64,
-    #[arg(long, default_value_t = Make::True)]
-    make: Make,
+    #[arg(long = "make", default_value_t = ForwarderVariant::True)]
+    variant: ForwarderVariant,
     #[arg(long)]
     json: Option<PathBuf>,
 }
@@ -34,7 +34,7 @@
         &options.key,
         &options.values,
         options.seeds,
-        options.make,
+        options.variant,
     )?;
     println!("{rows}");
     if let Some(path) = &options.json {
--- a/crates/lab/src/experiments.rs
+++ b/crates/lab/src/experiments.rs
@@ -11,12 +11,12 @@
 use crate::load::ReplayError;
 use crate::scenario::Scenario;
 use crate::sim::Sim;
-use crate::subject::Make;
+use crate::subject::ForwarderVariant;
 use crate::tally::Outcome;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// The scenario with values set by their keys, as in `forwarders.slots=16` or `destinations[0].rate=50.0`.
+/// The scenario with values set by their keys, as in `forwarders.concurrency_limit=16` or `destinations[0].rate=50.0`.
 pub fn with_values(scenario: &Scenario, sets: &[String]) -> Result<Scenario, ExperimentError> {
     let mut value = toml::Value::try_from(scenario)?;
     for set in sets {
@@ -111,8 +111,12 @@
 }
 
 /// One simulated run.
-pub fn simulate(scenario: &Scenario, seed: u64, make: Make) -> Result<Outcome, ReplayError> {
-    Ok(Sim::new(scenario, seed, make)?.run(|_, _| {}))
+pub fn simulate(
+    scenario: &Scenario,
+    seed: u64,
+    variant: ForwarderVariant,
+) -> Result<Outcome, ReplayError> {
+    Ok(Sim::new(scenario, seed, variant)?.run(|_, _| {}))
 }
 
 /// How many runs are played at once: one for each processor core.
--- a/crates/lab/src/experiments/bids.rs
+++ b/crates/lab/src/experiments/bids.rs
@@ -1,4 +1,4 @@
-//! What the core's own work costs while so many packets wait in one line: the time of one packet's arrival and of one trip's
+//! What the core's own work costs while so many messages wait in one line: the time of one message's arrival and of one attempt's
 //! end, with the bid that follows. Wall-clock figures: they are of this machine.
 
 use opalpulley::{
@@ -19,20 +19,20 @@
     pub end: f64,
 }
 
-fn arrival(id: u32, expiry: Micros) -> Event {
+fn arrival(id: u32, time_to_live: Micros) -> Event {
     Event::Submitted(Submission {
         id: MessageId(id),
         class: DeliveryClassId(0),
         tenant: TenantId(u32::MAX),
         key: None,
-        time_left: expiry,
+        time_left: time_to_live,
         destination: DestinationId(0),
         resubmitted: false,
         history: AttemptHistory::default(),
     })
 }
 
-/// One slot, one target, `waiting` packets in line; `rounds` times the packet that is out ends and another arrives.
+/// One slot, one endpoint, `waiting` messages in line; `rounds` times the message that is out ends and another arrives.
 pub fn cost(waiting: u32, rounds: u32) -> Cost {
     let text = "version = 1\nname = \"b\"\nshows = \"b\"\nlasts = \"1s\"\n[forwarders]\nslots = 1\nroom = 4000000000\n\
                 [[profiles]]\nname = \"p\"\neffect = \"fingerprinted\"\ncontract_time = \"1m\"\nexpiry = \"1h\"\n\
@@ -40,23 +40,23 @@
                 [[loads]]\nrate = 1.0\n";
     let scenario = crate::scenario::Scenario::read(text, "bids")
         .unwrap_or_else(|e| unreachable!("a fixed scenario: {e}"));
-    let expiry = scenario.longest_expiry();
-    let target = EndpointId {
+    let time_to_live = scenario.longest_time_to_live();
+    let endpoint = EndpointId {
         address: [10, 0, 0, 1],
         port: 80,
         incarnation: 0,
     };
-    let (zone, standing, destination, kind) = (
+    let (zone, status, destination, kind) = (
         ZoneId(0),
         EndpointStatus::Ready,
         DestinationId(0),
         EndpointKindId(0),
     );
     let listing = EndpointEntry {
-        endpoint: target,
+        endpoint,
         zone,
         up_since: 0,
-        status: standing,
+        status,
         rate: 1e6,
         destination,
         kind,
@@ -71,7 +71,7 @@
     let mut next = 0;
     let mut arrive = |core: &mut Forwarder, now: Micros, actions: &mut Vec<Action>| {
         next += 1;
-        core.handle(now, arrival(next, expiry), actions);
+        core.handle(now, arrival(next, time_to_live), actions);
     };
     for _ in 0..=waiting {
         now += STEP;
@@ -98,7 +98,7 @@
             Event::AttemptEnded {
                 id,
                 attempt: 0,
-                endpoint: target,
+                endpoint,
                 outcome: Outcome::Delivered,
                 took,
                 completed: closed,
--- a/crates/lab/src/experiments/compare.rs
+++ b/crates/lab/src/experiments/compare.rs
@@ -46,7 +46,7 @@
     pub figures: Vec<Figure>,
     /// Rules broken by A and by B, over all runs.
     pub broken: [u64; 2],
-    /// B against A, by the share of the worth that was delivered; a broken rule comes before all figures.
+    /// B against A, by the share of the weight that was delivered; a broken rule comes before all figures.
     pub verdict: Verdict,
 }
 
@@ -79,7 +79,7 @@
     },
     Measure {
         name: "calls a packet",
-        of: Outcome::calls_a_packet,
+        of: Outcome::calls_per_message,
         more_is_better: false,
     },
     Measure {
--- a/crates/lab/src/experiments/hunt.rs
+++ b/crates/lab/src/experiments/hunt.rs
@@ -4,8 +4,8 @@
 use super::{in_parallel, simulate, threads, ExperimentError};
 use crate::chance::stream;
 use crate::load::ReplayError;
-use crate::scenario::{Scenario, Span, Trouble, What, When, Where};
-use crate::subject::Make;
+use crate::scenario::{Fault, FaultKind, FaultScope, ResetMoment, Scenario, Span};
+use crate::subject::ForwarderVariant;
 use crate::tally::Outcome;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -24,7 +24,7 @@
     pub shrinking: usize,
 }
 
-/// A world drawn round the base: its load and forwarders within ranges, troubles of any kind.
+/// A world drawn round the base: its load and forwarders within ranges, faults of any kind.
 pub fn draw(base: &Scenario, seed: u64) -> Scenario {
     let rng = &mut stream(seed, "hunt", 0);
     let mut scenario = base.clone();
@@ -36,95 +36,96 @@
     scenario.forwarders.count = rng
         .random_range(1..=base.forwarders.count.max(1) * 2)
         .min(64);
-    scenario.forwarders.slots =
-        (f64::from(base.forwarders.slots) * rng.random_range(0.3..1.5)).ceil() as u32;
-    scenario.forwarders.trips = rng.random_range(2..=base.forwarders.trips.max(2));
+    scenario.forwarders.concurrency_limit =
+        (f64::from(base.forwarders.concurrency_limit) * rng.random_range(0.3..1.5)).ceil() as u32;
+    scenario.forwarders.max_attempts = rng.random_range(2..=base.forwarders.max_attempts.max(2));
     scenario.network.list_lag = Span(rng.random_range(0..3_000_000));
     for d in &mut scenario.destinations {
         d.rate *= rng.random_range(0.5..1.5);
-        d.errors = if rng.random_bool(0.3) {
+        d.error_rate = if rng.random_bool(0.3) {
             rng.random_range(0.0..0.3)
         } else {
-            d.errors
+            d.error_rate
         };
-        d.wait = if rng.random_bool(0.5) {
+        d.retry_after = if rng.random_bool(0.5) {
             Span(rng.random_range(50_000..3_000_000))
         } else {
-            d.wait
+            d.retry_after
         };
     }
-    scenario.troubles = (0..rng.random_range(1..=8))
-        .map(|_| trouble(base, rng))
+    scenario.faults = (0..rng.random_range(1..=8))
+        .map(|_| fault(base, rng))
         .collect();
     scenario
 }
 
-fn trouble(base: &Scenario, rng: &mut Pcg64Mcg) -> Trouble {
+fn fault(base: &Scenario, rng: &mut Pcg64Mcg) -> Fault {
     let rate = rng.random_range(0.1..=1.0);
     let what = match rng.random_range(0..18) {
-        0 | 1 => What::Refusing,
-        2 | 3 => What::Silent,
-        4 => What::Slow {
+        0 | 1 => FaultKind::Refusing,
+        2 | 3 => FaultKind::Silent,
+        4 => FaultKind::Slow {
             times: rng.random_range(2.0..20.0),
         },
-        5 => What::Erring { rate },
-        6 => What::Reset {
+        5 => FaultKind::Erring { rate },
+        6 => FaultKind::Reset {
             rate,
-            when: [When::Before, When::Within, When::After][rng.random_range(0..3)],
+            moment: [ResetMoment::Before, ResetMoment::Within, ResetMoment::After]
+                [rng.random_range(0..3)],
         },
-        7 => What::AnswerLost { rate },
-        8 => What::Garbled { rate },
-        9 => What::Endless { rate },
-        10 => What::Shut,
-        11 => What::Flapping {
+        7 => FaultKind::AnswerLost { rate },
+        8 => FaultKind::Garbled { rate },
+        9 => FaultKind::Endless { rate },
+        10 => FaultKind::Shut,
+        11 => FaultKind::Flapping {
             down: Span(rng.random_range(200_000..4_000_000)),
             up: Span(rng.random_range(200_000..4_000_000)),
         },
-        12 => What::Brownout {
-            left: rng.random_range(0.05..0.8),
+        12 => FaultKind::Brownout {
+            capacity_left: rng.random_range(0.05..0.8),
         },
-        13 => What::Jam {
+        13 => FaultKind::Jam {
             times: rng.random_range(2.0..15.0),
         },
-        14 => What::Drain,
+        14 => FaultKind::Drain,
         15 => match rng.random_range(0..3) {
-            0 => What::Stale,
-            1 => What::Partial {
+            0 => FaultKind::Stale,
+            1 => FaultKind::Partial {
                 missing: rng.random_range(0.1..0.9),
             },
-            _ => What::ProbesFail,
+            _ => FaultKind::HealthChecksFail,
         },
-        16 => What::Killed {
-            folder: rng.random_bool(0.8),
+        16 => FaultKind::Killed {
+            folder_kept: rng.random_bool(0.8),
         },
-        _ => What::Paused,
+        _ => FaultKind::Paused,
     };
     let on = match rng.random_range(0..4) {
-        0 => Where::default(),
-        1 => Where {
+        0 => FaultScope::default(),
+        1 => FaultScope {
             zone: Some(rng.random_range(0..2)),
-            ..Where::default()
+            ..FaultScope::default()
         },
-        2 => Where {
+        2 => FaultScope {
             share: Some(rng.random_range(0.1..0.9)),
-            ..Where::default()
+            ..FaultScope::default()
         },
         _ => {
             let d = &base.destinations[rng.random_range(0..base.destinations.len())];
-            Where {
+            FaultScope {
                 destinations: vec![d.name.clone()],
                 numbers: vec![rng.random_range(0..d.count)],
-                ..Where::default()
+                ..FaultScope::default()
             }
         }
     };
     let at = rng.random_range(0..base.lasts.0.max(2) * 3 / 4);
     let lasts = rng.random_range(100_000..=base.lasts.0 / 2 + 100_000);
-    Trouble {
+    Fault {
         at: Span(at),
         lasts: Span(lasts),
-        what,
-        on,
+        kind: what,
+        scope: on,
     }
 }
 
@@ -148,13 +149,13 @@
     base: &Scenario,
     first: u64,
     worlds: usize,
-    make: Make,
+    variant: ForwarderVariant,
     told: impl Fn(usize) + Sync,
 ) -> Result<Catch, ExperimentError> {
     let jobs: Vec<u64> = (first..first + worlds.max(1) as u64).collect();
     let done = std::sync::atomic::AtomicUsize::new(0);
     let runs = in_parallel(&jobs, threads(), |seed| {
-        let outcome = simulate(&draw(base, *seed), *seed, make);
+        let outcome = simulate(&draw(base, *seed), *seed, variant);
         told(done.fetch_add(1, std::sync::atomic::Ordering::Relaxed) + 1);
         outcome.map(|o| (*seed, o))
     });
@@ -174,15 +175,15 @@
         drawn: worlds,
         shrinking: 0,
     };
-    shrink(&mut catch, make)?;
+    shrink(&mut catch, variant)?;
     Ok(catch)
 }
 
-fn shrink(catch: &mut Catch, make: Make) -> Result<(), ReplayError> {
+fn shrink(catch: &mut Catch, variant: ForwarderVariant) -> Result<(), ReplayError> {
     let mut smaller = true;
     while std::mem::take(&mut smaller) {
         for candidate in candidates(&catch.scenario) {
-            let outcome = simulate(&candidate, catch.seed, make)?;
+            let outcome = simulate(&candidate, catch.seed, variant)?;
             catch.shrinking += 1;
             if still(&catch.outcome, &outcome) {
                 (catch.scenario, catch.outcome, smaller) = (candidate, outcome, true);
@@ -201,11 +202,11 @@
         change(&mut smaller);
         out.push(smaller);
     };
-    for n in 0..scenario.troubles.len() {
-        with(&|s| _ = s.troubles.remove(n));
+    for n in 0..scenario.faults.len() {
+        with(&|s| _ = s.faults.remove(n));
     }
     let last = scenario
-        .troubles
+        .faults
         .iter()
         .map(|t| t.at.0 + t.lasts.0)
         .max()
@@ -224,9 +225,9 @@
             with(&|s| s.loads[n].rate = (s.loads[n].rate / 2.0).round().max(1.0));
         }
     }
-    for n in 0..scenario.troubles.len() {
-        if scenario.troubles[n].lasts.0 > 400_000 {
-            with(&|s| s.troubles[n].lasts = Span(s.troubles[n].lasts.0 / 2));
+    for n in 0..scenario.faults.len() {
+        if scenario.faults[n].lasts.0 > 400_000 {
+            with(&|s| s.faults[n].lasts = Span(s.faults[n].lasts.0 / 2));
         }
     }
     out
--- a/crates/lab/src/experiments/sweep.rs
+++ b/crates/lab/src/experiments/sweep.rs
@@ -2,7 +2,7 @@
 
 use super::{in_parallel, simulate, threads, with_values, ExperimentError};
 use crate::scenario::Scenario;
-use crate::subject::Make;
+use crate::subject::ForwarderVariant;
 use serde::Serialize;
 use std::fmt;
 
@@ -13,7 +13,8 @@
     pub served: f64,
     pub p50: f64,
     pub p99: f64,
-    pub calls_a_packet: f64,
+    #[serde(rename = "calls_a_packet")]
+    pub calls_per_message: f64,
     pub broken: u64,
 }
 
@@ -30,7 +31,7 @@
     key: &str,
     values: &[String],
     seeds: u64,
-    make: Make,
+    variant: ForwarderVariant,
 ) -> Result<Sweep, ExperimentError> {
     let scenarios: Vec<Scenario> = values
         .iter()
@@ -40,7 +41,7 @@
         .flat_map(|v| (1..=seeds).map(move |s| (v, s)))
         .collect();
     let outcomes = in_parallel(&jobs, threads(), |(v, seed)| {
-        simulate(&scenarios[*v], *seed, make)
+        simulate(&scenarios[*v], *seed, variant)
     });
     let outcomes: Vec<_> = outcomes.into_iter().collect::<Result<_, _>>()?;
     let rows = values
@@ -56,7 +57,7 @@
                 served: mean(&|o| o.served_share()),
                 p50: mean(&|o| o.latency.p50 as f64 / 1e3),
                 p99: mean(&|o| o.latency.p99 as f64 / 1e3),
-                calls_a_packet: mean(&|o| o.calls_a_packet()),
+                calls_per_message: mean(&|o| o.calls_per_message()),
                 broken: runs.iter().flat_map(|o| o.broken.values()).sum(),
             }
         });
@@ -78,7 +79,7 @@
                 "\n{:<24}{:>11.4}{:>11.4}{:>11.1}{:>11.1}",
                 r.value, r.service, r.served, r.p50, r.p99
             )?;
-            write!(f, "{:>11.3}{:>11}", r.calls_a_packet, r.broken)?;
+            write!(f, "{:>11.3}{:>11}", r.calls_per_message, r.broken)?;
         }
         Ok(())
     }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,5 +1,5 @@
-//! The load: an open loop. Each packet has the time when it is due, whatever became of those before; both clocks draw the
-//! same packets from the same seed. Owns the streams; nothing grows with the packets drawn.
+//! The load: an open loop. Each message has the time when it is due, whatever became of those before; both clocks draw the
+//! same messages from the same seed. Owns the streams; nothing grows with the messages drawn.
 
 use crate::chance::{exponential, stream, Pick};
 use crate::scenario::{Load, Scenario, Shape};
@@ -9,19 +9,19 @@
 use rand_pcg::Pcg64Mcg;
 use std::path::{Path, PathBuf};
 
-/// A packet that is due.
+/// A message that is due.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Due {
     /// µs from the start of the run.
     pub at: Micros,
     pub destination: u32,
-    pub profile: u16,
+    pub class: u16,
     pub tenant: Option<u32>,
     pub key: u64,
     /// How long it may be delivered, µs.
     pub left: Micros,
-    pub body: usize,
-    pub returns: u32,
+    pub body_bytes: usize,
+    pub resubmissions: u32,
 }
 
 struct Stream {
@@ -30,7 +30,7 @@
     pick: Pick,
     /// Numbers of the destinations that `pick` chooses from.
     destinations: Vec<u32>,
-    profiles: Vec<u16>,
+    classes: Vec<u16>,
     tenant: Option<u32>,
     replay: std::vec::IntoIter<ReplayedTime>,
     next: Option<ReplayedTime>,
@@ -39,7 +39,7 @@
 /// All streams of a scenario, merged by time.
 pub struct Loads {
     streams: Vec<Stream>,
-    expiries: Vec<Micros>,
+    times_to_live: Vec<Micros>,
     ends: Micros,
 }
 
@@ -59,9 +59,9 @@
                 .map(|d| d as u32)
                 .collect();
             let pick = Pick::new(destinations.iter().map(|d| weights[*d as usize]), load.skew);
-            let profiles = (0..scenario.profiles.len())
+            let classes = (0..scenario.classes.len())
                 .filter(|p| {
-                    load.profiles.is_empty() || load.profiles.contains(&scenario.profiles[*p].name)
+                    load.classes.is_empty() || load.classes.contains(&scenario.classes[*p].name)
                 })
                 .map(|p| p as u16)
                 .collect();
@@ -78,7 +78,7 @@
                 rng: stream(seed, "load", n as u64),
                 pick,
                 destinations,
-                profiles,
+                classes,
                 tenant: tenant.map(|t| t as u32),
                 replay: replay.into_iter(),
                 next: Some((0, None)),
@@ -88,7 +88,7 @@
         }
         Ok(Loads {
             streams,
-            expiries: scenario.profiles.iter().map(|p| p.expiry.0).collect(),
+            times_to_live: scenario.classes.iter().map(|p| p.time_to_live.0).collect(),
             ends,
         })
     }
@@ -109,24 +109,25 @@
         let (at, told) = s.next?;
         s.advance(self.ends);
         let destination = told.unwrap_or_else(|| s.destinations[s.pick.draw(&mut s.rng)]);
-        let profile = s.profiles[s.rng.random_range(0..s.profiles.len())];
-        let mut left = self.expiries[usize::from(profile)];
-        if let Some(short) = s.load.short {
+        let class = s.classes[s.rng.random_range(0..s.classes.len())];
+        let mut left = self.times_to_live[usize::from(class)];
+        if let Some(short) = s.load.short_deadlines {
             if s.rng.random_bool(short.share.clamp(0.0, 1.0)) {
                 left = left.min(short.left.0);
             }
         }
         let key = s.rng.random_range(0..s.load.keys.max(1));
-        let (tenant, body, returns) = (s.tenant, s.load.body, s.load.returns);
+        let (tenant, body_bytes, resubmissions) =
+            (s.tenant, s.load.body_bytes, s.load.resubmissions);
         Some(Due {
             at,
             destination,
-            profile,
+            class,
             tenant,
             key,
             left,
-            body,
-            returns,
+            body_bytes,
+            resubmissions,
         })
     }
 }
--- a/crates/lab/src/load/tests.rs
+++ b/crates/lab/src/load/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_same_seed_draws_the_same_packets_in_order_of_time() {
+fn the_same_seed_draws_the_same_messages_in_order_of_time() {
     let load = "rate = 50.0\nskew = 1.2";
     let (a, b, c) = (drawn(load, 1), drawn(load, 1), drawn(load, 2));
     assert!(a == b && a != c);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn shapes_put_their_packets_where_they_belong() {
+fn shapes_put_their_messages_where_they_belong() {
     let bursts = drawn(
         "rate = 10.0\nshape = { kind = \"bursts\", on = \"1s\", off = \"9s\", times = 20.0 }",
         3,
@@ -56,12 +56,12 @@
     let file = dir.path().join("times.csv");
     let load = format!("rate = 1.0\nshape = {{ kind = \"replay\", file = {file:?} }}");
     std::fs::write(&file, "# times\n2.5, 3\n0.25\n").expect("written");
-    let packets = drawn(&load, 1);
+    let messages = drawn(&load, 1);
     assert_eq!(
-        packets.iter().map(|p| p.at).collect::<Vec<_>>(),
+        messages.iter().map(|p| p.at).collect::<Vec<_>>(),
         [250_000, 2_500_000]
     );
-    assert_eq!(packets[1].destination, 3);
+    assert_eq!(messages[1].destination, 3);
     std::fs::write(&file, "1.0\nsoon\n").expect("written");
     let scenario = scenario(&load);
     let bad = Loads::new(&scenario, &Layout::new(&scenario), 1)
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -1,16 +1,16 @@
 //! The oracle: the six rules and the final answers, judged from outside, on both clocks. It knows what clients were told,
 //! what reached the receivers and what forwarders had been told; it knows nothing of how a forwarder decides.
 //!
-//! A duty is a packet as one forwarder took it on; a client that comes again makes a new one. A duty leaves the tables some
-//! time after its expiry, once none of its calls is out; a wait, a drain and a key leave as they end.
+//! A submission is a message as one forwarder took it on; a client that comes again makes a new one. A submission leaves the tables some
+//! time after its deadline, once none of its calls is out; a wait, a drain and a key leave as they end.
 
-use crate::scenario::{Effect, Scenario};
+use crate::scenario::{DeliverySemantics, Scenario};
 use opalpulley::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::fmt;
 
-/// A duty stays known for so long after its expiry: late calls must still be told from unknown ones.
+/// A submission stays known for so long after its deadline: late calls must still be told from unknown ones.
 const LINGER: Micros = 60_000_000;
 /// Breaks that are kept with all their words; further ones are counted.
 const MOST_BREAKS: usize = 20;
@@ -25,18 +25,22 @@
     SentAfterEnd,
     /// Might take effect twice, or did.
     EffectTwice,
-    /// A second trip while one is out.
-    TwoTripsOut,
-    TooManyTrips,
-    /// Sent to a target that it had been told drains or is gone.
+    /// A second attempt while one is out.
+    #[serde(rename = "two-trips-out")]
+    TwoAttemptsInFlight,
+    #[serde(rename = "too-many-trips")]
+    TooManyAttempts,
+    /// Sent to an endpoint that it had been told drains or is gone.
     DrainNotKept,
-    /// A target fell over under those that had seen it fail.
+    /// An endpoint fell over under those that had seen it fail.
     PushedOver,
     OrderNotKept,
-    WaitNotHeeded,
-    /// Sent to a target of another destination, or of none.
+    #[serde(rename = "wait-not-heeded")]
+    RetryAfterIgnored,
+    /// Sent to an endpoint of another destination, or of none.
     WrongDestination,
-    TooManySlots,
+    #[serde(rename = "too-many-slots")]
+    TooManyInFlight,
 }
 
 impl fmt::Display for Rule {
@@ -60,76 +64,76 @@
 
 /// A final answer, as the client comes to hear it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalAnswer {
     Served,
-    Deferred,
-    WrittenOff,
+    Rejected,
+    Failed,
 }
 
 /// What an outcome says about an effect, from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ran {
+pub enum TookEffect {
     No,
     Perhaps,
 }
 
-/// A packet as a forwarder takes it on.
+/// A message as a forwarder accepts it .
 #[derive(Clone, Debug)]
-pub struct Taking {
-    pub duty: u64,
-    pub packet: u64,
+pub struct SubmissionRecord {
+    pub submission: u64,
+    pub message: u64,
     pub forwarder: u32,
     pub expires: Micros,
-    pub profile: u16,
+    pub class: u16,
     pub destination: u32,
     pub key: Option<u64>,
 }
 
-/// A call as it goes out: whose packet, from whom, to whom.
+/// A call as it goes out: whose message, from whom, to whom.
 #[derive(Clone, Copy, Debug)]
-pub struct Sending {
-    pub duty: u64,
+pub struct SentCall {
+    pub submission: u64,
     pub forwarder: u32,
-    /// Whose target it is.
+    /// Whose endpoint it is.
     pub destination: u32,
-    pub target: usize,
+    pub endpoint: usize,
     pub holder: u32,
-    pub gate: usize,
+    pub limiter: usize,
 }
 
 #[derive(Clone, Debug)]
-struct Duty {
-    taking: Taking,
+struct TrackedSubmission {
+    record: SubmissionRecord,
     /// The client was told that it is taken.
-    taken: bool,
+    accepted: bool,
     ended: Option<Micros>,
-    end: Option<Final>,
+    end: Option<FinalAnswer>,
     /// Served while its forwarder was down or stood still: it may not have heard, goes on, and ends it once more.
-    unheard: bool,
+    unacknowledged: bool,
     /// Nobody owes it anything any more: its forwarder was lost with its folder.
     void: bool,
-    exposed: Option<Micros>,
+    possible_effect_since: Option<Micros>,
     out: u32,
-    trips: u32,
+    attempts: u32,
 }
 
 pub struct Oracle {
-    profiles: Vec<(Effect, Micros, bool)>,
+    classes: Vec<(DeliverySemantics, Micros, bool)>,
     answer_slack: Micros,
     drain_grace: Micros,
-    max_trips: u32,
-    slots: u32,
+    max_attempts: u32,
+    concurrency_limit: u32,
     /// What passes between a forwarder and the place where it is seen.
     slack: Micros,
-    duties: HashMap<u64, Duty>,
+    submissions: HashMap<u64, TrackedSubmission>,
     /// Each leaves as its time is up; one that is not owed yet is looked at again.
     by_expiry: BTreeSet<(Micros, u64)>,
     /// Looked at, to be forgotten by age.
-    past: VecDeque<(Micros, u64)>,
-    told_off: HashMap<(u32, usize, u32), Micros>,
+    expired: VecDeque<(Micros, u64)>,
+    drain_notified: HashMap<(u32, usize, u32), Micros>,
     /// From when a wait binds, and until when.
     waits: HashMap<(u32, usize), (Micros, Micros)>,
-    orders: HashMap<(u32, u64), VecDeque<u64>>,
+    ordered_queues: HashMap<(u32, u64), VecDeque<u64>>,
     out: HashMap<u32, u32>,
     effects: HashMap<u64, Micros>,
     effects_by_age: VecDeque<(Micros, u64)>,
@@ -144,26 +148,26 @@
     /// `slack`: how much later something is seen than it was done, µs, beside what the rules allow.
     pub fn new(scenario: &Scenario, slack: Micros) -> Oracle {
         Oracle {
-            profiles: scenario
-                .profiles
+            classes: scenario
+                .classes
                 .iter()
-                .map(|p| (p.effect, p.window.0, p.in_order))
+                .map(|p| (p.semantics, p.window.0, p.ordered))
                 .collect(),
             answer_slack: scenario.rules.answer_slack.0,
             drain_grace: scenario.rules.drain_grace.0,
-            max_trips: scenario.forwarders.trips,
-            slots: scenario.forwarders.slots,
+            max_attempts: scenario.forwarders.max_attempts,
+            concurrency_limit: scenario.forwarders.concurrency_limit,
             slack,
-            duties: HashMap::new(),
+            submissions: HashMap::new(),
             by_expiry: BTreeSet::new(),
-            past: VecDeque::new(),
-            told_off: HashMap::new(),
+            expired: VecDeque::new(),
+            drain_notified: HashMap::new(),
             waits: HashMap::new(),
-            orders: HashMap::new(),
+            ordered_queues: HashMap::new(),
             out: HashMap::new(),
             effects: HashMap::new(),
             effects_by_age: VecDeque::new(),
-            window: scenario.longest_expiry() + LINGER,
+            window: scenario.longest_time_to_live() + LINGER,
             excused: HashMap::new(),
             breaks: Vec::new(),
             counts: BTreeMap::new(),
@@ -177,71 +181,73 @@
         }
     }
 
-    /// A client hands it in; the forwarder has not answered yet.
-    pub fn handed_in(&mut self, taking: Taking) {
-        self.by_expiry.insert((taking.expires, taking.duty));
-        if let (Some(key), true) = (taking.key, self.in_order(taking.profile)) {
-            self.orders
-                .entry((taking.forwarder, key))
+    /// A client submits it; the forwarder has not answered yet.
+    pub fn submitted(&mut self, record: SubmissionRecord) {
+        self.by_expiry.insert((record.expires, record.submission));
+        if let (Some(key), true) = (record.key, self.ordered(record.class)) {
+            self.ordered_queues
+                .entry((record.forwarder, key))
                 .or_default()
-                .push_back(taking.duty);
+                .push_back(record.submission);
         }
-        let duty = Duty {
-            taken: false,
+        let submission = TrackedSubmission {
+            accepted: false,
             ended: None,
             end: None,
-            unheard: false,
+            unacknowledged: false,
             void: false,
-            exposed: None,
+            possible_effect_since: None,
             out: 0,
-            trips: 0,
-            taking,
+            attempts: 0,
+            record,
         };
-        self.duties.insert(duty.taking.duty, duty);
+        self.submissions
+            .insert(submission.record.submission, submission);
     }
 
-    fn in_order(&self, profile: u16) -> bool {
-        self.profiles.get(usize::from(profile)).is_some_and(|p| p.2)
+    fn ordered(&self, class: u16) -> bool {
+        self.classes.get(usize::from(class)).is_some_and(|p| p.2)
     }
 
-    /// The client heard that it is taken on.
-    pub fn taken(&mut self, duty: u64) {
-        if let Some(d) = self.duties.get_mut(&duty) {
-            d.taken = true;
+    /// The client heard that it is accepted.
+    pub fn accepted(&mut self, submission: u64) {
+        if let Some(d) = self.submissions.get_mut(&submission) {
+            d.accepted = true;
         }
     }
 
     /// The client heard that it is not, or never heard: nothing is owed.
-    pub fn refused(&mut self, duty: u64, now: Micros) {
-        if let Some(d) = self.duties.get_mut(&duty) {
+    pub fn refused(&mut self, submission: u64, now: Micros) {
+        if let Some(d) = self.submissions.get_mut(&submission) {
             d.ended = d.ended.or(Some(now));
             d.void = true;
         }
-        self.leave_order(duty);
+        self.leave_order(submission);
     }
 
-    /// The forwarder is gone and its folder with it. Gives the packets that it had taken on.
+    /// The forwarder is gone and its folder with it. Gives the messages that it had accepted.
     pub fn lost_with_folder(&mut self, forwarder: u32, now: Micros) -> Vec<u64> {
-        let lost = |d: &&Duty| d.taking.forwarder == forwarder && d.ended.is_none();
+        let lost = |d: &&TrackedSubmission| d.record.forwarder == forwarder && d.ended.is_none();
         let mut of: Vec<(u64, u64, bool)> = self
-            .duties
+            .submissions
             .values()
             .filter(lost)
-            .map(|d| (d.taking.duty, d.taking.packet, d.taken))
+            .map(|d| (d.record.submission, d.record.message, d.accepted))
             .collect();
         of.sort_unstable();
-        of.iter().for_each(|(duty, ..)| self.refused(*duty, now));
+        of.iter()
+            .for_each(|(submission, ..)| self.refused(*submission, now));
         of.into_iter()
-            .filter(|(.., taken)| *taken)
-            .map(|(_, packet, _)| packet)
+            .filter(|(.., accepted)| *accepted)
+            .map(|(_, message, _)| message)
             .collect()
     }
 
-    /// Whether a duty has this very end already, told before.
-    pub fn heard_before(&self, duty: u64, end: Final) -> bool {
-        self.duties
-            .get(&duty)
-            .is_some_and(|d| d.end == Some(end) && end != Final::Served)
+    /// Whether a submission has this very end already, told before.
+    pub fn already_reported(&self, submission: u64, end: FinalAnswer) -> bool {
+        self.submissions
+            .get(&submission)
+            .is_some_and(|d| d.end == Some(end) && end != FinalAnswer::Served)
     }
 
     /// What a forwarder owes is not late before then.
@@ -249,65 +255,66 @@
         self.excused.insert(forwarder, until);
     }
 
-    fn owes(&self, forwarder: u32, now: Micros) -> bool {
+    fn is_owed(&self, forwarder: u32, now: Micros) -> bool {
         self.excused
             .get(&forwarder)
             .is_none_or(|until| now > *until)
     }
 
     /// A process ended: it forgets waits and its calls are out no more.
-    pub fn restarted(&mut self, forwarder: u32) {
+    pub fn process_ended(&mut self, forwarder: u32) {
         self.waits.retain(|(f, _), _| *f != forwarder);
         self.out.remove(&forwarder);
         for d in self
-            .duties
+            .submissions
             .values_mut()
-            .filter(|d| d.taking.forwarder == forwarder && d.out > 0)
+            .filter(|d| d.record.forwarder == forwarder && d.out > 0)
         {
             d.out = 0;
         }
     }
 
-    /// The forwarder was told that a target (this holder of its address) takes nothing new, or that it does.
-    pub fn told_standing(
+    /// The forwarder was told that an endpoint (this holder of its address) takes nothing new, or that it does.
+    pub fn endpoint_status_notified(
         &mut self,
         forwarder: u32,
-        target: usize,
+        endpoint: usize,
         holder: u32,
         ready: bool,
         now: Micros,
     ) {
         match ready {
-            true => _ = self.told_off.remove(&(forwarder, target, holder)),
+            true => _ = self.drain_notified.remove(&(forwarder, endpoint, holder)),
             false => {
                 _ = self
-                    .told_off
-                    .entry((forwarder, target, holder))
+                    .drain_notified
+                    .entry((forwarder, endpoint, holder))
                     .or_insert(now)
             }
         }
     }
 
-    /// A call with a duty's packet, sent (or, on sockets, come) at `now`.
-    pub fn sent(&mut self, call: Sending, now: Micros) {
-        let Sending {
-            duty,
+    /// A call with a submission's message, sent (or, on sockets, come) at `now`.
+    pub fn sent(&mut self, call: SentCall, now: Micros) {
+        let SentCall {
+            submission,
             forwarder,
             destination,
-            target,
+            endpoint,
             holder,
-            gate,
+            limiter,
         } = call;
-        let Some(d) = self.duties.get(&duty).cloned() else {
+        let Some(d) = self.submissions.get(&submission).cloned() else {
             return self.broken(
                 Rule::SentAfterEnd,
                 now,
-                format!("packet {duty} to target {target}: long over or never handed in"),
+                format!("packet {submission} to target {endpoint}: long over or never handed in"),
             );
         };
-        let what =
-            |more: &str| format!("packet {duty} of forwarder {forwarder} to target {target}{more}");
-        if d.taking.destination != destination {
+        let what = |more: &str| {
+            format!("packet {submission} of forwarder {forwarder} to target {endpoint}{more}")
+        };
+        if d.record.destination != destination {
             self.broken(Rule::WrongDestination, now, what(" of another destination"));
         }
         // Seen on one clock, what comes after the end was sent after it.
@@ -318,44 +325,51 @@
                 now > e + self.slack
             }
         };
-        if d.ended.is_some_and(after) && !d.unheard && (d.taken || !d.void) {
+        if d.ended.is_some_and(after) && !d.unacknowledged && (d.accepted || !d.void) {
             self.broken(Rule::SentAfterEnd, now, what(": it has its final answer"));
         }
         if d.out > 0 {
-            self.broken(Rule::TwoTripsOut, now, what(": a trip is still out"));
+            self.broken(
+                Rule::TwoAttemptsInFlight,
+                now,
+                what(": a trip is still out"),
+            );
         }
-        if d.trips >= self.max_trips {
+        if d.attempts >= self.max_attempts {
             self.broken(
-                Rule::TooManyTrips,
+                Rule::TooManyAttempts,
                 now,
-                what(&format!(": trip {}", d.trips + 1)),
+                what(&format!(": trip {}", d.attempts + 1)),
             );
         }
-        let (effect, window, in_order) = self.profiles[usize::from(d.taking.profile)];
-        match (effect, d.exposed) {
-            (Effect::Binding, Some(_)) => self.broken(
+        let (effect, window, ordered) = self.classes[usize::from(d.record.class)];
+        match (effect, d.possible_effect_since) {
+            (DeliverySemantics::AtMostOnce, Some(_)) => self.broken(
                 Rule::EffectTwice,
                 now,
                 what(": binding, and it may have run"),
             ),
-            (Effect::Fingerprinted, Some(first)) if now > first + window + self.slack => self
-                .broken(
+            (DeliverySemantics::IdempotencyKeyed, Some(first))
+                if now > first + window + self.slack =>
+            {
+                self.broken(
                     Rule::EffectTwice,
                     now,
                     what(": past the window in which repeats are known"),
-                ),
+                )
+            }
             _ => {}
         }
-        self.check_bound(forwarder, target, holder, gate, now, &what(""));
-        if let (Some(key), true) = (d.taking.key, in_order) {
-            let line = self
-                .orders
+        self.check_bound(forwarder, endpoint, holder, limiter, now, &what(""));
+        if let (Some(key), true) = (d.record.key, ordered) {
+            let queue = self
+                .ordered_queues
                 .get(&(forwarder, key))
                 .cloned()
                 .unwrap_or_default();
-            let earlier = line.iter().take_while(|o| **o != duty);
+            let earlier = queue.iter().take_while(|o| **o != submission);
             let open = |o: &u64| {
-                self.duties
+                self.submissions
                     .get(o)
                     .is_some_and(|e| e.ended.is_none() || e.out > 0)
             };
@@ -370,12 +384,16 @@
         let out = self.out.entry(forwarder).or_default();
         *out += 1;
         let out = *out;
-        if out > self.slots {
-            self.broken(Rule::TooManySlots, now, what(&format!(": {out} calls out")));
+        if out > self.concurrency_limit {
+            self.broken(
+                Rule::TooManyInFlight,
+                now,
+                what(&format!(": {out} calls out")),
+            );
         }
-        if let Some(d) = self.duties.get_mut(&duty) {
+        if let Some(d) = self.submissions.get_mut(&submission) {
             d.out += 1;
-            d.trips += 1;
+            d.attempts += 1;
         }
     }
 
@@ -383,13 +401,13 @@
     pub fn check_bound(
         &mut self,
         forwarder: u32,
-        target: usize,
+        endpoint: usize,
         holder: u32,
-        gate: usize,
+        limiter: usize,
         now: Micros,
         what: &str,
     ) {
-        let off = self.told_off.get(&(forwarder, target, holder));
+        let off = self.drain_notified.get(&(forwarder, endpoint, holder));
         if off.is_some_and(|t| now > t + self.drain_grace + self.slack) {
             self.broken(
                 Rule::DrainNotKept,
@@ -397,122 +415,133 @@
                 format!("{what}: it drains or is gone"),
             );
         }
-        self.check_wait(forwarder, gate, now, &format!("{what}: told to wait"));
+        self.check_retry_after(forwarder, limiter, now, &format!("{what}: told to wait"));
     }
 
-    /// A trip of it was taken back before its bytes went: it counts for nothing.
-    pub fn never_went(&mut self, duty: u64) {
-        if let Some(d) = self.duties.get_mut(&duty) {
-            d.trips = d.trips.saturating_sub(1);
+    /// An attempt of it was withdrawn before its bytes went: it counts for nothing.
+    pub fn withdrawn_before_send(&mut self, submission: u64) {
+        if let Some(d) = self.submissions.get_mut(&submission) {
+            d.attempts = d.attempts.saturating_sub(1);
         }
     }
 
-    pub fn check_wait(&mut self, forwarder: u32, gate: usize, now: Micros, what: &str) {
-        match self.waits.get(&(forwarder, gate)) {
+    pub fn check_retry_after(&mut self, forwarder: u32, limiter: usize, now: Micros, what: &str) {
+        match self.waits.get(&(forwarder, limiter)) {
             Some((from, until)) if (*from..*until).contains(&now) => {
-                self.broken(Rule::WaitNotHeeded, now, what.to_owned());
+                self.broken(Rule::RetryAfterIgnored, now, what.to_owned());
             }
-            Some((_, until)) if now >= *until => _ = self.waits.remove(&(forwarder, gate)),
+            Some((_, until)) if now >= *until => _ = self.waits.remove(&(forwarder, limiter)),
             _ => {}
         }
     }
 
     /// A call is out no more. `ran`: what its forwarder can know of its effect; `since`: when it was sent.
-    pub fn over(&mut self, duty: u64, forwarder: u32, since: Micros, ran: Ran) {
+    pub fn over(&mut self, submission: u64, forwarder: u32, since: Micros, ran: TookEffect) {
         if let Some(out) = self.out.get_mut(&forwarder) {
             *out = out.saturating_sub(1);
         }
-        if let Some(d) = self.duties.get_mut(&duty) {
+        if let Some(d) = self.submissions.get_mut(&submission) {
             d.out = d.out.saturating_sub(1);
-            if ran == Ran::Perhaps {
-                d.exposed = Some(d.exposed.map_or(since, |e| e.min(since)));
+            if ran == TookEffect::Perhaps {
+                d.possible_effect_since =
+                    Some(d.possible_effect_since.map_or(since, |e| e.min(since)));
             }
         }
-        self.leave_order(duty);
+        self.leave_order(submission);
     }
 
     /// The forwarder has heard that it must wait before it sends there again.
-    pub fn told_to_wait(&mut self, forwarder: u32, gate: usize, now: Micros, until: Micros) {
+    pub fn retry_after_notified(
+        &mut self,
+        forwarder: u32,
+        limiter: usize,
+        now: Micros,
+        until: Micros,
+    ) {
         let wait = self
             .waits
-            .entry((forwarder, gate))
+            .entry((forwarder, limiter))
             .or_insert((now + self.slack, until));
         wait.1 = until.max(wait.1);
     }
 
-    /// Whether a call with its packet is out.
-    pub fn is_out(&self, duty: u64) -> bool {
-        self.duties.get(&duty).is_some_and(|d| d.out > 0)
+    /// Whether a call with its message is out.
+    pub fn is_out(&self, submission: u64) -> bool {
+        self.submissions.get(&submission).is_some_and(|d| d.out > 0)
     }
 
-    /// Trips that its packet has made under this duty.
-    pub fn trips(&self, duty: u64) -> u32 {
-        self.duties.get(&duty).map_or(0, |d| d.trips)
+    /// Attempts that its message has made under this submission.
+    pub fn attempts(&self, submission: u64) -> u32 {
+        self.submissions.get(&submission).map_or(0, |d| d.attempts)
     }
 
-    /// Whose duty it is, of which packet, and until when.
-    pub fn taking(&self, duty: u64) -> Option<&Taking> {
-        self.duties.get(&duty).map(|d| &d.taking)
+    /// Whose submission it is, of which message, and until when.
+    pub fn record(&self, submission: u64) -> Option<&SubmissionRecord> {
+        self.submissions.get(&submission).map(|d| &d.record)
     }
 
     /// On sockets a call that its forwarder has closed is seen to end later: slots are not judged there.
     pub fn for_sockets(mut self) -> Oracle {
-        self.slots = u32::MAX;
+        self.concurrency_limit = u32::MAX;
         self
     }
 
     /// A final answer.
-    pub fn ended(&mut self, duty: u64, end: Final, now: Micros) {
-        let forwarder = self.duties.get(&duty).map_or(0, |d| d.taking.forwarder);
-        let owed = self.owes(forwarder, now);
-        let Some(d) = self.duties.get_mut(&duty) else {
+    pub fn ended(&mut self, submission: u64, end: FinalAnswer, now: Micros) {
+        let forwarder = self
+            .submissions
+            .get(&submission)
+            .map_or(0, |d| d.record.forwarder);
+        let owed = self.is_owed(forwarder, now);
+        let Some(d) = self.submissions.get_mut(&submission) else {
             return self.broken(
                 Rule::SecondFinalAnswer,
                 now,
-                format!("packet {duty}: {end:?}, long over or never handed in"),
+                format!("packet {submission}: {end:?}, long over or never handed in"),
             );
         };
         match d.ended {
             Some(_) if d.void => {}
-            Some(_) if d.unheard => d.unheard = end == Final::Served,
+            Some(_) if d.unacknowledged => d.unacknowledged = end == FinalAnswer::Served,
             Some(before) => {
-                let what =
-                    format!("packet {duty}: {end:?} now, and a final answer at {before} already");
+                let what = format!(
+                    "packet {submission}: {end:?} now, and a final answer at {before} already"
+                );
                 self.broken(Rule::SecondFinalAnswer, now, what);
             }
             None => {
                 (d.ended, d.end) = (Some(now), Some(end));
-                d.unheard = !owed && end == Final::Served;
-                if owed && now > d.taking.expires + self.answer_slack + self.slack {
+                d.unacknowledged = !owed && end == FinalAnswer::Served;
+                if owed && now > d.record.expires + self.answer_slack + self.slack {
                     let what = format!(
-                        "packet {duty}: {end:?} {} us after its time was up",
-                        now - d.taking.expires
+                        "packet {submission}: {end:?} {} us after its time was up",
+                        now - d.record.expires
                     );
                     self.broken(Rule::Lost, now, what);
                 }
             }
         }
-        self.leave_order(duty);
+        self.leave_order(submission);
     }
 
-    fn leave_order(&mut self, duty: u64) {
-        let Some(d) = self.duties.get(&duty) else {
+    fn leave_order(&mut self, submission: u64) {
+        let Some(d) = self.submissions.get(&submission) else {
             return;
         };
-        let (Some(key), true) = (d.taking.key, d.ended.is_some() && d.out == 0) else {
+        let (Some(key), true) = (d.record.key, d.ended.is_some() && d.out == 0) else {
             return;
         };
-        let at = (d.taking.forwarder, key);
-        if let Some(line) = self.orders.get_mut(&at) {
-            line.retain(|o| *o != duty);
-            if line.is_empty() {
-                self.orders.remove(&at);
+        let at = (d.record.forwarder, key);
+        if let Some(queue) = self.ordered_queues.get_mut(&at) {
+            queue.retain(|o| *o != submission);
+            if queue.is_empty() {
+                self.ordered_queues.remove(&at);
             }
         }
     }
 
-    /// The packet took effect at a receiver that did not know it as a repeat.
-    pub fn took_effect(&mut self, packet: u64, duty: u64, now: Micros) {
+    /// The message took effect at a receiver that did not know it as a repeat.
+    pub fn took_effect(&mut self, message: u64, submission: u64, now: Micros) {
         while self
             .effects_by_age
             .front()
@@ -523,72 +552,77 @@
             }
         }
         let effect = self
-            .duties
-            .get(&duty)
-            .map(|d| self.profiles[usize::from(d.taking.profile)].0);
-        let nobodys = self.duties.get(&duty).is_some_and(|d| d.void && !d.taken);
-        if effect == Some(Effect::Retriable) || effect.is_none() || nobodys {
+            .submissions
+            .get(&submission)
+            .map(|d| self.classes[usize::from(d.record.class)].0);
+        let nobodys = self
+            .submissions
+            .get(&submission)
+            .is_some_and(|d| d.void && !d.accepted);
+        if effect == Some(DeliverySemantics::Idempotent) || effect.is_none() || nobodys {
             return;
         }
-        if self.effects.insert(packet, now).is_some() {
+        if self.effects.insert(message, now).is_some() {
             self.broken(
                 Rule::EffectTwice,
                 now,
-                format!("packet {packet} took effect a second time"),
+                format!("packet {message} took effect a second time"),
             );
         } else {
-            self.effects_by_age.push_back((now, packet));
+            self.effects_by_age.push_back((now, message));
         }
     }
 
     /// Looks for what is overdue and forgets what is long over.
     pub fn sweep(&mut self, now: Micros) {
         let grace = self.answer_slack + self.slack;
-        while let Some(&(expires, duty)) = self.by_expiry.first().filter(|(at, _)| at + grace < now)
+        while let Some(&(expires, submission)) =
+            self.by_expiry.first().filter(|(at, _)| at + grace < now)
         {
             self.by_expiry.pop_first();
-            let Some(d) = self.duties.get(&duty) else {
+            let Some(d) = self.submissions.get(&submission) else {
                 continue;
             };
-            let (forwarder, expired) = (d.taking.forwarder, d.taking.expires);
-            let owed = self.owes(forwarder, now);
-            let Some(d) = self.duties.get_mut(&duty) else {
+            let (forwarder, expired) = (d.record.forwarder, d.record.expires);
+            let owed = self.is_owed(forwarder, now);
+            let Some(d) = self.submissions.get_mut(&submission) else {
                 continue;
             };
-            if d.ended.is_none() && (!owed || !d.taken) {
-                self.by_expiry.insert((now.max(expires), duty));
-                if d.taken || now < expired + LINGER {
+            if d.ended.is_none() && (!owed || !d.accepted) {
+                self.by_expiry.insert((now.max(expires), submission));
+                if d.accepted || now < expired + LINGER {
                     continue;
                 }
-                self.by_expiry.remove(&(now.max(expires), duty));
+                self.by_expiry.remove(&(now.max(expires), submission));
             }
-            if d.taken && d.ended.is_none() {
+            if d.accepted && d.ended.is_none() {
                 (d.ended, d.void) = (Some(now), true);
-                let what =
-                    format!("packet {duty} of forwarder {forwarder}: no final answer by {expired}");
+                let what = format!(
+                    "packet {submission} of forwarder {forwarder}: no final answer by {expired}"
+                );
                 self.broken(Rule::Lost, now, what);
-                self.leave_order(duty);
+                self.leave_order(submission);
             }
-            self.past.push_back((now + LINGER, duty));
+            self.expired.push_back((now + LINGER, submission));
         }
-        while self.past.front().is_some_and(|(at, _)| *at < now) {
-            if let Some((_, duty)) = self.past.pop_front() {
-                self.duties.remove(&duty);
+        while self.expired.front().is_some_and(|(at, _)| *at < now) {
+            if let Some((_, submission)) = self.expired.pop_front() {
+                self.submissions.remove(&submission);
             }
         }
     }
 
     /// Duties that are not over.
     pub fn open(&self) -> usize {
-        self.duties
+        self.submissions
             .values()
-            .filter(|d| d.taken && d.ended.is_none())
+            .filter(|d| d.accepted && d.ended.is_none())
             .count()
     }
 
     /// Entries in all tables.
     pub fn held(&self) -> usize {
-        self.duties.len() + self.effects.len() + self.orders.len() + self.waits.len()
+        self.submissions.len() + self.effects.len() + self.ordered_queues.len() + self.waits.len()
     }
 }
 
--- a/crates/lab/src/oracle/tests.rs
+++ b/crates/lab/src/oracle/tests.rs
@@ -1,42 +1,42 @@
 use super::*;
 
 fn oracle() -> Oracle {
-    let profile = |name: &str, effect: &str, more: &str| {
+    let class = |name: &str, effect: &str, more: &str| {
         format!("[[profiles]]\nname = \"{name}\"\neffect = \"{effect}\"\nwindow = \"2s\"\ncontract_time = \"1s\"\nexpiry = \"10s\"\n{more}\n")
     };
     let text = format!(
         "version = 1\nname = \"o\"\nshows = \"o\"\nlasts = \"1s\"\n[forwarders]\nslots = 2\ntrips = 3\n{}{}{}\
          [[destinations]]\nname = \"d\"\nrate = 1.0\nservice = {{ kind = \"constant\", time = \"1ms\" }}\n[[loads]]\nrate = 1.0\n",
-        profile("r", "retriable", "in_order = true"),
-        profile("f", "fingerprinted", ""),
-        profile("b", "binding", "")
+        class("r", "retriable", "in_order = true"),
+        class("f", "fingerprinted", ""),
+        class("b", "binding", "")
     );
     Oracle::new(&Scenario::read(&text, "o").expect("it is right"), 1000)
 }
 
-fn hand_in(o: &mut Oracle, duty: u64, profile: u16, key: Option<u64>) {
-    let taking = Taking {
-        duty,
-        packet: duty,
+fn submit(o: &mut Oracle, submission: u64, class: u16, key: Option<u64>) {
+    let record = SubmissionRecord {
+        submission,
+        message: submission,
         forwarder: 0,
         expires: 10_000_000,
-        profile,
+        class,
         destination: 0,
         key,
     };
-    o.handed_in(taking);
-    o.taken(duty);
+    o.submitted(record);
+    o.accepted(submission);
 }
 
-fn send(o: &mut Oracle, duty: u64, at: Micros) {
+fn send(o: &mut Oracle, submission: u64, at: Micros) {
     o.sent(
-        Sending {
-            duty,
+        SentCall {
+            submission,
             forwarder: 0,
             destination: 0,
-            target: 5,
+            endpoint: 5,
             holder: 0,
-            gate: 0,
+            limiter: 0,
         },
         at,
     );
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn a_packet_that_is_served_breaks_nothing_and_leaves_no_trace() {
+fn a_message_that_is_served_breaks_nothing_and_leaves_no_trace() {
     let mut o = oracle();
-    hand_in(&mut o, 1, 1, None);
+    submit(&mut o, 1, 1, None);
     send(&mut o, 1, 100);
-    o.over(1, 0, 100, Ran::Perhaps);
+    o.over(1, 0, 100, TookEffect::Perhaps);
     o.took_effect(1, 1, 200);
-    o.ended(1, Final::Served, 300);
+    o.ended(1, FinalAnswer::Served, 300);
     o.sweep(200_000_000);
     o.sweep(300_000_000);
     o.took_effect(2, 2, 200_000_000);
@@ -73,7 +73,7 @@
         (
             Rule::Lost,
             |o, t| {
-                hand_in(o, 1, 0, None);
+                submit(o, 1, 0, None);
                 o.sweep(t)
             },
             10_021_000,
@@ -82,8 +82,8 @@
         (
             Rule::Lost,
             |o, t| {
-                hand_in(o, 1, 0, None);
-                o.ended(1, Final::WrittenOff, t)
+                submit(o, 1, 0, None);
+                o.ended(1, FinalAnswer::Failed, t)
             },
             10_021_000,
             10_021_001,
@@ -91,8 +91,8 @@
         (
             Rule::SentAfterEnd,
             |o, t| {
-                hand_in(o, 1, 0, None);
-                o.ended(1, Final::Deferred, 500);
+                submit(o, 1, 0, None);
+                o.ended(1, FinalAnswer::Rejected, 500);
                 send(o, 1, t)
             },
             1500,
@@ -101,9 +101,9 @@
         (
             Rule::EffectTwice,
             |o, t| {
-                hand_in(o, 1, 1, None);
+                submit(o, 1, 1, None);
                 send(o, 1, 0);
-                o.over(1, 0, 0, Ran::Perhaps);
+                o.over(1, 0, 0, TookEffect::Perhaps);
                 send(o, 1, t)
             },
             2_001_000,
@@ -112,40 +112,40 @@
         (
             Rule::DrainNotKept,
             |o, t| {
-                hand_in(o, 1, 0, None);
-                o.told_standing(0, 5, 0, false, 0);
+                submit(o, 1, 0, None);
+                o.endpoint_status_notified(0, 5, 0, false, 0);
                 send(o, 1, t)
             },
             501_000,
             501_001,
         ),
         (
-            Rule::WaitNotHeeded,
+            Rule::RetryAfterIgnored,
             |o, t| {
-                hand_in(o, 1, 0, None);
-                o.told_to_wait(0, 0, 0, 90_000);
+                submit(o, 1, 0, None);
+                o.retry_after_notified(0, 0, 0, 90_000);
                 send(o, 1, t)
             },
             90_000,
             89_999,
         ),
         (
-            Rule::TooManyTrips,
+            Rule::TooManyAttempts,
             |o, t| {
-                hand_in(o, 1, 0, None);
+                submit(o, 1, 0, None);
                 (0..t).for_each(|n| {
                     send(o, 1, n);
-                    o.over(1, 0, n, Ran::No)
+                    o.over(1, 0, n, TookEffect::No)
                 })
             },
             3,
             4,
         ),
         (
-            Rule::TooManySlots,
+            Rule::TooManyInFlight,
             |o, t| {
                 (1..=t).for_each(|n| {
-                    hand_in(o, n, 0, None);
+                    submit(o, n, 0, None);
                     send(o, n, 1)
                 })
             },
@@ -164,41 +164,41 @@
 }
 
 #[test]
-fn a_second_answer_a_second_trip_a_second_effect_and_a_wrong_place_are_seen() {
+fn a_second_answer_a_second_attempt_a_second_effect_and_a_wrong_place_are_seen() {
     let mut o = oracle();
-    hand_in(&mut o, 1, 0, None);
-    o.ended(1, Final::Served, 10);
-    o.ended(1, Final::WrittenOff, 20);
+    submit(&mut o, 1, 0, None);
+    o.ended(1, FinalAnswer::Served, 10);
+    o.ended(1, FinalAnswer::Failed, 20);
     assert_eq!(names(&o), [Rule::SecondFinalAnswer]);
     let mut o = oracle();
-    hand_in(&mut o, 1, 0, None);
+    submit(&mut o, 1, 0, None);
     send(&mut o, 1, 0);
     send(&mut o, 1, 1);
-    assert_eq!(names(&o), [Rule::TwoTripsOut]);
+    assert_eq!(names(&o), [Rule::TwoAttemptsInFlight]);
     let mut o = oracle();
-    hand_in(&mut o, 1, 2, None);
+    submit(&mut o, 1, 2, None);
     send(&mut o, 1, 0);
-    o.over(1, 0, 0, Ran::No);
+    o.over(1, 0, 0, TookEffect::No);
     send(&mut o, 1, 5);
     assert!(names(&o).is_empty());
-    o.over(1, 0, 5, Ran::Perhaps);
+    o.over(1, 0, 5, TookEffect::Perhaps);
     send(&mut o, 1, 9);
     assert_eq!(names(&o), [Rule::EffectTwice]);
     let mut o = oracle();
-    hand_in(&mut o, 1, 2, None);
+    submit(&mut o, 1, 2, None);
     o.took_effect(1, 1, 5);
     o.took_effect(1, 1, 9);
     assert_eq!(names(&o), [Rule::EffectTwice]);
     let mut o = oracle();
-    hand_in(&mut o, 1, 0, None);
+    submit(&mut o, 1, 0, None);
     o.sent(
-        Sending {
-            duty: 1,
+        SentCall {
+            submission: 1,
             forwarder: 0,
             destination: 3,
-            target: 5,
+            endpoint: 5,
             holder: 0,
-            gate: 0,
+            limiter: 0,
         },
         1,
     );
@@ -208,22 +208,22 @@
 #[test]
 fn a_key_goes_on_only_when_the_one_before_is_over() {
     let mut o = oracle();
-    hand_in(&mut o, 1, 0, Some(7));
-    hand_in(&mut o, 2, 0, Some(7));
-    hand_in(&mut o, 3, 0, Some(8));
+    submit(&mut o, 1, 0, Some(7));
+    submit(&mut o, 2, 0, Some(7));
+    submit(&mut o, 3, 0, Some(8));
     send(&mut o, 1, 0);
     send(&mut o, 3, 0);
-    o.over(3, 0, 0, Ran::Perhaps);
+    o.over(3, 0, 0, TookEffect::Perhaps);
     assert!(names(&o).is_empty());
-    o.ended(1, Final::WrittenOff, 50);
-    send(&mut o, 2, 60); // the first one's trip is still out
+    o.ended(1, FinalAnswer::Failed, 50);
+    send(&mut o, 2, 60); // the first one's attempt is still out
     assert_eq!(names(&o), [Rule::OrderNotKept]);
 }
 
 #[test]
 fn nothing_is_owed_by_a_forwarder_that_is_down_or_lost_its_folder() {
     let mut o = oracle();
-    hand_in(&mut o, 1, 0, None);
+    submit(&mut o, 1, 0, None);
     o.excuse(0, 51_000_000);
     o.sweep(50_000_000);
     assert!(names(&o).is_empty());
@@ -236,14 +236,14 @@
 fn one_that_was_served_while_its_forwarder_was_down_may_be_ended_once_more() {
     for (down, broken) in [(true, 0), (false, 1)] {
         let mut o = oracle();
-        hand_in(&mut o, 1, 1, None);
+        submit(&mut o, 1, 1, None);
         send(&mut o, 1, 0);
         o.excuse(0, if down { 1_000_000 } else { 0 });
-        o.over(1, 0, 0, Ran::Perhaps);
-        o.ended(1, Final::Served, 500_000);
-        o.ended(1, Final::WrittenOff, 2_000_000);
+        o.over(1, 0, 0, TookEffect::Perhaps);
+        o.ended(1, FinalAnswer::Served, 500_000);
+        o.ended(1, FinalAnswer::Failed, 2_000_000);
         assert_eq!(o.counts.len(), broken);
-        o.ended(1, Final::WrittenOff, 3_000_000);
+        o.ended(1, FinalAnswer::Failed, 3_000_000);
         assert_eq!(names(&o), [Rule::SecondFinalAnswer], "not twice more");
     }
 }
--- a/crates/lab/src/receivers/tests.rs
+++ b/crates/lab/src/receivers/tests.rs
@@ -24,7 +24,7 @@
     for _ in 0..calls {
         now += exponential(&mut rng) * MEAN / (load * f64::from(places));
         let at = now as Micros;
-        let before = receivers.targets[0].places.peek().map_or(0, |p| p.0);
+        let before = receivers.endpoints[0].places.peek().map_or(0, |p| p.0);
         receivers.call(at, 0, 0, None);
         waits.push(before.saturating_sub(at) as f64 / MEAN);
     }
@@ -122,24 +122,24 @@
 #[test]
 fn above_its_limit_it_tells_to_wait_and_takes_again_in_time() {
     let (mut r, ..) = world("wait = \"300ms\"");
-    let says: Vec<Says> = (0..3).map(|_| r.call(0, 0, 0, None).says).collect();
+    let says: Vec<ReceiverReply> = (0..3).map(|_| r.call(0, 0, 0, None).says).collect();
     assert_eq!(
         says,
         [
-            Says::Served,
-            Says::Served,
-            Says::Full {
+            ReceiverReply::Served,
+            ReceiverReply::Served,
+            ReceiverReply::TooManyRequests {
                 wait: Some(300_000)
             }
         ]
     );
     assert_eq!(
         r.call(99_000, 0, 0, None).says,
-        Says::Full {
+        ReceiverReply::TooManyRequests {
             wait: Some(300_000)
         }
     );
-    assert_eq!(r.call(200_000, 0, 0, None).says, Says::Served);
+    assert_eq!(r.call(200_000, 0, 0, None).says, ReceiverReply::Served);
 }
 
 #[test]
@@ -159,14 +159,15 @@
 fn back_from_an_outage_it_falls_over_under_more_than_it_can_do() {
     for knew in [true, false] {
         let (mut r, ..) = world("limited = false");
-        r.strike(0, 0, &What::Refusing, 1_000_000, &[0], true);
+        r.set_fault(0, 0, &FaultKind::Refusing, 1_000_000, &[0], true);
         if knew {
-            assert_eq!(r.call(500_000, 0, 1, None).says, Says::Refused);
+            assert_eq!(r.call(500_000, 0, 1, None).says, ReceiverReply::Refused);
         }
-        r.strike(1_000_000, 0, &What::Refusing, 1_000_000, &[0], false);
+        r.set_fault(1_000_000, 0, &FaultKind::Refusing, 1_000_000, &[0], false);
         // 2 x 0.2 x 10 a second x 2 s = 8, and 2 sqrt(8) + 4 for chance.
-        let reached =
-            (0..40).take_while(|n| r.call(1_000_000 + n * 1000, 0, 1, None).says != Says::Refused);
+        let reached = (0..40).take_while(|n| {
+            r.call(1_000_000 + n * 1000, 0, 1, None).says != ReceiverReply::Refused
+        });
         assert_eq!(reached.count(), 18);
         assert_eq!(r.falls.iter().map(|f| f.blamed).collect::<Vec<_>>(), [knew]);
         assert!(r.refuses(900_000_000, 0), "it stays down");
@@ -176,9 +177,9 @@
 #[test]
 fn a_jam_outlives_its_trigger_until_the_queue_is_empty() {
     let (mut r, ..) = world("limited = false\nplaces = 1\nqueue = 1000");
-    r.strike(0, 0, &What::Jam { times: 10.0 }, 1, &[0], true);
+    r.set_fault(0, 0, &FaultKind::Jam { times: 10.0 }, 1, &[0], true);
     (0..3).for_each(|_| _ = r.call(0, 0, 0, None));
-    r.strike(1, 0, &What::Jam { times: 10.0 }, 1, &[0], false);
+    r.set_fault(1, 0, &FaultKind::Jam { times: 10.0 }, 1, &[0], false);
     for n in 1..20 {
         let at = n * 50_000; // it takes 100 ms a call: the queue grows
         assert!(r.call(at, 0, 0, None).at > at + 100_000, "call {n}");
@@ -187,42 +188,58 @@
 }
 
 #[test]
-fn each_trouble_shows_in_what_comes_back() {
+fn each_fault_shows_in_what_comes_back() {
     let half = |rate| rate;
     let cases = [
-        (What::Refusing, Says::Refused, false),
-        (What::Silent, Says::Silent, false),
-        (What::Erring { rate: half(1.0) }, Says::Erred, false),
+        (FaultKind::Refusing, ReceiverReply::Refused, false),
+        (FaultKind::Silent, ReceiverReply::Silent, false),
         (
-            What::Reset {
+            FaultKind::Erring { rate: half(1.0) },
+            ReceiverReply::Erred,
+            false,
+        ),
+        (
+            FaultKind::Reset {
                 rate: 1.0,
-                when: When::Before,
+                moment: ResetMoment::Before,
             },
-            Says::Cut,
+            ReceiverReply::ClosedEarly,
             false,
         ),
         (
-            What::Reset {
+            FaultKind::Reset {
                 rate: 1.0,
-                when: When::Within,
+                moment: ResetMoment::Within,
             },
-            Says::Reset,
+            ReceiverReply::Reset,
             true,
         ),
         (
-            What::Reset {
+            FaultKind::Reset {
                 rate: 1.0,
-                when: When::After,
+                moment: ResetMoment::After,
             },
-            Says::ServedThenReset,
+            ReceiverReply::ServedThenReset,
+            true,
+        ),
+        (
+            FaultKind::AnswerLost { rate: 1.0 },
+            ReceiverReply::Silent,
             true,
         ),
-        (What::AnswerLost { rate: 1.0 }, Says::Silent, true),
-        (What::Garbled { rate: 1.0 }, Says::Garbled, true),
-        (What::Endless { rate: 1.0 }, Says::Endless, true),
         (
-            What::Shut,
-            Says::Full {
+            FaultKind::Garbled { rate: 1.0 },
+            ReceiverReply::Garbled,
+            true,
+        ),
+        (
+            FaultKind::Endless { rate: 1.0 },
+            ReceiverReply::Endless,
+            true,
+        ),
+        (
+            FaultKind::Shut,
+            ReceiverReply::TooManyRequests {
                 wait: Some(9_000_000),
             },
             false,
@@ -230,18 +247,25 @@
     ];
     for (what, says, ran) in cases {
         let (mut r, ..) = world("limited = false");
-        r.strike(0, 0, &what, 10_000_000, &[0], true);
+        r.set_fault(0, 0, &what, 10_000_000, &[0], true);
         let fate = r.call(1_000_000, 0, 0, None);
         assert_eq!((fate.says, fate.ran.is_some()), (says, ran), "{what:?}");
-        r.strike(10_000_000, 0, &what, 10_000_000, &[0], false);
+        r.set_fault(10_000_000, 0, &what, 10_000_000, &[0], false);
         assert_eq!(
             r.call(10_000_000, 0, 0, None).says,
-            Says::Served,
+            ReceiverReply::Served,
             "after {what:?}"
         );
     }
     let (mut r, ..) = world("limited = false");
-    r.strike(0, 0, &What::Slow { times: 3.0 }, 1, &[0], true);
-    r.strike(0, 1, &What::Brownout { left: 0.5 }, 1, &[0], true);
+    r.set_fault(0, 0, &FaultKind::Slow { times: 3.0 }, 1, &[0], true);
+    r.set_fault(
+        0,
+        1,
+        &FaultKind::Brownout { capacity_left: 0.5 },
+        1,
+        &[0],
+        true,
+    );
     assert_eq!(r.call(0, 0, 0, None).at, 60_000, "they compose");
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,6 +1,6 @@
 //! Reports: one self-contained HTML page of one or several outcomes side by side, plots drawn as SVG; JSON beside it.
 
-use crate::tally::{Clock, Column, Outcome};
+use crate::tally::{Clock, Outcome, TimeBucket};
 use plotters::prelude::*;
 use std::fmt::Write;
 
@@ -16,7 +16,7 @@
 ];
 const SHADE: RGBColor = RGBColor(150, 120, 60);
 
-type Series<'a> = (&'a str, Box<dyn Fn(&Column) -> f64 + 'a>);
+type Series<'a> = (&'a str, Box<dyn Fn(&TimeBucket) -> f64 + 'a>);
 
 /// One plot over the time of a run; what went wrong when is shaded.
 fn plot(
@@ -30,11 +30,11 @@
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
         area.fill(&WHITE)?;
-        let seconds = |n: usize| n as f64 * outcome.column as f64 / 1e6;
-        let ends = seconds(outcome.columns.len()).max(1.0);
+        let seconds = |n: usize| n as f64 * outcome.bucket_width as f64 / 1e6;
+        let ends = seconds(outcome.buckets.len()).max(1.0);
         let values = series
             .iter()
-            .flat_map(|(_, of)| outcome.columns.iter().map(of));
+            .flat_map(|(_, of)| outcome.buckets.iter().map(of));
         let most = values.fold(0.0, f64::max).max(if log { 10.0 } else { 1.0 }) * 1.1;
         let caption = (format!("{title} ({unit})"), ("sans-serif", 15).into_font());
         let mut builder = ChartBuilder::on(&area);
@@ -64,7 +64,7 @@
                 }
                 for ((name, of), colour) in series.iter().zip(COLOURS) {
                     let points = outcome
-                        .columns
+                        .buckets
                         .iter()
                         .enumerate()
                         .map(|(n, c)| (seconds(n), of(c).max($low)));
@@ -96,8 +96,8 @@
 }
 
 fn plots(outcome: &Outcome) -> Result<String, PlotError> {
-    let a_second = 1e6 / outcome.column as f64;
-    let rate = |of: fn(&Column) -> u64| move |c: &Column| of(c) as f64 * a_second;
+    let a_second = 1e6 / outcome.bucket_width as f64;
+    let rate = |of: fn(&TimeBucket) -> u64| move |c: &TimeBucket| of(c) as f64 * a_second;
     let traffic: [Series; 3] = [
         ("due", Box::new(rate(|c| c.due))),
         ("served", Box::new(rate(|c| c.served))),
@@ -114,7 +114,7 @@
         ("failed", Box::new(rate(|c| c.failed))),
         (
             "deferred, written off",
-            Box::new(rate(|c| c.deferred + c.written_off)),
+            Box::new(rate(|c| c.rejected + c.failed_messages)),
         ),
     ];
     Ok([
@@ -152,9 +152,11 @@
         format!("{:.4}", o.service)
     }),
     ("served by the first trip", |o| {
-        format!("{:.4}", o.first_trip_share())
+        format!("{:.4}", o.first_attempt_share())
+    }),
+    ("calls a packet", |o| {
+        format!("{:.3}", o.calls_per_message())
     }),
-    ("calls a packet", |o| format!("{:.3}", o.calls_a_packet())),
     ("p50, p99, p99.9 ms", |o| {
         let ms = |v: u64| v as f64 / 1e3;
         format!(
@@ -165,12 +167,12 @@
         )
     }),
     ("written off", |o| o.counts.written_off.to_string()),
-    ("deferrals", |o| o.counts.deferrals.to_string()),
+    ("deferrals", |o| o.counts.rejections.to_string()),
     ("given up by clients", |o| o.counts.given_up.to_string()),
     ("gone with a folder", |o| o.counts.gone.to_string()),
     ("open at the end", |o| o.counts.open.to_string()),
     ("calls, probes", |o| {
-        format!("{}, {}", o.counts.calls, o.counts.probes)
+        format!("{}, {}", o.counts.calls, o.counts.health_checks)
     }),
     ("outcomes of calls", |o| {
         o.counts
@@ -313,7 +315,7 @@
     use super::*;
     use crate::experiments::simulate;
     use crate::scenario::Scenario;
-    use crate::subject::Make;
+    use crate::subject::ForwarderVariant;
 
     #[test]
     fn the_page_holds_everything_itself_and_escapes_what_it_is_given() {
@@ -321,8 +323,9 @@
              service = { kind = \"constant\", time = \"20ms\" }\n[[loads]]\nrate = 20.0\n[[troubles]]\nat = \"1s\"\n\
              lasts = \"1s\"\nwhat = { kind = \"silent\" }\n";
         let scenario = Scenario::read(text, "s").expect("it is right");
-        let outcomes =
-            [1, 2].map(|seed| simulate(&scenario, seed, Make::SecondAnswer).expect("it runs"));
+        let outcomes = [1, 2].map(|seed| {
+            simulate(&scenario, seed, ForwarderVariant::SecondAnswer).expect("it runs")
+        });
         let page = html(&outcomes).expect("it is drawn");
         assert_eq!(page.matches("<svg").count(), 8);
         assert!(page.contains("a &lt;b&gt; &amp; c") && !page.contains("<b>"));
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -1,18 +1,18 @@
 //! The simulated clock: a deterministic event loop round the very core that is in service. Forwarders, clients, discovery,
 //! connections and receivers of a scenario in one thread; the same scenario and seed give the same run.
 //!
-//! Owns all of the simulated world. A packet leaves with its end, a trip with its outcome, an event as it happens.
+//! Owns all of the simulated world. A message leaves with its end, an attempt with its outcome, an event as it happens.
 
 mod clients;
-mod stations;
-mod troubles;
+mod faults;
+mod simulated_process;
 
 use crate::chance::stream;
 use crate::load::{Due, Loads, ReplayError};
 use crate::oracle::Oracle;
-use crate::receivers::{Receivers, Says};
-use crate::scenario::{Effect, Scenario};
-use crate::subject::Make;
+use crate::receivers::{ReceiverReply, Receivers};
+use crate::scenario::{DeliverySemantics, Scenario};
+use crate::subject::ForwarderVariant;
 use crate::tally::{Clock, Outcome, Tally, Tick};
 use crate::world::Layout;
 use opalpulley::{
@@ -20,63 +20,63 @@
 };
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
-use stations::Station;
+use simulated_process::SimulatedProcess;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
 const SWEEP: Micros = 250_000; // between the oracle's looks
-const LAST: Micros = 3_000_000; // after the last expiry: restarts may still owe something
+const LAST: Micros = 3_000_000; // after the last deadline: restarts may still owe something
 
 /// What happens next.
-enum Happening {
+enum SimulatedEvent {
     Due(Due),
-    HandIn {
-        packet: u64,
+    Submit {
+        message: u64,
     },
-    Alarm {
+    TimerFires {
         forwarder: u32,
-        life: u32,
+        incarnation: u32,
         token: TimerToken,
     },
     /// The bytes of a call go, on a connection that came up late.
-    Goes {
-        trip: u64,
+    RequestSent {
+        attempt: u64,
     },
-    /// A call's last byte reaches its target.
-    Reaches {
-        trip: u64,
+    /// A call's last byte reaches its endpoint.
+    RequestArrives {
+        attempt: u64,
     },
     /// The head of an answer tells a wait; the outcome follows.
-    Told {
-        trip: u64,
+    RetryAfterReceived {
+        attempt: u64,
         wait: Micros,
     },
-    /// A trip's outcome reaches its forwarder.
-    Ends {
-        trip: u64,
+    /// An attempt's outcome reaches its forwarder.
+    AttemptEnds {
+        attempt: u64,
         outcome: opalpulley::Outcome,
     },
-    ProbeReaches {
+    HealthCheckArrives {
         forwarder: u32,
-        life: u32,
-        target: EndpointId,
+        incarnation: u32,
+        endpoint: EndpointId,
         sent: Micros,
     },
-    ProbeEnds {
+    HealthCheckEnds {
         forwarder: u32,
-        life: u32,
-        target: EndpointId,
+        incarnation: u32,
+        endpoint: EndpointId,
         sent: Micros,
         outcome: opalpulley::Outcome,
     },
-    News {
+    ListUpdate {
         forwarder: u32,
-        news: EndpointListUpdate,
+        list_update: EndpointListUpdate,
     },
     /// A call for the list is answered, or has failed.
-    Asked {
+    PollAnswered {
         forwarder: u32,
-        life: u32,
+        incarnation: u32,
         told: bool,
     },
     Gossip {
@@ -84,73 +84,73 @@
         to: u32,
         message: Vec<u8>,
     },
-    Trouble {
+    FaultChanges {
         number: usize,
         on: bool,
     },
-    /// Of a drain, one target after the other.
-    Drains {
-        target: usize,
+    /// Of a drain, one endpoint after the other.
+    EndpointDrains {
+        endpoint: usize,
         gone: bool,
     },
-    Back {
+    ProcessRestarts {
         forwarder: u32,
         folder: bool,
     },
-    Resumes {
+    ProcessResumes {
         forwarder: u32,
     },
-    Sweep,
+    OracleSweep,
 }
 
-struct Entry {
+struct QueuedEvent {
     at: Micros,
     number: u64,
-    what: Happening,
+    what: SimulatedEvent,
 }
 
-impl PartialEq for Entry {
-    fn eq(&self, other: &Entry) -> bool {
+impl PartialEq for QueuedEvent {
+    fn eq(&self, other: &QueuedEvent) -> bool {
         self.number == other.number
     }
 }
-impl Eq for Entry {}
-impl PartialOrd for Entry {
-    fn partial_cmp(&self, other: &Entry) -> Option<Ordering> {
+impl Eq for QueuedEvent {}
+impl PartialOrd for QueuedEvent {
+    fn partial_cmp(&self, other: &QueuedEvent) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Entry {
+impl Ord for QueuedEvent {
     /// The earliest first; of those at one time, the one that was arranged first.
-    fn cmp(&self, other: &Entry) -> Ordering {
+    fn cmp(&self, other: &QueuedEvent) -> Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
-/// A packet as its client knows it.
-struct Packet {
+/// A message as its client knows it.
+struct ClientMessage {
     due: Due,
     expires: Micros,
-    returns: u32,
-    again: bool,
+    resubmissions: u32,
+    resubmitted: bool,
     tries: u32,
 }
 
-/// A trip that is out.
-struct Trip {
+/// An attempt that is out.
+struct Attempt {
     forwarder: u32,
-    packet: MessageId,
-    duty: u64,
-    of: u64,
+    message: MessageId,
+    submission: u64,
+    client_message: u64,
     number: u8,
-    target: EndpointId,
+    endpoint: EndpointId,
     sent: Micros,
-    mark: Option<u64>,
+    idempotency_key: Option<u64>,
     /// Its connection is still to come up.
     late: bool,
 }
 
-/// Connections to one target: how many are open, and those that stand idle, by forwarder, each since when.
+/// Connections to one endpoint: how many are open, and those that stand idle, by forwarder, each since when.
 #[derive(Default)]
 struct Connections {
     busy: u32,
@@ -160,31 +160,31 @@
 /// What a run did, for the record: events of the core, wall-clock free.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work {
-    pub happenings: u64,
+    pub events: u64,
     pub core_events: u64,
     pub core_actions: u64,
     pub most_held: usize,
     /// Calls for the list, and forwarders that discovery does not tell of changes at the end.
     pub list_calls: u64,
-    pub unheard: usize,
+    pub without_list_updates: usize,
 }
 
 pub struct Sim {
     scenario: Scenario,
     layout: Layout,
-    make: Make,
+    variant: ForwarderVariant,
     seed: u64,
     now: Micros,
-    queue: BinaryHeap<Entry>,
-    arranged: u64,
+    queue: BinaryHeap<QueuedEvent>,
+    scheduled_count: u64,
     loads: Loads,
-    stations: Vec<Station>,
-    standing: Vec<(u32, EndpointStatus)>,
-    packets: HashMap<u64, Packet>,
-    next_packet: u64,
-    next_duty: u64,
-    trips: HashMap<u64, Trip>,
-    next_trip: u64,
+    processes: Vec<SimulatedProcess>,
+    status: Vec<(u32, EndpointStatus)>,
+    messages: HashMap<u64, ClientMessage>,
+    next_message: u64,
+    next_submission: u64,
+    attempts: HashMap<u64, Attempt>,
+    next_attempt: u64,
     connections: Vec<Connections>,
     receivers: Receivers,
     oracle: Oracle,
@@ -196,12 +196,16 @@
     stale_until: Micros,
     /// Until when discovery has calls to work off.
     discovery_busy: Micros,
-    pending_troubles: usize,
+    pending_faults: usize,
     work: Work,
 }
 
 impl Sim {
-    pub fn new(scenario: &Scenario, seed: u64, make: Make) -> Result<Sim, ReplayError> {
+    pub fn new(
+        scenario: &Scenario,
+        seed: u64,
+        variant: ForwarderVariant,
+    ) -> Result<Sim, ReplayError> {
         let layout = Layout::new(scenario);
         let mut sim = Sim {
             loads: Loads::new(scenario, &layout, seed)?,
@@ -209,41 +213,44 @@
             // What reaches a receiver was sent before it: on one clock nothing else passes between.
             oracle: Oracle::new(scenario, 0),
             tally: Tally::new(scenario),
-            stations: (0..scenario.forwarders.count)
-                .map(|n| Station::new(scenario, seed, n))
+            processes: (0..scenario.forwarders.count)
+                .map(|n| SimulatedProcess::new(scenario, seed, n))
                 .collect(),
-            standing: vec![(0, EndpointStatus::Ready); layout.targets.len()],
+            status: vec![(0, EndpointStatus::Ready); layout.endpoints.len()],
             connections: layout
-                .targets
+                .endpoints
                 .iter()
                 .map(|_| Connections::default())
                 .collect(),
             scenario: scenario.clone(),
             layout,
-            make,
+            variant,
             seed,
             now: 0,
             queue: BinaryHeap::new(),
-            arranged: 0,
-            packets: HashMap::new(),
-            next_packet: 0,
-            next_duty: 0,
-            trips: HashMap::new(),
-            next_trip: 0,
+            scheduled_count: 0,
+            messages: HashMap::new(),
+            next_message: 0,
+            next_submission: 0,
+            attempts: HashMap::new(),
+            next_attempt: 0,
             clients: stream(seed, "clients", 0),
             lags: stream(seed, "lags", 0),
             lateness: stream(seed, "lateness", 0),
             stale_until: 0,
             discovery_busy: 0,
-            pending_troubles: 0,
+            pending_faults: 0,
             work: Work::default(),
         };
-        for (number, trouble) in sim.scenario.troubles.clone().iter().enumerate() {
-            sim.pending_troubles += 1;
-            sim.arrange(trouble.at.0, Happening::Trouble { number, on: true });
+        for (number, fault) in sim.scenario.faults.clone().iter().enumerate() {
+            sim.pending_faults += 1;
+            sim.schedule(
+                fault.at.0,
+                SimulatedEvent::FaultChanges { number, on: true },
+            );
         }
         (0..scenario.forwarders.count).for_each(|f| sim.start(f));
-        sim.arrange(SWEEP, Happening::Sweep);
+        sim.schedule(SWEEP, SimulatedEvent::OracleSweep);
         sim.next_due();
         Ok(sim)
     }
@@ -253,40 +260,44 @@
         self.run_until(Micros::MAX, watch).0
     }
 
-    /// The same, cut off at a time: packets that are open then are counted as such and owed nothing.
+    /// The same, cut off at a time: messages that are open then are counted as such and owed nothing.
     pub fn run_until(
         mut self,
         cut: Micros,
         mut watch: impl FnMut(Micros, Micros),
     ) -> (Outcome, Work) {
-        let whole = (self.scenario.lasts.0 + self.scenario.longest_expiry() + LAST).min(cut);
-        while let Some(Entry { at, what, .. }) = self.queue.pop() {
-            if at > whole || self.quiet() {
+        let whole = (self.scenario.lasts.0 + self.scenario.longest_time_to_live() + LAST).min(cut);
+        while let Some(QueuedEvent { at, what, .. }) = self.queue.pop() {
+            if at > whole || self.is_over() {
                 break;
             }
             self.now = at;
-            self.work.happenings += 1;
-            if self.work.happenings.is_multiple_of(4096) {
+            self.work.events += 1;
+            if self.work.events.is_multiple_of(4096) {
                 watch(at, whole);
             }
-            self.happen(what);
+            self.handle(what);
         }
-        self.tally.counts.open = self.packets.len() as u64;
-        self.work.unheard = self.stations.iter().filter(|s| s.up() && !s.hears).count();
+        self.tally.counts.open = self.messages.len() as u64;
+        self.work.without_list_updates = self
+            .processes
+            .iter()
+            .filter(|s| s.up() && !s.follows_list)
+            .count();
         for fall in &self.receivers.falls {
             if fall.blamed {
                 let what = format!(
                     "target {} fell over: {} calls in the window, {:.1} allowed",
-                    fall.target, fall.calls, fall.budget
+                    fall.endpoint, fall.calls, fall.budget
                 );
                 self.oracle
                     .broken(crate::oracle::Rule::PushedOver, fall.at, what);
             }
         }
-        let name = format!("{:?}", self.make);
+        let name = self.variant.name_in_outcomes();
         let mut outcome =
             self.tally
-                .close(self.now, &self.scenario, Clock::Simulated, self.seed, &name);
+                .close(self.now, &self.scenario, Clock::Simulated, self.seed, name);
         outcome.broken = self
             .oracle
             .counts
@@ -299,203 +310,231 @@
     }
 
     /// The load has ended, everything is over and nothing more will go wrong.
-    fn quiet(&self) -> bool {
+    fn is_over(&self) -> bool {
         self.now > self.scenario.lasts.0
-            && self.packets.is_empty()
-            && self.trips.is_empty()
-            && self.pending_troubles == 0
+            && self.messages.is_empty()
+            && self.attempts.is_empty()
+            && self.pending_faults == 0
     }
 
-    fn arrange(&mut self, at: Micros, what: Happening) {
-        self.arranged += 1;
-        self.queue.push(Entry {
+    fn schedule(&mut self, at: Micros, what: SimulatedEvent) {
+        self.scheduled_count += 1;
+        self.queue.push(QueuedEvent {
             at: at.max(self.now),
-            number: self.arranged,
+            number: self.scheduled_count,
             what,
         });
     }
 
     fn next_due(&mut self) {
         if let Some(due) = self.loads.next() {
-            self.arrange(due.at, Happening::Due(due));
+            self.schedule(due.at, SimulatedEvent::Due(due));
         }
     }
 
-    fn happen(&mut self, what: Happening) {
+    fn handle(&mut self, what: SimulatedEvent) {
         match what {
-            Happening::Due(due) => {
+            SimulatedEvent::Due(due) => {
                 self.next_due();
-                self.packet_due(due);
+                self.message_due(due);
             }
-            Happening::HandIn { packet } => self.hand_in(packet),
-            Happening::Alarm {
+            SimulatedEvent::Submit { message } => self.submit(message),
+            SimulatedEvent::TimerFires {
                 forwarder,
-                life,
+                incarnation,
                 token,
-            } => self.give(forwarder, life, Event::TimerFired { token }),
-            Happening::Goes { trip } => self.goes(trip),
-            Happening::Reaches { trip } => self.reaches(trip),
-            Happening::Told { trip, wait } => self.wait_told(trip, wait),
-            Happening::Ends { trip, outcome } => self.trip_ends(trip, outcome),
-            Happening::ProbeReaches {
+            } => self.deliver_event(forwarder, incarnation, Event::TimerFired { token }),
+            SimulatedEvent::RequestSent { attempt } => self.request_sent(attempt),
+            SimulatedEvent::RequestArrives { attempt } => self.request_arrives(attempt),
+            SimulatedEvent::RetryAfterReceived { attempt, wait } => {
+                self.retry_after_received(attempt, wait)
+            }
+            SimulatedEvent::AttemptEnds { attempt, outcome } => self.attempt_ends(attempt, outcome),
+            SimulatedEvent::HealthCheckArrives {
                 forwarder,
-                life,
-                target,
+                incarnation,
+                endpoint,
                 sent,
             } => {
-                let fate = self
-                    .receivers
-                    .probe(self.now, Layout::target(target), forwarder);
+                let fate =
+                    self.receivers
+                        .health_check(self.now, Layout::endpoint(endpoint), forwarder);
                 let outcome = match fate.says {
-                    Says::Served => opalpulley::Outcome::Delivered,
-                    Says::Crowded => opalpulley::Outcome::Rejected { retry_after: None },
-                    Says::Silent => opalpulley::Outcome::Timeout,
+                    ReceiverReply::Served => opalpulley::Outcome::Delivered,
+                    ReceiverReply::Overloaded => {
+                        opalpulley::Outcome::Rejected { retry_after: None }
+                    }
+                    ReceiverReply::Silent => opalpulley::Outcome::Timeout,
                     _ => opalpulley::Outcome::NoConnection,
                 };
-                let patience = if fate.says == Says::Silent {
-                    self.scenario.network.connect_within.0
+                let timeout = if fate.says == ReceiverReply::Silent {
+                    self.scenario.network.connect_timeout.0
                 } else {
                     0
                 };
-                let at = fate.at + self.scenario.network.delay.0 + patience;
-                self.arrange(
+                let at = fate.at + self.scenario.network.delay.0 + timeout;
+                self.schedule(
                     at,
-                    Happening::ProbeEnds {
+                    SimulatedEvent::HealthCheckEnds {
                         forwarder,
-                        life,
-                        target,
+                        incarnation,
+                        endpoint,
                         sent,
                         outcome,
                     },
                 );
             }
-            Happening::ProbeEnds {
+            SimulatedEvent::HealthCheckEnds {
                 forwarder,
-                life,
-                target,
+                incarnation,
+                endpoint,
                 sent,
                 outcome,
             } => {
                 let took = self.now - sent;
-                self.give(
+                self.deliver_event(
                     forwarder,
-                    life,
+                    incarnation,
                     Event::HealthCheckEnded {
-                        endpoint: target,
+                        endpoint,
                         outcome,
                         took,
                         report: Vec::new(),
                     },
                 );
             }
-            Happening::News { forwarder, news } => self.news(forwarder, news),
-            Happening::Asked {
+            SimulatedEvent::ListUpdate {
                 forwarder,
-                life,
+                list_update,
+            } => self.list_update(forwarder, list_update),
+            SimulatedEvent::PollAnswered {
+                forwarder,
+                incarnation,
                 told,
-            } => self.asked(forwarder, life, told),
-            Happening::Gossip { from, to, message } => {
-                let life = self.stations[to as usize].life;
-                self.give(
+            } => self.asked(forwarder, incarnation, told),
+            SimulatedEvent::Gossip { from, to, message } => {
+                let incarnation = self.processes[to as usize].incarnation;
+                self.deliver_event(
                     to,
-                    life,
+                    incarnation,
                     Event::Gossip {
                         from: from as u16,
                         payload: message,
                     },
                 );
             }
-            Happening::Trouble { number, on } => self.trouble(number, on),
-            Happening::Drains { target, gone } => self.drains(target, gone),
-            Happening::Back { forwarder, folder } => self.back(forwarder, folder),
-            Happening::Resumes { forwarder } => self.resumes(forwarder),
-            Happening::Sweep => {
+            SimulatedEvent::FaultChanges { number, on } => self.fault(number, on),
+            SimulatedEvent::EndpointDrains { endpoint, gone } => {
+                self.endpoint_drains(endpoint, gone)
+            }
+            SimulatedEvent::ProcessRestarts { forwarder, folder } => self.back(forwarder, folder),
+            SimulatedEvent::ProcessResumes { forwarder } => self.resume_process(forwarder),
+            SimulatedEvent::OracleSweep => {
                 self.oracle.sweep(self.now);
                 let held = self.oracle.held()
                     + self.receivers.held()
-                    + self.packets.len()
-                    + self.trips.len();
+                    + self.messages.len()
+                    + self.attempts.len();
                 self.work.most_held = self.work.most_held.max(held);
-                self.arrange(self.now + SWEEP, Happening::Sweep);
+                self.schedule(self.now + SWEEP, SimulatedEvent::OracleSweep);
             }
         }
     }
 
     /// What binds at this moment binds the call, whenever it was chosen.
-    fn goes(&mut self, number: u64) {
-        let Some(trip) = self.trips.get_mut(&number) else {
+    fn request_sent(&mut self, number: u64) {
+        let Some(attempt) = self.attempts.get_mut(&number) else {
             return;
-        }; // taken back, or called off
-        trip.late = false;
-        let (forwarder, target, of) = (trip.forwarder, trip.target, trip.of);
-        let place = Layout::target(target);
-        let what = format!("packet {of} of forwarder {forwarder} to target {place}, chosen before");
+        }; // withdrawn, or cancelled
+        attempt.late = false;
+        let (forwarder, endpoint, client_message) =
+            (attempt.forwarder, attempt.endpoint, attempt.client_message);
+        let place = Layout::endpoint(endpoint);
+        let what = format!(
+            "packet {client_message} of forwarder {forwarder} to target {place}, chosen before"
+        );
         self.oracle.check_bound(
             forwarder,
             place,
-            target.incarnation,
-            self.layout.targets[place].gate,
+            endpoint.incarnation,
+            self.layout.endpoints[place].limiter,
             self.now,
             &what,
         );
-        self.arrange(
+        self.schedule(
             self.now + self.scenario.network.delay.0,
-            Happening::Reaches { trip: number },
+            SimulatedEvent::RequestArrives { attempt: number },
         );
     }
 
-    fn reaches(&mut self, number: u64) {
-        let Some(trip) = self.trips.get(&number) else {
+    fn request_arrives(&mut self, number: u64) {
+        let Some(attempt) = self.attempts.get(&number) else {
             return;
-        }; // it was called off on its way
-        let target = Layout::target(trip.target);
-        let (forwarder, packet, duty) = (trip.forwarder, trip.of, trip.duty);
-        let fate = self.receivers.call(self.now, target, forwarder, trip.mark);
+        }; // it was cancelled on its way
+        let endpoint = Layout::endpoint(attempt.endpoint);
+        let (forwarder, message, submission) = (
+            attempt.forwarder,
+            attempt.client_message,
+            attempt.submission,
+        );
+        let fate = self
+            .receivers
+            .call(self.now, endpoint, forwarder, attempt.idempotency_key);
         if let Some(ran) = fate.ran {
-            self.oracle.took_effect(packet, duty, ran);
+            self.oracle.took_effect(message, submission, ran);
         }
         use opalpulley::Outcome as O;
         let outcome = match fate.says {
-            Says::Served | Says::ServedThenReset | Says::Endless => O::Delivered,
-            Says::Erred => O::Error,
-            Says::Full { wait } => O::Rejected { retry_after: wait },
-            Says::Crowded => O::Rejected { retry_after: None },
-            Says::Refused | Says::Cut => O::NoConnection,
-            Says::Reset | Says::Garbled | Says::FullCut { .. } => O::Reset,
-            Says::Silent => return,
+            ReceiverReply::Served | ReceiverReply::ServedThenReset | ReceiverReply::Endless => {
+                O::Delivered
+            }
+            ReceiverReply::Erred => O::Error,
+            ReceiverReply::TooManyRequests { wait } => O::Rejected { retry_after: wait },
+            ReceiverReply::Overloaded => O::Rejected { retry_after: None },
+            ReceiverReply::Refused | ReceiverReply::ClosedEarly => O::NoConnection,
+            ReceiverReply::Reset
+            | ReceiverReply::Garbled
+            | ReceiverReply::TooManyRequestsTruncated { .. } => O::Reset,
+            ReceiverReply::Silent => return,
         };
         let at = fate.at.max(self.now) + self.scenario.network.delay.0;
-        if let Says::FullCut { wait: Some(wait) } = fate.says {
-            self.arrange(at, Happening::Told { trip: number, wait });
+        if let ReceiverReply::TooManyRequestsTruncated { wait: Some(wait) } = fate.says {
+            self.schedule(
+                at,
+                SimulatedEvent::RetryAfterReceived {
+                    attempt: number,
+                    wait,
+                },
+            );
         }
-        self.arrange(
+        self.schedule(
             at,
-            Happening::Ends {
-                trip: number,
+            SimulatedEvent::AttemptEnds {
+                attempt: number,
                 outcome,
             },
         );
     }
 
     /// Takes an idle connection or opens one; gives what it costs in time and how late it comes up beside that, or none
-    /// where the target takes no more.
-    fn connect(&mut self, forwarder: u32, target: usize) -> Option<(Micros, Micros)> {
-        let group = &self.scenario.destinations[self.layout.targets[target].group];
-        let (now, idle_for) = (self.now, group.idle.0 - group.idle.0 / 10);
-        let c = &mut self.connections[target];
+    /// where the endpoint takes no more.
+    fn connect(&mut self, forwarder: u32, endpoint: usize) -> Option<(Micros, Micros)> {
+        let group = &self.scenario.destinations[self.layout.endpoints[endpoint].group];
+        let (now, idle_for) = (self.now, group.idle_timeout.0 - group.idle_timeout.0 / 10);
+        let c = &mut self.connections[endpoint];
         let mut kept = c.idle.get_mut(&forwarder).and_then(|idle| {
             idle.retain(|since| since + idle_for > now);
             idle.pop()
         });
-        if group.connections > 0 && kept.is_none() {
+        if group.max_connections > 0 && kept.is_none() {
             let open =
                 |c: &Connections| c.busy as usize + c.idle.values().map(Vec::len).sum::<usize>();
-            if open(c) >= group.connections as usize {
+            if open(c) >= group.max_connections as usize {
                 c.idle
                     .values_mut()
-                    .for_each(|idle| idle.retain(|since| since + group.idle.0 > now));
+                    .for_each(|idle| idle.retain(|since| since + group.idle_timeout.0 > now));
                 c.idle.retain(|_, idle| !idle.is_empty());
-                if open(c) >= group.connections as usize {
+                if open(c) >= group.max_connections as usize {
                     return None;
                 }
             }
@@ -505,7 +544,7 @@
             Some(_) => Some((0, 0)),
             None => {
                 self.tally.counts.handshakes += 1;
-                let late = self.scenario.network.late.as_ref();
+                let late = self.scenario.network.late_connections.as_ref();
                 let late = late.filter(|late| self.lateness.random_bool(late.share));
                 let late = late.map_or(0, |late| self.lateness.random_range(0..=late.most.0));
                 Some((2 * self.scenario.network.delay.0 + group.handshake.0, late))
@@ -513,32 +552,33 @@
         }
     }
 
-    /// The connection of a trip: idle again, or gone.
-    fn release(&mut self, forwarder: u32, target: usize, usable: bool) {
-        let c = &mut self.connections[target];
+    /// The connection of an attempt: idle again, or gone.
+    fn release(&mut self, forwarder: u32, endpoint: usize, usable: bool) {
+        let c = &mut self.connections[endpoint];
         c.busy = c.busy.saturating_sub(1);
         if usable {
             c.idle.entry(forwarder).or_default().push(self.now);
         }
     }
 
-    fn mark(&self, packet: u64, profile: u16) -> Option<u64> {
-        let marked = self.scenario.profiles[usize::from(profile)].effect == Effect::Fingerprinted;
-        marked.then_some(packet)
+    fn idempotency_key(&self, message: u64, class: u16) -> Option<u64> {
+        let marked = self.scenario.classes[usize::from(class)].semantics
+            == DeliverySemantics::IdempotencyKeyed;
+        marked.then_some(message)
     }
 
     fn count_outcome(&mut self, outcome: opalpulley::Outcome) {
         use opalpulley::Outcome as O;
         let (name, tick) = match outcome {
-            O::Delivered => ("delivered", Tick::Good),
-            O::Error => ("error", Tick::Failed),
-            O::Rejected { .. } => ("refused", Tick::Refused),
-            O::Timeout => ("time-out", Tick::Failed),
-            O::NoConnection => ("no-connection", Tick::Failed),
-            O::Reset => ("reset", Tick::Failed),
-            O::Cancelled => ("called-off", Tick::Failed),
-            O::WithdrawnBeforeSend => ("taken-back", Tick::Failed),
-            O::NotAttempted { .. } => ("moot", Tick::Failed),
+            O::Delivered => ("delivered", Tick::CallSucceeded),
+            O::Error => ("error", Tick::CallFailed),
+            O::Rejected { .. } => ("refused", Tick::CallRefused),
+            O::Timeout => ("time-out", Tick::CallFailed),
+            O::NoConnection => ("no-connection", Tick::CallFailed),
+            O::Reset => ("reset", Tick::CallFailed),
+            O::Cancelled => ("called-off", Tick::CallFailed),
+            O::WithdrawnBeforeSend => ("taken-back", Tick::CallFailed),
+            O::NotAttempted { .. } => ("moot", Tick::CallFailed),
         };
         self.tally.outcome(name);
         self.tally.tick(self.now, tick);
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -1,8 +1,8 @@
-//! Clients: they hand a packet in when it is due, come again after a deferral, and go elsewhere when a forwarder is not there.
+//! Clients: they hand a message in when it is due, come again after a rejection, and go elsewhere when a forwarder is not there.
 
-use super::{Happening, Packet, Sim};
+use super::{ClientMessage, Sim, SimulatedEvent};
 use crate::load::Due;
-use crate::oracle::{Final, Taking};
+use crate::oracle::{FinalAnswer, SubmissionRecord};
 use crate::tally::Tick;
 use opalpulley::{
     AttemptHistory, DeliveryClassId, DestinationId, MessageId, Micros, OrderKey, Submission,
@@ -10,166 +10,175 @@
 };
 use rand::Rng;
 
-const ELSEWHERE: Micros = 50_000; // after a connection that was refused
-const SILENT: Micros = 400_000; // a client waits so long for the answer to its request
-const COME_BACK: Micros = 1_000_000; // where no time was told
-const TRIES: u32 = 20; // of a client that finds no forwarder
+const OTHER_FORWARDER_DELAY: Micros = 50_000; // after a connection that was refused
+const ANSWER_TIMEOUT: Micros = 400_000; // a client waits so long for the answer to its request
+const DEFAULT_RETRY_AFTER: Micros = 1_000_000; // where no time was told
+const MAX_TRIES: u32 = 20; // of a client that finds no forwarder
 
 /// No tenant: the core finds no share for it.
 const NO_TENANT: TenantId = TenantId(u32::MAX);
 
-/// What becomes of a hand-in at once.
-pub(super) enum Answered {
-    Taken,
-    Deferred(Option<Micros>),
-    WrittenOff,
+/// What becomes of a submission at once.
+pub(super) enum SubmissionAnswer {
+    Accepted,
+    Rejected(Option<Micros>),
+    Failed,
 }
 
 impl Sim {
-    pub(super) fn packet_due(&mut self, due: Due) {
-        let packet = self.next_packet;
-        self.next_packet += 1;
-        self.tally.due(self.now, due.profile);
+    pub(super) fn message_due(&mut self, due: Due) {
+        let message = self.next_message;
+        self.next_message += 1;
+        self.tally.due(self.now, due.class);
         let expires = self.now + due.left;
-        self.packets.insert(
-            packet,
-            Packet {
+        self.messages.insert(
+            message,
+            ClientMessage {
                 expires,
-                returns: due.returns,
-                again: false,
+                resubmissions: due.resubmissions,
+                resubmitted: false,
                 tries: 0,
                 due,
             },
         );
-        self.hand_in(packet);
+        self.submit(message);
     }
 
-    pub(super) fn hand_in(&mut self, number: u64) {
-        let Some(packet) = self.packets.get_mut(&number) else {
+    pub(super) fn submit(&mut self, number: u64) {
+        let Some(message) = self.messages.get_mut(&number) else {
             return;
         };
-        if self.now >= packet.expires {
+        if self.now >= message.expires {
             return self.given_up(number);
         }
-        let forwarder = self.clients.random_range(0..self.stations.len());
-        let station = &self.stations[forwarder];
-        if !station.up() || station.paused {
-            packet.tries += 1;
+        let forwarder = self.clients.random_range(0..self.processes.len());
+        let process = &self.processes[forwarder];
+        if !process.up() || process.paused {
+            message.tries += 1;
             let (tries, after) = (
-                packet.tries,
-                if station.paused { SILENT } else { ELSEWHERE },
+                message.tries,
+                if process.paused {
+                    ANSWER_TIMEOUT
+                } else {
+                    OTHER_FORWARDER_DELAY
+                },
             );
             self.tally.counts.turned_away += 1;
-            return match tries < TRIES {
-                true => self.arrange(self.now + after, Happening::HandIn { packet: number }),
+            return match tries < MAX_TRIES {
+                true => self.schedule(self.now + after, SimulatedEvent::Submit { message: number }),
                 false => self.given_up(number),
             };
         }
-        self.tally.counts.hand_ins += 1;
-        if station.open.len() >= self.scenario.forwarders.room as usize {
+        self.tally.counts.submissions += 1;
+        if process.open.len() >= self.scenario.forwarders.message_capacity as usize {
             self.tally.counts.turned_away += 1;
-            return self.come_again(number, None);
+            return self.schedule_resubmission(number, None);
         }
-        let duty = self.next_duty;
-        self.next_duty += 1;
-        let packet = &self.packets[&number];
-        let left = packet.expires - self.now;
-        let in_order = self.scenario.profiles[usize::from(packet.due.profile)].in_order;
-        let key = in_order.then_some(packet.due.key);
-        let taking = Taking {
-            duty,
-            packet: number,
+        let submission = self.next_submission;
+        self.next_submission += 1;
+        let message = &self.messages[&number];
+        let left = message.expires - self.now;
+        let ordered = self.scenario.classes[usize::from(message.due.class)].ordered;
+        let key = ordered.then_some(message.due.key);
+        let record = SubmissionRecord {
+            submission,
+            message: number,
             forwarder: forwarder as u32,
-            expires: packet.expires,
-            profile: packet.due.profile,
-            destination: packet.due.destination,
+            expires: message.expires,
+            class: message.due.class,
+            destination: message.due.destination,
             key,
         };
         let arrival = Submission {
             id: MessageId(0),
-            class: DeliveryClassId(packet.due.profile),
-            tenant: packet.due.tenant.map_or(NO_TENANT, TenantId),
+            class: DeliveryClassId(message.due.class),
+            tenant: message.due.tenant.map_or(NO_TENANT, TenantId),
             key: key.map(|k| OrderKey(k + 1)),
             time_left: left,
-            destination: DestinationId(packet.due.destination),
-            resubmitted: packet.again,
+            destination: DestinationId(message.due.destination),
+            resubmitted: message.resubmitted,
             history: AttemptHistory::default(),
         };
-        let expires = packet.expires;
-        self.oracle.handed_in(taking);
-        match self.take_on(forwarder as u32, number, duty, expires, arrival) {
-            Answered::Taken => self.oracle.taken(duty),
-            Answered::Deferred(come_back) => {
-                self.oracle.refused(duty, self.now);
-                self.tally.counts.deferrals += 1;
-                self.come_again(number, come_back);
+        let expires = message.expires;
+        self.oracle.submitted(record);
+        match self.accept_submission(forwarder as u32, number, submission, expires, arrival) {
+            SubmissionAnswer::Accepted => self.oracle.accepted(submission),
+            SubmissionAnswer::Rejected(retry_after) => {
+                self.oracle.refused(submission, self.now);
+                self.tally.counts.rejections += 1;
+                self.schedule_resubmission(number, retry_after);
             }
-            Answered::WrittenOff => {
-                self.oracle.refused(duty, self.now);
-                self.written_off(number);
+            SubmissionAnswer::Failed => {
+                self.oracle.refused(submission, self.now);
+                self.fail_message(number);
             }
         }
     }
 
     /// The client was asked to come back later.
-    pub(super) fn come_again(&mut self, number: u64, come_back: Option<Micros>) {
-        self.tally.tick(self.now, Tick::Deferred);
-        let Some(packet) = self.packets.get_mut(&number) else {
+    pub(super) fn schedule_resubmission(&mut self, number: u64, retry_after: Option<Micros>) {
+        self.tally.tick(self.now, Tick::Rejected);
+        let Some(message) = self.messages.get_mut(&number) else {
             return;
         };
-        let wait = come_back.unwrap_or(COME_BACK);
-        if packet.returns == 0 || self.now + wait >= packet.expires {
+        let wait = retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
+        if message.resubmissions == 0 || self.now + wait >= message.expires {
             return self.given_up(number);
         }
-        packet.returns -= 1;
-        packet.again = true;
+        message.resubmissions -= 1;
+        message.resubmitted = true;
         // By chance a tenth longer: clients do not all keep the same time.
         let at = self.now + wait + (wait as f64 * 0.1 * self.clients.random::<f64>()) as Micros;
-        self.arrange(at, Happening::HandIn { packet: number });
+        self.schedule(at, SimulatedEvent::Submit { message: number });
     }
 
     fn given_up(&mut self, number: u64) {
-        if self.packets.remove(&number).is_some() {
+        if self.messages.remove(&number).is_some() {
             self.tally.counts.given_up += 1;
         }
     }
 
-    pub(super) fn written_off(&mut self, number: u64) {
-        if self.packets.remove(&number).is_some() {
+    pub(super) fn fail_message(&mut self, number: u64) {
+        if self.messages.remove(&number).is_some() {
             self.tally.counts.written_off += 1;
-            self.tally.tick(self.now, Tick::WrittenOff);
+            self.tally.tick(self.now, Tick::MessageFailed);
         }
     }
 
-    /// A final answer that came after the packet was taken on.
+    /// A final answer that came after the message was accepted.
     pub(super) fn final_answer(
         &mut self,
         number: u64,
-        duty: u64,
-        end: Final,
-        come_back: Option<Micros>,
-        trip: u32,
+        submission: u64,
+        end: FinalAnswer,
+        retry_after: Option<Micros>,
+        attempt: u32,
     ) {
-        self.oracle.ended(duty, end, self.now);
+        self.oracle.ended(submission, end, self.now);
         match end {
-            Final::Served => {
-                let Some(packet) = self.packets.remove(&number) else {
+            FinalAnswer::Served => {
+                let Some(message) = self.messages.remove(&number) else {
                     return;
                 };
-                match self.now <= packet.expires {
+                match self.now <= message.expires {
                     true => {
-                        let took = self.now - packet.due.at;
-                        self.tally
-                            .served(self.now, took, packet.due.profile, trip, packet.again);
+                        let took = self.now - message.due.at;
+                        self.tally.served(
+                            self.now,
+                            took,
+                            message.due.class,
+                            attempt,
+                            message.resubmitted,
+                        );
                     }
                     false => self.tally.counts.written_off += 1,
                 }
             }
-            Final::Deferred => {
-                self.tally.counts.deferrals += 1;
-                self.come_again(number, come_back);
+            FinalAnswer::Rejected => {
+                self.tally.counts.rejections += 1;
+                self.schedule_resubmission(number, retry_after);
             }
-            Final::WrittenOff => self.written_off(number),
+            FinalAnswer::Failed => self.fail_message(number),
         }
     }
 }
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -1,21 +1,21 @@
 //! The clock of sockets: the same world on loopback and in real time, round one or several real forwarder processes.
 //!
-//! `Stage` holds what all stand-ins share; it is locked for a moment at a time and never over a wait. Packets leave it with
+//! `Stage` holds what all stand-ins share; it is locked for a moment at a time and never over a wait. Messages leave it with
 //! their end.
 
 pub mod agents;
 pub mod clients;
+pub mod endpoints;
 mod error;
 pub mod processes;
 pub mod run;
-pub mod targets;
 pub(crate) mod wire;
 
 pub use error::SocketsError;
 
-use crate::oracle::{Final, Oracle};
+use crate::oracle::{FinalAnswer, Oracle};
 use crate::receivers::Receivers;
-use crate::scenario::{Effect, Scenario};
+use crate::scenario::{DeliverySemantics, Scenario};
 use crate::tally::{Tally, Tick};
 use crate::world::Layout;
 use hdrhistogram::Histogram;
@@ -31,33 +31,33 @@
 /// A run is void where load tool or receivers were later than that at their 99th percentile.
 pub const MOST_LATE: Micros = 25_000;
 
-/// A packet as its client knows it.
-pub(crate) struct Packet {
+/// A message as its client knows it.
+pub(crate) struct ClientMessage {
     pub due: crate::load::Due,
     pub expires: Micros,
-    pub returns: u32,
-    pub again: bool,
+    pub resubmissions: u32,
+    pub resubmitted: bool,
     /// A forwarder had it that died, or did not answer.
-    pub orphan: bool,
+    pub forwarder_lost: bool,
     pub tries: u32,
 }
 
 /// What the clients' task is told.
 #[derive(Debug)]
-pub(crate) enum Again {
-    HandIn { packet: u64, at: Micros },
+pub(crate) enum Resubmission {
+    Submit { message: u64, at: Micros },
 }
 
 pub(crate) struct State {
     pub receivers: Receivers,
     pub oracle: Oracle,
     pub tally: Tally,
-    pub packets: HashMap<u64, Packet>,
-    pub next_duty: u64,
-    pub next_packet: u64,
+    pub messages: HashMap<u64, ClientMessage>,
+    pub next_submission: u64,
+    pub next_message: u64,
     pub load_late: Histogram<u64>,
     pub receivers_late: Histogram<u64>,
-    pub effects: Vec<Effect>,
+    pub effects: Vec<DeliverySemantics>,
 }
 
 /// What all stand-ins share.
@@ -66,9 +66,9 @@
     pub layout: Layout,
     started: Instant,
     state: Mutex<State>,
-    /// Falls each time that a target may have begun or ceased to refuse connections.
+    /// Falls each time that an endpoint may have begun or ceased to refuse connections.
     pub(crate) changed: watch::Sender<u64>,
-    pub(crate) again: mpsc::UnboundedSender<Again>,
+    pub(crate) resubmissions: mpsc::UnboundedSender<Resubmission>,
     /// Nobody judges: the stand-ins serve a person, who may hand in what the laboratory does not know.
     pub(crate) alone: bool,
 }
@@ -78,9 +78,9 @@
         scenario: &Scenario,
         seed: u64,
         alone: bool,
-    ) -> (Arc<Stage>, mpsc::UnboundedReceiver<Again>) {
+    ) -> (Arc<Stage>, mpsc::UnboundedReceiver<Resubmission>) {
         let layout = Layout::new(scenario);
-        let (again, agains) = mpsc::unbounded_channel();
+        let (sender, resubmissions) = mpsc::unbounded_channel();
         let late = || {
             Histogram::new_with_bounds(1, 3_600_000_000, 2)
                 .unwrap_or_else(|_| unreachable!("fixed bounds"))
@@ -89,12 +89,12 @@
             receivers: Receivers::new(scenario, &layout, seed),
             oracle: Oracle::new(scenario, SLACK).for_sockets(),
             tally: Tally::new(scenario),
-            packets: HashMap::new(),
-            next_duty: 0,
-            next_packet: 0,
+            messages: HashMap::new(),
+            next_submission: 0,
+            next_message: 0,
             load_late: late(),
             receivers_late: late(),
-            effects: scenario.profiles.iter().map(|p| p.effect).collect(),
+            effects: scenario.classes.iter().map(|p| p.semantics).collect(),
         };
         let stage = Stage {
             scenario: scenario.clone(),
@@ -102,10 +102,10 @@
             started: Instant::now(),
             state: Mutex::new(state),
             changed: watch::Sender::new(0),
-            again,
+            resubmissions: sender,
             alone,
         };
-        (Arc::new(stage), agains)
+        (Arc::new(stage), resubmissions)
     }
 
     /// µs since the stage was set.
@@ -124,71 +124,74 @@
 }
 
 impl State {
-    /// A final answer to a duty, seen now.
+    /// A final answer to a submission, seen now.
     pub(crate) fn ended(
         &mut self,
         stage: &Stage,
-        duty: u64,
-        end: Final,
-        come_back: Option<Micros>,
-        trip: u32,
+        submission: u64,
+        end: FinalAnswer,
+        retry_after: Option<Micros>,
+        attempt: u32,
         now: Micros,
     ) {
-        let packet = self.oracle.taking(duty).map(|t| t.packet);
-        self.oracle.ended(duty, end, now);
-        let Some(number) = packet else { return };
+        let message = self.oracle.record(submission).map(|t| t.message);
+        self.oracle.ended(submission, end, now);
+        let Some(number) = message else { return };
         match end {
-            Final::Served => {
-                let Some(packet) = self.packets.remove(&number) else {
+            FinalAnswer::Served => {
+                let Some(message) = self.messages.remove(&number) else {
                     return;
                 };
-                match now <= packet.expires + SLACK {
+                match now <= message.expires + SLACK {
                     true => self.tally.served(
                         now,
-                        now - packet.due.at,
-                        packet.due.profile,
-                        trip,
-                        packet.again,
+                        now - message.due.at,
+                        message.due.class,
+                        attempt,
+                        message.resubmitted,
                     ),
                     false => self.tally.counts.written_off += 1,
                 }
             }
-            Final::Deferred => {
-                self.tally.counts.deferrals += 1;
-                self.come_again(stage, number, come_back, now);
+            FinalAnswer::Rejected => {
+                self.tally.counts.rejections += 1;
+                self.schedule_resubmission(stage, number, retry_after, now);
             }
-            Final::WrittenOff => {
-                if self.packets.remove(&number).is_some() {
+            FinalAnswer::Failed => {
+                if self.messages.remove(&number).is_some() {
                     self.tally.counts.written_off += 1;
-                    self.tally.tick(now, Tick::WrittenOff);
+                    self.tally.tick(now, Tick::MessageFailed);
                 }
             }
         }
     }
 
     /// The client was asked to come back later.
-    pub(crate) fn come_again(
+    pub(crate) fn schedule_resubmission(
         &mut self,
         stage: &Stage,
         number: u64,
-        come_back: Option<Micros>,
+        retry_after: Option<Micros>,
         now: Micros,
     ) {
-        self.tally.tick(now, Tick::Deferred);
-        let Some(packet) = self.packets.get_mut(&number) else {
+        self.tally.tick(now, Tick::Rejected);
+        let Some(message) = self.messages.get_mut(&number) else {
             return;
         };
-        let at = now + come_back.unwrap_or(1_000_000);
-        if packet.returns == 0 || at >= packet.expires {
+        let at = now + retry_after.unwrap_or(1_000_000);
+        if message.resubmissions == 0 || at >= message.expires {
             return self.given_up(number);
         }
-        packet.returns -= 1;
-        packet.again = true;
-        let _ = stage.again.send(Again::HandIn { packet: number, at });
+        message.resubmissions -= 1;
+        message.resubmitted = true;
+        let _ = stage.resubmissions.send(Resubmission::Submit {
+            message: number,
+            at,
+        });
     }
 
     pub(crate) fn given_up(&mut self, number: u64) {
-        if self.packets.remove(&number).is_some() {
+        if self.messages.remove(&number).is_some() {
             self.tally.counts.given_up += 1;
         }
     }
--- a/crates/lab/src/sockets/agents.rs
+++ b/crates/lab/src/sockets/agents.rs
@@ -1,9 +1,9 @@
 //! The platform as a forwarder sees it: an agent for each, which tells the list and hears of ends.
 
-use super::targets::Standin;
-use super::wire::{Conn, Message, Port};
+use super::endpoints::StandIn;
+use super::wire::{Conn, HttpMessage, Port};
 use super::Stage;
-use crate::oracle::Final;
+use crate::oracle::FinalAnswer;
 use opalpulley::Micros;
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -26,13 +26,13 @@
     Gone,
 }
 
-pub type Entry = (usize, u32, Phase);
+pub type ListChange = (usize, u32, Phase);
 
 #[derive(Default)]
-struct Told {
+struct ListState {
     revision: u64,
     members: BTreeMap<(usize, u32), Phase>,
-    changes: Vec<(u64, Vec<Entry>)>,
+    changes: Vec<(u64, Vec<ListChange>)>,
     /// The revision from which on changes alone tell everything.
     whole_from: u64,
 }
@@ -55,9 +55,9 @@
 pub struct Agent {
     pub address: SocketAddr,
     forwarder: u32,
-    told: Mutex<Told>,
-    news: watch::Sender<u64>,
-    standins: Vec<Arc<Standin>>,
+    told: Mutex<ListState>,
+    list_revision: watch::Sender<u64>,
+    stand_ins: Vec<Arc<StandIn>>,
 }
 
 #[derive(Deserialize)]
@@ -72,15 +72,15 @@
     pub async fn start(
         stage: &Arc<Stage>,
         forwarder: u32,
-        standins: &[Arc<Standin>],
+        stand_ins: &[Arc<StandIn>],
         port: u16,
     ) -> io::Result<Arc<Agent>> {
         let port = Port::hold(port)?;
         let listener = port.listen()?;
-        let members = (0..standins.len())
-            .map(|t| ((t, standins[t].holder()), Phase::Ready))
+        let members = (0..stand_ins.len())
+            .map(|t| ((t, stand_ins[t].holder()), Phase::Ready))
             .collect();
-        let told = Told {
+        let told = ListState {
             revision: 1,
             members,
             changes: Vec::new(),
@@ -90,8 +90,8 @@
             address: port.address,
             forwarder,
             told: Mutex::new(told),
-            news: watch::Sender::new(1),
-            standins: standins.to_vec(),
+            list_revision: watch::Sender::new(1),
+            stand_ins: stand_ins.to_vec(),
         });
         let (stage, this) = (stage.clone(), agent.clone());
         tokio::spawn(async move {
@@ -110,18 +110,18 @@
         Ok(agent)
     }
 
-    fn told(&self) -> MutexGuard<'_, Told> {
+    fn told(&self) -> MutexGuard<'_, ListState> {
         self.told.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Changes that discovery has sent it.
-    pub fn hears(&self, entries: &[Entry]) {
+    pub fn apply_changes(&self, entries: &[ListChange]) {
         let mut told = self.told();
         told.revision += 1;
-        for (target, holder, phase) in entries {
+        for (endpoint, holder, phase) in entries {
             match phase {
-                Phase::Gone => _ = told.members.remove(&(*target, *holder)),
-                phase => _ = told.members.insert((*target, *holder), *phase),
+                Phase::Gone => _ = told.members.remove(&(*endpoint, *holder)),
+                phase => _ = told.members.insert((*endpoint, *holder), *phase),
             }
         }
         let revision = told.revision;
@@ -130,29 +130,29 @@
             let (old, _) = told.changes.remove(0);
             told.whole_from = old;
         }
-        self.news.send_replace(revision);
+        self.list_revision.send_replace(revision);
     }
 
     /// The whole list anew.
-    pub fn hears_whole(&self, members: BTreeMap<(usize, u32), Phase>) {
+    pub fn replace_list(&self, members: BTreeMap<(usize, u32), Phase>) {
         let mut told = self.told();
         told.revision += 1;
         told.whole_from = told.revision;
         told.members = members;
         told.changes.clear();
-        self.news.send_replace(told.revision);
+        self.list_revision.send_replace(told.revision);
     }
 
-    fn member(&self, stage: &Stage, (target, holder, phase): Entry) -> Value {
-        let spot = stage.layout.targets[target];
+    fn member(&self, stage: &Stage, (endpoint, holder, phase): ListChange) -> Value {
+        let spot = stage.layout.endpoints[endpoint];
         let group = &stage.scenario.destinations[spot.group];
         let zone = ["a", "b"][usize::from(spot.zone % 2)];
-        let kind = if group.routes_apart {
+        let kind = if group.independent_limits {
             "apart"
         } else {
             "shared"
         };
-        json!({"id": format!("t{target}-{holder}"), "host_port": self.standins[target].address.to_string(),
+        json!({"id": format!("t{endpoint}-{holder}"), "host_port": self.stand_ins[endpoint].address.to_string(),
             "locality": zone, "flavor": kind,
             "cell": spot.destination, "phase": format!("{phase:?}"), "size": group.rate, "up_since_ms": 0})
     }
@@ -162,7 +162,7 @@
         let told = self.told();
         let complete = from.is_none_or(|r| r < told.whole_from);
         let since = from.unwrap_or(0);
-        let entries: Vec<Entry> = match complete {
+        let entries: Vec<ListChange> = match complete {
             true => told
                 .members
                 .iter()
@@ -182,20 +182,31 @@
         let now = stage.now();
         let mut state = stage.lock();
         if complete && from.is_some() {
-            for (target, standin) in self.standins.iter().enumerate() {
-                for holder in 0..=standin.holder() {
-                    if !entries.iter().any(|(t, h, _)| (*t, *h) == (target, holder)) {
-                        state
-                            .oracle
-                            .told_standing(self.forwarder, target, holder, false, now);
+            for (endpoint, stand_in) in self.stand_ins.iter().enumerate() {
+                for holder in 0..=stand_in.holder() {
+                    if !entries
+                        .iter()
+                        .any(|(t, h, _)| (*t, *h) == (endpoint, holder))
+                    {
+                        state.oracle.endpoint_status_notified(
+                            self.forwarder,
+                            endpoint,
+                            holder,
+                            false,
+                            now,
+                        );
                     }
                 }
             }
         }
-        for (target, holder, phase) in entries {
-            state
-                .oracle
-                .told_standing(self.forwarder, target, holder, phase == Phase::Ready, now);
+        for (endpoint, holder, phase) in entries {
+            state.oracle.endpoint_status_notified(
+                self.forwarder,
+                endpoint,
+                holder,
+                phase == Phase::Ready,
+                now,
+            );
         }
         text
     }
@@ -204,7 +215,7 @@
         &self,
         stage: &Arc<Stage>,
         conn: &mut Conn,
-        request: Message,
+        request: HttpMessage,
     ) -> io::Result<()> {
         if request.method == "POST" && request.path == "/v1/outcomes" {
             return match self.completion_reports(stage, &request.body) {
@@ -228,8 +239,8 @@
         let from = value("index=");
         if let Some(from) = from {
             let wait = Duration::from_millis(value("wait=").unwrap_or(0).min(LONGEST_WATCH));
-            let mut news = self.news.subscribe();
-            let _ = tokio::time::timeout(wait, news.wait_for(|r| *r > from)).await;
+            let mut list_revision = self.list_revision.subscribe();
+            let _ = tokio::time::timeout(wait, list_revision.wait_for(|r| *r > from)).await;
             // else: nothing to tell
         }
         let text = self.list(stage, from);
@@ -243,7 +254,7 @@
             .collect::<Result<_, _>>()?;
         let now = stage.now();
         for completion_report in completion_reports {
-            let duty = completion_report
+            let submission = completion_report
                 .id
                 .strip_prefix('p')
                 .and_then(|n| n.parse::<u64>().ok());
@@ -254,26 +265,26 @@
                 );
                 continue;
             }
-            let Some(duty) = duty else {
+            let Some(submission) = submission else {
                 return Err(BadReport::UnknownMessage {
                     id: completion_report.id,
                 });
             };
             let end = match completion_report.status.as_str() {
-                "undeliverable" => Final::WrittenOff,
-                "deferred" => Final::Deferred,
+                "undeliverable" => FinalAnswer::Failed,
+                "deferred" => FinalAnswer::Rejected,
                 other => {
                     return Err(BadReport::UnknownStatus {
                         status: other.to_owned(),
                     })
                 }
             };
-            let come_back: Option<Micros> =
+            let retry_after: Option<Micros> =
                 completion_report.again_ms.map(|ms| (ms * 1e3) as Micros);
             let mut state = stage.lock();
-            // A notice for a packet that is over does no harm if it is the same again: it was not heard the first time.
-            if !state.oracle.heard_before(duty, end) {
-                state.ended(stage, duty, end, come_back, 0, now);
+            // A notice for a message that is over does no harm if it is the same again: it was not heard the first time.
+            if !state.oracle.already_reported(submission, end) {
+                state.ended(stage, submission, end, retry_after, 0, now);
             }
         }
         Ok(())
--- a/crates/lab/src/sockets/clients.rs
+++ b/crates/lab/src/sockets/clients.rs
@@ -1,11 +1,11 @@
-//! The load tool: an open loop of clients on kept connections. A packet goes out when it is due, whatever became of those
+//! The load tool: an open loop of clients on kept connections. A message goes out when it is due, whatever became of those
 //! before; how late that was is part of the result.
 
-use super::wire::{Conn, Message};
-use super::{Again, Packet, Stage};
+use super::wire::{Conn, HttpMessage};
+use super::{ClientMessage, Resubmission, Stage};
 use crate::load::{Due, Loads};
-use crate::oracle::Taking;
-use crate::scenario::Effect;
+use crate::oracle::SubmissionRecord;
+use crate::scenario::DeliverySemantics;
 use crate::tally::Tick;
 use opalpulley::Micros;
 use std::cmp::Reverse;
@@ -21,21 +21,21 @@
 
 const ANSWER: Duration = Duration::from_millis(400); // a client waits so long for its answer
 const ELSEWHERE: Micros = 50_000; // µs after a connection that was refused
-const TRIES: u32 = 20; // of a client that finds no forwarder
+const MAX_TRIES: u32 = 20; // of a client that finds no forwarder
 const KEPT: usize = 512; // connections that clients keep to a forwarder at most
-const AT_ONCE: usize = 32; // packets that go out before others get a turn
+const AT_ONCE: usize = 32; // messages that go out before others get a turn
 
 /// The door of one forwarder, and the connections that clients keep to it.
-pub struct Door {
+pub struct ForwarderClient {
     address: SocketAddr,
     /// Clients go there.
     pub open: AtomicBool,
     idle: Mutex<Vec<Conn>>,
 }
 
-impl Door {
-    pub fn new(address: SocketAddr) -> Arc<Door> {
-        Arc::new(Door {
+impl ForwarderClient {
+    pub fn new(address: SocketAddr) -> Arc<ForwarderClient> {
+        Arc::new(ForwarderClient {
             address,
             open: AtomicBool::new(true),
             idle: Mutex::new(Vec::new()),
@@ -57,7 +57,7 @@
     }
 
     /// One exchange; a kept connection that was closed meanwhile is replaced once.
-    async fn exchange(&self, request: &[u8]) -> io::Result<Message> {
+    async fn exchange(&self, request: &[u8]) -> io::Result<HttpMessage> {
         if let Some(mut conn) = self.take() {
             let written = conn.write(request).await;
             if written.is_ok() {
@@ -81,7 +81,7 @@
         Ok(self.done(conn, answer))
     }
 
-    fn done(&self, conn: Conn, answer: Message) -> Message {
+    fn done(&self, conn: Conn, answer: HttpMessage) -> HttpMessage {
         if answer.header("connection") != Some("close") {
             self.give_back(conn);
         }
@@ -89,19 +89,19 @@
     }
 }
 
-/// The load tool's own thread: hand-ins under way can't keep it from the next packet's time. Dropped, it stops.
-pub(crate) struct Pacer {
+/// The load tool's own thread: submissions under way can't keep it from the next message's time. Dropped, it stops.
+pub(crate) struct LoadThread {
     _stop: oneshot::Sender<()>,
 }
 
 /// Starts it. What it hands in goes on in the runtime that this is called from.
 pub(crate) fn start(
     stage: Arc<Stage>,
-    doors: Vec<Arc<Door>>,
+    clients: Vec<Arc<ForwarderClient>>,
     loads: Loads,
-    agains: mpsc::UnboundedReceiver<Again>,
+    resubmissions: mpsc::UnboundedReceiver<Resubmission>,
     begin: Micros,
-) -> io::Result<Pacer> {
+) -> io::Result<LoadThread> {
     let (stop, stopped) = oneshot::channel::<()>();
     let others = Handle::current();
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -112,33 +112,33 @@
         .spawn(move || {
             runtime.block_on(async {
                 tokio::select! {
-                    () = run(stage, doors.into(), loads, agains, begin, others) => {}
+                    () = run(stage, clients.into(), loads, resubmissions, begin, others) => {}
                     _ = stopped => {}
                 }
             });
         })?;
-    Ok(Pacer { _stop: stop })
+    Ok(LoadThread { _stop: stop })
 }
 
-/// Hands everything in when it is due, and again what was deferred.
+/// Hands everything in when it is due, and again what was rejected.
 async fn run(
     stage: Arc<Stage>,
-    doors: Arc<[Arc<Door>]>,
+    clients: Arc<[Arc<ForwarderClient>]>,
     mut loads: Loads,
-    mut agains: mpsc::UnboundedReceiver<Again>,
+    mut resubmissions: mpsc::UnboundedReceiver<Resubmission>,
     begin: Micros,
     others: Handle,
 ) {
-    let mut handed = 0;
-    let next_door = Arc::new(AtomicUsize::new(0));
+    let mut submitted_count = 0;
+    let next_client = Arc::new(AtomicUsize::new(0));
     let mut next = loads.next();
     let mut later: BinaryHeap<Reverse<(Micros, u64)>> = BinaryHeap::new();
     loop {
         let due = next.as_ref().map(|d| d.at + begin);
         let retry = later.peek().map(|r| r.0 .0);
         let Some(at) = due.into_iter().chain(retry).min() else {
-            match agains.recv().await {
-                Some(Again::HandIn { packet, at }) => later.push(Reverse((at, packet))),
+            match resubmissions.recv().await {
+                Some(Resubmission::Submit { message, at }) => later.push(Reverse((at, message))),
                 None => return,
             }
             continue;
@@ -146,7 +146,7 @@
         if at > stage.now() {
             tokio::select! {
                 () = tokio::time::sleep_until(stage.at(at)) => {}
-                Some(Again::HandIn { packet, at }) = agains.recv() => later.push(Reverse((at, packet))),
+                Some(Resubmission::Submit { message, at }) = resubmissions.recv() => later.push(Reverse((at, message))),
             }
             continue;
         }
@@ -156,41 +156,41 @@
             next.take().map(|mut due| {
                 next = loads.next();
                 due.at += begin;
-                packet_due(&stage, due)
+                message_due(&stage, due)
             })
         };
         if let Some(number) = number {
-            others.spawn(hand_in(
+            others.spawn(submit(
                 stage.clone(),
-                doors.clone(),
-                next_door.clone(),
+                clients.clone(),
+                next_client.clone(),
                 number,
             ));
         }
-        handed += 1;
-        if handed % AT_ONCE == 0 {
+        submitted_count += 1;
+        if submitted_count % AT_ONCE == 0 {
             tokio::task::yield_now().await;
         }
     }
 }
 
-fn packet_due(stage: &Stage, due: Due) -> u64 {
+fn message_due(stage: &Stage, due: Due) -> u64 {
     let now = stage.now();
     let mut state = stage.lock();
-    let number = state.next_packet;
-    state.next_packet += 1;
-    state.tally.due(due.at, due.profile);
+    let number = state.next_message;
+    state.next_message += 1;
+    state.tally.due(due.at, due.class);
     state
         .load_late
         .saturating_record(now.saturating_sub(due.at).max(1));
-    let (expires, returns) = (due.at + due.left, due.returns);
-    state.packets.insert(
+    let (expires, resubmissions) = (due.at + due.left, due.resubmissions);
+    state.messages.insert(
         number,
-        Packet {
+        ClientMessage {
             expires,
-            returns,
-            again: false,
-            orphan: false,
+            resubmissions,
+            resubmitted: false,
+            forwarder_lost: false,
             tries: 0,
             due,
         },
@@ -198,102 +198,102 @@
     number
 }
 
-async fn hand_in(
+async fn submit(
     stage: Arc<Stage>,
-    doors: Arc<[Arc<Door>]>,
-    next_door: Arc<AtomicUsize>,
+    clients: Arc<[Arc<ForwarderClient>]>,
+    next_client: Arc<AtomicUsize>,
     number: u64,
 ) {
     let now = stage.now();
     // In turn, past those that are known to be down.
-    let first = next_door.fetch_add(1, Ordering::Relaxed);
-    let door = (0..doors.len())
-        .map(|n| (first + n) % doors.len())
-        .find(|d| doors[*d].open.load(Ordering::Relaxed));
-    let forwarder = door.unwrap_or(first % doors.len());
-    let (duty, request) = {
+    let first = next_client.fetch_add(1, Ordering::Relaxed);
+    let client = (0..clients.len())
+        .map(|n| (first + n) % clients.len())
+        .find(|d| clients[*d].open.load(Ordering::Relaxed));
+    let forwarder = client.unwrap_or(first % clients.len());
+    let (submission, request) = {
         let mut state = stage.lock();
-        let Some(packet) = state.packets.get_mut(&number) else {
+        let Some(message) = state.messages.get_mut(&number) else {
             return;
         };
-        if now + 1_000 >= packet.expires {
+        if now + 1_000 >= message.expires {
             return state.given_up(number);
         }
-        packet.tries += 1;
-        let (due, expires, again, orphan) = (
-            packet.due.clone(),
-            packet.expires,
-            packet.again,
-            packet.orphan,
+        message.tries += 1;
+        let (due, expires, resubmitted, forwarder_lost) = (
+            message.due.clone(),
+            message.expires,
+            message.resubmitted,
+            message.forwarder_lost,
         );
-        let duty = state.next_duty;
-        state.next_duty += 1;
-        state.tally.counts.hand_ins += 1;
+        let submission = state.next_submission;
+        state.next_submission += 1;
+        state.tally.counts.submissions += 1;
         // Where nobody judges, nothing is kept for the judge.
-        let judged = |taking| if stage.alone { None } else { Some(taking) };
-        let taking = judged(Taking {
-            duty,
-            packet: number,
+        let judged = |record| if stage.alone { None } else { Some(record) };
+        let record = judged(SubmissionRecord {
+            submission,
+            message: number,
             forwarder: forwarder as u32,
             expires,
-            profile: due.profile,
+            class: due.class,
             destination: due.destination,
             key: None,
         });
-        taking.into_iter().for_each(|t| state.oracle.handed_in(t));
+        record.into_iter().for_each(|t| state.oracle.submitted(t));
         (
-            duty,
+            submission,
             head(
                 &stage,
                 &due,
                 number,
-                duty,
+                submission,
                 (expires - now) / 1000,
-                again,
-                orphan,
+                resubmitted,
+                forwarder_lost,
             ),
         )
     };
-    let answer = tokio::time::timeout(ANSWER, doors[forwarder].exchange(&request)).await;
+    let answer = tokio::time::timeout(ANSWER, clients[forwarder].exchange(&request)).await;
     let now = stage.now();
     let mut state = stage.lock();
     match answer {
         Ok(Ok(answer)) if matches!(answer.status, 200 | 202) => {
-            state.oracle.taken(duty);
+            state.oracle.accepted(submission);
             if stage.alone {
-                state.packets.remove(&number); // what becomes of it is not seen from here
+                state.messages.remove(&number); // what becomes of it is not seen from here
             }
             state.tally.outcome("hand-in: taken");
         }
         Ok(Ok(answer)) if matches!(answer.status, 429 | 503) => {
-            state.oracle.refused(duty, now);
-            state.tally.counts.deferrals += 1;
+            state.oracle.refused(submission, now);
+            state.tally.counts.rejections += 1;
             let after: Option<f64> = answer.header("retry-after").and_then(|v| v.parse().ok());
             if after.is_none() {
                 state.tally.counts.turned_away += 1;
             }
-            state.come_again(&stage, number, after.map(|s| (s * 1e6) as Micros), now);
+            state.schedule_resubmission(&stage, number, after.map(|s| (s * 1e6) as Micros), now);
         }
         Ok(Ok(answer)) => {
-            state.oracle.refused(duty, now);
+            state.oracle.refused(submission, now);
             state.tally.outcome(&format!("hand-in: {}", answer.status));
-            if state.packets.remove(&number).is_some() {
+            if state.messages.remove(&number).is_some() {
                 state.tally.counts.written_off += 1;
-                state.tally.tick(now, Tick::WrittenOff);
+                state.tally.tick(now, Tick::MessageFailed);
             }
         }
         Ok(Err(_)) | Err(_) => {
             // Nobody there, or no answer in time: it goes elsewhere under another id.
-            state.oracle.refused(duty, now);
+            state.oracle.refused(submission, now);
             state.tally.counts.turned_away += 1;
-            let Some(packet) = state.packets.get_mut(&number) else {
+            let Some(message) = state.messages.get_mut(&number) else {
                 return;
             };
-            (packet.again, packet.orphan) = (true, true);
-            match packet.tries < TRIES && now + ELSEWHERE < packet.expires {
+            (message.resubmitted, message.forwarder_lost) = (true, true);
+            match message.tries < MAX_TRIES && now + ELSEWHERE < message.expires {
                 true => {
-                    _ = stage.again.send(Again::HandIn {
-                        packet: number,
+                    _ = stage.resubmissions.send(Resubmission::Submit {
+                        message: number,
                         at: now + ELSEWHERE,
                     })
                 }
@@ -303,26 +303,26 @@
     }
 }
 
-/// The request of one hand-in, as the platform's protocol has it.
+/// The request of one submission, as the platform's protocol has it.
 fn head(
     stage: &Stage,
     due: &Due,
-    packet: u64,
-    duty: u64,
+    message: u64,
+    submission: u64,
     left_ms: u64,
-    again: bool,
-    orphan: bool,
+    resubmitted: bool,
+    forwarder_lost: bool,
 ) -> Vec<u8> {
-    let profile = &stage.scenario.profiles[usize::from(due.profile)];
+    let class = &stage.scenario.classes[usize::from(due.class)];
     let mut text = format!(
-        "POST /{0} HTTP/1.1\r\nHost: forwarder\r\nRequest-Id: p{duty}\r\nRequest-Class: {0}\r\n\
+        "POST /{0} HTTP/1.1\r\nHost: forwarder\r\nRequest-Id: p{submission}\r\nRequest-Class: {0}\r\n\
          Request-Timeout-Ms: {left_ms}\r\nEnvelope: dest={1}\r\nContent-Length: {2}\r\n",
-        profile.name, due.destination, due.body
+        class.name, due.destination, due.body_bytes
     );
-    if profile.effect == Effect::Fingerprinted {
-        text += &format!("Idempotency-Key: {packet:032x}\r\n");
+    if class.semantics == DeliverySemantics::IdempotencyKeyed {
+        text += &format!("Idempotency-Key: {message:032x}\r\n");
     }
-    if profile.in_order {
+    if class.ordered {
         text += &format!("Affinity-Key: {:016x}\r\n", due.key);
     }
     if let Some(tenant) = due
@@ -331,12 +331,12 @@
     {
         text += &format!("Tenant: {}\r\n", tenant.name);
     }
-    match (orphan, again) {
+    match (forwarder_lost, resubmitted) {
         (true, _) => text += "Client-Retry: again\r\n",
         (_, true) => text += "Client-Retry: 1\r\n",
         _ => {}
     }
     let mut request = (text + "\r\n").into_bytes();
-    request.resize(request.len() + due.body, b'.');
+    request.resize(request.len() + due.body_bytes, b'.');
     request
 }
--- a/crates/lab/src/sockets/targets.rs
+++ b/crates/lab/src/sockets/endpoints.rs
@@ -1,10 +1,10 @@
-//! Stand-in targets: a listener each, calls and probes answered as the receivers' model says, when it says.
+//! Stand-in endpoints: a listener each, calls and health checks answered as the receivers' model says, when it says.
 
-use super::wire::{Conn, Message, Port};
+use super::wire::{Conn, HttpMessage, Port};
 use super::{Stage, State};
-use crate::oracle::{Final, Ran, Sending};
-use crate::receivers::{Fate, Says};
-use crate::scenario::{Effect, What};
+use crate::oracle::{FinalAnswer, SentCall, TookEffect};
+use crate::receivers::{Fate, ReceiverReply};
+use crate::scenario::{DeliverySemantics, FaultKind};
 use crate::tally::Tick;
 use opalpulley::Micros;
 use socket2::SockRef;
@@ -16,7 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-const POLL: Duration = Duration::from_millis(10); // of a target that flaps
+const POLL: Duration = Duration::from_millis(10); // of an endpoint that flaps
 const CROSSING: Duration = Duration::from_millis(2); // between looks whether the call before has ended
 const GRAIN: Micros = 500; // half of the timer's
 const CROSSINGS: usize = 25; // such looks: then two are out
@@ -26,7 +26,7 @@
 const LINE: i32 = 1024; // connections waiting to be accepted, while the door is open
 
 /// What is known of one stand-in.
-pub struct Standin {
+pub struct StandIn {
     pub address: SocketAddr,
     port: Port,
     /// Which holder of the address answers now.
@@ -34,7 +34,7 @@
     open: AtomicU32,
 }
 
-impl Standin {
+impl StandIn {
     pub fn holder(&self) -> u32 {
         self.holder.load(Ordering::Relaxed)
     }
@@ -45,40 +45,40 @@
 }
 
 /// Starts all of them, on free ports of loopback.
-pub async fn start(stage: &Arc<Stage>) -> io::Result<Vec<Arc<Standin>>> {
-    let mut standins = Vec::new();
-    for target in 0..stage.layout.targets.len() {
+pub async fn start(stage: &Arc<Stage>) -> io::Result<Vec<Arc<StandIn>>> {
+    let mut stand_ins = Vec::new();
+    for endpoint in 0..stage.layout.endpoints.len() {
         let port = Port::hold(0)?;
         let (listener, address) = (port.listen()?, port.address);
-        let standin = Arc::new(Standin {
+        let stand_in = Arc::new(StandIn {
             address,
             port,
             holder: AtomicU32::new(0),
             open: AtomicU32::new(0),
         });
-        standins.push(standin.clone());
-        tokio::spawn(keep(stage.clone(), target, standin, listener));
+        stand_ins.push(stand_in.clone());
+        tokio::spawn(keep(stage.clone(), endpoint, stand_in, listener));
     }
-    Ok(standins)
+    Ok(stand_ins)
 }
 
 /// Makes connections come up late. Only a full line of connections waiting to be accepted does that on sockets: the kernel of
 /// whoever is kept out tries again a second later. So for a share of each span the line is kept full, by one connection.
-struct Door {
+struct AcceptQueue {
     share: f64,
     turns: Instant,
     filler: Option<TcpStream>,
 }
 
-impl Door {
-    fn of(stage: &Stage) -> Door {
+impl AcceptQueue {
+    fn of(stage: &Stage) -> AcceptQueue {
         let share = stage
             .scenario
             .network
-            .late
+            .late_connections
             .as_ref()
             .map_or(0.0, |late| late.share);
-        Door {
+        AcceptQueue {
             share,
             turns: Instant::now() + SPAN,
             filler: None,
@@ -109,24 +109,24 @@
     }
 }
 
-/// Listens while the target does, and not while it refuses.
-async fn keep(stage: Arc<Stage>, target: usize, standin: Arc<Standin>, listener: TcpListener) {
+/// Listens while the endpoint does, and not while it refuses.
+async fn keep(stage: Arc<Stage>, endpoint: usize, stand_in: Arc<StandIn>, listener: TcpListener) {
     let mut listener = Some(listener);
     let mut changed = stage.changed.subscribe();
-    let mut door = Door::of(&stage);
+    let mut accept_queue = AcceptQueue::of(&stage);
     let flaps = stage
         .scenario
-        .troubles
+        .faults
         .iter()
-        .any(|t| matches!(t.what, What::Flapping { .. }));
+        .any(|t| matches!(t.kind, FaultKind::Flapping { .. }));
     loop {
-        let refuses = stage.lock().receivers.refuses(stage.now(), target);
+        let refuses = stage.lock().receivers.refuses(stage.now(), endpoint);
         match (refuses, &listener) {
             (true, Some(_)) => listener = None,
-            (false, None) => listener = standin.port.listen().ok(),
+            (false, None) => listener = stand_in.port.listen().ok(),
             _ => {}
         }
-        let shut = door.is_shut();
+        let shut = accept_queue.is_shut();
         let accept = async {
             match &listener {
                 Some(listener) if !shut => listener.accept().await,
@@ -135,11 +135,11 @@
         };
         tokio::select! {
             accepted = accept => match accepted {
-                Ok((stream, _)) => _ = tokio::spawn(serve(stage.clone(), target, standin.clone(), Conn::new(stream))),
+                Ok((stream, _)) => _ = tokio::spawn(serve(stage.clone(), endpoint, stand_in.clone(), Conn::new(stream))),
                 Err(_) => tokio::time::sleep(POLL).await, // out of descriptors: some come free
             },
             _ = changed.changed() => {}
-            turned = async { door.turn(listener.as_ref()?).await.ok() }, if door.share > 0.0 => {
+            turned = async { accept_queue.turn(listener.as_ref()?).await.ok() }, if accept_queue.share > 0.0 => {
                 if turned.is_none() {
                     tokio::time::sleep(POLL).await; // it does not listen now
                 }
@@ -150,21 +150,21 @@
 }
 
 /// One connection, to its end.
-async fn serve(stage: Arc<Stage>, target: usize, standin: Arc<Standin>, mut conn: Conn) {
-    let group = &stage.scenario.destinations[stage.layout.targets[target].group];
-    let open = standin.open.fetch_add(1, Ordering::Relaxed) + 1;
-    if group.connections > 0 && open > group.connections {
+async fn serve(stage: Arc<Stage>, endpoint: usize, stand_in: Arc<StandIn>, mut conn: Conn) {
+    let group = &stage.scenario.destinations[stage.layout.endpoints[endpoint].group];
+    let open = stand_in.open.fetch_add(1, Ordering::Relaxed) + 1;
+    if group.max_connections > 0 && open > group.max_connections {
         conn.reset();
     } else {
         if group.handshake.0 > 0 {
             tokio::time::sleep(Duration::from_micros(group.handshake.0)).await;
         }
-        let idle = Duration::from_micros(group.idle.0);
+        let idle = Duration::from_micros(group.idle_timeout.0);
         let mut changed = stage.changed.subscribe();
         loop {
             let request = tokio::select! {
                 request = tokio::time::timeout(idle, conn.request()) => request,
-                _ = changed.changed() => match stage.lock().receivers.refuses(stage.now(), target) {
+                _ = changed.changed() => match stage.lock().receivers.refuses(stage.now(), endpoint) {
                     true => break, // whoever is down holds no idle connection
                     false => continue,
                 },
@@ -172,13 +172,13 @@
             let Ok(Ok(Some(request))) = request else {
                 break;
             };
-            match answer(&stage, target, &standin, conn, request).await {
+            match answer(&stage, endpoint, &stand_in, conn, request).await {
                 Some(usable) => conn = usable,
                 None => break,
             }
         }
     }
-    standin.open.fetch_sub(1, Ordering::Relaxed);
+    stand_in.open.fetch_sub(1, Ordering::Relaxed);
 }
 
 /// Waits until then; what is due within a timer's grain is not kept waiting for it.
@@ -191,22 +191,22 @@
 /// Answers one request; gives the connection back where it can serve again.
 async fn answer(
     stage: &Arc<Stage>,
-    target: usize,
-    standin: &Standin,
+    endpoint: usize,
+    stand_in: &StandIn,
     mut conn: Conn,
-    request: Message,
+    request: HttpMessage,
 ) -> Option<Conn> {
     if request.method == "GET" {
-        return probe(stage, target, conn).await;
+        return health_check(stage, endpoint, conn).await;
     }
     let id = request.header("request-id").unwrap_or("");
-    let duty: Option<u64> = id.strip_prefix('p').and_then(|n| n.parse().ok());
-    let Some(duty) = duty.filter(|_| !stage.alone) else {
-        let fate = stage.lock().receivers.call(stage.now(), target, 0, None);
+    let submission: Option<u64> = id.strip_prefix('p').and_then(|n| n.parse().ok());
+    let Some(submission) = submission.filter(|_| !stage.alone) else {
+        let fate = stage.lock().receivers.call(stage.now(), endpoint, 0, None);
         if stage.alone {
             println!(
                 "{} {} of {} bytes: {:?}",
-                standin.address,
+                stand_in.address,
                 id,
                 request.body.len(),
                 fate.says
@@ -214,9 +214,9 @@
         }
         return carry_out(stage, conn, fate).await;
     };
-    // A call that its forwarder has called off may be seen to end later than the next one comes.
+    // A call that its forwarder has cancelled may be seen to end later than the next one comes.
     for _ in 0..CROSSINGS {
-        if !stage.lock().oracle.is_out(duty) {
+        if !stage.lock().oracle.is_out(submission) {
             break;
         }
         tokio::time::sleep(CROSSING).await;
@@ -225,23 +225,27 @@
     let Call {
         fate,
         forwarder,
-        trip,
+        attempt,
     } = begin(
         &mut stage.lock(),
         stage,
-        target,
-        standin.holder(),
-        duty,
+        endpoint,
+        stand_in.holder(),
+        submission,
         now,
     );
     // Until it answers, the forwarder may close the connection: then the call is out no more.
-    let over = |state: &mut State, ran: Ran| state.oracle.over(duty, forwarder, now, ran);
-    if matches!(fate.says, Says::Refused | Says::Cut) {
-        over(&mut stage.lock(), Ran::No);
+    let over =
+        |state: &mut State, ran: TookEffect| state.oracle.over(submission, forwarder, now, ran);
+    if matches!(
+        fate.says,
+        ReceiverReply::Refused | ReceiverReply::ClosedEarly
+    ) {
+        over(&mut stage.lock(), TookEffect::No);
         conn.reset();
         return None;
     }
-    let silent = fate.says == Says::Silent;
+    let silent = fate.says == ReceiverReply::Silent;
     let left = tokio::select! {
         biased; // whoever has left hears no answer that is due at the same moment
         () = conn.closed() => true,
@@ -252,15 +256,15 @@
         let mut state = stage.lock();
         if left {
             state.tally.outcome("closed by the forwarder");
-            state.tally.tick(done, Tick::Failed);
-            over(&mut state, Ran::Perhaps);
+            state.tally.tick(done, Tick::CallFailed);
+            over(&mut state, TookEffect::Perhaps);
             return None;
         }
         state
             .receivers_late
             .saturating_record((done.saturating_sub(fate.at)).max(1));
         settle(
-            &mut state, stage, &fate, duty, forwarder, target, trip, now, done,
+            &mut state, stage, &fate, submission, forwarder, endpoint, attempt, now, done,
         );
     }
     carry_out(stage, conn, fate).await
@@ -269,51 +273,55 @@
 struct Call {
     fate: Fate,
     forwarder: u32,
-    trip: u32,
+    attempt: u32,
 }
 
 /// A call's last byte is in.
 fn begin(
     state: &mut State,
     stage: &Stage,
-    target: usize,
+    endpoint: usize,
     holder: u32,
-    duty: u64,
+    submission: u64,
     now: Micros,
 ) -> Call {
-    let spot = stage.layout.targets[target];
-    let (forwarder, packet, profile) = state
+    let spot = stage.layout.endpoints[endpoint];
+    let (forwarder, message, class) = state
         .oracle
-        .taking(duty)
-        .map_or((0, u64::MAX, 0), |t| (t.forwarder, t.packet, t.profile));
-    let (destination, gate) = (spot.destination, spot.gate);
+        .record(submission)
+        .map_or((0, u64::MAX, 0), |t| (t.forwarder, t.message, t.class));
+    let (destination, limiter) = (spot.destination, spot.limiter);
     state.oracle.sent(
-        Sending {
-            duty,
+        SentCall {
+            submission,
             forwarder,
             destination,
-            target,
+            endpoint,
             holder,
-            gate,
+            limiter,
         },
         now,
     );
     state.tally.counts.calls += 1;
     state.tally.calls_out += 1;
     state.tally.tick(now, Tick::Call);
-    let mark = (state.effects[usize::from(profile)] == Effect::Fingerprinted).then_some(packet);
+    let idempotency_key = (state.effects[usize::from(class)]
+        == DeliverySemantics::IdempotencyKeyed)
+        .then_some(message);
     let falls = state.receivers.falls.len();
-    let fate = state.receivers.call(now, target, forwarder, mark);
+    let fate = state
+        .receivers
+        .call(now, endpoint, forwarder, idempotency_key);
     if state.receivers.falls.len() > falls {
         stage.changed.send_modify(|n| *n += 1);
     }
     if let Some(ran) = fate.ran {
-        state.oracle.took_effect(packet, duty, ran);
+        state.oracle.took_effect(message, submission, ran);
     }
     Call {
         fate,
         forwarder,
-        trip: state.oracle.trips(duty).saturating_sub(1),
+        attempt: state.oracle.attempts(submission).saturating_sub(1),
     }
 }
 
@@ -323,34 +331,43 @@
     state: &mut State,
     stage: &Stage,
     fate: &Fate,
-    duty: u64,
+    submission: u64,
     forwarder: u32,
-    target: usize,
-    trip: u32,
+    endpoint: usize,
+    attempt: u32,
     since: Micros,
     now: Micros,
 ) {
     let (name, tick, ran) = match fate.says {
-        Says::Served | Says::ServedThenReset | Says::Endless => {
-            ("delivered", Tick::Good, Ran::Perhaps)
+        ReceiverReply::Served | ReceiverReply::ServedThenReset | ReceiverReply::Endless => {
+            ("delivered", Tick::CallSucceeded, TookEffect::Perhaps)
         }
-        Says::Erred => ("error", Tick::Failed, Ran::Perhaps),
-        Says::Full { .. } | Says::Crowded => ("refused", Tick::Refused, Ran::No),
-        Says::Refused | Says::Cut => ("no-connection", Tick::Failed, Ran::No),
-        Says::Reset | Says::Garbled | Says::FullCut { .. } | Says::Silent => {
-            ("reset", Tick::Failed, Ran::Perhaps)
+        ReceiverReply::Erred => ("error", Tick::CallFailed, TookEffect::Perhaps),
+        ReceiverReply::TooManyRequests { .. } | ReceiverReply::Overloaded => {
+            ("refused", Tick::CallRefused, TookEffect::No)
         }
+        ReceiverReply::Refused | ReceiverReply::ClosedEarly => {
+            ("no-connection", Tick::CallFailed, TookEffect::No)
+        }
+        ReceiverReply::Reset
+        | ReceiverReply::Garbled
+        | ReceiverReply::TooManyRequestsTruncated { .. }
+        | ReceiverReply::Silent => ("reset", Tick::CallFailed, TookEffect::Perhaps),
     };
     state.tally.outcome(name);
     state.tally.tick(now, tick);
     state.tally.calls_out = state.tally.calls_out.saturating_sub(1);
-    state.oracle.over(duty, forwarder, since, ran);
-    if let Says::Full { wait: Some(wait) } | Says::FullCut { wait: Some(wait) } = fate.says {
-        let gate = stage.layout.targets[target].gate;
-        state.oracle.told_to_wait(forwarder, gate, now, now + wait);
+    state.oracle.over(submission, forwarder, since, ran);
+    if let ReceiverReply::TooManyRequests { wait: Some(wait) }
+    | ReceiverReply::TooManyRequestsTruncated { wait: Some(wait) } = fate.says
+    {
+        let limiter = stage.layout.endpoints[endpoint].limiter;
+        state
+            .oracle
+            .retry_after_notified(forwarder, limiter, now, now + wait);
     }
     if name == "delivered" {
-        state.ended(stage, duty, Final::Served, None, trip, now);
+        state.ended(stage, submission, FinalAnswer::Served, None, attempt, now);
     }
 }
 
@@ -365,32 +382,34 @@
 
 /// Writes what the fate says.
 async fn carry_out(stage: &Stage, mut conn: Conn, fate: Fate) -> Option<Conn> {
-    if stage.alone && fate.says != Says::Silent {
+    if stage.alone && fate.says != ReceiverReply::Silent {
         tokio::time::sleep_until(stage.at(fate.at)).await;
     }
     let written = match fate.says {
-        Says::Served => conn.reply("200 OK", "", "").await,
-        Says::Erred => conn.reply("500 Internal Server Error", "", "").await,
-        Says::Full { wait } => conn.reply(TURNED_AWAY, &wait_line(wait), "").await,
-        Says::Crowded => conn.reply("503 Service Unavailable", "", "").await,
-        Says::Silent => {
+        ReceiverReply::Served => conn.reply("200 OK", "", "").await,
+        ReceiverReply::Erred => conn.reply("500 Internal Server Error", "", "").await,
+        ReceiverReply::TooManyRequests { wait } => {
+            conn.reply(TURNED_AWAY, &wait_line(wait), "").await
+        }
+        ReceiverReply::Overloaded => conn.reply("503 Service Unavailable", "", "").await,
+        ReceiverReply::Silent => {
             conn.closed().await;
             return None;
         }
-        Says::ServedThenReset => {
+        ReceiverReply::ServedThenReset => {
             let _ = conn.reply("200 OK", "", "").await; // whoever has left does not hear it
             tokio::time::sleep(CROSSING).await;
             conn.reset();
             return None;
         }
-        Says::Garbled => {
+        ReceiverReply::Garbled => {
             let _ = conn
                 .write(b"\x16\x03\x01 not what was asked for \xff\xfe\r\n\r\n")
                 .await;
             conn.closed().await;
             return None;
         }
-        Says::FullCut { wait } => {
+        ReceiverReply::TooManyRequestsTruncated { wait } => {
             let head = format!(
                 "HTTP/1.1 {TURNED_AWAY}\r\n{}Content-Length: 5\r\n\r\nno",
                 wait_line(wait)
@@ -400,7 +419,7 @@
             conn.reset();
             return None;
         }
-        Says::Endless => {
+        ReceiverReply::Endless => {
             let mut written = conn
                 .write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
                 .await;
@@ -410,7 +429,7 @@
             }
             return None;
         }
-        Says::Refused | Says::Cut | Says::Reset => {
+        ReceiverReply::Refused | ReceiverReply::ClosedEarly | ReceiverReply::Reset => {
             conn.reset();
             return None;
         }
@@ -418,9 +437,9 @@
     written.ok().map(|()| conn)
 }
 
-async fn probe(stage: &Arc<Stage>, target: usize, mut conn: Conn) -> Option<Conn> {
+async fn health_check(stage: &Arc<Stage>, endpoint: usize, mut conn: Conn) -> Option<Conn> {
     let now = stage.now();
-    // The platform's protocol names nobody in a probe: with one forwarder it is that one, else it counts for none.
+    // The platform's protocol names nobody in a health check: with one forwarder it is that one, else it counts for none.
     let nobody = u32::MAX;
     let forwarder = if stage.scenario.forwarders.count == 1 {
         0
@@ -429,23 +448,26 @@
     };
     let fate = {
         let mut state = stage.lock();
-        state.tally.counts.probes += 1;
+        state.tally.counts.health_checks += 1;
         if forwarder != nobody {
-            let gate = stage.layout.targets[target].gate;
-            state
-                .oracle
-                .check_wait(forwarder, gate, now, &format!("a probe to target {target}"));
+            let limiter = stage.layout.endpoints[endpoint].limiter;
+            state.oracle.check_retry_after(
+                forwarder,
+                limiter,
+                now,
+                &format!("a probe to target {endpoint}"),
+            );
         }
-        state.receivers.probe(now, target, forwarder)
+        state.receivers.health_check(now, endpoint, forwarder)
     };
     match fate.says {
-        Says::Served => conn.reply("200 OK", "", "").await.ok().map(|()| conn),
-        Says::Crowded => conn
+        ReceiverReply::Served => conn.reply("200 OK", "", "").await.ok().map(|()| conn),
+        ReceiverReply::Overloaded => conn
             .reply("503 Service Unavailable", "", "")
             .await
             .ok()
             .map(|()| conn),
-        Says::Silent => {
+        ReceiverReply::Silent => {
             conn.closed().await;
             None
         }
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/lab/src/sockets/processes.rs
@@ -21,7 +21,7 @@
     scenario: Scenario,
     number: u32,
     seed: u64,
-    life: u64,
+    incarnation: u64,
     child: Option<Child>,
     pin: Option<usize>,
     log: Option<PathBuf>,
@@ -48,14 +48,14 @@
             scenario: scenario.clone(),
             number,
             seed,
-            life: 0,
+            incarnation: 0,
             child: None,
             pin,
             log: log.map(|l| l.join(format!("forwarder-{number}.log"))),
         }
     }
 
-    /// Starts it and waits until it takes packets.
+    /// Starts it and waits until it takes messages.
     pub async fn start(&mut self) -> Result<(), SocketsError> {
         let told = |source: io::Error| SocketsError::Program {
             program: self.program.clone(),
@@ -63,15 +63,15 @@
         };
         let state = self.folder.join("state");
         std::fs::create_dir_all(&state).map_err(told)?;
-        let papers = self.folder.join("papers.json");
+        let startup_config = self.folder.join("papers.json");
         let seed = self
             .seed
             .wrapping_mul(1000)
-            .wrapping_add(u64::from(self.number) + 100 * self.life);
+            .wrapping_add(u64::from(self.number) + 100 * self.incarnation);
         let mut text = self.scenario.startup_config(self.number, seed);
         text["listen"] = self.listen.to_string().into();
         text["discovery"] = self.discovery.to_string().into();
-        std::fs::write(&papers, text.to_string()).map_err(told)?;
+        std::fs::write(&startup_config, text.to_string()).map_err(told)?;
         let log = match &self.log {
             Some(path) => Stdio::from(
                 std::fs::File::options()
@@ -91,7 +91,7 @@
             None => Command::new(&self.program),
         };
         let child = command
-            .env("GW_CONFIG", &papers)
+            .env("GW_CONFIG", &startup_config)
             .env("GW_STATE", &state)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -100,7 +100,7 @@
             .spawn()
             .map_err(told)?;
         self.child = Some(child);
-        self.life += 1;
+        self.incarnation += 1;
         let begun = Instant::now();
         while !self.up().await {
             if let Some(Ok(Some(status))) = self.child.as_mut().map(Child::try_wait) {
--- a/crates/lab/src/sockets/run.rs
+++ b/crates/lab/src/sockets/run.rs
@@ -1,15 +1,15 @@
 //! One run on sockets: the stage is set, the forwarders are started, the timeline plays, the books are closed.
 
-use super::agents::{Agent, Entry, Phase};
-use super::clients::{self, Door};
+use super::agents::{Agent, ListChange, Phase};
+use super::clients::{self, ForwarderClient};
+use super::endpoints::{self, StandIn};
 use super::processes::Process;
-use super::targets::{self, Standin};
 use super::wire::Port;
 use super::{SocketsError, Stage, MOST_LATE};
 use crate::chance::stream;
 use crate::load::Loads;
 use crate::oracle::Rule;
-use crate::scenario::{Scenario, What};
+use crate::scenario::{FaultKind, Scenario};
 use crate::tally::{Clock, Outcome};
 use crate::world::Layout;
 use opalpulley::Micros;
@@ -24,11 +24,11 @@
 use tokio::sync::Mutex as AsyncMutex;
 
 const SWEEP: Duration = Duration::from_millis(100);
-const LAST: Micros = 3_000_000; // after the last expiry
+const LAST: Micros = 3_000_000; // after the last deadline
 const READY: Micros = 1_500_000; // after a restart: from then on what is owed may be overdue
 
 /// How a run on sockets is done.
-pub struct Means {
+pub struct SocketRunOptions {
     /// The forwarder's program.
     pub program: PathBuf,
     /// Where its log goes; nowhere if not told.
@@ -37,25 +37,28 @@
     pub pin: Option<usize>,
 }
 
-/// What the forwarders used, over the time in which packets were due.
+// Old name, until the forwarder's tests follow.
+pub use SocketRunOptions as Means;
+
+/// What the forwarders used, over the time in which messages were due.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// CPU µs of all forwarders, from the first packet due to the last.
+    /// CPU µs of all forwarders, from the first message due to the last.
     pub cpu: u64,
     /// Resident bytes of the largest, at most.
     pub memory: u64,
-    /// For how long packets were due, s.
+    /// For how long messages were due, s.
     pub seconds: f64,
 }
 
 struct Timeline {
     stage: Arc<Stage>,
-    standins: Vec<Arc<Standin>>,
+    stand_ins: Vec<Arc<StandIn>>,
     agents: Vec<Arc<Agent>>,
-    doors: Vec<Arc<Door>>,
+    clients: Vec<Arc<ForwarderClient>>,
     processes: Vec<Arc<AsyncMutex<Process>>>,
     lags: Mutex<Pcg64Mcg>,
-    standing: Mutex<Vec<Phase>>,
+    status: Mutex<Vec<Phase>>,
     stale_until: Mutex<Micros>,
     seed: u64,
     begin: Micros,
@@ -72,17 +75,19 @@
 pub async fn run(
     scenario: &Scenario,
     seed: u64,
-    means: &Means,
+    means: &SocketRunOptions,
     mut watch: impl FnMut(Micros, Micros),
 ) -> Result<(Outcome, Usage), SocketsError> {
     let folder = tempfile::tempdir().map_err(SocketsError::Stage)?;
-    let (stage, agains) = Stage::new(scenario, seed, false);
-    let standins = targets::start(&stage).await.map_err(SocketsError::Stage)?;
-    let (mut agents, mut doors, mut processes) = (Vec::new(), Vec::new(), Vec::new());
+    let (stage, resubmissions) = Stage::new(scenario, seed, false);
+    let stand_ins = endpoints::start(&stage)
+        .await
+        .map_err(SocketsError::Stage)?;
+    let (mut agents, mut clients, mut processes) = (Vec::new(), Vec::new(), Vec::new());
     let mut ports = Vec::new(); // of the forwarders, kept while they are down
 
     for number in 0..scenario.forwarders.count {
-        let agent = Agent::start(&stage, number, &standins, 0)
+        let agent = Agent::start(&stage, number, &stand_ins, 0)
             .await
             .map_err(SocketsError::Stage)?;
         let port = Port::hold(0).map_err(SocketsError::Stage)?;
@@ -102,16 +107,16 @@
         );
         process.start().await?;
         agents.push(agent);
-        doors.push(Door::new(listen));
+        clients.push(ForwarderClient::new(listen));
         processes.push(Arc::new(AsyncMutex::new(process)));
     }
     let begin = stage.now() + 200_000;
     let timeline = Arc::new(Timeline {
-        standing: Mutex::new(vec![Phase::Ready; standins.len()]),
+        status: Mutex::new(vec![Phase::Ready; stand_ins.len()]),
         stage: stage.clone(),
-        standins,
+        stand_ins,
         agents,
-        doors: doors.clone(),
+        clients: clients.clone(),
         processes,
         lags: Mutex::new(stream(seed, "lags", 0)),
         stale_until: Mutex::new(0),
@@ -122,15 +127,15 @@
     });
     stage.lock().tally.begins(begin);
     let loads = Loads::new(scenario, &stage.layout, seed)?;
-    let load =
-        clients::start(stage.clone(), doors, loads, agains, begin).map_err(SocketsError::Stage)?;
-    let troubles: Vec<_> = (0..scenario.troubles.len())
-        .map(|n| tokio::spawn(timeline.clone().trouble(n)))
+    let load = clients::start(stage.clone(), clients, loads, resubmissions, begin)
+        .map_err(SocketsError::Stage)?;
+    let faults: Vec<_> = (0..scenario.faults.len())
+        .map(|n| tokio::spawn(timeline.clone().fault(n)))
         .collect();
 
     let (load_ends, last) = (
         begin + scenario.lasts.0,
-        begin + scenario.lasts.0 + scenario.longest_expiry() + LAST,
+        begin + scenario.lasts.0 + scenario.longest_time_to_live() + LAST,
     );
     let mut usage = Usage {
         seconds: scenario.lasts.seconds(),
@@ -146,7 +151,7 @@
         let open = {
             let mut state = stage.lock();
             state.oracle.sweep(now);
-            state.packets.len()
+            state.messages.len()
         };
         timeline.look_for_crashes().await;
         if !measured {
@@ -156,10 +161,9 @@
                 (usage.cpu, measured) = (cpu.saturating_sub(cpu_before), true);
             }
         }
-        let quiet = now > load_ends
-            && open == 0
-            && troubles.iter().all(tokio::task::JoinHandle::is_finished);
-        if quiet || now > last {
+        let is_over =
+            now > load_ends && open == 0 && faults.iter().all(tokio::task::JoinHandle::is_finished);
+        if is_over || now > last {
             break;
         }
     }
@@ -204,14 +208,14 @@
         let mut state = self.stage.lock();
         for fall in state.receivers.falls.clone() {
             if fall.blamed {
-                let (target, calls, budget) = (fall.target, fall.calls, fall.budget);
+                let (endpoint, calls, budget) = (fall.endpoint, fall.calls, fall.budget);
                 let what = format!(
-                    "target {target} fell over: {calls} calls in the window, {budget:.1} allowed"
+                    "target {endpoint} fell over: {calls} calls in the window, {budget:.1} allowed"
                 );
                 state.oracle.broken(Rule::PushedOver, fall.at, what);
             }
         }
-        state.tally.counts.open = state.packets.len() as u64;
+        state.tally.counts.open = state.messages.len() as u64;
         let late = |h: &hdrhistogram::Histogram<u64>| {
             if h.is_empty() {
                 0
@@ -253,18 +257,22 @@
         tokio::time::sleep_until(self.stage.at(self.begin + at)).await;
     }
 
-    /// One trouble from its beginning to its end.
-    async fn trouble(self: Arc<Timeline>, number: usize) {
+    /// One fault from its beginning to its end.
+    async fn fault(self: Arc<Timeline>, number: usize) {
         let stage = &self.stage;
-        let trouble = stage.scenario.troubles[number].clone();
-        let ends = trouble.at.0 + trouble.lasts.0;
-        let targets = stage
-            .layout
-            .struck(&stage.scenario, &trouble.on, self.seed, number);
-        let forwarders = Layout::struck_forwarders(&stage.scenario, &trouble.on, self.seed, number);
-        self.until(trouble.at.0).await;
-        match &trouble.what {
-            What::Killed { folder } => {
+        let fault = stage.scenario.faults[number].clone();
+        let ends = fault.at.0 + fault.lasts.0;
+        let endpoints =
+            stage
+                .layout
+                .endpoints_struck(&stage.scenario, &fault.scope, self.seed, number);
+        let forwarders =
+            Layout::forwarders_struck(&stage.scenario, &fault.scope, self.seed, number);
+        self.until(fault.at.0).await;
+        match &fault.kind {
+            FaultKind::Killed {
+                folder_kept: folder,
+            } => {
                 for forwarder in &forwarders {
                     self.kill(*forwarder, *folder).await;
                 }
@@ -273,7 +281,7 @@
                     self.back(*forwarder).await;
                 }
             }
-            What::Paused => {
+            FaultKind::Paused => {
                 for forwarder in &forwarders {
                     stage.lock().oracle.excuse(*forwarder, Micros::MAX);
                     self.processes[*forwarder as usize].lock().await.stop();
@@ -285,47 +293,47 @@
                     stage.lock().oracle.excuse(*forwarder, now + READY);
                 }
             }
-            What::Drain => {
-                let each = trouble.lasts.0 / targets.len().max(1) as u64;
-                for (place, target) in targets.into_iter().enumerate() {
-                    self.until(trouble.at.0 + each * place as u64).await;
-                    self.drains(target);
-                    self.until(trouble.at.0 + each * (place as u64 + 1)).await;
-                    self.replaced(target);
+            FaultKind::Drain => {
+                let each = fault.lasts.0 / endpoints.len().max(1) as u64;
+                for (place, endpoint) in endpoints.into_iter().enumerate() {
+                    self.until(fault.at.0 + each * place as u64).await;
+                    self.endpoint_drains(endpoint);
+                    self.until(fault.at.0 + each * (place as u64 + 1)).await;
+                    self.replaced(endpoint);
                 }
             }
-            What::Stale => {
+            FaultKind::Stale => {
                 let mut until = locked(&self.stale_until);
                 *until = (*until).max(self.begin + ends);
             }
-            What::Partial { missing } => {
+            FaultKind::Partial { missing } => {
                 self.partial(*missing);
                 self.until(ends).await;
                 self.partial(0.0);
             }
             what => {
-                let strike = |on| {
+                let set_fault = |on| {
                     let now = stage.now();
-                    stage.lock().receivers.strike(
+                    stage.lock().receivers.set_fault(
                         now,
                         number,
                         what,
                         self.begin + ends,
-                        &targets,
+                        &endpoints,
                         on,
                     );
                     stage.changed.send_modify(|n| *n += 1);
                 };
-                strike(true);
+                set_fault(true);
                 self.until(ends).await;
-                strike(false);
+                set_fault(false);
             }
         }
     }
 
     async fn kill(&self, forwarder: u32, folder: bool) {
         locked(&self.down).insert(forwarder);
-        self.doors[forwarder as usize]
+        self.clients[forwarder as usize]
             .open
             .store(false, Ordering::Relaxed);
         self.stage.lock().oracle.excuse(forwarder, Micros::MAX);
@@ -336,11 +344,11 @@
             .await;
         let now = self.stage.now();
         let mut state = self.stage.lock();
-        state.oracle.restarted(forwarder);
+        state.oracle.process_ended(forwarder);
         if !folder {
             let lost = state.oracle.lost_with_folder(forwarder, now);
-            for packet in lost {
-                if state.packets.remove(&packet).is_some() {
+            for message in lost {
+                if state.messages.remove(&message).is_some() {
                     state.tally.counts.gone += 1;
                 }
             }
@@ -357,7 +365,7 @@
             Ok(()) => {
                 let now = self.stage.now();
                 self.stage.lock().oracle.excuse(forwarder, now + READY);
-                self.doors[forwarder as usize]
+                self.clients[forwarder as usize]
                     .open
                     .store(true, Ordering::Relaxed);
                 locked(&self.down).remove(&forwarder);
@@ -366,24 +374,24 @@
         }
     }
 
-    fn drains(&self, target: usize) {
-        locked(&self.standing)[target] = Phase::Terminating;
-        self.tell_all(vec![(
-            target,
-            self.standins[target].holder(),
+    fn endpoint_drains(&self, endpoint: usize) {
+        locked(&self.status)[endpoint] = Phase::Terminating;
+        self.send_list_update(vec![(
+            endpoint,
+            self.stand_ins[endpoint].holder(),
             Phase::Terminating,
         )]);
     }
 
-    fn replaced(&self, target: usize) {
-        let old = self.standins[target].holder();
+    fn replaced(&self, endpoint: usize) {
+        let old = self.stand_ins[endpoint].holder();
         let now = self.stage.now();
-        self.stage.lock().receivers.replace(now, target);
-        self.standins[target].replaced();
-        locked(&self.standing)[target] = Phase::Ready;
-        self.tell_all(vec![
-            (target, old, Phase::Gone),
-            (target, old + 1, Phase::Ready),
+        self.stage.lock().receivers.replace(now, endpoint);
+        self.stand_ins[endpoint].replaced();
+        locked(&self.status)[endpoint] = Phase::Ready;
+        self.send_list_update(vec![
+            (endpoint, old, Phase::Gone),
+            (endpoint, old + 1, Phase::Ready),
         ]);
     }
 
@@ -398,35 +406,35 @@
             .collect()
     }
 
-    fn tell_all(&self, entries: Vec<Entry>) {
+    fn send_list_update(&self, entries: Vec<ListChange>) {
         for (agent, at) in self.agents.iter().zip(self.hearing()) {
             let (agent, entries, at) = (agent.clone(), entries.clone(), self.stage.at(at));
             tokio::spawn(async move {
                 tokio::time::sleep_until(at).await;
-                agent.hears(&entries);
+                agent.apply_changes(&entries);
             });
         }
     }
 
     fn partial(&self, missing: f64) {
-        let standing = locked(&self.standing).clone();
+        let status = locked(&self.status).clone();
         let mut members = BTreeMap::new();
-        for (target, phase) in standing.into_iter().enumerate() {
+        for (endpoint, phase) in status.into_iter().enumerate() {
             if !locked(&self.lags).random_bool(missing) {
-                members.insert((target, self.standins[target].holder()), phase);
+                members.insert((endpoint, self.stand_ins[endpoint].holder()), phase);
             }
         }
         for (agent, at) in self.agents.iter().zip(self.hearing()) {
             let (agent, members, at) = (agent.clone(), members.clone(), self.stage.at(at));
             tokio::spawn(async move {
                 tokio::time::sleep_until(at).await;
-                agent.hears_whole(members);
+                agent.replace_list(members);
             });
         }
     }
 }
 
-/// The world alone, for a person: receivers, and an agent for one forwarder at this port. Plays the scenario's troubles once,
+/// The world alone, for a person: receivers, and an agent for one forwarder at this port. Plays the scenario's faults once,
 /// and goes on until the process ends. Gives the addresses.
 pub async fn stand_ins(
     scenario: &Scenario,
@@ -434,19 +442,21 @@
     port: u16,
 ) -> Result<(SocketAddr, Vec<SocketAddr>), SocketsError> {
     let (stage, _) = Stage::new(scenario, seed, true);
-    let standins = targets::start(&stage).await.map_err(SocketsError::Stage)?;
-    let agent = Agent::start(&stage, 0, &standins, port)
+    let stand_ins = endpoints::start(&stage)
+        .await
+        .map_err(SocketsError::Stage)?;
+    let agent = Agent::start(&stage, 0, &stand_ins, port)
         .await
         .map_err(SocketsError::Stage)?;
-    let addresses = standins.iter().map(|s| s.address).collect();
+    let addresses = stand_ins.iter().map(|s| s.address).collect();
     let discovery = agent.address;
     let timeline = Arc::new(Timeline {
-        standing: Mutex::new(vec![Phase::Ready; standins.len()]),
+        status: Mutex::new(vec![Phase::Ready; stand_ins.len()]),
         begin: stage.now(),
         stage,
-        standins,
+        stand_ins,
         agents: vec![agent],
-        doors: Vec::new(),
+        clients: Vec::new(),
         processes: Vec::new(),
         lags: Mutex::new(stream(seed, "lags", 0)),
         stale_until: Mutex::new(0),
@@ -454,28 +464,28 @@
         crashes: Mutex::default(),
         down: Mutex::default(),
     });
-    for (number, trouble) in scenario.troubles.iter().enumerate() {
+    for (number, fault) in scenario.faults.iter().enumerate() {
         // Nobody's process is struck here.
-        if !matches!(trouble.what, What::Killed { .. } | What::Paused) {
-            tokio::spawn(timeline.clone().trouble(number));
+        if !matches!(fault.kind, FaultKind::Killed { .. } | FaultKind::Paused) {
+            tokio::spawn(timeline.clone().fault(number));
         }
     }
     Ok((discovery, addresses))
 }
 
-/// The load of a scenario alone, at forwarders that run already. Nothing is known of what becomes of the packets there.
+/// The load of a scenario alone, at forwarders that run already. Nothing is known of what becomes of the messages there.
 pub async fn load_only(
     scenario: &Scenario,
     seed: u64,
     at: &[SocketAddr],
     mut watch: impl FnMut(Micros, Micros),
 ) -> Result<Outcome, SocketsError> {
-    let (stage, agains) = Stage::new(scenario, seed, true);
+    let (stage, resubmissions) = Stage::new(scenario, seed, true);
     let begin = stage.now() + 100_000;
     let loads = Loads::new(scenario, &stage.layout, seed)?;
     stage.lock().tally.begins(begin);
-    let doors = at.iter().map(|a| Door::new(*a)).collect();
-    let load = clients::start(stage.clone(), doors, loads, agains, begin)
+    let clients = at.iter().map(|a| ForwarderClient::new(*a)).collect();
+    let load = clients::start(stage.clone(), clients, loads, resubmissions, begin)
         .map_err(SocketsError::LoadTool)?;
     let ends = begin + scenario.lasts.0 + 1_000_000;
     while stage.now() < ends {
