--- a/crates/lab/src/commands/load.rs
+++ b/crates/lab/src/commands/load.rs
@@ -5,7 +5,7 @@
 use super::play::runtime;
 use super::{CommandResult, EXIT_VOID};
 use clap::Args;
-use opalpulley_lab::sockets::run::load_only;
+use opalpulley_lab::sockets::without_forwarders::load_only;
 use opalpulley_lab::tally::Outcome;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/lab/src/commands/stand_ins.rs
+++ b/crates/lab/src/commands/stand_ins.rs
@@ -7,7 +7,7 @@
 use super::CommandResult;
 use clap::Args;
 use opalpulley_lab::scenario::Scenario;
-use opalpulley_lab::sockets::run::stand_ins;
+use opalpulley_lab::sockets::without_forwarders::stand_ins;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -37,14 +37,16 @@
 }
 
 async fn serve(scenario: &Scenario, seed: u64, options: &Options) -> CommandResult {
-    let (discovery, endpoints) = stand_ins(scenario, seed, options.discovery_port).await?;
+    let addresses = stand_ins(scenario, seed, options.discovery_port).await?;
+    let discovery = addresses.discovery;
     if let Some(path) = &options.startup_config {
         write_startup_config(path, scenario, seed, options.listen, discovery)?;
         println!("start-up configuration: {}", path.display());
     }
     println!("discovery and completion reports at {discovery}");
-    let addresses: Vec<String> = endpoints.iter().map(ToString::to_string).collect();
-    println!("receivers at {}", addresses.join(", "));
+    let endpoints = addresses.endpoints.iter();
+    let endpoints: Vec<String> = endpoints.map(ToString::to_string).collect();
+    println!("receivers at {}", endpoints.join(", "));
     if let Err(error) = tokio::signal::ctrl_c().await {
         eprintln!("opalpulley-lab: Ctrl-C can't be waited for, ends now: {error}");
     }
--- a/crates/lab/src/experiments/compare.rs
+++ b/crates/lab/src/experiments/compare.rs
@@ -6,15 +6,20 @@
 use serde::Serialize;
 use std::fmt;
 
+/// Resamples of the pairs for an interval.
 const RESAMPLES: usize = 4000;
 /// Of the figure, a difference that nobody would see: the same to four places.
 const UNSEEN: f64 = 1e-4;
 
+/// How B stands against A.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
+    /// B is better.
     Better,
+    /// B is worse.
     Worse,
+    /// The runs don't tell.
     CantTell,
 }
 
@@ -40,9 +45,12 @@
     pub verdict: Verdict,
 }
 
+/// Two variants compared.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Comparison {
+    /// Pairs of runs.
     pub pairs: usize,
+    /// The figures of both.
     pub figures: Vec<Figure>,
     /// Rules broken by A and by B, over all runs.
     pub broken: [u64; 2],
@@ -96,14 +104,11 @@
     }
     let mut rng = stream(seed, "bootstrap", 0);
     let n = differences.len();
-    let mut means: Vec<f64> = (0..RESAMPLES)
-        .map(|_| {
-            (0..n)
-                .map(|_| differences[rng.random_range(0..n)])
-                .sum::<f64>()
-                / n as f64
-        })
-        .collect();
+    let mut resampled_mean = || {
+        let drawn = (0..n).map(|_| differences[rng.random_range(0..n)]);
+        drawn.sum::<f64>() / n as f64
+    };
+    let mut means: Vec<f64> = (0..RESAMPLES).map(|_| resampled_mean()).collect();
     means.sort_by(f64::total_cmp);
     (
         means[RESAMPLES * 25 / 1000],
@@ -111,47 +116,72 @@
     )
 }
 
-/// Runs of A and of B, paired by their places.
+/// Compares runs of A and of B, paired by their places.
 pub fn compare(a: &[Outcome], b: &[Outcome]) -> Comparison {
     let pairs = a.len().min(b.len());
-    let figure = |m: &Measure| {
-        let values = |o: &[Outcome]| o[..pairs].iter().map(m.of).collect::<Vec<f64>>();
-        let (a, b) = (values(a), values(b));
+    let figures: Vec<Figure> = MEASURES
+        .iter()
+        .map(|measure| measure.compare(&a[..pairs], &b[..pairs]))
+        .collect();
+    let broken = [a, b].map(count_broken);
+    let verdict = match broken {
+        [0, in_b] if in_b > 0 => Verdict::Worse,
+        [in_a, 0] if in_a > 0 => Verdict::Better,
+        _ => figures[0].verdict,
+    };
+    Comparison {
+        pairs,
+        figures,
+        broken,
+        verdict,
+    }
+}
+
+fn count_broken(outcomes: &[Outcome]) -> u64 {
+    let counts = outcomes.iter().flat_map(|outcome| outcome.broken.values());
+    counts.sum()
+}
+
+fn mean(values: &[f64]) -> f64 {
+    values.iter().sum::<f64>() / values.len().max(1) as f64
+}
+
+impl Measure {
+    /// Compares this figure of paired runs.
+    fn compare(&self, a: &[Outcome], b: &[Outcome]) -> Figure {
+        let a: Vec<f64> = a.iter().map(self.of).collect();
+        let b: Vec<f64> = b.iter().map(self.of).collect();
         let differences: Vec<f64> = a.iter().zip(&b).map(|(a, b)| b - a).collect();
-        let mean = |v: &[f64]| v.iter().sum::<f64>() / v.len().max(1) as f64;
+        let difference = mean(&differences);
         let (low, high) = interval(&differences, 1);
-        let sign = if m.more_is_better { 1.0 } else { -1.0 };
-        let verdict = match (low * sign, high * sign) {
-            // One pair shows no spread: nothing is told by it.
-            _ if pairs < 2 || mean(&differences).abs() < UNSEEN * mean(&a).abs() => {
-                Verdict::CantTell
-            }
-            (l, h) if l.min(h) > 0.0 => Verdict::Better,
-            (l, h) if l.max(h) < 0.0 => Verdict::Worse,
-            _ => Verdict::CantTell,
+        let unseen = difference.abs() < UNSEEN * mean(&a).abs();
+        // One pair shows no spread: nothing is told by it.
+        let verdict = match a.len() < 2 || unseen {
+            true => Verdict::CantTell,
+            false => self.verdict(low, high),
         };
         Figure {
-            name: m.name.into(),
+            name: self.name.into(),
             a: mean(&a),
             b: mean(&b),
-            difference: mean(&differences),
+            difference,
             low,
             high,
             verdict,
         }
-    };
-    let figures: Vec<Figure> = MEASURES.iter().map(figure).collect();
-    let broken = [a, b].map(|o| o.iter().flat_map(|o| o.broken.values()).sum::<u64>());
-    let verdict = match broken {
-        [0, b] if b > 0 => Verdict::Worse,
-        [a, 0] if a > 0 => Verdict::Better,
-        _ => figures[0].verdict,
-    };
-    Comparison {
-        pairs,
-        figures,
-        broken,
-        verdict,
+    }
+
+    /// What the interval of the difference B - A says.
+    fn verdict(&self, low: f64, high: f64) -> Verdict {
+        let sign = if self.more_is_better { 1.0 } else { -1.0 };
+        let (low, high) = (low * sign, high * sign);
+        if low.min(high) > 0.0 {
+            Verdict::Better
+        } else if low.max(high) < 0.0 {
+            Verdict::Worse
+        } else {
+            Verdict::CantTell
+        }
     }
 }
 
--- a/crates/lab/src/experiments/sweep.rs
+++ b/crates/lab/src/experiments/sweep.rs
@@ -3,25 +3,38 @@
 use super::{in_parallel, simulate, threads, with_values, ExperimentError};
 use crate::scenario::Scenario;
 use crate::subject::ForwarderVariant;
+use crate::tally::Outcome;
 use serde::Serialize;
 use std::fmt;
 
+/// The figures with one value: means over the seeds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
+    /// The value.
     pub value: String,
+    /// The share of the weight that was due.
     pub service: f64,
+    /// The share of the messages that were served.
     pub served: f64,
+    /// The median latency, ms.
     pub p50: f64,
+    /// The 99th percentile of the latency, ms.
     pub p99: f64,
+    /// Calls for each message.
     #[serde(rename = "calls_a_packet")]
     pub calls_per_message: f64,
+    /// Rules broken in all runs.
     pub broken: u64,
 }
 
+/// The figures with each value.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Sweep {
+    /// The key of the value.
     pub key: String,
+    /// Runs with each value.
     pub seeds: u64,
+    /// A row a value.
     pub rows: Vec<Row>,
 }
 
@@ -44,30 +57,30 @@
         simulate(&scenarios[*v], *seed, variant)
     });
     let outcomes: Vec<_> = outcomes.into_iter().collect::<Result<_, _>>()?;
-    let rows = values
-        .iter()
-        .zip(outcomes.chunks(seeds.max(1) as usize))
-        .map(|(value, runs)| {
-            let mean = |of: &dyn Fn(&crate::tally::Outcome) -> f64| {
-                runs.iter().map(of).sum::<f64>() / runs.len() as f64
-            };
-            Row {
-                value: value.clone(),
-                service: mean(&|o| o.service),
-                served: mean(&|o| o.served_share()),
-                p50: mean(&|o| o.latency.p50 as f64 / 1e3),
-                p99: mean(&|o| o.latency.p99 as f64 / 1e3),
-                calls_per_message: mean(&|o| o.calls_per_message()),
-                broken: runs.iter().flat_map(|o| o.broken.values()).sum(),
-            }
-        });
+    let runs_of_values = outcomes.chunks(seeds.max(1) as usize);
+    let rows = values.iter().zip(runs_of_values);
     Ok(Sweep {
         key: key.into(),
         seeds,
-        rows: rows.collect(),
+        rows: rows.map(|(value, runs)| Row::new(value, runs)).collect(),
     })
 }
 
+impl Row {
+    fn new(value: &str, runs: &[Outcome]) -> Row {
+        let mean = |of: fn(&Outcome) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
+        Row {
+            value: value.to_owned(),
+            service: mean(|run| run.service),
+            served: mean(Outcome::served_share),
+            p50: mean(|run| run.latency.p50 as f64 / 1e3),
+            p99: mean(|run| run.latency.p99 as f64 / 1e3),
+            calls_per_message: mean(Outcome::calls_per_message),
+            broken: runs.iter().flat_map(|run| run.broken.values()).sum(),
+        }
+    }
+}
+
 impl fmt::Display for Sweep {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let heads = ["service", "served", "p50 ms", "p99 ms", "calls", "broken"];
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,5 +1,11 @@
 //! The load: an open loop. Each message has the time when it is due, whatever became of those before; both clocks draw the
-//! same messages from the same seed. Owns the streams; nothing grows with the messages drawn.
+//! same messages from the same seed. `Loads` owns the streams; nothing grows with the messages drawn. `shape` tells the rate
+//! over time, `replay` reads times from a file.
+
+mod replay;
+mod shape;
+
+pub use replay::{LineProblem, ReplayError};
 
 use crate::chance::{exponential, stream, Pick};
 use crate::scenario::{Load, Scenario, Shape};
@@ -7,32 +13,40 @@
 use opalpulley::Micros;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
-use std::path::{Path, PathBuf};
+use replay::{read_times, ReplayedTime};
 
 /// A message that is due.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Due {
     /// µs from the start of the run.
     pub at: Micros,
+    /// The number of its destination.
     pub destination: u32,
+    /// The place of its delivery class in the scenario.
     pub class: u16,
+    /// The place of its tenant in the scenario.
     pub tenant: Option<u32>,
+    /// Its order key, where its class is ordered.
     pub key: u64,
     /// How long it may be delivered, µs.
     pub left: Micros,
+    /// Bytes of its body on sockets.
     pub body_bytes: usize,
+    /// How often its client submits it again after a rejection, at most.
     pub resubmissions: u32,
 }
 
+/// One stream of the scenario.
 struct Stream {
     load: Load,
-    rng: Pcg64Mcg,
+    chance: Pcg64Mcg,
     pick: Pick,
     /// Numbers of the destinations that `pick` chooses from.
     destinations: Vec<u32>,
     classes: Vec<u16>,
     tenant: Option<u32>,
     replay: std::vec::IntoIter<ReplayedTime>,
+    /// When its next message is due, and its destination where the file names one.
     next: Option<ReplayedTime>,
 }
 
@@ -40,248 +54,176 @@
 pub struct Loads {
     streams: Vec<Stream>,
     times_to_live: Vec<Micros>,
+    /// From then on nothing is due.
     ends: Micros,
 }
 
 impl Loads {
+    /// The streams of a scenario.
     pub fn new(scenario: &Scenario, layout: &Layout, seed: u64) -> Result<Loads, ReplayError> {
         let ends = scenario.lasts.0;
         let mut streams = Vec::new();
-        for (n, load) in scenario.loads.iter().enumerate() {
-            let named =
-                |name: &String| load.destinations.is_empty() || load.destinations.contains(name);
-            let groups = scenario.destinations.iter();
-            let weights: Vec<f64> = groups
-                .flat_map(|d| vec![if named(&d.name) { d.weight } else { 0.0 }; d.count as usize])
-                .collect();
-            let destinations: Vec<u32> = (0..weights.len())
-                .filter(|d| weights[*d] > 0.0)
-                .map(|d| d as u32)
-                .collect();
-            let pick = Pick::new(destinations.iter().map(|d| weights[*d as usize]), load.skew);
-            let classes = (0..scenario.classes.len())
-                .filter(|p| {
-                    load.classes.is_empty() || load.classes.contains(&scenario.classes[*p].name)
-                })
-                .map(|p| p as u16)
-                .collect();
-            let tenant = load
-                .tenant
-                .as_ref()
-                .and_then(|t| scenario.tenants.iter().position(|o| o.name == *t));
-            let replay = match &load.shape {
-                Shape::Replay { file } => read_times(file, layout.destinations.len())?,
-                _ => Vec::new(),
-            };
-            let mut s = Stream {
-                load: load.clone(),
-                rng: stream(seed, "load", n as u64),
-                pick,
-                destinations,
-                classes,
-                tenant: tenant.map(|t| t as u32),
-                replay: replay.into_iter(),
-                next: Some((0, None)),
-            };
-            s.advance(ends);
-            streams.push(s);
+        for (number, load) in scenario.loads.iter().enumerate() {
+            let mut stream = Stream::new(scenario, layout, load, seed, number)?;
+            stream.advance(ends);
+            streams.push(stream);
         }
+        let classes = scenario.classes.iter();
         Ok(Loads {
             streams,
-            times_to_live: scenario.classes.iter().map(|p| p.time_to_live.0).collect(),
+            times_to_live: classes.map(|class| class.time_to_live.0).collect(),
             ends,
         })
     }
 }
 
+/// The stream whose next message is due first.
+fn first_stream(streams: &mut [Stream]) -> Option<&mut Stream> {
+    let waiting = streams
+        .iter_mut()
+        .filter_map(|stream| Some((stream.next?.0, stream)));
+    let (_, first) = waiting.min_by_key(|(at, _)| *at)?;
+    Some(first)
+}
+
 impl Iterator for Loads {
     type Item = Due;
 
     fn next(&mut self) -> Option<Due> {
-        let first = |s: &Stream| s.next.map(|(at, _)| at);
-        let (n, _) = self
-            .streams
-            .iter()
-            .enumerate()
-            .filter_map(|(n, s)| Some((n, first(s)?)))
-            .min_by_key(|f| f.1)?;
-        let s = &mut self.streams[n];
-        let (at, told) = s.next?;
-        s.advance(self.ends);
-        let destination = told.unwrap_or_else(|| s.destinations[s.pick.draw(&mut s.rng)]);
-        let class = s.classes[s.rng.random_range(0..s.classes.len())];
-        let mut left = self.times_to_live[usize::from(class)];
-        if let Some(short) = s.load.short_deadlines {
-            if s.rng.random_bool(short.share.clamp(0.0, 1.0)) {
-                left = left.min(short.left.0);
-            }
-        }
-        let key = s.rng.random_range(0..s.load.keys.max(1));
-        let (tenant, body_bytes, resubmissions) =
-            (s.tenant, s.load.body_bytes, s.load.resubmissions);
+        let stream = first_stream(&mut self.streams)?;
+        let (at, named_destination) = stream.next?;
+        stream.advance(self.ends);
+        let destination = named_destination.unwrap_or_else(|| stream.draw_destination());
+        let class = stream.draw_class();
+        let time_left = stream.draw_deadline();
+        let key = stream.chance.random_range(0..stream.load.keys.max(1));
         Some(Due {
             at,
             destination,
             class,
-            tenant,
+            tenant: stream.tenant,
             key,
-            left,
-            body_bytes,
-            resubmissions,
+            left: time_left.min(self.times_to_live[usize::from(class)]),
+            body_bytes: stream.load.body_bytes,
+            resubmissions: stream.load.resubmissions,
         })
     }
 }
 
 impl Stream {
-    /// Draws the next time, by thinning where the rate changes.
-    fn advance(&mut self, ends: Micros) {
-        if let Shape::Replay { .. } = self.load.shape {
-            self.next = self.replay.next().filter(|(at, _)| *at < ends);
-            return;
-        }
-        let Some((mut at, _)) = self.next else { return };
-        if let Shape::Even = self.load.shape {
-            at += (1e6 / self.load.rate).max(1.0) as Micros;
-            self.next = (at < ends).then_some((at, None));
-            return;
+    fn new(
+        scenario: &Scenario,
+        layout: &Layout,
+        load: &Load,
+        seed: u64,
+        number: usize,
+    ) -> Result<Stream, ReplayError> {
+        let weights = destination_weights(scenario, load);
+        let numbers = 0..weights.len() as u32;
+        let destinations: Vec<u32> = numbers
+            .filter(|number| weights[*number as usize] > 0.0)
+            .collect();
+        let chosen_weights = destinations.iter().map(|number| weights[*number as usize]);
+        let replay = match &load.shape {
+            Shape::Replay { file } => read_times(file, layout.destinations.len())?,
+            _ => Vec::new(),
+        };
+        Ok(Stream {
+            load: load.clone(),
+            chance: stream(seed, "load", number as u64),
+            pick: Pick::new(chosen_weights, load.skew),
+            destinations,
+            classes: classes_of(scenario, load),
+            tenant: tenant_of(scenario, load),
+            replay: replay.into_iter(),
+            next: Some((0, None)),
+        })
+    }
+
+    fn draw_destination(&mut self) -> u32 {
+        self.destinations[self.pick.draw(&mut self.chance)]
+    }
+
+    fn draw_class(&mut self) -> u16 {
+        self.classes[self.chance.random_range(0..self.classes.len())]
+    }
+
+    /// The time that a message has left where the stream gives it less than its class; else any time.
+    fn draw_deadline(&mut self) -> Micros {
+        let Some(short) = self.load.short_deadlines else {
+            return Micros::MAX;
+        };
+        let share = short.share.clamp(0.0, 1.0);
+        match self.chance.random_bool(share) {
+            true => short.left.0,
+            false => Micros::MAX,
         }
+    }
+
+    /// Draws the next time; nothing is due from `ends` on.
+    fn advance(&mut self, ends: Micros) {
+        self.next = match self.load.shape {
+            Shape::Replay { .. } => self.replay.next(),
+            Shape::Even => self.next_even(),
+            _ => self.next_drawn(ends),
+        };
+        self.next = self.next.filter(|(at, _)| *at < ends);
+    }
+
+    fn next_even(&self) -> Option<ReplayedTime> {
+        let (at, _) = self.next?;
+        let interval = (1e6 / self.load.rate).max(1.0) as Micros;
+        Some((at + interval, None))
+    }
+
+    /// Draws at the highest rate and thins where the rate is lower.
+    fn next_drawn(&mut self, ends: Micros) -> Option<ReplayedTime> {
+        let (at, _) = self.next?;
         let most = self.load.shape.most();
         if most <= 0.0 {
-            return self.next = None;
+            return None;
         }
         let mut time = at as f64;
         loop {
-            time += exponential(&mut self.rng) * 1e6 / (self.load.rate * most);
-            at = time as Micros;
+            time += exponential(&mut self.chance) * 1e6 / (self.load.rate * most);
+            let at = time as Micros;
             if at >= ends {
-                return self.next = None;
+                return None;
             }
             let times = self.load.shape.times(at);
-            if times >= most || self.rng.random::<f64>() * most < times {
-                return self.next = Some((at, None));
+            if times >= most || self.chance.random::<f64>() * most < times {
+                return Some((at, None));
             }
         }
     }
 }
 
-impl Shape {
-    /// So many times the mean rate at this time.
-    pub fn times(&self, at: Micros) -> f64 {
-        match self {
-            Shape::Poisson | Shape::Even | Shape::Replay { .. } => 1.0,
-            Shape::Steps { steps } => steps
-                .iter()
-                .rev()
-                .find(|(from, _)| from.0 <= at)
-                .map_or(1.0, |(_, t)| *t),
-            Shape::Bursts {
-                on,
-                off,
-                times,
-                rest,
-            } => {
-                if at % (on.0 + off.0) < on.0 {
-                    *times
-                } else {
-                    *rest
-                }
-            }
-            Shape::Day { day, least, most } => {
-                let wave = (std::f64::consts::TAU * at as f64 / day.0 as f64).cos();
-                least + (most - least) * (1.0 - wave) / 2.0
-            }
-        }
-    }
-
-    fn most(&self) -> f64 {
-        match self {
-            Shape::Poisson | Shape::Even | Shape::Replay { .. } => 1.0,
-            Shape::Steps { steps } => steps.iter().map(|(_, t)| *t).fold(1.0, f64::max),
-            Shape::Bursts { times, rest, .. } => times.max(*rest),
-            Shape::Day { least, most, .. } => least.max(*most),
-        }
+/// The weight of each destination by its number; 0 for those that the load does not name.
+fn destination_weights(scenario: &Scenario, load: &Load) -> Vec<f64> {
+    let mut weights = Vec::new();
+    for group in &scenario.destinations {
+        let named = load.destinations.is_empty() || load.destinations.contains(&group.name);
+        let weight = if named { group.weight } else { 0.0 };
+        weights.extend((0..group.count).map(|_| weight));
     }
+    weights
 }
 
-/// Why a file of submission times can't be replayed.
-#[derive(Debug, thiserror::Error)]
-pub enum ReplayError {
-    /// The file can't be read.
-    #[error("{}: {source}", file.display())]
-    File {
-        file: PathBuf,
-        source: std::io::Error,
-    },
-    /// A line of it is wrong.
-    #[error("{}:{line_number}: {line}: {problem}", file.display())]
-    Line {
-        file: PathBuf,
-        line_number: usize,
-        line: String,
-        problem: LineProblem,
-    },
+/// The places of the delivery classes that the load names.
+fn classes_of(scenario: &Scenario, load: &Load) -> Vec<u16> {
+    let classes = scenario.classes.iter().enumerate();
+    classes
+        .filter(|(_, class)| load.classes.is_empty() || load.classes.contains(&class.name))
+        .map(|(place, _)| place as u16)
+        .collect()
 }
 
-/// What is wrong with a line of a file of submission times.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum LineProblem {
-    /// The first column is no number.
-    #[error("write a time in seconds first")]
-    Time,
-    /// The second column is no number.
-    #[error("the destination is a number")]
-    Destination,
-    /// The time is negative or too late, or there is no such destination.
-    #[error("the time or the destination is out of range")]
-    OutOfRange,
-}
-
-/// A replayed time must be earlier, s.
-const REPLAY_TIME_LIMIT: f64 = 1e9;
-
-/// When a replayed message is due, and its destination where the file names one.
-type ReplayedTime = (Micros, Option<u32>);
-
-/// Reads a file of submission times, sorted by time. Empty lines and comments (`#`) are passed over.
-fn read_times(file: &Path, destinations: usize) -> Result<Vec<ReplayedTime>, ReplayError> {
-    let text = std::fs::read_to_string(file).map_err(|source| ReplayError::File {
-        file: file.to_owned(),
-        source,
-    })?;
-    let mut times = Vec::new();
-    for (index, line) in text.lines().enumerate() {
-        if line.trim().is_empty() || line.starts_with('#') {
-            continue;
-        }
-        let time = parse_line(line, destinations).map_err(|problem| ReplayError::Line {
-            file: file.to_owned(),
-            line_number: index + 1,
-            line: line.to_owned(),
-            problem,
-        })?;
-        times.push(time);
-    }
-    times.sort_unstable();
-    Ok(times)
-}
-
-/// Reads one line: a time in seconds, then the number of a destination where one is named.
-fn parse_line(line: &str, destinations: usize) -> Result<ReplayedTime, LineProblem> {
-    let mut columns = line.split(',').map(str::trim);
-    let seconds: f64 = columns
-        .next()
-        .unwrap_or("")
-        .parse()
-        .map_err(|_| LineProblem::Time)?;
-    let destination: Option<u32> = columns
-        .next()
-        .map(|column| column.parse().map_err(|_| LineProblem::Destination))
-        .transpose()?;
-    let unknown = destination.is_some_and(|number| number as usize >= destinations);
-    if unknown || !(0.0..REPLAY_TIME_LIMIT).contains(&seconds) {
-        return Err(LineProblem::OutOfRange);
-    }
-    Ok(((seconds * 1e6) as Micros, destination))
+/// The place of the tenant that the load names.
+fn tenant_of(scenario: &Scenario, load: &Load) -> Option<u32> {
+    let name = load.tenant.as_ref()?;
+    let mut tenants = scenario.tenants.iter();
+    let place = tenants.position(|tenant| tenant.name == *name)?;
+    Some(place as u32)
 }
 
 #[cfg(test)]
--- a/crates/lab/src/receivers/tests.rs
+++ b/crates/lab/src/receivers/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::chance::exponential;
+use crate::chance::{exponential, stream};
+use crate::scenario::ResetMoment;
 
 /// One receiver that takes everything, with this service and so many places.
 fn alone(service: &str, places: u32) -> (Receivers, Scenario) {
@@ -24,7 +25,7 @@
     for _ in 0..calls {
         now += exponential(&mut rng) * MEAN / (load * f64::from(places));
         let at = now as Micros;
-        let before = receivers.endpoints[0].places.peek().map_or(0, |p| p.0);
+        let before = receivers.endpoints[0].free_at.peek().map_or(0, |p| p.0);
         receivers.call(at, 0, 0, None);
         waits.push(before.saturating_sub(at) as f64 / MEAN);
     }
--- a/crates/lab/src/scenario/config.rs
+++ b/crates/lab/src/scenario/config.rs
@@ -1,33 +1,30 @@
 //! A scenario as the core's configuration, and as the start-up configuration of the program on sockets.
 
-use super::{DeliverySemantics, PriorityDecay, Scenario};
+use super::{DeliveryClass, DeliverySemantics, ForwarderProcesses, PriorityDecay, Scenario};
 use opalpulley::{
     Config, DeduplicationScope, DeliveryClassConfig, EndpointKindConfig, ListedRates, RuleConfig,
     TenantConfig,
 };
 use serde_json::{json, Value};
 
+/// The part of its weight that a message over its tenant's quota has.
+const OVER_QUOTA_WEIGHT: f64 = 0.1;
+/// Time between scheduling rounds, µs.
+const SCHEDULING_INTERVAL: u64 = 5_000;
+/// Endpoint kinds by number: whether each endpoint has a limit of its own.
+const INDEPENDENT_LIMITS: [bool; 2] = [false, true];
+/// Connections of a destination without an idle timeout are closed after so long, µs.
+const DEFAULT_IDLE_TIMEOUT: u64 = 5_000_000;
+/// Open sockets of a forwarder at most.
+const SOCKET_LIMIT: u32 = 4096;
+/// A forwarder's memory limit, as a multiple of its disk.
+const MEMORY_PER_DISK: f64 = 4.0;
+
 impl Scenario {
-    /// What forwarder `number` is told at its start.
+    /// The configuration of forwarder `number`.
     pub fn config(&self, number: u32) -> Config {
-        let class = |p: &super::DeliveryClass| DeliveryClassConfig {
-            semantics: match p.semantics {
-                DeliverySemantics::Idempotent => opalpulley::DeliverySemantics::Idempotent,
-                DeliverySemantics::IdempotencyKeyed => {
-                    opalpulley::DeliverySemantics::IdempotencyKeyed {
-                        scope: DeduplicationScope::AllEndpoints,
-                        window: p.window.0,
-                    }
-                }
-                DeliverySemantics::AtMostOnce => opalpulley::DeliverySemantics::AtMostOnce,
-            },
-            latency_objective: p.latency_objective.0,
-            time_to_live: p.time_to_live.0,
-            priority_weight: p.priority_weight,
-            late_weight_share: p.late_weight_share,
-            ordered: p.ordered,
-        };
         let fleet = &self.forwarders;
+        let poll = self.network.polled_discovery.as_ref();
         Config {
             forwarder: number as u16,
             fleet_size: fleet.count,
@@ -41,89 +38,180 @@
             may_gossip: fleet.may_gossip,
             max_retry_after: fleet.max_retry_after.0,
             listed_rates: ListedRates::Nominal,
-            priority_decay: match fleet.priority_decay {
-                PriorityDecay::Linear => opalpulley::PriorityDecay::Linear,
-                PriorityDecay::Exponential => opalpulley::PriorityDecay::Exponential,
-            },
-            over_quota_weight: 0.1,
-            classes: self.classes.iter().map(class).collect(),
-            tenants: self
-                .tenants
-                .iter()
-                .map(|t| TenantConfig { quota: t.quota })
-                .collect(),
-            endpoint_kinds: [false, true]
-                .map(|independent_limits| EndpointKindConfig {
-                    independent_limits,
-                    batch_size: 1,
-                })
-                .to_vec(),
+            priority_decay: fleet.priority_decay.into(),
+            over_quota_weight: OVER_QUOTA_WEIGHT,
+            classes: self.classes.iter().map(DeliveryClass::config).collect(),
+            tenants: self.tenant_configs(),
+            endpoint_kinds: INDEPENDENT_LIMITS.map(endpoint_kind).to_vec(),
             zone_costs: vec![0.0, 0.0],
-            poll_interval: self
-                .network
-                .polled_discovery
-                .as_ref()
-                .map(|a| a.poll_interval.0),
+            poll_interval: poll.map(|discovery| discovery.poll_interval.0),
             notified_within: None,
-            rules: RuleConfig {
-                answer_slack: self.rules.answer_slack.0,
-                drain_grace: self.rules.drain_grace.0,
-                cold_capacity_share: self.rules.cold_capacity_share,
-                warm_up_time: self.rules.warm_up_time.0,
-                overload_multiple: self.rules.overload_multiple,
-                overload_window: self.rules.overload_window.0,
-                order_settle_time: self.rules.order_settle_time.0,
-            },
-            scheduling_interval: 5_000,
+            rules: self.rule_config(),
+            scheduling_interval: SCHEDULING_INTERVAL,
             full_destinations: None,
         }
     }
 
+    fn tenant_configs(&self) -> Vec<TenantConfig> {
+        let quotas = self.tenants.iter().map(|tenant| tenant.quota);
+        quotas.map(|quota| TenantConfig { quota }).collect()
+    }
+
+    fn rule_config(&self) -> RuleConfig {
+        let rules = &self.rules;
+        RuleConfig {
+            answer_slack: rules.answer_slack.0,
+            drain_grace: rules.drain_grace.0,
+            cold_capacity_share: rules.cold_capacity_share,
+            warm_up_time: rules.warm_up_time.0,
+            overload_multiple: rules.overload_multiple,
+            overload_window: rules.overload_window.0,
+            order_settle_time: rules.order_settle_time.0,
+        }
+    }
+
     /// The start-up configuration of forwarder `number` on sockets, as the platform's deployment writes it.
     pub fn startup_config(&self, number: u32, seed: u64) -> Value {
-        let effect = |e| match e {
-            DeliverySemantics::Idempotent => "free",
-            DeliverySemantics::IdempotencyKeyed => "guarded",
-            DeliverySemantics::AtMostOnce => "single_shot",
-        };
-        let class = |p: &super::DeliveryClass| {
-            json!({"Name": p.name, "Effect": effect(p.semantics), "DedupWindowUs": p.window.0,
-                "GoalTimeUs": p.latency_objective.0, "HardLimitUs": p.time_to_live.0, "LateShare": p.late_weight_share,
-                "Points": p.priority_weight, "SerialByKey": p.ordered})
-        };
         let fleet = &self.forwarders;
-        let idle = self
-            .destinations
-            .iter()
-            .map(|d| d.idle_timeout.0)
-            .min()
-            .unwrap_or(5_000_000);
-        let (fades, r) = (
-            if fleet.priority_decay == PriorityDecay::Linear {
-                "linear"
-            } else {
-                "halving"
+        json!({
+            "name": format!("n{number}"),
+            "seed": format!("{seed:016x}"),
+            "limits": {
+                "memory_mb": MEMORY_PER_DISK * fleet.disk_mb,
+                "sockets": SOCKET_LIMIT,
+                "disk_mb": fleet.disk_mb,
             },
-            &self.rules,
-        );
+            "settings": self.settings(number),
+        })
+    }
+
+    /// The platform's settings, by its names.
+    fn settings(&self, number: u32) -> Value {
+        let fleet = &self.forwarders;
+        let tenants = self.tenants.iter();
+        let accounts: Vec<Value> = tenants
+            .map(|tenant| json!({"Name": tenant.name, "QuotaPerS": tenant.quota}))
+            .collect();
+        let classes = self.classes.iter().map(DeliveryClass::settings);
+        let profiles: Vec<Value> = classes.collect();
         json!({
-            "name": format!("n{number}"), "seed": format!("{seed:016x}"),
-            "limits": {"memory_mb": 4.0 * fleet.disk_mb, "sockets": 4096, "disk_mb": fleet.disk_mb},
-            "settings": {
-                "Azs": ["a", "b"], "Balancers": fleet.count, "Me": number, "HostTypes": ["shared", "apart"],
-                "QuantumUs": 5000, "Weights": "nominal", "OverShareWorth": 0.1,
-                "Accounts": self.tenants.iter().map(|t| json!({"Name": t.name, "QuotaPerS": t.quota})).collect::<Vec<_>>(),
-                "Domain": {"Fades": fades, "Workers": fleet.concurrency_limit, "PerCall": [1, 1], "RoutesApart": [false, true]},
-                "Limits": {"Cancelling": fleet.may_cancel, "ConnIdleUs": idle,
-                    "ConnectTimeoutUs": self.network.connect_timeout.0, "MaxAttempts": fleet.max_attempts,
-                    "MaxOpen": fleet.message_capacity, "MaxRetryAfterUs": fleet.max_retry_after.0,
-                    "Probing": fleet.may_health_check, "RetryAfter": fleet.may_send_retry_after},
-                "Profiles": self.classes.iter().map(class).collect::<Vec<_>>(),
-                "Rules": {"AnswerSlackUs": r.answer_slack.0, "ColdFrom": r.cold_capacity_share,
-                    "DrainGraceUs": r.drain_grace.0, "FallMultiple": r.overload_multiple,
-                    "OverloadForUs": r.overload_window.0, "WarmAfterUs": r.warm_up_time.0,
-                    "OrderPauseUs": r.order_settle_time.0}
-            }
+            "Azs": ["a", "b"],
+            "Balancers": fleet.count,
+            "Me": number,
+            "HostTypes": ["shared", "apart"],
+            "QuantumUs": SCHEDULING_INTERVAL,
+            "Weights": "nominal",
+            "OverShareWorth": OVER_QUOTA_WEIGHT,
+            "Accounts": accounts,
+            "Domain": {
+                "Fades": fleet.priority_decay.setting(),
+                "Workers": fleet.concurrency_limit,
+                "PerCall": [1, 1],
+                "RoutesApart": INDEPENDENT_LIMITS,
+            },
+            "Limits": self.limit_settings(fleet),
+            "Profiles": profiles,
+            "Rules": self.rule_settings(),
         })
     }
+
+    fn limit_settings(&self, fleet: &ForwarderProcesses) -> Value {
+        let groups = self.destinations.iter();
+        let idle_timeout = groups.map(|group| group.idle_timeout.0).min();
+        json!({
+            "Cancelling": fleet.may_cancel,
+            "ConnIdleUs": idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT),
+            "ConnectTimeoutUs": self.network.connect_timeout.0,
+            "MaxAttempts": fleet.max_attempts,
+            "MaxOpen": fleet.message_capacity,
+            "MaxRetryAfterUs": fleet.max_retry_after.0,
+            "Probing": fleet.may_health_check,
+            "RetryAfter": fleet.may_send_retry_after,
+        })
+    }
+
+    fn rule_settings(&self) -> Value {
+        let rules = &self.rules;
+        json!({
+            "AnswerSlackUs": rules.answer_slack.0,
+            "ColdFrom": rules.cold_capacity_share,
+            "DrainGraceUs": rules.drain_grace.0,
+            "FallMultiple": rules.overload_multiple,
+            "OverloadForUs": rules.overload_window.0,
+            "WarmAfterUs": rules.warm_up_time.0,
+            "OrderPauseUs": rules.order_settle_time.0,
+        })
+    }
+}
+
+fn endpoint_kind(independent_limits: bool) -> EndpointKindConfig {
+    EndpointKindConfig {
+        independent_limits,
+        batch_size: 1,
+    }
+}
+
+impl DeliveryClass {
+    fn config(&self) -> DeliveryClassConfig {
+        DeliveryClassConfig {
+            semantics: match self.semantics {
+                DeliverySemantics::Idempotent => opalpulley::DeliverySemantics::Idempotent,
+                DeliverySemantics::IdempotencyKeyed => {
+                    opalpulley::DeliverySemantics::IdempotencyKeyed {
+                        scope: DeduplicationScope::AllEndpoints,
+                        window: self.window.0,
+                    }
+                }
+                DeliverySemantics::AtMostOnce => opalpulley::DeliverySemantics::AtMostOnce,
+            },
+            latency_objective: self.latency_objective.0,
+            time_to_live: self.time_to_live.0,
+            priority_weight: self.priority_weight,
+            late_weight_share: self.late_weight_share,
+            ordered: self.ordered,
+        }
+    }
+
+    fn settings(&self) -> Value {
+        json!({
+            "Name": self.name,
+            "Effect": self.semantics.setting(),
+            "DedupWindowUs": self.window.0,
+            "GoalTimeUs": self.latency_objective.0,
+            "HardLimitUs": self.time_to_live.0,
+            "LateShare": self.late_weight_share,
+            "Points": self.priority_weight,
+            "SerialByKey": self.ordered,
+        })
+    }
+}
+
+impl DeliverySemantics {
+    /// The platform's name for it.
+    fn setting(self) -> &'static str {
+        match self {
+            DeliverySemantics::Idempotent => "free",
+            DeliverySemantics::IdempotencyKeyed => "guarded",
+            DeliverySemantics::AtMostOnce => "single_shot",
+        }
+    }
+}
+
+impl PriorityDecay {
+    /// The platform's name for it.
+    fn setting(self) -> &'static str {
+        match self {
+            PriorityDecay::Linear => "linear",
+            PriorityDecay::Exponential => "halving",
+        }
+    }
+}
+
+impl From<PriorityDecay> for opalpulley::PriorityDecay {
+    fn from(decay: PriorityDecay) -> opalpulley::PriorityDecay {
+        match decay {
+            PriorityDecay::Linear => opalpulley::PriorityDecay::Linear,
+            PriorityDecay::Exponential => opalpulley::PriorityDecay::Exponential,
+        }
+    }
 }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -1,234 +1,152 @@
 //! The simulated clock: a deterministic event loop round the very core that is in service. Forwarders, clients, discovery,
 //! connections and receivers of a scenario in one thread; the same scenario and seed give the same run.
 //!
-//! Owns all of the simulated world. A message leaves with its end, an attempt with its outcome, an event as it happens.
+//! `Sim` owns all of the simulated world. A message leaves with its end, an attempt with its outcome, an event as it happens.
+//! `event` holds the events and their queue, `handlers` hands each to its part: `clients`, `attempts`, `connections`,
+//! `health_checks`, `discovery`, `simulated_process`, `lifecycle` and `faults`.
 
+mod attempts;
 mod clients;
+mod connections;
+mod discovery;
+mod event;
 mod faults;
+mod handlers;
+mod health_checks;
+mod lifecycle;
 mod simulated_process;
 
 use crate::chance::stream;
-use crate::load::{Due, Loads, ReplayError};
+use crate::load::{Loads, ReplayError};
 use crate::oracle::Oracle;
-use crate::receivers::{ReceiverReply, Receivers};
-use crate::scenario::{DeliverySemantics, Scenario};
+use crate::receivers::Receivers;
+use crate::scenario::Scenario;
 use crate::subject::ForwarderVariant;
-use crate::tally::{Clock, Outcome, Tally, Tick};
+use crate::tally::{Clock, Outcome, Tally};
 use crate::world::Layout;
-use opalpulley::{
-    EndpointId, EndpointListUpdate, EndpointStatus, Event, MessageId, Micros, TimerToken,
-};
-use rand::Rng;
+use attempts::Attempt;
+use clients::ClientMessage;
+use connections::Connections;
+use discovery::ListedEndpoint;
+use event::{EventQueue, SimulatedEvent};
+use opalpulley::{EndpointStatus, Micros};
 use rand_pcg::Pcg64Mcg;
 use simulated_process::SimulatedProcess;
-use std::cmp::Ordering;
-use std::collections::{BTreeMap, BinaryHeap, HashMap};
+use std::collections::HashMap;
 
-const SWEEP: Micros = 250_000; // between the oracle's looks
-const LAST: Micros = 3_000_000; // after the last deadline: restarts may still owe something
+/// Time between the oracle's looks for what is overdue, µs.
+const SWEEP_INTERVAL: Micros = 250_000;
+/// The run goes on so long after the last deadline, µs: a forwarder that started again may still owe a final answer.
+const AFTER_LAST_DEADLINE: Micros = 3_000_000;
+/// Progress is reported once for so many events.
+const EVENTS_PER_REPORT: u64 = 4096;
 
-/// What happens next.
-enum SimulatedEvent {
-    Due(Due),
-    Submit {
-        message: u64,
-    },
-    TimerFires {
-        forwarder: u32,
-        incarnation: u32,
-        token: TimerToken,
-    },
-    /// The bytes of a call go, on a connection that came up late.
-    RequestSent {
-        attempt: u64,
-    },
-    /// A call's last byte reaches its endpoint.
-    RequestArrives {
-        attempt: u64,
-    },
-    /// The head of an answer tells a wait; the outcome follows.
-    RetryAfterReceived {
-        attempt: u64,
-        wait: Micros,
-    },
-    /// An attempt's outcome reaches its forwarder.
-    AttemptEnds {
-        attempt: u64,
-        outcome: opalpulley::Outcome,
-    },
-    HealthCheckArrives {
-        forwarder: u32,
-        incarnation: u32,
-        endpoint: EndpointId,
-        sent: Micros,
-    },
-    HealthCheckEnds {
-        forwarder: u32,
-        incarnation: u32,
-        endpoint: EndpointId,
-        sent: Micros,
-        outcome: opalpulley::Outcome,
-    },
-    ListUpdate {
-        forwarder: u32,
-        list_update: EndpointListUpdate,
-    },
-    /// A call for the list is answered, or has failed.
-    PollAnswered {
-        forwarder: u32,
-        incarnation: u32,
-        told: bool,
-    },
-    Gossip {
-        from: u32,
-        to: u32,
-        message: Vec<u8>,
-    },
-    FaultChanges {
-        number: usize,
-        on: bool,
-    },
-    /// Of a drain, one endpoint after the other.
-    EndpointDrains {
-        endpoint: usize,
-        gone: bool,
-    },
-    ProcessRestarts {
-        forwarder: u32,
-        folder: bool,
-    },
-    ProcessResumes {
-        forwarder: u32,
-    },
-    OracleSweep,
-}
-
-struct QueuedEvent {
-    at: Micros,
-    number: u64,
-    what: SimulatedEvent,
-}
-
-impl PartialEq for QueuedEvent {
-    fn eq(&self, other: &QueuedEvent) -> bool {
-        self.number == other.number
-    }
-}
-impl Eq for QueuedEvent {}
-impl PartialOrd for QueuedEvent {
-    fn partial_cmp(&self, other: &QueuedEvent) -> Option<Ordering> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for QueuedEvent {
-    /// The earliest first; of those at one time, the one that was arranged first.
-    fn cmp(&self, other: &QueuedEvent) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
-    }
-}
-
-/// A message as its client knows it.
-struct ClientMessage {
-    due: Due,
-    expires: Micros,
-    resubmissions: u32,
-    resubmitted: bool,
-    tries: u32,
-}
-
-/// An attempt that is out.
-struct Attempt {
-    forwarder: u32,
-    message: MessageId,
-    submission: u64,
-    client_message: u64,
-    number: u8,
-    endpoint: EndpointId,
-    sent: Micros,
-    idempotency_key: Option<u64>,
-    /// Its connection is still to come up.
-    late: bool,
-}
-
-/// Connections to one endpoint: how many are open, and those that stand idle, by forwarder, each since when.
-#[derive(Default)]
-struct Connections {
-    busy: u32,
-    idle: BTreeMap<u32, Vec<Micros>>,
-}
-
-/// What a run did, for the record: events of the core, wall-clock free.
+/// What a run did, apart from its outcome. Nothing in it depends on the machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work {
+    /// Events of the simulated world.
     pub events: u64,
+    /// Events that forwarders handled.
     pub core_events: u64,
+    /// Actions that forwarders answered them with.
     pub core_actions: u64,
+    /// The most entries that the tables of the laboratory held at once.
     pub most_held: usize,
-    /// Calls for the list, and forwarders that discovery does not tell of changes at the end.
+    /// Polls of the endpoint list.
     pub list_calls: u64,
+    /// Forwarders that run at the end and get no list updates.
     pub without_list_updates: usize,
 }
 
+/// A scenario on the simulated clock.
 pub struct Sim {
     scenario: Scenario,
     layout: Layout,
     variant: ForwarderVariant,
     seed: u64,
     now: Micros,
-    queue: BinaryHeap<QueuedEvent>,
-    scheduled_count: u64,
+    queue: EventQueue,
     loads: Loads,
     processes: Vec<SimulatedProcess>,
-    status: Vec<(u32, EndpointStatus)>,
+    /// What the list says of each endpoint.
+    listed_endpoints: Vec<ListedEndpoint>,
+    /// Messages that are not over, by their client's number.
     messages: HashMap<u64, ClientMessage>,
     next_message: u64,
     next_submission: u64,
+    /// Attempts in flight.
     attempts: HashMap<u64, Attempt>,
     next_attempt: u64,
+    /// Connections to each endpoint.
     connections: Vec<Connections>,
     receivers: Receivers,
     oracle: Oracle,
     tally: Tally,
+    /// Chance of the clients: which forwarder, and when again.
     clients: Pcg64Mcg,
+    /// Chance of discovery: lags, and what a partial list lacks.
     lags: Pcg64Mcg,
+    /// Chance of late connections.
     lateness: Pcg64Mcg,
-    /// Until when discovery tells nothing.
+    /// Until when discovery sends nothing.
     stale_until: Micros,
-    /// Until when discovery has calls to work off.
-    discovery_busy: Micros,
+    /// Until when discovery has polls to answer.
+    discovery_busy_until: Micros,
+    /// Faults that are not over.
     pending_faults: usize,
     work: Work,
 }
 
 impl Sim {
+    /// Sets the world up and starts the forwarders.
     pub fn new(
         scenario: &Scenario,
         seed: u64,
         variant: ForwarderVariant,
     ) -> Result<Sim, ReplayError> {
+        let loads = Loads::new(scenario, &Layout::new(scenario), seed)?;
+        let mut sim = Sim::empty(scenario, seed, variant, loads);
+        for (number, fault) in sim.scenario.faults.clone().iter().enumerate() {
+            sim.pending_faults += 1;
+            let begins = SimulatedEvent::FaultChanges {
+                fault: number,
+                begins: true,
+            };
+            sim.schedule(fault.at.0, begins);
+        }
+        for forwarder in 0..scenario.forwarders.count {
+            sim.start_process(forwarder);
+        }
+        sim.schedule(SWEEP_INTERVAL, SimulatedEvent::OracleSweep);
+        sim.schedule_next_due();
+        Ok(sim)
+    }
+
+    /// A world in which nothing has happened yet.
+    fn empty(scenario: &Scenario, seed: u64, variant: ForwarderVariant, loads: Loads) -> Sim {
         let layout = Layout::new(scenario);
-        let mut sim = Sim {
-            loads: Loads::new(scenario, &layout, seed)?,
+        let endpoints = layout.endpoints.len();
+        let ready = ListedEndpoint {
+            holder: 0,
+            status: EndpointStatus::Ready,
+        };
+        Sim {
+            loads,
             receivers: Receivers::new(scenario, &layout, seed),
-            // What reaches a receiver was sent before it: on one clock nothing else passes between.
+            // On one clock a call is seen as it is sent: the oracle allows no slack.
             oracle: Oracle::new(scenario, 0),
             tally: Tally::new(scenario),
             processes: (0..scenario.forwarders.count)
-                .map(|n| SimulatedProcess::new(scenario, seed, n))
-                .collect(),
-            status: vec![(0, EndpointStatus::Ready); layout.endpoints.len()],
-            connections: layout
-                .endpoints
-                .iter()
-                .map(|_| Connections::default())
+                .map(|number| SimulatedProcess::new(scenario, seed, number))
                 .collect(),
+            listed_endpoints: vec![ready; endpoints],
+            connections: (0..endpoints).map(|_| Connections::default()).collect(),
             scenario: scenario.clone(),
             layout,
             variant,
             seed,
             now: 0,
-            queue: BinaryHeap::new(),
-            scheduled_count: 0,
+            queue: EventQueue::default(),
             messages: HashMap::new(),
             next_message: 0,
             next_submission: 0,
@@ -238,78 +156,59 @@
             lags: stream(seed, "lags", 0),
             lateness: stream(seed, "lateness", 0),
             stale_until: 0,
-            discovery_busy: 0,
+            discovery_busy_until: 0,
             pending_faults: 0,
             work: Work::default(),
-        };
-        for (number, fault) in sim.scenario.faults.clone().iter().enumerate() {
-            sim.pending_faults += 1;
-            sim.schedule(
-                fault.at.0,
-                SimulatedEvent::FaultChanges { number, on: true },
-            );
         }
-        (0..scenario.forwarders.count).for_each(|f| sim.start(f));
-        sim.schedule(SWEEP, SimulatedEvent::OracleSweep);
-        sim.next_due();
-        Ok(sim)
     }
 
-    /// Runs to the end and closes the books; `watch` hears how far it is, of how much, µs.
-    pub fn run(self, watch: impl FnMut(Micros, Micros)) -> Outcome {
-        self.run_until(Micros::MAX, watch).0
+    /// Runs to the end; `progress` is told the time that has passed and the length of the run, µs.
+    pub fn run(self, progress: impl FnMut(Micros, Micros)) -> Outcome {
+        self.run_until(Micros::MAX, progress).0
     }
 
-    /// The same, cut off at a time: messages that are open then are counted as such and owed nothing.
+    /// Runs to the end or until `cut`, µs. Messages that are open then are counted as open; the oracle expects nothing more
+    /// for them.
     pub fn run_until(
         mut self,
         cut: Micros,
-        mut watch: impl FnMut(Micros, Micros),
+        mut progress: impl FnMut(Micros, Micros),
     ) -> (Outcome, Work) {
-        let whole = (self.scenario.lasts.0 + self.scenario.longest_time_to_live() + LAST).min(cut);
-        while let Some(QueuedEvent { at, what, .. }) = self.queue.pop() {
-            if at > whole || self.is_over() {
+        let last_deadline = self.scenario.lasts.0 + self.scenario.longest_time_to_live();
+        let end = (last_deadline + AFTER_LAST_DEADLINE).min(cut);
+        while let Some((at, event)) = self.queue.pop() {
+            if at > end || self.is_over() {
                 break;
             }
             self.now = at;
             self.work.events += 1;
-            if self.work.events.is_multiple_of(4096) {
-                watch(at, whole);
+            if self.work.events.is_multiple_of(EVENTS_PER_REPORT) {
+                progress(at, end);
             }
-            self.handle(what);
+            self.handle(event);
         }
+        self.close()
+    }
+
+    /// Closes tally and oracle.
+    fn close(mut self) -> (Outcome, Work) {
         self.tally.counts.open = self.messages.len() as u64;
-        self.work.without_list_updates = self
-            .processes
-            .iter()
-            .filter(|s| s.up() && !s.follows_list)
+        let processes = self.processes.iter();
+        self.work.without_list_updates = processes
+            .filter(|process| process.is_up() && !process.follows_list)
             .count();
-        for fall in &self.receivers.falls {
-            if fall.blamed {
-                let what = format!(
-                    "target {} fell over: {} calls in the window, {:.1} allowed",
-                    fall.endpoint, fall.calls, fall.budget
-                );
-                self.oracle
-                    .broken(crate::oracle::Rule::PushedOver, fall.at, what);
-            }
-        }
+        self.oracle.judge_falls(&self.receivers.falls);
         let name = self.variant.name_in_outcomes();
         let mut outcome =
             self.tally
                 .close(self.now, &self.scenario, Clock::Simulated, self.seed, name);
-        outcome.broken = self
-            .oracle
-            .counts
-            .iter()
-            .map(|(r, n)| (r.to_string(), *n))
-            .collect();
+        outcome.broken = self.oracle.counts_by_name();
         outcome.breaks = self.oracle.breaks;
         outcome.falls = self.receivers.falls.len() as u64;
         (outcome, self.work)
     }
 
-    /// The load has ended, everything is over and nothing more will go wrong.
+    /// The load has ended, every message is over and no fault is left.
     fn is_over(&self) -> bool {
         self.now > self.scenario.lasts.0
             && self.messages.is_empty()
@@ -317,272 +216,17 @@
             && self.pending_faults == 0
     }
 
-    fn schedule(&mut self, at: Micros, what: SimulatedEvent) {
-        self.scheduled_count += 1;
-        self.queue.push(QueuedEvent {
-            at: at.max(self.now),
-            number: self.scheduled_count,
-            what,
-        });
+    /// Schedules an event, now at the earliest.
+    fn schedule(&mut self, at: Micros, event: SimulatedEvent) {
+        self.queue.push(at.max(self.now), event);
     }
 
-    fn next_due(&mut self) {
+    /// Schedules the next message of the load.
+    fn schedule_next_due(&mut self) {
         if let Some(due) = self.loads.next() {
             self.schedule(due.at, SimulatedEvent::Due(due));
         }
     }
-
-    fn handle(&mut self, what: SimulatedEvent) {
-        match what {
-            SimulatedEvent::Due(due) => {
-                self.next_due();
-                self.message_due(due);
-            }
-            SimulatedEvent::Submit { message } => self.submit(message),
-            SimulatedEvent::TimerFires {
-                forwarder,
-                incarnation,
-                token,
-            } => self.deliver_event(forwarder, incarnation, Event::TimerFired { token }),
-            SimulatedEvent::RequestSent { attempt } => self.request_sent(attempt),
-            SimulatedEvent::RequestArrives { attempt } => self.request_arrives(attempt),
-            SimulatedEvent::RetryAfterReceived { attempt, wait } => {
-                self.retry_after_received(attempt, wait)
-            }
-            SimulatedEvent::AttemptEnds { attempt, outcome } => self.attempt_ends(attempt, outcome),
-            SimulatedEvent::HealthCheckArrives {
-                forwarder,
-                incarnation,
-                endpoint,
-                sent,
-            } => {
-                let fate =
-                    self.receivers
-                        .health_check(self.now, Layout::endpoint(endpoint), forwarder);
-                let outcome = match fate.says {
-                    ReceiverReply::Served => opalpulley::Outcome::Delivered,
-                    ReceiverReply::Overloaded => {
-                        opalpulley::Outcome::Rejected { retry_after: None }
-                    }
-                    ReceiverReply::Silent => opalpulley::Outcome::Timeout,
-                    _ => opalpulley::Outcome::NoConnection,
-                };
-                let timeout = if fate.says == ReceiverReply::Silent {
-                    self.scenario.network.connect_timeout.0
-                } else {
-                    0
-                };
-                let at = fate.at + self.scenario.network.delay.0 + timeout;
-                self.schedule(
-                    at,
-                    SimulatedEvent::HealthCheckEnds {
-                        forwarder,
-                        incarnation,
-                        endpoint,
-                        sent,
-                        outcome,
-                    },
-                );
-            }
-            SimulatedEvent::HealthCheckEnds {
-                forwarder,
-                incarnation,
-                endpoint,
-                sent,
-                outcome,
-            } => {
-                let took = self.now - sent;
-                self.deliver_event(
-                    forwarder,
-                    incarnation,
-                    Event::HealthCheckEnded {
-                        endpoint,
-                        outcome,
-                        took,
-                        report: Vec::new(),
-                    },
-                );
-            }
-            SimulatedEvent::ListUpdate {
-                forwarder,
-                list_update,
-            } => self.list_update(forwarder, list_update),
-            SimulatedEvent::PollAnswered {
-                forwarder,
-                incarnation,
-                told,
-            } => self.asked(forwarder, incarnation, told),
-            SimulatedEvent::Gossip { from, to, message } => {
-                let incarnation = self.processes[to as usize].incarnation;
-                self.deliver_event(
-                    to,
-                    incarnation,
-                    Event::Gossip {
-                        from: from as u16,
-                        payload: message,
-                    },
-                );
-            }
-            SimulatedEvent::FaultChanges { number, on } => self.fault(number, on),
-            SimulatedEvent::EndpointDrains { endpoint, gone } => {
-                self.endpoint_drains(endpoint, gone)
-            }
-            SimulatedEvent::ProcessRestarts { forwarder, folder } => self.back(forwarder, folder),
-            SimulatedEvent::ProcessResumes { forwarder } => self.resume_process(forwarder),
-            SimulatedEvent::OracleSweep => {
-                self.oracle.sweep(self.now);
-                let held = self.oracle.held()
-                    + self.receivers.held()
-                    + self.messages.len()
-                    + self.attempts.len();
-                self.work.most_held = self.work.most_held.max(held);
-                self.schedule(self.now + SWEEP, SimulatedEvent::OracleSweep);
-            }
-        }
-    }
-
-    /// What binds at this moment binds the call, whenever it was chosen.
-    fn request_sent(&mut self, number: u64) {
-        let Some(attempt) = self.attempts.get_mut(&number) else {
-            return;
-        }; // withdrawn, or cancelled
-        attempt.late = false;
-        let (forwarder, endpoint, client_message) =
-            (attempt.forwarder, attempt.endpoint, attempt.client_message);
-        let place = Layout::endpoint(endpoint);
-        let what = format!(
-            "packet {client_message} of forwarder {forwarder} to target {place}, chosen before"
-        );
-        self.oracle.check_bound(
-            forwarder,
-            place,
-            endpoint.incarnation,
-            self.layout.endpoints[place].limiter,
-            self.now,
-            &what,
-        );
-        self.schedule(
-            self.now + self.scenario.network.delay.0,
-            SimulatedEvent::RequestArrives { attempt: number },
-        );
-    }
-
-    fn request_arrives(&mut self, number: u64) {
-        let Some(attempt) = self.attempts.get(&number) else {
-            return;
-        }; // it was cancelled on its way
-        let endpoint = Layout::endpoint(attempt.endpoint);
-        let (forwarder, message, submission) = (
-            attempt.forwarder,
-            attempt.client_message,
-            attempt.submission,
-        );
-        let fate = self
-            .receivers
-            .call(self.now, endpoint, forwarder, attempt.idempotency_key);
-        if let Some(ran) = fate.ran {
-            self.oracle.took_effect(message, submission, ran);
-        }
-        use opalpulley::Outcome as O;
-        let outcome = match fate.says {
-            ReceiverReply::Served | ReceiverReply::ServedThenReset | ReceiverReply::Endless => {
-                O::Delivered
-            }
-            ReceiverReply::Erred => O::Error,
-            ReceiverReply::TooManyRequests { wait } => O::Rejected { retry_after: wait },
-            ReceiverReply::Overloaded => O::Rejected { retry_after: None },
-            ReceiverReply::Refused | ReceiverReply::ClosedEarly => O::NoConnection,
-            ReceiverReply::Reset
-            | ReceiverReply::Garbled
-            | ReceiverReply::TooManyRequestsTruncated { .. } => O::Reset,
-            ReceiverReply::Silent => return,
-        };
-        let at = fate.at.max(self.now) + self.scenario.network.delay.0;
-        if let ReceiverReply::TooManyRequestsTruncated { wait: Some(wait) } = fate.says {
-            self.schedule(
-                at,
-                SimulatedEvent::RetryAfterReceived {
-                    attempt: number,
-                    wait,
-                },
-            );
-        }
-        self.schedule(
-            at,
-            SimulatedEvent::AttemptEnds {
-                attempt: number,
-                outcome,
-            },
-        );
-    }
-
-    /// Takes an idle connection or opens one; gives what it costs in time and how late it comes up beside that, or none
-    /// where the endpoint takes no more.
-    fn connect(&mut self, forwarder: u32, endpoint: usize) -> Option<(Micros, Micros)> {
-        let group = &self.scenario.destinations[self.layout.endpoints[endpoint].group];
-        let (now, idle_for) = (self.now, group.idle_timeout.0 - group.idle_timeout.0 / 10);
-        let c = &mut self.connections[endpoint];
-        let mut kept = c.idle.get_mut(&forwarder).and_then(|idle| {
-            idle.retain(|since| since + idle_for > now);
-            idle.pop()
-        });
-        if group.max_connections > 0 && kept.is_none() {
-            let open =
-                |c: &Connections| c.busy as usize + c.idle.values().map(Vec::len).sum::<usize>();
-            if open(c) >= group.max_connections as usize {
-                c.idle
-                    .values_mut()
-                    .for_each(|idle| idle.retain(|since| since + group.idle_timeout.0 > now));
-                c.idle.retain(|_, idle| !idle.is_empty());
-                if open(c) >= group.max_connections as usize {
-                    return None;
-                }
-            }
-        }
-        c.busy += 1;
-        match kept.take() {
-            Some(_) => Some((0, 0)),
-            None => {
-                self.tally.counts.handshakes += 1;
-                let late = self.scenario.network.late_connections.as_ref();
-                let late = late.filter(|late| self.lateness.random_bool(late.share));
-                let late = late.map_or(0, |late| self.lateness.random_range(0..=late.most.0));
-                Some((2 * self.scenario.network.delay.0 + group.handshake.0, late))
-            }
-        }
-    }
-
-    /// The connection of an attempt: idle again, or gone.
-    fn release(&mut self, forwarder: u32, endpoint: usize, usable: bool) {
-        let c = &mut self.connections[endpoint];
-        c.busy = c.busy.saturating_sub(1);
-        if usable {
-            c.idle.entry(forwarder).or_default().push(self.now);
-        }
-    }
-
-    fn idempotency_key(&self, message: u64, class: u16) -> Option<u64> {
-        let marked = self.scenario.classes[usize::from(class)].semantics
-            == DeliverySemantics::IdempotencyKeyed;
-        marked.then_some(message)
-    }
-
-    fn count_outcome(&mut self, outcome: opalpulley::Outcome) {
-        use opalpulley::Outcome as O;
-        let (name, tick) = match outcome {
-            O::Delivered => ("delivered", Tick::CallSucceeded),
-            O::Error => ("error", Tick::CallFailed),
-            O::Rejected { .. } => ("refused", Tick::CallRefused),
-            O::Timeout => ("time-out", Tick::CallFailed),
-            O::NoConnection => ("no-connection", Tick::CallFailed),
-            O::Reset => ("reset", Tick::CallFailed),
-            O::Cancelled => ("called-off", Tick::CallFailed),
-            O::WithdrawnBeforeSend => ("taken-back", Tick::CallFailed),
-            O::NotAttempted { .. } => ("moot", Tick::CallFailed),
-        };
-        self.tally.outcome(name);
-        self.tally.tick(self.now, tick);
-    }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/lab/src/sim/attempts.rs
@@ -0,0 +1,359 @@
+//! Attempts: a call leaves its forwarder, reaches its endpoint and comes back with an outcome.
+
+use super::event::SimulatedEvent;
+use super::simulated_process::HeldMessage;
+use super::Sim;
+use crate::oracle::{FinalAnswer, SentCall, TookEffect};
+use crate::receivers::ReceiverReply;
+use crate::scenario::DeliverySemantics;
+use crate::tally::Tick;
+use crate::world::Layout;
+use opalpulley::{EndpointId, Event, MessageId, Micros, Outcome, PossibleEffect, ZoneId};
+
+/// How long until a stopped forwarder is asked again whether it goes on, µs.
+const PAUSED_RETRY: Micros = 10_000;
+
+/// An attempt in flight.
+pub(super) struct Attempt {
+    pub forwarder: u32,
+    /// The message as its forwarder numbers it.
+    pub id: MessageId,
+    /// The submission as the oracle numbers it.
+    pub submission: u64,
+    /// The message as its client numbers it.
+    pub client_message: u64,
+    /// Which attempt of its message this is, from 0.
+    pub number: u8,
+    pub endpoint: EndpointId,
+    pub sent_at: Micros,
+    pub idempotency_key: Option<u64>,
+    /// Its connection has not come up yet.
+    pub unsent: bool,
+}
+
+impl Sim {
+    /// A forwarder sends a message to an endpoint.
+    pub(super) fn send(
+        &mut self,
+        forwarder: u32,
+        id: MessageId,
+        endpoint: EndpointId,
+        timeout: Option<Micros>,
+    ) {
+        let process = &mut self.processes[forwarder as usize];
+        let Some(held) = process.open.get_mut(&id) else {
+            return self.sent_after_end(forwarder, id, endpoint);
+        };
+        let number = held.attempts.min(255) as u8;
+        held.attempts += 1;
+        let attempt = self.next_attempt;
+        self.next_attempt += 1;
+        held.in_flight.push((number, attempt));
+        let time_left = held.expires.saturating_sub(self.now);
+        let (submission, client_message) = (held.submission, held.client_message);
+        let class = held.message.class.0;
+        self.note_call(forwarder, submission, endpoint);
+        let index = Layout::endpoint_index(endpoint);
+        let connected = self.connect(forwarder, index);
+        let in_flight = Attempt {
+            forwarder,
+            id,
+            submission,
+            client_message,
+            number,
+            endpoint,
+            sent_at: self.now,
+            idempotency_key: self.idempotency_key(client_message, class),
+            unsent: connected.is_some_and(|delay| delay.late > 0),
+        };
+        self.attempts.insert(attempt, in_flight);
+        let network_delay = self.scenario.network.delay.0;
+        let Some(delay) = connected else {
+            self.connections[index].in_use += 1; // given back with the outcome
+            let refused_at = self.now + 2 * network_delay;
+            return self.schedule_end(refused_at, attempt, Outcome::NoConnection);
+        };
+        let sent_at = self.now + delay.setup + delay.late;
+        if delay.late > 0 {
+            self.schedule(sent_at, SimulatedEvent::RequestSent { attempt });
+        } else {
+            let arrives_at = sent_at + network_delay;
+            self.schedule(arrives_at, SimulatedEvent::RequestArrives { attempt });
+        }
+        let timeout = timeout.map_or(time_left, |limit| limit.min(time_left));
+        self.schedule_end(self.now + timeout, attempt, Outcome::Timeout);
+    }
+
+    pub(super) fn schedule_end(&mut self, at: Micros, attempt: u64, outcome: Outcome) {
+        self.schedule(at, SimulatedEvent::AttemptEnds { attempt, outcome });
+    }
+
+    /// A forwarder sends a message that is over: only a broken one does. The oracle is told all the same.
+    fn sent_after_end(&mut self, forwarder: u32, id: MessageId, endpoint: EndpointId) {
+        let process = &self.processes[forwarder as usize];
+        if let Some(submission) = process.finished_submission(id) {
+            let call = self.sent_call(forwarder, submission, endpoint);
+            self.oracle.sent(call, self.now);
+            self.oracle
+                .over(submission, forwarder, self.now, TookEffect::No);
+        }
+    }
+
+    fn sent_call(&self, forwarder: u32, submission: u64, endpoint: EndpointId) -> SentCall {
+        let index = Layout::endpoint_index(endpoint);
+        let place = self.layout.endpoints[index];
+        SentCall {
+            submission,
+            forwarder,
+            destination: place.destination,
+            endpoint: index,
+            holder: endpoint.incarnation,
+            limiter: place.limiter,
+        }
+    }
+
+    /// Tells oracle and tally of a call that is sent now.
+    fn note_call(&mut self, forwarder: u32, submission: u64, endpoint: EndpointId) {
+        let call = self.sent_call(forwarder, submission, endpoint);
+        self.oracle.sent(call, self.now);
+        self.tally.counts.calls += 1;
+        self.tally.calls_out += 1;
+        self.tally.tick(self.now, Tick::Call);
+    }
+
+    fn idempotency_key(&self, message: u64, class: u16) -> Option<u64> {
+        let semantics = self.scenario.classes[usize::from(class)].semantics;
+        (semantics == DeliverySemantics::IdempotencyKeyed).then_some(message)
+    }
+
+    /// The bytes of a call leave on a connection that came up late. Drains and retry-after times that were sent meanwhile
+    /// bind it.
+    pub(super) fn request_sent(&mut self, number: u64) {
+        // One that is missing was withdrawn or cancelled.
+        let Some(attempt) = self.attempts.get_mut(&number) else {
+            return;
+        };
+        attempt.unsent = false;
+        let (forwarder, endpoint) = (attempt.forwarder, attempt.endpoint);
+        let client_message = attempt.client_message;
+        let index = Layout::endpoint_index(endpoint);
+        let what = format!(
+            "packet {client_message} of forwarder {forwarder} to target {index}, chosen before"
+        );
+        let limiter = self.layout.endpoints[index].limiter;
+        self.oracle.check_bound(
+            forwarder,
+            index,
+            endpoint.incarnation,
+            limiter,
+            self.now,
+            &what,
+        );
+        let arrives_at = self.now + self.scenario.network.delay.0;
+        let arrives = SimulatedEvent::RequestArrives { attempt: number };
+        self.schedule(arrives_at, arrives);
+    }
+
+    /// The receiver answers a call, or does not.
+    pub(super) fn request_arrives(&mut self, number: u64) {
+        // One that is missing was cancelled on its way.
+        let Some(attempt) = self.attempts.get(&number) else {
+            return;
+        };
+        let index = Layout::endpoint_index(attempt.endpoint);
+        let fate = self
+            .receivers
+            .call(self.now, index, attempt.forwarder, attempt.idempotency_key);
+        if let Some(ran) = fate.ran {
+            self.oracle
+                .took_effect(attempt.client_message, attempt.submission, ran);
+        }
+        let Some(outcome) = outcome_of(fate.says) else {
+            return;
+        };
+        let at = fate.at.max(self.now) + self.scenario.network.delay.0;
+        if let ReceiverReply::TooManyRequestsTruncated { wait: Some(wait) } = fate.says {
+            let received = SimulatedEvent::RetryAfterReceived {
+                attempt: number,
+                retry_after: wait,
+            };
+            self.schedule(at, received);
+        }
+        self.schedule_end(at, number, outcome);
+    }
+
+    /// The outcome of an attempt reaches its forwarder.
+    pub(super) fn attempt_ends(&mut self, number: u64, outcome: Outcome) {
+        let Some(attempt) = self.attempts.get(&number) else {
+            return;
+        };
+        if self.processes[attempt.forwarder as usize].paused {
+            // A stopped process reads nothing: the answer waits in its socket, and its own timers do not fire.
+            return self.schedule_end(self.now + PAUSED_RETRY, number, outcome);
+        }
+        let Some(attempt) = self.attempts.remove(&number) else {
+            return;
+        };
+        self.note_outcome(&attempt, outcome);
+        let process = &mut self.processes[attempt.forwarder as usize];
+        let incarnation = process.incarnation;
+        let clock_lead = process.clock_lead;
+        let place = self.layout.endpoints[Layout::endpoint_index(attempt.endpoint)];
+        let Some(held) = process.open.get_mut(&attempt.id) else {
+            return;
+        };
+        let served = outcome == Outcome::Delivered && !held.ended;
+        let sent_at = attempt.sent_at + clock_lead;
+        held.attempt_ended(number, outcome, sent_at, ZoneId(place.zone));
+        let completed = held.ended;
+        if served {
+            self.final_answer(
+                attempt.client_message,
+                attempt.submission,
+                FinalAnswer::Served,
+                None,
+                u32::from(attempt.number),
+            );
+        }
+        self.forget_finished(attempt.forwarder, attempt.id);
+        let ended = Event::AttemptEnded {
+            id: attempt.id,
+            attempt: attempt.number,
+            endpoint: attempt.endpoint,
+            outcome,
+            took: self.now - attempt.sent_at,
+            completed,
+            report: Vec::new(),
+        };
+        self.deliver_event(attempt.forwarder, incarnation, ended);
+    }
+
+    /// Tells connections, tally and oracle of an outcome.
+    fn note_outcome(&mut self, attempt: &Attempt, outcome: Outcome) {
+        self.tally.calls_out = self.tally.calls_out.saturating_sub(1);
+        let index = Layout::endpoint_index(attempt.endpoint);
+        let usable = matches!(
+            outcome,
+            Outcome::Delivered | Outcome::Error | Outcome::Rejected { .. }
+        );
+        self.release_connection(attempt.forwarder, index, usable);
+        self.count_outcome(outcome);
+        let took_effect = match outcome.may_have_taken_effect() {
+            true => TookEffect::Perhaps,
+            false => TookEffect::No,
+        };
+        self.oracle.over(
+            attempt.submission,
+            attempt.forwarder,
+            attempt.sent_at,
+            took_effect,
+        );
+        if outcome == Outcome::WithdrawnBeforeSend {
+            self.oracle.withdrawn_before_send(attempt.submission);
+        }
+        if let Outcome::Rejected {
+            retry_after: Some(retry_after),
+        } = outcome
+        {
+            let limiter = self.layout.endpoints[index].limiter;
+            let until = self.now + retry_after;
+            self.oracle
+                .retry_after_notified(attempt.forwarder, limiter, self.now, until);
+        }
+    }
+
+    fn count_outcome(&mut self, outcome: Outcome) {
+        let (name, tick) = match outcome {
+            Outcome::Delivered => ("delivered", Tick::CallSucceeded),
+            Outcome::Error => ("error", Tick::CallFailed),
+            Outcome::Rejected { .. } => ("refused", Tick::CallRefused),
+            Outcome::Timeout => ("time-out", Tick::CallFailed),
+            Outcome::NoConnection => ("no-connection", Tick::CallFailed),
+            Outcome::Reset => ("reset", Tick::CallFailed),
+            Outcome::Cancelled => ("called-off", Tick::CallFailed),
+            Outcome::WithdrawnBeforeSend => ("taken-back", Tick::CallFailed),
+            Outcome::NotAttempted { .. } => ("moot", Tick::CallFailed),
+        };
+        self.tally.outcome(name);
+        self.tally.tick(self.now, tick);
+    }
+
+    /// The head of an answer holds a retry-after time. Its forwarder reads it at once unless it is stopped.
+    pub(super) fn retry_after_received(&mut self, number: u64, retry_after: Micros) {
+        let Some(attempt) = self.attempts.get(&number) else {
+            return;
+        };
+        let (forwarder, endpoint) = (attempt.forwarder, attempt.endpoint);
+        let process = &self.processes[forwarder as usize];
+        let incarnation = process.incarnation;
+        if process.paused {
+            let received = SimulatedEvent::RetryAfterReceived {
+                attempt: number,
+                retry_after,
+            };
+            return self.schedule(self.now + PAUSED_RETRY, received);
+        }
+        let limiter = self.layout.endpoints[Layout::endpoint_index(endpoint)].limiter;
+        let until = self.now + retry_after;
+        self.oracle
+            .retry_after_notified(forwarder, limiter, self.now, until);
+        let received = Event::RetryAfterReceived {
+            endpoint,
+            retry_after,
+        };
+        self.deliver_event(forwarder, incarnation, received);
+    }
+
+    /// A forwarder cancels an attempt.
+    pub(super) fn cancel(&mut self, forwarder: u32, id: MessageId, attempt: u8) {
+        let held = self.processes[forwarder as usize].open.get(&id);
+        if let Some(attempt) = held.and_then(|held| held.attempt_in_flight(attempt)) {
+            self.schedule_end(self.now, attempt, Outcome::Cancelled);
+        }
+    }
+
+    /// A forwarder withdraws its attempts to an endpoint whose bytes have not left, in the order of their numbers.
+    pub(super) fn withdraw_unsent(&mut self, forwarder: u32, endpoint: EndpointId) {
+        let unsent = self.attempts.iter().filter(|(_, attempt)| {
+            attempt.forwarder == forwarder && attempt.endpoint == endpoint && attempt.unsent
+        });
+        let mut numbers: Vec<u64> = unsent.map(|(number, _)| *number).collect();
+        numbers.sort_unstable();
+        for attempt in numbers {
+            self.schedule_end(self.now, attempt, Outcome::WithdrawnBeforeSend);
+        }
+    }
+}
+
+impl HeldMessage {
+    /// Notes the outcome of one of its attempts; `sent_at` is on its forwarder's clock.
+    fn attempt_ended(&mut self, number: u64, outcome: Outcome, sent_at: Micros, zone: ZoneId) {
+        self.in_flight.retain(|(_, attempt)| *attempt != number);
+        if outcome == Outcome::WithdrawnBeforeSend {
+            self.attempts -= 1;
+        }
+        if outcome.may_have_taken_effect() && self.possible_effect.is_none() {
+            self.possible_effect = Some(PossibleEffect { sent_at, zone });
+        }
+        if outcome == Outcome::Delivered {
+            self.ended = true;
+        }
+    }
+}
+
+/// What a forwarder sees of a receiver's reply; nothing where none comes.
+fn outcome_of(reply: ReceiverReply) -> Option<Outcome> {
+    Some(match reply {
+        ReceiverReply::Served | ReceiverReply::ServedThenReset | ReceiverReply::Endless => {
+            Outcome::Delivered
+        }
+        ReceiverReply::Erred => Outcome::Error,
+        ReceiverReply::TooManyRequests { wait } => Outcome::Rejected { retry_after: wait },
+        ReceiverReply::Overloaded => Outcome::Rejected { retry_after: None },
+        ReceiverReply::Refused | ReceiverReply::ClosedEarly => Outcome::NoConnection,
+        ReceiverReply::Reset
+        | ReceiverReply::Garbled
+        | ReceiverReply::TooManyRequestsTruncated { .. } => Outcome::Reset,
+        ReceiverReply::Silent => return None,
+    })
+}
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -1,6 +1,9 @@
-//! Clients: they hand a message in when it is due, come again after a rejection, and go elsewhere when a forwarder is not there.
+//! Clients: they submit a message when it is due, submit it again after a rejection, and go to another forwarder when one is
+//! not there.
 
-use super::{ClientMessage, Sim, SimulatedEvent};
+use super::event::SimulatedEvent;
+use super::simulated_process::NewSubmission;
+use super::Sim;
 use crate::load::Due;
 use crate::oracle::{FinalAnswer, SubmissionRecord};
 use crate::tally::Tick;
@@ -10,98 +13,118 @@
 };
 use rand::Rng;
 
-const OTHER_FORWARDER_DELAY: Micros = 50_000; // after a connection that was refused
-const ANSWER_TIMEOUT: Micros = 400_000; // a client waits so long for the answer to its request
-const DEFAULT_RETRY_AFTER: Micros = 1_000_000; // where no time was told
-const MAX_TRIES: u32 = 20; // of a client that finds no forwarder
+/// A client goes to another forwarder so long after a connection was refused, µs.
+const OTHER_FORWARDER_DELAY: Micros = 50_000;
+/// A client waits so long for the answer to its request, µs.
+const ANSWER_TIMEOUT: Micros = 400_000;
+/// A client submits again after so long where no time was named, µs.
+const DEFAULT_RETRY_AFTER: Micros = 1_000_000;
+/// Tries of a client that finds no forwarder.
+const MAX_TRIES: u32 = 20;
+/// A client submits again up to this part of the named time later, by chance: clients do not all keep the same time.
+const RETRY_JITTER: f64 = 0.1;
 
-/// No tenant: the core finds no share for it.
+/// No tenant: the core finds no quota for it.
 const NO_TENANT: TenantId = TenantId(u32::MAX);
 
-/// What becomes of a submission at once.
+/// A message as its client knows it.
+pub(super) struct ClientMessage {
+    due: Due,
+    expires: Micros,
+    /// How often it may still be submitted again.
+    resubmissions: u32,
+    /// It was rejected before.
+    resubmitted: bool,
+    /// Forwarders that were not there.
+    tries: u32,
+}
+
+/// What a forwarder answers to a submission at once.
 pub(super) enum SubmissionAnswer {
     Accepted,
+    /// Rejected, with the retry-after time where there is one, µs.
     Rejected(Option<Micros>),
     Failed,
 }
 
 impl Sim {
+    /// A message of the load is due: its client submits it.
     pub(super) fn message_due(&mut self, due: Due) {
-        let message = self.next_message;
+        let number = self.next_message;
         self.next_message += 1;
         self.tally.due(self.now, due.class);
-        let expires = self.now + due.left;
-        self.messages.insert(
-            message,
-            ClientMessage {
-                expires,
-                resubmissions: due.resubmissions,
-                resubmitted: false,
-                tries: 0,
-                due,
-            },
-        );
-        self.submit(message);
+        let message = ClientMessage {
+            expires: self.now + due.left,
+            resubmissions: due.resubmissions,
+            resubmitted: false,
+            tries: 0,
+            due,
+        };
+        self.messages.insert(number, message);
+        self.submit(number);
     }
 
+    /// The client of a message submits it to a forwarder drawn by chance.
     pub(super) fn submit(&mut self, number: u64) {
-        let Some(message) = self.messages.get_mut(&number) else {
+        let Some(message) = self.messages.get(&number) else {
             return;
         };
         if self.now >= message.expires {
-            return self.given_up(number);
+            return self.give_up(number);
         }
         let forwarder = self.clients.random_range(0..self.processes.len());
         let process = &self.processes[forwarder];
-        if !process.up() || process.paused {
-            message.tries += 1;
-            let (tries, after) = (
-                message.tries,
-                if process.paused {
-                    ANSWER_TIMEOUT
-                } else {
-                    OTHER_FORWARDER_DELAY
-                },
-            );
-            self.tally.counts.turned_away += 1;
-            return match tries < MAX_TRIES {
-                true => self.schedule(self.now + after, SimulatedEvent::Submit { message: number }),
-                false => self.given_up(number),
-            };
+        if !process.is_up() {
+            return self.try_another_forwarder(number, OTHER_FORWARDER_DELAY);
+        }
+        if process.paused {
+            return self.try_another_forwarder(number, ANSWER_TIMEOUT);
         }
         self.tally.counts.submissions += 1;
         if process.open.len() >= self.scenario.forwarders.message_capacity as usize {
             self.tally.counts.turned_away += 1;
             return self.schedule_resubmission(number, None);
         }
+        self.submit_to(forwarder as u32, number);
+    }
+
+    /// A forwarder was not there: the client tries another after some time.
+    fn try_another_forwarder(&mut self, number: u64, after: Micros) {
+        self.tally.counts.turned_away += 1;
+        let Some(message) = self.messages.get_mut(&number) else {
+            return;
+        };
+        message.tries += 1;
+        if message.tries >= MAX_TRIES {
+            return self.give_up(number);
+        }
+        self.schedule(self.now + after, SimulatedEvent::Submit { message: number });
+    }
+
+    /// Submits a message to a forwarder that has room for it, and takes its answer.
+    fn submit_to(&mut self, forwarder: u32, number: u64) {
         let submission = self.next_submission;
         self.next_submission += 1;
         let message = &self.messages[&number];
-        let left = message.expires - self.now;
         let ordered = self.scenario.classes[usize::from(message.due.class)].ordered;
         let key = ordered.then_some(message.due.key);
         let record = SubmissionRecord {
             submission,
             message: number,
-            forwarder: forwarder as u32,
+            forwarder,
             expires: message.expires,
             class: message.due.class,
             destination: message.due.destination,
             key,
         };
-        let arrival = Submission {
-            id: MessageId(0),
-            class: DeliveryClassId(message.due.class),
-            tenant: message.due.tenant.map_or(NO_TENANT, TenantId),
-            key: key.map(|k| OrderKey(k + 1)),
-            time_left: left,
-            destination: DestinationId(message.due.destination),
-            resubmitted: message.resubmitted,
-            history: AttemptHistory::default(),
+        let new = NewSubmission {
+            submission,
+            client_message: number,
+            expires: message.expires,
+            message: message.as_submitted(key, self.now),
         };
-        let expires = message.expires;
         self.oracle.submitted(record);
-        match self.accept_submission(forwarder as u32, number, submission, expires, arrival) {
+        match self.accept_submission(forwarder, new) {
             SubmissionAnswer::Accepted => self.oracle.accepted(submission),
             SubmissionAnswer::Rejected(retry_after) => {
                 self.oracle.refused(submission, self.now);
@@ -115,65 +138,48 @@
         }
     }
 
-    /// The client was asked to come back later.
-    pub(super) fn schedule_resubmission(&mut self, number: u64, retry_after: Option<Micros>) {
+    /// The client was asked to submit again later; it gives up where that is too late.
+    fn schedule_resubmission(&mut self, number: u64, retry_after: Option<Micros>) {
         self.tally.tick(self.now, Tick::Rejected);
         let Some(message) = self.messages.get_mut(&number) else {
             return;
         };
         let wait = retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
         if message.resubmissions == 0 || self.now + wait >= message.expires {
-            return self.given_up(number);
+            return self.give_up(number);
         }
         message.resubmissions -= 1;
         message.resubmitted = true;
-        // By chance a tenth longer: clients do not all keep the same time.
-        let at = self.now + wait + (wait as f64 * 0.1 * self.clients.random::<f64>()) as Micros;
+        let jitter = (wait as f64 * RETRY_JITTER * self.clients.random::<f64>()) as Micros;
+        let at = self.now + wait + jitter;
         self.schedule(at, SimulatedEvent::Submit { message: number });
     }
 
-    fn given_up(&mut self, number: u64) {
+    fn give_up(&mut self, number: u64) {
         if self.messages.remove(&number).is_some() {
             self.tally.counts.given_up += 1;
         }
     }
 
-    pub(super) fn fail_message(&mut self, number: u64) {
+    fn fail_message(&mut self, number: u64) {
         if self.messages.remove(&number).is_some() {
             self.tally.counts.written_off += 1;
             self.tally.tick(self.now, Tick::MessageFailed);
         }
     }
 
-    /// A final answer that came after the message was accepted.
+    /// The client gets the final answer to a message that was accepted; `attempt` is the number of the one that served it.
     pub(super) fn final_answer(
         &mut self,
         number: u64,
         submission: u64,
-        end: FinalAnswer,
+        answer: FinalAnswer,
         retry_after: Option<Micros>,
         attempt: u32,
     ) {
-        self.oracle.ended(submission, end, self.now);
-        match end {
-            FinalAnswer::Served => {
-                let Some(message) = self.messages.remove(&number) else {
-                    return;
-                };
-                match self.now <= message.expires {
-                    true => {
-                        let took = self.now - message.due.at;
-                        self.tally.served(
-                            self.now,
-                            took,
-                            message.due.class,
-                            attempt,
-                            message.resubmitted,
-                        );
-                    }
-                    false => self.tally.counts.written_off += 1,
-                }
-            }
+        self.oracle.ended(submission, answer, self.now);
+        match answer {
+            FinalAnswer::Served => self.message_served(number, attempt),
             FinalAnswer::Rejected => {
                 self.tally.counts.rejections += 1;
                 self.schedule_resubmission(number, retry_after);
@@ -181,4 +187,36 @@
             FinalAnswer::Failed => self.fail_message(number),
         }
     }
+
+    /// Counts a served message; one served after its deadline counts as failed.
+    fn message_served(&mut self, number: u64, attempt: u32) {
+        let Some(message) = self.messages.remove(&number) else {
+            return;
+        };
+        if self.now > message.expires {
+            self.tally.counts.written_off += 1;
+            return;
+        }
+        let took = self.now - message.due.at;
+        let class = message.due.class;
+        let resubmitted = message.resubmitted;
+        self.tally
+            .served(self.now, took, class, attempt, resubmitted);
+    }
+}
+
+impl ClientMessage {
+    /// The message as it is submitted now; the forwarder chooses its id.
+    fn as_submitted(&self, key: Option<u64>, now: Micros) -> Submission {
+        Submission {
+            id: MessageId(0),
+            class: DeliveryClassId(self.due.class),
+            tenant: self.due.tenant.map_or(NO_TENANT, TenantId),
+            key: key.map(|key| OrderKey(key + 1)),
+            time_left: self.expires - now,
+            destination: DestinationId(self.due.destination),
+            resubmitted: self.resubmitted,
+            history: AttemptHistory::default(),
+        }
+    }
 }
--- /dev/null
+++ b/crates/lab/src/sim/discovery.rs
@@ -0,0 +1,182 @@
+//! Discovery: the endpoint list, its updates on their way to the forwarders, and polls of it.
+
+use super::event::SimulatedEvent;
+use super::Sim;
+use crate::scenario::Scenario;
+use crate::world::Layout;
+use opalpulley::{EndpointEntry, EndpointListUpdate, EndpointStatus, Event, Micros};
+use rand::Rng;
+
+/// What the list says of one endpoint's address.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ListedEndpoint {
+    /// The number of the holder of the address; a new holder has the next one.
+    pub holder: u32,
+    pub status: EndpointStatus,
+}
+
+impl Sim {
+    /// The complete list, in the order of the endpoints.
+    pub(super) fn complete_list(
+        layout: &Layout,
+        scenario: &Scenario,
+        listed: &[ListedEndpoint],
+    ) -> Vec<EndpointEntry> {
+        let entry = |(endpoint, listed): (usize, &ListedEndpoint)| {
+            let groups = &scenario.destinations;
+            layout.listing(groups, endpoint, listed.holder, listed.status)
+        };
+        listed.iter().enumerate().map(entry).collect()
+    }
+
+    fn current_list(&self) -> Vec<EndpointEntry> {
+        Sim::complete_list(&self.layout, &self.scenario, &self.listed_endpoints)
+    }
+
+    /// One endpoint begins to drain; or it is gone, and a new holder of its address is ready.
+    pub(super) fn endpoint_drains(&mut self, endpoint: usize, gone: bool) {
+        let holder = self.listed_endpoints[endpoint].holder;
+        let changes = if gone {
+            self.receivers.replace(self.now, endpoint);
+            self.connections[endpoint].idle.clear();
+            vec![
+                (holder, EndpointStatus::Removed),
+                (holder + 1, EndpointStatus::Ready),
+            ]
+        } else {
+            vec![(holder, EndpointStatus::Draining)]
+        };
+        if let Some((holder, status)) = changes.last().copied() {
+            self.listed_endpoints[endpoint] = ListedEndpoint { holder, status };
+        }
+        let groups = &self.scenario.destinations;
+        let entry = |(holder, status)| self.layout.listing(groups, endpoint, holder, status);
+        let entries = changes.into_iter().map(entry).collect();
+        self.send_list_update(EndpointListUpdate::Changes(entries));
+    }
+
+    /// Sends the whole list without a part of it that is drawn by chance.
+    pub(super) fn send_partial_list(&mut self, missing_share: f64) {
+        let mut list = self.current_list();
+        list.retain(|_| !self.lags.random_bool(missing_share));
+        self.send_list_update(EndpointListUpdate::Complete(list));
+    }
+
+    /// Sends an update to every forwarder: each after a lag of its own, in order, and not while discovery is stale.
+    fn send_list_update(&mut self, update: EndpointListUpdate) {
+        for forwarder in 0..self.processes.len() {
+            let lag = self.lags.random_range(0..=self.scenario.network.list_lag.0);
+            let process = &mut self.processes[forwarder];
+            let arrives_at = self.now.max(self.stale_until) + lag;
+            process.list_update_at = arrives_at.max(process.list_update_at);
+            let at = process.list_update_at;
+            self.schedule_list_update(at, forwarder as u32, update.clone());
+        }
+    }
+
+    fn schedule_list_update(&mut self, at: Micros, forwarder: u32, update: EndpointListUpdate) {
+        self.schedule(at, SimulatedEvent::ListUpdate { forwarder, update });
+    }
+
+    /// Sends the whole list to a forwarder that was away.
+    pub(super) fn send_complete_list(&mut self, forwarder: u32) {
+        let update = EndpointListUpdate::Complete(self.current_list());
+        let at = self.now.max(self.stale_until);
+        self.schedule_list_update(at, forwarder, update);
+    }
+
+    /// A forwarder polls the list. Discovery answers one poll after the other, even those that it answers too late; one that
+    /// would wait for too long is rejected.
+    pub(super) fn poll_list(&mut self, forwarder: u32) {
+        let Some(discovery) = &self.scenario.network.polled_discovery else {
+            return;
+        };
+        self.work.list_calls += 1;
+        let wait = self.discovery_busy_until.saturating_sub(self.now) + discovery.poll_cost.0;
+        let timeout = discovery.poll_timeout.0;
+        let (after, answered) = if wait > discovery.longest_queue.0 {
+            (2 * self.scenario.network.delay.0, false)
+        } else {
+            self.discovery_busy_until = self.now + wait;
+            (wait.min(timeout), wait <= timeout)
+        };
+        let ends = SimulatedEvent::PollAnswered {
+            forwarder,
+            incarnation: self.processes[forwarder as usize].incarnation,
+            answered,
+        };
+        self.schedule(self.now + after, ends);
+    }
+
+    pub(super) fn poll_answered(&mut self, forwarder: u32, incarnation: u32, answered: bool) {
+        let process = &mut self.processes[forwarder as usize];
+        if process.incarnation != incarnation || !process.is_up() {
+            return;
+        }
+        if answered {
+            process.follows_list = true;
+            self.send_complete_list(forwarder);
+        } else {
+            let failed = Event::EndpointList(EndpointListUpdate::Failed);
+            self.deliver_event(forwarder, incarnation, failed);
+        }
+    }
+
+    /// A list update reaches a forwarder. One that is down, or does not follow the list yet, gets the whole list later.
+    pub(super) fn receive_list_update(&mut self, forwarder: u32, update: EndpointListUpdate) {
+        let process = &self.processes[forwarder as usize];
+        if !process.is_up() || !process.follows_list {
+            return;
+        }
+        let incarnation = process.incarnation;
+        match &update {
+            EndpointListUpdate::Changes(entries) => self.apply_entries(forwarder, entries),
+            EndpointListUpdate::Complete(entries) | EndpointListUpdate::Cached(entries) => {
+                self.remove_missing(forwarder, entries);
+                self.apply_entries(forwarder, entries);
+            }
+            EndpointListUpdate::Failed => {}
+        }
+        self.deliver_event(forwarder, incarnation, Event::EndpointList(update));
+    }
+
+    /// Removes endpoints that a complete list does not name.
+    fn remove_missing(&mut self, forwarder: u32, entries: &[EndpointEntry]) {
+        let listed = &self.processes[forwarder as usize].listed;
+        let missing = |known: &&EndpointEntry| {
+            let mut named = entries.iter();
+            !named.any(|entry| entry.endpoint == known.endpoint)
+        };
+        let missing: Vec<EndpointEntry> = listed.values().filter(missing).cloned().collect();
+        for entry in missing {
+            let listed = &mut self.processes[forwarder as usize].listed;
+            listed.remove(&Layout::endpoint_index(entry.endpoint));
+            self.notify_oracle(forwarder, &entry, false);
+        }
+    }
+
+    fn apply_entries(&mut self, forwarder: u32, entries: &[EndpointEntry]) {
+        for entry in entries {
+            self.notify_oracle(forwarder, entry, entry.status == EndpointStatus::Ready);
+            let listed = &mut self.processes[forwarder as usize].listed;
+            let index = Layout::endpoint_index(entry.endpoint);
+            if entry.status != EndpointStatus::Removed {
+                listed.insert(index, entry.clone());
+                continue;
+            }
+            // A new holder of the address stays.
+            let known = listed.get(&index);
+            if known.is_some_and(|known| known.endpoint == entry.endpoint) {
+                listed.remove(&index);
+            }
+        }
+    }
+
+    /// Tells the oracle that a forwarder knows now whether an endpoint takes new calls.
+    fn notify_oracle(&mut self, forwarder: u32, entry: &EndpointEntry, ready: bool) {
+        let index = Layout::endpoint_index(entry.endpoint);
+        let holder = entry.endpoint.incarnation;
+        self.oracle
+            .endpoint_status_notified(forwarder, index, holder, ready, self.now);
+    }
+}
--- /dev/null
+++ b/crates/lab/src/sim/handlers.rs
@@ -0,0 +1,76 @@
+//! Hands each simulated event to the part of the world that it concerns.
+
+use super::event::SimulatedEvent;
+use super::{Sim, SWEEP_INTERVAL};
+use opalpulley::Event;
+
+impl Sim {
+    pub(super) fn handle(&mut self, event: SimulatedEvent) {
+        match event {
+            SimulatedEvent::Due(due) => {
+                self.schedule_next_due();
+                self.message_due(due);
+            }
+            SimulatedEvent::Submit { message } => self.submit(message),
+            SimulatedEvent::RequestSent { attempt } => self.request_sent(attempt),
+            SimulatedEvent::RequestArrives { attempt } => self.request_arrives(attempt),
+            SimulatedEvent::RetryAfterReceived {
+                attempt,
+                retry_after,
+            } => self.retry_after_received(attempt, retry_after),
+            SimulatedEvent::AttemptEnds { attempt, outcome } => self.attempt_ends(attempt, outcome),
+            SimulatedEvent::HealthCheckArrives(check) => self.health_check_arrives(check),
+            SimulatedEvent::HealthCheckEnds {
+                health_check,
+                outcome,
+            } => self.health_check_ends(health_check, outcome),
+            SimulatedEvent::FaultChanges { fault, begins } => self.fault_changes(fault, begins),
+            SimulatedEvent::EndpointDrains { endpoint, gone } => {
+                self.endpoint_drains(endpoint, gone)
+            }
+            SimulatedEvent::OracleSweep => self.sweep(),
+            other => self.handle_for_forwarder(other),
+        }
+    }
+
+    /// Events that reach one forwarder process.
+    fn handle_for_forwarder(&mut self, event: SimulatedEvent) {
+        match event {
+            SimulatedEvent::TimerFires {
+                forwarder,
+                incarnation,
+                token,
+            } => self.deliver_event(forwarder, incarnation, Event::TimerFired { token }),
+            SimulatedEvent::ListUpdate { forwarder, update } => {
+                self.receive_list_update(forwarder, update)
+            }
+            SimulatedEvent::PollAnswered {
+                forwarder,
+                incarnation,
+                answered,
+            } => self.poll_answered(forwarder, incarnation, answered),
+            SimulatedEvent::Gossip { from, to, payload } => self.receive_gossip(from, to, payload),
+            SimulatedEvent::ProcessRestarts {
+                forwarder,
+                folder_kept,
+            } => self.restart_process(forwarder, folder_kept),
+            SimulatedEvent::ProcessResumes { forwarder } => self.resume_process(forwarder),
+            _ => {}
+        }
+    }
+
+    fn receive_gossip(&mut self, from: u32, to: u32, payload: Vec<u8>) {
+        let incarnation = self.processes[to as usize].incarnation;
+        let from = from as u16;
+        self.deliver_event(to, incarnation, Event::Gossip { from, payload });
+    }
+
+    /// Lets the oracle look for what is overdue, and notes how much the tables hold.
+    fn sweep(&mut self) {
+        self.oracle.sweep(self.now);
+        let held =
+            self.oracle.held() + self.receivers.held() + self.messages.len() + self.attempts.len();
+        self.work.most_held = self.work.most_held.max(held);
+        self.schedule(self.now + SWEEP_INTERVAL, SimulatedEvent::OracleSweep);
+    }
+}
--- /dev/null
+++ b/crates/lab/src/sim/health_checks.rs
@@ -0,0 +1,64 @@
+//! Health checks between forwarders and receivers.
+
+use super::event::{HealthCheck, SimulatedEvent};
+use super::Sim;
+use crate::receivers::ReceiverReply;
+use crate::world::Layout;
+use opalpulley::{EndpointId, Event, Outcome};
+
+/// Ways between forwarder and endpoint until a health check is in: a connection is made for it.
+const WAYS_TO_ENDPOINT: u64 = 3;
+
+impl Sim {
+    pub(super) fn send_health_check(&mut self, forwarder: u32, endpoint: EndpointId) {
+        self.tally.counts.health_checks += 1;
+        let index = Layout::endpoint_index(endpoint);
+        let limiter = self.layout.endpoints[index].limiter;
+        let what = format!("a probe of forwarder {forwarder} to target {index}");
+        self.oracle
+            .check_retry_after(forwarder, limiter, self.now, &what);
+        let health_check = HealthCheck {
+            forwarder,
+            incarnation: self.processes[forwarder as usize].incarnation,
+            endpoint,
+            sent_at: self.now,
+        };
+        let arrives_at = self.now + WAYS_TO_ENDPOINT * self.scenario.network.delay.0;
+        self.schedule(arrives_at, SimulatedEvent::HealthCheckArrives(health_check));
+    }
+
+    pub(super) fn health_check_arrives(&mut self, health_check: HealthCheck) {
+        let index = Layout::endpoint_index(health_check.endpoint);
+        let fate = self
+            .receivers
+            .health_check(self.now, index, health_check.forwarder);
+        let outcome = match fate.says {
+            ReceiverReply::Served => Outcome::Delivered,
+            ReceiverReply::Overloaded => Outcome::Rejected { retry_after: None },
+            ReceiverReply::Silent => Outcome::Timeout,
+            _ => Outcome::NoConnection,
+        };
+        let timeout = match fate.says {
+            ReceiverReply::Silent => self.scenario.network.connect_timeout.0,
+            _ => 0,
+        };
+        let ends_at = fate.at + self.scenario.network.delay.0 + timeout;
+        self.schedule(
+            ends_at,
+            SimulatedEvent::HealthCheckEnds {
+                health_check,
+                outcome,
+            },
+        );
+    }
+
+    pub(super) fn health_check_ends(&mut self, health_check: HealthCheck, outcome: Outcome) {
+        let ended = Event::HealthCheckEnded {
+            endpoint: health_check.endpoint,
+            outcome,
+            took: self.now - health_check.sent_at,
+            report: Vec::new(),
+        };
+        self.deliver_event(health_check.forwarder, health_check.incarnation, ended);
+    }
+}
--- /dev/null
+++ b/crates/lab/src/sim/lifecycle.rs
@@ -0,0 +1,144 @@
+//! Forwarder processes are killed, started again, stopped and continued.
+
+use super::simulated_process::HeldMessage;
+use super::Sim;
+use crate::oracle::TookEffect;
+use crate::world::Layout;
+use opalpulley::{AttemptHistory, Event, Micros, PossibleEffect, Submission, ZoneId};
+
+/// After a restart: from then on a final answer may be overdue, µs.
+const READY_AFTER: Micros = 1_500_000;
+
+impl Sim {
+    /// Kills a process. Its calls break off; if its folder is kept, its messages wait there for the next start.
+    pub(super) fn kill_process(&mut self, forwarder: u32, folder_kept: bool) {
+        let process = &mut self.processes[forwarder as usize];
+        if !process.is_up() {
+            return;
+        }
+        process.subject = None;
+        process.paused = false;
+        process.incarnation += 1;
+        process.inbox.clear();
+        self.break_off_attempts(forwarder);
+        for connections in &mut self.connections {
+            connections.idle.remove(&forwarder);
+        }
+        self.oracle.process_ended(forwarder);
+        self.oracle.excuse(forwarder, Micros::MAX);
+        let process = &mut self.processes[forwarder as usize];
+        process.open.retain(|_, held| !held.ended);
+        if !folder_kept {
+            self.lose_folder(forwarder);
+        }
+    }
+
+    /// Ends the attempts of a process that was killed, in the order of their numbers.
+    fn break_off_attempts(&mut self, forwarder: u32) {
+        let own = self
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| attempt.forwarder == forwarder);
+        let mut numbers: Vec<u64> = own.map(|(number, _)| *number).collect();
+        numbers.sort_unstable();
+        for number in numbers {
+            self.break_off(number);
+        }
+    }
+
+    fn break_off(&mut self, number: u64) {
+        let Some(attempt) = self.attempts.remove(&number) else {
+            return;
+        };
+        let forwarder = attempt.forwarder;
+        self.tally.calls_out = self.tally.calls_out.saturating_sub(1);
+        self.oracle.over(
+            attempt.submission,
+            forwarder,
+            attempt.sent_at,
+            TookEffect::Perhaps,
+        );
+        let index = Layout::endpoint_index(attempt.endpoint);
+        self.release_connection(forwarder, index, false);
+        let process = &mut self.processes[forwarder as usize];
+        let possible_effect = PossibleEffect {
+            sent_at: attempt.sent_at + process.clock_lead,
+            zone: ZoneId(self.layout.endpoints[index].zone),
+        };
+        if let Some(held) = process.open.get_mut(&attempt.id) {
+            held.in_flight.clear();
+            held.possible_effect.get_or_insert(possible_effect);
+        }
+    }
+
+    /// The messages of a killed process are lost with its folder.
+    fn lose_folder(&mut self, forwarder: u32) {
+        let process = &mut self.processes[forwarder as usize];
+        let lost = std::mem::take(&mut process.open);
+        process.listed.clear();
+        self.oracle.lost_with_folder(forwarder, self.now);
+        for held in lost.into_values() {
+            if self.messages.remove(&held.client_message).is_some() {
+                self.tally.counts.gone += 1;
+            }
+        }
+    }
+
+    /// Starts a killed process again; it takes over what its folder holds.
+    pub(super) fn restart_process(&mut self, forwarder: u32, folder_kept: bool) {
+        self.oracle.excuse(forwarder, self.now + READY_AFTER);
+        self.start_process(forwarder);
+        if self.processes[forwarder as usize].follows_list {
+            self.send_complete_list(forwarder);
+        }
+        if !folder_kept {
+            return;
+        }
+        let process = &mut self.processes[forwarder as usize];
+        let messages: Vec<HeldMessage> = std::mem::take(&mut process.open).into_values().collect();
+        for held in messages {
+            self.recover_message(forwarder, held);
+        }
+    }
+
+    /// A process that started again submits a message of its folder to itself, with the history of its attempts.
+    fn recover_message(&mut self, forwarder: u32, mut held: HeldMessage) {
+        let process = &mut self.processes[forwarder as usize];
+        let id = process.new_id();
+        held.message = Submission {
+            id,
+            time_left: held.expires.saturating_sub(self.now),
+            resubmitted: true,
+            history: AttemptHistory {
+                attempts: held.attempts,
+                possible_effect: held.possible_effect,
+            },
+            ..held.message
+        };
+        let message = held.message.clone();
+        process.open.insert(id, held);
+        self.run_forwarder(forwarder, Event::Submitted(message), None);
+    }
+
+    /// Stops a process: it reads and sends nothing until it goes on.
+    pub(super) fn pause_process(&mut self, forwarder: u32) {
+        let process = &mut self.processes[forwarder as usize];
+        if process.is_up() {
+            process.paused = true;
+            self.oracle.excuse(forwarder, Micros::MAX);
+        }
+    }
+
+    /// A stopped process goes on and handles what waited for it.
+    pub(super) fn resume_process(&mut self, forwarder: u32) {
+        let process = &mut self.processes[forwarder as usize];
+        if !process.paused {
+            return;
+        }
+        process.paused = false;
+        self.oracle.excuse(forwarder, self.now + READY_AFTER);
+        while let Some(event) = self.processes[forwarder as usize].inbox.pop_front() {
+            self.run_forwarder(forwarder, event, None);
+        }
+    }
+}
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -3,16 +3,24 @@
 //! `Stage` holds what all stand-ins share; it is locked for a moment at a time and never over a wait. Messages leave it with
 //! their end.
 
+mod accept_queue;
 pub mod agents;
+mod calls;
 pub mod clients;
 pub mod endpoints;
 mod error;
+mod load_thread;
 pub mod processes;
+mod replies;
 pub mod run;
+mod submissions;
+mod timeline;
 pub(crate) mod wire;
+pub mod without_forwarders;
 
 pub use error::SocketsError;
 
+use crate::load::Due;
 use crate::oracle::{FinalAnswer, Oracle};
 use crate::receivers::Receivers;
 use crate::scenario::{DeliverySemantics, Scenario};
@@ -25,55 +33,74 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// What may pass between a thing done and the same thing seen, beside what the rules allow: 50 ms that the platform's
-/// protocol adds to each limit, and 50 ms for this machine.
+/// How much later something may be seen than it was done, beside what the rules allow, µs: 50 ms that the platform's protocol
+/// adds to each limit, and 50 ms for this machine.
 const SLACK: Micros = 100_000;
-/// A run is void where load tool or receivers were later than that at their 99th percentile.
+/// A run is void where load tool or receivers were later than that at their 99th percentile, µs.
 pub const MOST_LATE: Micros = 25_000;
+/// A client submits again after so long where no time was named, µs.
+const DEFAULT_RETRY_AFTER: Micros = 1_000_000;
+/// The longest lateness that is told from longer ones, µs.
+const MAX_LATENESS: u64 = 3_600_000_000;
+/// Significant digits of a lateness.
+const LATENESS_DIGITS: u8 = 2;
 
 /// A message as its client knows it.
+#[derive(Clone, Debug)]
 pub(crate) struct ClientMessage {
-    pub due: crate::load::Due,
+    pub due: Due,
     pub expires: Micros,
+    /// How often it may still be submitted again.
     pub resubmissions: u32,
+    /// It was rejected before.
     pub resubmitted: bool,
-    /// A forwarder had it that died, or did not answer.
+    /// A forwarder that it was submitted to died, or did not answer.
     pub forwarder_lost: bool,
+    /// Submissions so far.
     pub tries: u32,
 }
 
-/// What the clients' task is told.
+/// A message that is to be submitted again at this time.
 #[derive(Debug)]
-pub(crate) enum Resubmission {
-    Submit { message: u64, at: Micros },
+pub(crate) struct Resubmission {
+    pub message: u64,
+    pub at: Micros,
 }
 
+/// What all stand-ins change.
 pub(crate) struct State {
     pub receivers: Receivers,
     pub oracle: Oracle,
     pub tally: Tally,
+    /// Messages that are not over.
     pub messages: HashMap<u64, ClientMessage>,
     pub next_submission: u64,
     pub next_message: u64,
+    /// How late messages were submitted, µs.
     pub load_late: Histogram<u64>,
+    /// How late receivers answered, µs.
     pub receivers_late: Histogram<u64>,
-    pub effects: Vec<DeliverySemantics>,
+    /// By delivery class.
+    pub semantics: Vec<DeliverySemantics>,
 }
 
 /// What all stand-ins share.
 pub struct Stage {
+    /// The scenario that is played.
     pub scenario: Scenario,
+    /// Who stands where.
     pub layout: Layout,
     started: Instant,
     state: Mutex<State>,
-    /// Falls each time that an endpoint may have begun or ceased to refuse connections.
+    /// Changes each time that an endpoint may have begun or ceased to refuse connections.
     pub(crate) changed: watch::Sender<u64>,
-    pub(crate) resubmissions: mpsc::UnboundedSender<Resubmission>,
-    /// Nobody judges: the stand-ins serve a person, who may hand in what the laboratory does not know.
+    resubmissions: mpsc::UnboundedSender<Resubmission>,
+    /// Nobody judges: the stand-ins serve a person, who may submit what the laboratory does not know.
     pub(crate) alone: bool,
 }
 
 impl Stage {
+    /// A stage on which nothing has happened yet, and the messages that are to be submitted again.
     pub(crate) fn new(
         scenario: &Scenario,
         seed: u64,
@@ -81,26 +108,11 @@
     ) -> (Arc<Stage>, mpsc::UnboundedReceiver<Resubmission>) {
         let layout = Layout::new(scenario);
         let (sender, resubmissions) = mpsc::unbounded_channel();
-        let late = || {
-            Histogram::new_with_bounds(1, 3_600_000_000, 2)
-                .unwrap_or_else(|_| unreachable!("fixed bounds"))
-        };
-        let state = State {
-            receivers: Receivers::new(scenario, &layout, seed),
-            oracle: Oracle::new(scenario, SLACK).for_sockets(),
-            tally: Tally::new(scenario),
-            messages: HashMap::new(),
-            next_submission: 0,
-            next_message: 0,
-            load_late: late(),
-            receivers_late: late(),
-            effects: scenario.classes.iter().map(|p| p.semantics).collect(),
-        };
         let stage = Stage {
+            state: Mutex::new(State::new(scenario, &layout, seed)),
             scenario: scenario.clone(),
             layout,
             started: Instant::now(),
-            state: Mutex::new(state),
             changed: watch::Sender::new(0),
             resubmissions: sender,
             alone,
@@ -113,6 +125,7 @@
         self.started.elapsed().as_micros() as Micros
     }
 
+    /// A time on the stage's clock, for timers.
     pub(crate) fn at(&self, time: Micros) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.started + Duration::from_micros(time))
     }
@@ -121,52 +134,76 @@
     pub(crate) fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
+
+    /// Has a message submitted again. Once the load tool has stopped, nobody does.
+    pub(crate) fn resubmit(&self, resubmission: Resubmission) {
+        let _ = self.resubmissions.send(resubmission);
+    }
 }
 
 impl State {
-    /// A final answer to a submission, seen now.
+    fn new(scenario: &Scenario, layout: &Layout, seed: u64) -> State {
+        let classes = scenario.classes.iter();
+        State {
+            receivers: Receivers::new(scenario, layout, seed),
+            oracle: Oracle::new(scenario, SLACK).for_sockets(),
+            tally: Tally::new(scenario),
+            messages: HashMap::new(),
+            next_submission: 0,
+            next_message: 0,
+            load_late: lateness_histogram(),
+            receivers_late: lateness_histogram(),
+            semantics: classes.map(|class| class.semantics).collect(),
+        }
+    }
+
+    /// A final answer to a submission, seen now; `attempt` is the number of the one that served it.
     pub(crate) fn ended(
         &mut self,
         stage: &Stage,
         submission: u64,
-        end: FinalAnswer,
+        answer: FinalAnswer,
         retry_after: Option<Micros>,
         attempt: u32,
         now: Micros,
     ) {
-        let message = self.oracle.record(submission).map(|t| t.message);
-        self.oracle.ended(submission, end, now);
+        let message = self.oracle.record(submission).map(|record| record.message);
+        self.oracle.ended(submission, answer, now);
         let Some(number) = message else { return };
-        match end {
-            FinalAnswer::Served => {
-                let Some(message) = self.messages.remove(&number) else {
-                    return;
-                };
-                match now <= message.expires + SLACK {
-                    true => self.tally.served(
-                        now,
-                        now - message.due.at,
-                        message.due.class,
-                        attempt,
-                        message.resubmitted,
-                    ),
-                    false => self.tally.counts.written_off += 1,
-                }
-            }
+        match answer {
+            FinalAnswer::Served => self.message_served(number, attempt, now),
             FinalAnswer::Rejected => {
                 self.tally.counts.rejections += 1;
                 self.schedule_resubmission(stage, number, retry_after, now);
             }
-            FinalAnswer::Failed => {
-                if self.messages.remove(&number).is_some() {
-                    self.tally.counts.written_off += 1;
-                    self.tally.tick(now, Tick::MessageFailed);
-                }
-            }
+            FinalAnswer::Failed => self.fail_message(number, now),
         }
     }
 
-    /// The client was asked to come back later.
+    /// Counts a served message; one served after its deadline counts as failed.
+    fn message_served(&mut self, number: u64, attempt: u32, now: Micros) {
+        let Some(message) = self.messages.remove(&number) else {
+            return;
+        };
+        if now > message.expires + SLACK {
+            self.tally.counts.written_off += 1;
+            return;
+        }
+        let took = now - message.due.at;
+        let class = message.due.class;
+        self.tally
+            .served(now, took, class, attempt, message.resubmitted);
+    }
+
+    /// Counts a failed message.
+    pub(crate) fn fail_message(&mut self, number: u64, now: Micros) {
+        if self.messages.remove(&number).is_some() {
+            self.tally.counts.written_off += 1;
+            self.tally.tick(now, Tick::MessageFailed);
+        }
+    }
+
+    /// The client was asked to submit again later; it gives up where that is too late.
     pub(crate) fn schedule_resubmission(
         &mut self,
         stage: &Stage,
@@ -178,21 +215,27 @@
         let Some(message) = self.messages.get_mut(&number) else {
             return;
         };
-        let at = now + retry_after.unwrap_or(1_000_000);
+        let at = now + retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
         if message.resubmissions == 0 || at >= message.expires {
             return self.given_up(number);
         }
         message.resubmissions -= 1;
         message.resubmitted = true;
-        let _ = stage.resubmissions.send(Resubmission::Submit {
+        stage.resubmit(Resubmission {
             message: number,
             at,
         });
     }
 
+    /// Counts a message that its client has given up.
     pub(crate) fn given_up(&mut self, number: u64) {
         if self.messages.remove(&number).is_some() {
             self.tally.counts.given_up += 1;
         }
     }
 }
+
+fn lateness_histogram() -> Histogram<u64> {
+    Histogram::new_with_bounds(1, MAX_LATENESS, LATENESS_DIGITS)
+        .unwrap_or_else(|_| unreachable!("the bounds are constants within the library's range"))
+}
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/lab/src/sockets/processes.rs
@@ -6,116 +6,145 @@
 use nix::unistd::Pid;
 use std::io;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::Stdio;
 use std::time::{Duration, Instant};
 use tokio::process::{Child, Command};
 
-const READY: Duration = Duration::from_secs(10); // a forwarder answers GET /up in that time
+/// A forwarder answers `GET /up` in that time.
+const READY: Duration = Duration::from_secs(10);
+/// Time between two looks whether a forwarder is up.
+const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+/// A tick of the kernel's account, µs, on every Linux that this runs on.
+const TICK: u64 = 10_000;
+/// A page of memory, bytes, on every Linux that this runs on.
+const PAGE: u64 = 4096;
 
+/// What a forwarder process is started with.
+pub struct ProcessSetup {
+    /// The forwarder's program.
+    pub program: PathBuf,
+    /// Its own folder.
+    pub folder: PathBuf,
+    /// Its number in the fleet.
+    pub number: u32,
+    /// Where it listens.
+    pub listen: SocketAddr,
+    /// Where discovery listens.
+    pub discovery: SocketAddr,
+    /// The scenario that configures it.
+    pub scenario: Scenario,
+    /// The seed of the run.
+    pub seed: u64,
+    /// The file of its log; none is kept if it is not named.
+    pub log: Option<PathBuf>,
+    /// The core that it is bound to (by `taskset`).
+    pub pin: Option<usize>,
+}
+
+/// What a process has used.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ProcessUsage {
+    /// CPU time, user and system, µs.
+    pub cpu: u64,
+    /// Resident memory, bytes.
+    pub memory: u64,
+}
+
+/// One forwarder process, which may be down.
 pub struct Process {
-    program: PathBuf,
-    folder: PathBuf,
-    listen: SocketAddr,
-    discovery: SocketAddr,
-    scenario: Scenario,
-    number: u32,
-    seed: u64,
-    incarnation: u64,
+    setup: ProcessSetup,
+    /// How often it was started.
+    starts: u64,
     child: Option<Child>,
-    pin: Option<usize>,
-    log: Option<PathBuf>,
 }
 
 impl Process {
-    #[allow(clippy::too_many_arguments)]
-    pub fn new(
-        program: &Path,
-        folder: &Path,
-        number: u32,
-        listen: SocketAddr,
-        discovery: SocketAddr,
-        scenario: &Scenario,
-        seed: u64,
-        log: Option<&Path>,
-        pin: Option<usize>,
-    ) -> Process {
+    /// A process that is not started yet.
+    pub fn new(setup: ProcessSetup) -> Process {
         Process {
-            program: program.into(),
-            folder: folder.join(format!("forwarder-{number}")),
-            listen,
-            discovery,
-            scenario: scenario.clone(),
-            number,
-            seed,
-            incarnation: 0,
+            setup,
+            starts: 0,
             child: None,
-            pin,
-            log: log.map(|l| l.join(format!("forwarder-{number}.log"))),
         }
     }
 
-    /// Starts it and waits until it takes messages.
+    /// Starts it and waits until it accepts messages.
     pub async fn start(&mut self) -> Result<(), SocketsError> {
-        let told = |source: io::Error| SocketsError::Program {
-            program: self.program.clone(),
+        let spawned = self.spawn();
+        self.child = Some(spawned.map_err(|source| SocketsError::Program {
+            program: self.setup.program.clone(),
             source,
-        };
-        let state = self.folder.join("state");
-        std::fs::create_dir_all(&state).map_err(told)?;
-        let startup_config = self.folder.join("papers.json");
-        let seed = self
-            .seed
-            .wrapping_mul(1000)
-            .wrapping_add(u64::from(self.number) + 100 * self.incarnation);
-        let mut text = self.scenario.startup_config(self.number, seed);
-        text["listen"] = self.listen.to_string().into();
-        text["discovery"] = self.discovery.to_string().into();
-        std::fs::write(&startup_config, text.to_string()).map_err(told)?;
-        let log = match &self.log {
-            Some(path) => Stdio::from(
-                std::fs::File::options()
-                    .append(true)
-                    .create(true)
-                    .open(path)
-                    .map_err(told)?,
-            ),
-            None => Stdio::null(),
-        };
-        let mut command = match self.pin {
-            Some(core) => {
-                let mut command = Command::new("taskset");
-                command.arg("-c").arg(core.to_string()).arg(&self.program);
-                command
-            }
-            None => Command::new(&self.program),
-        };
-        let child = command
-            .env("GW_CONFIG", &startup_config)
+        })?);
+        self.starts += 1;
+        self.wait_until_up().await
+    }
+
+    fn spawn(&self) -> io::Result<Child> {
+        let state = self.setup.folder.join("state");
+        std::fs::create_dir_all(&state)?;
+        let config = self.setup.folder.join("papers.json");
+        std::fs::write(&config, self.startup_config())?;
+        self.command()
+            .env("GW_CONFIG", &config)
             .env("GW_STATE", &state)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(log)
+            .stderr(self.log()?)
             .kill_on_drop(true)
             .spawn()
-            .map_err(told)?;
-        self.child = Some(child);
-        self.incarnation += 1;
-        let begun = Instant::now();
+    }
+
+    /// Its start-up configuration; the seed differs from start to start.
+    fn startup_config(&self) -> String {
+        let setup = &self.setup;
+        let seed = setup
+            .seed
+            .wrapping_mul(1000)
+            .wrapping_add(u64::from(setup.number) + 100 * self.starts);
+        let mut config = setup.scenario.startup_config(setup.number, seed);
+        config["listen"] = setup.listen.to_string().into();
+        config["discovery"] = setup.discovery.to_string().into();
+        config.to_string()
+    }
+
+    fn log(&self) -> io::Result<Stdio> {
+        let Some(path) = &self.setup.log else {
+            return Ok(Stdio::null());
+        };
+        let log = std::fs::File::options()
+            .append(true)
+            .create(true)
+            .open(path)?;
+        Ok(Stdio::from(log))
+    }
+
+    fn command(&self) -> Command {
+        let Some(core) = self.setup.pin else {
+            return Command::new(&self.setup.program);
+        };
+        let mut command = Command::new("taskset");
+        command
+            .arg("-c")
+            .arg(core.to_string())
+            .arg(&self.setup.program);
+        command
+    }
+
+    async fn wait_until_up(&mut self) -> Result<(), SocketsError> {
+        let forwarder = self.setup.number;
+        let started = Instant::now();
         while !self.up().await {
             if let Some(Ok(Some(status))) = self.child.as_mut().map(Child::try_wait) {
-                return Err(SocketsError::EndedAtStart {
-                    forwarder: self.number,
-                    status,
-                });
+                return Err(SocketsError::EndedAtStart { forwarder, status });
             }
-            if begun.elapsed() > READY {
+            if started.elapsed() > READY {
                 return Err(SocketsError::NotUp {
-                    forwarder: self.number,
+                    forwarder,
                     waited: READY,
                 });
             }
-            tokio::time::sleep(Duration::from_millis(10)).await;
+            tokio::time::sleep(LOOK_INTERVAL).await;
         }
         Ok(())
     }
@@ -123,7 +152,7 @@
     async fn up(&self) -> bool {
         let ask = async {
             let mut conn =
-                super::wire::Conn::new(tokio::net::TcpStream::connect(self.listen).await?);
+                super::wire::Conn::new(tokio::net::TcpStream::connect(self.setup.listen).await?);
             conn.write(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                 .await?;
             conn.answer().await
@@ -155,7 +184,7 @@
             let _ = child.kill().await; // one that has ended is gone as well
         }
         if !folder {
-            let _ = std::fs::remove_dir_all(self.folder.join("state")); // made anew at the start
+            let _ = std::fs::remove_dir_all(self.setup.folder.join("state")); // made anew at the start
         }
     }
 
@@ -168,14 +197,16 @@
     }
 
     /// CPU time that it has used, µs (user and system), and its resident memory, bytes; from the kernel's own account.
-    pub fn used(&self) -> Option<(u64, u64)> {
+    pub fn usage(&self) -> Option<ProcessUsage> {
         let pid = self.pid()?;
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let ticks: u64 =
             fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
         let pages: u64 = fields.get(21)?.parse().ok()?;
-        // Ticks are hundredths of a second and pages 4 KiB on every Linux that this runs on.
-        Some((ticks * 10_000, pages * 4096))
+        Some(ProcessUsage {
+            cpu: ticks * TICK,
+            memory: pages * PAGE,
+        })
     }
 }
--- a/crates/lab/src/subject.rs
+++ b/crates/lab/src/subject.rs
@@ -1,13 +1,17 @@
 //! What a simulated forwarder is: the true core, or one that is broken on purpose so that the oracle has something to catch.
+//! `broken` holds what the broken ones do.
 
-use opalpulley::{
-    Action, Config, DeliverySemantics, EndpointEntry, EndpointId, EndpointListUpdate,
-    EndpointStatus, Event, Forwarder, MessageId, Micros, Outcome,
-};
-use std::collections::{BTreeMap, BTreeSet};
+mod broken;
+
+use broken::BrokenForwarder;
+use opalpulley::{Action, Config, Event, Forwarder, Micros};
+
+/// Overload multiple of a forwarder that skips slow start: more than any endpoint is sent.
+const UNLIMITED_MULTIPLE: f64 = 1e3;
 
 /// One forwarder's decisions: the same signature as the core's.
 pub trait Subject: Send {
+    /// Handles an event; its actions are added to `actions`.
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>);
 }
 
@@ -22,29 +26,29 @@
 pub enum ForwarderVariant {
     /// The one in service.
     True,
-    /// One try each: never sends again. A baseline, not broken.
+    /// One attempt for each message: never sends again. A baseline, not broken.
     #[value(name = "one-try")]
     OneAttempt,
-    /// Gives each written-off or rejected message a second final answer.
+    /// Gives each failed or rejected message a second final answer.
     SecondAnswer,
-    /// Takes unclear attempts of binding messages for ones that never ran.
+    /// Sends at-most-once messages again after an attempt that may have taken effect.
     #[value(name = "resends-binding")]
     ResendsAtMostOnce,
-    /// Passes over that an endpoint drains.
+    /// Ignores that an endpoint drains.
     SendsAfterDrain,
-    /// Passes over the wait that it is told.
+    /// Ignores retry-after times.
     #[value(name = "ignores-waits")]
     IgnoresRetryAfter,
-    /// Lets calls go that were chosen before a wait or a drain was told.
+    /// Does not withdraw calls that were decided before a retry-after time or a drain was told.
     #[value(name = "takes-nothing-back")]
     WithdrawsNothing,
-    /// Forgets one message in ten instead of giving it its end.
+    /// Gives one message in ten no final answer.
     #[value(name = "loses-packets")]
     LosesMessages,
-    /// Takes a returning endpoint for a warm one.
+    /// Sends an endpoint that comes back its whole load at once.
     #[value(name = "pushes-over")]
     SkipsSlowStart,
-    /// Passes over the keys of order.
+    /// Ignores order keys.
     #[value(name = "breaks-order")]
     IgnoresOrder,
     /// Sends a message again after it was delivered.
@@ -59,7 +63,7 @@
 impl std::fmt::Display for ForwarderVariant {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let name = clap::ValueEnum::to_possible_value(self);
-        f.write_str(name.as_ref().map_or("true", |n| n.get_name()))
+        f.write_str(name.as_ref().map_or("true", |name| name.get_name()))
     }
 }
 
@@ -101,215 +105,14 @@
             ForwarderVariant::True => return Box::new(Forwarder::new(config, seed)),
             ForwarderVariant::OneAttempt => config.max_attempts = 1,
             ForwarderVariant::SkipsSlowStart => {
-                (config.fleet_size, config.may_health_check) = (1, false);
-                (
-                    config.rules.overload_multiple,
-                    config.rules.warm_up_time,
-                    config.rules.cold_capacity_share,
-                ) = (1e3, 1, 1.0);
+                config.fleet_size = 1;
+                config.may_health_check = false;
+                config.rules.overload_multiple = UNLIMITED_MULTIPLE;
+                config.rules.warm_up_time = 1;
+                config.rules.cold_capacity_share = 1.0;
             }
             _ => {}
         }
-        let effects = config.classes.iter().map(|p| p.semantics).collect();
-        let inner = Forwarder::new(config, seed);
-        Box::new(BrokenForwarder {
-            variant: self,
-            inner,
-            effects,
-            binding: BTreeSet::new(),
-            endpoints: BTreeMap::new(),
-            ends: 0,
-        })
-    }
-}
-
-struct BrokenForwarder {
-    variant: ForwarderVariant,
-    inner: Forwarder,
-    effects: Vec<DeliverySemantics>,
-    binding: BTreeSet<MessageId>, // open binding messages; each leaves with its end
-    endpoints: BTreeMap<EndpointId, EndpointEntry>,
-    ends: u64,
-}
-
-impl BrokenForwarder {
-    /// What the inner one is told instead.
-    fn tamper(&mut self, event: Event) -> Event {
-        match (self.variant, event) {
-            (ForwarderVariant::IgnoresOrder, Event::Submitted(mut arrival)) => {
-                arrival.key = None;
-                Event::Submitted(arrival)
-            }
-            (ForwarderVariant::ResendsAtMostOnce, Event::Submitted(arrival)) => {
-                if self.effects.get(usize::from(arrival.class.0))
-                    == Some(&DeliverySemantics::AtMostOnce)
-                {
-                    self.binding.insert(arrival.id);
-                }
-                Event::Submitted(arrival)
-            }
-            (
-                ForwarderVariant::ResendsAtMostOnce,
-                Event::AttemptEnded {
-                    id,
-                    attempt,
-                    endpoint,
-                    outcome,
-                    took,
-                    completed: closed,
-                    report,
-                },
-            ) => {
-                let unclear = outcome != Outcome::Delivered && outcome.may_have_taken_effect();
-                let outcome = if unclear && self.binding.contains(&id) {
-                    Outcome::Rejected { retry_after: None }
-                } else {
-                    outcome
-                };
-                Event::AttemptEnded {
-                    id,
-                    attempt,
-                    endpoint,
-                    outcome,
-                    took,
-                    completed: closed,
-                    report,
-                }
-            }
-            (
-                ForwarderVariant::IgnoresRetryAfter,
-                Event::AttemptEnded {
-                    id,
-                    attempt,
-                    endpoint,
-                    outcome,
-                    took,
-                    completed: closed,
-                    report,
-                },
-            ) => {
-                let outcome = if let Outcome::Rejected { .. } = outcome {
-                    Outcome::Error
-                } else {
-                    outcome
-                };
-                Event::AttemptEnded {
-                    id,
-                    attempt,
-                    endpoint,
-                    outcome,
-                    took,
-                    completed: closed,
-                    report,
-                }
-            }
-            (
-                ForwarderVariant::SkipsSlowStart,
-                Event::AttemptEnded {
-                    id,
-                    attempt,
-                    endpoint,
-                    outcome,
-                    took,
-                    completed: closed,
-                    report,
-                },
-            ) => {
-                let bad = matches!(
-                    outcome,
-                    Outcome::NoConnection | Outcome::Rejected { retry_after: None }
-                );
-                let outcome = if bad {
-                    Outcome::NotAttempted { no_permit: false }
-                } else {
-                    outcome
-                };
-                Event::AttemptEnded {
-                    id,
-                    attempt,
-                    endpoint,
-                    outcome,
-                    took,
-                    completed: closed,
-                    report,
-                }
-            }
-            (
-                ForwarderVariant::SendsAfterDrain,
-                Event::EndpointList(EndpointListUpdate::Changes(mut entries)),
-            ) => {
-                entries.retain(|e| {
-                    e.status == EndpointStatus::Ready || !self.endpoints.contains_key(&e.endpoint)
-                });
-                entries
-                    .iter()
-                    .for_each(|e| _ = self.endpoints.insert(e.endpoint, e.clone()));
-                Event::EndpointList(EndpointListUpdate::Changes(entries))
-            }
-            (
-                ForwarderVariant::SendsAfterDrain,
-                Event::EndpointList(
-                    EndpointListUpdate::Cached(entries) | EndpointListUpdate::Complete(entries),
-                ),
-            ) => {
-                entries
-                    .iter()
-                    .for_each(|e| _ = self.endpoints.insert(e.endpoint, e.clone()));
-                Event::EndpointList(EndpointListUpdate::Complete(
-                    self.endpoints.values().cloned().collect(),
-                ))
-            }
-            (_, event) => event,
-        }
-    }
-}
-
-impl Subject for BrokenForwarder {
-    fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        let delivered = match &event {
-            Event::AttemptEnded {
-                id,
-                endpoint,
-                outcome: Outcome::Delivered,
-                ..
-            } => Some((*id, *endpoint)),
-            _ => None,
-        };
-        let event = self.tamper(event);
-        let begin = actions.len();
-        self.inner.handle(now, event, actions);
-        let done = actions.split_off(begin);
-        for action in done {
-            let end = match &action {
-                Action::Fail { id } | Action::Reject { id, .. } => Some(*id),
-                _ => None,
-            };
-            self.ends += u64::from(end.is_some());
-            if let Some(id) = end {
-                self.binding.remove(&id);
-            }
-            match (self.variant, &action) {
-                (ForwarderVariant::SecondAnswer, _) if end.is_some() => {
-                    actions.push(action.clone())
-                }
-                (ForwarderVariant::WithdrawsNothing, Action::WithdrawUnsent { .. }) => continue,
-                (ForwarderVariant::LosesMessages, _)
-                    if end.is_some() && self.ends.is_multiple_of(10) =>
-                {
-                    continue
-                }
-                (ForwarderVariant::SendsTwice, Action::Send { .. }) => actions.push(action.clone()),
-                _ => {}
-            }
-            actions.push(action);
-        }
-        if let (ForwarderVariant::SendsAfterEnd, Some((id, endpoint))) = (self.variant, delivered) {
-            actions.push(Action::Send {
-                id,
-                endpoint,
-                timeout: None,
-                send_by: Micros::MAX,
-            });
-        }
+        Box::new(BrokenForwarder::new(self, config, seed))
     }
 }
--- /dev/null
+++ b/crates/lab/src/subject/broken.rs
@@ -0,0 +1,188 @@
+//! A forwarder that is broken on purpose: the true core, with events or actions changed on their way.
+
+use super::{ForwarderVariant, Subject};
+use opalpulley::{
+    Action, Config, DeliverySemantics, EndpointEntry, EndpointId, EndpointListUpdate,
+    EndpointStatus, Event, Forwarder, MessageId, Micros, Outcome, Submission,
+};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// `LosesMessages` gives no final answer to one message in so many.
+const LOST_ANSWERS: u64 = 10;
+
+/// The true core, with what its variant changes.
+pub(super) struct BrokenForwarder {
+    variant: ForwarderVariant,
+    core: Forwarder,
+    semantics: Vec<DeliverySemantics>,
+    /// Open messages of at-most-once classes. Each leaves with its final answer.
+    at_most_once: BTreeSet<MessageId>,
+    /// Endpoints that the core knows as ready, for `SendsAfterDrain`.
+    ready: BTreeMap<EndpointId, EndpointEntry>,
+    /// Final answers so far.
+    final_answers: u64,
+}
+
+impl BrokenForwarder {
+    /// A forwarder of this variant round a new core.
+    pub fn new(variant: ForwarderVariant, config: Config, seed: u64) -> BrokenForwarder {
+        let classes = config.classes.iter();
+        BrokenForwarder {
+            variant,
+            semantics: classes.map(|class| class.semantics).collect(),
+            core: Forwarder::new(config, seed),
+            at_most_once: BTreeSet::new(),
+            ready: BTreeMap::new(),
+            final_answers: 0,
+        }
+    }
+
+    /// What the core is told instead of an event.
+    fn changed_event(&mut self, event: Event) -> Event {
+        match event {
+            Event::Submitted(message) => Event::Submitted(self.changed_message(message)),
+            Event::AttemptEnded {
+                id,
+                attempt,
+                endpoint,
+                outcome,
+                took,
+                completed,
+                report,
+            } => Event::AttemptEnded {
+                id,
+                attempt,
+                endpoint,
+                outcome: self.changed_outcome(id, outcome),
+                took,
+                completed,
+                report,
+            },
+            Event::EndpointList(update) if self.variant == ForwarderVariant::SendsAfterDrain => {
+                Event::EndpointList(self.without_drains(update))
+            }
+            other => other,
+        }
+    }
+
+    fn changed_message(&mut self, mut message: Submission) -> Submission {
+        match self.variant {
+            ForwarderVariant::IgnoresOrder => message.key = None,
+            ForwarderVariant::ResendsAtMostOnce => {
+                let semantics = self.semantics.get(usize::from(message.class.0));
+                if semantics == Some(&DeliverySemantics::AtMostOnce) {
+                    self.at_most_once.insert(message.id);
+                }
+            }
+            _ => {}
+        }
+        message
+    }
+
+    fn changed_outcome(&self, id: MessageId, outcome: Outcome) -> Outcome {
+        match (self.variant, outcome) {
+            (ForwarderVariant::ResendsAtMostOnce, outcome) => {
+                let unclear = outcome != Outcome::Delivered && outcome.may_have_taken_effect();
+                if unclear && self.at_most_once.contains(&id) {
+                    return Outcome::Rejected { retry_after: None };
+                }
+                outcome
+            }
+            (ForwarderVariant::IgnoresRetryAfter, Outcome::Rejected { .. }) => Outcome::Error,
+            (
+                ForwarderVariant::SkipsSlowStart,
+                Outcome::NoConnection | Outcome::Rejected { retry_after: None },
+            ) => Outcome::NotAttempted { no_permit: false },
+            (_, outcome) => outcome,
+        }
+    }
+
+    /// A list update in which no known endpoint drains or is gone.
+    fn without_drains(&mut self, update: EndpointListUpdate) -> EndpointListUpdate {
+        match update {
+            EndpointListUpdate::Changes(mut entries) => {
+                entries.retain(|entry| {
+                    entry.status == EndpointStatus::Ready
+                        || !self.ready.contains_key(&entry.endpoint)
+                });
+                self.remember(&entries);
+                EndpointListUpdate::Changes(entries)
+            }
+            EndpointListUpdate::Cached(entries) | EndpointListUpdate::Complete(entries) => {
+                self.remember(&entries);
+                EndpointListUpdate::Complete(self.ready.values().cloned().collect())
+            }
+            EndpointListUpdate::Failed => EndpointListUpdate::Failed,
+        }
+    }
+
+    fn remember(&mut self, entries: &[EndpointEntry]) {
+        for entry in entries {
+            self.ready.insert(entry.endpoint, entry.clone());
+        }
+    }
+
+    /// Passes an action of the core on: once, twice or not at all.
+    fn pass_on(&mut self, action: Action, actions: &mut Vec<Action>) {
+        let answered = match &action {
+            Action::Fail { id } | Action::Reject { id, .. } => Some(*id),
+            _ => None,
+        };
+        if let Some(id) = answered {
+            self.final_answers += 1;
+            self.at_most_once.remove(&id);
+        }
+        let is_send = matches!(action, Action::Send { .. });
+        let is_withdrawal = matches!(action, Action::WithdrawUnsent { .. });
+        let times = match self.variant {
+            ForwarderVariant::SecondAnswer if answered.is_some() => 2,
+            ForwarderVariant::SendsTwice if is_send => 2,
+            ForwarderVariant::WithdrawsNothing if is_withdrawal => 0,
+            ForwarderVariant::LosesMessages
+                if answered.is_some() && self.final_answers.is_multiple_of(LOST_ANSWERS) =>
+            {
+                0
+            }
+            _ => 1,
+        };
+        for _ in 0..times {
+            actions.push(action.clone());
+        }
+    }
+}
+
+impl Subject for BrokenForwarder {
+    fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+        let delivered = delivered_message(&event);
+        let event = self.changed_event(event);
+        let mut from_core = Vec::new();
+        self.core.handle(now, event, &mut from_core);
+        for action in from_core {
+            self.pass_on(action, actions);
+        }
+        if self.variant != ForwarderVariant::SendsAfterEnd {
+            return;
+        }
+        if let Some((id, endpoint)) = delivered {
+            actions.push(Action::Send {
+                id,
+                endpoint,
+                timeout: None,
+                send_by: Micros::MAX,
+            });
+        }
+    }
+}
+
+/// The message that an event tells was delivered, and to which endpoint.
+fn delivered_message(event: &Event) -> Option<(MessageId, EndpointId)> {
+    match event {
+        Event::AttemptEnded {
+            id,
+            endpoint,
+            outcome: Outcome::Delivered,
+            ..
+        } => Some((*id, *endpoint)),
+        _ => None,
+    }
+}
