--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -7,6 +7,7 @@
 pub mod core;
 pub mod error;
 pub mod fleet;
+pub mod fresh_process;
 pub mod outputs;
 pub mod process;
 pub mod slope;
--- a/crates/lab/src/capacity/backlog.rs
+++ b/crates/lab/src/capacity/backlog.rs
@@ -4,6 +4,7 @@
 pub mod core_point;
 pub mod process_point;
 
+use super::fresh_process::measure_in_fresh_process;
 use super::outputs::Outputs;
 use super::process::point::Shape;
 use super::slope::{show, Row, Table};
@@ -13,20 +14,19 @@
 use core_point::CorePoint;
 use process_point::ProcessPoint;
 use std::path::PathBuf;
-use std::process::Command;
 
 /// The part of its memory that the program lets the journal take at most.
 const JOURNAL_PART: f64 = 0.25;
 
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// How many messages wait, one fresh process each; in the core only whole seconds of --rate are handed in
+    /// How many messages wait, one fresh process each; in the core only whole seconds of --rate are submitted
     #[arg(long, value_delimiter = ',', default_values_t = [2_000, 10_000, 20_000, 40_000])]
     pub sizes: Vec<u32>,
     /// Destinations that they are for, none of which takes a connection
     #[arg(long, default_value_t = 100)]
     pub destinations: u32,
-    /// Messages a second while they are handed in
+    /// Messages a second while they are submitted
     #[arg(long, default_value_t = 2_000)]
     pub rate: u64,
     /// The journal's limit
@@ -46,7 +46,7 @@
         self.forwarder.clone().unwrap_or_else(program_beside)
     }
 
-    /// The papers' figures for so many waiting messages.
+    /// The start-up configuration's figures for so many waiting messages.
     fn shape(&self, messages: u32) -> Shape {
         Shape {
             seed: self.seed,
@@ -60,29 +60,18 @@
 }
 
 fn core_in_fresh_process(options: &Options, messages: u32) -> Result<CorePoint, CapacityError> {
-    let program = std::env::current_exe().map_err(CapacityError::OwnPath)?;
-    let mut command = Command::new(program);
-    command.args(["capacity", "backlog-point"]);
-    for (name, value) in [
+    let measured = [
         ("--messages", messages.to_string()),
         ("--destinations", options.destinations.to_string()),
         ("--rate", options.rate.to_string()),
         ("--seed", options.seed.to_string()),
-    ] {
-        command.args([name, &value]);
-    }
-    let ended = command.output()?;
-    if !ended.status.success() {
-        return Err(CapacityError::FreshProcess {
-            stderr: String::from_utf8_lossy(&ended.stderr).trim().to_owned(),
-        });
-    }
-    Ok(serde_json::from_slice(&ended.stdout)?)
+    ];
+    measure_in_fresh_process("backlog-point", &measured)
 }
 
 type CoreFigure = (&'static str, &'static str, fn(&CorePoint) -> f64);
 const CORE_FIGURES: [CoreFigure; 5] = [
-    ("messages handed in", "messages", |p| p.messages),
+    ("messages submitted", "messages", |p| p.messages),
     ("memory", "bytes", |p| p.memory),
     ("memory a waiting message", "bytes", |p| {
         p.memory / p.waiting
@@ -90,14 +79,14 @@
     ("timers and answers of the surroundings", "entries", |p| {
         p.surroundings
     }),
-    ("processor time a message, handed in", "us", |p| {
+    ("processor time a message, submitted", "us", |p| {
         p.processor / p.messages
     }),
 ];
 
 type ProcessFigure = (&'static str, &'static str, fn(&ProcessPoint) -> f64);
 const PROCESS_FIGURES: [ProcessFigure; 12] = [
-    ("messages handed in", "messages", |p| p.handed_in as f64),
+    ("messages submitted", "messages", |p| p.submitted as f64),
     ("notices of an end, before the kill", "notices", |p| {
         p.completion_reports as f64
     }),
--- a/crates/lab/src/capacity/backlog/core_point.rs
+++ b/crates/lab/src/capacity/backlog/core_point.rs
@@ -7,8 +7,8 @@
 use opalpulley::{EndpointListUpdate, Event};
 use serde::{Deserialize, Serialize};
 
-const EXPIRY: u64 = 3_600 * SECOND; // long beside the time in which the messages are handed in
-const SETTLED: u64 = 5; // simulated s after the last message, until every destination is set aside
+const EXPIRY: u64 = 3_600 * SECOND; // long beside the time in which the messages are submitted
+const SETTLED: u64 = 5; // simulated s after the last message, until every destination is ejected
 
 #[derive(Args, Clone, Debug)]
 pub struct Setup {
--- a/crates/lab/src/capacity/backlog/process_point.rs
+++ b/crates/lab/src/capacity/backlog/process_point.rs
@@ -1,4 +1,4 @@
-//! One real forwarder with so many messages that wait: handed in, then killed and started again on the same folder.
+//! One real forwarder with so many messages that wait: submitted, then killed and started again on the same folder.
 
 use crate::capacity::error::CapacityError;
 use crate::capacity::process::point::{load, startup_config, Load, Shape, Subject, READY_WITHIN};
@@ -11,7 +11,7 @@
 
 /// Time that a message has: long beside the measurement, so that none ends in it.
 pub const EXPIRY: Duration = Duration::from_secs(3_600);
-const SETTLED: Duration = Duration::from_secs(3); // after the last message, until every destination is set aside
+const SETTLED: Duration = Duration::from_secs(3); // after the last message, until every destination is ejected
 
 pub struct Setup {
     pub program: PathBuf,
@@ -24,7 +24,7 @@
 /// What was measured; a time that was never reached is not a number.
 #[derive(Clone, Debug)]
 pub struct ProcessPoint {
-    pub handed_in: u64,
+    pub submitted: u64,
     pub taken: u64,
     /// Notices of a message's end that came before the kill.
     pub completion_reports: u64,
@@ -68,8 +68,8 @@
         port: nowhere().await?.port(),
     };
     let (discovery, completion_reports) = discovery(list.text().to_string()).await?;
-    let papers = startup_config(shape, listen, discovery, Some(list.text()));
-    let start = || Subject::start(&setup.program, folder.path(), listen, &papers);
+    let config = startup_config(shape, listen, discovery, Some(list.text()));
+    let start = || Subject::start(&setup.program, folder.path(), listen, &config);
     let begun = Instant::now();
     let mut subject = start()?;
     let ready_empty = subject.ready(begun, READY_WITHIN).await?;
@@ -95,7 +95,7 @@
     let at_ready_again = subject.usage()?;
     subject.child.kill().await?;
     Ok(ProcessPoint {
-        handed_in: u64::from(setup.messages),
+        submitted: u64::from(setup.messages),
         taken: taken.load(Ordering::Relaxed),
         completion_reports,
         ready_empty,
--- a/crates/lab/src/capacity/core.rs
+++ b/crates/lab/src/capacity/core.rs
@@ -2,15 +2,16 @@
 //! this program; see [`point`].
 
 pub mod point;
+mod settings;
 pub mod world;
 
+use super::fresh_process::measure_in_fresh_process;
 use super::outputs::Outputs;
 use super::slope::{show, Row, Table};
 use crate::capacity::error::CapacityError;
 use clap::Args;
 use point::{Point, Stretch};
 use std::fmt;
-use std::process::Command;
 use std::str::FromStr;
 use world::Spread;
 
@@ -94,15 +95,12 @@
 const MORE_TARGETS: u32 = 3;
 
 fn fresh(options: &Options, destinations: u32, case: Case) -> Result<Point, CapacityError> {
-    let program = std::env::current_exe().map_err(CapacityError::OwnPath)?;
-    let spread = if case.spread == Spread::Uniform {
-        "uniform"
-    } else {
-        "skewed"
+    let spread = match case.spread {
+        Spread::Uniform => "uniform",
+        Spread::Skewed => "skewed",
     };
-    let mut command = Command::new(program);
-    command.args(["capacity", "core-point", "--spread", spread]);
-    for (name, value) in [
+    let measured = [
+        ("--spread", spread.to_owned()),
         ("--destinations", destinations.to_string()),
         ("--targets-each", case.targets_each.to_string()),
         ("--full-destinations", case.full.to_string()),
@@ -110,19 +108,14 @@
         ("--seconds", options.seconds.to_string()),
         ("--down", options.down.to_string()),
         ("--seed", options.seed.to_string()),
-    ] {
-        command.args([name, &value]);
-    }
-    let ended = command.output()?;
-    if !ended.status.success() {
-        return Err(CapacityError::CorePoint {
-            destinations,
-            full_destinations: case.full.to_string(),
-            endpoints_each: case.targets_each,
-            stderr: String::from_utf8_lossy(&ended.stderr).trim().to_owned(),
-        });
-    }
-    Ok(serde_json::from_slice(&ended.stdout)?)
+    ];
+    let figures = measure_in_fresh_process("core-point", &measured);
+    figures.map_err(|error| CapacityError::AtCoreSize {
+        destinations,
+        full_destinations: case.full.to_string(),
+        endpoints_each: case.targets_each,
+        source: Box::new(error),
+    })
 }
 
 type FigureOf = (&'static str, &'static str, fn(&Point) -> f64);
--- a/crates/lab/src/capacity/core/point.rs
+++ b/crates/lab/src/capacity/core/point.rs
@@ -1,7 +1,7 @@
 //! The core at one size, measured in this process. It has to be a fresh one: memory that an earlier size has used would
 //! count as free.
 
-use super::world::{Counts, Plan, Spread, World};
+use super::world::{Plan, Spread, World};
 use super::FullDestinations;
 use crate::capacity::error::CapacityError;
 use crate::capacity::usage::{own_memory, own_processor_time};
@@ -107,63 +107,110 @@
     time.as_secs_f64() * 1e6
 }
 
-/// Processor time of some work, us.
+/// Processor time of some work, µs.
 fn timed(work: impl FnOnce()) -> Result<f64, CapacityError> {
-    let begun = own_processor_time()?;
+    let before = own_processor_time()?;
     work();
-    Ok(microseconds(own_processor_time()? - begun))
+    Ok(microseconds(own_processor_time()? - before))
 }
 
+/// Measures one size: the list by steps, as a whole and by single changes; then traffic and rest, twice.
 pub fn measure(setup: &Setup) -> Result<Point, CapacityError> {
-    let full = setup.full_destinations.limit();
-    let plan = Plan::new(
-        setup.destinations,
-        setup.spread,
-        setup.rate,
-        full,
-        setup.seed,
-    );
-    let mut world = World::new(Plan {
-        targets_each: setup.targets_each,
-        ..plan
-    });
-    let targets = world.targets();
-    let before = own_memory()?;
-    let beyond = || own_memory().map(|memory| memory.saturating_sub(before) as f64);
-    let listing = timed(|| {
+    let mut bench = Bench::new(setup)?;
+    let listing = timed(|| bench.list_by_steps())?;
+    let (memory_listed, held_listed) = (bench.memory()?, Held::of(&bench.world));
+    let whole_list = bench.time_whole_list()?;
+    let memory_whole = bench.memory()?;
+    let changes = timed(|| bench.change_single_entries())?;
+    let held_changed = Held::of(&bench.world);
+    Ok(Point {
+        destinations: setup.destinations,
+        targets: bench.world.targets(),
+        memory_listed,
+        memory_whole,
+        listing,
+        whole_list,
+        one_change: changes / f64::from(CHANGES),
+        held_listed,
+        held_changed,
+        traffic: bench.stretch(setup.rate)?,
+        rest: bench.stretch(0)?,
+        down: {
+            bench.world.put_down(setup.down);
+            bench.stretch(setup.rate)?
+        },
+        down_rest: bench.stretch(0)?,
+    })
+}
+
+/// A core in its surroundings.
+struct Bench {
+    world: World,
+    /// Simulated seconds of each stretch.
+    seconds: u64,
+    /// Resident memory before the list was taken in, bytes.
+    memory_before: u64,
+}
+
+impl Bench {
+    fn new(setup: &Setup) -> Result<Bench, CapacityError> {
+        let plan = Plan::new(
+            setup.destinations,
+            setup.spread,
+            setup.rate,
+            setup.full_destinations.limit(),
+            setup.seed,
+        );
+        Ok(Bench {
+            world: World::new(Plan {
+                targets_each: setup.targets_each,
+                ..plan
+            }),
+            seconds: setup.seconds,
+            memory_before: own_memory()?,
+        })
+    }
+
+    /// Resident memory beyond that before the list was taken in, bytes.
+    fn memory(&self) -> Result<f64, CapacityError> {
+        Ok(own_memory()?.saturating_sub(self.memory_before) as f64)
+    }
+
+    fn list_by_steps(&mut self) {
+        let targets = self.world.targets();
         for from in (0..targets).step_by(CHUNK as usize) {
-            let lines = (from..targets.min(from + CHUNK))
-                .map(|n| world.listing(n, 1.0))
-                .collect();
-            world.handle(Event::EndpointList(EndpointListUpdate::Changes(lines)));
+            let numbers = from..targets.min(from + CHUNK);
+            let entries = numbers.map(|number| self.world.listing(number, 1.0));
+            let changes = EndpointListUpdate::Changes(entries.collect());
+            self.world.handle(Event::EndpointList(changes));
         }
-    })?;
-    let (memory_listed, held_listed) = (beyond()?, Held::of(&world));
-    let lines = (0..targets).map(|n| world.listing(n, 1.0)).collect();
-    let whole_list =
-        timed(|| world.handle(Event::EndpointList(EndpointListUpdate::Complete(lines))))?;
-    let memory_whole = beyond()?;
-    let changes = timed(|| {
-        for change in 0..CHANGES {
-            let target = (u64::from(targets) * u64::from(change) / u64::from(CHANGES)) as u32;
-            let line = world.listing(target, CHANGED_RATE);
-            world.handle(Event::EndpointList(EndpointListUpdate::Changes(vec![line])));
-        }
-    })?;
-    let held_changed = Held::of(&world);
-    let mut stretch = |rate: u64, down: Option<f64>| -> Result<Stretch, CapacityError> {
-        down.into_iter().for_each(|share| world.put_down(share));
-        let mut counts = Counts::default();
-        let mut problem = None;
-        let processor = timed(|| match world.run(setup.seconds, rate) {
-            Ok(counted) => counts = counted,
-            Err(words) => problem = Some(words),
-        })?;
-        if let Some(words) = problem {
-            return Err(words);
+    }
+
+    /// Processor time to take the whole list in, µs; making it does not count.
+    fn time_whole_list(&mut self) -> Result<f64, CapacityError> {
+        let numbers = 0..self.world.targets();
+        let entries = numbers.map(|number| self.world.listing(number, 1.0));
+        let list = EndpointListUpdate::Complete(entries.collect());
+        timed(|| self.world.handle(Event::EndpointList(list)))
+    }
+
+    fn change_single_entries(&mut self) {
+        let targets = u64::from(self.world.targets());
+        for change in 0..u64::from(CHANGES) {
+            let target = (targets * change / u64::from(CHANGES)) as u32;
+            let entry = self.world.listing(target, CHANGED_RATE);
+            let update = EndpointListUpdate::Changes(vec![entry]);
+            self.world.handle(Event::EndpointList(update));
         }
+    }
+
+    /// One stretch with so many messages a second; 0 is rest.
+    fn stretch(&mut self, rate: u64) -> Result<Stretch, CapacityError> {
+        let before = own_processor_time()?;
+        let counts = self.world.run(self.seconds, rate)?;
+        let processor = microseconds(own_processor_time()? - before);
         Ok(Stretch {
-            seconds: setup.seconds as f64,
+            seconds: self.seconds as f64,
             messages: counts.messages as f64,
             events: counts.events as f64,
             calls: counts.calls as f64,
@@ -171,23 +218,8 @@
             delivered: counts.delivered as f64,
             given_up: counts.given_up as f64,
             processor,
-            memory: beyond()?,
-            held: Held::of(&world),
+            memory: self.memory()?,
+            held: Held::of(&self.world),
         })
-    };
-    Ok(Point {
-        destinations: setup.destinations,
-        targets,
-        memory_listed,
-        memory_whole,
-        listing,
-        whole_list,
-        one_change: changes / f64::from(CHANGES),
-        held_listed,
-        held_changed,
-        traffic: stretch(setup.rate, None)?,
-        rest: stretch(0, None)?,
-        down: stretch(setup.rate, Some(setup.down))?,
-        down_rest: stretch(0, None)?,
-    })
+    }
 }
--- /dev/null
+++ b/crates/lab/src/capacity/core/settings.rs
@@ -0,0 +1,80 @@
+//! The core's configuration at the operators' size, with the rules' usual figures.
+
+use opalpulley::{
+    Config, DeduplicationScope, DeliveryClassConfig, DeliverySemantics, EndpointKindConfig,
+    ListedRates, Micros, RuleConfig,
+};
+
+/// A second, µs.
+pub const SECOND: Micros = 1_000_000;
+/// Forwarders of the operators' fleet.
+pub(super) const FORWARDERS: u32 = 400;
+/// Calls that a forwarder has in flight at once.
+const CONCURRENCY_LIMIT: u32 = 116;
+/// Receivers know repeats for so long, µs.
+const DEDUPLICATION_WINDOW: Micros = 15 * SECOND;
+const ZONES: usize = 4;
+
+/// The configuration of one forwarder.
+pub(super) fn config(
+    message_capacity: u32,
+    time_to_live: Micros,
+    full_destinations: Option<u32>,
+) -> Config {
+    Config {
+        forwarder: 0,
+        fleet_size: FORWARDERS,
+        concurrency_limit: CONCURRENCY_LIMIT,
+        message_capacity,
+        max_attempts: 6,
+        may_health_check: true,
+        may_cancel: true,
+        may_send_retry_after: true,
+        may_gossip: true,
+        max_retry_after: 2 * SECOND,
+        listed_rates: ListedRates::Nominal,
+        over_quota_weight: 0.1,
+        classes: classes(time_to_live),
+        endpoint_kinds: vec![EndpointKindConfig {
+            independent_limits: false,
+            batch_size: 1,
+        }],
+        zone_costs: vec![0.0; ZONES],
+        rules: rules(),
+        full_destinations,
+        ..Config::default()
+    }
+}
+
+/// One delivery class for each kind of repeat, the heavier the less a message may be repeated.
+fn classes(time_to_live: Micros) -> Vec<DeliveryClassConfig> {
+    let class = |semantics, priority_weight| DeliveryClassConfig {
+        semantics,
+        latency_objective: 2_500_000,
+        time_to_live,
+        priority_weight,
+        late_weight_share: 0.5,
+        ordered: false,
+    };
+    let keyed = DeliverySemantics::IdempotencyKeyed {
+        scope: DeduplicationScope::AllEndpoints,
+        window: DEDUPLICATION_WINDOW,
+    };
+    vec![
+        class(DeliverySemantics::Idempotent, 1.0),
+        class(keyed, 2.0),
+        class(DeliverySemantics::AtMostOnce, 4.0),
+    ]
+}
+
+fn rules() -> RuleConfig {
+    RuleConfig {
+        answer_slack: 20_000,
+        drain_grace: 500_000,
+        cold_capacity_share: 0.2,
+        warm_up_time: 10 * SECOND,
+        overload_multiple: 2.0,
+        overload_window: 2 * SECOND,
+        order_settle_time: SECOND,
+    }
+}
--- a/crates/lab/src/capacity/core/world.rs
+++ b/crates/lab/src/capacity/core/world.rs
@@ -1,29 +1,39 @@
 //! The simulated surroundings of one core: a list of destinations, messages, and answers to its calls after fixed times.
 //! They cost little beside the core, and are a function of the seed.
 
+pub use super::settings::SECOND;
+
+use super::settings::{config, FORWARDERS};
 use crate::capacity::error::CapacityError;
 use crate::chance::stream;
 use opalpulley::{
-    Action, AttemptHistory, Config, DeduplicationScope, DeliveryClassConfig, DeliveryClassId,
-    DeliverySemantics, DestinationId, EndpointEntry, EndpointId, EndpointKindConfig,
-    EndpointKindId, EndpointStatus, Event, Forwarder, ListedRates, MessageId, Micros, Outcome,
-    RuleConfig, StateCounts, Submission, TenantId, TimerToken, ZoneId,
+    Action, AttemptHistory, DeliveryClassId, DestinationId, EndpointEntry, EndpointId,
+    EndpointKindId, EndpointStatus, Event, Forwarder, MessageId, Micros, Outcome, StateCounts,
+    Submission, TenantId, TimerToken, ZoneId,
 };
 use rand::Rng;
 use rand_distr::{Distribution, Zipf};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-pub const SECOND: Micros = 1_000_000;
-const ANSWER: Micros = 20_000; // until a target that works answers
-const REFUSAL: Micros = 1_000; // until a connection is refused
-const SILENCE: Micros = 1_500_000; // until a probe of a silent target is given up, as the program does
-const LEAST_RATE: f64 = 50.0; // calls a second that a destination takes from all forwarders together, at least
-const HEADROOM: f64 = 2.0; // of the listed rate over the traffic, so that what is measured is not an overload
-const FORWARDERS: u32 = 400; // the operators' size
-const ROOM: u32 = 4_000; // messages that the core holds at most
-const EXPIRY: Micros = 28 * SECOND; // of a message
-const SKEW: f64 = 1.0; // exponent of the Zipf law of skewed traffic: the usual one for popularity
+/// Until an endpoint that works answers, µs.
+const ANSWER: Micros = 20_000;
+/// Until a connection is refused, µs.
+const REFUSAL: Micros = 1_000;
+/// Until a health check of a silent endpoint is given up, µs, as the program does.
+const SILENCE: Micros = 1_500_000;
+/// Until a call without a timeout is given up, µs.
+const LONGEST_SILENCE: Micros = 60 * SECOND;
+/// Calls a second that a destination takes from all forwarders together, at least.
+const LEAST_RATE: f64 = 50.0;
+/// The listed rate over the traffic, so that what is measured is not an overload.
+const HEADROOM: f64 = 2.0;
+/// Messages that the core holds at most.
+const ROOM: u32 = 4_000;
+/// The time to live of a message, µs.
+const EXPIRY: Micros = 28 * SECOND;
+/// Exponent of the Zipf law of skewed traffic: the usual one for popularity.
+const SKEW: f64 = 1.0;
 
 /// How messages are spread over the destinations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
@@ -61,13 +71,17 @@
 /// What was counted in a stretch of simulated time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
+    /// Messages that were submitted.
     pub messages: u64,
     /// Calls of `Forwarder::handle`.
     pub events: u64,
+    /// Calls that were sent.
     pub calls: u64,
+    /// Health checks that were sent.
     pub probes: u64,
+    /// Messages that were delivered.
     pub delivered: u64,
-    /// Written off or deferred.
+    /// Messages that failed or were rejected.
     pub given_up: u64,
 }
 
@@ -109,60 +123,6 @@
     }
 }
 
-/// The configuration of the operators' size, with the rules' usual figures.
-fn config(plan: &Plan) -> Config {
-    let profile = |effect, importance| DeliveryClassConfig {
-        semantics: effect,
-        latency_objective: 2_500_000,
-        time_to_live: plan.expiry,
-        priority_weight: importance,
-        late_weight_share: 0.5,
-        ordered: false,
-    };
-    let window = 15 * SECOND;
-    Config {
-        forwarder: 0,
-        fleet_size: FORWARDERS,
-        concurrency_limit: 116,
-        message_capacity: plan.room,
-        max_attempts: 6,
-        may_health_check: true,
-        may_cancel: true,
-        may_send_retry_after: true,
-        may_gossip: true,
-        max_retry_after: 2 * SECOND,
-        listed_rates: ListedRates::Nominal,
-        over_quota_weight: 0.1,
-        classes: vec![
-            profile(DeliverySemantics::Idempotent, 1.0),
-            profile(
-                DeliverySemantics::IdempotencyKeyed {
-                    scope: DeduplicationScope::AllEndpoints,
-                    window,
-                },
-                2.0,
-            ),
-            profile(DeliverySemantics::AtMostOnce, 4.0),
-        ],
-        endpoint_kinds: vec![EndpointKindConfig {
-            independent_limits: false,
-            batch_size: 1,
-        }],
-        zone_costs: vec![0.0; 4],
-        rules: RuleConfig {
-            answer_slack: 20_000,
-            drain_grace: 500_000,
-            cold_capacity_share: 0.2,
-            warm_up_time: 10 * SECOND,
-            overload_multiple: 2.0,
-            overload_window: 2 * SECOND,
-            order_settle_time: SECOND,
-        },
-        full_destinations: plan.full_destinations,
-        ..Config::default()
-    }
-}
-
 /// Of n destinations, the part of the first in Zipf's law: the m-th gets an m-th of it.
 fn first_part(destinations: u32) -> f64 {
     1.0 / (1..=destinations)
@@ -188,7 +148,10 @@
 impl World {
     pub fn new(plan: Plan) -> World {
         World {
-            core: Forwarder::new(config(&plan), plan.seed),
+            core: Forwarder::new(
+                config(plan.room, plan.expiry, plan.full_destinations),
+                plan.seed,
+            ),
             plan,
             first_part: first_part(plan.destinations),
             health: vec![Health::Works; plan.destinations as usize],
@@ -281,72 +244,74 @@
     }
 
     fn carry_out(&mut self, action: Action) {
-        let sent = self.now;
         match action {
             Action::Send {
                 id,
-                endpoint: target,
-                timeout: limit,
+                endpoint,
+                timeout,
                 ..
-            } => {
-                self.counts.calls += 1;
-                let (took, outcome) = match self.health(target) {
-                    Health::Works => (ANSWER, Outcome::Delivered),
-                    Health::RefusesConnections => (REFUSAL, Outcome::NoConnection),
-                    Health::Silent => (limit.unwrap_or(60 * SECOND), Outcome::Timeout),
-                };
-                let key = self.at(
-                    sent + took,
-                    Due::Answer {
-                        id,
-                        target,
-                        sent,
-                        outcome,
-                    },
-                );
-                self.out.insert(id, key);
+            } => self.send(id, endpoint, timeout),
+            Action::Cancel { id, .. } => self.cancel(id),
+            Action::HealthCheck { endpoint } => self.send_health_check(endpoint),
+            Action::SetTimer { after, token } => {
+                self.at(self.now + after, Due::Alarm(token));
             }
-            Action::Cancel { id, .. } => {
-                let call = self.out.remove(&id).and_then(|key| self.due.remove(&key));
-                if let Some(Due::Answer {
-                    id, target, sent, ..
-                }) = call
-                {
-                    let outcome = Outcome::Cancelled;
-                    let key = self.at(
-                        self.now,
-                        Due::Answer {
-                            id,
-                            target,
-                            sent,
-                            outcome,
-                        },
-                    );
-                    self.out.insert(id, key);
-                }
-            }
-            Action::HealthCheck { endpoint: target } => {
-                self.counts.probes += 1;
-                let (took, outcome) = match self.health(target) {
-                    Health::Works => (ANSWER, Outcome::Delivered),
-                    Health::RefusesConnections => (REFUSAL, Outcome::NoConnection),
-                    Health::Silent => (SILENCE, Outcome::Timeout),
-                };
-                self.at(
-                    sent + took,
-                    Due::ProbeAnswer {
-                        target,
-                        sent,
-                        outcome,
-                    },
-                );
-            }
-            Action::SetTimer { after, token } => _ = self.at(sent + after, Due::Alarm(token)),
             Action::Fail { .. } | Action::Reject { .. } => self.counts.given_up += 1,
             _ => {}
         }
     }
 
+    /// How long a call or health check takes there, and its outcome; `silence`: how long it waits where nothing answers.
+    fn answer_of(&self, target: EndpointId, silence: Micros) -> (Micros, Outcome) {
+        match self.health(target) {
+            Health::Works => (ANSWER, Outcome::Delivered),
+            Health::RefusesConnections => (REFUSAL, Outcome::NoConnection),
+            Health::Silent => (silence, Outcome::Timeout),
+        }
+    }
+
+    fn send(&mut self, id: MessageId, target: EndpointId, timeout: Option<Micros>) {
+        self.counts.calls += 1;
+        let (took, outcome) = self.answer_of(target, timeout.unwrap_or(LONGEST_SILENCE));
+        let answer = Due::Answer {
+            id,
+            target,
+            sent: self.now,
+            outcome,
+        };
+        let key = self.at(self.now + took, answer);
+        self.out.insert(id, key);
+    }
+
+    /// The call of a message that is in flight ends now.
+    fn cancel(&mut self, id: MessageId) {
+        let call = self.out.remove(&id).and_then(|key| self.due.remove(&key));
+        if let Some(Due::Answer {
+            id, target, sent, ..
+        }) = call
+        {
+            let cancelled = Due::Answer {
+                id,
+                target,
+                sent,
+                outcome: Outcome::Cancelled,
+            };
+            let key = self.at(self.now, cancelled);
+            self.out.insert(id, key);
+        }
+    }
+
+    fn send_health_check(&mut self, target: EndpointId) {
+        self.counts.probes += 1;
+        let (took, outcome) = self.answer_of(target, SILENCE);
+        let answer = Due::ProbeAnswer {
+            target,
+            sent: self.now,
+            outcome,
+        };
+        self.at(self.now + took, answer);
+    }
+
     fn fall_due(&mut self, due: Due) {
         match due {
             Due::Alarm(token) => self.handle(Event::TimerFired { token }),
@@ -359,15 +324,15 @@
                 self.out.remove(&id);
                 let closed = outcome == Outcome::Delivered;
                 self.counts.delivered += u64::from(closed);
-                let (trip, took, report) = (0, self.now - sent, Vec::new());
+                let took = self.now - sent;
                 self.handle(Event::AttemptEnded {
                     id,
-                    attempt: trip,
+                    attempt: 0,
                     endpoint: target,
                     outcome,
                     took,
                     completed: closed,
-                    report,
+                    report: Vec::new(),
                 });
             }
             Due::ProbeAnswer {
@@ -375,12 +340,11 @@
                 sent,
                 outcome,
             } => {
-                let (took, report) = (self.now - sent, Vec::new());
                 self.handle(Event::HealthCheckEnded {
                     endpoint: target,
                     outcome,
-                    took,
-                    report,
+                    took: self.now - sent,
+                    report: Vec::new(),
                 });
             }
         }
--- a/crates/lab/src/capacity/error.rs
+++ b/crates/lab/src/capacity/error.rs
@@ -15,13 +15,13 @@
     /// A fresh process failed; its words say why.
     #[error("{stderr}")]
     FreshProcess { stderr: String },
-    /// A fresh process failed at one size of the core.
-    #[error("{destinations} destinations, {full_destinations} in full, {endpoints_each} targets each: {stderr}")]
-    CorePoint {
+    /// The core could not be measured at one size.
+    #[error("{destinations} destinations, {full_destinations} in full, {endpoints_each} targets each: {source}")]
+    AtCoreSize {
         destinations: u32,
         full_destinations: String,
         endpoints_each: u32,
-        stderr: String,
+        source: Box<CapacityError>,
     },
     /// A socket, a process or the runtime can't be used.
     #[error(transparent)]
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -8,6 +8,7 @@
 
 pub mod config_changes;
 pub mod discovery;
+mod exchange;
 pub mod hollow;
 mod incidents;
 pub mod layout;
@@ -25,14 +26,15 @@
 
 use config_changes::ConfigChanges;
 use discovery::{Discovery, DiscoveryEvent};
+use exchange::{arrived, outcome_of};
 use hollow::HollowForwarder;
-use layout::{destination_of, forwarder_zone, Layout};
-use messages::{Incoming, Outgoing};
-use opalpulley::{EndpointId, MessageId, Micros, Outcome};
+use layout::Layout;
+use messages::Incoming;
+use opalpulley::{EndpointId, MessageId, Micros};
 use outages::Outages;
 use plan::{BadPlan, Plan, SECOND};
 use queue::TimedQueue;
-use receivers::{Receivers, Reply};
+use receivers::Receivers;
 use report::{counts, Column, Counts, FleetOutcome, Measured};
 use std::time::Instant;
 use wire::{Wire, LEAST_DELAY};
@@ -219,21 +221,15 @@
                     attempt,
                     target,
                 } => {
-                    let (destination, holder) = (destination_of(target), target.incarnation);
-                    let reply = self
-                        .receivers
-                        .call(now, destination, holder, forwarder, sent);
+                    let arrived = arrived(now, forwarder, sent, target);
+                    let reply = self.receivers.call(arrived, target.incarnation);
                     if let Some((after, outcome)) = outcome_of(reply) {
-                        self.reply(
-                            now + after,
-                            forwarder,
-                            target,
-                            Incoming::Answer {
-                                id,
-                                attempt,
-                                outcome,
-                            },
-                        );
+                        let answer = Incoming::Answer {
+                            id,
+                            attempt,
+                            outcome,
+                        };
+                        self.reply(now + after, forwarder, target, answer);
                     }
                 }
                 WorldEvent::Probe {
@@ -241,10 +237,8 @@
                     sent,
                     target,
                 } => {
-                    let (destination, holder) = (destination_of(target), target.incarnation);
-                    let reply = self
-                        .receivers
-                        .probe(now, destination, holder, forwarder, sent);
+                    let arrived = arrived(now, forwarder, sent, target);
+                    let reply = self.receivers.health_check(arrived, target.incarnation);
                     if let Some((after, outcome)) = outcome_of(reply) {
                         let answer = Incoming::ProbeAnswer {
                             target,
@@ -257,51 +251,42 @@
                 WorldEvent::Outage {
                     destination,
                     begins,
-                } => {
-                    match begins {
-                        true => self.receivers.fail(destination),
-                        false => self.receivers.recover(now, destination),
-                    }
-                    let next = now + self.outages.lasts(begins);
-                    self.events.push(
-                        next,
-                        WorldEvent::Outage {
-                            destination,
-                            begins: !begins,
-                        },
-                    );
-                }
+                } => self.outage_changes(now, destination, begins),
                 WorldEvent::Discovery(event) => self.handle_discovery(now, event),
-                WorldEvent::Change { drawn } => {
-                    if drawn {
-                        self.schedule_change(now);
-                    }
-                    let listings = self.changes.draw(&self.layout, &mut self.receivers);
-                    let reaching = self.discovery.change(now, listings);
-                    self.later(reaching);
-                }
+                WorldEvent::Change { drawn } => self.change_configuration(now, drawn),
                 WorldEvent::Incident { begins } => self.incident(now, begins),
             }
         }
     }
 
-    /// An answer goes back, unless a cut is in its way.
-    fn reply(&mut self, at: Micros, forwarder: u32, target: EndpointId, answer: Incoming) {
-        let zone = self.layout.destinations[destination_of(target) as usize].zone;
-        if self.wire.cut.passes(zone, forwarder_zone(forwarder)) {
-            let arrives = at + self.wire.call_delay();
-            self.forwarders[forwarder as usize]
-                .inbox
-                .push(arrives, answer);
+    /// An outage begins or ends; the next change of the same destination is drawn.
+    fn outage_changes(&mut self, now: Micros, destination: u32, begins: bool) {
+        if begins {
+            self.receivers.fail(destination);
         } else {
-            self.wire.attempts_lost += 1;
+            self.receivers.recover(now, destination);
         }
+        let next = WorldEvent::Outage {
+            destination,
+            begins: !begins,
+        };
+        self.events.push(now + self.outages.lasts(begins), next);
+    }
+
+    /// The configuration changes; where the change was drawn by chance, the next one is drawn.
+    fn change_configuration(&mut self, now: Micros, drawn: bool) {
+        if drawn {
+            self.schedule_change(now);
+        }
+        let listings = self.changes.draw(&self.layout, &mut self.receivers);
+        let reaching = self.discovery.change(now, listings);
+        self.later(reaching);
     }
 
     fn later(&mut self, events: Vec<(Micros, DiscoveryEvent)>) {
-        events
-            .into_iter()
-            .for_each(|(at, event)| self.events.push(at, WorldEvent::Discovery(event)));
+        for (at, event) in events {
+            self.events.push(at, WorldEvent::Discovery(event));
+        }
     }
 
     fn handle_discovery(&mut self, now: Micros, event: DiscoveryEvent) {
@@ -322,108 +307,6 @@
                 .push(answer.arrives, list);
         }
     }
-
-    /// Takes what the forwarders have sent to where it goes, in the order of their numbers.
-    fn carry(&mut self) {
-        for sender in 0..self.forwarders.len() {
-            let mut outbox = std::mem::take(&mut self.forwarders[sender].outbox);
-            outbox
-                .drain(..)
-                .for_each(|(sent, what)| self.carry_one(sender as u32, sent, what));
-            self.forwarders[sender].outbox = outbox;
-        }
-    }
-
-    fn carry_one(&mut self, forwarder: u32, sent: Micros, what: Outgoing) {
-        match what {
-            Outgoing::Call {
-                id,
-                attempt,
-                target,
-            } => self.attempt(
-                forwarder,
-                sent,
-                target,
-                WorldEvent::Call {
-                    forwarder,
-                    sent,
-                    id,
-                    attempt,
-                    target,
-                },
-            ),
-            Outgoing::Probe { target } => self.attempt(
-                forwarder,
-                sent,
-                target,
-                WorldEvent::Probe {
-                    forwarder,
-                    sent,
-                    target,
-                },
-            ),
-            Outgoing::Gossip { to, message } => {
-                self.wire.control[forwarder as usize]
-                    .gossip_out
-                    .datagram(message.len());
-                let peers = match to {
-                    Some(peer) => u32::from(peer)..u32::from(peer) + 1,
-                    None => 0..self.plan.forwarders,
-                };
-                for peer in peers.filter(|peer| *peer != forwarder && *peer < self.plan.forwarders)
-                {
-                    if !self
-                        .wire
-                        .cut
-                        .passes(forwarder_zone(forwarder), forwarder_zone(peer))
-                    {
-                        self.wire.gossip_lost += 1;
-                        continue;
-                    }
-                    let arrives = sent + self.wire.gossip_delay();
-                    self.wire.control[peer as usize]
-                        .gossip_in
-                        .datagram(message.len());
-                    let gossip = Incoming::Gossip {
-                        from: forwarder as u16,
-                        message: message.clone(),
-                    };
-                    self.forwarders[peer as usize].inbox.push(arrives, gossip);
-                }
-            }
-            Outgoing::MetFailure { destination, tried } => {
-                self.receivers.met(destination, forwarder, tried, sent)
-            }
-            Outgoing::ListInForce { revision } => {
-                self.discovery.in_force(sent, forwarder, revision)
-            }
-        }
-    }
-
-    fn attempt(&mut self, forwarder: u32, sent: Micros, target: EndpointId, arrival: WorldEvent) {
-        let zone = self.layout.destinations[destination_of(target) as usize].zone;
-        if self.wire.cut.passes(forwarder_zone(forwarder), zone) {
-            let arrives = sent + self.wire.call_delay();
-            self.events.push(arrives, arrival);
-        } else {
-            self.wire.attempts_lost += 1;
-        }
-    }
-}
-
-/// What the forwarder sees of a reply, and after how long; none where nothing comes back.
-fn outcome_of(reply: Reply) -> Option<(Micros, Outcome)> {
-    match reply {
-        Reply::Served(after) => Some((after, Outcome::Delivered)),
-        Reply::Full { retry_after } => Some((
-            0,
-            Outcome::Rejected {
-                retry_after: Some(retry_after),
-            },
-        )),
-        Reply::Refused => Some((0, Outcome::NoConnection)),
-        Reply::Nothing => None,
-    }
 }
 
 #[cfg(test)]
--- a/crates/lab/src/capacity/fleet/discovery.rs
+++ b/crates/lab/src/capacity/fleet/discovery.rs
@@ -18,7 +18,7 @@
 /// How long a watch stays open where nothing changes; as the forwarder's program asks for.
 const WATCH: Micros = 5_000_000;
 /// Beyond that, how long the program waits for an answer.
-const PATIENCE: Micros = 2_000_000;
+const ANSWER_TIMEOUT: Micros = 2_000_000;
 /// Between two tries of the program.
 const AGAIN: Micros = 150_000;
 /// Changes that are kept: whoever is further behind gets the whole list.
@@ -172,9 +172,10 @@
                     return None;
                 }
                 watch.known = watch.known.max(revision);
-                let news = watch.open && watch.known > watch.told;
-                news.then(|| self.answer(now, forwarder, wire, later))
-                    .flatten()
+                if !watch.open || watch.known <= watch.told {
+                    return None;
+                }
+                self.answer(now, forwarder, wire, later)
             }
             DiscoveryEvent::WatchOpens { forwarder } => {
                 wire.control[forwarder as usize]
@@ -184,7 +185,7 @@
                 watch.number += 1;
                 if !reaches(wire.cut, forwarder) {
                     later.push((
-                        now + WATCH + PATIENCE + AGAIN,
+                        now + WATCH + ANSWER_TIMEOUT + AGAIN,
                         DiscoveryEvent::WatchOpens { forwarder },
                     ));
                     return None;
@@ -204,9 +205,10 @@
             }
             DiscoveryEvent::WatchEnds { forwarder, number } => {
                 let watch = &self.watches[forwarder as usize];
-                (watch.open && watch.number == number)
-                    .then(|| self.answer(now, forwarder, wire, later))
-                    .flatten()
+                if !watch.open || watch.number != number {
+                    return None;
+                }
+                self.answer(now, forwarder, wire, later)
             }
         }
     }
@@ -223,7 +225,7 @@
         watch.open = false;
         if !reaches(wire.cut, forwarder) {
             later.push((
-                now + PATIENCE + AGAIN,
+                now + ANSWER_TIMEOUT + AGAIN,
                 DiscoveryEvent::WatchOpens { forwarder },
             ));
             return None;
--- a/crates/lab/src/capacity/fleet/hollow.rs
+++ b/crates/lab/src/capacity/fleet/hollow.rs
@@ -18,9 +18,9 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
 
-/// A probe without answer has failed after this time.
-const PROBE_PATIENCE: Micros = 1_500_000;
-/// The deadline of a message, as the delivery classes have it.
+/// A health check without answer has failed after this time, µs.
+const HEALTH_CHECK_TIMEOUT: Micros = 1_500_000;
+/// The deadline of a message, as the delivery classes have it, µs.
 const DEADLINE: Micros = 28 * SECOND;
 
 struct OpenMessage {
@@ -123,32 +123,10 @@
                 target,
                 sent,
                 outcome,
-            } => {
-                if self.probes.get(&target) != Some(&sent) {
-                    return; // answered, or given up, already
-                }
-                self.probes.remove(&target);
-                if outcome != Outcome::Delivered {
-                    self.met(now, target, sent);
-                }
-                let took = now - sent;
-                let event = Event::HealthCheckEnded {
-                    endpoint: target,
-                    outcome,
-                    took,
-                    report: Vec::new(),
-                };
-                self.give(now, Work::Probe, event);
-            }
+            } => self.health_check_ended(now, target, sent, outcome),
             Incoming::Gossip { from, message } => {
-                self.give(
-                    now,
-                    Work::Gossip,
-                    Event::Gossip {
-                        from,
-                        payload: message.to_vec(),
-                    },
-                );
+                let payload = message.to_vec();
+                self.give(now, Work::Gossip, Event::Gossip { from, payload });
             }
             Incoming::List {
                 whole,
@@ -156,17 +134,40 @@
                 listings,
             } => {
                 let entries = listings.to_vec();
-                let news = if whole {
-                    EndpointListUpdate::Complete(entries)
-                } else {
-                    EndpointListUpdate::Changes(entries)
+                let update = match whole {
+                    true => EndpointListUpdate::Complete(entries),
+                    false => EndpointListUpdate::Changes(entries),
                 };
-                self.give(now, Work::List, Event::EndpointList(news));
+                self.give(now, Work::List, Event::EndpointList(update));
                 self.outbox.push((now, Outgoing::ListInForce { revision }));
             }
         }
     }
 
+    /// A health check is answered or has failed; one that was answered before, or given up, counts for nothing.
+    fn health_check_ended(
+        &mut self,
+        now: Micros,
+        target: EndpointId,
+        sent: Micros,
+        outcome: Outcome,
+    ) {
+        if self.probes.get(&target) != Some(&sent) {
+            return;
+        }
+        self.probes.remove(&target);
+        if outcome != Outcome::Delivered {
+            self.met(now, target, sent);
+        }
+        let event = Event::HealthCheckEnded {
+            endpoint: target,
+            outcome,
+            took: now - sent,
+            report: Vec::new(),
+        };
+        self.give(now, Work::Probe, event);
+    }
+
     fn arrive(&mut self, now: Micros, layout: &Layout, receivers: &Receivers) {
         let number = layout.draw(&mut self.rng);
         let id = MessageId(self.counts.arrived as u32);
@@ -253,9 +254,9 @@
         let HollowForwarder { core, actions, .. } = self;
         self.work[work as usize].measure(|| core.handle(now, event, actions));
         let mut actions = std::mem::take(&mut self.actions);
-        actions
-            .drain(..)
-            .for_each(|action| self.carry_out(now, action));
+        for action in actions.drain(..) {
+            self.carry_out(now, action);
+        }
         self.actions = actions;
     }
 
@@ -263,82 +264,31 @@
         match action {
             Action::Send {
                 id,
-                endpoint: target,
-                timeout: limit,
+                endpoint,
+                timeout,
                 ..
-            } => {
-                let Some(message) = self.open.get_mut(&id) else {
-                    return;
-                };
-                let attempt = message.attempts;
-                message.attempts += 1;
-                message.out = Some((target, now));
-                self.counts.attempts += 1;
-                self.outbox.push((
-                    now,
-                    Outgoing::Call {
-                        id,
-                        attempt,
-                        target,
-                    },
-                ));
-                if let Some(limit) = limit {
-                    let outcome = Outcome::Timeout;
-                    self.inbox.push(
-                        now + limit,
-                        Incoming::Answer {
-                            id,
-                            attempt,
-                            outcome,
-                        },
-                    );
-                }
-            }
-            Action::Cancel { id, attempt: trip } => {
-                let outcome = Outcome::Cancelled;
-                self.inbox.push(
-                    now,
-                    Incoming::Answer {
-                        id,
-                        attempt: trip,
-                        outcome,
-                    },
-                );
-            }
-            Action::HealthCheck { endpoint: target } => {
-                self.counts.probes += 1;
-                self.probes.insert(target, now);
-                self.outbox.push((now, Outgoing::Probe { target }));
-                let outcome = Outcome::Timeout;
-                self.inbox.push(
-                    now + PROBE_PATIENCE,
-                    Incoming::ProbeAnswer {
-                        target,
-                        sent: now,
-                        outcome,
-                    },
-                );
+            } => self.send(now, id, endpoint, timeout),
+            Action::Cancel { id, attempt } => {
+                self.answer_at(now, id, attempt, Outcome::Cancelled);
             }
+            Action::HealthCheck { endpoint } => self.send_health_check(now, endpoint),
             Action::Fail { id } => {
-                self.counts.failed += u64::from(self.open.remove(&id).is_some());
+                if self.open.remove(&id).is_some() {
+                    self.counts.failed += 1;
+                }
             }
             Action::Reject { id, .. } => {
-                self.counts.rejected += u64::from(self.open.remove(&id).is_some());
+                if self.open.remove(&id).is_some() {
+                    self.counts.rejected += 1;
+                }
             }
             Action::SetTimer { after, token } => {
                 self.inbox.push(now + after, Incoming::Alarm(token))
             }
-            Action::SendGossip {
-                peer,
-                payload: message,
-            } => {
-                self.outbox.push((
-                    now,
-                    Outgoing::Gossip {
-                        to: peer,
-                        message: message.into(),
-                    },
-                ));
+            Action::SendGossip { peer, payload } => {
+                let message = payload.into();
+                let gossip = Outgoing::Gossip { to: peer, message };
+                self.outbox.push((now, gossip));
             }
             // A call goes whole as it is sent, and discovery holds a watch open for each forwarder.
             Action::WithdrawUnsent { .. }
@@ -348,6 +298,47 @@
         }
     }
 
+    fn send(&mut self, now: Micros, id: MessageId, target: EndpointId, timeout: Option<Micros>) {
+        let Some(message) = self.open.get_mut(&id) else {
+            return;
+        };
+        let attempt = message.attempts;
+        message.attempts += 1;
+        message.out = Some((target, now));
+        self.counts.attempts += 1;
+        let call = Outgoing::Call {
+            id,
+            attempt,
+            target,
+        };
+        self.outbox.push((now, call));
+        if let Some(timeout) = timeout {
+            self.answer_at(now + timeout, id, attempt, Outcome::Timeout);
+        }
+    }
+
+    /// Has an attempt end with an outcome at a time.
+    fn answer_at(&mut self, at: Micros, id: MessageId, attempt: u8, outcome: Outcome) {
+        let answer = Incoming::Answer {
+            id,
+            attempt,
+            outcome,
+        };
+        self.inbox.push(at, answer);
+    }
+
+    fn send_health_check(&mut self, now: Micros, target: EndpointId) {
+        self.counts.probes += 1;
+        self.probes.insert(target, now);
+        self.outbox.push((now, Outgoing::Probe { target }));
+        let failed = Incoming::ProbeAnswer {
+            target,
+            sent: now,
+            outcome: Outcome::Timeout,
+        };
+        self.inbox.push(now + HEALTH_CHECK_TIMEOUT, failed);
+    }
+
     /// How much the core holds in full and as summaries.
     pub fn state_counts(&self) -> StateCounts {
         self.core.state_counts()
--- a/crates/lab/src/capacity/fleet/receivers.rs
+++ b/crates/lab/src/capacity/fleet/receivers.rs
@@ -26,7 +26,9 @@
 /// How a destination is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Down {
+    /// Connections are refused.
     Refusing,
+    /// Nothing is answered.
     Silent,
 }
 
@@ -35,19 +37,30 @@
 pub enum Reply {
     /// After this time.
     Served(Micros),
-    Full {
-        retry_after: Micros,
-    },
+    /// Above its rate.
+    Full { retry_after: Micros },
+    /// No connection comes up.
     Refused,
+    /// Nothing is answered.
     Nothing,
 }
 
+/// Whether it takes its whole rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Temperature {
     Warm,
     Cold { since: Micros },
 }
 
+/// What a call or health check meets at a destination that is down.
+struct MetOutage {
+    reply: Reply,
+    /// Another forwarder had met the outage as it was sent.
+    another_knew: bool,
+    /// And its sender had not.
+    only_others_knew: bool,
+}
+
 struct Receiver {
     rate: f64,
     tokens: f64,
@@ -63,14 +76,17 @@
     back: Option<Box<Return>>,
 }
 
+/// All destinations of the fleet.
 pub struct Receivers {
     all: Vec<Receiver>,
+    /// What an onlooker counts.
     pub counts: ReceiverCounts,
     answer_times: Option<LogNormal<f64>>,
     rng: Pcg64Mcg,
 }
 
 impl Receivers {
+    /// All destinations, up and warm.
     pub fn new(plan: &Plan, layout: &Layout) -> Receivers {
         let receiver = |rate: f64| Receiver {
             rate,
@@ -96,6 +112,7 @@
         }
     }
 
+    /// Whether a destination is down, by an outage of its own or of its zone.
     pub fn is_down(&self, destination: u32) -> bool {
         self.all[destination as usize].condition().is_some()
     }
@@ -140,88 +157,66 @@
         (receiver.holder, receiver.rate)
     }
 
-    /// A forwarder has seen a call or probe fail there that was sent at `tried`.
+    /// A forwarder has seen a call or health check fail there that was sent at `tried`.
     pub fn met(&mut self, destination: u32, forwarder: u32, tried: Micros, at: Micros) {
         let Receiver { outage, back, .. } = &mut self.all[destination as usize];
-        outage
-            .iter_mut()
-            .for_each(|outage| outage.learn(forwarder, at));
-        back.iter_mut()
-            .for_each(|back| back.learn(forwarder, tried, at));
+        if let Some(outage) = outage {
+            outage.learn(forwarder, at);
+        }
+        if let Some(back) = back {
+            back.learn(forwarder, tried, at);
+        }
     }
 
-    /// A call arrives that was sent at `sent`.
-    pub fn call(
-        &mut self,
-        now: Micros,
-        destination: u32,
-        holder: u32,
-        forwarder: u32,
-        sent: Micros,
-    ) -> Reply {
+    /// A call arrives at the address of this holder.
+    pub fn call(&mut self, arrived: Arrived, holder: u32) -> Reply {
         self.counts.calls += 1;
-        let receiver = &mut self.all[destination as usize];
-        if let Some(down) = receiver.condition() {
-            let (others, own) = receiver.known(forwarder, sent);
+        let receiver = &self.all[arrived.destination as usize];
+        if let Some(met) = receiver.met_outage(arrived) {
             self.counts.calls_while_down += 1;
-            self.counts.calls_another_knew += u64::from(others);
-            self.counts.calls_only_others_knew += u64::from(others && !own);
-            return down.reply();
+            self.counts.calls_another_knew += u64::from(met.another_knew);
+            self.counts.calls_only_others_knew += u64::from(met.only_others_knew);
+            return met.reply;
         }
         if holder != receiver.holder {
             self.counts.calls_to_old_address += 1;
             return Reply::Refused;
         }
-        self.weigh(Arrived {
-            now,
-            destination,
-            forwarder,
-            sent,
-        });
-        if !self.all[destination as usize].take(now) {
+        self.count_arrival(arrived);
+        if !self.all[arrived.destination as usize].take(arrived.now) {
             self.counts.refused_full += 1;
             return Reply::Full {
                 retry_after: RETRY_AFTER,
             };
         }
-        let time = self
-            .answer_times
-            .map_or(ANSWER_TIME, |times| times.sample(&mut self.rng));
-        Reply::Served(time.max(1.0) as Micros)
+        Reply::Served(self.draw_answer_time())
+    }
+
+    fn draw_answer_time(&mut self) -> Micros {
+        let times = self.answer_times;
+        let time = times.map_or(ANSWER_TIME, |times| times.sample(&mut self.rng));
+        time.max(1.0) as Micros
     }
 
-    /// A probe arrives.
-    pub fn probe(
-        &mut self,
-        now: Micros,
-        destination: u32,
-        holder: u32,
-        forwarder: u32,
-        sent: Micros,
-    ) -> Reply {
+    /// A health check arrives at the address of this holder.
+    pub fn health_check(&mut self, arrived: Arrived, holder: u32) -> Reply {
         self.counts.probes += 1;
-        let receiver = &mut self.all[destination as usize];
-        if let Some(down) = receiver.condition() {
-            let (others, own) = receiver.known(forwarder, sent);
+        let receiver = &self.all[arrived.destination as usize];
+        if let Some(met) = receiver.met_outage(arrived) {
             self.counts.probes_while_down += 1;
-            self.counts.probes_another_knew += u64::from(others);
-            self.counts.probes_only_others_knew += u64::from(others && !own);
-            return down.reply();
+            self.counts.probes_another_knew += u64::from(met.another_knew);
+            self.counts.probes_only_others_knew += u64::from(met.only_others_knew);
+            return met.reply;
         }
         if holder != receiver.holder {
             return Reply::Refused;
         }
-        self.weigh(Arrived {
-            now,
-            destination,
-            forwarder,
-            sent,
-        });
+        self.count_arrival(arrived);
         Reply::Served(0)
     }
 
     /// Counts what reaches a destination that is not warm yet against its budget.
-    fn weigh(&mut self, arrived: Arrived) {
+    fn count_arrival(&mut self, arrived: Arrived) {
         let receiver = &mut self.all[arrived.destination as usize];
         let part = receiver.part(arrived.now);
         let rate = receiver.rate;
@@ -263,11 +258,17 @@
         before && !after
     }
 
-    /// Whether others know of its outage, and whether the sender does.
-    fn known(&self, forwarder: u32, at: Micros) -> (bool, bool) {
+    /// What a call or health check meets while it is down; none while it is up.
+    fn met_outage(&self, arrived: Arrived) -> Option<MetOutage> {
+        let reply = self.condition()?.reply();
+        let (forwarder, sent) = (arrived.forwarder, arrived.sent);
         let outage = self.outage.as_ref();
-        outage.map_or((false, false), |o| {
-            (o.known_to_another(forwarder, at), o.known_to(forwarder, at))
+        let another = outage.is_some_and(|outage| outage.known_to_another(forwarder, sent));
+        let own = outage.is_some_and(|outage| outage.known_to(forwarder, sent));
+        Some(MetOutage {
+            reply,
+            another_knew: another,
+            only_others_knew: another && !own,
         })
     }
 
--- /dev/null
+++ b/crates/lab/src/capacity/fresh_process.rs
@@ -0,0 +1,25 @@
+//! A measurement in a fresh process of this program, so that it inherits the memory of none before it.
+
+use super::error::CapacityError;
+use serde::de::DeserializeOwned;
+use std::process::Command;
+
+/// Runs a hidden subcommand of `capacity` with these options, each a name and a value; gives the figures that it prints.
+pub fn measure_in_fresh_process<T: DeserializeOwned>(
+    subcommand: &str,
+    options: &[(&str, String)],
+) -> Result<T, CapacityError> {
+    let program = std::env::current_exe().map_err(CapacityError::OwnPath)?;
+    let mut command = Command::new(program);
+    command.args(["capacity", subcommand]);
+    for (name, value) in options {
+        command.args([name, value.as_str()]);
+    }
+    let ended = command.output()?;
+    if !ended.status.success() {
+        return Err(CapacityError::FreshProcess {
+            stderr: String::from_utf8_lossy(&ended.stderr).trim().to_owned(),
+        });
+    }
+    Ok(serde_json::from_slice(&ended.stdout)?)
+}
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -100,13 +100,13 @@
         p.load.of_a_core()
     }),
     ("under load: processor time a message", "us", |p| {
-        p.load.processor.as_secs_f64() * 1e6 / p.handed_in as f64
+        p.load.processor.as_secs_f64() * 1e6 / p.submitted as f64
     }),
     ("at rest after load: part of a core", "cores", |p| {
         p.rest_after.of_a_core()
     }),
     ("distinct targets in use", "targets", |p| p.used.into()),
-    ("messages handed in", "messages", |p| p.handed_in as f64),
+    ("messages submitted", "messages", |p| p.submitted as f64),
     ("messages taken", "messages", |p| p.taken as f64),
     ("calls answered", "calls", |p| p.calls as f64),
     ("descriptors, most under load", "descriptors", |p| {
--- a/crates/lab/src/capacity/process/point.rs
+++ b/crates/lab/src/capacity/process/point.rs
@@ -22,7 +22,7 @@
 const LISTED_WITHIN: Duration = Duration::from_secs(20);
 const LOOK_AGAIN: Duration = Duration::from_millis(2); // between two questions whether it is ready
 const SAMPLE: Duration = Duration::from_millis(100); // between two looks at its descriptors under load
-const CLIENTS: u32 = 16; // connections that messages are handed in on: few beside the descriptors
+const CLIENTS: u32 = 16; // connections that messages are submitted on: few beside the descriptors
 const SETTLED: Duration = Duration::from_secs(2); // after the load, for calls under way
 const MESSAGE_TIME: Duration = Duration::from_secs(20);
 const BODY: usize = 512; // bytes of a message
@@ -45,7 +45,7 @@
     pub rest_after: Stretch,
     pub after_rest: Usage,
     pub most_descriptors: usize,
-    pub handed_in: u64,
+    pub submitted: u64,
     pub taken: u64,
     pub calls: u64,
 }
@@ -63,7 +63,7 @@
     }
 }
 
-/// What the papers of a forwarder say beside its list.
+/// What the start-up configuration of a forwarder says beside its list.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
     pub seed: u64,
@@ -98,7 +98,7 @@
     discovery: SocketAddr,
     known: Option<Value>,
 ) -> Value {
-    let mut papers = json!({
+    let mut config = json!({
         "name": "n0", "seed": format!("{:016x}", shape.seed),
         "listen": listen.to_string(), "discovery": discovery.to_string(),
         "limits": {"memory_mb": shape.memory_mb, "sockets": shape.descriptors, "disk_mb": shape.disk_mb},
@@ -115,9 +115,9 @@
         }
     });
     if let Some(known) = known {
-        papers["known"] = known;
+        config["known"] = known;
     }
-    papers
+    config
 }
 
 /// A forwarder that ends with this.
@@ -133,7 +133,7 @@
         program: &Path,
         folder: &Path,
         listen: SocketAddr,
-        papers: &Value,
+        config: &Value,
     ) -> Result<Subject, CapacityError> {
         let say = |source: std::io::Error| CapacityError::Program {
             program: program.to_owned(),
@@ -141,7 +141,7 @@
         };
         let (state, file) = (folder.join("state"), folder.join("papers.json"));
         std::fs::create_dir_all(&state).map_err(say)?;
-        std::fs::write(&file, papers.to_string()).map_err(say)?;
+        std::fs::write(&file, config.to_string()).map_err(say)?;
         let log = folder.join("forwarder.log");
         let errors = std::fs::File::create(&log).map_err(say)?;
         let child = Command::new(program)
@@ -231,7 +231,7 @@
     )
 }
 
-/// Messages that are handed in: their destinations in order, how many a second, and the time that each has.
+/// Messages that are submitted: their destinations in order, how many a second, and the time that each has.
 #[derive(Clone)]
 pub struct Load {
     pub draws: Arc<[u32]>,
@@ -275,7 +275,7 @@
         })
     };
     for client in (0..CLIENTS).map(client).collect::<Vec<_>>() {
-        let _ = client.await; // one that panics has handed in less, which the count of those taken shows
+        let _ = client.await; // one that panics has submitted less, which the count of those taken shows
     }
 }
 
@@ -312,7 +312,7 @@
     used.insert(last);
     let calls = targets(list, &used)?;
     let shape = options.shape();
-    let papers = match from {
+    let config = match from {
         ListFrom::Known => startup_config(&shape, listen, nowhere().await?, Some(list.text())),
         ListFrom::Discovery => {
             let (at, _) = discovery(list.text().to_string()).await?;
@@ -320,7 +320,7 @@
         }
     };
     let begun = Instant::now();
-    let mut subject = Subject::start(&options.program(), folder.path(), listen, &papers)?;
+    let mut subject = Subject::start(&options.program(), folder.path(), listen, &config)?;
     let ready =
         subject
             .ready(begun, READY_WITHIN)
@@ -373,7 +373,7 @@
         rest_after,
         after_rest,
         most_descriptors: most_descriptors.load(Ordering::Relaxed),
-        handed_in: draws.len() as u64,
+        submitted: draws.len() as u64,
         taken: taken.load(Ordering::Relaxed),
         calls: calls.load(Ordering::Relaxed) - calls_before,
     })
