--- a/crates/lab/src/capacity/backlog.rs
+++ b/crates/lab/src/capacity/backlog.rs
@@ -6,7 +6,7 @@
 
 use super::fresh_process::measure_in_fresh_process;
 use super::outputs::Outputs;
-use super::process::point::Shape;
+use super::process::startup_config::Shape;
 use super::slope::{show, Row, Table};
 use crate::capacity::error::CapacityError;
 use crate::sockets::run::program_beside;
@@ -18,6 +18,7 @@
 /// The part of its memory that the program lets the journal take at most.
 const JOURNAL_PART: f64 = 0.25;
 
+/// Options of `capacity backlog`.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
     /// How many messages wait, one fresh process each; in the core only whole seconds of --rate are submitted
@@ -69,9 +70,11 @@
     measure_in_fresh_process("backlog-point", &measured)
 }
 
-type CoreFigure = (&'static str, &'static str, fn(&CorePoint) -> f64);
-const CORE_FIGURES: [CoreFigure; 5] = [
-    ("messages submitted", "messages", |p| p.messages),
+/// A figure of a point: its name, its unit and its value.
+type FigureOf<P> = (&'static str, &'static str, fn(&P) -> f64);
+
+const CORE_FIGURES: [FigureOf<CorePoint>; 5] = [
+    ("messages handed in", "messages", |p| p.messages),
     ("memory", "bytes", |p| p.memory),
     ("memory a waiting message", "bytes", |p| {
         p.memory / p.waiting
@@ -79,14 +82,13 @@
     ("timers and answers of the surroundings", "entries", |p| {
         p.surroundings
     }),
-    ("processor time a message, submitted", "us", |p| {
+    ("processor time a message, handed in", "us", |p| {
         p.processor / p.messages
     }),
 ];
 
-type ProcessFigure = (&'static str, &'static str, fn(&ProcessPoint) -> f64);
-const PROCESS_FIGURES: [ProcessFigure; 12] = [
-    ("messages submitted", "messages", |p| p.submitted as f64),
+const PROCESS_FIGURES: [FigureOf<ProcessPoint>; 12] = [
+    ("messages handed in", "messages", |p| p.submitted as f64),
     ("notices of an end, before the kill", "notices", |p| {
         p.completion_reports as f64
     }),
@@ -118,59 +120,52 @@
 
 /// The core and one real forwarder with the same numbers of messages that wait.
 pub fn tables(options: &Options) -> Result<Vec<Table>, CapacityError> {
-    let mut core = Vec::new();
-    let mut process = Vec::new();
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
-        .build();
-    let runtime = runtime?;
+        .build()?;
+    let mut core = Vec::new();
+    let mut process = Vec::new();
     for messages in &options.sizes {
         let point = core_in_fresh_process(options, *messages)?;
-        core.push(Row {
-            size: point.waiting,
-            values: CORE_FIGURES.iter().map(|(_, _, of)| of(&point)).collect(),
-        });
-        let shape = options.shape(*messages);
+        core.push(row(point.waiting, &CORE_FIGURES, &point));
         let setup = process_point::Setup {
             program: options.program(),
             messages: *messages,
             destinations: options.destinations,
             rate: options.rate,
         };
+        let shape = options.shape(*messages);
         let point = runtime.block_on(process_point::measure(&setup, &shape))?;
-        let values = PROCESS_FIGURES
-            .iter()
-            .map(|(_, _, of)| of(&point))
-            .collect();
-        process.push(Row {
-            size: point.waiting(),
-            values,
-        });
+        process.push(row(point.waiting(), &PROCESS_FIGURES, &point));
     }
-    let core_names: Vec<(&str, &str)> = CORE_FIGURES
-        .iter()
-        .map(|(name, unit, _)| (*name, *unit))
-        .collect();
-    let process_names: Vec<(&str, &str)> = PROCESS_FIGURES
-        .iter()
-        .map(|(name, unit, _)| (*name, *unit))
-        .collect();
     Ok(vec![
-        Table::new(
-            "the core alone, messages that wait",
-            "waiting messages",
-            &core_names,
-            core,
-        ),
-        Table::new(
+        table("the core alone, messages that wait", &CORE_FIGURES, core),
+        table(
             "one forwarder, messages that wait",
-            "waiting messages",
-            &process_names,
+            &PROCESS_FIGURES,
             process,
         ),
     ])
 }
 
+/// The figures of one point, by its size.
+fn row<P>(size: f64, figures: &[FigureOf<P>], point: &P) -> Row {
+    let values = figures.iter().map(|(_, _, value)| value(point));
+    Row {
+        size,
+        values: values.collect(),
+    }
+}
+
+fn table<P>(title: &str, figures: &[FigureOf<P>], rows: Vec<Row>) -> Table {
+    let names: Vec<(&str, &str)> = figures
+        .iter()
+        .map(|(name, unit, _)| (*name, *unit))
+        .collect();
+    Table::new(title, "waiting messages", &names, rows)
+}
+
+/// Measures, prints the tables and writes them where they were asked for.
 pub fn run(options: &Options) -> Result<(), CapacityError> {
     let program = options.program();
     if !program.is_file() {
--- a/crates/lab/src/capacity/backlog/core_point.rs
+++ b/crates/lab/src/capacity/backlog/core_point.rs
@@ -10,6 +10,7 @@
 const EXPIRY: u64 = 3_600 * SECOND; // long beside the time in which the messages are submitted
 const SETTLED: u64 = 5; // simulated s after the last message, until every destination is ejected
 
+/// What one size is measured with.
 #[derive(Args, Clone, Debug)]
 pub struct Setup {
     #[arg(long)]
@@ -37,6 +38,7 @@
     pub processor: f64,
 }
 
+/// Lets so many messages wait in the core, and measures what they take.
 pub fn measure(setup: &Setup) -> Result<CorePoint, CapacityError> {
     let plan = Plan::new(
         setup.destinations,
--- a/crates/lab/src/capacity/backlog/process_point.rs
+++ b/crates/lab/src/capacity/backlog/process_point.rs
@@ -1,18 +1,23 @@
 //! One real forwarder with so many messages that wait: submitted, then killed and started again on the same folder.
 
 use crate::capacity::error::CapacityError;
-use crate::capacity::process::point::{load, startup_config, Load, Shape, Subject, READY_WITHIN};
+use crate::capacity::process::load::{load, Load};
 use crate::capacity::process::standins::{discovery, nowhere, Listed};
+use crate::capacity::process::startup_config::{startup_config, Shape};
+use crate::capacity::process::subject::{Subject, READY_WITHIN};
 use crate::capacity::usage::Usage;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time that a message has: long beside the measurement, so that none ends in it.
+/// The time to live of a message: long beside the measurement, so that none ends in it.
 pub const EXPIRY: Duration = Duration::from_secs(3_600);
-const SETTLED: Duration = Duration::from_secs(3); // after the last message, until every destination is ejected
+/// After the last message, until every destination is ejected.
+const SETTLED: Duration = Duration::from_secs(3);
 
+/// What one size is measured with.
 pub struct Setup {
     pub program: PathBuf,
     pub messages: u32,
@@ -59,10 +64,11 @@
     Ok(bytes)
 }
 
+/// Lets so many messages wait in one forwarder, kills it and starts it again on the same folder.
 pub async fn measure(setup: &Setup, shape: &Shape) -> Result<ProcessPoint, CapacityError> {
     let folder = tempfile::tempdir()?;
     let listen = nowhere().await?;
-    // Nobody listens at the targets: each refuses connections.
+    // Nobody listens at the endpoints: each refuses connections.
     let list = Listed {
         targets: setup.destinations,
         port: nowhere().await?.port(),
@@ -70,33 +76,23 @@
     let (discovery, completion_reports) = discovery(list.text().to_string()).await?;
     let config = startup_config(shape, listen, discovery, Some(list.text()));
     let start = || Subject::start(&setup.program, folder.path(), listen, &config);
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut subject = start()?;
-    let ready_empty = subject.ready(begun, READY_WITHIN).await?;
+    let ready_empty = subject.ready(started, READY_WITHIN).await?;
     let before = subject.usage()?;
-    let draws = (0..setup.messages)
-        .map(|n| n % setup.destinations)
-        .collect();
-    let taken = Arc::new(AtomicU64::new(0));
-    let messages = Load {
-        draws,
-        rate: setup.rate,
-        time: shape.expiry,
-    };
-    load(messages, listen, taken.clone()).await;
-    tokio::time::sleep(SETTLED).await;
+    let taken = submit(setup, shape, listen).await;
     let with_backlog = subject.usage()?;
     let completion_reports = completion_reports.load(Ordering::Relaxed);
     subject.child.kill().await?;
     let journal = folder_bytes(&folder.path().join("state"))?;
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut subject = start()?;
-    let ready_again = subject.ready(begun, READY_WITHIN).await?;
+    let ready_again = subject.ready(started, READY_WITHIN).await?;
     let at_ready_again = subject.usage()?;
     subject.child.kill().await?;
     Ok(ProcessPoint {
         submitted: u64::from(setup.messages),
-        taken: taken.load(Ordering::Relaxed),
+        taken,
         completion_reports,
         ready_empty,
         ready_again,
@@ -106,3 +102,17 @@
         journal,
     })
 }
+
+/// Submits the messages, a destination after the other, and waits until all is settled; gives how many were accepted.
+async fn submit(setup: &Setup, shape: &Shape, listen: SocketAddr) -> u64 {
+    let draws = (0..setup.messages).map(|number| number % setup.destinations);
+    let messages = Load {
+        draws: draws.collect(),
+        rate: setup.rate,
+        time: shape.expiry,
+    };
+    let accepted = Arc::new(AtomicU64::new(0));
+    load(messages, listen, accepted.clone()).await;
+    tokio::time::sleep(SETTLED).await;
+    accepted.load(Ordering::Relaxed)
+}
--- a/crates/lab/src/capacity/core.rs
+++ b/crates/lab/src/capacity/core.rs
@@ -60,6 +60,7 @@
     }
 }
 
+/// Options of `capacity core`.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
     /// How many destinations, one fresh process each
@@ -306,6 +307,7 @@
     Ok(tables)
 }
 
+/// Measures, prints the tables and what an endpoint takes, and writes what was asked for.
 pub fn run(options: &Options) -> Result<(), CapacityError> {
     let tables = tables(options)?;
     show(&tables, &options.outputs)?;
--- a/crates/lab/src/capacity/core/point.rs
+++ b/crates/lab/src/capacity/core/point.rs
@@ -10,9 +10,12 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-const CHUNK: u32 = 1_000; // listings in one step of building the list: what a step uses besides stays small
-const CHANGED_RATE: f64 = 1.5; // of the listed rate, in a single change
-pub const CHANGES: u32 = 200; // single changes of the list, to average over
+/// Entries in one step of building the list: what a step uses besides stays small.
+const CHUNK: u32 = 1_000;
+/// The rate of a single change, as a multiple of the listed rate.
+const CHANGED_RATE: f64 = 1.5;
+/// Single changes of the list, to average over.
+pub const CHANGES: u32 = 200;
 
 /// What one size is measured with.
 #[derive(Args, Clone, Debug)]
--- a/crates/lab/src/capacity/core/world.rs
+++ b/crates/lab/src/capacity/core/world.rs
@@ -146,6 +146,7 @@
 }
 
 impl World {
+    /// A core that knows no endpoint yet.
     pub fn new(plan: Plan) -> World {
         World {
             core: Forwarder::new(
@@ -165,6 +166,7 @@
         }
     }
 
+    /// How many endpoints there are.
     pub fn targets(&self) -> u32 {
         self.plan.destinations * self.plan.targets_each
     }
@@ -224,6 +226,7 @@
         self.health.fill(Health::RefusesConnections);
     }
 
+    /// Has the core handle an event, and carries out its actions.
     pub fn handle(&mut self, event: Event) {
         self.counts.events += 1;
         let mut actions = std::mem::take(&mut self.actions);
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -9,6 +9,7 @@
 pub mod config_changes;
 pub mod discovery;
 mod exchange;
+mod figures;
 pub mod hollow;
 mod incidents;
 pub mod layout;
@@ -17,6 +18,7 @@
 pub mod options;
 pub mod outages;
 pub mod plan;
+mod plots;
 pub mod queue;
 pub mod receivers;
 pub mod report;
@@ -85,37 +87,12 @@
     plan.check()?;
     let (began, before) = (Instant::now(), report::resident_bytes());
     let mut fleet = Fleet::new(plan);
-    let mut base = None;
     in_parallel(&mut fleet.forwarders, threads, |forwarder| {
         forwarder.start(fleet.discovery.whole_list())
     });
     fleet.begin();
     let (started, resident_at_start) = (began.elapsed(), report::resident_bytes());
-    let mut columns = Vec::new();
-    let mut window = 0;
-    while window < plan.end() {
-        let until = (window + WINDOW).min(plan.end());
-        fleet.handle_world(until);
-        let Fleet {
-            forwarders,
-            layout,
-            receivers,
-            ..
-        } = &mut fleet;
-        in_parallel(forwarders, threads, |forwarder| {
-            forwarder.advance(until, layout, receivers)
-        });
-        fleet.carry();
-        if until / SECOND > window / SECOND {
-            columns.push(Column::since(
-                &mut base,
-                &fleet.forwarders,
-                &fleet.wire,
-                &fleet.receivers,
-            ));
-        }
-        window = until;
-    }
+    let columns = fleet.play(threads);
     let measured = Measured::new(
         plan,
         &fleet.forwarders,
@@ -203,6 +180,29 @@
         self.schedule_incident();
     }
 
+    /// Plays the run window by window; gives what happened in each second.
+    fn play(&mut self, threads: usize) -> Vec<Column> {
+        let mut columns = Vec::new();
+        let mut base = None;
+        let (mut window, end) = (0, self.plan.end());
+        while window < end {
+            let until = (window + WINDOW).min(end);
+            self.handle_world(until);
+            let (layout, receivers) = (&self.layout, &self.receivers);
+            in_parallel(&mut self.forwarders, threads, |forwarder| {
+                forwarder.advance(until, layout, receivers)
+            });
+            self.carry();
+            if until / SECOND > window / SECOND {
+                let (wire, receivers) = (&self.wire, &self.receivers);
+                let column = Column::since(&mut base, &self.forwarders, wire, receivers);
+                columns.push(column);
+            }
+            window = until;
+        }
+        columns
+    }
+
     fn schedule_change(&mut self, now: Micros) {
         if let Some(gap) = self.changes.next_after() {
             self.events
--- a/crates/lab/src/capacity/fleet/config_changes.rs
+++ b/crates/lab/src/capacity/fleet/config_changes.rs
@@ -15,6 +15,7 @@
 /// Seconds.
 const DAY: f64 = 86_400.0;
 
+/// Draws the changes of configuration.
 pub struct ConfigChanges {
     a_day: f64,
     destinations: u32,
@@ -22,6 +23,7 @@
 }
 
 impl ConfigChanges {
+    /// The changes of a plan.
     pub fn new(plan: &Plan) -> ConfigChanges {
         let rng = stream(plan.seed, "changes", 0);
         ConfigChanges {
--- a/crates/lab/src/capacity/fleet/discovery.rs
+++ b/crates/lab/src/capacity/fleet/discovery.rs
@@ -69,6 +69,7 @@
     pub listings: Arc<Vec<EndpointEntry>>,
 }
 
+/// The list, its changes, and a watch for each forwarder.
 pub struct Discovery {
     pub changes: Vec<ConfigChange>,
     watches: Vec<Watch>,
@@ -78,6 +79,7 @@
 }
 
 impl Discovery {
+    /// The list as it stands at the start.
     pub fn new(seed: u64, forwarders: u32, layout: &Layout) -> Discovery {
         let all = layout.destinations.iter().zip(0..);
         Discovery {
@@ -178,30 +180,7 @@
                 self.answer(now, forwarder, wire, later)
             }
             DiscoveryEvent::WatchOpens { forwarder } => {
-                wire.control[forwarder as usize]
-                    .list_out
-                    .http(request(self.watches[forwarder as usize].told));
-                let watch = &mut self.watches[forwarder as usize];
-                watch.number += 1;
-                if !reaches(wire.cut, forwarder) {
-                    later.push((
-                        now + WATCH + ANSWER_TIMEOUT + AGAIN,
-                        DiscoveryEvent::WatchOpens { forwarder },
-                    ));
-                    return None;
-                }
-                watch.open = true;
-                if watch.known > watch.told {
-                    return self.answer(now, forwarder, wire, later);
-                }
-                later.push((
-                    now + WATCH,
-                    DiscoveryEvent::WatchEnds {
-                        forwarder,
-                        number: watch.number,
-                    },
-                ));
-                None
+                self.watch_opens(now, forwarder, wire, later)
             }
             DiscoveryEvent::WatchEnds { forwarder, number } => {
                 let watch = &self.watches[forwarder as usize];
@@ -213,6 +192,34 @@
         }
     }
 
+    /// A forwarder opens a watch: it is answered at once where there is something new, else it stays open.
+    fn watch_opens(
+        &mut self,
+        now: Micros,
+        forwarder: u32,
+        wire: &mut Wire,
+        later: &mut Vec<(Micros, DiscoveryEvent)>,
+    ) -> Option<(u32, ListAnswer)> {
+        let watch = &mut self.watches[forwarder as usize];
+        wire.control[forwarder as usize]
+            .list_out
+            .http(request(watch.told));
+        watch.number += 1;
+        if !reaches(wire.cut, forwarder) {
+            let opens_again = now + WATCH + ANSWER_TIMEOUT + AGAIN;
+            later.push((opens_again, DiscoveryEvent::WatchOpens { forwarder }));
+            return None;
+        }
+        watch.open = true;
+        if watch.known > watch.told {
+            return self.answer(now, forwarder, wire, later);
+        }
+        let number = watch.number;
+        let ends = DiscoveryEvent::WatchEnds { forwarder, number };
+        later.push((now + WATCH, ends));
+        None
+    }
+
     /// Answers the open watch with what is new, or with nothing.
     fn answer(
         &mut self,
@@ -223,27 +230,19 @@
     ) -> Option<(u32, ListAnswer)> {
         let watch = &mut self.watches[forwarder as usize];
         watch.open = false;
+        let opens_again = DiscoveryEvent::WatchOpens { forwarder };
         if !reaches(wire.cut, forwarder) {
-            later.push((
-                now + ANSWER_TIMEOUT + AGAIN,
-                DiscoveryEvent::WatchOpens { forwarder },
-            ));
+            later.push((now + ANSWER_TIMEOUT + AGAIN, opens_again));
             return None;
         }
         let arrives = now + wire.call_delay();
-        later.push((
-            arrives + wire.call_delay(),
-            DiscoveryEvent::WatchOpens { forwarder },
-        ));
+        later.push((arrives + wire.call_delay(), opens_again));
         let (from, revision) = (watch.told, watch.known);
         watch.told = revision;
         let whole = revision - from > CHANGES_KEPT;
-        let listings: Vec<EndpointEntry> = match whole {
+        let listings = match whole {
             true => self.current.clone(),
-            false => self.changes[from..revision]
-                .iter()
-                .flat_map(|c| c.listings.clone())
-                .collect(),
+            false => self.listings_between(from, revision),
         };
         wire.control[forwarder as usize]
             .list_in
@@ -257,6 +256,11 @@
         (revision > from).then_some((forwarder, answer))
     }
 
+    fn listings_between(&self, from: usize, revision: usize) -> Vec<EndpointEntry> {
+        let changes = self.changes[from..revision].iter();
+        changes.flat_map(|change| change.listings.clone()).collect()
+    }
+
     /// All changes up to a revision are in force at a forwarder.
     pub fn in_force(&mut self, now: Micros, forwarder: u32, revision: usize) {
         for change in self.changes[..revision].iter_mut().rev() {
--- /dev/null
+++ b/crates/lab/src/capacity/fleet/figures.rs
@@ -0,0 +1,253 @@
+//! The figures of a run, a line each, as a table.
+
+use super::report::{Counts, FleetOutcome, MeanAndWorst, Measured};
+use crate::capacity::slope::{Row, Table};
+
+/// The part of a whole; of nothing it is 0.
+fn ratio(part: u64, whole: u64) -> f64 {
+    part as f64 / whole.max(1) as f64
+}
+
+/// One figure.
+struct Figure {
+    name: String,
+    unit: &'static str,
+    value: f64,
+}
+
+/// Figures in the order of the table.
+#[derive(Default)]
+struct Figures {
+    all: Vec<Figure>,
+}
+
+impl Figures {
+    fn add(&mut self, name: &str, unit: &'static str, value: f64) {
+        self.all.push(Figure {
+            name: name.into(),
+            unit,
+            value,
+        });
+    }
+
+    /// Adds the mean over the forwarders and the worst of them.
+    fn add_both(&mut self, name: &str, unit: &'static str, value: MeanAndWorst) {
+        self.add(&format!("{name}, mean"), unit, value.mean);
+        self.add(&format!("{name}, worst forwarder"), unit, value.worst);
+    }
+}
+
+/// The figures of a run, one line each.
+pub fn table(outcome: &FleetOutcome) -> Table {
+    let (plan, counts, measured) = (&outcome.plan, &outcome.counts, &outcome.measured);
+    let mut figures = Figures::default();
+    figures.add("forwarders", "", plan.forwarders.into());
+    figures.add("simulated time", "s", plan.seconds.into());
+    figures.add(
+        "messages to the fleet",
+        "a second",
+        ratio(counts.messages.arrived, plan.seconds.into()),
+    );
+    add_control(&mut figures, counts);
+    add_work(&mut figures, measured);
+    let first_list = ratio(
+        counts.control.first_list_in.wire_bytes,
+        plan.forwarders.into(),
+    );
+    figures.add("whole list at the start", "bytes, each", first_list);
+    add_memory(&mut figures, measured);
+    let forwarder_seconds = f64::from(plan.forwarders) * f64::from(plan.seconds);
+    add_attempts(&mut figures, counts, forwarder_seconds);
+    add_messages(&mut figures, counts);
+    add_returns(&mut figures, counts);
+    figures.add("attempts lost in a cut", "", counts.attempts_lost as f64);
+    figures.add(
+        "gossip lost in a cut",
+        "datagrams",
+        counts.gossip_lost as f64,
+    );
+    figures.add("wall time", "s", measured.wall_seconds);
+    figures.add("  of it the start", "s", measured.start_seconds);
+    let named = figures.all.iter();
+    let names: Vec<(&str, &str)> = named
+        .map(|figure| (figure.name.as_str(), figure.unit))
+        .collect();
+    let row = Row {
+        size: plan.destinations.into(),
+        values: figures.all.iter().map(|figure| figure.value).collect(),
+    };
+    Table::new(
+        "a fleet of hollow forwarders",
+        "destinations",
+        &names,
+        vec![row],
+    )
+}
+
+/// Control traffic, and what the cores hold.
+fn add_control(figures: &mut Figures, counts: &Counts) {
+    let rates = &counts.control_bytes_a_second;
+    figures.add_both("control, in and out", "bytes a second", rates.all);
+    figures.add_both("gossip in", "bytes a second", rates.gossip_in);
+    figures.add_both("gossip out", "bytes a second", rates.gossip_out);
+    figures.add_both("list in", "bytes a second", rates.list_in);
+    figures.add_both("list out", "bytes a second", rates.list_out);
+    let states = &counts.states;
+    figures.add_both("destinations held in full", "at the end", states.full);
+    figures.add_both("most held in full at once", "", states.most_full);
+    figures.add_both(
+        "idle targets held as summaries",
+        "at the end",
+        states.summaries,
+    );
+    figures.add_both("  of these with a bound in force", "", states.bounds);
+    figures.add_both("destinations restored", "each", states.restored);
+}
+
+/// Resident memory.
+fn add_memory(figures: &mut Figures, measured: &Measured) {
+    figures.add(
+        "resident after the start",
+        "bytes, each",
+        measured.resident_a_forwarder_at_start,
+    );
+    figures.add(
+        "resident at the end",
+        "bytes, each",
+        measured.resident_a_forwarder_at_end,
+    );
+}
+
+/// Processor time by kind of event.
+fn add_work(figures: &mut Figures, measured: &Measured) {
+    for work in &measured.work {
+        let kind = format!("{:?}", work.kind).to_lowercase();
+        let what = format!("processor, {kind} events");
+        if work.events_a_second > 0.0 {
+            figures.add_both(&what, "of a core", work.core_share);
+        }
+    }
+    for work in &measured.work {
+        let kind = format!("{:?}", work.kind).to_lowercase();
+        figures.add(
+            &format!("{kind} events"),
+            "a second, each",
+            work.events_a_second,
+        );
+        figures.add(
+            &format!("one of the {kind} events"),
+            "µs",
+            work.microseconds_an_event,
+        );
+    }
+}
+
+/// Attempts and health checks, and those that were sent to destinations that are down.
+fn add_attempts(figures: &mut Figures, counts: &Counts, forwarder_seconds: f64) {
+    let (messages, receivers) = (&counts.messages, &counts.receivers);
+    figures.add(
+        "attempts",
+        "a second, each",
+        messages.attempts as f64 / forwarder_seconds,
+    );
+    figures.add(
+        "probes",
+        "a second, each",
+        messages.probes as f64 / forwarder_seconds,
+    );
+    let down = receivers.calls_while_down + receivers.probes_while_down;
+    let another = receivers.calls_another_knew + receivers.probes_another_knew;
+    let only_others = receivers.calls_only_others_knew + receivers.probes_only_others_knew;
+    let sent = receivers.calls + receivers.probes;
+    figures.add(
+        "of attempts and probes: to ones that are down",
+        "share",
+        ratio(down, sent),
+    );
+    figures.add(
+        "  which another forwarder knew",
+        "share",
+        ratio(another, sent),
+    );
+    figures.add(
+        "  which only others knew",
+        "share",
+        ratio(only_others, sent),
+    );
+    figures.add(
+        "attempts refused with retry-after",
+        "share",
+        ratio(receivers.refused_full, receivers.calls),
+    );
+    figures.add(
+        "calls to an address that was left",
+        "",
+        receivers.calls_to_old_address as f64,
+    );
+}
+
+/// What became of the messages.
+fn add_messages(figures: &mut Figures, counts: &Counts) {
+    let messages = &counts.messages;
+    let due = messages.due_to_up + messages.due_to_down;
+    let in_time = messages.in_time_to_up + messages.in_time_to_down;
+    figures.add(
+        "within the latency target, of all",
+        "share",
+        ratio(in_time, due),
+    );
+    figures.add(
+        "  to ones that were up",
+        "share",
+        ratio(messages.in_time_to_up, messages.due_to_up),
+    );
+    figures.add(
+        "  to ones that were down",
+        "share",
+        ratio(messages.in_time_to_down, messages.due_to_down),
+    );
+    figures.add("failed", "share", ratio(messages.failed, messages.arrived));
+    figures.add(
+        "rejected",
+        "share",
+        ratio(messages.rejected, messages.arrived),
+    );
+}
+
+/// Destinations that came back, and what they got against their budget.
+fn add_returns(figures: &mut Figures, counts: &Counts) {
+    let receivers = &counts.receivers;
+    let worst = receivers.worst;
+    figures.add("destinations that came back", "", receivers.returns as f64);
+    figures.add(
+        "  over their budget N",
+        "",
+        receivers.returns_over_budget as f64,
+    );
+    figures.add(
+        "  over N + 2 sqrt(N) + 2",
+        "",
+        receivers.returns_over_allowed as f64,
+    );
+    figures.add(
+        "    and two thirds from ones that had met the outage",
+        "",
+        receivers.returns_pushed_over as f64,
+    );
+    figures.add(
+        "  the worst of them: calls",
+        "",
+        worst.map_or(0.0, |w| w.calls as f64),
+    );
+    figures.add(
+        "  of these from ones that had met the outage",
+        "",
+        worst.map_or(0.0, |w| w.from_witnesses as f64),
+    );
+    figures.add("  its budget N", "", worst.map_or(0.0, |w| w.budget));
+    figures.add(
+        "  its N + 2 sqrt(N) + 2",
+        "",
+        worst.map_or(0.0, |w| w.allowed),
+    );
+}
--- a/crates/lab/src/capacity/fleet/hollow.rs
+++ b/crates/lab/src/capacity/fleet/hollow.rs
@@ -33,6 +33,7 @@
     out: Option<(EndpointId, Micros)>,
 }
 
+/// A core with its inbox, its outbox and its counts.
 pub struct HollowForwarder {
     pub number: u32,
     pub zone: u16,
@@ -52,6 +53,7 @@
 }
 
 impl HollowForwarder {
+    /// A forwarder that knows no endpoint yet.
     pub fn new(plan: &Plan, number: u32) -> HollowForwarder {
         HollowForwarder {
             number,
--- a/crates/lab/src/capacity/fleet/layout.rs
+++ b/crates/lab/src/capacity/fleet/layout.rs
@@ -30,6 +30,7 @@
     pub rate: f64,
 }
 
+/// All destinations, and how often each is drawn.
 pub struct Layout {
     pub destinations: Vec<DestinationPlan>,
     /// The destination at each place of Zipf's law, the busiest first.
@@ -38,6 +39,7 @@
 }
 
 impl Layout {
+    /// The destinations of a plan.
     pub fn new(plan: &Plan) -> Layout {
         let mut rng = stream(plan.seed, "layout", 0);
         let mut by_rank: Vec<u32> = (0..plan.destinations).collect();
@@ -119,6 +121,7 @@
     (forwarder % u32::from(ZONES)) as u16
 }
 
+/// The region of a zone.
 pub fn region(zone: u16) -> u16 {
     zone / ZONES_A_REGION
 }
--- a/crates/lab/src/capacity/fleet/onlooker.rs
+++ b/crates/lab/src/capacity/fleet/onlooker.rs
@@ -17,6 +17,7 @@
 }
 
 impl Outage {
+    /// A forwarder has met the outage.
     pub fn learn(&mut self, forwarder: u32, at: Micros) {
         if self.met_by.contains_key(&forwarder) {
             return;
@@ -29,6 +30,7 @@
         }
     }
 
+    /// Whether a forwarder other than this one had met it by then.
     pub fn known_to_another(&self, forwarder: u32, at: Micros) -> bool {
         [self.first, self.second]
             .into_iter()
@@ -36,6 +38,7 @@
             .any(|(who, since)| who != forwarder && since <= at)
     }
 
+    /// Whether this forwarder had met it by then.
     pub fn known_to(&self, forwarder: u32, at: Micros) -> bool {
         self.met_by
             .get(&forwarder)
--- a/crates/lab/src/capacity/fleet/outages.rs
+++ b/crates/lab/src/capacity/fleet/outages.rs
@@ -6,6 +6,7 @@
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
+/// Draws the outages of destinations.
 pub struct Outages {
     share: f64,
     mean_down: f64, // µs
@@ -13,6 +14,7 @@
 }
 
 impl Outages {
+    /// The outages of a plan.
     pub fn new(plan: &Plan) -> Outages {
         Outages {
             share: plan.down_share,
--- a/crates/lab/src/capacity/fleet/plan.rs
+++ b/crates/lab/src/capacity/fleet/plan.rs
@@ -6,9 +6,11 @@
 };
 use serde::Serialize;
 
+/// A second, µs.
 pub const SECOND: Micros = 1_000_000;
 /// Regions x zones of the deployment that is sized.
 pub const ZONES: u16 = 8;
+/// Zones of each region.
 pub const ZONES_A_REGION: u16 = 4;
 /// Time from the arrival of a message to the end of its latency target.
 pub const LATENCY_TARGET: Micros = 2_500_000;
@@ -131,6 +133,7 @@
 impl std::error::Error for BadPlan {}
 
 impl Plan {
+    /// Whether the plan can be run.
     pub fn check(&self) -> Result<(), BadPlan> {
         if !(1..=MOST_DESTINATIONS).contains(&self.destinations) {
             return Err(BadPlan::Destinations {
@@ -175,6 +178,7 @@
         }
     }
 
+    /// When the run ends, µs.
     pub fn end(&self) -> Micros {
         Micros::from(self.seconds) * SECOND
     }
--- a/crates/lab/src/capacity/fleet/queue.rs
+++ b/crates/lab/src/capacity/fleet/queue.rs
@@ -37,6 +37,7 @@
     }
 }
 
+/// Things by time; those at one time in the order in which they were added.
 pub struct TimedQueue<T> {
     heap: BinaryHeap<Reverse<Timed<T>>>,
     pushed: u64,
@@ -52,6 +53,7 @@
 }
 
 impl<T> TimedQueue<T> {
+    /// Adds a thing that is due at a time.
     pub fn push(&mut self, at: Micros, what: T) {
         self.pushed += 1;
         self.heap.push(Reverse(Timed {
--- a/crates/lab/src/capacity/fleet/report.rs
+++ b/crates/lab/src/capacity/fleet/report.rs
@@ -40,6 +40,7 @@
     pub all: MeanAndWorst,
 }
 
+/// A figure over the forwarders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct MeanAndWorst {
     pub mean: f64,
@@ -47,6 +48,7 @@
 }
 
 impl MeanAndWorst {
+    /// Over these values, one a forwarder.
     pub fn of(values: impl Iterator<Item = f64>) -> MeanAndWorst {
         let (mut sum, mut count, mut worst) = (0.0, 0u32, 0.0);
         for value in values {
@@ -197,6 +199,7 @@
 }
 
 impl Measured {
+    /// What was measured of a run.
     pub fn new(
         plan: &Plan,
         forwarders: &[HollowForwarder],
@@ -228,6 +231,7 @@
     }
 }
 
+/// What a run came to.
 #[derive(Clone, Debug, Serialize)]
 pub struct FleetOutcome {
     pub plan: Plan,
--- a/crates/lab/src/capacity/fleet/states.rs
+++ b/crates/lab/src/capacity/fleet/states.rs
@@ -22,6 +22,7 @@
 }
 
 impl States {
+    /// What these forwarders hold.
     pub fn of(forwarders: &[HollowForwarder]) -> States {
         let counts: Vec<StateCounts> = forwarders
             .iter()
--- a/crates/lab/src/capacity/fleet/tally.rs
+++ b/crates/lab/src/capacity/fleet/tally.rs
@@ -16,6 +16,7 @@
     FirstList,
 }
 
+/// All kinds, in the order of their figures.
 pub const WORK_KINDS: [Work; 6] = [
     Work::Message,
     Work::Tick,
--- a/crates/lab/src/capacity/fleet/wire.rs
+++ b/crates/lab/src/capacity/fleet/wire.rs
@@ -34,6 +34,7 @@
 }
 
 impl Cut {
+    /// Whether something gets from one zone to another.
     pub fn passes(self, from_zone: u16, to_zone: u16) -> bool {
         match self {
             Cut::None => true,
@@ -116,6 +117,7 @@
     }
 }
 
+/// The ways between forwarders, destinations and discovery.
 pub struct Wire {
     pub cut: Cut,
     /// By forwarder.
@@ -128,6 +130,7 @@
 }
 
 impl Wire {
+    /// Ways without a cut.
     pub fn new(seed: u64, forwarders: u32) -> Wire {
         Wire {
             cut: Cut::None,
@@ -138,10 +141,12 @@
         }
     }
 
+    /// How long a call or its answer is under way, µs.
     pub fn call_delay(&mut self) -> Micros {
         self.rng.random_range(CALL_DELAY)
     }
 
+    /// How long gossip is under way, µs.
     pub fn gossip_delay(&mut self) -> Micros {
         self.rng.random_range(GOSSIP_DELAY)
     }
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -1,15 +1,19 @@
 //! One real forwarder process on loopback sockets: what it holds and uses with so many listed targets, and what comes on
 //! top for those that get messages; see [`point`].
 
+pub mod load;
 pub mod point;
 pub mod standins;
+pub mod startup_config;
+pub mod subject;
 
 use super::outputs::Outputs;
 use super::slope::{show, Row, Table};
 use crate::capacity::error::CapacityError;
 use crate::sockets::run::program_beside;
 use clap::Args;
-use point::{measure, Point, Shape};
+use point::{measure, Point};
+use startup_config::Shape;
 use std::path::PathBuf;
 
 /// Where the forwarder has its list from.
@@ -21,6 +25,7 @@
     Discovery,
 }
 
+/// Options of `capacity process`.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
     /// How many listed targets, one process each
@@ -106,7 +111,7 @@
         p.rest_after.of_a_core()
     }),
     ("distinct targets in use", "targets", |p| p.used.into()),
-    ("messages submitted", "messages", |p| p.submitted as f64),
+    ("messages handed in", "messages", |p| p.submitted as f64),
     ("messages taken", "messages", |p| p.taken as f64),
     ("calls answered", "calls", |p| p.calls as f64),
     ("descriptors, most under load", "descriptors", |p| {
@@ -141,6 +146,7 @@
     points
 }
 
+/// The tables by listed targets, and by targets in use.
 pub fn tables(options: &Options) -> Result<Vec<Table>, CapacityError> {
     let runtime = || {
         tokio::runtime::Builder::new_multi_thread()
@@ -177,6 +183,7 @@
     ])
 }
 
+/// Measures, prints the tables and writes what was asked for.
 pub fn run(options: &Options) -> Result<(), CapacityError> {
     let program = options.program();
     if !program.is_file() {
--- a/crates/lab/src/capacity/process/standins.rs
+++ b/crates/lab/src/capacity/process/standins.rs
@@ -30,6 +30,7 @@
         SocketAddrV4::new(Ipv4Addr::new(127, b, c, d), self.port)
     }
 
+    /// The list as the platform's protocol has it.
     pub fn text(&self) -> Value {
         let member = |n| {
             json!({"id": format!("t{n}"), "host_port": self.address(n).to_string(), "locality": "a", "flavor": "m",
--- a/crates/lab/src/capacity/slope.rs
+++ b/crates/lab/src/capacity/slope.rs
@@ -2,25 +2,33 @@
 
 use super::outputs::Outputs;
 use crate::capacity::error::CapacityError;
+use crate::report::PlotError;
+use plotters::coord::Shift;
 use plotters::prelude::*;
 use serde::Serialize;
 use std::fmt;
 
-const PANEL: (u32, u32) = (420, 220); // pixels, one plot
+/// Width and height of one plot, pixels.
+const PANEL: (u32, u32) = (420, 220);
 const PANELS_A_ROW: usize = 2;
-const POINT: u32 = 3; // pixels, radius of a measured point
+/// Radius of a measured point, pixels.
+const POINT: u32 = 3;
 
 /// One figure that is measured at each size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figure {
+    /// What it is.
     pub name: String,
+    /// Its unit.
     pub unit: String,
 }
 
 /// The figures at one size, in the order of the table's figures.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
+    /// The size.
     pub size: f64,
+    /// The figures.
     pub values: Vec<f64>,
 }
 
@@ -36,7 +44,7 @@
 }
 
 impl Slope {
-    /// None for fewer than two sizes.
+    /// The line through points of size and value; none for fewer than two sizes.
     pub fn through(points: &[(f64, f64)]) -> Option<Slope> {
         let count = points.len() as f64;
         let (mean_x, mean_y) = (
@@ -62,6 +70,7 @@
         })
     }
 
+    /// What the line says at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
@@ -70,16 +79,20 @@
 /// Figures by size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Table {
+    /// What was measured.
     pub title: String,
     /// What the size counts.
     pub size: String,
+    /// The names of the figures.
     pub figures: Vec<Figure>,
+    /// A row a size.
     pub rows: Vec<Row>,
     /// By figure; none where fewer than two sizes were measured.
     pub slopes: Vec<Option<Slope>>,
 }
 
 impl Table {
+    /// A table with these figures, each a name and a unit.
     pub fn new(title: &str, size: &str, figures: &[(&str, &str)], rows: Vec<Row>) -> Table {
         // A figure that was not reached at a size is not a number, and no point.
         let points = |n: usize| -> Vec<(f64, f64)> {
@@ -132,15 +145,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{}", self.title)?;
         write!(f, "  {:<44}", self.size)?;
-        self.rows
-            .iter()
-            .try_for_each(|r| write!(f, "{:>12}", r.size))?;
+        for row in &self.rows {
+            write!(f, "{:>12}", row.size)?;
+        }
         writeln!(f, "{:>14}{:>12}{:>7}", "slope", "at 0", "fit")?;
         for (place, figure) in self.figures.iter().enumerate() {
             write!(f, "  {:<44}", format!("{}, {}", figure.name, figure.unit))?;
-            self.rows
-                .iter()
-                .try_for_each(|r| write!(f, "{:>12}", short(r.values[place])))?;
+            for row in &self.rows {
+                write!(f, "{:>12}", short(row.values[place]))?;
+            }
             match self.slopes[place] {
                 Some(s) => writeln!(
                     f,
@@ -157,61 +170,78 @@
 }
 
 /// One plot a figure: the points as measured and the line through them.
-pub fn plot(tables: &[Table]) -> Result<String, CapacityError> {
+pub fn plot(tables: &[Table]) -> Result<String, PlotError> {
     let panels: Vec<(&Table, usize)> = tables
         .iter()
-        .flat_map(|t| (0..t.figures.len()).map(move |n| (t, n)))
+        .flat_map(|table| (0..table.figures.len()).map(move |figure| (table, figure)))
         .collect();
     let rows = panels.len().div_ceil(PANELS_A_ROW).max(1);
+    let size = (PANEL.0 * PANELS_A_ROW as u32, PANEL.1 * rows as u32);
     let mut svg = String::new();
     {
-        let size = (PANEL.0 * PANELS_A_ROW as u32, PANEL.1 * rows as u32);
         let area = SVGBackend::with_string(&mut svg, size).into_drawing_area();
         area.fill(&WHITE)?;
-        for ((table, place), panel) in panels.iter().zip(area.split_evenly((rows, PANELS_A_ROW))) {
-            let figure = &table.figures[*place];
-            let all = table.rows.iter().map(|r| (r.size, r.values[*place]));
-            let points: Vec<(f64, f64)> = all.filter(|(_, value)| value.is_finite()).collect();
-            let widest = points.iter().map(|p| p.0).fold(1.0, f64::max);
-            let slope = table.slopes[*place];
-            let ends: Vec<(f64, f64)> = slope
-                .iter()
-                .flat_map(|s| [0.0, widest].map(|x| (x, s.at(x))))
-                .collect();
-            let values = || points.iter().chain(&ends).map(|p| p.1);
-            let (low, high) = (values().fold(0.0, f64::min), values().fold(0.0, f64::max));
-            let high = if high > low {
-                high + 0.1 * (high - low)
-            } else {
-                low + 1.0
-            };
-            let mut chart = ChartBuilder::on(&panel)
-                .caption(
-                    format!("{} ({})", figure.name, figure.unit),
-                    ("sans-serif", 13),
-                )
-                .margin(6)
-                .x_label_area_size(34)
-                .y_label_area_size(62)
-                .build_cartesian_2d(0.0..widest * 1.05, low..high)?;
-            let mesh = &mut chart.configure_mesh();
-            mesh.x_desc(&table.size)
-                .x_labels(6)
-                .y_labels(5)
-                .light_line_style(WHITE)
-                .draw()?;
-            chart.draw_series(LineSeries::new(ends, BLUE.stroke_width(1)))?;
-            let dots = points.iter().map(|p| Circle::new(*p, POINT, RED.filled()));
-            chart.draw_series(dots)?;
+        let places = area.split_evenly((rows, PANELS_A_ROW));
+        for ((table, figure), place) in panels.into_iter().zip(places) {
+            draw_panel(table, figure, &place)?;
         }
         area.present()?;
     }
     Ok(svg)
 }
 
+/// Draws the plot of one figure, by its place in the table.
+fn draw_panel(
+    table: &Table,
+    figure: usize,
+    area: &DrawingArea<SVGBackend, Shift>,
+) -> Result<(), PlotError> {
+    let rows = table.rows.iter().map(|row| (row.size, row.values[figure]));
+    let points: Vec<(f64, f64)> = rows.filter(|(_, value)| value.is_finite()).collect();
+    let widest = points.iter().map(|(size, _)| *size).fold(1.0, f64::max);
+    let slope = table.slopes[figure].iter();
+    let ends: Vec<(f64, f64)> = slope
+        .flat_map(|slope| [0.0, widest].map(|size| (size, slope.at(size))))
+        .collect();
+    let (low, high) = range_of(points.iter().chain(&ends).map(|(_, value)| *value));
+    let Figure { name, unit } = &table.figures[figure];
+    let mut chart = ChartBuilder::on(area)
+        .caption(format!("{name} ({unit})"), ("sans-serif", 13))
+        .margin(6)
+        .x_label_area_size(34)
+        .y_label_area_size(62)
+        .build_cartesian_2d(0.0..widest * 1.05, low..high)?;
+    chart
+        .configure_mesh()
+        .x_desc(&table.size)
+        .x_labels(6)
+        .y_labels(5)
+        .light_line_style(WHITE)
+        .draw()?;
+    chart.draw_series(LineSeries::new(ends, BLUE.stroke_width(1)))?;
+    let dots = points
+        .iter()
+        .map(|point| Circle::new(*point, POINT, RED.filled()));
+    chart.draw_series(dots)?;
+    Ok(())
+}
+
+/// The axis for these values: it holds 0, and room above them.
+fn range_of(values: impl Iterator<Item = f64> + Clone) -> (f64, f64) {
+    let low = values.clone().fold(0.0, f64::min);
+    let high = values.fold(0.0, f64::max);
+    if high > low {
+        (low, high + 0.1 * (high - low))
+    } else {
+        (low, low + 1.0)
+    }
+}
+
 /// Prints the tables and writes them where they were asked for.
 pub fn show(tables: &[Table], outputs: &Outputs) -> Result<(), CapacityError> {
-    tables.iter().for_each(|table| println!("{table}"));
+    for table in tables {
+        println!("{table}");
+    }
     let write = |path: &std::path::Path, text: String| {
         std::fs::write(path, text).map_err(CapacityError::file(path))
     };
--- a/crates/lab/src/capacity/usage.rs
+++ b/crates/lab/src/capacity/usage.rs
@@ -42,6 +42,7 @@
 }
 
 impl Usage {
+    /// What a process uses now, by its id.
     pub fn of(pid: u32) -> Result<Usage, CapacityError> {
         let read = |name: &str| {
             let path = format!("/proc/{pid}/{name}");
--- a/crates/lab/src/chance.rs
+++ b/crates/lab/src/chance.rs
@@ -19,6 +19,7 @@
     Pcg64Mcg::seed_from_u64(rng.random())
 }
 
+/// An exponential number with mean 1.
 pub fn exponential(rng: &mut Pcg64Mcg) -> f64 {
     Exp1.sample(rng)
 }
@@ -67,6 +68,7 @@
 }
 
 impl Pick {
+    /// Chooses by Zipf's law where `skew` is above 0, else by weight.
     pub fn new(weights: impl Iterator<Item = f64>, skew: f64) -> Pick {
         let mut sum = 0.0;
         let sums: Vec<f64> = weights
@@ -81,6 +83,7 @@
         }
     }
 
+    /// Draws a place.
     pub fn draw(&self, rng: &mut Pcg64Mcg) -> usize {
         match self {
             Pick::Zipf(zipf) => zipf.sample(rng) as usize - 1,
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,5 +1,5 @@
-//! A bare relay over hyper, to hold a forwarder's ceiling against: it takes a packet, answers 202 and calls the target once.
-//! No journal, no rules, no retries, no second thought. It reads the same start-up configuration, so that the laboratory can play a
+//! A bare relay over hyper, to hold a forwarder's ceiling against: it takes a message, answers 202 and calls the endpoint once.
+//! No journal, no rules, no retries. It reads the same start-up configuration, so that the laboratory can play a
 //! scenario round it: `opalpulley-lab run ... --sockets --forwarder target/release/opalpulley-relay`.
 
 use http_body_util::{BodyExt, Full};
@@ -15,14 +15,14 @@
 use tokio::net::{TcpListener, TcpStream};
 
 type Line = SendRequest<Full<Bytes>>;
-type Fault = Box<dyn Error + Send + Sync>;
+type RelayError = Box<dyn Error + Send + Sync>;
 
 struct Relay {
-    targets: BTreeMap<String, String>,
+    endpoints: BTreeMap<String, String>,
     idle: Mutex<BTreeMap<String, Vec<Line>>>,
 }
 
-async fn connect(address: &str) -> Result<Line, Fault> {
+async fn connect(address: &str) -> Result<Line, RelayError> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (line, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
@@ -31,8 +31,15 @@
 }
 
 impl Relay {
-    async fn pass_on(&self, request: Request<Full<Bytes>>, destination: &str) -> Result<(), Fault> {
-        let address = self.targets.get(destination).ok_or("no such destination")?;
+    async fn pass_on(
+        &self,
+        request: Request<Full<Bytes>>,
+        destination: &str,
+    ) -> Result<(), RelayError> {
+        let address = self
+            .endpoints
+            .get(destination)
+            .ok_or("no such destination")?;
         let idle = || self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let kept = idle()
             .get_mut(address)
@@ -88,21 +95,21 @@
     Ok(response)
 }
 
-async fn run() -> Result<(), Fault> {
-    let papers: serde_json::Value =
+async fn run() -> Result<(), RelayError> {
+    let startup_config: serde_json::Value =
         serde_json::from_slice(&std::fs::read(std::env::var("GW_CONFIG")?)?)?;
     let address = |key: &str| {
-        papers[key]
+        startup_config[key]
             .as_str()
             .map(str::to_owned)
             .ok_or(format!("GW_CONFIG {key}: is not set"))
     };
     let mut discovery = connect(&address("discovery")?).await?;
-    let ask = Request::get("/discovery/hosts")
+    let poll = Request::get("/discovery/hosts")
         .header("host", "agent")
         .body(Full::default())?;
     let list = discovery
-        .send_request(ask)
+        .send_request(poll)
         .await?
         .into_body()
         .collect()
@@ -113,7 +120,7 @@
     let member =
         |m: &serde_json::Value| Some((m["cell"].to_string(), m["host_port"].as_str()?.to_owned()));
     let relay = Arc::new(Relay {
-        targets: members.iter().filter_map(member).collect(),
+        endpoints: members.iter().filter_map(member).collect(),
         idle: Mutex::default(),
     });
     let listener = TcpListener::bind(address("listen")?).await?;
@@ -129,7 +136,7 @@
     }
 }
 
-fn main() -> Result<(), Fault> {
+fn main() -> Result<(), RelayError> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?
--- a/crates/lab/src/scenario/defaults.rs
+++ b/crates/lab/src/scenario/defaults.rs
@@ -2,54 +2,67 @@
 
 use super::{DeliveryClass, DeliverySemantics, Span};
 
+/// `seed`.
 pub fn seed() -> u64 {
     1
 }
 
+/// `count` and `targets` of destinations.
 pub fn count() -> u32 {
     1
 }
 
+/// Weights.
 pub fn one() -> f64 {
     1.0
 }
 
+/// `late_share` of a delivery class.
 pub fn half() -> f64 {
     0.5
 }
 
+/// `limited` and `falls_over` of destinations.
 pub fn yes() -> bool {
     true
 }
 
+/// `places` of destinations.
 pub fn concurrency() -> u32 {
     16
 }
 
+/// `queue` of destinations.
 pub fn queue_limit() -> u32 {
     64
 }
 
+/// `idle` of destinations.
 pub fn idle_timeout() -> Span {
     Span(5_000_000)
 }
 
+/// `window` of a delivery class.
 pub fn window() -> Span {
     Span(15_000_000)
 }
 
+/// `keys` of a load.
 pub fn keys() -> u64 {
     1000
 }
 
+/// `body` of a load.
 pub fn body_bytes() -> usize {
     200
 }
 
+/// `returns` of a load.
 pub fn resubmissions() -> u32 {
     3
 }
 
+/// `profiles`: one class, so that a small file needs none.
 pub fn classes() -> Vec<DeliveryClass> {
     vec![DeliveryClass {
         name: "notice".into(),
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -1,5 +1,6 @@
 //! Attempts: a call leaves its forwarder, reaches its endpoint and comes back with an outcome.
 
+use super::connections::ConnectDelay;
 use super::event::SimulatedEvent;
 use super::simulated_process::HeldMessage;
 use super::Sim;
@@ -67,23 +68,34 @@
             unsent: connected.is_some_and(|delay| delay.late > 0),
         };
         self.attempts.insert(attempt, in_flight);
-        let network_delay = self.scenario.network.delay.0;
-        let Some(delay) = connected else {
-            self.connections[index].in_use += 1; // given back with the outcome
-            let refused_at = self.now + 2 * network_delay;
-            return self.schedule_end(refused_at, attempt, Outcome::NoConnection);
-        };
+        match connected {
+            Some(delay) => {
+                let timeout = timeout.map_or(time_left, |limit| limit.min(time_left));
+                self.schedule_call(attempt, delay, timeout);
+            }
+            None => self.schedule_refusal(attempt, index),
+        }
+    }
+
+    /// The bytes of a call leave once its connection is up; without an answer it times out.
+    fn schedule_call(&mut self, attempt: u64, delay: ConnectDelay, timeout: Micros) {
         let sent_at = self.now + delay.setup + delay.late;
         if delay.late > 0 {
             self.schedule(sent_at, SimulatedEvent::RequestSent { attempt });
         } else {
-            let arrives_at = sent_at + network_delay;
+            let arrives_at = sent_at + self.scenario.network.delay.0;
             self.schedule(arrives_at, SimulatedEvent::RequestArrives { attempt });
         }
-        let timeout = timeout.map_or(time_left, |limit| limit.min(time_left));
         self.schedule_end(self.now + timeout, attempt, Outcome::Timeout);
     }
 
+    /// The endpoint takes no more connections. The attempt counts as one until its outcome gives it back.
+    fn schedule_refusal(&mut self, attempt: u64, endpoint: usize) {
+        self.connections[endpoint].in_use += 1;
+        let refused_at = self.now + 2 * self.scenario.network.delay.0;
+        self.schedule_end(refused_at, attempt, Outcome::NoConnection);
+    }
+
     pub(super) fn schedule_end(&mut self, at: Micros, attempt: u64, outcome: Outcome) {
         self.schedule(at, SimulatedEvent::AttemptEnds { attempt, outcome });
     }
@@ -195,6 +207,11 @@
             return;
         };
         self.note_outcome(&attempt, outcome);
+        self.end_attempt(number, &attempt, outcome);
+    }
+
+    /// Ends an attempt of a message that its forwarder holds, and tells the forwarder.
+    fn end_attempt(&mut self, number: u64, attempt: &Attempt, outcome: Outcome) {
         let process = &mut self.processes[attempt.forwarder as usize];
         let incarnation = process.incarnation;
         let clock_lead = process.clock_lead;
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/lab/src/sockets/processes.rs
@@ -160,6 +160,7 @@
         matches!(tokio::time::timeout(Duration::from_millis(500), ask).await, Ok(Ok(answer)) if answer.status == 200)
     }
 
+    /// Its id while it runs.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
@@ -170,10 +171,12 @@
         }
     }
 
+    /// Stops it: it does nothing until it goes on.
     pub fn stop(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
+    /// Lets it go on.
     pub fn go_on(&self) {
         self.signal(Signal::SIGCONT);
     }
--- a/crates/lab/src/sockets/wire.rs
+++ b/crates/lab/src/sockets/wire.rs
@@ -28,6 +28,7 @@
 }
 
 impl HttpMessage {
+    /// The value of a header, by its name in small letters.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -37,6 +38,7 @@
 }
 
 impl Conn {
+    /// A connection that nothing was read from.
     pub fn new(stream: TcpStream) -> Conn {
         let _ = stream.set_nodelay(true); // without it an answer may be late, no more
         Conn {
@@ -123,10 +125,12 @@
         Ok(Some((message, head, length)))
     }
 
+    /// Writes bytes as they are.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
+    /// Answers a request; `more` holds further lines of the head.
     pub async fn reply(&mut self, status: &str, more: &str, body: &str) -> io::Result<()> {
         let text = format!(
             "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}",
@@ -202,6 +206,7 @@
         })
     }
 
+    /// Listens at the port.
     pub fn listen(&self) -> io::Result<tokio::net::TcpListener> {
         let socket = tokio::net::TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
