--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -5,7 +5,10 @@
 pub mod backlog;
 pub mod command;
 pub mod core;
+pub mod error;
 pub mod fleet;
+pub mod fresh_process;
+pub mod outputs;
 pub mod process;
 pub mod slope;
 pub mod usage;
--- a/crates/lab/src/capacity/backlog.rs
+++ b/crates/lab/src/capacity/backlog.rs
@@ -4,28 +4,30 @@
 pub mod core_point;
 pub mod process_point;
 
-use super::command::Outputs;
-use super::process::point::Shape;
+use super::fresh_process::measure_in_fresh_process;
+use super::outputs::Outputs;
+use super::process::startup_config::Shape;
 use super::slope::{show, Row, Table};
+use crate::capacity::error::CapacityError;
 use crate::sockets::run::program_beside;
 use clap::Args;
 use core_point::CorePoint;
 use process_point::ProcessPoint;
 use std::path::PathBuf;
-use std::process::Command;
 
 /// The part of its memory that the program lets the journal take at most.
 const JOURNAL_PART: f64 = 0.25;
 
+/// Options of `capacity backlog`.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// How many messages wait, one fresh process each; in the core only whole seconds of --rate are handed in
+    /// How many messages wait, one fresh process each; in the core only whole seconds of --rate are submitted
     #[arg(long, value_delimiter = ',', default_values_t = [2_000, 10_000, 20_000, 40_000])]
     pub sizes: Vec<u32>,
     /// Destinations that they are for, none of which takes a connection
     #[arg(long, default_value_t = 100)]
     pub destinations: u32,
-    /// Messages a second while they are handed in
+    /// Messages a second while they are submitted
     #[arg(long, default_value_t = 2_000)]
     pub rate: u64,
     /// The journal's limit
@@ -45,7 +47,7 @@
         self.forwarder.clone().unwrap_or_else(program_beside)
     }
 
-    /// The papers' figures for so many waiting messages.
+    /// The start-up configuration's figures for so many waiting messages.
     fn shape(&self, messages: u32) -> Shape {
         Shape {
             seed: self.seed,
@@ -58,27 +60,20 @@
     }
 }
 
-fn core_in_fresh_process(options: &Options, messages: u32) -> Result<CorePoint, String> {
-    let program = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
-    let mut command = Command::new(program);
-    command.args(["capacity", "backlog-point"]);
-    for (name, value) in [
+fn core_in_fresh_process(options: &Options, messages: u32) -> Result<CorePoint, CapacityError> {
+    let measured = [
         ("--messages", messages.to_string()),
         ("--destinations", options.destinations.to_string()),
         ("--rate", options.rate.to_string()),
         ("--seed", options.seed.to_string()),
-    ] {
-        command.args([name, &value]);
-    }
-    let ended = command.output().map_err(|e| e.to_string())?;
-    if !ended.status.success() {
-        return Err(String::from_utf8_lossy(&ended.stderr).trim().to_owned());
-    }
-    serde_json::from_slice(&ended.stdout).map_err(|e| e.to_string())
+    ];
+    measure_in_fresh_process("backlog-point", &measured)
 }
 
-type CoreFigure = (&'static str, &'static str, fn(&CorePoint) -> f64);
-const CORE_FIGURES: [CoreFigure; 5] = [
+/// A figure of a point: its name, its unit and its value.
+type FigureOf<P> = (&'static str, &'static str, fn(&P) -> f64);
+
+const CORE_FIGURES: [FigureOf<CorePoint>; 5] = [
     ("messages handed in", "messages", |p| p.messages),
     ("memory", "bytes", |p| p.memory),
     ("memory a waiting message", "bytes", |p| {
@@ -92,9 +87,8 @@
     }),
 ];
 
-type ProcessFigure = (&'static str, &'static str, fn(&ProcessPoint) -> f64);
-const PROCESS_FIGURES: [ProcessFigure; 12] = [
-    ("messages handed in", "messages", |p| p.handed_in as f64),
+const PROCESS_FIGURES: [FigureOf<ProcessPoint>; 12] = [
+    ("messages handed in", "messages", |p| p.submitted as f64),
     ("notices of an end, before the kill", "notices", |p| {
         p.completion_reports as f64
     }),
@@ -125,67 +119,57 @@
 ];
 
 /// The core and one real forwarder with the same numbers of messages that wait.
-pub fn tables(options: &Options) -> Result<Vec<Table>, String> {
-    let mut core = Vec::new();
-    let mut process = Vec::new();
+pub fn tables(options: &Options) -> Result<Vec<Table>, CapacityError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
-        .build();
-    let runtime = runtime.map_err(|e| e.to_string())?;
+        .build()?;
+    let mut core = Vec::new();
+    let mut process = Vec::new();
     for messages in &options.sizes {
         let point = core_in_fresh_process(options, *messages)?;
-        core.push(Row {
-            size: point.waiting,
-            values: CORE_FIGURES.iter().map(|(_, _, of)| of(&point)).collect(),
-        });
-        let shape = options.shape(*messages);
+        core.push(row(point.waiting, &CORE_FIGURES, &point));
         let setup = process_point::Setup {
             program: options.program(),
             messages: *messages,
             destinations: options.destinations,
             rate: options.rate,
         };
+        let shape = options.shape(*messages);
         let point = runtime.block_on(process_point::measure(&setup, &shape))?;
-        let values = PROCESS_FIGURES
-            .iter()
-            .map(|(_, _, of)| of(&point))
-            .collect();
-        process.push(Row {
-            size: point.waiting(),
-            values,
-        });
+        process.push(row(point.waiting(), &PROCESS_FIGURES, &point));
     }
-    let core_names: Vec<(&str, &str)> = CORE_FIGURES
-        .iter()
-        .map(|(name, unit, _)| (*name, *unit))
-        .collect();
-    let process_names: Vec<(&str, &str)> = PROCESS_FIGURES
-        .iter()
-        .map(|(name, unit, _)| (*name, *unit))
-        .collect();
     Ok(vec![
-        Table::new(
-            "the core alone, messages that wait",
-            "waiting messages",
-            &core_names,
-            core,
-        ),
-        Table::new(
+        table("the core alone, messages that wait", &CORE_FIGURES, core),
+        table(
             "one forwarder, messages that wait",
-            "waiting messages",
-            &process_names,
+            &PROCESS_FIGURES,
             process,
         ),
     ])
 }
 
-pub fn run(options: &Options) -> Result<(), String> {
+/// The figures of one point, by its size.
+fn row<P>(size: f64, figures: &[FigureOf<P>], point: &P) -> Row {
+    let values = figures.iter().map(|(_, _, value)| value(point));
+    Row {
+        size,
+        values: values.collect(),
+    }
+}
+
+fn table<P>(title: &str, figures: &[FigureOf<P>], rows: Vec<Row>) -> Table {
+    let names: Vec<(&str, &str)> = figures
+        .iter()
+        .map(|(name, unit, _)| (*name, *unit))
+        .collect();
+    Table::new(title, "waiting messages", &names, rows)
+}
+
+/// Measures, prints the tables and writes them where they were asked for.
+pub fn run(options: &Options) -> Result<(), CapacityError> {
     let program = options.program();
     if !program.is_file() {
-        return Err(format!(
-            "{}: no such program; build it, or name one with --forwarder",
-            program.display()
-        ));
+        return Err(CapacityError::NoForwarderProgram { program });
     }
     show(&tables(options)?, &options.outputs)
 }
--- a/crates/lab/src/capacity/backlog/core_point.rs
+++ b/crates/lab/src/capacity/backlog/core_point.rs
@@ -1,14 +1,16 @@
 //! The core with so many messages that wait, measured in this process, which has to be a fresh one.
 
 use crate::capacity::core::world::{Plan, Spread, World, SECOND};
+use crate::capacity::error::CapacityError;
 use crate::capacity::usage::{own_memory, own_processor_time};
 use clap::Args;
 use opalpulley::{EndpointListUpdate, Event};
 use serde::{Deserialize, Serialize};
 
-const EXPIRY: u64 = 3_600 * SECOND; // long beside the time in which the messages are handed in
-const SETTLED: u64 = 5; // simulated s after the last message, until every destination is set aside
+const EXPIRY: u64 = 3_600 * SECOND; // long beside the time in which the messages are submitted
+const SETTLED: u64 = 5; // simulated s after the last message, until every destination is ejected
 
+/// What one size is measured with.
 #[derive(Args, Clone, Debug)]
 pub struct Setup {
     #[arg(long)]
@@ -36,7 +38,8 @@
     pub processor: f64,
 }
 
-pub fn measure(setup: &Setup) -> Result<CorePoint, String> {
+/// Lets so many messages wait in the core, and measures what they take.
+pub fn measure(setup: &Setup) -> Result<CorePoint, CapacityError> {
     let plan = Plan::new(
         setup.destinations,
         Spread::Uniform,
--- a/crates/lab/src/capacity/core.rs
+++ b/crates/lab/src/capacity/core.rs
@@ -2,14 +2,16 @@
 //! this program; see [`point`].
 
 pub mod point;
+mod settings;
 pub mod world;
 
-use super::command::Outputs;
+use super::fresh_process::measure_in_fresh_process;
+use super::outputs::Outputs;
 use super::slope::{show, Row, Table};
+use crate::capacity::error::CapacityError;
 use clap::Args;
 use point::{Point, Stretch};
 use std::fmt;
-use std::process::Command;
 use std::str::FromStr;
 use world::Spread;
 
@@ -30,16 +32,21 @@
     }
 }
 
+/// A text that is neither `all` nor a number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("`all` or a number")]
+pub struct BadFullDestinations;
+
 impl FromStr for FullDestinations {
-    type Err = String;
+    type Err = BadFullDestinations;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, BadFullDestinations> {
         match text {
             "all" => Ok(FullDestinations::All),
             number => number
                 .parse()
                 .map(FullDestinations::UpTo)
-                .map_err(|_| "`all` or a number".to_owned()),
+                .map_err(|_| BadFullDestinations),
         }
     }
 }
@@ -53,6 +60,7 @@
     }
 }
 
+/// Options of `capacity core`.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
     /// How many destinations, one fresh process each
@@ -87,16 +95,13 @@
 /// Measured beside one target a destination, to tell what a target takes from what a destination takes.
 const MORE_TARGETS: u32 = 3;
 
-fn fresh(options: &Options, destinations: u32, case: Case) -> Result<Point, String> {
-    let program = std::env::current_exe().map_err(|e| format!("this program's own path: {e}"))?;
-    let spread = if case.spread == Spread::Uniform {
-        "uniform"
-    } else {
-        "skewed"
+fn fresh(options: &Options, destinations: u32, case: Case) -> Result<Point, CapacityError> {
+    let spread = match case.spread {
+        Spread::Uniform => "uniform",
+        Spread::Skewed => "skewed",
     };
-    let mut command = Command::new(program);
-    command.args(["capacity", "core-point", "--spread", spread]);
-    for (name, value) in [
+    let measured = [
+        ("--spread", spread.to_owned()),
         ("--destinations", destinations.to_string()),
         ("--targets-each", case.targets_each.to_string()),
         ("--full-destinations", case.full.to_string()),
@@ -104,18 +109,14 @@
         ("--seconds", options.seconds.to_string()),
         ("--down", options.down.to_string()),
         ("--seed", options.seed.to_string()),
-    ] {
-        command.args([name, &value]);
-    }
-    let ended = command.output().map_err(|e| e.to_string())?;
-    if !ended.status.success() {
-        let words = String::from_utf8_lossy(&ended.stderr).trim().to_owned();
-        return Err(format!(
-            "{destinations} destinations, {} in full, {} targets each: {words}",
-            case.full, case.targets_each
-        ));
-    }
-    serde_json::from_slice(&ended.stdout).map_err(|e| e.to_string())
+    ];
+    let figures = measure_in_fresh_process("core-point", &measured);
+    figures.map_err(|error| CapacityError::AtCoreSize {
+        destinations,
+        full_destinations: case.full.to_string(),
+        endpoints_each: case.targets_each,
+        source: Box::new(error),
+    })
 }
 
 type FigureOf = (&'static str, &'static str, fn(&Point) -> f64);
@@ -269,9 +270,9 @@
 
 /// The tables: one target each with uniform and with skewed traffic, several targets each, and where destinations are
 /// summarised the same once more beside all of them in full.
-pub fn tables(options: &Options) -> Result<Vec<Table>, String> {
+pub fn tables(options: &Options) -> Result<Vec<Table>, CapacityError> {
     let full = options.full_destinations;
-    let points = |targets_each, spread, full| -> Result<Vec<Point>, String> {
+    let points = |targets_each, spread, full| -> Result<Vec<Point>, CapacityError> {
         let case = Case {
             targets_each,
             spread,
@@ -306,7 +307,8 @@
     Ok(tables)
 }
 
-pub fn run(options: &Options) -> Result<(), String> {
+/// Measures, prints the tables and what an endpoint takes, and writes what was asked for.
+pub fn run(options: &Options) -> Result<(), CapacityError> {
     let tables = tables(options)?;
     show(&tables, &options.outputs)?;
     let name = LIST_FIGURES[0].0;
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -1,14 +1,19 @@
 //! One real forwarder process on loopback sockets: what it holds and uses with so many listed targets, and what comes on
 //! top for those that get messages; see [`point`].
 
+pub mod load;
 pub mod point;
 pub mod standins;
+pub mod startup_config;
+pub mod subject;
 
-use super::command::Outputs;
+use super::outputs::Outputs;
 use super::slope::{show, Row, Table};
+use crate::capacity::error::CapacityError;
 use crate::sockets::run::program_beside;
 use clap::Args;
-use point::{measure, Point, Shape};
+use point::{measure, Point};
+use startup_config::Shape;
 use std::path::PathBuf;
 
 /// Where the forwarder has its list from.
@@ -20,6 +25,7 @@
     Discovery,
 }
 
+/// Options of `capacity process`.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
     /// How many listed targets, one process each
@@ -99,13 +105,13 @@
         p.load.of_a_core()
     }),
     ("under load: processor time a message", "us", |p| {
-        p.load.processor.as_secs_f64() * 1e6 / p.handed_in as f64
+        p.load.processor.as_secs_f64() * 1e6 / p.submitted as f64
     }),
     ("at rest after load: part of a core", "cores", |p| {
         p.rest_after.of_a_core()
     }),
     ("distinct targets in use", "targets", |p| p.used.into()),
-    ("messages handed in", "messages", |p| p.handed_in as f64),
+    ("messages handed in", "messages", |p| p.submitted as f64),
     ("messages taken", "messages", |p| p.taken as f64),
     ("calls answered", "calls", |p| p.calls as f64),
     ("descriptors, most under load", "descriptors", |p| {
@@ -140,12 +146,12 @@
     points
 }
 
-pub fn tables(options: &Options) -> Result<Vec<Table>, String> {
+/// The tables by listed targets, and by targets in use.
+pub fn tables(options: &Options) -> Result<Vec<Table>, CapacityError> {
     let runtime = || {
         tokio::runtime::Builder::new_multi_thread()
             .enable_all()
             .build()
-            .map_err(|e| e.to_string())
     };
     let by_size: Vec<(u32, u32)> = options
         .sizes
@@ -177,13 +183,11 @@
     ])
 }
 
-pub fn run(options: &Options) -> Result<(), String> {
+/// Measures, prints the tables and writes what was asked for.
+pub fn run(options: &Options) -> Result<(), CapacityError> {
     let program = options.program();
     if !program.is_file() {
-        return Err(format!(
-            "{}: no such program; build it, or name one with --forwarder",
-            program.display()
-        ));
+        return Err(CapacityError::NoForwarderProgram { program });
     }
     show(&tables(options)?, &options.outputs)
 }
--- a/crates/lab/src/receivers.rs
+++ b/crates/lab/src/receivers.rs
@@ -1,569 +1,227 @@
-//! The receivers: places, queues, limits, warmth and troubles, without I/O. Both clocks ask the same model what becomes
-//! of a call at the moment when it reaches its target, and carry the answer out at the time it names. A queue is first come
-//! first served, so a call's end is known as it comes. Owns the receivers' state; the memory of repeats is emptied after the
-//! longest window, the record of a cold target's calls after the overload window.
-
-use crate::chance::{service, stream};
-use crate::scenario::{Destination, RuleFigures, Scenario, What, When};
+//! The receivers: concurrency, queues, limits, warm-up and faults, without I/O. Both clocks ask the same model what becomes
+//! of a call at the moment when it reaches its endpoint, and carry the answer out at the time it names. A queue is first come
+//! first served, so a call's end is known as it comes.
+//!
+//! `Receivers` owns the receivers' state. The memory of repeats is emptied after twice the longest window, the record of calls
+//! of an endpoint that warms up after the overload window. `endpoint` serves calls, `faults` tells what is in force, `repeats`
+//! knows idempotency keys, `rate_limiter` refuses calls, `reply` names what comes back.
+
+mod endpoint;
+mod faults;
+mod rate_limiter;
+mod repeats;
+mod reply;
+
+pub use reply::{Fall, Fate, ReceiverReply};
+
+use crate::scenario::{Destination, FaultKind, RuleSettings, Scenario};
 use crate::world::Layout;
+use endpoint::{Endpoint, Warmth};
+use faults::{is_outage, ActiveFault, ActiveFaults};
 use opalpulley::Micros;
-use rand::Rng;
-use rand_pcg::Pcg64Mcg;
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
-
-/// Calls over a cold budget that chance alone may bring, beside twice the root of the budget.
-const CHANCE: f64 = 4.0;
-/// Part of the calls from forwarders that knew better, from which they are to blame for a target's fall.
-const BLAME: f64 = 2.0 / 3.0;
-
-/// What comes back for a call, and when its last byte (or its end) is on the way.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fate {
-    /// When it took effect, where it did. A repeat that the receiver knows takes none.
-    pub ran: Option<Micros>,
-    pub at: Micros,
-    pub says: Says,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Says {
-    Served,
-    Erred,
-    /// 429, with the wait asked for.
-    Full {
-        wait: Option<Micros>,
-    },
-    /// 503: its queue is full.
-    Crowded,
-    /// No connection comes up.
-    Refused,
-    /// The connection breaks off before the call is in.
-    Cut,
-    Silent,
-    /// The head of a refusal, which may tell a wait; then the connection breaks.
-    FullCut {
-        wait: Option<Micros>,
-    },
-    Reset,
-    /// 200, then the connection breaks.
-    ServedThenReset,
-    Garbled,
-    /// 200, and a body that never ends.
-    Endless,
-}
-
-impl Says {
-    /// Whether whoever sees it knows that something is wrong there.
-    pub fn bad_news(self) -> bool {
-        !matches!(self, Says::Served | Says::ServedThenReset | Says::Endless)
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Warmth {
-    Warm,
-    Down,
-    Cold {
-        since: Micros,
-    },
-    /// It was pushed over, and stays down.
-    Fallen,
-}
-
-struct Gate {
-    rate: f64,
-    burst: f64,
-    tokens: f64,
-    filled: Micros,
-    limited: bool,
-    /// Calls that may be owed: refused ones use the limit up, as far as this.
-    owes: f64,
-    wait: Micros,
-}
-
-impl Gate {
-    fn take(&mut self, now: Micros, part: f64) -> bool {
-        let passed = now.saturating_sub(self.filled) as f64 / 1e6;
-        self.tokens = (self.tokens + passed * self.rate * part).min(self.burst.max(1.0));
-        self.filled = now;
-        let room = !self.limited || self.tokens >= 1.0;
-        if room && self.limited {
-            self.tokens -= 1.0;
-        } else if !room && self.owes > 0.0 {
-            self.tokens = (self.tokens - 1.0).max(-self.owes);
-        }
-        room
-    }
-}
-
-struct Target {
-    gate: usize,
-    group: usize,
-    /// Calls a second, its part of what the gate takes.
-    capacity: f64,
-    /// When each place comes free.
-    places: BinaryHeap<Reverse<Micros>>,
-    /// When the calls that wait will be begun.
-    starts: VecDeque<Micros>,
-    warmth: Warmth,
-    troubles: Vec<usize>,
-    jammed: f64,
-    /// Calls and probes within the overload window while it is not warm: when, from whom.
-    recent: VecDeque<(Micros, u32)>,
-    /// Forwarders that saw a call or probe fail or be refused since it went down.
-    witnesses: BTreeSet<u32>,
-    rng: Pcg64Mcg,
-}
+use rate_limiter::RateLimiter;
+use repeats::Repeats;
 
-/// A target that got too much as it came back.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Fall {
-    pub at: Micros,
-    pub target: usize,
-    pub calls: usize,
-    pub budget: f64,
-    /// Two thirds of that came from forwarders that had seen it fail: the rule is broken.
-    pub blamed: bool,
-}
-
-/// A trouble as it is in force.
-struct Active {
-    what: What,
-    from: Micros,
-    until: Micros,
-}
+/// An endpoint answers a health check after so long, µs.
+const HEALTH_CHECK_TIME: Micros = 1_000;
+/// The least part of its capacity that an endpoint has in any fault.
+const MIN_CAPACITY_SHARE: f64 = 0.01;
+/// The least part of its rate that a limiter lets through in any fault.
+const MIN_RATE_SHARE: f64 = 0.05;
 
+/// All receivers of a scenario.
 pub struct Receivers {
     groups: Vec<Destination>,
-    rules: RuleFigures,
-    gates: Vec<Gate>,
-    targets: Vec<Target>,
-    active: BTreeMap<usize, Active>,
-    ran: BTreeMap<u64, Micros>,
-    remembered: VecDeque<(Micros, u64)>,
-    window: Micros,
+    rules: RuleSettings,
+    limiters: Vec<RateLimiter>,
+    endpoints: Vec<Endpoint>,
+    active: ActiveFaults,
+    repeats: Repeats,
+    /// Endpoints that fell over, in order.
     pub falls: Vec<Fall>,
 }
 
 impl Receivers {
+    /// All receivers, warm, without faults.
     pub fn new(scenario: &Scenario, layout: &Layout, seed: u64) -> Receivers {
-        let target = |(n, spot): (usize, &crate::world::Spot)| {
-            let d = &scenario.destinations[spot.group];
-            let share = if d.routes_apart {
-                1.0
-            } else {
-                f64::from(d.targets)
-            };
-            Target {
-                gate: spot.gate,
-                group: spot.group,
-                capacity: d.rate / share,
-                places: (0..d.places).map(|_| Reverse(0)).collect(),
-                starts: VecDeque::new(),
-                warmth: Warmth::Warm,
-                troubles: Vec::new(),
-                jammed: 1.0,
-                recent: VecDeque::new(),
-                witnesses: BTreeSet::new(),
-                rng: stream(seed, "receiver", n as u64),
-            }
-        };
-        let mut groups = vec![usize::MAX; layout.gates];
-        layout.targets.iter().for_each(|t| groups[t.gate] = t.group);
+        let mut group_of_limiter = vec![usize::MAX; layout.limiters];
+        for place in &layout.endpoints {
+            group_of_limiter[place.limiter] = place.group;
+        }
+        let groups = &scenario.destinations;
+        let limiters = group_of_limiter.into_iter();
+        let endpoints = layout.endpoints.iter().enumerate();
         Receivers {
-            gates: (0..layout.gates)
-                .map(|g| {
-                    let d = &scenario.destinations[groups[g]];
-                    let burst = d.burst.unwrap_or(d.rate);
-                    Gate {
-                        rate: d.rate,
-                        burst,
-                        tokens: burst,
-                        filled: 0,
-                        limited: d.limited,
-                        owes: if d.refused_count { burst } else { 0.0 },
-                        wait: d.wait.0,
-                    }
-                })
+            limiters: limiters
+                .map(|group| RateLimiter::new(&groups[group]))
+                .collect(),
+            endpoints: endpoints
+                .map(|(index, place)| Endpoint::new(&groups[place.group], place, seed, index))
                 .collect(),
-            targets: layout.targets.iter().enumerate().map(target).collect(),
-            groups: scenario.destinations.clone(),
+            groups: groups.clone(),
             rules: scenario.rules.clone(),
-            active: BTreeMap::new(),
-            ran: BTreeMap::new(),
-            remembered: VecDeque::new(),
-            window: scenario
-                .profiles
-                .iter()
-                .map(|p| p.window.0.max(p.expiry.0))
-                .max()
-                .unwrap_or(0)
-                * 2,
+            active: ActiveFaults::default(),
+            repeats: Repeats::new(&scenario.classes),
             falls: Vec::new(),
         }
     }
 
-    /// A trouble begins, or ends, at these targets.
-    pub fn strike(
+    /// A fault begins, or ends, at these endpoints. `number` is its place in the scenario.
+    pub fn set_fault(
         &mut self,
         now: Micros,
-        trouble: usize,
-        what: &What,
+        number: usize,
+        kind: &FaultKind,
         until: Micros,
-        targets: &[usize],
-        on: bool,
+        endpoints: &[usize],
+        begins: bool,
     ) {
-        if on {
-            self.active.insert(
-                trouble,
-                Active {
-                    what: what.clone(),
-                    from: now,
-                    until,
-                },
-            );
-        }
-        for target in targets {
-            let t = &mut self.targets[*target];
-            t.troubles.retain(|n| *n != trouble);
-            if on {
-                t.troubles.push(trouble);
-                match what {
-                    What::Jam { times } => t.jammed = *times,
-                    what if outage(what) && t.warmth != Warmth::Fallen => {
-                        t.warmth = Warmth::Down;
-                        t.witnesses.clear();
-                    }
-                    _ => {}
-                }
-            } else if outage(what) && t.warmth == Warmth::Down {
-                let active = &self.active;
-                if !t
-                    .troubles
-                    .iter()
-                    .filter_map(|n| active.get(n))
-                    .any(|a| outage(&a.what))
-                {
-                    t.warmth = Warmth::Cold { since: now };
-                    t.recent.clear();
-                }
+        if begins {
+            let fault = ActiveFault {
+                kind: kind.clone(),
+                from: now,
+                until,
+            };
+            self.active.insert(number, fault);
+        }
+        for index in endpoints {
+            let endpoint = &mut self.endpoints[*index];
+            endpoint.faults.retain(|other| *other != number);
+            if begins {
+                endpoint.faults.push(number);
+                endpoint.fault_begins(kind);
+            } else if is_outage(kind) && !self.active.any_outage(endpoint) {
+                endpoint.outage_ends(now);
             }
         }
-        if !on {
-            self.active.remove(&trouble);
+        if !begins {
+            self.active.remove(number);
         }
     }
 
-    /// Another holder stands at the address: nothing of the old one is left.
-    pub fn replace(&mut self, now: Micros, target: usize) {
-        let places = self.groups[self.targets[target].group].places;
-        let t = &mut self.targets[target];
-        t.places = (0..places).map(|_| Reverse(now)).collect();
-        t.starts.clear();
-        t.warmth = Warmth::Warm;
-        t.jammed = 1.0;
-        t.recent.clear();
-        t.witnesses.clear();
+    /// A new holder of the address: nothing of the old one is left.
+    pub fn replace(&mut self, now: Micros, endpoint: usize) {
+        let endpoint = &mut self.endpoints[endpoint];
+        let concurrency = self.groups[endpoint.group].concurrency;
+        endpoint.replace(now, concurrency);
     }
 
     /// Whether connections to it are refused now.
-    pub fn refuses(&self, now: Micros, target: usize) -> bool {
-        let t = &self.targets[target];
-        t.warmth == Warmth::Fallen
-            || t.troubles
-                .iter()
-                .filter_map(|n| self.active.get(n))
-                .any(|a| a.refuses(now))
+    pub fn refuses(&self, now: Micros, endpoint: usize) -> bool {
+        let endpoint = &self.endpoints[endpoint];
+        endpoint.warmth == Warmth::Fallen
+            || self.active.of(endpoint).any(|fault| fault.refuses(now))
     }
 
-    /// Part of its capacity that it has now.
-    fn part(&self, now: Micros, target: usize) -> f64 {
-        let t = &self.targets[target];
-        let warmth = match t.warmth {
-            Warmth::Cold { since } => {
-                let warm = (now - since) as f64 / self.rules.warm_after.0.max(1) as f64;
-                self.rules.cold_from + (1.0 - self.rules.cold_from) * warm.min(1.0)
-            }
-            _ => 1.0,
-        };
-        let left = |n: &usize| match self.active.get(n).map(|a| &a.what) {
-            Some(What::Brownout { left }) => *left,
-            _ => 1.0,
-        };
-        t.troubles.iter().map(left).fold(warmth, f64::min).max(0.01)
+    /// The part of its capacity that an endpoint has now.
+    fn capacity_share(&self, now: Micros, endpoint: usize) -> f64 {
+        let endpoint = &self.endpoints[endpoint];
+        let warm = endpoint.warm_share(now, &self.rules);
+        let left = self.active.of(endpoint).map(ActiveFault::capacity_left);
+        left.fold(warm, f64::min).max(MIN_CAPACITY_SHARE)
     }
 
-    /// Counts what reaches a target that is not warm; it may be one too many.
-    fn weigh(&mut self, now: Micros, target: usize, forwarder: u32) {
-        let part = self.part(now, target);
-        let (rules, groups) = (&self.rules, &self.groups);
-        let t = &mut self.targets[target];
-        let Warmth::Cold { since } = t.warmth else {
-            return;
-        };
-        if now >= since + rules.warm_after.0 {
-            t.warmth = Warmth::Warm;
-            t.recent.clear();
+    /// Counts what reaches an endpoint that warms up; it may be one call too many.
+    fn count_arrival(&mut self, now: Micros, index: usize, forwarder: u32) {
+        let capacity_share = self.capacity_share(now, index);
+        let endpoint = &mut self.endpoints[index];
+        if !endpoint.count_arrival(now, forwarder, &self.rules) {
             return;
         }
-        t.recent.push_back((now, forwarder));
-        while t
-            .recent
-            .front()
-            .is_some_and(|(at, _)| at + rules.overload_for.0 < now)
-        {
-            t.recent.pop_front();
-        }
-        let budget = rules.fall_multiple * part * t.capacity * rules.overload_for.seconds();
-        let most = budget + 2.0 * budget.sqrt() + CHANCE;
-        if groups[t.group].falls_over && t.recent.len() as f64 > most {
-            let knew = t
-                .recent
-                .iter()
-                .filter(|(_, f)| t.witnesses.contains(f))
-                .count();
-            let blamed = knew as f64 >= BLAME * t.recent.len() as f64;
-            t.warmth = Warmth::Fallen;
-            self.falls.push(Fall {
-                at: now,
-                target,
-                calls: t.recent.len(),
-                budget: most,
-                blamed,
-            });
+        let limit = endpoint.overload_limit(capacity_share, &self.rules);
+        if self.groups[endpoint.group].falls_over && endpoint.recent_calls() as f64 > limit {
+            self.falls.push(endpoint.fall_over(now, index, limit));
         }
     }
 
-    /// What becomes of a probe that reaches a target.
-    pub fn probe(&mut self, now: Micros, target: usize, forwarder: u32) -> Fate {
-        let fate = |says, at| Fate {
-            ran: None,
-            at,
-            says,
-        };
-        if self.refuses(now, target) {
-            self.witness(target, forwarder);
-            return fate(Says::Refused, now);
-        }
-        self.weigh(now, target, forwarder);
-        let whats: Vec<What> = self.targets[target]
-            .troubles
-            .iter()
-            .filter_map(|n| Some(self.active.get(n)?.what.clone()))
-            .collect();
-        let says = match () {
-            () if whats
-                .iter()
-                .any(|w| matches!(w, What::Silent | What::ProbesFail)) =>
-            {
-                Says::Silent
-            }
-            () if whats.contains(&What::Shut) => Says::Crowded,
-            () => Says::Served,
-        };
-        if says.bad_news() {
-            self.witness(target, forwarder);
+    /// What becomes of a health check that reaches an endpoint.
+    pub fn health_check(&mut self, now: Micros, index: usize, forwarder: u32) -> Fate {
+        if self.refuses(now, index) {
+            self.endpoints[index].add_witness(forwarder);
+            return Fate::not_run(ReceiverReply::Refused, now);
         }
-        fate(says, now + 1_000)
-    }
-
-    fn witness(&mut self, target: usize, forwarder: u32) {
-        let t = &mut self.targets[target];
-        if matches!(t.warmth, Warmth::Down) {
-            t.witnesses.insert(forwarder);
+        self.count_arrival(now, index, forwarder);
+        let endpoint = &mut self.endpoints[index];
+        let reply = self.active.health_check_reply(endpoint);
+        if reply.is_bad_news() {
+            endpoint.add_witness(forwarder);
         }
+        Fate::not_run(reply, now + HEALTH_CHECK_TIME)
     }
 
-    /// What becomes of a call whose last byte reaches its target now. `mark` is what repeats are known by.
-    pub fn call(&mut self, now: Micros, target: usize, forwarder: u32, mark: Option<u64>) -> Fate {
-        let mut fate = self.judge(now, target, mark);
-        if let (Says::Full { wait }, true) = (fate.says, self.cuts_refusal(target)) {
-            fate.says = Says::FullCut { wait };
-        }
-        if fate.says != Says::Refused {
-            self.weigh(now, target, forwarder);
-        }
-        if fate.says.bad_news() {
-            self.witness(target, forwarder);
+    /// What becomes of a call whose last byte reaches its endpoint now. Repeats are known by `idempotency_key`.
+    pub fn call(
+        &mut self,
+        now: Micros,
+        index: usize,
+        forwarder: u32,
+        idempotency_key: Option<u64>,
+    ) -> Fate {
+        let mut fate = self.fate_of_call(now, index, idempotency_key);
+        // Every call draws, refused or not: the draws of a run stay the same whatever becomes of its calls.
+        let truncated = self.draws_truncation(index);
+        if let (ReceiverReply::TooManyRequests { wait }, true) = (fate.says, truncated) {
+            fate.says = ReceiverReply::TooManyRequestsTruncated { wait };
+        }
+        if fate.says != ReceiverReply::Refused {
+            self.count_arrival(now, index, forwarder);
+        }
+        if fate.says.is_bad_news() {
+            self.endpoints[index].add_witness(forwarder);
         }
         fate
     }
 
-    fn cuts_refusal(&mut self, target: usize) -> bool {
-        let (t, active) = (&mut self.targets[target], &self.active);
-        let rate = |n: &usize| match active.get(n).map(|a| &a.what) {
-            Some(What::RefusalsCut { rate }) => Some(*rate),
-            _ => None,
-        };
-        t.troubles
-            .iter()
-            .find_map(rate)
-            .is_some_and(|rate| t.rng.random_bool(rate))
+    /// Draws whether a 429 of this endpoint breaks off.
+    fn draws_truncation(&mut self, index: usize) -> bool {
+        let endpoint = &mut self.endpoints[index];
+        let rate = self.active.truncation_rate(endpoint);
+        rate.is_some_and(|rate| endpoint.draws(rate))
     }
 
-    fn judge(&mut self, now: Micros, target: usize, mark: Option<u64>) -> Fate {
-        let not_run = |says, at| Fate {
-            ran: None,
-            at,
-            says,
-        };
-        if self.refuses(now, target) {
-            return not_run(Says::Refused, now);
-        }
-        let part = self.part(now, target);
-        let active = &self.active;
-        let t = &mut self.targets[target];
-        let troubles: Vec<&Active> = t.troubles.iter().filter_map(|n| active.get(n)).collect();
-        if let Some(shut) = troubles.iter().find(|a| a.what == What::Shut) {
-            return not_run(
-                Says::Full {
-                    wait: Some(shut.until.saturating_sub(now)),
-                },
-                now,
-            );
-        }
-        if troubles.iter().any(|a| a.what == What::Silent) {
-            return not_run(Says::Silent, now);
-        }
-        let cut = |a: &&&Active| {
-            matches!(
-                a.what,
-                What::Reset {
-                    when: When::Before,
-                    ..
-                }
-            )
-        };
-        if let Some(What::Reset { rate, .. }) = troubles.iter().find(cut).map(|a| &a.what) {
-            if t.rng.random_bool(*rate) {
-                return not_run(Says::Cut, now);
-            }
-        }
-        let gate = &mut self.gates[t.gate];
-        if !gate.take(now, if part < 1.0 { part.max(0.05) } else { 1.0 }) {
-            let wait = (gate.wait > 0).then_some(gate.wait);
-            return not_run(Says::Full { wait }, now);
-        }
-        let group = &self.groups[t.group];
-        while t.starts.front().is_some_and(|s| *s <= now) {
-            t.starts.pop_front();
-        }
-        let mut slower = 1.0 / part;
-        for a in &troubles {
-            if let What::Slow { times } = a.what {
-                slower *= times;
-            }
-        }
-        if t.jammed > 1.0 {
-            let goes_on = troubles.iter().any(|a| matches!(a.what, What::Jam { .. }));
-            if !goes_on && t.starts.is_empty() {
-                t.jammed = 1.0;
-            }
-            slower *= t.jammed;
+    fn fate_of_call(&mut self, now: Micros, index: usize, idempotency_key: Option<u64>) -> Fate {
+        if self.refuses(now, index) {
+            return Fate::not_run(ReceiverReply::Refused, now);
         }
-        if t.starts.len() >= group.queue as usize && t.places.peek().is_some_and(|p| p.0 > now) {
-            return not_run(Says::Crowded, now);
+        let capacity_share = self.capacity_share(now, index);
+        let endpoint = &mut self.endpoints[index];
+        let faults: Vec<&ActiveFault> = self.active.of(endpoint).collect();
+        if let Some(reply) = endpoint.reply_before_service(now, &faults) {
+            return Fate::not_run(reply, now);
         }
-        let free = t.places.pop().map_or(now, |p| p.0);
-        let begins = free.max(now);
-        let ends = begins
-            + (service(&group.service, &mut t.rng) as f64 * slower)
-                .round()
-                .max(1.0) as Micros;
-        t.places.push(Reverse(ends));
-        if begins > now {
-            t.starts.push_back(begins);
-        }
-        // What spoils its end.
-        let mut says = if group.errors > 0.0 && t.rng.random_bool(group.errors) {
-            Says::Erred
-        } else {
-            Says::Served
+        let limiter = &mut self.limiters[endpoint.limiter];
+        let rate_share = match capacity_share < 1.0 {
+            true => capacity_share.max(MIN_RATE_SHARE),
+            false => 1.0,
         };
-        for a in &troubles {
-            let spoilt = match a.what {
-                What::Erring { rate } => Some((rate, Says::Erred)),
-                What::Reset {
-                    rate,
-                    when: When::Within,
-                } => Some((rate, Says::Reset)),
-                What::Reset {
-                    rate,
-                    when: When::After,
-                } => Some((rate, Says::ServedThenReset)),
-                What::AnswerLost { rate } => Some((rate, Says::Silent)),
-                What::Garbled { rate } => Some((rate, Says::Garbled)),
-                What::Endless { rate } => Some((rate, Says::Endless)),
-                _ => None,
-            };
-            if let Some((rate, how)) = spoilt {
-                if t.rng.random_bool(rate) && says == Says::Served {
-                    says = how;
-                }
-            }
-        }
-        let ran = (says != Says::Erred)
-            .then_some(ends)
-            .filter(|_| self.remember(now, mark, ends));
+        if !limiter.admits(now, rate_share) {
+            return Fate::not_run(limiter.refusal(), now);
+        }
+        let group = &self.groups[endpoint.group];
+        endpoint.start_waiting_calls(now);
+        let slowdown = endpoint.slowdown(capacity_share, &faults);
+        if !endpoint.has_room(now, group.queue_limit) {
+            return Fate::not_run(ReceiverReply::Overloaded, now);
+        }
+        let ends = endpoint.serve(now, &group.service_time, slowdown);
+        let says = endpoint.reply_after_service(group.error_rate, &faults);
+        let runs = says != ReceiverReply::Erred && self.repeats.is_new(now, idempotency_key);
         Fate {
-            ran,
+            ran: runs.then_some(ends),
             at: ends,
             says,
         }
     }
 
-    /// Whether it is new to the receivers; from now on it is not.
-    fn remember(&mut self, now: Micros, mark: Option<u64>, ends: Micros) -> bool {
-        let Some(mark) = mark else { return true };
-        while self
-            .remembered
-            .front()
-            .is_some_and(|(at, _)| at + self.window < now)
-        {
-            if let Some((_, old)) = self.remembered.pop_front() {
-                self.ran.remove(&old);
-            }
-        }
-        let new = !self.ran.contains_key(&mark);
-        if new {
-            self.ran.insert(mark, ends);
-            self.remembered.push_back((now, mark));
-        }
-        new
+    /// Calls that wait at an endpoint now.
+    pub fn waiting(&self, now: Micros, endpoint: usize) -> usize {
+        self.endpoints[endpoint].waiting(now)
     }
 
-    /// Calls that wait at a target now.
-    pub fn waiting(&self, now: Micros, target: usize) -> usize {
-        self.targets[target]
-            .starts
-            .iter()
-            .filter(|s| **s > now)
-            .count()
-    }
-
-    /// Tables as they are now: marks remembered, calls of cold targets.
+    /// Entries in all tables: idempotency keys, and calls of endpoints that warm up.
     pub fn held(&self) -> usize {
-        self.ran.len() + self.targets.iter().map(|t| t.recent.len()).sum::<usize>()
-    }
-}
-
-impl Active {
-    fn refuses(&self, now: Micros) -> bool {
-        match self.what {
-            What::Refusing => true,
-            What::Flapping { down, up } => (now - self.from) % (down.0 + up.0) < down.0,
-            _ => false,
-        }
-    }
-}
-
-/// Whether a target that had this comes back cold.
-fn outage(what: &What) -> bool {
-    match what {
-        What::Refusing | What::Silent | What::Shut => true,
-        What::Erring { rate } => *rate >= 0.5,
-        _ => false,
+        let recent = self.endpoints.iter().map(Endpoint::recent_calls);
+        self.repeats.len() + recent.sum::<usize>()
     }
 }
 
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -1,8 +1,11 @@
-//! Clients: they hand a packet in when it is due, come again after a deferral, and go elsewhere when a forwarder is not there.
+//! Clients: they submit a message when it is due, submit it again after a rejection, and go to another forwarder when one is
+//! not there.
 
-use super::{Happening, Packet, Sim};
+use super::event::SimulatedEvent;
+use super::simulated_process::NewSubmission;
+use super::Sim;
 use crate::load::Due;
-use crate::oracle::{Final, Taking};
+use crate::oracle::{FinalAnswer, SubmissionRecord};
 use crate::tally::Tick;
 use opalpulley::{
     AttemptHistory, DeliveryClassId, DestinationId, MessageId, Micros, OrderKey, Submission,
@@ -10,166 +13,210 @@
 };
 use rand::Rng;
 
-const ELSEWHERE: Micros = 50_000; // after a connection that was refused
-const SILENT: Micros = 400_000; // a client waits so long for the answer to its request
-const COME_BACK: Micros = 1_000_000; // where no time was told
-const TRIES: u32 = 20; // of a client that finds no forwarder
+/// A client goes to another forwarder so long after a connection was refused, µs.
+const OTHER_FORWARDER_DELAY: Micros = 50_000;
+/// A client waits so long for the answer to its request, µs.
+const ANSWER_TIMEOUT: Micros = 400_000;
+/// A client submits again after so long where no time was named, µs.
+const DEFAULT_RETRY_AFTER: Micros = 1_000_000;
+/// Tries of a client that finds no forwarder.
+const MAX_TRIES: u32 = 20;
+/// A client submits again up to this part of the named time later, by chance: clients do not all keep the same time.
+const RETRY_JITTER: f64 = 0.1;
 
-/// No tenant: the core finds no share for it.
+/// No tenant: the core finds no quota for it.
 const NO_TENANT: TenantId = TenantId(u32::MAX);
 
-/// What becomes of a hand-in at once.
-pub(super) enum Answered {
-    Taken,
-    Deferred(Option<Micros>),
-    WrittenOff,
+/// A message as its client knows it.
+pub(super) struct ClientMessage {
+    due: Due,
+    expires: Micros,
+    /// How often it may still be submitted again.
+    resubmissions: u32,
+    /// It was rejected before.
+    resubmitted: bool,
+    /// Forwarders that were not there.
+    tries: u32,
+}
+
+/// What a forwarder answers to a submission at once.
+pub(super) enum SubmissionAnswer {
+    Accepted,
+    /// Rejected, with the retry-after time where there is one, µs.
+    Rejected(Option<Micros>),
+    Failed,
 }
 
 impl Sim {
-    pub(super) fn packet_due(&mut self, due: Due) {
-        let packet = self.next_packet;
-        self.next_packet += 1;
-        self.tally.due(self.now, due.profile);
-        let expires = self.now + due.left;
-        self.packets.insert(
-            packet,
-            Packet {
-                expires,
-                returns: due.returns,
-                again: false,
-                tries: 0,
-                due,
-            },
-        );
-        self.hand_in(packet);
+    /// A message of the load is due: its client submits it.
+    pub(super) fn message_due(&mut self, due: Due) {
+        let number = self.next_message;
+        self.next_message += 1;
+        self.tally.due(self.now, due.class);
+        let message = ClientMessage {
+            expires: self.now + due.left,
+            resubmissions: due.resubmissions,
+            resubmitted: false,
+            tries: 0,
+            due,
+        };
+        self.messages.insert(number, message);
+        self.submit(number);
     }
 
-    pub(super) fn hand_in(&mut self, number: u64) {
-        let Some(packet) = self.packets.get_mut(&number) else {
+    /// The client of a message submits it to a forwarder drawn by chance.
+    pub(super) fn submit(&mut self, number: u64) {
+        let Some(message) = self.messages.get(&number) else {
             return;
         };
-        if self.now >= packet.expires {
-            return self.given_up(number);
+        if self.now >= message.expires {
+            return self.give_up(number);
         }
-        let forwarder = self.clients.random_range(0..self.stations.len());
-        let station = &self.stations[forwarder];
-        if !station.up() || station.paused {
-            packet.tries += 1;
-            let (tries, after) = (
-                packet.tries,
-                if station.paused { SILENT } else { ELSEWHERE },
-            );
-            self.tally.counts.turned_away += 1;
-            return match tries < TRIES {
-                true => self.arrange(self.now + after, Happening::HandIn { packet: number }),
-                false => self.given_up(number),
-            };
+        let forwarder = self.clients.random_range(0..self.processes.len());
+        let process = &self.processes[forwarder];
+        if !process.is_up() {
+            return self.try_another_forwarder(number, OTHER_FORWARDER_DELAY);
         }
-        self.tally.counts.hand_ins += 1;
-        if station.open.len() >= self.scenario.forwarders.room as usize {
+        if process.paused {
+            return self.try_another_forwarder(number, ANSWER_TIMEOUT);
+        }
+        self.tally.counts.submissions += 1;
+        if process.open.len() >= self.scenario.forwarders.message_capacity as usize {
             self.tally.counts.turned_away += 1;
-            return self.come_again(number, None);
+            return self.schedule_resubmission(number, None);
+        }
+        self.submit_to(forwarder as u32, number);
+    }
+
+    /// A forwarder was not there: the client tries another after some time.
+    fn try_another_forwarder(&mut self, number: u64, after: Micros) {
+        self.tally.counts.turned_away += 1;
+        let Some(message) = self.messages.get_mut(&number) else {
+            return;
+        };
+        message.tries += 1;
+        if message.tries >= MAX_TRIES {
+            return self.give_up(number);
         }
-        let duty = self.next_duty;
-        self.next_duty += 1;
-        let packet = &self.packets[&number];
-        let left = packet.expires - self.now;
-        let in_order = self.scenario.profiles[usize::from(packet.due.profile)].in_order;
-        let key = in_order.then_some(packet.due.key);
-        let taking = Taking {
-            duty,
-            packet: number,
-            forwarder: forwarder as u32,
-            expires: packet.expires,
-            profile: packet.due.profile,
-            destination: packet.due.destination,
+        self.schedule(self.now + after, SimulatedEvent::Submit { message: number });
+    }
+
+    /// Submits a message to a forwarder that has room for it, and takes its answer.
+    fn submit_to(&mut self, forwarder: u32, number: u64) {
+        let submission = self.next_submission;
+        self.next_submission += 1;
+        let message = &self.messages[&number];
+        let ordered = self.scenario.classes[usize::from(message.due.class)].ordered;
+        let key = ordered.then_some(message.due.key);
+        let record = SubmissionRecord {
+            submission,
+            message: number,
+            forwarder,
+            expires: message.expires,
+            class: message.due.class,
+            destination: message.due.destination,
             key,
         };
-        let arrival = Submission {
-            id: MessageId(0),
-            class: DeliveryClassId(packet.due.profile),
-            tenant: packet.due.tenant.map_or(NO_TENANT, TenantId),
-            key: key.map(|k| OrderKey(k + 1)),
-            time_left: left,
-            destination: DestinationId(packet.due.destination),
-            resubmitted: packet.again,
-            history: AttemptHistory::default(),
+        let new = NewSubmission {
+            submission,
+            client_message: number,
+            expires: message.expires,
+            message: message.as_submitted(key, self.now),
         };
-        let expires = packet.expires;
-        self.oracle.handed_in(taking);
-        match self.take_on(forwarder as u32, number, duty, expires, arrival) {
-            Answered::Taken => self.oracle.taken(duty),
-            Answered::Deferred(come_back) => {
-                self.oracle.refused(duty, self.now);
-                self.tally.counts.deferrals += 1;
-                self.come_again(number, come_back);
+        self.oracle.submitted(record);
+        match self.accept_submission(forwarder, new) {
+            SubmissionAnswer::Accepted => self.oracle.accepted(submission),
+            SubmissionAnswer::Rejected(retry_after) => {
+                self.oracle.refused(submission, self.now);
+                self.tally.counts.rejections += 1;
+                self.schedule_resubmission(number, retry_after);
             }
-            Answered::WrittenOff => {
-                self.oracle.refused(duty, self.now);
-                self.written_off(number);
+            SubmissionAnswer::Failed => {
+                self.oracle.refused(submission, self.now);
+                self.fail_message(number);
             }
         }
     }
 
-    /// The client was asked to come back later.
-    pub(super) fn come_again(&mut self, number: u64, come_back: Option<Micros>) {
-        self.tally.tick(self.now, Tick::Deferred);
-        let Some(packet) = self.packets.get_mut(&number) else {
+    /// The client was asked to submit again later; it gives up where that is too late.
+    fn schedule_resubmission(&mut self, number: u64, retry_after: Option<Micros>) {
+        self.tally.tick(self.now, Tick::Rejected);
+        let Some(message) = self.messages.get_mut(&number) else {
             return;
         };
-        let wait = come_back.unwrap_or(COME_BACK);
-        if packet.returns == 0 || self.now + wait >= packet.expires {
-            return self.given_up(number);
+        let wait = retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
+        if message.resubmissions == 0 || self.now + wait >= message.expires {
+            return self.give_up(number);
         }
-        packet.returns -= 1;
-        packet.again = true;
-        // By chance a tenth longer: clients do not all keep the same time.
-        let at = self.now + wait + (wait as f64 * 0.1 * self.clients.random::<f64>()) as Micros;
-        self.arrange(at, Happening::HandIn { packet: number });
+        message.resubmissions -= 1;
+        message.resubmitted = true;
+        let jitter = (wait as f64 * RETRY_JITTER * self.clients.random::<f64>()) as Micros;
+        let at = self.now + wait + jitter;
+        self.schedule(at, SimulatedEvent::Submit { message: number });
     }
 
-    fn given_up(&mut self, number: u64) {
-        if self.packets.remove(&number).is_some() {
+    fn give_up(&mut self, number: u64) {
+        if self.messages.remove(&number).is_some() {
             self.tally.counts.given_up += 1;
         }
     }
 
-    pub(super) fn written_off(&mut self, number: u64) {
-        if self.packets.remove(&number).is_some() {
+    fn fail_message(&mut self, number: u64) {
+        if self.messages.remove(&number).is_some() {
             self.tally.counts.written_off += 1;
-            self.tally.tick(self.now, Tick::WrittenOff);
+            self.tally.tick(self.now, Tick::MessageFailed);
         }
     }
 
-    /// A final answer that came after the packet was taken on.
+    /// The client gets the final answer to a message that was accepted; `attempt` is the number of the one that served it.
     pub(super) fn final_answer(
         &mut self,
         number: u64,
-        duty: u64,
-        end: Final,
-        come_back: Option<Micros>,
-        trip: u32,
+        submission: u64,
+        answer: FinalAnswer,
+        retry_after: Option<Micros>,
+        attempt: u32,
     ) {
-        self.oracle.ended(duty, end, self.now);
-        match end {
-            Final::Served => {
-                let Some(packet) = self.packets.remove(&number) else {
-                    return;
-                };
-                match self.now <= packet.expires {
-                    true => {
-                        let took = self.now - packet.due.at;
-                        self.tally
-                            .served(self.now, took, packet.due.profile, trip, packet.again);
-                    }
-                    false => self.tally.counts.written_off += 1,
-                }
+        self.oracle.ended(submission, answer, self.now);
+        match answer {
+            FinalAnswer::Served => self.message_served(number, attempt),
+            FinalAnswer::Rejected => {
+                self.tally.counts.rejections += 1;
+                self.schedule_resubmission(number, retry_after);
             }
-            Final::Deferred => {
-                self.tally.counts.deferrals += 1;
-                self.come_again(number, come_back);
-            }
-            Final::WrittenOff => self.written_off(number),
+            FinalAnswer::Failed => self.fail_message(number),
+        }
+    }
+
+    /// Counts a served message; one served after its deadline counts as failed.
+    fn message_served(&mut self, number: u64, attempt: u32) {
+        let Some(message) = self.messages.remove(&number) else {
+            return;
+        };
+        if self.now > message.expires {
+            self.tally.counts.written_off += 1;
+            return;
+        }
+        let took = self.now - message.due.at;
+        let class = message.due.class;
+        let resubmitted = message.resubmitted;
+        self.tally
+            .served(self.now, took, class, attempt, resubmitted);
+    }
+}
+
+impl ClientMessage {
+    /// The message as it is submitted now; the forwarder chooses its id.
+    fn as_submitted(&self, key: Option<u64>, now: Micros) -> Submission {
+        Submission {
+            id: MessageId(0),
+            class: DeliveryClassId(self.due.class),
+            tenant: self.due.tenant.map_or(NO_TENANT, TenantId),
+            key: key.map(|key| OrderKey(key + 1)),
+            time_left: self.expires - now,
+            destination: DestinationId(self.due.destination),
+            resubmitted: self.resubmitted,
+            history: AttemptHistory::default(),
         }
     }
 }
--- /dev/null
+++ b/crates/lab/src/sim/faults.rs
@@ -0,0 +1,82 @@
+//! Faults on their timeline: those of receivers go to the receivers, the others concern discovery and forwarders.
+
+use super::event::SimulatedEvent;
+use super::Sim;
+use crate::scenario::{Fault, FaultKind};
+use crate::world::Layout;
+
+impl Sim {
+    /// A fault begins or ends.
+    pub(super) fn fault_changes(&mut self, number: usize, begins: bool) {
+        let fault = self.scenario.faults[number].clone();
+        if begins {
+            let ends = SimulatedEvent::FaultChanges {
+                fault: number,
+                begins: false,
+            };
+            self.schedule(fault.ends_at(), ends);
+        } else {
+            self.pending_faults -= 1;
+        }
+        match (&fault.kind, begins) {
+            (FaultKind::Killed { folder_kept }, true) => {
+                self.kill_processes(number, &fault, *folder_kept)
+            }
+            (FaultKind::Paused, true) => self.pause_processes(number, &fault),
+            (FaultKind::Drain, true) => self.drain_endpoints(number, &fault),
+            (FaultKind::Stale, true) => self.stale_until = self.stale_until.max(fault.ends_at()),
+            (FaultKind::Partial { missing }, true) => self.send_partial_list(*missing),
+            (FaultKind::Partial { .. }, false) => self.send_partial_list(0.0),
+            (
+                FaultKind::Killed { .. } | FaultKind::Paused | FaultKind::Drain | FaultKind::Stale,
+                false,
+            ) => {}
+            (kind, begins) => {
+                let endpoints = self.endpoints_struck(number, &fault);
+                let ends_at = fault.ends_at();
+                self.receivers
+                    .set_fault(self.now, number, kind, ends_at, &endpoints, begins);
+            }
+        }
+    }
+
+    fn endpoints_struck(&self, number: usize, fault: &Fault) -> Vec<usize> {
+        self.layout
+            .endpoints_struck(&self.scenario, &fault.scope, self.seed, number)
+    }
+
+    fn forwarders_struck(&self, number: usize, fault: &Fault) -> Vec<u32> {
+        Layout::forwarders_struck(&self.scenario, &fault.scope, self.seed, number)
+    }
+
+    fn kill_processes(&mut self, number: usize, fault: &Fault, folder_kept: bool) {
+        for forwarder in self.forwarders_struck(number, fault) {
+            self.kill_process(forwarder, folder_kept);
+            let restarts = SimulatedEvent::ProcessRestarts {
+                forwarder,
+                folder_kept,
+            };
+            self.schedule(fault.ends_at(), restarts);
+        }
+    }
+
+    fn pause_processes(&mut self, number: usize, fault: &Fault) {
+        for forwarder in self.forwarders_struck(number, fault) {
+            self.pause_process(forwarder);
+            let resumes = SimulatedEvent::ProcessResumes { forwarder };
+            self.schedule(fault.ends_at(), resumes);
+        }
+    }
+
+    /// One endpoint after the other drains, each for the same part of the fault's time.
+    fn drain_endpoints(&mut self, number: usize, fault: &Fault) {
+        let endpoints = self.endpoints_struck(number, fault);
+        let each = fault.lasts.0 / endpoints.len().max(1) as u64;
+        for (position, endpoint) in endpoints.into_iter().enumerate() {
+            let begins_at = fault.at.0 + each * position as u64;
+            for (at, gone) in [(begins_at, false), (begins_at + each, true)] {
+                self.schedule(at, SimulatedEvent::EndpointDrains { endpoint, gone });
+            }
+        }
+    }
+}
--- a/crates/lab/src/subject.rs
+++ b/crates/lab/src/subject.rs
@@ -1,13 +1,17 @@
 //! What a simulated forwarder is: the true core, or one that is broken on purpose so that the oracle has something to catch.
+//! `broken` holds what the broken ones do.
 
-use opalpulley::{
-    Action, Config, DeliverySemantics, EndpointEntry, EndpointId, EndpointListUpdate,
-    EndpointStatus, Event, Forwarder, MessageId, Micros, Outcome,
-};
-use std::collections::{BTreeMap, BTreeSet};
+mod broken;
+
+use broken::BrokenForwarder;
+use opalpulley::{Action, Config, Event, Forwarder, Micros};
+
+/// Overload multiple of a forwarder that skips slow start: more than any endpoint is sent.
+const UNLIMITED_MULTIPLE: f64 = 1e3;
 
 /// One forwarder's decisions: the same signature as the core's.
 pub trait Subject: Send {
+    /// Handles an event; its actions are added to `actions`.
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>);
 }
 
@@ -19,264 +23,96 @@
 
 /// Which forwarder stands in the simulated world.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Make {
+pub enum ForwarderVariant {
     /// The one in service.
     True,
-    /// One try each: never sends again. A baseline, not broken.
-    OneTry,
-    /// Gives each written-off or deferred packet a second final answer.
+    /// One attempt for each message: never sends again. A baseline, not broken.
+    #[value(name = "one-try")]
+    OneAttempt,
+    /// Gives each failed or rejected message a second final answer.
     SecondAnswer,
-    /// Takes unclear trips of binding packets for ones that never ran.
-    ResendsBinding,
-    /// Passes over that a target drains.
+    /// Sends at-most-once messages again after an attempt that may have taken effect.
+    #[value(name = "resends-binding")]
+    ResendsAtMostOnce,
+    /// Ignores that an endpoint drains.
     SendsAfterDrain,
-    /// Passes over the wait that it is told.
-    IgnoresWaits,
-    /// Lets calls go that were chosen before a wait or a drain was told.
-    TakesNothingBack,
-    /// Forgets one packet in ten instead of giving it its end.
-    LosesPackets,
-    /// Takes a returning target for a warm one.
-    PushesOver,
-    /// Passes over the keys of order.
-    BreaksOrder,
-    /// Sends a packet again after it was delivered.
+    /// Ignores retry-after times.
+    #[value(name = "ignores-waits")]
+    IgnoresRetryAfter,
+    /// Does not withdraw calls that were decided before a retry-after time or a drain was told.
+    #[value(name = "takes-nothing-back")]
+    WithdrawsNothing,
+    /// Gives one message in ten no final answer.
+    #[value(name = "loses-packets")]
+    LosesMessages,
+    /// Sends an endpoint that comes back its whole load at once.
+    #[value(name = "pushes-over")]
+    SkipsSlowStart,
+    /// Ignores order keys.
+    #[value(name = "breaks-order")]
+    IgnoresOrder,
+    /// Sends a message again after it was delivered.
     SendsAfterEnd,
     /// Sends each call twice.
     SendsTwice,
 }
 
-impl std::fmt::Display for Make {
+// Old name, until the forwarder's tests follow.
+pub use ForwarderVariant as Make;
+
+impl std::fmt::Display for ForwarderVariant {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let name = clap::ValueEnum::to_possible_value(self);
-        f.write_str(name.as_ref().map_or("true", |n| n.get_name()))
+        f.write_str(name.as_ref().map_or("true", |name| name.get_name()))
     }
 }
 
-impl Make {
+impl ForwarderVariant {
     /// Those that the oracle must catch, each with the rule that it breaks.
-    pub const BROKEN: [(Make, &'static str); 9] = [
-        (Make::SecondAnswer, "second-final-answer"),
-        (Make::ResendsBinding, "effect-twice"),
-        (Make::SendsAfterDrain, "drain-not-kept"),
-        (Make::IgnoresWaits, "wait-not-heeded"),
-        (Make::LosesPackets, "lost"),
-        (Make::PushesOver, "pushed-over"),
-        (Make::BreaksOrder, "order-not-kept"),
-        (Make::SendsAfterEnd, "sent-after-end"),
-        (Make::SendsTwice, "two-trips-out"),
+    pub const BROKEN: [(ForwarderVariant, &'static str); 9] = [
+        (ForwarderVariant::SecondAnswer, "second-final-answer"),
+        (ForwarderVariant::ResendsAtMostOnce, "effect-twice"),
+        (ForwarderVariant::SendsAfterDrain, "drain-not-kept"),
+        (ForwarderVariant::IgnoresRetryAfter, "wait-not-heeded"),
+        (ForwarderVariant::LosesMessages, "lost"),
+        (ForwarderVariant::SkipsSlowStart, "pushed-over"),
+        (ForwarderVariant::IgnoresOrder, "order-not-kept"),
+        (ForwarderVariant::SendsAfterEnd, "sent-after-end"),
+        (ForwarderVariant::SendsTwice, "two-trips-out"),
     ];
 
-    pub fn build(self, mut config: Config, seed: u64) -> Box<dyn Subject> {
+    /// Its name in outcomes and reports: fixed, since outcomes that were written before are compared by it.
+    pub fn name_in_outcomes(self) -> &'static str {
         match self {
-            Make::True => return Box::new(Forwarder::new(config, seed)),
-            Make::OneTry => config.max_attempts = 1,
-            Make::PushesOver => {
-                (config.fleet_size, config.may_health_check) = (1, false);
-                (
-                    config.rules.overload_multiple,
-                    config.rules.warm_up_time,
-                    config.rules.cold_capacity_share,
-                ) = (1e3, 1, 1.0);
-            }
-            _ => {}
-        }
-        let effects = config.classes.iter().map(|p| p.semantics).collect();
-        let inner = Forwarder::new(config, seed);
-        Box::new(Broken {
-            make: self,
-            inner,
-            effects,
-            binding: BTreeSet::new(),
-            targets: BTreeMap::new(),
-            ends: 0,
-        })
-    }
-}
-
-struct Broken {
-    make: Make,
-    inner: Forwarder,
-    effects: Vec<DeliverySemantics>,
-    binding: BTreeSet<MessageId>, // open binding packets; each leaves with its end
-    targets: BTreeMap<EndpointId, EndpointEntry>,
-    ends: u64,
-}
-
-impl Broken {
-    /// What the inner one is told instead.
-    fn tamper(&mut self, event: Event) -> Event {
-        match (self.make, event) {
-            (Make::BreaksOrder, Event::Submitted(mut arrival)) => {
-                arrival.key = None;
-                Event::Submitted(arrival)
-            }
-            (Make::ResendsBinding, Event::Submitted(arrival)) => {
-                if self.effects.get(usize::from(arrival.class.0))
-                    == Some(&DeliverySemantics::AtMostOnce)
-                {
-                    self.binding.insert(arrival.id);
-                }
-                Event::Submitted(arrival)
-            }
-            (
-                Make::ResendsBinding,
-                Event::AttemptEnded {
-                    id,
-                    attempt: trip,
-                    endpoint: target,
-                    outcome,
-                    took,
-                    completed: closed,
-                    report,
-                },
-            ) => {
-                let unclear = outcome != Outcome::Delivered && outcome.may_have_taken_effect();
-                let outcome = if unclear && self.binding.contains(&id) {
-                    Outcome::Rejected { retry_after: None }
-                } else {
-                    outcome
-                };
-                Event::AttemptEnded {
-                    id,
-                    attempt: trip,
-                    endpoint: target,
-                    outcome,
-                    took,
-                    completed: closed,
-                    report,
-                }
-            }
-            (
-                Make::IgnoresWaits,
-                Event::AttemptEnded {
-                    id,
-                    attempt: trip,
-                    endpoint: target,
-                    outcome,
-                    took,
-                    completed: closed,
-                    report,
-                },
-            ) => {
-                let outcome = if let Outcome::Rejected { .. } = outcome {
-                    Outcome::Error
-                } else {
-                    outcome
-                };
-                Event::AttemptEnded {
-                    id,
-                    attempt: trip,
-                    endpoint: target,
-                    outcome,
-                    took,
-                    completed: closed,
-                    report,
-                }
-            }
-            (
-                Make::PushesOver,
-                Event::AttemptEnded {
-                    id,
-                    attempt: trip,
-                    endpoint: target,
-                    outcome,
-                    took,
-                    completed: closed,
-                    report,
-                },
-            ) => {
-                let bad = matches!(
-                    outcome,
-                    Outcome::NoConnection | Outcome::Rejected { retry_after: None }
-                );
-                let outcome = if bad {
-                    Outcome::NotAttempted { no_permit: false }
-                } else {
-                    outcome
-                };
-                Event::AttemptEnded {
-                    id,
-                    attempt: trip,
-                    endpoint: target,
-                    outcome,
-                    took,
-                    completed: closed,
-                    report,
-                }
-            }
-            (
-                Make::SendsAfterDrain,
-                Event::EndpointList(EndpointListUpdate::Changes(mut entries)),
-            ) => {
-                entries.retain(|e| {
-                    e.status == EndpointStatus::Ready || !self.targets.contains_key(&e.endpoint)
-                });
-                entries
-                    .iter()
-                    .for_each(|e| _ = self.targets.insert(e.endpoint, e.clone()));
-                Event::EndpointList(EndpointListUpdate::Changes(entries))
-            }
-            (
-                Make::SendsAfterDrain,
-                Event::EndpointList(
-                    EndpointListUpdate::Cached(entries) | EndpointListUpdate::Complete(entries),
-                ),
-            ) => {
-                entries
-                    .iter()
-                    .for_each(|e| _ = self.targets.insert(e.endpoint, e.clone()));
-                Event::EndpointList(EndpointListUpdate::Complete(
-                    self.targets.values().cloned().collect(),
-                ))
-            }
-            (_, event) => event,
+            ForwarderVariant::True => "True",
+            ForwarderVariant::OneAttempt => "OneTry",
+            ForwarderVariant::SecondAnswer => "SecondAnswer",
+            ForwarderVariant::ResendsAtMostOnce => "ResendsBinding",
+            ForwarderVariant::SendsAfterDrain => "SendsAfterDrain",
+            ForwarderVariant::IgnoresRetryAfter => "IgnoresWaits",
+            ForwarderVariant::WithdrawsNothing => "TakesNothingBack",
+            ForwarderVariant::LosesMessages => "LosesPackets",
+            ForwarderVariant::SkipsSlowStart => "PushesOver",
+            ForwarderVariant::IgnoresOrder => "BreaksOrder",
+            ForwarderVariant::SendsAfterEnd => "SendsAfterEnd",
+            ForwarderVariant::SendsTwice => "SendsTwice",
         }
     }
-}
 
-impl Subject for Broken {
-    fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        let delivered = match &event {
-            Event::AttemptEnded {
-                id,
-                endpoint: target,
-                outcome: Outcome::Delivered,
-                ..
-            } => Some((*id, *target)),
-            _ => None,
-        };
-        let event = self.tamper(event);
-        let begin = actions.len();
-        self.inner.handle(now, event, actions);
-        let done = actions.split_off(begin);
-        for action in done {
-            let end = match &action {
-                Action::Fail { id } | Action::Reject { id, .. } => Some(*id),
-                _ => None,
-            };
-            self.ends += u64::from(end.is_some());
-            if let Some(id) = end {
-                self.binding.remove(&id);
-            }
-            match (self.make, &action) {
-                (Make::SecondAnswer, _) if end.is_some() => actions.push(action.clone()),
-                (Make::TakesNothingBack, Action::WithdrawUnsent { .. }) => continue,
-                (Make::LosesPackets, _) if end.is_some() && self.ends.is_multiple_of(10) => {
-                    continue
-                }
-                (Make::SendsTwice, Action::Send { .. }) => actions.push(action.clone()),
-                _ => {}
+    /// Builds a forwarder of this variant.
+    pub fn build(self, mut config: Config, seed: u64) -> Box<dyn Subject> {
+        match self {
+            ForwarderVariant::True => return Box::new(Forwarder::new(config, seed)),
+            ForwarderVariant::OneAttempt => config.max_attempts = 1,
+            ForwarderVariant::SkipsSlowStart => {
+                config.fleet_size = 1;
+                config.may_health_check = false;
+                config.rules.overload_multiple = UNLIMITED_MULTIPLE;
+                config.rules.warm_up_time = 1;
+                config.rules.cold_capacity_share = 1.0;
             }
-            actions.push(action);
-        }
-        if let (Make::SendsAfterEnd, Some((id, target))) = (self.make, delivered) {
-            actions.push(Action::Send {
-                id,
-                endpoint: target,
-                timeout: None,
-                send_by: Micros::MAX,
-            });
+            _ => {}
         }
+        Box::new(BrokenForwarder::new(self, config, seed))
     }
 }
