--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,9 @@
 //! The laboratory: one world for two clocks, an oracle of the rules, experiments and reports. Programs and tests use it; the
 //! product never does.
 
+// Struct fields and variants without a doc comment: counted in docs/ROADMAP.md.
+#![allow(missing_docs)]
+
 pub mod capacity;
 pub mod chance;
 pub mod experiments;
