--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -236,18 +236,7 @@
                     forwarder,
                     sent,
                     target,
-                } => {
-                    let arrived = arrived(now, forwarder, sent, target);
-                    let reply = self.receivers.health_check(arrived, target.incarnation);
-                    if let Some((after, outcome)) = outcome_of(reply) {
-                        let answer = Incoming::ProbeAnswer {
-                            target,
-                            sent,
-                            outcome,
-                        };
-                        self.reply(now + after, forwarder, target, answer);
-                    }
-                }
+                } => self.health_check_arrives(now, forwarder, sent, target),
                 WorldEvent::Outage {
                     destination,
                     begins,
@@ -259,6 +248,26 @@
         }
     }
 
+    /// A health check reaches its destination.
+    fn health_check_arrives(
+        &mut self,
+        now: Micros,
+        forwarder: u32,
+        sent: Micros,
+        target: EndpointId,
+    ) {
+        let arrived = arrived(now, forwarder, sent, target);
+        let reply = self.receivers.health_check(arrived, target.incarnation);
+        if let Some((after, outcome)) = outcome_of(reply) {
+            let answer = Incoming::ProbeAnswer {
+                target,
+                sent,
+                outcome,
+            };
+            self.reply(now + after, forwarder, target, answer);
+        }
+    }
+
     /// An outage begins or ends; the next change of the same destination is drawn.
     fn outage_changes(&mut self, now: Micros, destination: u32, begins: bool) {
         if begins {
--- a/crates/lab/src/capacity/fleet/figures.rs
+++ b/crates/lab/src/capacity/fleet/figures.rs
@@ -60,12 +60,7 @@
     add_attempts(&mut figures, counts, forwarder_seconds);
     add_messages(&mut figures, counts);
     add_returns(&mut figures, counts);
-    figures.add("attempts lost in a cut", "", counts.attempts_lost as f64);
-    figures.add(
-        "gossip lost in a cut",
-        "datagrams",
-        counts.gossip_lost as f64,
-    );
+    add_losses(&mut figures, counts);
     figures.add("wall time", "s", measured.wall_seconds);
     figures.add("  of it the start", "s", measured.start_seconds);
     let named = figures.all.iter();
@@ -104,6 +99,16 @@
     figures.add_both("destinations restored", "each", states.restored);
 }
 
+/// What a cut kept from passing.
+fn add_losses(figures: &mut Figures, counts: &Counts) {
+    figures.add("attempts lost in a cut", "", counts.attempts_lost as f64);
+    figures.add(
+        "gossip lost in a cut",
+        "datagrams",
+        counts.gossip_lost as f64,
+    );
+}
+
 /// Resident memory.
 fn add_memory(figures: &mut Figures, measured: &Measured) {
     figures.add(
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -53,6 +53,7 @@
         let time_left = held.expires.saturating_sub(self.now);
         let (submission, client_message) = (held.submission, held.client_message);
         let class = held.message.class.0;
+        let timeout = timeout.map_or(time_left, |limit| limit.min(time_left));
         self.note_call(forwarder, submission, endpoint);
         let index = Layout::endpoint_index(endpoint);
         let connected = self.connect(forwarder, index);
@@ -69,10 +70,7 @@
         };
         self.attempts.insert(attempt, in_flight);
         match connected {
-            Some(delay) => {
-                let timeout = timeout.map_or(time_left, |limit| limit.min(time_left));
-                self.schedule_call(attempt, delay, timeout);
-            }
+            Some(delay) => self.schedule_call(attempt, delay, timeout),
             None => self.schedule_refusal(attempt, index),
         }
     }
