--- a/crates/forwarder/tests/asked_list.rs
+++ b/crates/forwarder/tests/asked_list.rs
@@ -212,7 +212,7 @@
     // Rejected until a list names the destination.
     until("the list is in", || {
         tries += 1;
-        forwarder.hand_in(&format!("p{tries}"), "notice") == 202
+        forwarder.submit(&format!("p{tries}"), "notice") == 202
     });
     let first = calls.lock().expect("the log")[0];
     assert!(
@@ -238,7 +238,7 @@
 
 /// Where there is no mode, discovery's machine is gone: connections to it do not open.
 fn restart(list_mode: &str, discovery_mode: Option<DiscoveryMode>) {
-    let shut = SlowDoor::shut("127.0.0.1");
+    let shut = SlowListener::shut("127.0.0.1");
     let (endpoint, _) = silent_endpoint(); // so that the message is still in flight at the kill
     let mode_now = Arc::new(AtomicU8::new(DiscoveryMode::Answers as u8));
     let discovery = Discovery::start(mode_now, vec![member(endpoint, 7, "Ready")]);
@@ -247,7 +247,7 @@
     let mut forwarder = start(&state, &text, discovery.address);
     until("the list is in", || discovery.calls() >= 1);
     until("a message is accepted", || {
-        forwarder.hand_in("held", "notice") == 202
+        forwarder.submit("held", "notice") == 202
     });
     kill(&mut forwarder);
     let address = discovery_mode.map_or(shut.address, |mode| {
--- a/crates/forwarder/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -113,7 +113,7 @@
         .replace("ConnIdleUs\":5000000", "ConnIdleUs\":60000000");
     let forwarder = start_limited(&state, &text, platform);
     let submit = |id: &str, cell: u16, time: &str| {
-        let head = hand_in_head(id, "notice", 4)
+        let head = submission_head(id, "notice", 4)
             .replace("dest=7", &format!("dest={cell}"))
             .replace("20000", time);
         forwarder.ask(&head, b"body")
--- a/crates/forwarder/tests/endings.rs
+++ b/crates/forwarder/tests/endings.rs
@@ -31,7 +31,7 @@
             &config("notice", effect, 200, 3.0),
             platform.address,
         );
-        let head = hand_in_head("late", "notice", 4).replace("20000", "900");
+        let head = submission_head("late", "notice", 4).replace("20000", "900");
         assert_eq!(forwarder.ask(&head, b"body"), 202);
         until("its attempt is out", || calls(&seen, "late") == 1);
         forwarder.signal("-STOP");
@@ -64,7 +64,7 @@
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
     let mut forwarder = start(&state, &text, platform.address);
     let submit = |forwarder: &Forwarder, id: &str, time: &str| {
-        let head = hand_in_head(id, "notice", 4)
+        let head = submission_head(id, "notice", 4)
             .replace("20000", time)
             .replace("\r\n\r\n", "\r\nAffinity-Key: 000b832b68ec333d\r\n\r\n");
         assert_eq!(forwarder.ask(&head, b"body"), 202, "{id}");
@@ -101,7 +101,7 @@
     });
     let (_dir, state) = folder();
     let forwarder = start(&state, &config("notice", "free", 200, 3.0), platform);
-    let head = hand_in_head("short", "notice", 4).replace("20000", "300");
+    let head = submission_head("short", "notice", 4).replace("20000", "300");
     assert_eq!(forwarder.ask(&head, b"body"), 202);
     until("its attempt is out", || calls(&seen, "short") >= 1);
     let completion_reports = || {
@@ -154,9 +154,9 @@
         .replace("GoalTimeUs\":2500000", "GoalTimeUs\":400000")
         .replace("Workers\":8", "Workers\":1");
     let mut forwarder = start(&state, &text, platform);
-    assert_eq!(forwarder.hand_in("out", "notice"), 202);
+    assert_eq!(forwarder.submit("out", "notice"), 202);
     until("the only permit is in use", || calls(&seen, "out") == 1);
-    assert_eq!(forwarder.hand_in("untried", "notice"), 202);
+    assert_eq!(forwarder.submit("untried", "notice"), 202);
     kill(&mut forwarder);
     known.store(false, Ordering::Relaxed);
     let _forwarder = start(&state, &text, platform);
@@ -204,7 +204,7 @@
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
     let forwarder = start(&state, &text, platform);
     for (id, time) in [("first", "300"), ("second", "20000")] {
-        let head = hand_in_head(id, "notice", 4)
+        let head = submission_head(id, "notice", 4)
             .replace("20000", time)
             .replace("\r\n\r\n", "\r\nAffinity-Key: 000b832b68ec333d\r\n\r\n");
         assert_eq!(forwarder.ask(&head, b"body"), 202, "{id}");
@@ -236,7 +236,8 @@
     let text = config("notice", "single_shot", 200, 3.0).replace("Workers\":8", "Workers\":1");
     let mut forwarder = start(&state, &text, platform.address);
     let body = vec![b'x'; 40_000];
-    let submit = |id: &String| forwarder.ask(&hand_in_head(id, "notice", body.len()), &body) == 202;
+    let submit =
+        |id: &String| forwarder.ask(&submission_head(id, "notice", body.len()), &body) == 202;
     let accepted: Vec<String> = (0..200)
         .map(|n| format!("p{n}"))
         .take_while(submit)
@@ -306,7 +307,7 @@
         reload_with(half);
         pause(2500); // past any time for which it is read again
         let id = format!("before-{n}");
-        assert_eq!(forwarder.hand_in(&id, "notice"), 202);
+        assert_eq!(forwarder.submit(&id, "notice"), 202);
         until("it goes on as before", || calls(&seen, &id) == 1);
     }
     reload_with(&moved[..moved.len() - 1]);
@@ -316,7 +317,7 @@
     let mut tries = 0;
     until("the new list counts", || {
         tries += 1;
-        forwarder.hand_in(&format!("after-{tries}"), "notice");
+        forwarder.submit(&format!("after-{tries}"), "notice");
         !seen_other.lock().expect("the log").is_empty()
     });
     assert!(
@@ -350,7 +351,7 @@
         let text = config("notice", "guarded", 200, 3.0)
             .replace("WindowUs\":15000000", "WindowUs\":1000000");
         let mut forwarder = start(&state, &text, platform.address);
-        assert_eq!(forwarder.hand_in("out", "notice"), 202);
+        assert_eq!(forwarder.submit("out", "notice"), 202);
         until("the last attempt before the kill is out", || {
             calls(&seen, "out") == attempts
         });
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -46,7 +46,7 @@
         push_change(&platform, text);
         let ids: Vec<String> = (0..10).map(|n| format!("p-{round}-{n}")).collect();
         for id in &ids {
-            assert_eq!(forwarder.hand_in(id, "notice"), 202, "{id}");
+            assert_eq!(forwarder.submit(id, "notice"), 202, "{id}");
             pause(100); // so that the list comes amid them
         }
         until("each is delivered", || {
--- a/crates/forwarder/tests/program/configuration.rs
+++ b/crates/forwarder/tests/program/configuration.rs
@@ -20,7 +20,7 @@
     push_change(&old, list(90, false, &[member(endpoint, 7, "Ready")]));
     let mut forwarder = start(&state, &text, old.address);
     until_changes_are_sent(&old);
-    let short = hand_in_head("short", "notice", 4)
+    let short = submission_head("short", "notice", 4)
         .replace("20000", "300")
         .replace("dest=7", "dest=9");
     assert_eq!(forwarder.ask(&short, b"body"), 202);
@@ -31,7 +31,7 @@
     std::fs::write(&config_file, "{\"name\":").expect("written");
     forwarder.signal("-HUP");
     pause(200);
-    assert_eq!(forwarder.hand_in("one", "notice"), 202);
+    assert_eq!(forwarder.submit("one", "notice"), 202);
     until("it goes on as before", || calls(&seen, "one") == 1);
     let moved = text.replacen('{', &format!("{{\"discovery\":\"{}\",", new.address), 1);
     std::fs::write(&config_file, moved).expect("written");
@@ -43,7 +43,7 @@
     push_change(&new, list(1, false, &[]));
     until_changes_are_sent(&new);
     until("the new list counts", || {
-        forwarder.hand_in("two", "notice") == 202 && calls(&seen_other, "two") > 0
+        forwarder.submit("two", "notice") == 202 && calls(&seen_other, "two") > 0
     });
     assert_eq!(calls(&seen, "two"), 0);
     push_change(&new, list(2, false, &[member(endpoint, 7, "Terminating")]));
--- a/crates/forwarder/tests/program/connections.rs
+++ b/crates/forwarder/tests/program/connections.rs
@@ -18,8 +18,8 @@
         &config("notice", "free", 200, 3.0),
         platform.address,
     );
-    let head = hand_in_head("slow", "notice", 400);
-    let huge = hand_in_head("huge", "notice", 60_000_000);
+    let head = submission_head("slow", "notice", 400);
+    let huge = submission_head("huge", "notice", 60_000_000);
     // What it sends at once, and what it goes on to send, bit by bit.
     let cases: [(&str, &[u8], u64, u16); 5] = [
         ("", b"", 1, 0),
@@ -61,7 +61,7 @@
         .map(|n| {
             let mut stream = forwarder.connect().expect("the backlog takes it");
             stream
-                .write_all(hand_in_head(&format!("h{n}"), "notice", 4).as_bytes())
+                .write_all(submission_head(&format!("h{n}"), "notice", 4).as_bytes())
                 .expect("written");
             pause(2); // its head is read before the next one comes
             stream
@@ -87,7 +87,7 @@
         .collect();
     for n in 0..20 {
         let begun = Instant::now();
-        assert_eq!(forwarder.hand_in(&format!("s{n}"), "notice"), 202);
+        assert_eq!(forwarder.submit(&format!("s{n}"), "notice"), 202);
         assert!(
             begun.elapsed() < Duration::from_millis(400),
             "{:?}",
@@ -99,7 +99,7 @@
     let _idle: Vec<TcpStream> = (0..60)
         .map(|n| {
             let mut stream = forwarder.connect().expect("accepted");
-            let head = hand_in_head(&format!("i{n}"), "notice", 4);
+            let head = submission_head(&format!("i{n}"), "notice", 4);
             stream
                 .write_all(&[head.as_bytes(), b"body"].concat())
                 .expect("written");
@@ -108,7 +108,7 @@
         })
         .collect();
     until("it accepts messages again", || {
-        forwarder.hand_in("last", "notice") == 202
+        forwarder.submit("last", "notice") == 202
     });
     until("it is delivered", || calls(&seen, "last") >= 1);
 }
@@ -126,7 +126,7 @@
     );
     let ask = |n: usize| {
         let mut stream = forwarder.connect().expect("accepted");
-        let head = hand_in_head(&format!("i{n}"), "notice", 4);
+        let head = submission_head(&format!("i{n}"), "notice", 4);
         stream
             .write_all(&[head.as_bytes(), b"body"].concat())
             .expect("written");
@@ -181,7 +181,7 @@
     );
     let forwarder = start(
         &state,
-        &with_keys(&config("notice", "guarded", 256, 3.0), &keys),
+        &with_further_keys(&config("notice", "guarded", 256, 3.0), &keys),
         platform.address,
     );
     for _ in 0..200 {
@@ -195,7 +195,7 @@
     changes.push(known[..known.len() / 2].to_owned());
     *platform.changes.lock().expect("the changes") = changes;
     for cell in 0..300 {
-        let head = hand_in_head(&format!("p{cell}"), "notice", 4)
+        let head = submission_head(&format!("p{cell}"), "notice", 4)
             .replace("dest=7", &format!("dest={cell}"));
         assert_eq!(forwarder.ask(&head, b"body"), 202, "{cell}");
     }
--- a/crates/forwarder/tests/program/endpoint_list.rs
+++ b/crates/forwarder/tests/program/endpoint_list.rs
@@ -14,7 +14,7 @@
         &config("notice", "free", 200, 3.0),
         platform.address,
     );
-    assert_eq!(forwarder.hand_in("first", "notice"), 202);
+    assert_eq!(forwarder.submit("first", "notice"), 202);
     until("the old one serves", || calls(&seen_old, "first") == 1);
     let change = list(
         2,
@@ -25,7 +25,7 @@
     until_changes_are_sent(&platform);
     pause(100);
     for n in 0..10 {
-        assert_eq!(forwarder.hand_in(&format!("n{n}"), "notice"), 202);
+        assert_eq!(forwarder.submit(&format!("n{n}"), "notice"), 202);
     }
     until("the new one serves", || {
         (0..10).all(|n| calls(&seen_new, &format!("n{n}")) == 1)
@@ -51,17 +51,17 @@
         &config("notice", "free", 200, 3.0),
         platform.address,
     );
-    assert_eq!(forwarder.hand_in("old", "notice"), 202);
+    assert_eq!(forwarder.submit("old", "notice"), 202);
     until("the old one refuses", || calls(&seen, "old") == 1);
     let new = member(endpoint, 8, "Ready").replace("s-", "t-");
     push_change(&platform, list(2, false, &[new]));
     until_changes_are_sent(&platform);
     pause(100);
     assert_eq!(
-        forwarder.ask(&hand_in_head("lost", "notice", 4), b"body"),
+        forwarder.ask(&submission_head("lost", "notice", 4), b"body"),
         202
     ); // 7 has no endpoint any more
-    let head = hand_in_head("new", "notice", 4).replace("dest=7", "dest=8");
+    let head = submission_head("new", "notice", 4).replace("dest=7", "dest=8");
     assert_eq!(forwarder.ask(&head, b"body"), 202);
     until("the new one serves", || calls(&seen, "new") == 1);
     assert_eq!((calls(&seen, "old"), calls(&seen, "lost")), (1, 0));
--- a/crates/forwarder/tests/program/restarts.rs
+++ b/crates/forwarder/tests/program/restarts.rs
@@ -22,13 +22,13 @@
         let (_dir, state) = folder();
         let text = config("notice", effect, 200, 3.0);
         let mut forwarder = start(&state, &text, platform.address);
-        assert_eq!(forwarder.hand_in("done", "notice"), 202);
+        assert_eq!(forwarder.submit("done", "notice"), 202);
         until("one is delivered", || calls(&seen, "done") == 1);
         pause(50);
-        assert_eq!(forwarder.hand_in("out", "notice"), 202);
+        assert_eq!(forwarder.submit("out", "notice"), 202);
         until("the other is out", || calls(&seen, "out") == 1);
         assert_eq!(
-            forwarder.hand_in("out", "notice"),
+            forwarder.submit("out", "notice"),
             202,
             "the same id again is the same message"
         );
@@ -71,21 +71,21 @@
     let (_dir, state) = folder();
     let text = config("notice", "free", 200, 3.0);
     let mut forwarder = start(&state, &text, platform.address);
-    assert_eq!(forwarder.hand_in("stuck", "notice"), 202);
-    assert_eq!(forwarder.hand_in("before", "notice"), 202);
+    assert_eq!(forwarder.submit("stuck", "notice"), 202);
+    assert_eq!(forwarder.submit("before", "notice"), 202);
     let mut fresh = forwarder.connect().expect("a connection");
     let mut half = forwarder.connect().expect("a connection");
-    let head = hand_in_head("half", "notice", 4);
+    let head = submission_head("half", "notice", 4);
     half.write_all(head.as_bytes()).expect("written");
     pause(100);
     let begun = Instant::now();
     forwarder.signal("-TERM");
     pause(100);
-    assert_eq!(forwarder.hand_in("after", "notice"), 202);
+    assert_eq!(forwarder.submit("after", "notice"), 202);
     half.write_all(b"body").expect("written");
     assert_eq!(status(&mut half), 202);
     fresh
-        .write_all(&[hand_in_head("fresh", "notice", 4).as_bytes(), b"body"].concat())
+        .write_all(&[submission_head("fresh", "notice", 4).as_bytes(), b"body"].concat())
         .expect("written");
     assert_eq!(status(&mut fresh), 202);
     let code = loop {
@@ -132,7 +132,8 @@
     let text = config("notice", "free", 200, 3.0);
     let mut forwarder = start(&state, &text, platform.address);
     let submit = |forwarder: &Forwarder, id: &str, destination: &str| {
-        let head = hand_in_head(id, "notice", 4).replace("dest=7", &format!("dest={destination}"));
+        let head =
+            submission_head(id, "notice", 4).replace("dest=7", &format!("dest={destination}"));
         forwarder.ask(&head, b"body")
     };
     assert_eq!(submit(&forwarder, "done", "70000"), 202);
@@ -174,7 +175,7 @@
         for round in 0..3 {
             for n in 0..12 {
                 let id = format!("r{round}-{n}");
-                if forwarder.hand_in(&id, "notice") == 202 {
+                if forwarder.submit(&id, "notice") == 202 {
                     accepted.push(id);
                 }
             }
--- a/crates/forwarder/tests/program/submissions.rs
+++ b/crates/forwarder/tests/program/submissions.rs
@@ -14,7 +14,7 @@
         &config("notice", "guarded", 200, 3.0),
         platform.address,
     );
-    assert_eq!(forwarder.hand_in("a1", "notice"), 202);
+    assert_eq!(forwarder.submit("a1", "notice"), 202);
     until("it is delivered", || calls(&seen, "a1") == 1);
     let request = seen.lock().expect("the log")[0].clone();
     assert_eq!(
@@ -22,7 +22,7 @@
         ("POST /inbox HTTP/1.1", b"body".as_slice())
     );
     assert_eq!(request.headers["idempotency-key"], "k-a1");
-    let head = hand_in_head("b1", "notice", 4);
+    let head = submission_head("b1", "notice", 4);
     let bad = [
         (head.replace("Envelope: dest=7\r\n", ""), 400),
         (head.replace("dest=7", "dest=x"), 400),
@@ -61,7 +61,7 @@
     );
     let hidden = [
         b"0\r\n\r\n",
-        hand_in_head("b2", "notice", 4).as_bytes(),
+        submission_head("b2", "notice", 4).as_bytes(),
         b"body",
     ]
     .concat();
@@ -76,7 +76,7 @@
     assert_eq!(forwarder.ask(&chunked, &body), 411);
     assert_eq!(forwarder.ask(&head, b"bo"), 408); // the rest never comes
     assert_eq!(calls(&seen, "b1") + calls(&seen, "b2"), 0);
-    assert_eq!(forwarder.hand_in("a2", "notice"), 202);
+    assert_eq!(forwarder.submit("a2", "notice"), 202);
     until("it serves on", || calls(&seen, "a2") == 1);
 }
 
@@ -91,7 +91,7 @@
         &config("notice", "free", 200, 3.0),
         platform.address,
     );
-    let head = hand_in_head("one", "notice", 4);
+    let head = submission_head("one", "notice", 4);
     let answers = [b"body", b"body", b"ydob"].map(|body| forwarder.ask(&head, body));
     assert_eq!(answers, [202, 202, 409]);
 }
@@ -112,8 +112,12 @@
         platform.address,
     );
     let body = vec![b'x'; 40_000];
-    let submit =
-        |n: usize| forwarder.ask(&hand_in_head(&format!("p{n}"), "notice", body.len()), &body);
+    let submit = |n: usize| {
+        forwarder.ask(
+            &submission_head(&format!("p{n}"), "notice", body.len()),
+            &body,
+        )
+    };
     let answers: Vec<u16> = (0..8).map(submit).collect();
     assert!(
         answers.starts_with(&[202]) && answers.ends_with(&[503]),
@@ -145,7 +149,7 @@
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
     let mut forwarder = start(&state, &text, platform.address);
     let submit = |forwarder: &Forwarder, id: &str, key: &str| {
-        let head = hand_in_head(id, "notice", 4)
+        let head = submission_head(id, "notice", 4)
             .replace("\r\n\r\n", &format!("\r\nAffinity-Key: {key}\r\n\r\n"));
         assert_eq!(forwarder.ask(&head, b"body"), 202, "{id}");
     };
@@ -179,7 +183,7 @@
 /// and the attempt was sent there all the same.
 #[test]
 fn an_attempt_whose_connection_opens_late_honours_a_retry_after_received_meanwhile() {
-    let slow = SlowDoor::shut("127.0.0.2");
+    let slow = SlowListener::shut("127.0.0.2");
     let (quick, quick_seen) = serve(|_, n| {
         plain(if n == 0 {
             "429 Wait\r\nWait-Ms: 2500"
@@ -192,10 +196,10 @@
     let text =
         config("notice", "guarded", 200, 3.0).replace("TimeoutUs\":1000000", "TimeoutUs\":5000000");
     let forwarder = start(&state, &text, platform.address);
-    assert_eq!(forwarder.hand_in("slow", "notice"), 202);
+    assert_eq!(forwarder.submit("slow", "notice"), 202);
     push_change(&platform, list(2, false, &[member(quick, 7, "Ready")]));
     pause(400);
-    assert_eq!(forwarder.hand_in("quick", "notice"), 202);
+    assert_eq!(forwarder.submit("quick", "notice"), 202);
     until("a retry-after is sent", || calls(&quick_seen, "quick") == 1);
     let (_, slow_seen) = slow.open(|_, _| plain("200 OK"));
     pause(2300);
--- a/crates/forwarder/tests/scenarios.rs
+++ b/crates/forwarder/tests/scenarios.rs
@@ -3,12 +3,12 @@
 
 use opalpulley_lab::scenario::Scenario;
 use opalpulley_lab::sim::Sim;
-use opalpulley_lab::sockets::run::{run, Means};
-use opalpulley_lab::subject::Make;
+use opalpulley_lab::sockets::run::{run, SocketRunOptions};
+use opalpulley_lab::subject::ForwarderVariant;
 use opalpulley_lab::tally::Outcome;
 
 fn on_sockets(scenario: &Scenario, seed: u64) -> Outcome {
-    let means = Means {
+    let options = SocketRunOptions {
         program: env!("CARGO_BIN_EXE_opalpulley-forwarder").into(),
         logs: None,
         pin: None,
@@ -18,7 +18,7 @@
         .build()
         .expect("a runtime");
     let (outcome, _) = runtime
-        .block_on(run(scenario, seed, &means, |_, _| {}))
+        .block_on(run(scenario, seed, &options, |_, _| {}))
         .expect("it runs");
     outcome
 }
@@ -36,11 +36,7 @@
 fn judge(outcome: &Outcome, least: f64) {
     assert!(outcome.broken.is_empty(), "{:#?}", outcome.breaks);
     let c = &outcome.counts;
-    assert_eq!(
-        c.served + c.written_off + c.given_up + c.gone,
-        c.due,
-        "{c:?}"
-    );
+    assert_eq!(c.served + c.failed + c.given_up + c.gone, c.due, "{c:?}");
     assert!(
         outcome.served_share() >= least,
         "served {}: {c:?}",
@@ -78,7 +74,7 @@
     );
     let real = on_sockets(&scenario, 2);
     judge(&real, 0.75);
-    let simulated = Sim::new(&scenario, 2, Make::True)
+    let simulated = Sim::new(&scenario, 2, ForwarderVariant::True)
         .expect("it starts")
         .run(|_, _| {});
     judge(&simulated, 0.75);
--- a/crates/lab/src/oracle/calls.rs
+++ b/crates/lab/src/oracle/calls.rs
@@ -33,10 +33,10 @@
         } = call;
         let Some(submission) = self.submissions.get(&number).cloned() else {
             let what =
-                format!("packet {number} to target {endpoint}: long over or never handed in");
+                format!("message {number} to endpoint {endpoint}: long over or never submitted");
             return self.broken(Rule::SentAfterEnd, now, what);
         };
-        let what = format!("packet {number} of forwarder {forwarder} to target {endpoint}");
+        let what = format!("message {number} of forwarder {forwarder} to endpoint {endpoint}");
         self.judge_attempt(&submission, call, now, &what);
         self.judge_repeat(&submission, now, &what);
         self.check_bound(forwarder, endpoint, call.holder, call.limiter, now, &what);
@@ -65,11 +65,11 @@
             self.broken(Rule::SentAfterEnd, now, what);
         }
         if submission.in_flight > 0 {
-            let what = format!("{what}: a trip is still out");
+            let what = format!("{what}: an attempt is still in flight");
             self.broken(Rule::TwoAttemptsInFlight, now, what);
         }
         if submission.attempts >= self.max_attempts {
-            let what = format!("{what}: trip {}", submission.attempts + 1);
+            let what = format!("{what}: attempt {}", submission.attempts + 1);
             self.broken(Rule::TooManyAttempts, now, what);
         }
     }
--- a/crates/lab/src/oracle/submissions.rs
+++ b/crates/lab/src/oracle/submissions.rs
@@ -172,7 +172,7 @@
         let slack = self.answer_slack + self.slack;
         let is_on_sockets = self.slack > 0;
         let Some(submission) = self.submissions.get_mut(&number) else {
-            let what = format!("packet {number}: {answer:?}, long over or never handed in");
+            let what = format!("message {number}: {answer:?}, long over or never submitted");
             return self.broken(Rule::SecondFinalAnswer, now, what);
         };
         match submission.ended {
@@ -186,7 +186,7 @@
             }
             Some(before) => {
                 let what = format!(
-                    "packet {number}: {answer:?} now, and a final answer at {before} already"
+                    "message {number}: {answer:?} now, and a final answer at {before} already"
                 );
                 self.broken(Rule::SecondFinalAnswer, now, what);
             }
@@ -200,7 +200,7 @@
                 if owed && now > expires + slack {
                     let late = now - expires;
                     let what =
-                        format!("packet {number}: {answer:?} {late} us after its time was up");
+                        format!("message {number}: {answer:?} {late} us after its time was up");
                     self.broken(Rule::Lost, now, what);
                 }
             }
@@ -240,7 +240,7 @@
             return;
         }
         if self.effects.insert(message, now).is_some() {
-            let what = format!("packet {message} took effect a second time");
+            let what = format!("message {message} took effect a second time");
             self.broken(Rule::EffectTwice, now, what);
         } else {
             self.effects_by_age.push_back((now, message));
@@ -297,7 +297,7 @@
             submission.ended = Some(now);
             submission.void = true;
             let what =
-                format!("packet {number} of forwarder {forwarder}: no final answer by {deadline}");
+                format!("message {number} of forwarder {forwarder}: no final answer by {deadline}");
             self.broken(Rule::Lost, now, what);
             self.leave_order(number);
         }
--- a/crates/lab/src/report/rows.rs
+++ b/crates/lab/src/report/rows.rs
@@ -15,15 +15,15 @@
     }),
     ("seed", |o| o.seed.to_string()),
     ("forwarder", |o| o.subject.clone()),
-    ("packets due", |o| o.counts.due.to_string()),
+    ("messages due", |o| o.counts.due.to_string()),
     ("served", |o| format!("{:.4}", o.served_share())),
-    ("service (share of the worth)", |o| {
+    ("service (share of the weight)", |o| {
         format!("{:.4}", o.service)
     }),
-    ("served by the first trip", |o| {
+    ("served by the first attempt", |o| {
         format!("{:.4}", o.first_attempt_share())
     }),
-    ("calls a packet", |o| {
+    ("calls a message", |o| {
         format!("{:.3}", o.calls_per_message())
     }),
     ("p50, p99, p99.9 ms", |o| {
@@ -35,7 +35,7 @@
             ms(o.latency.p999)
         )
     }),
-    ("written off", |o| o.counts.written_off.to_string()),
+    ("failed", |o| o.counts.failed.to_string()),
     ("deferrals", |o| o.counts.rejections.to_string()),
     ("given up by clients", |o| o.counts.given_up.to_string()),
     ("gone with a folder", |o| o.counts.gone.to_string()),
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-const PATIENCE: Duration = Duration::from_secs(10); // of whoever waits for something that must come
+const MAX_WAIT: Duration = Duration::from_secs(10); // of whoever waits for something that must come
 
 /// One message as it came: first line, headers by name in small letters, body.
 #[derive(Clone, Debug, Default)]
@@ -56,7 +56,7 @@
 /// What came, in order.
 pub type Log = Arc<Mutex<Vec<Message>>>;
 
-/// A server that logs what comes and answers as told; no answer leaves the call hanging.
+/// A server that logs the requests and answers them by a function; where that gives no answer, the request stays open.
 pub fn serve(
     answer: impl Fn(&Message, usize) -> Option<String> + Send + Sync + 'static,
 ) -> (SocketAddr, Log) {
@@ -92,23 +92,23 @@
     (address, log)
 }
 
-/// A server whose connections do not come up, as where a line of them is full, until it is opened: those that were tried
-/// meanwhile come up as they are tried again, a second later.
-pub struct SlowDoor {
+/// A listener whose backlog is full, so that connections do not come up until it is opened. Those that were tried
+/// meanwhile come up as the kernel tries again, a second later.
+pub struct SlowListener {
     listener: TcpListener,
     line: Vec<TcpStream>,
     pub address: SocketAddr,
 }
 
-impl SlowDoor {
+impl SlowListener {
     /// At a free port of that address of this machine.
-    pub fn shut(host: &str) -> SlowDoor {
+    pub fn shut(host: &str) -> SlowListener {
         let listener = TcpListener::bind((host, 0)).expect("a port");
         SockRef::from(&listener).listen(0).expect("a short line");
         let address = listener.local_addr().expect("its address");
         let join = || TcpStream::connect_timeout(&address, Duration::from_millis(50)).ok();
         let line = std::iter::from_fn(join).collect();
-        SlowDoor {
+        SlowListener {
             listener,
             line,
             address,
@@ -161,25 +161,25 @@
     )
 }
 
-/// A platform: its list, changes to be told to the next watches, and the completion reports that it gets.
+/// A platform: its list, the changes for the next watches, and the completion reports that it gets.
 pub struct Platform {
     pub address: SocketAddr,
-    /// What it was told of ends.
+    /// The requests with completion reports.
     pub completion_reports: Log,
-    /// The next watches are told these, the last one first.
+    /// The next watches get these, the last one first.
     pub changes: Arc<Mutex<Vec<String>>>,
 }
 
 /// `deaf` completion reports are answered with an error first.
-pub fn platform(members: Vec<String>, deaf: usize) -> Platform {
+pub fn platform(members: Vec<String>, refused_reports: usize) -> Platform {
     let changes: Arc<Mutex<Vec<String>>> = Arc::default();
     let completion_reports = Log::default();
-    let (pending, heard) = (changes.clone(), completion_reports.clone());
+    let (pending, reports) = (changes.clone(), completion_reports.clone());
     let (address, _) = serve(move |message, _| {
         if message.first.starts_with("POST /v1/outcomes") {
-            let mut heard = heard.lock().expect("the notices");
-            heard.push(message.clone());
-            return plain(if heard.len() > deaf {
+            let mut reports = reports.lock().expect("the reports");
+            reports.push(message.clone());
+            return plain(if reports.len() > refused_reports {
                 "204 No Content"
             } else {
                 "500 Oops"
@@ -233,8 +233,8 @@
 }
 
 /// This configuration with further keys, a JSON text of pairs.
-pub fn with_keys(papers: &str, pairs: &str) -> String {
-    papers.replacen("\"settings\"", &format!("{pairs},\"settings\""), 1)
+pub fn with_further_keys(config: &str, pairs: &str) -> String {
+    config.replacen("\"settings\"", &format!("{pairs},\"settings\""), 1)
 }
 
 /// The program with this configuration, not started yet. `SHOW` in the environment shows its log.
@@ -245,14 +245,14 @@
     listen: &str,
     discovery: SocketAddr,
 ) -> Command {
-    let papers = state
+    let config_file = state
         .parent()
         .expect("a folder round it")
         .join("config.json");
-    std::fs::write(&papers, text).expect("the configuration is written");
+    std::fs::write(&config_file, text).expect("the configuration is written");
     let mut command = Command::new(program);
     command
-        .env("GW_CONFIG", papers)
+        .env("GW_CONFIG", config_file)
         .env("GW_STATE", state)
         .env("GW_LISTEN", listen)
         .env("GW_DISCOVERY", discovery.to_string())
@@ -303,13 +303,13 @@
 pub fn until(what: &str, mut done: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !done() {
-        assert!(begun.elapsed() < PATIENCE, "waited in vain until {what}");
+        assert!(begun.elapsed() < MAX_WAIT, "waited in vain until {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// The head of a request that hands a packet in for destination 7.
-pub fn hand_in_head(id: &str, path: &str, length: usize) -> String {
+/// The head of a request that submits a message for destination 7.
+pub fn submission_head(id: &str, path: &str, length: usize) -> String {
     format!(
         "POST /{path} HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nRequest-Class: {path}\r\n\
          Request-Timeout-Ms: 20000\r\nIdempotency-Key: k-{id}\r\nEnvelope: dest=7\r\nContent-Length: {length}\r\n\r\n"
@@ -320,7 +320,7 @@
     /// A new connection to it.
     pub fn connect(&self) -> std::io::Result<TcpStream> {
         let stream = TcpStream::connect(self.listen)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(MAX_WAIT))?;
         Ok(stream)
     }
 
@@ -334,9 +334,9 @@
         status(&mut stream)
     }
 
-    /// Hands in a packet of four bytes and gives the status.
-    pub fn hand_in(&self, id: &str, path: &str) -> u16 {
-        self.ask(&hand_in_head(id, path, 4), b"body")
+    /// Submits a message of four bytes and gives the status.
+    pub fn submit(&self, id: &str, path: &str) -> u16 {
+        self.ask(&submission_head(id, path, 4), b"body")
     }
 
     /// What the process holds now: kilobytes of memory, open descriptors.
@@ -373,7 +373,7 @@
         .unwrap_or(0)
 }
 
-/// Calls with this packet's id.
+/// Attempts with this message's id.
 pub fn calls(log: &Log, id: &str) -> usize {
     let log = log.lock().expect("the log");
     log.iter()
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -148,7 +148,7 @@
         let client_message = attempt.client_message;
         let index = Layout::endpoint_index(endpoint);
         let what = format!(
-            "packet {client_message} of forwarder {forwarder} to target {index}, chosen before"
+            "message {client_message} of forwarder {forwarder} to endpoint {index}, chosen before"
         );
         let limiter = self.layout.endpoints[index].limiter;
         self.oracle.check_bound(
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -163,7 +163,7 @@
 
     fn fail_message(&mut self, number: u64) {
         if self.messages.remove(&number).is_some() {
-            self.tally.counts.written_off += 1;
+            self.tally.counts.failed += 1;
             self.tally.tick(self.now, Tick::MessageFailed);
         }
     }
@@ -194,7 +194,7 @@
             return;
         };
         if self.now > message.expires {
-            self.tally.counts.written_off += 1;
+            self.tally.counts.failed += 1;
             return;
         }
         let took = self.now - message.due.at;
--- a/crates/lab/src/sim/tests.rs
+++ b/crates/lab/src/sim/tests.rs
@@ -28,7 +28,7 @@
         );
         let c = &outcome.counts;
         assert_eq!(
-            c.served + c.written_off + c.given_up + c.gone,
+            c.served + c.failed + c.given_up + c.gone,
             c.due,
             "seed {seed}"
         );
@@ -102,7 +102,7 @@
         outcome.breaks,
         outcome.counts
     );
-    assert!(outcome.counts.written_off > 0, "{:?}", outcome.counts);
+    assert!(outcome.counts.failed > 0, "{:?}", outcome.counts);
 }
 
 /// Most of a fleet starts anew while discovery has more calls than it can work off: in the end it tells all of them, and
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -186,7 +186,7 @@
             return;
         };
         if now > message.expires + SLACK {
-            self.tally.counts.written_off += 1;
+            self.tally.counts.failed += 1;
             return;
         }
         let took = now - message.due.at;
@@ -198,7 +198,7 @@
     /// Counts a failed message.
     pub(crate) fn fail_message(&mut self, number: u64, now: Micros) {
         if self.messages.remove(&number).is_some() {
-            self.tally.counts.written_off += 1;
+            self.tally.counts.failed += 1;
             self.tally.tick(now, Tick::MessageFailed);
         }
     }
--- a/crates/lab/src/sockets/run.rs
+++ b/crates/lab/src/sockets/run.rs
@@ -35,9 +35,6 @@
     pub pin: Option<usize>,
 }
 
-// Old name, until the forwarder's tests follow.
-pub use SocketRunOptions as Means;
-
 /// What the forwarders used, over the time in which messages were due.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Usage {
--- a/crates/lab/src/subject.rs
+++ b/crates/lab/src/subject.rs
@@ -57,9 +57,6 @@
     SendsTwice,
 }
 
-// Old name, until the forwarder's tests follow.
-pub use ForwarderVariant as Make;
-
 impl std::fmt::Display for ForwarderVariant {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let name = clap::ValueEnum::to_possible_value(self);
--- a/crates/lab/src/tally/outcome.rs
+++ b/crates/lab/src/tally/outcome.rs
@@ -31,9 +31,9 @@
     pub first_attempt: u64,
     /// Those by another than the first.
     pub retried: u64,
-    // Old name, until the forwarder's tests follow.
     /// Failed: that was the final answer, or it was served too late.
-    pub written_off: u64,
+    #[serde(rename = "written_off")]
+    pub failed: u64,
     /// Rejected, and the client did not submit again in time.
     pub given_up: u64,
     /// Lost with a forwarder's folder.
@@ -204,13 +204,13 @@
         let expect = &self.expect;
         misses.extend(miss("served", self.served_share(), expect.served));
         let first_attempt = self.first_attempt_share();
-        misses.extend(miss("first trip", first_attempt, expect.first_attempt));
+        misses.extend(miss("first attempt", first_attempt, expect.first_attempt));
         let calls = expect.calls_per_message.map(|most| [0.0, most]);
-        misses.extend(miss("calls a packet", self.calls_per_message(), calls));
+        misses.extend(miss("calls a message", self.calls_per_message(), calls));
         misses.extend(self.missed_p99());
         let open = self.counts.open;
         if open > 0 {
-            misses.push(format!("{open} packets were still open at the end"));
+            misses.push(format!("{open} messages were still open at the end"));
         }
         misses
     }
