--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -49,9 +49,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConnectionConfig {
     /// An endpoint closes a connection that has been idle for so long, µs.
-    pub idle_closed_after: Micros,
+    pub connection_idle_timeout: Micros,
     /// A connection that takes longer to open counts as none, µs.
-    pub connect_within: Micros,
+    pub connect_timeout: Micros,
 }
 
 /// Why settings can't be used.
@@ -149,10 +149,10 @@
 fn connection_config(start: &StartObject) -> ConnectionConfig {
     let limits = &start.limits;
     ConnectionConfig {
-        idle_closed_after: limits
+        connection_idle_timeout: limits
             .connection_idle_timeout
             .unwrap_or(DEFAULT_CONNECTION_IDLE_TIMEOUT),
-        connect_within: limits.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+        connect_timeout: limits.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
     }
 }
 
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -101,8 +101,8 @@
         "names of zones": start.names.zones,
         "names of kinds": start.names.endpoint_kinds,
         "names of report values": start.names.reports,
-        "idle connections closed after us": start.connections.idle_closed_after,
-        "connections up within us": start.connections.connect_within,
+        "idle connections closed after us": start.connections.connection_idle_timeout,
+        "connections up within us": start.connections.connect_timeout,
     })
 }
 
--- a/crates/forwarder/src/clients/connection_state.rs
+++ b/crates/forwarder/src/clients/connection_state.rs
@@ -19,7 +19,7 @@
 
 /// A phase and when it began. The order of two such values is the order in which their connections are closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct PhaseSince {
+pub struct PhaseChange {
     /// The phase.
     pub phase: ConnectionPhase,
     /// The number of the change to it, counted over all connections.
@@ -28,7 +28,7 @@
 
 /// The state of one connection. A request to close waits for the answer that is due.
 pub struct ConnectionState {
-    current: Mutex<PhaseSince>,
+    current: Mutex<PhaseChange>,
     close_requested: AtomicBool,
     close: Notify,
     /// Counts the phase changes of all connections.
@@ -38,7 +38,7 @@
 impl ConnectionState {
     /// The state of a new connection. `changes` is the counter of all connections.
     pub fn new(changes: Arc<AtomicU64>) -> ConnectionState {
-        let first = PhaseSince {
+        let first = PhaseChange {
             phase: ConnectionPhase::NoRequestYet,
             change_number: changes.fetch_add(1, Ordering::Relaxed),
         };
@@ -51,7 +51,7 @@
     }
 
     /// The phase, and since when.
-    pub fn current(&self) -> PhaseSince {
+    pub fn current(&self) -> PhaseChange {
         *self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -64,7 +64,7 @@
     pub fn enter(&self, phase: ConnectionPhase) {
         let change_number = self.changes.fetch_add(1, Ordering::Relaxed);
         let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
-        *current = PhaseSince {
+        *current = PhaseChange {
             phase,
             change_number,
         };
--- a/crates/forwarder/src/clients/golden_tests.rs
+++ b/crates/forwarder/src/clients/golden_tests.rs
@@ -90,7 +90,7 @@
         "destination": submitted.destination.0,
         "time left us": submitted.time_left,
         "idempotency key": submitted.idempotency_key,
-        "order key": submitted.key.map(|key| format!("{key:016x}")),
+        "order key": submitted.order_key.map(|key| format!("{key:016x}")),
         "repeated by client": submitted.resubmitted,
         "from a forwarder that died": submitted.from_failed_forwarder,
         "body": text(&submitted.body),
--- a/crates/forwarder/src/clients/open_connections.rs
+++ b/crates/forwarder/src/clients/open_connections.rs
@@ -13,7 +13,7 @@
 /// One connection in so many is kept to answer that all others are taken.
 const REJECTING_DIVISOR: usize = 8;
 /// One connection in so many may be idle. Clients that share a bound on their connections need the others.
-const IDLE_DIVISOR: usize = 4;
+const IDLE_CLIENT_CONNECTIONS_DIVISOR: usize = 4;
 
 /// The open connections, each with its task.
 pub struct OpenConnections {
@@ -54,8 +54,8 @@
     /// Serves a new connection. Where few are left, one in less use is closed. Where none may be, the new connection only
     /// rejects.
     pub fn admit(&mut self, socket: TcpStream) {
-        let nearly_full = self.max_connections - self.max_connections / REJECTING_DIVISOR;
-        let connection_use = if self.tasks.len() < nearly_full || self.close_least_used() {
+        let eviction_threshold = self.max_connections - self.max_connections / REJECTING_DIVISOR;
+        let connection_use = if self.tasks.len() < eviction_threshold || self.close_least_used() {
             ConnectionUse::Serve
         } else {
             ConnectionUse::RejectSubmissions
@@ -99,7 +99,7 @@
     /// Closes the connections that have been idle longest, beyond those that may be idle. Clients that may have only so many
     /// connections together would else be locked out by those among them that keep theirs after one request.
     fn close_surplus_idle(&self) {
-        let max_idle = self.max_connections / IDLE_DIVISOR;
+        let max_idle = self.max_connections / IDLE_CLIENT_CONNECTIONS_DIVISOR;
         let idle_count = self.idle_connections().count();
         for _ in max_idle..idle_count {
             let longest_idle = self.idle_connections().min_by_key(|state| state.current());
--- a/crates/forwarder/src/commands.rs
+++ b/crates/forwarder/src/commands.rs
@@ -47,8 +47,10 @@
 
 /// For the actor that watches the endpoint list.
 pub enum EndpointListCommand {
-    /// Begin or end the watch.
-    Watch(bool),
+    /// Begin the watch.
+    StartWatch,
+    /// End the watch.
+    StopWatch,
     /// Ask for the complete list once.
     Fetch,
 }
--- a/crates/forwarder/src/completion_reports.rs
+++ b/crates/forwarder/src/completion_reports.rs
@@ -2,7 +2,7 @@
 
 use crate::commands::{DispatcherCommand, PendingReport};
 use crate::platform::{Platform, PlatformAnswer, PlatformError, Reachability};
-use crate::protocol::{encode_completion_reports, OUTCOMES};
+use crate::protocol::{encode_completion_reports, COMPLETION_REPORTS_PATH};
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
 use slog::{error, info, warn, Logger};
@@ -107,7 +107,7 @@
         let lines = queue.waiting.len().min(queue.max_lines);
         let body = queue.encode(lines);
         let answer = tokio::select! {
-            answer = self.platform.request(Method::POST, OUTCOMES, body, queue.answer_timeout) => answer,
+            answer = self.platform.request(Method::POST, COMPLETION_REPORTS_PATH, body, queue.answer_timeout) => answer,
             // Reports that the old address has not acknowledged are sent to the new one.
             Ok(()) = self.discovery.changed() => {
                 let address = *self.discovery.borrow_and_update();
--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -55,7 +55,7 @@
     gossip: mpsc::Sender<GossipDatagram>,
     log: Logger,
     /// Whether clients may submit: set once the messages of a previous run are recovered.
-    up: Arc<AtomicBool>,
+    ready: Arc<AtomicBool>,
     in_flight: InFlightMessages,
     /// The destinations that any endpoint list has named. Its size is bounded by the number of destinations.
     known_destinations: BTreeSet<DestinationId>,
@@ -99,7 +99,7 @@
     /// The mailbox of the gossip socket.
     pub gossip: mpsc::Sender<GossipDatagram>,
     /// Set once clients may submit.
-    pub up: Arc<AtomicBool>,
+    pub ready: Arc<AtomicBool>,
 }
 
 impl Dispatcher {
@@ -125,7 +125,7 @@
             completion_reports: handles.completion_reports,
             gossip: handles.gossip,
             log,
-            up: handles.up,
+            ready: handles.ready,
             in_flight: InFlightMessages::default(),
             known_destinations: BTreeSet::new(),
             listed: BTreeMap::new(),
@@ -147,7 +147,7 @@
         let mut shutting_down = false;
         let list_wait_over = Instant::now() + LIST_WAIT;
         loop {
-            if shutting_down && self.has_nothing_out() {
+            if shutting_down && self.has_nothing_in_flight() {
                 return;
             }
             let next_timer = self.timers.next().map(|at| self.clock.at(at));
@@ -173,7 +173,7 @@
     }
 
     /// Whether neither an attempt nor a completion report is out.
-    fn has_nothing_out(&self) -> bool {
+    fn has_nothing_in_flight(&self) -> bool {
         !self.in_flight.has_attempts_out() && self.pending_reports.is_empty()
     }
 
--- a/crates/forwarder/src/dispatcher/actions.rs
+++ b/crates/forwarder/src/dispatcher/actions.rs
@@ -30,7 +30,11 @@
                 self.post_if_running(endpoint, EndpointCommand::CloseIdle);
             }
             Action::WatchEndpointList { on } => {
-                self.send_list_command(EndpointListCommand::Watch(on));
+                self.send_list_command(if on {
+                    EndpointListCommand::StartWatch
+                } else {
+                    EndpointListCommand::StopWatch
+                });
             }
             Action::FetchEndpointList => self.send_list_command(EndpointListCommand::Fetch),
             Action::SendGossip { peer, payload } => {
--- a/crates/forwarder/src/dispatcher/attempts.rs
+++ b/crates/forwarder/src/dispatcher/attempts.rs
@@ -21,7 +21,7 @@
     ) {
         let zone = self.listed.get(&endpoint).map_or(0, |listed| listed.zone.0);
         let send_by = self.clock.at(send_by);
-        let Some(message) = self.in_flight.get_unanswered(id) else {
+        let Some(message) = self.in_flight.get_undecided(id) else {
             error!(self.log, "the core sent a message that is over"; "message" => id.0);
             return;
         };
@@ -112,10 +112,10 @@
         };
         message.attempts_out.retain(|out| out.attempt != attempt);
         let serial = message.serial;
-        let written = if message.answered {
+        let written = if message.ending_decided {
             Ok(())
         } else if completed {
-            message.answered = true;
+            message.ending_decided = true;
             self.journal.ended(serial)
         } else if outcome == Outcome::WithdrawnBeforeSend {
             message.attempts_started = u32::from(attempt);
--- a/crates/forwarder/src/dispatcher/completion.rs
+++ b/crates/forwarder/src/dispatcher/completion.rs
@@ -9,11 +9,11 @@
 impl Dispatcher {
     /// Ends a message without delivery. The platform gets a completion report.
     pub(super) fn finish_with_report(&mut self, id: MessageId, ending: Ending) {
-        let Some(message) = self.in_flight.get_unanswered(id) else {
+        let Some(message) = self.in_flight.get_undecided(id) else {
             return;
         };
-        message.answered = true;
-        let ordered = message.submitted.key.is_some();
+        message.ending_decided = true;
+        let ordered = message.submitted.order_key.is_some();
         let report = PendingReport {
             serial: message.serial,
             request_id: message.submitted.request_id.clone(),
@@ -27,10 +27,10 @@
 
     /// Ends a message whose client needs no completion report: it gets the answer itself, or has left.
     pub(super) fn finish_without_report(&mut self, id: MessageId) {
-        let Some(message) = self.in_flight.get_unanswered(id) else {
+        let Some(message) = self.in_flight.get_undecided(id) else {
             return;
         };
-        message.answered = true;
+        message.ending_decided = true;
         let serial = message.serial;
         let written = self.journal.ended(serial);
         self.log_journal_error(written);
--- a/crates/forwarder/src/dispatcher/endpoints.rs
+++ b/crates/forwarder/src/dispatcher/endpoints.rs
@@ -48,8 +48,11 @@
         let mailbox_capacity = COMMANDS_PER_PERMIT * concurrency_limit as usize + OTHER_COMMANDS;
         // By then every idle connection is retired and every health check is over.
         let connections = &context.config;
-        let health_check = HEALTH_CHECK_CONNECT_TIMEOUTS.saturating_mul(connections.connect_within);
-        let idle_timeout = connections.idle_closed_after.saturating_add(health_check);
+        let health_check =
+            HEALTH_CHECK_CONNECT_TIMEOUTS.saturating_mul(connections.connect_timeout);
+        let idle_timeout = connections
+            .connection_idle_timeout
+            .saturating_add(health_check);
         EndpointActors {
             context,
             mailbox_capacity,
--- a/crates/forwarder/src/dispatcher/endpoints/tests.rs
+++ b/crates/forwarder/src/dispatcher/endpoints/tests.rs
@@ -19,8 +19,8 @@
     let (classes, tenants, zones, kinds, reports) = Default::default();
     let context = EndpointContext {
         config: ConnectionConfig {
-            idle_closed_after: IDLE_CLOSED_AFTER,
-            connect_within: CONNECT_WITHIN,
+            connection_idle_timeout: IDLE_CLOSED_AFTER,
+            connect_timeout: CONNECT_WITHIN,
         },
         names: Names {
             classes,
--- a/crates/forwarder/src/dispatcher/in_flight.rs
+++ b/crates/forwarder/src/dispatcher/in_flight.rs
@@ -17,7 +17,7 @@
     /// The attempts whose outcome is not known.
     pub attempts_out: Vec<OutstandingAttempt>,
     /// Whether the final answer is decided. Attempts may still be out.
-    pub answered: bool,
+    pub ending_decided: bool,
 }
 
 impl InFlightMessage {
@@ -34,7 +34,7 @@
             deadline,
             attempts_started,
             attempts_out: Vec::new(),
-            answered: false,
+            ending_decided: false,
         }
     }
 
@@ -46,7 +46,7 @@
     }
 
     fn is_over(&self) -> bool {
-        self.answered && self.attempts_out.is_empty()
+        self.ending_decided && self.attempts_out.is_empty()
     }
 }
 
@@ -85,10 +85,10 @@
     }
 
     /// The message with this id, if its final answer is not decided.
-    pub fn get_unanswered(&mut self, id: MessageId) -> Option<&mut InFlightMessage> {
+    pub fn get_undecided(&mut self, id: MessageId) -> Option<&mut InFlightMessage> {
         self.messages
             .get_mut(&id)
-            .filter(|message| !message.answered)
+            .filter(|message| !message.ending_decided)
     }
 
     /// The message that a client gave this request id.
--- a/crates/forwarder/src/dispatcher/recovery.rs
+++ b/crates/forwarder/src/dispatcher/recovery.rs
@@ -27,7 +27,7 @@
     pub(super) fn submit_recovered_messages(&mut self) {
         if let Some(messages) = self.recovered_messages.take() {
             self.restore(messages);
-            self.up.store(true, Ordering::Relaxed);
+            self.ready.store(true, Ordering::Relaxed);
         }
     }
 
@@ -102,7 +102,7 @@
         self.queued_events.clear();
         // The journal has the messages of a previous run too. Once they are restored from it, clients may submit.
         if self.recovered_messages.take().is_some() {
-            self.up.store(true, Ordering::Relaxed);
+            self.ready.store(true, Ordering::Relaxed);
         }
         self.cancel_all_attempts();
         self.core_state = CoreState::Replacing;
@@ -151,7 +151,7 @@
         destination: DestinationId(stored.destination),
         time_left: stored.deadline.saturating_sub(now),
         idempotency_key: stored.idempotency_key,
-        key: stored.key,
+        order_key: stored.key,
         resubmitted: stored.resubmitted,
         from_failed_forwarder: stored.from_failed_forwarder,
         body: stored.body,
--- a/crates/forwarder/src/dispatcher/submissions.rs
+++ b/crates/forwarder/src/dispatcher/submissions.rs
@@ -142,7 +142,7 @@
 fn has_same_content(first: &SubmittedMessage, second: &SubmittedMessage) -> bool {
     first.class == second.class
         && first.destination == second.destination
-        && first.key == second.key
+        && first.order_key == second.order_key
         && first.idempotency_key == second.idempotency_key
         && first.body == second.body
 }
@@ -160,7 +160,7 @@
         resubmitted: submitted.resubmitted,
         from_failed_forwarder: submitted.from_failed_forwarder,
         body: submitted.body.clone(),
-        key: submitted.key,
+        key: submitted.order_key,
         attempts: 0,
         possible_effect: None,
         attempts_out: Vec::new(),
@@ -178,7 +178,7 @@
         id,
         class: submitted.class,
         tenant: submitted.tenant.unwrap_or(NO_TENANT),
-        key: submitted.key.map(OrderKey),
+        key: submitted.order_key.map(OrderKey),
         time_left: submitted.time_left,
         destination: submitted.destination,
         resubmitted: submitted.resubmitted,
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -68,7 +68,7 @@
         list,
         completion_reports,
         gossip,
-        up: Arc::default(),
+        ready: Arc::default(),
     };
     let mut dispatcher = Dispatcher::new(config, 1, Clock::start(), journal, handles, log);
     let port = listener.local_addr().expect("its address").port();
@@ -143,7 +143,7 @@
         destination: DestinationId(7),
         time_left: 20_000_000,
         idempotency_key: Some(id.into()),
-        key: None,
+        order_key: None,
         resubmitted: false,
         from_failed_forwarder: false,
         body: bytes::Bytes::from_static(b"ride"),
@@ -185,10 +185,10 @@
 #[tokio::test]
 async fn a_panic_before_the_first_list_makes_the_process_ready() {
     let mut fixture = fixture().await;
-    fixture.dispatcher.up.store(false, Ordering::Relaxed);
+    fixture.dispatcher.ready.store(false, Ordering::Relaxed);
     fixture.dispatcher.recovered_messages = Some(Vec::new());
     fixture.dispatcher.replace_core();
-    assert!(fixture.dispatcher.up.load(Ordering::Relaxed));
+    assert!(fixture.dispatcher.ready.load(Ordering::Relaxed));
 }
 
 /// A message is not accepted where its client has left before its turn.
--- a/crates/forwarder/src/endpoint_list/golden_tests.rs
+++ b/crates/forwarder/src/endpoint_list/golden_tests.rs
@@ -123,7 +123,7 @@
                 .expect("in time");
             rendered.push(render_event(event.expect("an event")));
             commands
-                .send(EndpointListCommand::Watch(true))
+                .send(EndpointListCommand::StartWatch)
                 .await
                 .expect("the actor runs");
         }
--- a/crates/forwarder/src/endpoint_list/table.rs
+++ b/crates/forwarder/src/endpoint_list/table.rs
@@ -123,7 +123,7 @@
             self.members.remove(&member.id);
             return None;
         }
-        let mut entry = member.listing(0, names);
+        let mut entry = member.to_entry(0, names);
         let other_id = self
             .members
             .at_address(Address::of(&entry))
--- a/crates/forwarder/src/endpoint_list/table/tests.rs
+++ b/crates/forwarder/src/endpoint_list/table/tests.rs
@@ -32,7 +32,7 @@
         kind_name: "m".into(),
         destination: 3,
         phase: *phase,
-        size: 1.0,
+        listed_rate: 1.0,
         up_since_ms: 0,
     };
     EndpointListDocument {
@@ -200,7 +200,7 @@
                 phase: *g
                     .choose(&[Phase::Ready, Phase::Ready, Phase::Terminating, Phase::Gone])
                     .expect("one"),
-                size: *g.choose(&[0.0, 50.0, -1.0]).expect("one"),
+                listed_rate: *g.choose(&[0.0, 50.0, -1.0]).expect("one"),
                 up_since_ms: *g.choose(&[0, 7, u64::MAX]).expect("one"),
             }
         };
@@ -245,7 +245,7 @@
         kind_name: "m".into(),
         destination: n,
         phase: Phase::Ready,
-        size: 50.0,
+        listed_rate: 50.0,
         up_since_ms: 0,
     };
     EndpointListDocument {
--- a/crates/forwarder/src/endpoint_list/table/tests/plain.rs
+++ b/crates/forwarder/src/endpoint_list/table/tests/plain.rs
@@ -46,7 +46,7 @@
             if member.phase == Phase::Gone {
                 self.remove(&id);
             } else if other.is_none() || member.phase == Phase::Ready {
-                let mut entry = member.listing(0, names);
+                let mut entry = member.to_entry(0, names);
                 let same = old.filter(|old| {
                     (Address::of(old), old.destination) == (Address::of(&entry), entry.destination)
                 });
--- a/crates/forwarder/src/endpoint_list/watch.rs
+++ b/crates/forwarder/src/endpoint_list/watch.rs
@@ -77,7 +77,8 @@
 impl WatchState {
     fn handle_command(&mut self, command: EndpointListCommand) {
         match command {
-            EndpointListCommand::Watch(on) => self.watch_wanted = on,
+            EndpointListCommand::StartWatch => self.watch_wanted = true,
+            EndpointListCommand::StopWatch => self.watch_wanted = false,
             EndpointListCommand::Fetch => self.fetch_wanted = true,
         }
     }
--- a/crates/forwarder/src/endpoint_list/watch/tests.rs
+++ b/crates/forwarder/src/endpoint_list/watch/tests.rs
@@ -47,7 +47,7 @@
     let early = tokio::time::timeout(Duration::from_millis(100), agent.accept()).await;
     assert!(early.is_err(), "polled before it was wanted");
     commands
-        .send(EndpointListCommand::Watch(true))
+        .send(EndpointListCommand::StartWatch)
         .await
         .expect("the actor runs");
     let (mut stream, _) = agent.accept().await.expect("a poll");
@@ -56,7 +56,7 @@
     assert!(String::from_utf8_lossy(&head[..read]).starts_with("GET /discovery/hosts?index=7&"));
     // The same command once more while the poll is in flight: the poll goes on.
     commands
-        .send(EndpointListCommand::Watch(true))
+        .send(EndpointListCommand::StartWatch)
         .await
         .expect("the actor runs");
     assert!(
--- a/crates/forwarder/src/endpoints/actor.rs
+++ b/crates/forwarder/src/endpoints/actor.rs
@@ -1,6 +1,8 @@
 //! The actor of one endpoint: its mailbox, its idle connections and its attempts in flight.
 
-use super::attempt::{ended_event, Attempt, AttemptKind, AttemptResult, InFlight, StopRequest};
+use super::attempt::{
+    ended_event, Attempt, AttemptResult, RequestPurpose, RunningRequest, StopRequest,
+};
 use super::connection::EndpointConnection;
 use super::exchange::ExchangeDeadlines;
 use super::idle_connections::IdleConnections;
@@ -34,13 +36,13 @@
     /// One task for each attempt or health check in flight. It gives back its connection if that can serve again.
     pub(super) tasks: JoinSet<Option<EndpointConnection>>,
     /// The same attempts and health checks, by their tasks.
-    pub(super) in_flight: BTreeMap<Id, InFlight>,
+    pub(super) in_flight: BTreeMap<Id, RunningRequest>,
 }
 
 impl Endpoint {
     /// An actor without connections.
     pub fn new(id: EndpointId, context: Arc<EndpointContext>) -> Endpoint {
-        let closed_after = Duration::from_micros(context.config.idle_closed_after);
+        let closed_after = Duration::from_micros(context.config.connection_idle_timeout);
         Endpoint {
             id,
             context,
@@ -80,8 +82,8 @@
             EndpointCommand::StartAttempt(request) => self.start_attempt(*request),
             EndpointCommand::HealthCheck => self.start_health_check(),
             EndpointCommand::Cancel { id, attempt } => {
-                let cancelled = AttemptKind::Attempt { id, attempt };
-                self.request_stop(StopRequest::Cancel, |kind| kind == cancelled);
+                let cancelled = RequestPurpose::Attempt { id, attempt };
+                self.request_stop(StopRequest::Cancel, |purpose| purpose == cancelled);
             }
             EndpointCommand::WithdrawUnsent => {
                 self.request_stop(StopRequest::WithdrawUnsent, |_| true);
@@ -91,9 +93,9 @@
     }
 
     /// Tells the attempts and health checks that `applies_to` picks to stop.
-    fn request_stop(&self, request: StopRequest, applies_to: impl Fn(AttemptKind) -> bool) {
+    fn request_stop(&self, request: StopRequest, applies_to: impl Fn(RequestPurpose) -> bool) {
         for in_flight in self.in_flight.values() {
-            if applies_to(in_flight.kind) {
+            if applies_to(in_flight.purpose) {
                 in_flight
                     .stop
                     .send_modify(|current| *current = request.max(*current));
@@ -109,24 +111,24 @@
             attempt.timeout,
             &attempt.body,
         );
-        let kind = AttemptKind::Attempt {
+        let purpose = RequestPurpose::Attempt {
             id: attempt.id,
             attempt: attempt.attempt,
         };
-        self.start(kind, request, attempt.timeout, attempt.send_by);
+        self.start(purpose, request, attempt.timeout, attempt.send_by);
     }
 
     fn start_health_check(&mut self) {
         let request = protocol::encode_health_check(self.id);
-        let connect_timeout = Duration::from_micros(self.context.config.connect_within);
+        let connect_timeout = Duration::from_micros(self.context.config.connect_timeout);
         let timeout = connect_timeout.mul_f64(HEALTH_CHECK_TIMEOUT_FACTOR);
         let send_by = Instant::now() + timeout;
-        self.start(AttemptKind::HealthCheck, request, timeout, send_by);
+        self.start(RequestPurpose::HealthCheck, request, timeout, send_by);
     }
 
     fn start(
         &mut self,
-        kind: AttemptKind,
+        purpose: RequestPurpose,
         request: Result<EndpointRequest, hyper::http::Error>,
         timeout: Duration,
         send_by: Instant,
@@ -136,7 +138,7 @@
         let idle = self.idle.take();
         let attempt = Attempt {
             endpoint: self.id,
-            kind,
+            purpose,
             started,
             deadlines: ExchangeDeadlines {
                 send_by,
@@ -145,8 +147,8 @@
             context: self.context.clone(),
         };
         let task = self.tasks.spawn(attempt.run(request, idle, stop_requests));
-        let in_flight = InFlight {
-            kind,
+        let in_flight = RunningRequest {
+            purpose,
             started,
             stop,
         };
@@ -177,7 +179,7 @@
         error!(self.context.log, "attempt task failed"; "problem" => %problem);
         if let Some(in_flight) = self.in_flight.remove(&problem.id()) {
             let result = AttemptResult::without_answer(Outcome::Reset);
-            let event = ended_event(self.id, in_flight.kind, result, in_flight.started);
+            let event = ended_event(self.id, in_flight.purpose, result, in_flight.started);
             self.context.send_event(event).await;
         }
     }
--- a/crates/forwarder/src/endpoints/attempt.rs
+++ b/crates/forwarder/src/endpoints/attempt.rs
@@ -21,7 +21,7 @@
 
 /// What a request to an endpoint is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptKind {
+pub enum RequestPurpose {
     /// An attempt at a message.
     Attempt {
         /// The message.
@@ -45,9 +45,9 @@
 }
 
 /// An attempt or health check that the actor has started and that has not ended.
-pub struct InFlight {
+pub struct RunningRequest {
     /// What it is for.
-    pub kind: AttemptKind,
+    pub purpose: RequestPurpose,
     /// When it started.
     pub started: Instant,
     /// Tells its task to stop.
@@ -92,7 +92,7 @@
     /// The endpoint that gets it.
     pub endpoint: EndpointId,
     /// What it is for.
-    pub kind: AttemptKind,
+    pub purpose: RequestPurpose,
     /// When it started.
     pub started: Instant,
     /// When it is given up.
@@ -136,7 +136,7 @@
     }
 
     fn exchange(&self, request: EndpointRequest) -> Exchange {
-        let connect_timeout = Duration::from_micros(self.context.config.connect_within);
+        let connect_timeout = Duration::from_micros(self.context.config.connect_timeout);
         Exchange::new(self.endpoint, request, connect_timeout, self.deadlines)
     }
 
@@ -213,7 +213,7 @@
     }
 
     async fn report(&self, result: AttemptResult) {
-        let event = ended_event(self.endpoint, self.kind, result, self.started);
+        let event = ended_event(self.endpoint, self.purpose, result, self.started);
         self.context.send_event(event).await;
     }
 }
@@ -221,13 +221,13 @@
 /// The event that reports the end of an attempt or health check that started at `started` and ends now.
 pub fn ended_event(
     endpoint: EndpointId,
-    kind: AttemptKind,
+    purpose: RequestPurpose,
     result: AttemptResult,
     started: Instant,
 ) -> Event {
     let took = micros(started.elapsed());
-    match kind {
-        AttemptKind::Attempt { id, attempt } => Event::AttemptEnded {
+    match purpose {
+        RequestPurpose::Attempt { id, attempt } => Event::AttemptEnded {
             id,
             attempt,
             endpoint,
@@ -236,7 +236,7 @@
             completed: result.completed,
             report: result.load_report,
         },
-        AttemptKind::HealthCheck => Event::HealthCheckEnded {
+        RequestPurpose::HealthCheck => Event::HealthCheckEnded {
             endpoint,
             outcome: result.outcome,
             took,
--- a/crates/forwarder/src/endpoints/golden_tests.rs
+++ b/crates/forwarder/src/endpoints/golden_tests.rs
@@ -35,8 +35,8 @@
     };
     let context = EndpointContext {
         config: ConnectionConfig {
-            idle_closed_after: 5_000_000,
-            connect_within: 5_000_000,
+            connection_idle_timeout: 5_000_000,
+            connect_timeout: 5_000_000,
         },
         names,
         idle: Arc::new(Semaphore::new(4)),
--- a/crates/forwarder/src/endpoints/tests.rs
+++ b/crates/forwarder/src/endpoints/tests.rs
@@ -5,7 +5,7 @@
 mod connections;
 mod response_filter;
 
-use super::attempt::{AttemptKind, InFlight, StopRequest};
+use super::attempt::{RequestPurpose, RunningRequest, StopRequest};
 use super::idle_connections::SETTLE_TIME;
 use super::*;
 use crate::commands::{AttemptRequest, EndpointCommand};
@@ -42,8 +42,8 @@
         let (mailbox, inbox) = mpsc::channel(16);
         let context = EndpointContext {
             config: ConnectionConfig {
-                idle_closed_after: IDLE,
-                connect_within: 300_000,
+                connection_idle_timeout: IDLE,
+                connect_timeout: 300_000,
             },
             names: Names {
                 classes: Vec::new(),
--- a/crates/forwarder/src/endpoints/tests/attempts.rs
+++ b/crates/forwarder/src/endpoints/tests/attempts.rs
@@ -204,14 +204,14 @@
     let mut fixture = TestFixture::with_endpoint(|endpoint| {
         let task = endpoint.tasks.spawn(async { panic!("as a fault would") });
         let (stop, _) = watch::channel(StopRequest::Continue);
-        let kind = AttemptKind::Attempt {
+        let purpose = RequestPurpose::Attempt {
             id: MessageId(1),
             attempt: 0,
         };
         endpoint.in_flight.insert(
             task.id(),
-            InFlight {
-                kind,
+            RunningRequest {
+                purpose,
                 started: Instant::now(),
                 stop,
             },
--- a/crates/forwarder/src/protocol.rs
+++ b/crates/forwarder/src/protocol.rs
@@ -10,7 +10,7 @@
 mod submission_error;
 
 pub use attempt::{address, encode_attempt, encode_health_check, EndpointAnswer, EndpointRequest};
-pub use completion_report::{encode_completion_reports, Ending, OUTCOMES};
+pub use completion_report::{encode_completion_reports, Ending, COMPLETION_REPORTS_PATH};
 pub use endpoint_list::{list_path, EndpointListDocument, Member, Phase};
 pub use submission::{
     decode_head, encode_retry_after, SubmissionRequirements, SubmittedMessage, READINESS_PATH,
--- a/crates/forwarder/src/protocol/attempt.rs
+++ b/crates/forwarder/src/protocol/attempt.rs
@@ -131,10 +131,10 @@
 }
 
 fn says_no_permit(headers: &HeaderMap) -> bool {
-    headers.get(NO_PERMIT).and_then(decode_number) == Some(1.0)
+    headers.get(NO_PERMIT).and_then(decode_decimal) == Some(1.0)
 }
 
-fn decode_number(value: &HeaderValue) -> Option<f64> {
+fn decode_decimal(value: &HeaderValue) -> Option<f64> {
     value.to_str().ok()?.trim().parse().ok()
 }
 
@@ -142,7 +142,7 @@
 pub(super) fn decode_retry_after(headers: &HeaderMap) -> Option<Micros> {
     let values = headers.get_all(RETRY_AFTER_MS).iter();
     let longest_ms = values
-        .filter_map(decode_number)
+        .filter_map(decode_decimal)
         .filter(|ms| *ms > 0.0)
         .max_by(f64::total_cmp)?;
     let micros = longest_ms.min(MAX_RETRY_AFTER_MS) * MICROS_PER_MILLI;
--- a/crates/forwarder/src/protocol/completion_report.rs
+++ b/crates/forwarder/src/protocol/completion_report.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The path to which the platform takes completion reports.
-pub const OUTCOMES: &str = "/v1/outcomes";
+pub const COMPLETION_REPORTS_PATH: &str = "/v1/outcomes";
 
 const STATUS_FAILED: &str = "undeliverable";
 const STATUS_REJECTED: &str = "deferred";
--- a/crates/forwarder/src/protocol/endpoint_list.rs
+++ b/crates/forwarder/src/protocol/endpoint_list.rs
@@ -47,9 +47,9 @@
     /// Whether it takes requests.
     #[serde(rename = "phase")]
     pub phase: Phase,
-    /// The rate that the platform lists for it, 0 where it lists none.
+    /// The rate that the platform lists for it, calls per second. 0 where it lists none.
     #[serde(rename = "size", default)]
-    pub size: f32,
+    pub listed_rate: f32,
     /// When it started, ms since the Unix epoch.
     #[serde(rename = "up_since_ms", default)]
     pub up_since_ms: u64,
@@ -80,7 +80,7 @@
 }
 
 impl Member {
-    /// The endpoint, as the holder of its address with this number.
+    /// The endpoint, with this incarnation.
     pub fn endpoint(&self, incarnation: u32) -> EndpointId {
         EndpointId {
             address: self.address.ip().octets(),
@@ -90,13 +90,13 @@
     }
 
     /// The entry for the decision core. A zone or kind without a name in the settings counts as the last one.
-    pub fn listing(&self, incarnation: u32, names: &Names) -> EndpointEntry {
+    pub fn to_entry(&self, incarnation: u32, names: &Names) -> EndpointEntry {
         EndpointEntry {
             endpoint: self.endpoint(incarnation),
             zone: ZoneId(index_or_last(&names.zones, &self.zone_name)),
             up_since: self.up_since_ms.saturating_mul(MICROS_PER_MILLI),
             status: self.phase.endpoint_status(),
-            rate: self.size,
+            rate: self.listed_rate,
             destination: DestinationId(self.destination),
             kind: EndpointKindId(index_or_last(&names.endpoint_kinds, &self.kind_name)),
         }
--- a/crates/forwarder/src/protocol/submission.rs
+++ b/crates/forwarder/src/protocol/submission.rs
@@ -28,7 +28,7 @@
 /// The value of `client-retry` of a message that the client submits again.
 const RETRY_RESUBMITTED: &str = "1";
 /// The value of `client-retry` of a message whose former forwarder has ended.
-const RETRY_ORPHANED: &str = "again";
+const RETRY_FORWARDER_FAILED: &str = "again";
 
 /// Bytes of the longest header value that is read, far over any in use.
 pub(super) const MAX_VALUE_BYTES: usize = 256;
@@ -54,7 +54,7 @@
     /// The key by which endpoints recognize a repeat.
     pub idempotency_key: Option<String>,
     /// Messages of an ordered class go one at a time where they have the same key.
-    pub key: Option<u64>,
+    pub order_key: Option<u64>,
     /// Whether the client has submitted it before.
     pub resubmitted: bool,
     /// Whether a forwarder that has ended may have sent it before.
@@ -104,11 +104,11 @@
         destination,
         time_left,
         idempotency_key,
-        key: order_key
+        order_key: order_key
             .filter(|key| !key.is_empty())
             .map(order_key_number),
         resubmitted: retry == Some(RETRY_RESUBMITTED),
-        from_failed_forwarder: retry == Some(RETRY_ORPHANED),
+        from_failed_forwarder: retry == Some(RETRY_FORWARDER_FAILED),
         body: Bytes::new(),
     })
 }
@@ -144,7 +144,7 @@
     requirements: &SubmissionRequirements,
 ) -> Result<Micros, SubmissionError> {
     let value = needed_value(headers, REQUEST_TIMEOUT_MS)?;
-    let Some(millis) = decode_number(value) else {
+    let Some(millis) = decode_whole_number(value) else {
         return Err(SubmissionError::InvalidTimeLeft {
             value: value.to_owned(),
         });
@@ -165,7 +165,7 @@
     let value = parts
         .find_map(|part| part.trim().strip_prefix(DESTINATION_PREFIX))
         .ok_or(SubmissionError::NoDestination)?;
-    match decode_number(value) {
+    match decode_whole_number(value) {
         Some(number) => Ok(DestinationId(number)),
         None => Err(SubmissionError::InvalidDestination {
             value: value.to_owned(),
@@ -232,7 +232,7 @@
 }
 
 /// A whole number without a sign.
-fn decode_number(text: &str) -> Option<u32> {
+fn decode_whole_number(text: &str) -> Option<u32> {
     if text.bytes().all(|byte| byte.is_ascii_digit()) {
         text.parse().ok()
     } else {
--- a/crates/forwarder/src/protocol/tests.rs
+++ b/crates/forwarder/src/protocol/tests.rs
@@ -68,7 +68,7 @@
         destination: DestinationId(7),
         time_left: 480_000,
         idempotency_key: Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211".into()),
-        key: None,
+        order_key: None,
         resubmitted: false,
         from_failed_forwarder: false,
         body: Bytes::new(),
@@ -91,7 +91,7 @@
         let headers = [SUBMISSION_HEADERS.as_slice(), &[("Affinity-Key", text)]].concat();
         let submitted =
             decode_head(&head("/notice", &headers), &names(), &requirements(false)).expect("good");
-        assert_eq!(submitted.key, Some(key));
+        assert_eq!(submitted.order_key, Some(key));
     }
 }
 
@@ -216,7 +216,7 @@
         (
             list.revision,
             list.complete,
-            list.members[0].listing(5, &names())
+            list.members[0].to_entry(5, &names())
         ),
         (43, false, wanted)
     );
--- a/crates/forwarder/src/reload.rs
+++ b/crates/forwarder/src/reload.rs
@@ -1,6 +1,6 @@
 //! SIGHUP: the start-up configuration is read again. The platform's address changes at once, other keys at the next start.
 
-use crate::startup_config::{ConfigError, FixedConfig, StartupConfig};
+use crate::startup_config::{ComparedConfig, ConfigError, StartupConfig};
 use slog::{error, info, warn, Logger};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 pub async fn run(
     mut requests: mpsc::Receiver<()>,
     mut read_config: ReadConfig,
-    fixed: FixedConfig,
+    running: ComparedConfig,
     discovery: watch::Sender<SocketAddr>,
     log: Logger,
 ) {
@@ -36,7 +36,7 @@
         // The file is newer than the environment of a running process.
         let address = startup.discovery_in_file.unwrap_or(startup.discovery);
         info!(log, "configuration reloaded"; "discovery" => %address);
-        if startup.fixed() != fixed {
+        if startup.compared() != running {
             warn!(
                 log,
                 "keys other than discovery have changed, they take effect at the next start"
--- a/crates/forwarder/src/startup.rs
+++ b/crates/forwarder/src/startup.rs
@@ -115,7 +115,7 @@
         list: senders.endpoint_list,
         completion_reports: senders.completion_reports,
         gossip: senders.gossip,
-        up: submission_service.ready.clone(),
+        ready: submission_service.ready.clone(),
     };
     let mut dispatcher = starter.create_dispatcher(clock, journal, handles);
     let endpoints = starter.restore_cached_list(cached_list, &mut dispatcher);
@@ -251,7 +251,7 @@
         tokio::spawn(reload::run(
             reload_requests,
             read_config,
-            self.startup.fixed(),
+            self.startup.compared(),
             discovery,
             self.log.clone(),
         ));
--- a/crates/forwarder/src/startup_config.rs
+++ b/crates/forwarder/src/startup_config.rs
@@ -82,7 +82,7 @@
 
 /// What can't change while the process runs.
 #[derive(Clone, PartialEq)]
-pub struct FixedConfig {
+pub struct ComparedConfig {
     listen: SocketAddr,
     journal_bytes: u64,
     max_client_connections: usize,
@@ -92,8 +92,8 @@
 
 impl StartupConfig {
     /// The part that can't change while the process runs.
-    pub fn fixed(&self) -> FixedConfig {
-        FixedConfig {
+    pub fn compared(&self) -> ComparedConfig {
+        ComparedConfig {
             listen: self.listen,
             journal_bytes: self.journal_bytes,
             max_client_connections: self.max_client_connections,
--- a/crates/forwarder/src/startup_config/descriptors.rs
+++ b/crates/forwarder/src/startup_config/descriptors.rs
@@ -8,7 +8,7 @@
 /// One descriptor in so many of the others goes to attempts in flight at most.
 const ATTEMPTS_DIVISOR: usize = 2;
 /// One in so many of what is left goes to idle connections to endpoints, the others to clients.
-const IDLE_DIVISOR: usize = 3;
+const IDLE_ENDPOINT_CONNECTIONS_DIVISOR: usize = 3;
 
 /// The descriptors of each use.
 pub struct DescriptorShares {
@@ -26,7 +26,7 @@
         let available = descriptors - OWN_DESCRIPTORS;
         let concurrency_limit = concurrency_limit.min((available / ATTEMPTS_DIVISOR) as u32);
         let left = available - concurrency_limit as usize;
-        let idle = left / IDLE_DIVISOR;
+        let idle = left / IDLE_ENDPOINT_CONNECTIONS_DIVISOR;
         DescriptorShares {
             concurrency_limit,
             clients: left - idle,
