--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -9,24 +9,24 @@
 };
 use std::fmt;
 
-/// Where the settings do not say, µs: as at the first deployments.
+/// The idle timeout of connections where the settings name none, µs. The first deployments have this value.
 const DEFAULT_CONNECTION_IDLE_TIMEOUT: Micros = 5_000_000;
-/// Where the settings do not say, µs: as at the first deployments.
+/// The connect timeout where the settings name none, µs. The first deployments have this value.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 1_000_000;
-/// Destinations held in full at once, beyond any size deployed today, so that nothing changes there. A full one takes some
-/// 3 kB, so that these stay near 3 MB of a forwarder's memory.
+/// The number of destinations whose whole state the core keeps at once. No deployment of today has as many, so that the
+/// limit changes nothing there. The whole state of a destination takes about 3 kB, and that of all these about 3 MB.
 const FULL_DESTINATIONS: u32 = 1_024;
-/// Messages in one call to an endpoint of a kind for which the settings do not say.
+/// Messages in one call to an endpoint, for an endpoint kind whose batch size the settings do not name.
 const DEFAULT_BATCH_SIZE: u32 = 1;
 
-/// What a program that runs the core is told at its start.
+/// The operators' settings of one forwarder, in the parts in which programs use them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwarderSettings {
     /// The configuration of the core.
     pub config: Config,
-    /// The names of its codecs.
+    /// The names that the codecs translate to the core's numbers and back.
     pub names: Names,
-    /// The figures of its connections.
+    /// The time limits of its connections to endpoints.
     pub connections: ConnectionConfig,
 }
 
@@ -41,7 +41,7 @@
     pub zones: Vec<String>,
     /// Kinds of endpoints.
     pub endpoint_kinds: Vec<String>,
-    /// Figures of a load report.
+    /// The figures of a load report.
     pub reports: Vec<String>,
 }
 
@@ -50,7 +50,7 @@
 pub struct ConnectionConfig {
     /// An endpoint closes a connection that has been idle for so long, µs.
     pub connection_idle_timeout: Micros,
-    /// A connection that takes longer to open counts as none, µs.
+    /// An attempt to open a connection fails after this time, µs.
     pub connect_timeout: Micros,
 }
 
@@ -188,6 +188,7 @@
 fn listed_rates(mode: &ListedRatesMode) -> ListedRates {
     match mode {
         ListedRatesMode::Off => ListedRates::Unlisted,
+        // The core has no mode for live rates and treats them as nominal.
         ListedRatesMode::Nominal | ListedRatesMode::Live => ListedRates::Nominal,
         ListedRatesMode::Approximate => ListedRates::Approximate,
     }
--- a/crates/config/src/start_object.rs
+++ b/crates/config/src/start_object.rs
@@ -5,10 +5,10 @@
 use opalpulley::Micros;
 use serde::Deserialize;
 
-/// Where the settings have no `AskWithinUs`, µs: as at the first deployments.
+/// The poll interval where the settings have no `AskWithinUs`, µs. The first deployments have this value.
 const DEFAULT_POLL_INTERVAL: Micros = 10_000_000;
 
-/// The whole object.
+/// The operators' settings as they are written: the top level of the JSON.
 #[derive(Deserialize)]
 pub struct StartObject {
     #[serde(rename = "Accounts", default)]
--- a/crates/forwarder/src/clients/connection.rs
+++ b/crates/forwarder/src/clients/connection.rs
@@ -21,7 +21,8 @@
 use tokio::net::TcpStream;
 use tower::Service;
 
-/// From the connection's start, or the last answer, to the end of a head.
+/// From the connection's start, or the last answer, to the end of a head. It is the keep-alive limit too: a connection
+/// without a further request is closed after this time.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2100);
 /// The same on a connection that only rejects.
 const REJECTED_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
@@ -37,7 +38,7 @@
     pub connection_use: ConnectionUse,
 }
 
-/// Makes the connection idle again when the future of an answer ends or is dropped.
+/// Makes the connection idle again when the answer is made, or its future is dropped. The answer is written afterwards.
 struct AnsweringGuard(Arc<ConnectionState>);
 
 impl AnsweringGuard {
--- a/crates/forwarder/src/clients/connection_state.rs
+++ b/crates/forwarder/src/clients/connection_state.rs
@@ -7,13 +7,14 @@
 /// How a connection stands, in the order in which connections are closed to make room for new ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionPhase {
-    /// Nothing has come on it yet.
+    /// No byte has come on it yet.
     NoRequestYet,
-    /// It has had a request, and no byte of another.
+    /// The answer to its latest request is made, and no byte has come since. That answer may not be written yet. Bytes of a
+    /// further request that came before the answer was made do not count.
     Idle,
-    /// A head has begun and not ended.
+    /// The first byte of a head has come, and the head is not whole.
     ReadingHead,
-    /// A head is in, and its answer is not out.
+    /// A whole head is in, and its answer is not made. The body may still be on its way.
     Answering,
 }
 
@@ -22,7 +23,7 @@
 pub struct PhaseChange {
     /// The phase.
     pub phase: ConnectionPhase,
-    /// The number of the change to it, counted over all connections.
+    /// The number of the change to this phase, counted over all connections.
     pub change_number: u64,
 }
 
--- a/crates/forwarder/src/clients/open_connections.rs
+++ b/crates/forwarder/src/clients/open_connections.rs
@@ -51,8 +51,8 @@
         self.max_connections.saturating_sub(self.tasks.len())
     }
 
-    /// Serves a new connection. Where few are left, one in less use is closed. Where none may be, the new connection only
-    /// rejects.
+    /// Serves a new connection. From 7/8 of the maximum on, the least used connection is evicted for it. If none may be
+    /// evicted, the new connection only rejects.
     pub fn admit(&mut self, socket: TcpStream) {
         let eviction_threshold = self.max_connections - self.max_connections / REJECTING_DIVISOR;
         let connection_use = if self.tasks.len() < eviction_threshold || self.close_least_used() {
--- a/crates/forwarder/src/clients/submission_service.rs
+++ b/crates/forwarder/src/clients/submission_service.rs
@@ -19,7 +19,8 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// From the end of a head to the end of its body. Clients wait 400 ms for both together with the answer.
+/// From the end of a head to the end of its body. Clients wait 400 ms for body and answer together. The timeout is
+/// longer, so that a slow client is answered rather than cut off.
 const BODY_TIMEOUT: Duration = Duration::from_millis(700);
 /// The same for a submission that is rejected in any case.
 const REJECTED_BODY_TIMEOUT: Duration = Duration::from_secs(1);
@@ -38,7 +39,8 @@
     names: Names,
     /// What a submission needs, for each delivery class in order.
     requirements: Vec<SubmissionRequirements>,
-    /// Whether the forwarder takes submissions.
+    /// Whether the forwarder takes submissions. Set once the messages of a previous run are submitted again (an endpoint
+    /// list is known, or 1 s after the start). Never cleared, also not at shutdown.
     pub ready: Arc<AtomicBool>,
     /// Whether each answer is the last on its connection.
     closing: AtomicBool,
@@ -147,6 +149,7 @@
             received_at: Instant::now(),
             answer,
         };
+        // An ended dispatcher gives the same result as a full mailbox.
         if self.dispatcher.try_send(request).is_err() {
             return Err(SubmissionError::TooManySubmissions);
         }
--- a/crates/forwarder/src/commands.rs
+++ b/crates/forwarder/src/commands.rs
@@ -10,7 +10,7 @@
 /// The answer to a client's submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmissionAnswer {
-    /// The message is in the journal: the platform gets its final answer.
+    /// The message is in the journal. The platform gets a completion report if it is not delivered.
     Accepted,
     /// Not accepted now; the client may submit it again.
     Rejected {
@@ -80,7 +80,7 @@
     StartAttempt(Box<AttemptRequest>),
     /// Check the endpoint's health.
     HealthCheck,
-    /// End an attempt that is out.
+    /// End an attempt that is in flight.
     Cancel {
         /// The message.
         id: MessageId,
--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -54,7 +54,7 @@
     completion_reports: mpsc::UnboundedSender<PendingReport>,
     gossip: mpsc::Sender<GossipDatagram>,
     log: Logger,
-    /// Whether clients may submit: set once the messages of a previous run are recovered.
+    /// Whether clients may submit. See [`DispatcherHandles::ready`].
     ready: Arc<AtomicBool>,
     in_flight: InFlightMessages,
     /// The destinations that any endpoint list has named. Its size is bounded by the number of destinations.
@@ -98,7 +98,8 @@
     pub completion_reports: mpsc::UnboundedSender<PendingReport>,
     /// The mailbox of the gossip socket.
     pub gossip: mpsc::Sender<GossipDatagram>,
-    /// Set once clients may submit.
+    /// Whether clients may submit. Set once the messages of a previous run are submitted again (an endpoint list is known,
+    /// or 1 s after the start, or at once where a panic replaces the core). Never cleared, also not at shutdown.
     pub ready: Arc<AtomicBool>,
 }
 
@@ -136,7 +137,8 @@
         }
     }
 
-    /// Runs until the shutdown has begun and neither attempts nor completion reports are out, or until `exit` is ready.
+    /// Runs until the shutdown has begun and neither attempts nor completion reports are in
+    /// flight, or until `exit` is ready.
     pub async fn run(
         mut self,
         mut commands: mpsc::Receiver<DispatcherCommand>,
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Whether neither an attempt nor a completion report is out.
+    /// Whether neither an attempt nor a completion report is in flight.
     fn has_nothing_in_flight(&self) -> bool {
         !self.in_flight.has_attempts_out() && self.pending_reports.is_empty()
     }
--- a/crates/forwarder/src/dispatcher/actions.rs
+++ b/crates/forwarder/src/dispatcher/actions.rs
@@ -57,7 +57,7 @@
         });
     }
 
-    /// A full mailbox counts as a failed poll: the core polls again later.
+    /// A full mailbox counts as a failed poll: the core polls again later. An ended receiver gives the same result.
     fn send_list_command(&mut self, command: EndpointListCommand) {
         if self.list.try_send(command).is_err() {
             let failed = Event::EndpointList(EndpointListUpdate::Failed);
@@ -65,6 +65,7 @@
         }
     }
 
+    /// An ended receiver gives the same result, and the same log line, as a full mailbox.
     fn send_gossip(&self, datagram: GossipDatagram) {
         if self.gossip.try_send(datagram).is_err() {
             warn!(self.log, "gossip datagram dropped: the mailbox is full");
--- a/crates/forwarder/src/dispatcher/endpoints.rs
+++ b/crates/forwarder/src/dispatcher/endpoints.rs
@@ -19,7 +19,8 @@
 /// the endpoint list.
 const OTHER_COMMANDS: usize = 64;
 
-/// How long a health check may take, in connect timeouts, rounded up.
+/// How long a health check may take, in connect timeouts: `HEALTH_CHECK_TIMEOUT_FACTOR` of the endpoint's actor (1.5),
+/// rounded up.
 const HEALTH_CHECK_CONNECT_TIMEOUTS: Micros = 2;
 
 struct RunningActor {
--- a/crates/forwarder/src/dispatcher/in_flight.rs
+++ b/crates/forwarder/src/dispatcher/in_flight.rs
@@ -4,7 +4,7 @@
 use opalpulley::{EndpointId, MessageId, Micros};
 use std::collections::BTreeMap;
 
-/// A message that is not over. It is over once its final answer is decided and none of its attempts is out.
+/// A message that is not over. It is over once its ending is decided and none of its attempts is out.
 pub struct InFlightMessage {
     /// Its serial number in the journal.
     pub serial: u64,
@@ -16,7 +16,7 @@
     pub attempts_started: u32,
     /// The attempts whose outcome is not known.
     pub attempts_out: Vec<OutstandingAttempt>,
-    /// Whether the final answer is decided. Attempts may still be out.
+    /// Whether it is decided how the message ends. Attempts may still be out.
     pub ending_decided: bool,
 }
 
@@ -84,7 +84,7 @@
         self.messages.get_mut(&id)
     }
 
-    /// The message with this id, if its final answer is not decided.
+    /// The message with this id, if its ending is not decided.
     pub fn get_undecided(&mut self, id: MessageId) -> Option<&mut InFlightMessage> {
         self.messages
             .get_mut(&id)
--- a/crates/forwarder/src/endpoint_list/watch.rs
+++ b/crates/forwarder/src/endpoint_list/watch.rs
@@ -140,7 +140,8 @@
         while self.step(&mut state, &mut commands).await.is_ok() {}
     }
 
-    /// One poll with its answer; where none is wanted, whatever happens next.
+    /// Makes one poll and handles its answer. If no poll is wanted, handles the next command, change of address or late
+    /// answer.
     async fn step(
         &mut self,
         state: &mut WatchState,
@@ -302,7 +303,7 @@
             state.fetch_wanted = false;
             self.send(EndpointListUpdate::Failed).await?;
         }
-        // A poll that timed out has waited already. A further pause would delay the news of draining endpoints.
+        // After a timeout there is no further pause: it would delay the news that endpoints are draining.
         if !matches!(problem, PlatformError::Timeout) {
             tokio::time::sleep(RETRY_INTERVAL).await;
         }
--- a/crates/forwarder/src/endpoints/actor.rs
+++ b/crates/forwarder/src/endpoints/actor.rs
@@ -19,6 +19,7 @@
 use tokio::time::Instant;
 
 /// The timeout of a health check as a multiple of the connect timeout: it opens a connection and waits for its answer.
+/// The dispatcher reckons with `HEALTH_CHECK_CONNECT_TIMEOUTS`, the same rounded up.
 const HEALTH_CHECK_TIMEOUT_FACTOR: f64 = 1.5;
 
 /// Whether the dispatcher still sends commands.
--- a/crates/forwarder/src/endpoints/attempt.rs
+++ b/crates/forwarder/src/endpoints/attempt.rs
@@ -12,14 +12,14 @@
 use hyper::Response;
 use opalpulley::{EndpointId, Event, MessageId, Outcome};
 use slog::{debug, error};
-use std::future::ready;
+use std::future::{ready, Future};
 use std::pin::pin;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What a request to an endpoint is for.
+/// What a request to an endpoint is for: a message's attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPurpose {
     /// An attempt at a message.
@@ -140,8 +140,7 @@
         Exchange::new(self.endpoint, request, connect_timeout, self.deadlines)
     }
 
-    /// Reports the outcome as soon as it is certain. An outcome that may have taken effect is certain with the head of the
-    /// answer. That the message did not take effect is believed only of an answer that came whole.
+    /// Reports an answer whose head is in, and reads its body. Returns the connection if it can serve again.
     async fn finish_with_answer(
         &self,
         response: Response<Incoming>,
@@ -156,33 +155,47 @@
             () = ready(()) => None,
         };
         self.report_retry_after(&answer, end_already_in).await;
+        let rest_of_body = async {
+            match end_already_in {
+                Some(end) => end,
+                None => body.await,
+            }
+        };
+        let body_end = self.report_answer(answer, rest_of_body).await;
+        connection.end_exchange();
+        match body_end {
+            BodyEnd::Complete => connection.reuse().await,
+            BodyEnd::Incomplete => None,
+        }
+    }
+
+    /// Reports the outcome as soon as it is certain, and reads the body to its end. An outcome that may have taken effect
+    /// is certain with the head of the answer. That the message did not take effect is believed only of an answer that
+    /// came whole.
+    async fn report_answer(
+        &self,
+        answer: EndpointAnswer,
+        rest_of_body: impl Future<Output = BodyEnd>,
+    ) -> BodyEnd {
         let result = AttemptResult {
             outcome: answer.outcome,
             completed: answer.completed,
             load_report: answer.load_report,
         };
-        let unreported = if answer.outcome.may_have_taken_effect() {
+        if result.outcome.may_have_taken_effect() {
             self.report(result).await;
-            None
+            rest_of_body.await
         } else {
-            Some(result)
-        };
-        let body_end = match end_already_in {
-            Some(end) => end,
-            None => body.await,
-        };
-        if let Some(result) = unreported {
+            let body_end = rest_of_body.await;
             self.report(result.confirmed_by(body_end)).await;
-        }
-        connection.end_exchange();
-        match body_end {
-            BodyEnd::Complete => connection.reuse().await,
-            BodyEnd::Incomplete => None,
+            body_end
         }
     }
 
-    /// A retry-after binds from the head of its answer on, whatever becomes of the body. A rejection that is whole already
-    /// carries it in its outcome.
+    /// Reports the retry-after header of an answer. It binds from the head of the answer on, whatever becomes of the body.
+    ///
+    /// A rejection whose body is already whole is skipped. A 429 has the retry-after in its outcome. A 503 has none there, so
+    /// that its header is reported only if its body is not yet whole, or if the endpoint had no concurrency permit.
     async fn report_retry_after(&self, answer: &EndpointAnswer, body_end: Option<BodyEnd>) {
         let rejected = matches!(answer.outcome, Outcome::Rejected { .. });
         if rejected && body_end == Some(BodyEnd::Complete) {
--- a/crates/forwarder/src/endpoints/attempt_error.rs
+++ b/crates/forwarder/src/endpoints/attempt_error.rs
@@ -8,18 +8,21 @@
 pub enum AttemptStage {
     /// No connection was open, or it took no byte of the request.
     Connecting,
-    /// Some bytes of the request were not written: it can't have taken effect.
+    /// The connection ended before all bytes of the request were written, or the request could not be encoded: it can't have
+    /// taken effect.
     Writing,
-    /// All bytes of the request were written: it may have taken effect.
+    /// It may have taken effect. Either all bytes of the request were written, or the attempt was given up after writing had
+    /// begun. In the second case the bytes are not counted, so that some may be unwritten.
     Written,
 }
 
 /// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    /// The connection could not be opened, closed early, or carried something that is no answer.
+    /// The connection could not be opened, closed early, or carried something that is no answer. Also: the head of an answer
+    /// began and did not end in time, or the request could not be encoded.
     ConnectionLost,
-    /// No answer came before the attempt timeout.
+    /// No head of an answer came before the attempt timeout, or no connection came up within the connect timeout.
     TimedOut,
     /// The dispatcher cancelled the attempt.
     Cancelled,
--- a/crates/forwarder/src/endpoints/connection.rs
+++ b/crates/forwarder/src/endpoints/connection.rs
@@ -23,7 +23,8 @@
 }
 
 impl EndpointConnection {
-    /// Opens a connection. Fails if that takes longer than `timeout`.
+    /// Opens a connection. Fails with `TimedOut` if that takes longer than `timeout`, and with `ConnectionLost` on any other
+    /// error.
     pub async fn open(
         endpoint: EndpointId,
         timeout: Duration,
@@ -107,7 +108,7 @@
     }
 }
 
-/// The stage of a request of `length` bytes of which so many were written.
+/// The stage of a request of `length` bytes whose connection ended after so many were written.
 fn stage_reached(bytes_written: u64, length: u64) -> AttemptStage {
     if bytes_written == 0 {
         AttemptStage::Connecting
--- a/crates/forwarder/src/endpoints/exchange.rs
+++ b/crates/forwarder/src/endpoints/exchange.rs
@@ -219,6 +219,7 @@
         })
     }
 
+    /// A request whose writing has begun counts as `Written`, whether or not it is whole.
     fn stage_when_given_up(&self) -> AttemptStage {
         match self.answer_progress() {
             None | Some(AnswerProgress::NoRequest) => AttemptStage::Connecting,
--- a/crates/forwarder/src/endpoints/stream.rs
+++ b/crates/forwarder/src/endpoints/stream.rs
@@ -21,9 +21,9 @@
 /// How far the answer to the present request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerProgress {
-    /// No request is out: bytes that come now belong to none.
+    /// No request is in flight: bytes that come now belong to none.
     NoRequest,
-    /// A request is out. Nothing of its answer is in, or 1xx heads alone.
+    /// A request is in flight. Nothing of its answer is in, or 1xx heads alone.
     Awaited,
     /// The first bytes of the answer are in.
     Started,
@@ -65,7 +65,8 @@
         *self.answer.borrow()
     }
 
-    /// Waits until an answer has started and its exchange has not ended for so long. A 1xx head starts the wait anew.
+    /// Returns once an answer has been in progress for `timeout`; the caller drops this future when the head is complete.
+    /// A 1xx head starts the wait anew.
     pub async fn answer_head_stalled(&self, timeout: Duration) {
         let mut answer = self.answer.subscribe();
         while answer.wait_for(|now| now.has_started()).await.is_ok() {
--- a/crates/forwarder/src/gossip_socket.rs
+++ b/crates/forwarder/src/gossip_socket.rs
@@ -17,8 +17,8 @@
 /// Between two log lines on datagrams of unknown senders, so that these can't fill the disk.
 const UNKNOWN_SENDER_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Carries gossip both ways. Ends where the deployment names no address to listen on, or an end of it is closed. Fails where
-/// the address can't be used.
+/// Sends the gossip of this forwarder, and passes what it receives to the dispatcher. Returns at once where the deployment
+/// names no address to listen on, and otherwise when the dispatcher has ended. Fails where the address can't be used.
 pub async fn run(
     peers: GossipPeers,
     mut outgoing: mpsc::Receiver<GossipDatagram>,
@@ -31,6 +31,7 @@
     let socket = UdpSocket::bind(listen).await?;
     let numbers: HashMap<SocketAddr, u16> = peers.each.iter().copied().zip(0..).collect();
     let mut unknown_senders = UnknownSenders::default();
+    // A longer datagram is cut to the length of the buffer, 256 bytes.
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         tokio::select! {
@@ -39,6 +40,7 @@
                 None => return Ok(()),
             },
             received = socket.recv_from(&mut buffer) => {
+                // A failed read is skipped.
                 let Ok((length, from)) = received else { continue };
                 let Some(number) = numbers.get(&from).copied() else {
                     unknown_senders.log(from, &log);
--- a/crates/forwarder/src/http_connection.rs
+++ b/crates/forwarder/src/http_connection.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::task::JoinHandle;
 
-/// A connection and the task that drives it. Dropping it closes the connection, whatever request is out there.
+/// A connection and the task that drives it. Dropping it closes the connection, whatever request is in flight.
 pub struct HttpConnection {
     /// Sends requests, one at a time.
     pub sender: SendRequest<Full<Bytes>>,
@@ -27,7 +27,7 @@
         S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
     {
         let (sender, connection) = http.handshake(TokioIo::new(stream)).await?;
-        // An error on the connection reaches the request that is out there.
+        // An error on the connection reaches the request that is in flight.
         let driver = tokio::spawn(async move { drop(connection.await) });
         Ok(HttpConnection { sender, driver })
     }
--- a/crates/forwarder/src/main.rs
+++ b/crates/forwarder/src/main.rs
@@ -23,6 +23,7 @@
         .chan_size(LOG_QUEUE_LINES)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build_with_guard();
+    // Debug lines never appear, because the level is fixed.
     let drain = slog::LevelFilter::new(drain, slog::Level::Info).fuse();
     (Logger::root(drain, o!()), guard)
 }
--- a/crates/forwarder/src/protocol/attempt.rs
+++ b/crates/forwarder/src/protocol/attempt.rs
@@ -6,7 +6,7 @@
 use hyper::header::{HeaderValue, CONTENT_LENGTH, HOST};
 use hyper::{HeaderMap, Request, StatusCode};
 use opalpulley::{EndpointId, Micros, Outcome};
-use opalpulley_config::Names;
+use opalpulley_config::{Names, MICROS_PER_MILLI};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
@@ -23,7 +23,6 @@
 
 /// A day, ms, over any deadline. Longer retry-afters are shortened to it.
 const MAX_RETRY_AFTER_MS: f64 = 86_400_000.0;
-const MICROS_PER_MILLI: f64 = 1000.0;
 
 /// A request to an endpoint.
 #[derive(Clone)]
@@ -96,7 +95,8 @@
     pub outcome: Outcome,
     /// Whether the message is over: no further attempt is wanted.
     pub completed: bool,
-    /// How long the endpoint asks not to be called, µs, whatever the status.
+    /// How long the endpoint asks not to be called, µs. It is decoded from the header of any status. The outcome has it
+    /// only for a 429.
     pub retry_after: Option<Micros>,
     /// The load that it reports, in the order of the settings. Empty where it reports none.
     pub load_report: Vec<f32>,
@@ -122,7 +122,10 @@
         StatusCode::SERVICE_UNAVAILABLE if says_no_permit(headers) => {
             Outcome::NotAttempted { no_permit: true }
         }
+        // The header of a 503 is not part of its outcome. `EndpointAnswer::retry_after` still has it.
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Rejected { retry_after: None },
+        // The endpoint says that it did nothing. The simulator's wire has the same outcome (409) for a message that was over
+        // or whose time was up, and takes it as proof that the message never ran.
         StatusCode::GATEWAY_TIMEOUT | StatusCode::GONE => {
             Outcome::NotAttempted { no_permit: false }
         }
@@ -134,6 +137,7 @@
     headers.get(NO_PERMIT).and_then(decode_decimal) == Some(1.0)
 }
 
+/// A number, with or without decimals.
 fn decode_decimal(value: &HeaderValue) -> Option<f64> {
     value.to_str().ok()?.trim().parse().ok()
 }
@@ -145,7 +149,7 @@
         .filter_map(decode_decimal)
         .filter(|ms| *ms > 0.0)
         .max_by(f64::total_cmp)?;
-    let micros = longest_ms.min(MAX_RETRY_AFTER_MS) * MICROS_PER_MILLI;
+    let micros = longest_ms.min(MAX_RETRY_AFTER_MS) * MICROS_PER_MILLI as f64;
     Some(micros.ceil() as Micros)
 }
 
--- a/crates/forwarder/src/protocol/completion_report.rs
+++ b/crates/forwarder/src/protocol/completion_report.rs
@@ -2,6 +2,7 @@
 
 use bytes::Bytes;
 use opalpulley::Micros;
+use opalpulley_config::MICROS_PER_MILLI;
 use serde::{Deserialize, Serialize};
 
 /// The path to which the platform takes completion reports.
@@ -9,7 +10,6 @@
 
 const STATUS_FAILED: &str = "undeliverable";
 const STATUS_REJECTED: &str = "deferred";
-const MICROS_PER_MILLI: Micros = 1000;
 
 /// How an accepted message ended without delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/forwarder/src/protocol/endpoint_list.rs
+++ b/crates/forwarder/src/protocol/endpoint_list.rs
@@ -4,13 +4,12 @@
 use opalpulley::{
     DestinationId, EndpointEntry, EndpointId, EndpointKindId, EndpointStatus, ZoneId,
 };
-use opalpulley_config::Names;
+use opalpulley_config::{Names, MICROS_PER_MILLI};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
 const LIST_PATH: &str = "/discovery/hosts";
-const MICROS_PER_MILLI: u64 = 1000;
 
 /// A list as the platform sends it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
--- a/crates/forwarder/src/protocol/submission.rs
+++ b/crates/forwarder/src/protocol/submission.rs
@@ -7,7 +7,7 @@
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method};
 use opalpulley::{DeliveryClassId, DestinationId, Micros, TenantId};
-use opalpulley_config::Names;
+use opalpulley_config::{Names, MICROS_PER_MILLI};
 
 /// The path at which the platform asks whether the forwarder takes submissions.
 pub const READINESS_PATH: &str = "/up";
@@ -16,7 +16,7 @@
 pub(super) const DELIVERY_CLASS: &str = "request-class";
 /// The name of the tenant.
 const TENANT: &str = "tenant";
-/// Whether the message was submitted before, and what became of that.
+/// Whether the client submits the message again, or a forwarder that had it has failed.
 const CLIENT_RETRY: &str = "client-retry";
 /// Messages of an ordered class go one at a time where they have the same key.
 const ORDER_KEY: &str = "affinity-key";
@@ -27,7 +27,7 @@
 const ENVELOPE_SEPARATORS: [char; 3] = [';', ',', ' '];
 /// The value of `client-retry` of a message that the client submits again.
 const RETRY_RESUBMITTED: &str = "1";
-/// The value of `client-retry` of a message whose former forwarder has ended.
+/// The value of `client-retry` of a message whose former forwarder has failed.
 const RETRY_FORWARDER_FAILED: &str = "again";
 
 /// Bytes of the longest header value that is read, far over any in use.
@@ -35,7 +35,6 @@
 /// Digits of an order key as the platform writes it.
 const ORDER_KEY_DIGITS: usize = 16;
 const HEXADECIMAL: u32 = 16;
-pub(super) const MICROS_PER_MILLI: Micros = 1000;
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// A message as a client submits it.
@@ -57,7 +56,7 @@
     pub order_key: Option<u64>,
     /// Whether the client has submitted it before.
     pub resubmitted: bool,
-    /// Whether a forwarder that has ended may have sent it before.
+    /// Whether a forwarder that has failed may have sent it before. Kept in the journal; no decision depends on it.
     pub from_failed_forwarder: bool,
     /// Its body.
     pub body: Bytes,
@@ -240,7 +239,8 @@
     }
 }
 
-/// The value of `Retry-After` (RFC 9110 section 10.2.3) with decimals: seconds.
+/// The value of `Retry-After`: seconds with three decimals, as the operators' page wants. RFC 9110 section 10.2.3 allows
+/// whole seconds only.
 pub fn encode_retry_after(retry_after: Micros) -> String {
     format!("{:.3}", retry_after as f64 / MICROS_PER_SECOND)
 }
--- a/crates/forwarder/src/protocol/submission_error.rs
+++ b/crates/forwarder/src/protocol/submission_error.rs
@@ -7,7 +7,7 @@
 use std::error::Error;
 use std::fmt;
 
-/// Why a request can't be served. `Display` is the text for the client.
+/// Why a request can't be served. `Display` is the text for the client. The golden tests hold these texts byte for byte.
 #[derive(Debug)]
 pub enum SubmissionError {
     /// The body comes in chunks.
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Whether the answer is the last on its connection. It is where the end of the request is not known, or not waited for:
-    /// what follows may be anything.
+    /// Whether the connection closes after the answer. It does where the end of the request is not known, or not waited for,
+    /// because the bytes that follow can't be told from a new request.
     pub fn closes_connection(&self) -> bool {
         matches!(
             self,
--- a/crates/forwarder/src/reload.rs
+++ b/crates/forwarder/src/reload.rs
@@ -7,17 +7,17 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Between two reads of a file that can't be used. Someone may be writing it.
+/// The time between two reads of a file that can't be used. Someone may be writing it.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// From the signal on, for the file to become whole. Half of what the platform allows until the list of the new address
-/// counts as notified.
+/// How long after the signal the file may take to become whole. It leaves time to fetch the list from the new address: the
+/// service rules count the forwarder as informed 6 s after a change.
 const RETRY_FOR: Duration = Duration::from_secs(2);
 
 /// Reads the start-up configuration again.
 pub type ReadConfig = Box<dyn Fn() -> Result<StartupConfig, ConfigError> + Send>;
 
 /// Reads the configuration for each request, and publishes the platform's address. A configuration that can't be used, or
-/// that changes other keys, is logged.
+/// that changes keys which are compared with `running`, is logged.
 pub async fn run(
     mut requests: mpsc::Receiver<()>,
     mut read_config: ReadConfig,
--- a/crates/forwarder/src/shutdown.rs
+++ b/crates/forwarder/src/shutdown.rs
@@ -8,12 +8,13 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// From SIGTERM to the last new connection. The platform sends new connections for 0.4 s more.
+/// From SIGTERM to the last new connection. The platform stops sending new connections 0.4 s after SIGTERM.
 const ACCEPT_FOR: Duration = Duration::from_millis(700);
 /// From SIGTERM to the last new attempt. Attempts in flight may take a second more.
 const ATTEMPT_FOR: Duration = Duration::from_millis(2300);
-/// From SIGTERM to the end of the process. The platform kills it after 3.7 s.
-const END_AFTER: Duration = Duration::from_millis(3300);
+/// From SIGTERM to the end of the dispatcher at the latest. The process ends 50 ms after it. The platform kills the process
+/// 3.7 s after SIGTERM.
+const DISPATCHER_ENDS_AFTER: Duration = Duration::from_millis(3300);
 
 /// How far the end of the process has come, as client connections are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
@@ -26,7 +27,8 @@
     NotAccepting,
 }
 
-/// Waits for `terminate` and takes the process through the stages of its end. Returns when it is to end.
+/// Waits for `terminate` and takes the process through the stages of its end. Returns when the
+/// dispatcher is to end.
 pub async fn run(
     terminate: impl Future<Output = ()>,
     stage: &watch::Sender<ShutdownStage>,
@@ -42,6 +44,6 @@
     tokio::time::sleep_until(started + ATTEMPT_FOR).await;
     let shutting_down = DispatcherCommand::Event(Event::ShuttingDown);
     if dispatcher.send(shutting_down).await.is_ok() {
-        tokio::time::sleep_until(started + END_AFTER).await;
+        tokio::time::sleep_until(started + DISPATCHER_ENDS_AFTER).await;
     }
 }
--- a/crates/forwarder/src/startup.rs
+++ b/crates/forwarder/src/startup.rs
@@ -38,14 +38,15 @@
 const GOSSIP_MAILBOX: usize = 256;
 /// Connections of clients that wait to be accepted. A client that finds the backlog full waits a second.
 const ACCEPT_BACKLOG: u32 = 1024;
-/// A change of the list counts as notified so long after the platform had it and could be reached, µs.
+/// The service rules count the forwarder as informed 6 s after a change, if the platform had the change and could be
+/// reached. In µs.
 const NOTIFIED_WITHIN: Micros = 6_000_000;
 /// For answers on their way when the process ends.
 const LAST_ANSWERS_TIME: Duration = Duration::from_millis(50);
 
 /// How the program controls a running forwarder.
 pub struct ProcessControl {
-    /// Resolves when the forwarder is to end. It then ends in order, within 3.3 s.
+    /// Resolves when the forwarder is to end. The dispatcher ends 3.3 s later at the latest, and the process 50 ms after it.
     pub terminate: Pin<Box<dyn Future<Output = ()> + Send>>,
     /// One value for each time that the start-up configuration is to be read again.
     pub reload: mpsc::Receiver<()>,
@@ -176,7 +177,7 @@
         })
     }
 
-    /// Accepts clients from now on. Until the dispatcher has taken over the journal they are answered that it is not ready.
+    /// Accepts clients from now on. Until `ready` is set, they are answered that the forwarder is not ready.
     fn start_clients(
         &self,
         submissions: mpsc::Sender<SubmissionRequest>,
--- a/crates/forwarder/src/startup_config.rs
+++ b/crates/forwarder/src/startup_config.rs
@@ -1,4 +1,5 @@
-//! The start-up configuration. Environment and configuration file are read, checked and given defaults here and nowhere else.
+//! The start-up configuration. Environment and configuration file are read, checked and given defaults here and nowhere
+//! else, except the operators' settings: see `opalpulley_config`.
 
 mod descriptors;
 mod file;
@@ -23,7 +24,8 @@
     pub listen: SocketAddr,
     /// Where the platform's agent listens.
     pub discovery: SocketAddr,
-    /// What the file says of it, whatever the variable: the file alone can change while the process runs.
+    /// The same as the file says it. A reload uses it even where `GW_DISCOVERY` is set, because the file alone can change
+    /// while the process runs.
     pub discovery_in_file: Option<SocketAddr>,
     /// The directory of the journal.
     pub state_dir: PathBuf,
@@ -33,7 +35,7 @@
     pub journal_bytes: u64,
     /// How many connections of clients may be open.
     pub max_client_connections: usize,
-    /// How many connections to endpoints may be idle, beside one for each concurrency permit.
+    /// How many connections to endpoints may be idle, in addition to connections that carry attempts.
     pub max_idle_connections: usize,
     /// The other forwarders.
     pub gossip_peers: GossipPeers,
@@ -80,7 +82,8 @@
 
 impl std::error::Error for ConfigError {}
 
-/// What can't change while the process runs.
+/// The keys that a reload compares with those in force, to log that a change takes effect only at the next start. The name,
+/// the seed, the state directory, the gossip peers and the known list are not compared.
 #[derive(Clone, PartialEq)]
 pub struct ComparedConfig {
     listen: SocketAddr,
@@ -91,7 +94,7 @@
 }
 
 impl StartupConfig {
-    /// The part that can't change while the process runs.
+    /// The keys that a reload compares.
     pub fn compared(&self) -> ComparedConfig {
         ComparedConfig {
             listen: self.listen,
--- a/crates/forwarder/src/startup_config/file.rs
+++ b/crates/forwarder/src/startup_config/file.rs
@@ -15,11 +15,12 @@
 const DEFAULT_MEMORY_MB: f64 = 192.0;
 /// The share of the memory for the journal at most: its files count, and messages are in memory beside them.
 const JOURNAL_MEMORY_SHARE: f64 = 0.25;
-/// The smallest journal, MB. Under this no message of full size fits twice.
+/// The smallest journal, MB. A smaller one can't hold two messages of full size.
 const MIN_DISK_MB: f64 = 0.1;
 const BYTES_PER_MB: f64 = 1e6;
 
-/// The file as it is written. serde writes the name of a struct into its error messages.
+/// The file as it is written. serde writes the name of a struct into its error messages, so that renaming `File` changes
+/// error texts.
 #[derive(Deserialize)]
 pub struct File {
     #[serde(rename = "name")]
--- a/crates/simhost/src/error.rs
+++ b/crates/simhost/src/error.rs
@@ -80,6 +80,7 @@
                 f,
                 "input ends inside a {what}: {wanted} bytes wanted, {got} there"
             ),
+            // A record of a reply has the offset 0: its text names the batch too.
             WireError::Record {
                 record,
                 offset,
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -21,19 +21,19 @@
 }
 
 impl Host {
-    /// Plays one batch. Returns the frame that answers it.
+    /// Applies one batch. Returns the frame that answers it.
     pub fn answer(&mut self, head: BatchHead, body: &[u8]) -> Result<Vec<u8>, WireError> {
         self.reply.clear();
         for raw in split_records(head, body)? {
             // The wire may grow: unknown records are skipped.
             if let Some(kind) = RecordKind::from_code(raw.code) {
-                self.play_record(head.clock, kind, &raw)?;
+                self.apply_record(head.clock, kind, &raw)?;
             }
         }
         self.reply.frame(head.number)
     }
 
-    fn play_record(
+    fn apply_record(
         &mut self,
         now: Micros,
         kind: RecordKind,
@@ -44,7 +44,7 @@
             RecordKind::ListRegistered => self.register_list(&mut fields),
             RecordKind::InstanceStarted => self.start_instance(&mut fields),
             RecordKind::InstanceEnded => self.end_instance(&mut fields),
-            RecordKind::Event(event) => self.play_event(now, event, &mut fields),
+            RecordKind::Event(event) => self.apply_event(now, event, &mut fields),
         }
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Gives an event to its instance, and adds the actions of the instance to the reply.
-    fn play_event(
+    fn apply_event(
         &mut self,
         now: Micros,
         kind: EventKind,
--- a/crates/simhost/src/record.rs
+++ b/crates/simhost/src/record.rs
@@ -6,10 +6,10 @@
     AttemptHistory, DeliveryClassId, DestinationId, EndpointEntry, EndpointKindId, EndpointStatus,
     Event, MessageId, Micros, OrderKey, Outcome, Submission, TenantId, TimerToken, ZoneId,
 };
+use opalpulley_config::MICROS_PER_MILLI;
 
 /// Bytes of one entry of an endpoint list.
 const LIST_ENTRY_BYTES: usize = 25;
-const MICROS_PER_MILLI: Micros = 1000;
 
 /// The flag of a submission that the client has made before.
 const FLAG_RESUBMITTED: u8 = 2;
@@ -42,7 +42,7 @@
     AttemptEnded,
     /// Gossip of another forwarder.
     Gossip,
-    /// An attempt has reached its endpoint.
+    /// The endpoint's answer to an attempt has begun: `Accepted` on the wire.
     AnswerStarted,
     /// The client has withdrawn a message.
     Withdrawn,
@@ -139,7 +139,7 @@
     Ok(ListUpdate { list, kind })
 }
 
-/// Decodes the start of an attempt.
+/// Decodes the start of an endpoint's answer to an attempt: `Accepted` on the wire.
 pub fn decode_answer_started(fields: &mut FieldReader) -> Result<Event, WireError> {
     Ok(Event::AnswerStarted {
         id: MessageId(fields.u32()?),
@@ -211,6 +211,7 @@
     let tenant = TenantId(fields.u32()?);
     let order_key = fields.u64()?;
     let time_left = Micros::from(fields.u32()?);
+    // A guess of the call's cost in time. The core does not use it.
     let _hint = fields.u32()?;
     let destination = decode_destination(fields)?;
     let flags = fields.u8()?;
@@ -260,7 +261,8 @@
     (0..count).map(|_| fields.f32()).collect()
 }
 
-/// Decodes the entries of a registered list.
+/// Decodes the entries of a registered list. Fails if the record is too short for the number of entries that it announces,
+/// before any entry is decoded.
 pub fn decode_endpoint_list(fields: &mut FieldReader) -> Result<Vec<EndpointEntry>, WireError> {
     let count = fields.u32()? as usize;
     if count > fields.bytes_left() / LIST_ENTRY_BYTES {
@@ -284,6 +286,7 @@
     })
 }
 
+/// The wire has no status with the number 2.
 fn decode_endpoint_status(fields: &mut FieldReader) -> Result<EndpointStatus, WireError> {
     match fields.u8()? {
         0 => Ok(EndpointStatus::Ready),
--- a/crates/simhost/src/reply.rs
+++ b/crates/simhost/src/reply.rs
@@ -103,6 +103,7 @@
         }
     }
 
+    /// A timeout of 0 on the wire means none: until the client gives up.
     fn put_send(
         &mut self,
         id: MessageId,
@@ -120,6 +121,7 @@
         CODE_FAIL
     }
 
+    /// A retry-after of 0 on the wire means none.
     fn put_reject(&mut self, id: MessageId, retry_after: Option<Micros>) -> Result<u16, WireError> {
         self.put_message(id);
         self.put_micros("Reject", retry_after.unwrap_or(0))?;
