--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Runs until the shutdown has begun and neither attempts nor completion reports are in
-    /// flight, or until `exit` is ready.
+    /// Runs until the shutdown has begun and neither attempts nor completion reports are in flight, or until `exit` is
+    /// ready.
     pub async fn run(
         mut self,
         mut commands: mpsc::Receiver<DispatcherCommand>,
--- a/crates/forwarder/src/protocol/submission_error.rs
+++ b/crates/forwarder/src/protocol/submission_error.rs
@@ -7,7 +7,10 @@
 use std::error::Error;
 use std::fmt;
 
-/// Why a request can't be served. `Display` is the text for the client. The golden tests hold these texts byte for byte.
+/// Why a request can't be served. `Display` is the text for the client.
+///
+/// The golden tests hold these texts byte for byte, except those of `BodyTimedOut`, `AllConnectionsTaken`,
+/// `TooManySubmissions` and `ShuttingDown`. These too must stay as they are.
 #[derive(Debug)]
 pub enum SubmissionError {
     /// The body comes in chunks.
@@ -77,7 +80,7 @@
     NotReady,
     /// As many connections are open as may be.
     AllConnectionsTaken,
-    /// The dispatcher's mailbox is full.
+    /// The dispatcher's mailbox is full, or the dispatcher has ended.
     TooManySubmissions,
     /// The forwarder ends before the message is accepted.
     ShuttingDown,
--- a/crates/forwarder/src/shutdown.rs
+++ b/crates/forwarder/src/shutdown.rs
@@ -27,8 +27,8 @@
     NotAccepting,
 }
 
-/// Waits for `terminate` and takes the process through the stages of its end. Returns when the
-/// dispatcher is to end.
+/// Waits for `terminate` and takes the process through the stages of its end. Returns when the dispatcher is
+/// to end.
 pub async fn run(
     terminate: impl Future<Output = ()>,
     stage: &watch::Sender<ShutdownStage>,
--- a/crates/forwarder/src/startup_config.rs
+++ b/crates/forwarder/src/startup_config.rs
@@ -82,8 +82,10 @@
 
 impl std::error::Error for ConfigError {}
 
-/// The keys that a reload compares with those in force, to log that a change takes effect only at the next start. The name,
-/// the seed, the state directory, the gossip peers and the known list are not compared.
+/// The keys that a reload compares with those in force, to log that a change takes effect only at the next start.
+///
+/// The name, the seed, the state directory, the gossip peers and the known list are not compared. `discovery` is not
+/// either, because it takes effect at once.
 #[derive(Clone, PartialEq)]
 pub struct ComparedConfig {
     listen: SocketAddr,
