--- a/crates/forwarder/src/clients/connection_state.rs
+++ b/crates/forwarder/src/clients/connection_state.rs
@@ -7,28 +7,29 @@
 /// How a connection stands, in the order in which connections are closed to make room for new ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionPhase {
-    /// Nothing has come on it yet.
+    /// No byte has come on it yet.
     NoRequestYet,
-    /// It has had a request, and no byte of another.
+    /// The answer to its latest request is made, and no byte has come since. That answer may not be written yet. Bytes of a
+    /// further request that came before the answer was made do not count.
     Idle,
-    /// A head has begun and not ended.
+    /// The first byte of a head has come, and the head is not whole.
     ReadingHead,
-    /// A head is in, and its answer is not out.
+    /// A whole head is in, and its answer is not made. The body may still be on its way.
     Answering,
 }
 
 /// A phase and when it began. The order of two such values is the order in which their connections are closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct PhaseSince {
+pub struct PhaseChange {
     /// The phase.
     pub phase: ConnectionPhase,
-    /// The number of the change to it, counted over all connections.
+    /// The number of the change to this phase, counted over all connections.
     pub change_number: u64,
 }
 
 /// The state of one connection. A request to close waits for the answer that is due.
 pub struct ConnectionState {
-    current: Mutex<PhaseSince>,
+    current: Mutex<PhaseChange>,
     close_requested: AtomicBool,
     close: Notify,
     /// Counts the phase changes of all connections.
@@ -38,7 +39,7 @@
 impl ConnectionState {
     /// The state of a new connection. `changes` is the counter of all connections.
     pub fn new(changes: Arc<AtomicU64>) -> ConnectionState {
-        let first = PhaseSince {
+        let first = PhaseChange {
             phase: ConnectionPhase::NoRequestYet,
             change_number: changes.fetch_add(1, Ordering::Relaxed),
         };
@@ -51,7 +52,7 @@
     }
 
     /// The phase, and since when.
-    pub fn current(&self) -> PhaseSince {
+    pub fn current(&self) -> PhaseChange {
         *self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -64,7 +65,7 @@
     pub fn enter(&self, phase: ConnectionPhase) {
         let change_number = self.changes.fetch_add(1, Ordering::Relaxed);
         let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
-        *current = PhaseSince {
+        *current = PhaseChange {
             phase,
             change_number,
         };
--- a/crates/forwarder/src/dispatcher/endpoints.rs
+++ b/crates/forwarder/src/dispatcher/endpoints.rs
@@ -19,7 +19,8 @@
 /// the endpoint list.
 const OTHER_COMMANDS: usize = 64;
 
-/// How long a health check may take, in connect timeouts, rounded up.
+/// How long a health check may take, in connect timeouts: `HEALTH_CHECK_TIMEOUT_FACTOR` of the endpoint's actor (1.5),
+/// rounded up.
 const HEALTH_CHECK_CONNECT_TIMEOUTS: Micros = 2;
 
 struct RunningActor {
@@ -48,8 +49,11 @@
         let mailbox_capacity = COMMANDS_PER_PERMIT * concurrency_limit as usize + OTHER_COMMANDS;
         // By then every idle connection is retired and every health check is over.
         let connections = &context.config;
-        let health_check = HEALTH_CHECK_CONNECT_TIMEOUTS.saturating_mul(connections.connect_within);
-        let idle_timeout = connections.idle_closed_after.saturating_add(health_check);
+        let health_check =
+            HEALTH_CHECK_CONNECT_TIMEOUTS.saturating_mul(connections.connect_timeout);
+        let idle_timeout = connections
+            .connection_idle_timeout
+            .saturating_add(health_check);
         EndpointActors {
             context,
             mailbox_capacity,
--- a/crates/forwarder/src/dispatcher/in_flight.rs
+++ b/crates/forwarder/src/dispatcher/in_flight.rs
@@ -4,7 +4,7 @@
 use opalpulley::{EndpointId, MessageId, Micros};
 use std::collections::BTreeMap;
 
-/// A message that is not over. It is over once its final answer is decided and none of its attempts is out.
+/// A message that is not over. It is over once its ending is decided and none of its attempts is out.
 pub struct InFlightMessage {
     /// Its serial number in the journal.
     pub serial: u64,
@@ -16,8 +16,8 @@
     pub attempts_started: u32,
     /// The attempts whose outcome is not known.
     pub attempts_out: Vec<OutstandingAttempt>,
-    /// Whether the final answer is decided. Attempts may still be out.
-    pub answered: bool,
+    /// Whether it is decided how the message ends. Attempts may still be out.
+    pub ending_decided: bool,
 }
 
 impl InFlightMessage {
@@ -34,7 +34,7 @@
             deadline,
             attempts_started,
             attempts_out: Vec::new(),
-            answered: false,
+            ending_decided: false,
         }
     }
 
@@ -46,7 +46,7 @@
     }
 
     fn is_over(&self) -> bool {
-        self.answered && self.attempts_out.is_empty()
+        self.ending_decided && self.attempts_out.is_empty()
     }
 }
 
@@ -84,11 +84,11 @@
         self.messages.get_mut(&id)
     }
 
-    /// The message with this id, if its final answer is not decided.
-    pub fn get_unanswered(&mut self, id: MessageId) -> Option<&mut InFlightMessage> {
+    /// The message with this id, if its ending is not decided.
+    pub fn get_undecided(&mut self, id: MessageId) -> Option<&mut InFlightMessage> {
         self.messages
             .get_mut(&id)
-            .filter(|message| !message.answered)
+            .filter(|message| !message.ending_decided)
     }
 
     /// The message that a client gave this request id.
--- a/crates/forwarder/src/endpoints/attempt.rs
+++ b/crates/forwarder/src/endpoints/attempt.rs
@@ -12,16 +12,16 @@
 use hyper::Response;
 use opalpulley::{EndpointId, Event, MessageId, Outcome};
 use slog::{debug, error};
-use std::future::ready;
+use std::future::{ready, Future};
 use std::pin::pin;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What a request to an endpoint is for.
+/// What a request to an endpoint is for: a message's attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptKind {
+pub enum RequestPurpose {
     /// An attempt at a message.
     Attempt {
         /// The message.
@@ -45,9 +45,9 @@
 }
 
 /// An attempt or health check that the actor has started and that has not ended.
-pub struct InFlight {
+pub struct RunningRequest {
     /// What it is for.
-    pub kind: AttemptKind,
+    pub purpose: RequestPurpose,
     /// When it started.
     pub started: Instant,
     /// Tells its task to stop.
@@ -92,7 +92,7 @@
     /// The endpoint that gets it.
     pub endpoint: EndpointId,
     /// What it is for.
-    pub kind: AttemptKind,
+    pub purpose: RequestPurpose,
     /// When it started.
     pub started: Instant,
     /// When it is given up.
@@ -136,12 +136,11 @@
     }
 
     fn exchange(&self, request: EndpointRequest) -> Exchange {
-        let connect_timeout = Duration::from_micros(self.context.config.connect_within);
+        let connect_timeout = Duration::from_micros(self.context.config.connect_timeout);
         Exchange::new(self.endpoint, request, connect_timeout, self.deadlines)
     }
 
-    /// Reports the outcome as soon as it is certain. An outcome that may have taken effect is certain with the head of the
-    /// answer. That the message did not take effect is believed only of an answer that came whole.
+    /// Reports an answer whose head is in, and reads its body. Returns the connection if it can serve again.
     async fn finish_with_answer(
         &self,
         response: Response<Incoming>,
@@ -156,33 +155,47 @@
             () = ready(()) => None,
         };
         self.report_retry_after(&answer, end_already_in).await;
+        let rest_of_body = async {
+            match end_already_in {
+                Some(end) => end,
+                None => body.await,
+            }
+        };
+        let body_end = self.report_answer(answer, rest_of_body).await;
+        connection.end_exchange();
+        match body_end {
+            BodyEnd::Complete => connection.reuse().await,
+            BodyEnd::Incomplete => None,
+        }
+    }
+
+    /// Reports the outcome as soon as it is certain, and reads the body to its end. An outcome that may have taken effect
+    /// is certain with the head of the answer. That the message did not take effect is believed only of an answer that
+    /// came whole.
+    async fn report_answer(
+        &self,
+        answer: EndpointAnswer,
+        rest_of_body: impl Future<Output = BodyEnd>,
+    ) -> BodyEnd {
         let result = AttemptResult {
             outcome: answer.outcome,
             completed: answer.completed,
             load_report: answer.load_report,
         };
-        let unreported = if answer.outcome.may_have_taken_effect() {
+        if result.outcome.may_have_taken_effect() {
             self.report(result).await;
-            None
+            rest_of_body.await
         } else {
-            Some(result)
-        };
-        let body_end = match end_already_in {
-            Some(end) => end,
-            None => body.await,
-        };
-        if let Some(result) = unreported {
+            let body_end = rest_of_body.await;
             self.report(result.confirmed_by(body_end)).await;
-        }
-        connection.end_exchange();
-        match body_end {
-            BodyEnd::Complete => connection.reuse().await,
-            BodyEnd::Incomplete => None,
+            body_end
         }
     }
 
-    /// A retry-after binds from the head of its answer on, whatever becomes of the body. A rejection that is whole already
-    /// carries it in its outcome.
+    /// Reports the retry-after header of an answer. It binds from the head of the answer on, whatever becomes of the body.
+    ///
+    /// A rejection whose body is already whole is skipped. A 429 has the retry-after in its outcome. A 503 has none there, so
+    /// that its header is reported only if its body is not yet whole, or if the endpoint had no concurrency permit.
     async fn report_retry_after(&self, answer: &EndpointAnswer, body_end: Option<BodyEnd>) {
         let rejected = matches!(answer.outcome, Outcome::Rejected { .. });
         if rejected && body_end == Some(BodyEnd::Complete) {
@@ -213,7 +226,7 @@
     }
 
     async fn report(&self, result: AttemptResult) {
-        let event = ended_event(self.endpoint, self.kind, result, self.started);
+        let event = ended_event(self.endpoint, self.purpose, result, self.started);
         self.context.send_event(event).await;
     }
 }
@@ -221,13 +234,13 @@
 /// The event that reports the end of an attempt or health check that started at `started` and ends now.
 pub fn ended_event(
     endpoint: EndpointId,
-    kind: AttemptKind,
+    purpose: RequestPurpose,
     result: AttemptResult,
     started: Instant,
 ) -> Event {
     let took = micros(started.elapsed());
-    match kind {
-        AttemptKind::Attempt { id, attempt } => Event::AttemptEnded {
+    match purpose {
+        RequestPurpose::Attempt { id, attempt } => Event::AttemptEnded {
             id,
             attempt,
             endpoint,
@@ -236,7 +249,7 @@
             completed: result.completed,
             report: result.load_report,
         },
-        AttemptKind::HealthCheck => Event::HealthCheckEnded {
+        RequestPurpose::HealthCheck => Event::HealthCheckEnded {
             endpoint,
             outcome: result.outcome,
             took,
--- a/crates/forwarder/src/protocol/submission_error.rs
+++ b/crates/forwarder/src/protocol/submission_error.rs
@@ -8,6 +8,9 @@
 use std::fmt;
 
 /// Why a request can't be served. `Display` is the text for the client.
+///
+/// The golden tests hold these texts byte for byte, except those of `BodyTimedOut`, `AllConnectionsTaken`,
+/// `TooManySubmissions` and `ShuttingDown`. These too must stay as they are.
 #[derive(Debug)]
 pub enum SubmissionError {
     /// The body comes in chunks.
@@ -77,7 +80,7 @@
     NotReady,
     /// As many connections are open as may be.
     AllConnectionsTaken,
-    /// The dispatcher's mailbox is full.
+    /// The dispatcher's mailbox is full, or the dispatcher has ended.
     TooManySubmissions,
     /// The forwarder ends before the message is accepted.
     ShuttingDown,
@@ -115,8 +118,8 @@
         }
     }
 
-    /// Whether the answer is the last on its connection. It is where the end of the request is not known, or not waited for:
-    /// what follows may be anything.
+    /// Whether the connection closes after the answer. It does where the end of the request is not known, or not waited for,
+    /// because the bytes that follow can't be told from a new request.
     pub fn closes_connection(&self) -> bool {
         matches!(
             self,
--- a/crates/forwarder/src/reload.rs
+++ b/crates/forwarder/src/reload.rs
@@ -1,27 +1,27 @@
 //! SIGHUP: the start-up configuration is read again. The platform's address changes at once, other keys at the next start.
 
-use crate::startup_config::{ConfigError, FixedConfig, StartupConfig};
+use crate::startup_config::{ComparedConfig, ConfigError, StartupConfig};
 use slog::{error, info, warn, Logger};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Between two reads of a file that can't be used. Someone may be writing it.
+/// The time between two reads of a file that can't be used. Someone may be writing it.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// From the signal on, for the file to become whole. Half of what the platform allows until the list of the new address
-/// counts as notified.
+/// How long after the signal the file may take to become whole. It leaves time to fetch the list from the new address: the
+/// service rules count the forwarder as informed 6 s after a change.
 const RETRY_FOR: Duration = Duration::from_secs(2);
 
 /// Reads the start-up configuration again.
 pub type ReadConfig = Box<dyn Fn() -> Result<StartupConfig, ConfigError> + Send>;
 
 /// Reads the configuration for each request, and publishes the platform's address. A configuration that can't be used, or
-/// that changes other keys, is logged.
+/// that changes keys which are compared with `running`, is logged.
 pub async fn run(
     mut requests: mpsc::Receiver<()>,
     mut read_config: ReadConfig,
-    fixed: FixedConfig,
+    running: ComparedConfig,
     discovery: watch::Sender<SocketAddr>,
     log: Logger,
 ) {
@@ -36,7 +36,7 @@
         // The file is newer than the environment of a running process.
         let address = startup.discovery_in_file.unwrap_or(startup.discovery);
         info!(log, "configuration reloaded"; "discovery" => %address);
-        if startup.fixed() != fixed {
+        if startup.compared() != running {
             warn!(
                 log,
                 "keys other than discovery have changed, they take effect at the next start"
