--- a/crates/forwarder/src/golden_cases.rs
+++ b/crates/forwarder/src/golden_cases.rs
@@ -4,12 +4,14 @@
 use serde_json::Value;
 use std::path::PathBuf;
 
+/// The path of a file or folder of recorded data.
 pub fn path(file: &str) -> PathBuf {
     [env!("CARGO_MANIFEST_DIR"), "tests", "golden", file]
         .iter()
         .collect()
 }
 
+/// Recorded cases: inputs, and what each gave.
 pub struct GoldenCases {
     file: &'static str,
     cases: Vec<Value>,
@@ -18,6 +20,7 @@
 }
 
 impl GoldenCases {
+    /// Reads the cases of a file.
     pub fn read(file: &'static str) -> GoldenCases {
         let text = std::fs::read(path(file)).expect("the golden file is readable");
         let cases = serde_json::from_slice(&text).expect("the golden file is a list of cases");
