--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -5,7 +5,7 @@
 };
 use opalpulley::{
     Config, DeduplicationScope, DeliveryClassConfig, DeliverySemantics, EndpointKindConfig,
-    ListedRates, Micros, OrderRelease, PriorityDecay, RuleConfig, TenantConfig,
+    ListedRateAccuracy, Micros, OrderRelease, PriorityDecay, ServiceRuleConfig, TenantConfig,
 };
 use std::fmt;
 
@@ -158,10 +158,10 @@
 
 fn core_config(start: StartObject) -> Config {
     Config {
-        forwarder: start.forwarder,
+        forwarder_id: start.forwarder,
         fleet_size: start.fleet_size,
         concurrency_limit: start.destinations.concurrency_limit,
-        message_capacity: start.limits.message_capacity,
+        max_messages: start.limits.message_capacity,
         max_attempts: start.limits.max_attempts,
         order_release: OrderRelease::default(),
         may_health_check: start.limits.may_health_check,
@@ -169,28 +169,28 @@
         may_send_retry_after: start.limits.may_send_retry_after,
         may_gossip: start.limits.may_gossip,
         max_retry_after: start.limits.max_retry_after,
-        listed_rates: listed_rates(&start.listed_rates),
+        listed_rate_accuracy: listed_rates(&start.listed_rates),
         priority_decay: priority_decay(&start.destinations.priority_decay),
-        over_quota_weight: start.over_quota_weight,
+        over_quota_weight_share: start.over_quota_weight,
         tenants: tenant_configs(&start),
         endpoint_kinds: endpoint_kind_configs(&start),
-        poll_interval: poll_interval(&start),
+        list_poll_interval: poll_interval(&start),
         // The settings do not name it. The protocol of the program that carries out the actions does.
-        notified_within: None,
+        list_notification_delay: None,
         rules: rule_config(&start),
-        scheduling_interval: start.scheduling_interval,
+        min_tick_interval: start.scheduling_interval,
         full_destinations: Some(FULL_DESTINATIONS),
         classes: start.classes.iter().map(delivery_class_config).collect(),
         zone_costs: start.destinations.zone_costs,
     }
 }
 
-fn listed_rates(mode: &ListedRatesMode) -> ListedRates {
+fn listed_rates(mode: &ListedRatesMode) -> ListedRateAccuracy {
     match mode {
-        ListedRatesMode::Off => ListedRates::Unlisted,
+        ListedRatesMode::Off => ListedRateAccuracy::Unlisted,
         // The core has no mode for live rates and treats them as nominal.
-        ListedRatesMode::Nominal | ListedRatesMode::Live => ListedRates::Nominal,
-        ListedRatesMode::Approximate => ListedRates::Approximate,
+        ListedRatesMode::Nominal | ListedRatesMode::Live => ListedRateAccuracy::Nominal,
+        ListedRatesMode::Approximate => ListedRateAccuracy::Approximate,
     }
 }
 
@@ -222,12 +222,12 @@
     let kinds = 0..start.endpoint_kinds.len();
     kinds
         .map(|kind| EndpointKindConfig {
-            independent_limits: destinations
+            has_independent_limits: destinations
                 .independent_limits
                 .get(kind)
                 .copied()
                 .unwrap_or(false),
-            batch_size: destinations
+            max_batch_size: destinations
                 .batch_sizes
                 .get(kind)
                 .copied()
@@ -236,9 +236,9 @@
         .collect()
 }
 
-fn rule_config(start: &StartObject) -> RuleConfig {
+fn rule_config(start: &StartObject) -> ServiceRuleConfig {
     let rules = &start.rules;
-    RuleConfig {
+    ServiceRuleConfig {
         answer_slack: rules.answer_slack,
         drain_grace: rules.drain_grace,
         cold_capacity_share: rules.cold_capacity_share,
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -2,7 +2,7 @@
 //! same words about what is wrong.
 
 use opalpulley::{
-    DeduplicationScope, DeliveryClassConfig, DeliverySemantics, ListedRates, OrderRelease,
+    DeduplicationScope, DeliveryClassConfig, DeliverySemantics, ListedRateAccuracy, OrderRelease,
     PriorityDecay,
 };
 use opalpulley_config::ForwarderSettings;
@@ -50,13 +50,13 @@
     let config = &start.config;
     let rules = &config.rules;
     let ends = match config.order_release {
-        OrderRelease::OnDecision => "at once",
+        OrderRelease::OnFinalAnswer => "at once",
         OrderRelease::OnAcknowledgement => "when acknowledged",
     };
-    let listed_rates = match config.listed_rates {
-        ListedRates::Unlisted => "none",
-        ListedRates::Nominal => "nominal",
-        ListedRates::Approximate => "rough",
+    let listed_rates = match config.listed_rate_accuracy {
+        ListedRateAccuracy::Unlisted => "none",
+        ListedRateAccuracy::Nominal => "nominal",
+        ListedRateAccuracy::Approximate => "rough",
     };
     let fading = match config.priority_decay {
         PriorityDecay::Linear => "evenly",
@@ -64,13 +64,13 @@
     };
     let kinds = config.endpoint_kinds.iter();
     let kinds = kinds.map(
-        |kind| json!({ "routes apart": kind.independent_limits, "messages a call": kind.batch_size }),
+        |kind| json!({ "routes apart": kind.has_independent_limits, "messages a call": kind.max_batch_size }),
     );
     json!({
-        "number of the forwarder": config.forwarder,
+        "number of the forwarder": config.forwarder_id,
         "forwarders": config.fleet_size,
         "concurrency permits": config.concurrency_limit,
-        "messages held": config.message_capacity,
+        "messages held": config.max_messages,
         "attempts": config.max_attempts,
         "ends count": ends,
         "may check health": config.may_health_check,
@@ -80,13 +80,13 @@
         "longest retry-after us": config.max_retry_after,
         "rates of the list": listed_rates,
         "worth falls": fading,
-        "priority weight over the share": config.over_quota_weight,
+        "priority weight over the share": config.over_quota_weight_share,
         "classes": config.classes.iter().map(render_class).collect::<Vec<_>>(),
         "quotas of tenants": config.tenants.iter().map(|tenant| tenant.quota).collect::<Vec<_>>(),
         "kinds": kinds.collect::<Vec<_>>(),
         "fees of zones": config.zone_costs,
-        "list is asked for within us": config.poll_interval,
-        "list counts as told within us": config.notified_within,
+        "list is asked for within us": config.list_poll_interval,
+        "list counts as told within us": config.list_notification_delay,
         "answer slack us": rules.answer_slack,
         "drain grace us": rules.drain_grace,
         "cold from": rules.cold_capacity_share,
@@ -94,7 +94,7 @@
         "fall multiple": rules.overload_multiple,
         "overload for us": rules.overload_window,
         "order pause us": rules.order_settle_time,
-        "shortest round us": config.scheduling_interval,
+        "shortest round us": config.min_tick_interval,
         "destinations in full": config.full_destinations,
         "names of classes": start.names.classes,
         "names of tenants": start.names.tenants,
--- a/crates/forwarder/src/clients/golden_tests.rs
+++ b/crates/forwarder/src/clients/golden_tests.rs
@@ -75,7 +75,7 @@
         "accepted" => SubmissionAnswer::Accepted,
         "rejected" => SubmissionAnswer::Rejected { retry_after },
         "failed" => SubmissionAnswer::Failed,
-        "no room" => SubmissionAnswer::NoCapacity,
+        "no room" => SubmissionAnswer::ResourceExhausted,
         "other content" => SubmissionAnswer::ConflictingContent,
         "destination not listed" => SubmissionAnswer::UnknownDestination,
         other => panic!("{other} is no verdict"),
@@ -156,7 +156,10 @@
     let decode = tokio::spawn(async move {
         let submission = submissions.recv().await?;
         let rendered = render_submission(&submission.submitted);
-        submission.answer.send(verdict).expect("it is awaited");
+        submission
+            .answer_sender
+            .send(verdict)
+            .expect("it is awaited");
         Some(rendered)
     });
     let mut client = TcpStream::connect(address).await.expect("a connection");
--- a/crates/forwarder/src/clients/submission_service.rs
+++ b/crates/forwarder/src/clients/submission_service.rs
@@ -130,7 +130,7 @@
         match self.submit(submitted).await? {
             SubmissionAnswer::Accepted => Ok(empty_response(StatusCode::ACCEPTED)),
             SubmissionAnswer::Rejected { retry_after } => Ok(rejection(retry_after)),
-            SubmissionAnswer::NoCapacity => Ok(rejection(None)),
+            SubmissionAnswer::ResourceExhausted => Ok(rejection(None)),
             SubmissionAnswer::Failed => Ok(empty_response(StatusCode::GATEWAY_TIMEOUT)),
             SubmissionAnswer::ConflictingContent => Err(SubmissionError::ConflictingContent),
             SubmissionAnswer::UnknownDestination => Err(SubmissionError::UnknownDestination),
@@ -143,11 +143,11 @@
         &self,
         submitted: SubmittedMessage,
     ) -> Result<SubmissionAnswer, SubmissionError> {
-        let (answer, answered) = oneshot::channel();
+        let (answer_sender, answered) = oneshot::channel();
         let request = SubmissionRequest {
             submitted,
             received_at: Instant::now(),
-            answer,
+            answer_sender,
         };
         // An ended dispatcher gives the same result as a full mailbox.
         if self.dispatcher.try_send(request).is_err() {
--- a/crates/forwarder/src/clients/tests.rs
+++ b/crates/forwarder/src/clients/tests.rs
@@ -101,8 +101,8 @@
         } = self;
         tokio::spawn(clients.run(listener));
         tokio::spawn(async move {
-            while let Some(SubmissionRequest { answer, .. }) = submissions.recv().await {
-                let _ = answer.send(SubmissionAnswer::Accepted);
+            while let Some(SubmissionRequest { answer_sender, .. }) = submissions.recv().await {
+                let _ = answer_sender.send(SubmissionAnswer::Accepted);
             }
         });
         let ends = tokio::task::spawn_blocking(|| {
@@ -152,8 +152,8 @@
         };
         let served = tokio::spawn(serve_connection(stream, service));
         tokio::spawn(async move {
-            while let Some(SubmissionRequest { answer, .. }) = submissions.recv().await {
-                let _ = answer.send(SubmissionAnswer::Accepted);
+            while let Some(SubmissionRequest { answer_sender, .. }) = submissions.recv().await {
+                let _ = answer_sender.send(SubmissionAnswer::Accepted);
             }
         });
         let reaches = async |phase| {
@@ -218,8 +218,8 @@
     let (rejected, waiting) = rejected.await.expect("they end");
     assert_eq!((rejected, waiting.len()), (over, room));
     tokio::spawn(async move {
-        while let Some(SubmissionRequest { answer, .. }) = submissions.recv().await {
-            let _ = answer.send(SubmissionAnswer::Accepted);
+        while let Some(SubmissionRequest { answer_sender, .. }) = submissions.recv().await {
+            let _ = answer_sender.send(SubmissionAnswer::Accepted);
         }
     });
     let ends = tokio::task::spawn_blocking(|| {
@@ -269,11 +269,13 @@
     });
     tokio::spawn(async move {
         while let Some(SubmissionRequest {
-            submitted, answer, ..
+            submitted,
+            answer_sender,
+            ..
         }) = submissions.recv().await
         {
             let whole = submitted.body == Bytes::from_static(b"body");
-            let _ = answer.send(if whole {
+            let _ = answer_sender.send(if whole {
                 SubmissionAnswer::Accepted
             } else {
                 SubmissionAnswer::ConflictingContent
--- a/crates/forwarder/src/commands.rs
+++ b/crates/forwarder/src/commands.rs
@@ -1,4 +1,4 @@
-//! The messages that the actors send each other: plain data that depends on no actor.
+//! The commands that the actors send each other: plain data that depends on no actor.
 
 use crate::protocol::{Ending, SubmittedMessage};
 use bytes::Bytes;
@@ -10,103 +10,104 @@
 /// The answer to a client's submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmissionAnswer {
-    /// The message is in the journal. The platform gets a completion report if it is not delivered.
+    /// The message is in the journal. If it is not delivered, the platform gets a completion report.
     Accepted,
-    /// Not accepted now; the client may submit it again.
+    /// The message is not accepted now; the client may submit it again.
     Rejected {
-        /// When, where the deployment may say so.
+        /// Time after which the client should submit the message again, in µs. `None` where the deployment does not
+        /// allow a retry-after.
         retry_after: Option<Micros>,
     },
-    /// Not accepted, and submitting it again is of no use.
+    /// The message is not accepted, and the client should not submit it again.
     Failed,
-    /// As many messages are in flight as may be, or the journal has no room for this one.
-    NoCapacity,
-    /// A message with this id and other content is in flight.
+    /// The number of messages in flight is at its limit, or the journal has no space for the message.
+    ResourceExhausted,
+    /// A message with the same client's id and different content is in flight.
     ConflictingContent,
-    /// No endpoint list has named its destination.
+    /// No endpoint list so far contained the destination of the message.
     UnknownDestination,
 }
 
 /// A client's submission on its way to the dispatcher.
 pub struct SubmissionRequest {
-    /// The message.
+    /// The message as the client sent it.
     pub submitted: SubmittedMessage,
-    /// When its last byte was read: its time left counts from here.
+    /// Time at which the last byte of the request was read. The time left of the message counts from here.
     pub received_at: Instant,
-    /// Where the answer goes.
-    pub answer: oneshot::Sender<SubmissionAnswer>,
+    /// Takes the answer. It is closed if the client has left.
+    pub answer_sender: oneshot::Sender<SubmissionAnswer>,
 }
 
-/// For the dispatcher.
+/// A command for the dispatcher.
 pub enum DispatcherCommand {
-    /// An event for the decision core.
+    /// Passes an event to the decision core.
     Event(Event),
-    /// The platform has acknowledged these completion reports, by serial number.
-    ReportsAcknowledged(Vec<u64>),
+    /// The platform acknowledged the completion reports with these serial numbers.
+    CompletionReportsAcknowledged(Vec<u64>),
 }
 
-/// For the actor that watches the endpoint list.
+/// A command for the actor that watches the endpoint list.
 pub enum EndpointListCommand {
-    /// Begin the watch.
+    /// Starts the watch.
     StartWatch,
-    /// End the watch.
+    /// Stops the watch.
     StopWatch,
-    /// Ask for the complete list once.
+    /// Fetches the complete list once.
     Fetch,
 }
 
-/// For the gossip socket: a datagram to other forwarders.
+/// A datagram to other forwarders, for the gossip socket to send.
 pub struct GossipDatagram {
-    /// The number of the forwarder; none for all.
+    /// Number of the receiving forwarder, from 0. `None`: all other forwarders.
     pub peer: Option<u16>,
-    /// Its bytes.
+    /// The encoded gossip message.
     pub payload: Vec<u8>,
 }
 
 /// A completion report that the platform has not acknowledged.
 #[derive(Clone, Debug)]
-pub struct PendingReport {
-    /// The serial number of the message in the journal.
+pub struct PendingCompletionReport {
+    /// Serial number of the message in the journal.
     pub serial: u64,
     /// The client's id of the message.
     pub request_id: String,
-    /// How the message ended.
+    /// The final answer to the message.
     pub ending: Ending,
 }
 
-/// For the actor of an endpoint.
+/// A command for the actor of an endpoint.
 pub enum EndpointCommand {
-    /// Start an attempt. Boxed, because a mailbox allocates room for some dozens of commands at once.
+    /// Starts an attempt. Boxed, because a mailbox allocates space for some dozens of commands at once.
     StartAttempt(Box<AttemptRequest>),
-    /// Check the endpoint's health.
-    HealthCheck,
-    /// End an attempt that is in flight.
-    Cancel {
-        /// The message.
+    /// Sends a health check to the endpoint.
+    StartHealthCheck,
+    /// Cancels an attempt in flight.
+    CancelAttempt {
+        /// The message of the attempt.
         id: MessageId,
-        /// The number of the attempt, from 0.
-        attempt: u8,
+        /// Index of the attempt among those at the message, from 0.
+        attempt_index: u8,
     },
-    /// End all attempts and health checks whose last byte has not gone.
+    /// Withdraws all attempts and health checks whose last byte has not been written.
     WithdrawUnsent,
-    /// Close the connections that carry nothing.
-    CloseIdle,
+    /// Closes the connections that carry no request.
+    CloseIdleConnections,
 }
 
-/// An attempt at a message, with all that its codec needs.
+/// An attempt at a message, with all that its encoder needs.
 pub struct AttemptRequest {
-    /// The message.
+    /// The message to deliver.
     pub id: MessageId,
-    /// The number of the attempt, from 0.
-    pub attempt: u8,
+    /// Index of the attempt among those at the message, from 0.
+    pub attempt_index: u8,
     /// The client's id of the message.
     pub request_id: String,
-    /// By which endpoints drop repeats, where the delivery class has one.
+    /// The key by which endpoints drop repeats. `None` where the delivery class needs none.
     pub idempotency_key: Option<String>,
-    /// The body.
+    /// The body of the message.
     pub body: Bytes,
-    /// How long it may take.
+    /// Upper bound on the duration of the attempt.
     pub timeout: Duration,
-    /// Its first byte is sent before this moment, or none is.
+    /// The instant by which the first byte must be written. Otherwise the attempt ends without writing any.
     pub send_by: Instant,
 }
--- a/crates/forwarder/src/completion_reports.rs
+++ b/crates/forwarder/src/completion_reports.rs
@@ -1,6 +1,6 @@
 //! The actor that sends completion reports to the platform, again and again until they are acknowledged.
 
-use crate::commands::{DispatcherCommand, PendingReport};
+use crate::commands::{DispatcherCommand, PendingCompletionReport};
 use crate::platform::{Platform, PlatformAnswer, PlatformError, Reachability};
 use crate::protocol::{encode_completion_reports, COMPLETION_REPORTS_PATH};
 use bytes::Bytes;
@@ -41,7 +41,7 @@
 /// The reports that are not acknowledged, and how they are sent.
 struct ReportQueue {
     /// The oldest first.
-    waiting: VecDeque<PendingReport>,
+    waiting: VecDeque<PendingCompletionReport>,
     /// Messages in the next request at most.
     max_lines: usize,
     /// How long the next answer may take.
@@ -63,7 +63,7 @@
     /// Takes all reports from the mailbox, and waits for one where none is waiting.
     async fn receive(
         &mut self,
-        mailbox: &mut mpsc::UnboundedReceiver<PendingReport>,
+        mailbox: &mut mpsc::UnboundedReceiver<PendingCompletionReport>,
     ) -> Result<(), Stopped> {
         if self.waiting.is_empty() {
             let report = mailbox.recv().await.ok_or(Stopped)?;
@@ -93,7 +93,7 @@
 impl CompletionReports {
     /// Runs until the dispatcher ends. The mailbox has no bound of its own: each report is of a message that takes room
     /// in the journal until the report is acknowledged.
-    pub async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<PendingReport>) {
+    pub async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<PendingCompletionReport>) {
         let mut queue = ReportQueue::new();
         while queue.receive(&mut mailbox).await.is_ok() {
             if self.send_batch(&mut queue).await.is_err() {
@@ -171,7 +171,7 @@
 
     /// Tells the dispatcher that these reports need not be sent any more.
     async fn confirm(&self, serials: Vec<u64>) -> Result<(), Stopped> {
-        let acknowledged = DispatcherCommand::ReportsAcknowledged(serials);
+        let acknowledged = DispatcherCommand::CompletionReportsAcknowledged(serials);
         self.dispatcher
             .send(acknowledged)
             .await
--- a/crates/forwarder/src/completion_reports/golden_tests.rs
+++ b/crates/forwarder/src/completion_reports/golden_tests.rs
@@ -10,7 +10,7 @@
 
 const WITHIN: Duration = Duration::from_secs(10);
 
-fn completion(serial: usize, input: &Value) -> PendingReport {
+fn completion(serial: usize, input: &Value) -> PendingCompletionReport {
     let ending = match input["ending"].as_str() {
         Some("failed") => Ending::Failed,
         Some("rejected") => Ending::Rejected {
@@ -19,7 +19,7 @@
         _ => panic!("no ending"),
     };
     let request_id = input["request id"].as_str().expect("an id").to_owned();
-    PendingReport {
+    PendingCompletionReport {
         serial: serial as u64,
         request_id,
         ending,
@@ -87,7 +87,7 @@
         stream.write_all(answer.as_bytes()).await.expect("answered");
     }
     let mut serials = Vec::new();
-    while let Ok(Some(DispatcherCommand::ReportsAcknowledged(some))) =
+    while let Ok(Some(DispatcherCommand::CompletionReportsAcknowledged(some))) =
         tokio::time::timeout(Duration::from_millis(100), acknowledged.recv()).await
     {
         serials.extend(some);
--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -18,7 +18,8 @@
 
 use crate::clock::Clock;
 use crate::commands::{
-    DispatcherCommand, EndpointListCommand, GossipDatagram, PendingReport, SubmissionRequest,
+    DispatcherCommand, EndpointListCommand, GossipDatagram, PendingCompletionReport,
+    SubmissionRequest,
 };
 use crate::endpoints::EndpointContext;
 use crate::journal::{Journal, JournalError, StoredMessage};
@@ -51,7 +52,7 @@
     core_panics: u64,
     journal: Journal,
     list: mpsc::Sender<EndpointListCommand>,
-    completion_reports: mpsc::UnboundedSender<PendingReport>,
+    completion_reports: mpsc::UnboundedSender<PendingCompletionReport>,
     gossip: mpsc::Sender<GossipDatagram>,
     log: Logger,
     /// Whether clients may submit. See [`DispatcherHandles::ready`].
@@ -95,7 +96,7 @@
     /// The mailbox of the endpoint-list watch.
     pub list: mpsc::Sender<EndpointListCommand>,
     /// The mailbox of the completion reports.
-    pub completion_reports: mpsc::UnboundedSender<PendingReport>,
+    pub completion_reports: mpsc::UnboundedSender<PendingCompletionReport>,
     /// The mailbox of the gossip socket.
     pub gossip: mpsc::Sender<GossipDatagram>,
     /// Whether clients may submit. Set once the messages of a previous run are submitted again (an endpoint list is known,
@@ -182,14 +183,14 @@
     /// Handles one message of another actor.
     pub fn handle_command(&mut self, command: DispatcherCommand) {
         match command {
-            DispatcherCommand::Event(Event::EndpointList(update)) => {
+            DispatcherCommand::Event(Event::EndpointListUpdated(update)) => {
                 self.update_endpoint_list(update);
             }
             DispatcherCommand::Event(mut event) => {
                 self.record_attempt_end(&mut event);
                 self.handle(event);
             }
-            DispatcherCommand::ReportsAcknowledged(serials) => {
+            DispatcherCommand::CompletionReportsAcknowledged(serials) => {
                 for serial in serials {
                     self.report_acknowledged(serial);
                 }
@@ -229,7 +230,7 @@
     fn ask_core(&mut self, event: Event) -> Decision {
         let now = self.clock.now();
         let submitted = match &event {
-            Event::Submitted(submission) => Some(submission.id),
+            Event::MessageSubmitted(submission) => Some(submission.id),
             _ => None,
         };
         let mut actions = Vec::new();
--- a/crates/forwarder/src/dispatcher/actions.rs
+++ b/crates/forwarder/src/dispatcher/actions.rs
@@ -10,7 +10,7 @@
     /// Carries out one action that the core decided on at `now`.
     pub(super) fn carry_out(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 id,
                 endpoint,
                 timeout,
@@ -20,17 +20,17 @@
             Action::Reject { id, retry_after } => {
                 self.finish_with_report(id, Ending::Rejected { retry_after });
             }
-            Action::SetTimer { after, token } => self.timers.set(now + after, token),
-            Action::HealthCheck { endpoint } => self.start_health_check(endpoint),
-            Action::Cancel { id, attempt } => self.cancel_attempt(id, attempt),
+            Action::SetTimer { delay, token } => self.timers.set(now + delay, token),
+            Action::StartHealthCheck { endpoint } => self.start_health_check(endpoint),
+            Action::CancelAttempt { id, attempt_index } => self.cancel_attempt(id, attempt_index),
             Action::WithdrawUnsent { endpoint } => {
                 self.post_if_running(endpoint, EndpointCommand::WithdrawUnsent);
             }
             Action::CloseIdleConnections { endpoint } => {
-                self.post_if_running(endpoint, EndpointCommand::CloseIdle);
+                self.post_if_running(endpoint, EndpointCommand::CloseIdleConnections);
             }
-            Action::WatchEndpointList { on } => {
-                self.send_list_command(if on {
+            Action::WatchEndpointList { enabled } => {
+                self.send_list_command(if enabled {
                     EndpointListCommand::StartWatch
                 } else {
                     EndpointListCommand::StopWatch
@@ -46,21 +46,21 @@
     }
 
     fn start_health_check(&mut self, endpoint: EndpointId) {
-        if self.post(endpoint, EndpointCommand::HealthCheck) {
+        if self.post(endpoint, EndpointCommand::StartHealthCheck) {
             return;
         }
         self.queued_events.push_back(Event::HealthCheckEnded {
             endpoint,
             outcome: Outcome::NoConnection,
-            took: 0,
-            report: Vec::new(),
+            elapsed: 0,
+            load_metrics: Vec::new(),
         });
     }
 
     /// A full mailbox counts as a failed poll: the core polls again later. An ended receiver gives the same result.
     fn send_list_command(&mut self, command: EndpointListCommand) {
         if self.list.try_send(command).is_err() {
-            let failed = Event::EndpointList(EndpointListUpdate::Failed);
+            let failed = Event::EndpointListUpdated(EndpointListUpdate::Failed);
             self.queued_events.push_back(failed);
         }
     }
--- a/crates/forwarder/src/dispatcher/attempts.rs
+++ b/crates/forwarder/src/dispatcher/attempts.rs
@@ -57,19 +57,22 @@
     fn queue_not_attempted(&mut self, id: MessageId, attempt: OutstandingAttempt) {
         self.queued_events.push_back(Event::AttemptEnded {
             id,
-            attempt: attempt.attempt,
+            attempt_index: attempt.attempt,
             endpoint: attempt.endpoint,
             outcome: Outcome::NotAttempted { no_permit: false },
-            took: 0,
-            completed: false,
-            report: Vec::new(),
+            elapsed: 0,
+            message_completed: false,
+            load_metrics: Vec::new(),
         });
     }
 
     /// Asks the endpoint's actor to end an attempt, if it is out.
-    pub(super) fn cancel_attempt(&mut self, id: MessageId, attempt: u8) {
-        if let Some(endpoint) = self.in_flight.endpoint_of(id, attempt) {
-            self.post(endpoint, EndpointCommand::Cancel { id, attempt });
+    pub(super) fn cancel_attempt(&mut self, id: MessageId, attempt_index: u8) {
+        if let Some(endpoint) = self.in_flight.endpoint_of(id, attempt_index) {
+            self.post(
+                endpoint,
+                EndpointCommand::CancelAttempt { id, attempt_index },
+            );
         }
     }
 
@@ -78,10 +81,10 @@
     pub(super) fn record_attempt_end(&mut self, event: &mut Event) {
         let Event::AttemptEnded {
             id,
-            attempt,
+            attempt_index,
             endpoint,
             outcome,
-            completed,
+            message_completed,
             ..
         } = event
         else {
@@ -92,38 +95,40 @@
             .get(*id)
             .is_some_and(|message| self.clock.now() >= message.deadline);
         if late && *outcome == Outcome::Delivered {
-            *completed = false;
+            *message_completed = false;
         }
         let now = self.clock.now();
         self.endpoint_actors.attempt_ended(now, *endpoint);
         self.forget_if_removed(*endpoint);
-        self.journal_attempt_end(*id, *attempt, *outcome, *completed);
+        self.journal_attempt_end(*id, *attempt_index, *outcome, *message_completed);
     }
 
     fn journal_attempt_end(
         &mut self,
         id: MessageId,
-        attempt: u8,
+        attempt_index: u8,
         outcome: Outcome,
-        completed: bool,
+        message_completed: bool,
     ) {
         let Some(message) = self.in_flight.get_mut(id) else {
             return;
         };
-        message.attempts_out.retain(|out| out.attempt != attempt);
+        message
+            .attempts_out
+            .retain(|out| out.attempt != attempt_index);
         let serial = message.serial;
         let written = if message.ending_decided {
             Ok(())
-        } else if completed {
+        } else if message_completed {
             message.ending_decided = true;
             self.journal.ended(serial)
         } else if outcome == Outcome::WithdrawnBeforeSend {
-            message.attempts_started = u32::from(attempt);
-            self.journal.attempt_withdrawn(serial, attempt)
+            message.attempts_started = u32::from(attempt_index);
+            self.journal.attempt_withdrawn(serial, attempt_index)
         } else {
             let may_have_taken_effect = outcome.may_have_taken_effect();
             self.journal
-                .attempt_ended(serial, attempt, may_have_taken_effect)
+                .attempt_ended(serial, attempt_index, may_have_taken_effect)
         };
         self.log_journal_error(written);
         self.in_flight.remove_if_over(id);
@@ -132,14 +137,14 @@
 
 fn attempt_request(
     id: MessageId,
-    attempt: u8,
+    attempt_index: u8,
     message: &InFlightMessage,
     timeout: Micros,
     send_by: Instant,
 ) -> AttemptRequest {
     AttemptRequest {
         id,
-        attempt,
+        attempt_index,
         request_id: message.submitted.request_id.clone(),
         idempotency_key: message.submitted.idempotency_key.clone(),
         body: message.submitted.body.clone(),
--- a/crates/forwarder/src/dispatcher/completion.rs
+++ b/crates/forwarder/src/dispatcher/completion.rs
@@ -1,7 +1,7 @@
 //! The final answers to messages, and the completion reports that tell the platform of them.
 
 use super::Dispatcher;
-use crate::commands::PendingReport;
+use crate::commands::PendingCompletionReport;
 use crate::protocol::Ending;
 use opalpulley::{Event, MessageId};
 use slog::error;
@@ -14,7 +14,7 @@
         };
         message.ending_decided = true;
         let ordered = message.submitted.order_key.is_some();
-        let report = PendingReport {
+        let report = PendingCompletionReport {
             serial: message.serial,
             request_id: message.submitted.request_id.clone(),
             ending,
@@ -39,7 +39,11 @@
 
     /// Sends a completion report until the platform acknowledges it. `ordered` is the message's id where the core
     /// waits for the acknowledgement.
-    pub(super) fn send_report(&mut self, report: PendingReport, ordered: Option<MessageId>) {
+    pub(super) fn send_report(
+        &mut self,
+        report: PendingCompletionReport,
+        ordered: Option<MessageId>,
+    ) {
         let already_sent = self
             .pending_reports
             .insert(report.serial, ordered)
@@ -61,7 +65,7 @@
         let written = self.journal.ended(serial);
         self.log_journal_error(written);
         if let Some(id) = ordered {
-            self.handle(Event::ReportAcknowledged { id });
+            self.handle(Event::FinalAnswerAcknowledged { id });
         }
     }
 }
--- a/crates/forwarder/src/dispatcher/endpoint_list.rs
+++ b/crates/forwarder/src/dispatcher/endpoint_list.rs
@@ -57,7 +57,7 @@
             EndpointListUpdate::Changes(entries) => self.change_endpoint_list(entries),
             EndpointListUpdate::Failed => {}
         }
-        self.handle(Event::EndpointList(update));
+        self.handle(Event::EndpointListUpdated(update));
         self.submit_recovered_messages();
     }
 
--- a/crates/forwarder/src/dispatcher/endpoints/tests.rs
+++ b/crates/forwarder/src/dispatcher/endpoints/tests.rs
@@ -47,11 +47,11 @@
     }
 }
 
-fn start_attempt(attempt: u8) -> EndpointCommand {
+fn start_attempt(attempt_index: u8) -> EndpointCommand {
     EndpointCommand::StartAttempt(Box::new(AttemptRequest {
         id: MessageId(1),
-        attempt,
-        request_id: format!("r-{attempt}"),
+        attempt_index,
+        request_id: format!("r-{attempt_index}"),
         idempotency_key: None,
         body: bytes::Bytes::from_static(b"body"),
         timeout: Duration::from_secs(5),
@@ -86,7 +86,7 @@
     for used in 0..USES {
         let now = Micros::from(used) * USE_INTERVAL;
         actors.stop_idle(now);
-        assert!(actors.post(now, endpoint(used), EndpointCommand::CloseIdle));
+        assert!(actors.post(now, endpoint(used), EndpointCommand::CloseIdleConnections));
         assert!(actors.running.len() <= most && actors.idle_checks.len() == actors.running.len());
         if used % 1_000 == 0 {
             run_until_tasks(actors.running.len()).await;
@@ -102,7 +102,7 @@
 #[tokio::test]
 async fn an_actor_with_an_attempt_out_runs_on() {
     let (mut actors, _commands) = actors();
-    assert!(actors.post(0, endpoint(1), EndpointCommand::CloseIdle));
+    assert!(actors.post(0, endpoint(1), EndpointCommand::CloseIdleConnections));
     actors.attempt_started(endpoint(1));
     actors.stop_idle(10 * IDLE_TIMEOUT);
     assert!(actors.is_running(endpoint(1)));
@@ -114,7 +114,7 @@
     assert!(!actors.is_running(endpoint(1)));
     assert_eq!(actors.next_idle_check(), None);
     // Nothing is left of an actor whose endpoint was removed.
-    assert!(actors.post(0, endpoint(2), EndpointCommand::CloseIdle));
+    assert!(actors.post(0, endpoint(2), EndpointCommand::CloseIdleConnections));
     actors.stop(endpoint(2));
     assert!(actors.running.is_empty() && actors.idle_checks.is_empty());
 }
@@ -156,14 +156,14 @@
             .await
             .expect("in time");
         let Some(DispatcherCommand::Event(Event::AttemptEnded {
-            attempt,
+            attempt_index,
             outcome: Outcome::Delivered,
             ..
         })) = command
         else {
             panic!("not delivered")
         };
-        delivered.push(attempt);
+        delivered.push(attempt_index);
     }
     delivered.sort_unstable();
     assert_eq!(delivered, [0, 1, 2]);
--- a/crates/forwarder/src/dispatcher/log_events.rs
+++ b/crates/forwarder/src/dispatcher/log_events.rs
@@ -21,7 +21,7 @@
         } => info!(log, "endpoint readmitted";
             "destination" => destination.0,
             "endpoint" => %address(*endpoint)),
-        LogEvent::UnreadableGossip { peer, problem } => warn!(log, "gossip message ignored";
+        LogEvent::GossipIgnored { peer, problem } => warn!(log, "gossip message ignored";
             "forwarder" => peer,
             "problem" => problem),
     }
--- a/crates/forwarder/src/dispatcher/recovery.rs
+++ b/crates/forwarder/src/dispatcher/recovery.rs
@@ -3,7 +3,7 @@
 use super::in_flight::InFlightMessage;
 use super::submissions::submission;
 use super::{CoreState, Dispatcher};
-use crate::commands::{EndpointCommand, PendingReport};
+use crate::commands::{EndpointCommand, PendingCompletionReport};
 use crate::journal::StoredMessage;
 use crate::protocol::{Ending, SubmittedMessage};
 use opalpulley::{
@@ -46,14 +46,14 @@
     /// The message is over, and the platform has not acknowledged its completion report.
     fn restore_report(&mut self, id: MessageId, stored: StoredMessage, ending: Ending) {
         if let Some(key) = stored.key {
-            self.handle(Event::PendingReport {
+            self.handle(Event::CompletionReportPending {
                 id,
                 class: DeliveryClassId(stored.class),
-                key: OrderKey(key),
+                order_key: OrderKey(key),
             });
         }
         let ordered = stored.key.map(|_| id);
-        let report = PendingReport {
+        let report = PendingCompletionReport {
             serial: stored.serial,
             request_id: stored.request_id,
             ending,
@@ -75,7 +75,7 @@
         };
         let message = InFlightMessage::new(serial, submitted, deadline, history.attempts);
         self.in_flight.insert(id, message);
-        self.handle(Event::Submitted(submission));
+        self.handle(Event::MessageSubmitted(submission));
     }
 
     /// Handles a panic of the core. `submitted` is the message whose submission it panicked on.
@@ -111,7 +111,9 @@
             .iter()
             .map(|(endpoint, listed)| listed.to_entry(*endpoint))
             .collect();
-        self.decide(Event::EndpointList(EndpointListUpdate::Cached(entries)));
+        self.decide(Event::EndpointListUpdated(EndpointListUpdate::Cached(
+            entries,
+        )));
         let messages = self.journal.recover_messages();
         self.restore(messages);
         self.core_state = CoreState::Running;
@@ -121,8 +123,11 @@
     fn cancel_all_attempts(&mut self) {
         for (id, message) in self.in_flight.take_all() {
             for out in message.attempts_out {
-                let attempt = out.attempt;
-                self.post(out.endpoint, EndpointCommand::Cancel { id, attempt });
+                let attempt_index = out.attempt;
+                self.post(
+                    out.endpoint,
+                    EndpointCommand::CancelAttempt { id, attempt_index },
+                );
             }
         }
     }
--- a/crates/forwarder/src/dispatcher/submissions.rs
+++ b/crates/forwarder/src/dispatcher/submissions.rs
@@ -21,14 +21,14 @@
         let SubmissionRequest {
             mut submitted,
             received_at,
-            answer,
+            answer_sender,
         } = request;
         // The client has left, and nothing was accepted yet: there is nothing to do.
-        if answer.is_closed() {
+        if answer_sender.is_closed() {
             return;
         }
         if let Some(reply) = self.answer_without_acceptance(&submitted) {
-            send_answer(answer, reply);
+            send_answer(answer_sender, reply);
             return;
         }
         // The time left is counted from the last byte of the request, not from its turn in the mailbox.
@@ -36,14 +36,14 @@
             .time_left
             .saturating_sub(micros(received_at.elapsed()));
         let Some(submission) = self.accept(submitted) else {
-            send_answer(answer, SubmissionAnswer::NoCapacity);
+            send_answer(answer_sender, SubmissionAnswer::ResourceExhausted);
             return;
         };
         let id = submission.id;
-        let ordered = submission.key.is_some();
+        let ordered = submission.order_key.is_some();
         match self.decide_submission(submission) {
-            Some(rejection) => self.reject_submission(id, ordered, rejection, answer),
-            None => self.confirm_submission(id, answer),
+            Some(rejection) => self.reject_submission(id, ordered, rejection, answer_sender),
+            None => self.confirm_submission(id, answer_sender),
         }
         self.handle_queued_events();
     }
@@ -69,7 +69,7 @@
         let deadline = self.clock.now() + submitted.time_left;
         let stored = stored_message(&submitted, deadline);
         // The configured capacity is checked before the core is asked, as the simulator does.
-        let table_full = self.in_flight.len() >= self.config.message_capacity as usize;
+        let table_full = self.in_flight.len() >= self.config.max_messages as usize;
         if table_full || !self.journal.has_room(&stored) {
             return None;
         }
@@ -91,7 +91,7 @@
     /// as the answer to its client instead.
     fn decide_submission(&mut self, submission: Submission) -> Option<SubmissionAnswer> {
         let submitted = submission.id;
-        let Decision { now, actions } = self.ask_core(Event::Submitted(submission));
+        let Decision { now, actions } = self.ask_core(Event::MessageSubmitted(submission));
         let mut rejection = None;
         for action in actions {
             match action {
@@ -113,29 +113,33 @@
         id: MessageId,
         ordered: bool,
         rejection: SubmissionAnswer,
-        answer: oneshot::Sender<SubmissionAnswer>,
+        answer_sender: oneshot::Sender<SubmissionAnswer>,
     ) {
         self.finish_without_report(id);
         if ordered {
-            let acknowledged = Event::ReportAcknowledged { id };
+            let acknowledged = Event::FinalAnswerAcknowledged { id };
             self.queued_events.push_back(acknowledged);
         }
-        send_answer(answer, rejection);
+        send_answer(answer_sender, rejection);
     }
 
     /// Tells the client that its message is accepted. The message is withdrawn where the client has left meanwhile.
-    fn confirm_submission(&mut self, id: MessageId, answer: oneshot::Sender<SubmissionAnswer>) {
-        if answer.send(SubmissionAnswer::Accepted).is_err() {
+    fn confirm_submission(
+        &mut self,
+        id: MessageId,
+        answer_sender: oneshot::Sender<SubmissionAnswer>,
+    ) {
+        if answer_sender.send(SubmissionAnswer::Accepted).is_err() {
             debug!(self.log, "a client left before its answer"; "message" => id.0);
             self.finish_without_report(id);
-            self.handle(Event::Withdrawn { id });
+            self.handle(Event::MessageWithdrawn { id });
         }
     }
 }
 
 /// An answer to a client that has left is dropped: nothing was accepted from it.
-fn send_answer(answer: oneshot::Sender<SubmissionAnswer>, reply: SubmissionAnswer) {
-    let _ = answer.send(reply);
+fn send_answer(answer_sender: oneshot::Sender<SubmissionAnswer>, reply: SubmissionAnswer) {
+    let _ = answer_sender.send(reply);
 }
 
 /// Whether two submissions with the same request id are the same message.
@@ -178,7 +182,7 @@
         id,
         class: submitted.class,
         tenant: submitted.tenant.unwrap_or(NO_TENANT),
-        key: submitted.order_key.map(OrderKey),
+        order_key: submitted.order_key.map(OrderKey),
         time_left: submitted.time_left,
         destination: submitted.destination,
         resubmitted: submitted.resubmitted,
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -33,7 +33,7 @@
 
 struct Fixture {
     dispatcher: Dispatcher,
-    pending_reports: mpsc::UnboundedReceiver<PendingReport>,
+    pending_reports: mpsc::UnboundedReceiver<PendingCompletionReport>,
     commands: mpsc::Receiver<DispatcherCommand>,
     listener: TcpListener,
     _dir: TempDir,
@@ -85,7 +85,7 @@
         destination: DestinationId(7),
         kind: EndpointKindId(0),
     };
-    dispatcher.handle_command(DispatcherCommand::Event(Event::EndpointList(
+    dispatcher.handle_command(DispatcherCommand::Event(Event::EndpointListUpdated(
         EndpointListUpdate::Cached(vec![entry]),
     )));
     dispatcher.take_over(Vec::new());
@@ -100,12 +100,12 @@
 
 impl Fixture {
     fn submit(&mut self, id: &str, class: u16) -> oneshot::Receiver<SubmissionAnswer> {
-        let (answer, answered) = oneshot::channel();
+        let (answer_sender, answered) = oneshot::channel();
         let received_at = tokio::time::Instant::now();
         self.dispatcher.submit(SubmissionRequest {
             submitted: submitted(id, class),
             received_at,
-            answer,
+            answer_sender,
         });
         answered
     }
@@ -175,7 +175,7 @@
     assert_eq!(fixture.dispatcher.in_flight.len(), 2);
     fixture
         .dispatcher
-        .handle_command(DispatcherCommand::ReportsAcknowledged(vec![
+        .handle_command(DispatcherCommand::CompletionReportsAcknowledged(vec![
             pending_report.serial,
         ]));
     assert_eq!(fixture.dispatcher.journal.recover_messages().len(), 2);
@@ -196,12 +196,12 @@
 async fn a_client_that_has_left_submits_nothing() {
     let mut fixture = fixture().await;
     drop(fixture.submit("early", 1)); // its answer was sent before it time_left: accepted
-    let (answer, answered) = oneshot::channel();
+    let (answer_sender, answered) = oneshot::channel();
     drop(answered);
     fixture.dispatcher.submit(SubmissionRequest {
         submitted: submitted("late", 1),
         received_at: tokio::time::Instant::now(),
-        answer,
+        answer_sender,
     });
     assert_eq!(
         fixture
@@ -233,12 +233,12 @@
         .expect("an endpoint");
     let ended = |outcome| Event::AttemptEnded {
         id,
-        attempt: 0,
+        attempt_index: 0,
         endpoint,
         outcome,
-        took: 1_000,
-        completed: outcome == Outcome::Delivered,
-        report: Vec::new(),
+        elapsed: 1_000,
+        message_completed: outcome == Outcome::Delivered,
+        load_metrics: Vec::new(),
     };
     fixture
         .dispatcher
@@ -256,11 +256,11 @@
 #[tokio::test]
 async fn messages_beyond_the_configured_capacity_are_rejected() {
     let mut fixture = fixture().await;
-    fixture.dispatcher.config.message_capacity = 2;
+    fixture.dispatcher.config.max_messages = 2;
     for (id, answer) in [
         ("one", SubmissionAnswer::Accepted),
         ("two", SubmissionAnswer::Accepted),
-        ("three", SubmissionAnswer::NoCapacity),
+        ("three", SubmissionAnswer::ResourceExhausted),
     ] {
         assert_eq!(fixture.submit(id, 1).await, Ok(answer));
     }
@@ -279,12 +279,12 @@
 async fn a_deadline_counts_from_the_last_byte_of_the_request() {
     let mut fixture = fixture().await;
     let waited = Duration::from_millis(150);
-    let (answer, _answered) = oneshot::channel();
+    let (answer_sender, _answered) = oneshot::channel();
     let received_at = tokio::time::Instant::now() - waited;
     fixture.dispatcher.submit(SubmissionRequest {
         submitted: submitted("queued", 1),
         received_at,
-        answer,
+        answer_sender,
     });
     let left = fixture
         .dispatcher
@@ -365,7 +365,7 @@
     // The actor does not run meanwhile.
     while fixture
         .dispatcher
-        .post(endpoint, EndpointCommand::CloseIdle)
+        .post(endpoint, EndpointCommand::CloseIdleConnections)
     {}
     assert_eq!(
         fixture.submit("at-most-once", 2).await,
--- a/crates/forwarder/src/endpoint_list/golden_tests.rs
+++ b/crates/forwarder/src/endpoint_list/golden_tests.rs
@@ -47,7 +47,7 @@
 }
 
 fn render_event(note: DispatcherCommand) -> Value {
-    let DispatcherCommand::Event(Event::EndpointList(news)) = note else {
+    let DispatcherCommand::Event(Event::EndpointListUpdated(news)) = note else {
         panic!("another event")
     };
     let entries = |entries: &[EndpointEntry]| entries.iter().map(render_entry).collect::<Vec<_>>();
--- a/crates/forwarder/src/endpoint_list/watch.rs
+++ b/crates/forwarder/src/endpoint_list/watch.rs
@@ -311,7 +311,7 @@
     }
 
     async fn send(&self, update: EndpointListUpdate) -> Result<(), Stopped> {
-        let event = DispatcherCommand::Event(Event::EndpointList(update));
+        let event = DispatcherCommand::Event(Event::EndpointListUpdated(update));
         self.dispatcher.send(event).await.map_err(|_| Stopped)
     }
 
--- a/crates/forwarder/src/endpoint_list/watch/tests.rs
+++ b/crates/forwarder/src/endpoint_list/watch/tests.rs
@@ -234,9 +234,9 @@
         let update = tokio::time::timeout(Duration::from_secs(20), events.recv())
             .await
             .expect("in time");
-        let Some(DispatcherCommand::Event(Event::EndpointList(EndpointListUpdate::Complete(
-            entries,
-        )))) = update
+        let Some(DispatcherCommand::Event(Event::EndpointListUpdated(
+            EndpointListUpdate::Complete(entries),
+        ))) = update
         else {
             panic!("no complete list")
         };
--- a/crates/forwarder/src/endpoints/actor.rs
+++ b/crates/forwarder/src/endpoints/actor.rs
@@ -81,15 +81,15 @@
     fn handle_command(&mut self, command: EndpointCommand) {
         match command {
             EndpointCommand::StartAttempt(request) => self.start_attempt(*request),
-            EndpointCommand::HealthCheck => self.start_health_check(),
-            EndpointCommand::Cancel { id, attempt } => {
-                let cancelled = RequestPurpose::Attempt { id, attempt };
+            EndpointCommand::StartHealthCheck => self.start_health_check(),
+            EndpointCommand::CancelAttempt { id, attempt_index } => {
+                let cancelled = RequestPurpose::Attempt { id, attempt_index };
                 self.request_stop(StopRequest::Cancel, |purpose| purpose == cancelled);
             }
             EndpointCommand::WithdrawUnsent => {
                 self.request_stop(StopRequest::WithdrawUnsent, |_| true);
             }
-            EndpointCommand::CloseIdle => self.idle.close_all(),
+            EndpointCommand::CloseIdleConnections => self.idle.close_all(),
         }
     }
 
@@ -114,7 +114,7 @@
         );
         let purpose = RequestPurpose::Attempt {
             id: attempt.id,
-            attempt: attempt.attempt,
+            attempt_index: attempt.attempt_index,
         };
         self.start(purpose, request, attempt.timeout, attempt.send_by);
     }
@@ -179,7 +179,7 @@
     async fn attempt_task_failed(&mut self, problem: JoinError) {
         error!(self.context.log, "attempt task failed"; "problem" => %problem);
         if let Some(in_flight) = self.in_flight.remove(&problem.id()) {
-            let result = AttemptResult::without_answer(Outcome::Reset);
+            let result = AttemptResult::without_answer(Outcome::ConnectionReset);
             let event = ended_event(self.id, in_flight.purpose, result, in_flight.started);
             self.context.send_event(event).await;
         }
--- a/crates/forwarder/src/endpoints/attempt.rs
+++ b/crates/forwarder/src/endpoints/attempt.rs
@@ -27,7 +27,7 @@
         /// The message.
         id: MessageId,
         /// The number of the attempt, from 0.
-        attempt: u8,
+        attempt_index: u8,
     },
     /// A health check.
     HealthCheck,
@@ -79,7 +79,7 @@
         match body_end {
             BodyEnd::Complete => self,
             BodyEnd::Incomplete => AttemptResult {
-                outcome: Outcome::Reset,
+                outcome: Outcome::ConnectionReset,
                 completed: false,
                 load_report: self.load_report,
             },
@@ -238,22 +238,22 @@
     result: AttemptResult,
     started: Instant,
 ) -> Event {
-    let took = micros(started.elapsed());
+    let elapsed = micros(started.elapsed());
     match purpose {
-        RequestPurpose::Attempt { id, attempt } => Event::AttemptEnded {
+        RequestPurpose::Attempt { id, attempt_index } => Event::AttemptEnded {
             id,
-            attempt,
+            attempt_index,
             endpoint,
             outcome: result.outcome,
-            took,
-            completed: result.completed,
-            report: result.load_report,
+            elapsed,
+            message_completed: result.completed,
+            load_metrics: result.load_report,
         },
         RequestPurpose::HealthCheck => Event::HealthCheckEnded {
             endpoint,
             outcome: result.outcome,
-            took,
-            report: result.load_report,
+            elapsed,
+            load_metrics: result.load_report,
         },
     }
 }
--- a/crates/forwarder/src/endpoints/attempt_error.rs
+++ b/crates/forwarder/src/endpoints/attempt_error.rs
@@ -67,7 +67,7 @@
             (FailureCause::WithdrawnBeforeSend, _) => Outcome::WithdrawnBeforeSend,
             (_, AttemptStage::Connecting) => Outcome::NoConnection,
             (FailureCause::ConnectionLost, AttemptStage::Writing) => Outcome::NoConnection,
-            (FailureCause::ConnectionLost, AttemptStage::Written) => Outcome::Reset,
+            (FailureCause::ConnectionLost, AttemptStage::Written) => Outcome::ConnectionReset,
             (FailureCause::TimedOut, _) => Outcome::Timeout,
         }
     }
--- a/crates/forwarder/src/endpoints/golden_tests.rs
+++ b/crates/forwarder/src/endpoints/golden_tests.rs
@@ -59,11 +59,11 @@
 /// The command for a call or, without a request id, for a health check.
 fn command(input: &Value) -> EndpointCommand {
     let Some(request_id) = input["request id"].as_str() else {
-        return EndpointCommand::HealthCheck;
+        return EndpointCommand::StartHealthCheck;
     };
     let call = AttemptRequest {
         id: MessageId(1),
-        attempt: 0,
+        attempt_index: 0,
         request_id: request_id.to_owned(),
         idempotency_key: input["idempotency key"].as_str().map(str::to_owned),
         body: Bytes::from(input["body"].as_str().expect("a body").to_owned()),
@@ -80,7 +80,7 @@
         Outcome::Rejected { retry_after: wait } => json!({ "rejected, retry-after us": wait }),
         Outcome::Timeout => json!("timeout"),
         Outcome::NoConnection => json!("no connection"),
-        Outcome::Reset => json!("reset"),
+        Outcome::ConnectionReset => json!("reset"),
         Outcome::Cancelled => json!("cancelled"),
         Outcome::WithdrawnBeforeSend => json!("withdrawn before send"),
         Outcome::NotAttempted { no_permit: no_slot } => {
@@ -93,17 +93,19 @@
     match note {
         DispatcherCommand::Event(Event::AttemptEnded {
             outcome,
-            completed: closed,
-            report,
+            message_completed: closed,
+            load_metrics,
             ..
         }) => (
-            json!({ "attempt ended": render_outcome(outcome), "message over": closed, "report": report }),
+            json!({ "attempt ended": render_outcome(outcome), "message over": closed, "report": load_metrics }),
             true,
         ),
         DispatcherCommand::Event(Event::HealthCheckEnded {
-            outcome, report, ..
+            outcome,
+            load_metrics,
+            ..
         }) => (
-            json!({ "health check ended": render_outcome(outcome), "report": report }),
+            json!({ "health check ended": render_outcome(outcome), "report": load_metrics }),
             true,
         ),
         DispatcherCommand::Event(Event::RetryAfterReceived {
--- a/crates/forwarder/src/endpoints/tests.rs
+++ b/crates/forwarder/src/endpoints/tests.rs
@@ -79,7 +79,7 @@
     async fn start_attempt_within(&mut self, body: &Bytes, timeout: u64, send_within: u64) {
         let attempt = AttemptRequest {
             id: MessageId(1),
-            attempt: self.attempts,
+            attempt_index: self.attempts,
             request_id: "9b1f03aa5c7e2d41".into(),
             idempotency_key: Some("5c0f6e1a".into()),
             body: body.clone(),
@@ -109,12 +109,12 @@
         match wait.await.expect("in time").expect("an event") {
             DispatcherCommand::Event(Event::AttemptEnded {
                 outcome,
-                completed,
-                attempt,
+                message_completed,
+                attempt_index,
                 ..
             }) => {
-                assert_eq!(attempt + 1, self.attempts);
-                (outcome, completed)
+                assert_eq!(attempt_index + 1, self.attempts);
+                (outcome, message_completed)
             }
             DispatcherCommand::Event(Event::HealthCheckEnded { outcome, .. }) => (outcome, false),
             _ => panic!("another event"),
--- a/crates/forwarder/src/endpoints/tests/answers.rs
+++ b/crates/forwarder/src/endpoints/tests/answers.rs
@@ -85,12 +85,12 @@
         ),
         (
             "HTTP/1.1 503 Full\r\nContent-Length: 5\r\n\r\nab".to_owned(),
-            Outcome::Reset,
+            Outcome::ConnectionReset,
             false,
         ),
         (
             "HTTP/1.1 503 Full\r\nX: without an end".to_owned(),
-            Outcome::Reset,
+            Outcome::ConnectionReset,
             false,
         ),
         (
@@ -98,25 +98,29 @@
                 "HTTP/1.1 429 W\r\nContent-Length: 3000000000\r\n\r\n{}",
                 "x".repeat(100_000)
             ),
-            Outcome::Reset,
+            Outcome::ConnectionReset,
             false,
         ),
         (
             "HTTP/1.1 410 Over\r\nContent-Length: -1\r\n\r\n".to_owned(),
-            Outcome::Reset,
+            Outcome::ConnectionReset,
             false,
         ),
         (
             "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n".to_owned(),
-            Outcome::Reset,
+            Outcome::ConnectionReset,
             false,
         ),
-        ("\0\u{1}noise\r\n\r\n".to_owned(), Outcome::Reset, false),
-        ("HTT".to_owned(), Outcome::Reset, false),
-        ("HTTP/1.1 200 O".to_owned(), Outcome::Reset, false),
+        (
+            "\0\u{1}noise\r\n\r\n".to_owned(),
+            Outcome::ConnectionReset,
+            false,
+        ),
+        ("HTT".to_owned(), Outcome::ConnectionReset, false),
+        ("HTTP/1.1 200 O".to_owned(), Outcome::ConnectionReset, false),
         (
             format!("HTTP/1.1 200 {}\r\n\r\n", "x".repeat(100_000)),
-            Outcome::Reset,
+            Outcome::ConnectionReset,
             false,
         ),
         (
@@ -163,7 +167,7 @@
     ] {
         fixture
             .mailbox
-            .send(EndpointCommand::HealthCheck)
+            .send(EndpointCommand::StartHealthCheck)
             .await
             .expect("the actor runs");
         let mut stream = fixture.accept().await;
@@ -188,8 +192,13 @@
                 retry_after: Some(700_000),
             },
         ),
-        ("429 W", "4\r\n\r\n", "", Outcome::Reset),
-        ("429 W", "3000000000\r\n\r\nxx", "", Outcome::Reset),
+        ("429 W", "4\r\n\r\n", "", Outcome::ConnectionReset),
+        (
+            "429 W",
+            "3000000000\r\n\r\nxx",
+            "",
+            Outcome::ConnectionReset,
+        ),
         (
             "503 F",
             "4\r\n\r\n",
@@ -237,9 +246,9 @@
         .expect("sent");
     fixture
         .mailbox
-        .try_send(EndpointCommand::Cancel {
+        .try_send(EndpointCommand::CancelAttempt {
             id: MessageId(1),
-            attempt: 0,
+            attempt_index: 0,
         })
         .expect("room");
     assert_eq!(
@@ -263,9 +272,9 @@
     stream.try_write(b"HTTP/1.1 200 OK\r").expect("sent");
     fixture
         .mailbox
-        .try_send(EndpointCommand::Cancel {
+        .try_send(EndpointCommand::CancelAttempt {
             id: MessageId(1),
-            attempt: 0,
+            attempt_index: 0,
         })
         .expect("room");
     assert_eq!(fixture.next_outcome().await, (Outcome::Cancelled, false));
--- a/crates/forwarder/src/endpoints/tests/attempts.rs
+++ b/crates/forwarder/src/endpoints/tests/attempts.rs
@@ -51,7 +51,10 @@
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
     drop(stream);
-    assert_eq!(fixture.next_outcome().await, (Outcome::Reset, false));
+    assert_eq!(
+        fixture.next_outcome().await,
+        (Outcome::ConnectionReset, false)
+    );
     // So large that it is not written whole to an endpoint that reads nothing.
     fixture
         .start_attempt(&Bytes::from(vec![7; 32 << 20]), 5000)
@@ -93,9 +96,9 @@
     read_request(&mut stream).await;
     fixture
         .mailbox
-        .send(EndpointCommand::Cancel {
+        .send(EndpointCommand::CancelAttempt {
             id: MessageId(1),
-            attempt: 1,
+            attempt_index: 1,
         })
         .await
         .expect("the actor runs");
@@ -151,7 +154,9 @@
         .await;
     tokio::time::sleep(Duration::from_millis(20)).await;
     fixture.withdraw_unsent().await;
-    fixture.send_command(EndpointCommand::HealthCheck).await;
+    fixture
+        .send_command(EndpointCommand::StartHealthCheck)
+        .await;
     fixture.withdraw_unsent().await;
     for _ in before {
         fixture.accept().await;
@@ -186,9 +191,9 @@
     read_request(&mut stream).await;
     for command in [
         EndpointCommand::WithdrawUnsent,
-        EndpointCommand::Cancel {
+        EndpointCommand::CancelAttempt {
             id: MessageId(1),
-            attempt: 3,
+            attempt_index: 3,
         },
         EndpointCommand::WithdrawUnsent,
     ] {
@@ -206,7 +211,7 @@
         let (stop, _) = watch::channel(StopRequest::Continue);
         let purpose = RequestPurpose::Attempt {
             id: MessageId(1),
-            attempt: 0,
+            attempt_index: 0,
         };
         endpoint.in_flight.insert(
             task.id(),
@@ -219,7 +224,10 @@
     })
     .await;
     fixture.attempts = 1;
-    assert_eq!(fixture.next_outcome().await, (Outcome::Reset, false));
+    assert_eq!(
+        fixture.next_outcome().await,
+        (Outcome::ConnectionReset, false)
+    );
     fixture
         .start_attempt(&Bytes::from_static(b"next"), 1_000)
         .await;
--- a/crates/forwarder/src/endpoints/tests/connections.rs
+++ b/crates/forwarder/src/endpoints/tests/connections.rs
@@ -30,7 +30,7 @@
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
     fixture
         .mailbox
-        .send(EndpointCommand::CloseIdle)
+        .send(EndpointCommand::CloseIdleConnections)
         .await
         .expect("the actor runs");
     assert!(is_closed(&mut third).await);
--- a/crates/forwarder/src/gossip_socket.rs
+++ b/crates/forwarder/src/gossip_socket.rs
@@ -47,7 +47,7 @@
                     continue;
                 };
                 let payload = buffer[..length].to_vec();
-                let event = Event::Gossip { from: number, payload };
+                let event = Event::GossipReceived { peer: number, payload };
                 if dispatcher.send(DispatcherCommand::Event(event)).await.is_err() {
                     return Ok(());
                 }
--- a/crates/forwarder/src/startup.rs
+++ b/crates/forwarder/src/startup.rs
@@ -3,7 +3,8 @@
 use crate::clients::{ClientListener, SubmissionService};
 use crate::clock::Clock;
 use crate::commands::{
-    DispatcherCommand, EndpointListCommand, GossipDatagram, PendingReport, SubmissionRequest,
+    DispatcherCommand, EndpointListCommand, GossipDatagram, PendingCompletionReport,
+    SubmissionRequest,
 };
 use crate::completion_reports::CompletionReports;
 use crate::dispatcher::{Dispatcher, DispatcherHandles};
@@ -59,7 +60,7 @@
     dispatcher: mpsc::Sender<DispatcherCommand>,
     submissions: mpsc::Sender<SubmissionRequest>,
     endpoint_list: mpsc::Sender<EndpointListCommand>,
-    completion_reports: mpsc::UnboundedSender<PendingReport>,
+    completion_reports: mpsc::UnboundedSender<PendingCompletionReport>,
     gossip: mpsc::Sender<GossipDatagram>,
 }
 
@@ -68,7 +69,7 @@
     dispatcher: mpsc::Receiver<DispatcherCommand>,
     submissions: mpsc::Receiver<SubmissionRequest>,
     endpoint_list: mpsc::Receiver<EndpointListCommand>,
-    completion_reports: mpsc::UnboundedReceiver<PendingReport>,
+    completion_reports: mpsc::UnboundedReceiver<PendingCompletionReport>,
     gossip: mpsc::Receiver<GossipDatagram>,
 }
 
@@ -150,7 +151,7 @@
         log: &'a Logger,
     ) -> ActorStarter<'a> {
         let mut config = startup.settings.config.clone();
-        config.notified_within = Some(NOTIFIED_WITHIN);
+        config.list_notification_delay = Some(NOTIFIED_WITHIN);
         ActorStarter {
             startup,
             config,
@@ -236,7 +237,7 @@
         if let Some(EndpointListUpdate::Complete(entries) | EndpointListUpdate::Changes(entries)) =
             update
         {
-            let cached = Event::EndpointList(EndpointListUpdate::Cached(entries));
+            let cached = Event::EndpointListUpdated(EndpointListUpdate::Cached(entries));
             dispatcher.handle_command(DispatcherCommand::Event(cached));
         }
         endpoints
@@ -270,7 +271,7 @@
             discovery,
             names: self.names(),
             table: endpoints,
-            must_be_polled: self.config.poll_interval.is_some(),
+            must_be_polled: self.config.list_poll_interval.is_some(),
             dispatcher: self.dispatcher.clone(),
             log: self.log.clone(),
         };
@@ -280,7 +281,7 @@
     fn start_completion_reports(
         &self,
         discovery: watch::Receiver<SocketAddr>,
-        reports: mpsc::UnboundedReceiver<PendingReport>,
+        reports: mpsc::UnboundedReceiver<PendingCompletionReport>,
     ) {
         let completion_reports = CompletionReports {
             platform: self.platform(),
--- a/crates/forwarder/src/startup_config.rs
+++ b/crates/forwarder/src/startup_config.rs
@@ -163,7 +163,7 @@
 fn adapt_to_sockets(config: &mut Config, gossip_peers: &GossipPeers) {
     // A request to an endpoint carries one message.
     for kind in &mut config.endpoint_kinds {
-        kind.batch_size = 1;
+        kind.max_batch_size = 1;
     }
     // A completion report and an attempt go on connections of their own, and may overtake each other.
     config.order_release = OrderRelease::OnAcknowledgement;
--- a/crates/forwarder/src/startup_config/golden_tests.rs
+++ b/crates/forwarder/src/startup_config/golden_tests.rs
@@ -7,7 +7,7 @@
 
 fn render_ends(ends: OrderRelease) -> &'static str {
     match ends {
-        OrderRelease::OnDecision => "at once",
+        OrderRelease::OnFinalAnswer => "at once",
         OrderRelease::OnAcknowledgement => "when acknowledged",
     }
 }
@@ -33,7 +33,7 @@
             json!([known.revision, known.complete, ids])
         }),
         "permits": config.concurrency_limit,
-        "messages a call by kind": config.endpoint_kinds.iter().map(|kind| kind.batch_size).collect::<Vec<_>>(),
+        "messages a call by kind": config.endpoint_kinds.iter().map(|kind| kind.max_batch_size).collect::<Vec<_>>(),
         "ends count": render_ends(config.order_release),
         "may gossip": config.may_gossip,
         "class names": startup.settings.names.classes,
--- a/crates/lab/src/capacity/backlog/core_point.rs
+++ b/crates/lab/src/capacity/backlog/core_point.rs
@@ -55,7 +55,9 @@
     let lines = (0..world.targets())
         .map(|n| world.listing(n, 1.0))
         .collect();
-    world.handle(Event::EndpointList(EndpointListUpdate::Complete(lines)));
+    world.handle(Event::EndpointListUpdated(EndpointListUpdate::Complete(
+        lines,
+    )));
     world.refuse_all();
     let (before, begun) = (own_memory()?, own_processor_time()?);
     let mut counts = world.run(u64::from(setup.messages) / setup.rate, setup.rate)?;
--- a/crates/lab/src/capacity/core/point.rs
+++ b/crates/lab/src/capacity/core/point.rs
@@ -185,7 +185,7 @@
             let numbers = from..targets.min(from + CHUNK);
             let entries = numbers.map(|number| self.world.listing(number, 1.0));
             let changes = EndpointListUpdate::Changes(entries.collect());
-            self.world.handle(Event::EndpointList(changes));
+            self.world.handle(Event::EndpointListUpdated(changes));
         }
     }
 
@@ -194,7 +194,7 @@
         let numbers = 0..self.world.targets();
         let entries = numbers.map(|number| self.world.listing(number, 1.0));
         let list = EndpointListUpdate::Complete(entries.collect());
-        timed(|| self.world.handle(Event::EndpointList(list)))
+        timed(|| self.world.handle(Event::EndpointListUpdated(list)))
     }
 
     fn change_single_entries(&mut self) {
@@ -203,7 +203,7 @@
             let target = (targets * change / u64::from(CHANGES)) as u32;
             let entry = self.world.listing(target, CHANGED_RATE);
             let update = EndpointListUpdate::Changes(vec![entry]);
-            self.world.handle(Event::EndpointList(update));
+            self.world.handle(Event::EndpointListUpdated(update));
         }
     }
 
--- a/crates/lab/src/capacity/core/settings.rs
+++ b/crates/lab/src/capacity/core/settings.rs
@@ -2,7 +2,7 @@
 
 use opalpulley::{
     Config, DeduplicationScope, DeliveryClassConfig, DeliverySemantics, EndpointKindConfig,
-    ListedRates, Micros, RuleConfig,
+    ListedRateAccuracy, Micros, ServiceRuleConfig,
 };
 
 /// A second, µs.
@@ -17,27 +17,27 @@
 
 /// The configuration of one forwarder.
 pub(super) fn config(
-    message_capacity: u32,
+    max_messages: u32,
     time_to_live: Micros,
     full_destinations: Option<u32>,
 ) -> Config {
     Config {
-        forwarder: 0,
+        forwarder_id: 0,
         fleet_size: FORWARDERS,
         concurrency_limit: CONCURRENCY_LIMIT,
-        message_capacity,
+        max_messages,
         max_attempts: 6,
         may_health_check: true,
         may_cancel: true,
         may_send_retry_after: true,
         may_gossip: true,
         max_retry_after: 2 * SECOND,
-        listed_rates: ListedRates::Nominal,
-        over_quota_weight: 0.1,
+        listed_rate_accuracy: ListedRateAccuracy::Nominal,
+        over_quota_weight_share: 0.1,
         classes: classes(time_to_live),
         endpoint_kinds: vec![EndpointKindConfig {
-            independent_limits: false,
-            batch_size: 1,
+            has_independent_limits: false,
+            max_batch_size: 1,
         }],
         zone_costs: vec![0.0; ZONES],
         rules: rules(),
@@ -67,8 +67,8 @@
     ]
 }
 
-fn rules() -> RuleConfig {
-    RuleConfig {
+fn rules() -> ServiceRuleConfig {
+    ServiceRuleConfig {
         answer_slack: 20_000,
         drain_grace: 500_000,
         cold_capacity_share: 0.2,
--- a/crates/lab/src/capacity/core/world.rs
+++ b/crates/lab/src/capacity/core/world.rs
@@ -248,16 +248,16 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 id,
                 endpoint,
                 timeout,
                 ..
             } => self.send(id, endpoint, timeout),
-            Action::Cancel { id, .. } => self.cancel(id),
-            Action::HealthCheck { endpoint } => self.send_health_check(endpoint),
-            Action::SetTimer { after, token } => {
-                self.at(self.now + after, Due::Alarm(token));
+            Action::CancelAttempt { id, .. } => self.cancel(id),
+            Action::StartHealthCheck { endpoint } => self.send_health_check(endpoint),
+            Action::SetTimer { delay, token } => {
+                self.at(self.now + delay, Due::Alarm(token));
             }
             Action::Fail { .. } | Action::Reject { .. } => self.counts.given_up += 1,
             _ => {}
@@ -327,15 +327,15 @@
                 self.out.remove(&id);
                 let closed = outcome == Outcome::Delivered;
                 self.counts.delivered += u64::from(closed);
-                let took = self.now - sent;
+                let elapsed = self.now - sent;
                 self.handle(Event::AttemptEnded {
                     id,
-                    attempt: 0,
+                    attempt_index: 0,
                     endpoint: target,
                     outcome,
-                    took,
-                    completed: closed,
-                    report: Vec::new(),
+                    elapsed,
+                    message_completed: closed,
+                    load_metrics: Vec::new(),
                 });
             }
             Due::ProbeAnswer {
@@ -346,8 +346,8 @@
                 self.handle(Event::HealthCheckEnded {
                     endpoint: target,
                     outcome,
-                    took: self.now - sent,
-                    report: Vec::new(),
+                    elapsed: self.now - sent,
+                    load_metrics: Vec::new(),
                 });
             }
         }
@@ -376,11 +376,11 @@
             };
             self.next += 1;
             self.counts.messages += 1;
-            self.handle(Event::Submitted(Submission {
+            self.handle(Event::MessageSubmitted(Submission {
                 id: MessageId(self.next as u32),
                 class: DeliveryClassId((message % 3) as u16),
                 tenant: TenantId(u32::MAX),
-                key: None,
+                order_key: None,
                 time_left: self.plan.expiry,
                 destination: DestinationId(destination),
                 resubmitted: false,
--- a/crates/lab/src/capacity/fleet/exchange.rs
+++ b/crates/lab/src/capacity/fleet/exchange.rs
@@ -97,7 +97,7 @@
                 .gossip_in
                 .datagram(message.len());
             let gossip = Incoming::Gossip {
-                from: from as u16,
+                peer: from as u16,
                 message: message.clone(),
             };
             self.forwarders[peer as usize].inbox.push(arrives, gossip);
--- a/crates/lab/src/capacity/fleet/hollow.rs
+++ b/crates/lab/src/capacity/fleet/hollow.rs
@@ -78,7 +78,7 @@
         self.give(
             0,
             Work::FirstList,
-            Event::EndpointList(EndpointListUpdate::Complete(list.to_vec())),
+            Event::EndpointListUpdated(EndpointListUpdate::Complete(list.to_vec())),
         );
     }
 
@@ -126,9 +126,9 @@
                 sent,
                 outcome,
             } => self.health_check_ended(now, target, sent, outcome),
-            Incoming::Gossip { from, message } => {
+            Incoming::Gossip { peer, message } => {
                 let payload = message.to_vec();
-                self.give(now, Work::Gossip, Event::Gossip { from, payload });
+                self.give(now, Work::Gossip, Event::GossipReceived { peer, payload });
             }
             Incoming::List {
                 whole,
@@ -140,7 +140,7 @@
                     true => EndpointListUpdate::Complete(entries),
                     false => EndpointListUpdate::Changes(entries),
                 };
-                self.give(now, Work::List, Event::EndpointList(update));
+                self.give(now, Work::List, Event::EndpointListUpdated(update));
                 self.outbox.push((now, Outgoing::ListInForce { revision }));
             }
         }
@@ -164,8 +164,8 @@
         let event = Event::HealthCheckEnded {
             endpoint: target,
             outcome,
-            took: now - sent,
-            report: Vec::new(),
+            elapsed: now - sent,
+            load_metrics: Vec::new(),
         };
         self.give(now, Work::Probe, event);
     }
@@ -191,17 +191,21 @@
             id,
             class: DeliveryClassId(self.rng.random_range(0..2)),
             tenant: TenantId(0),
-            key: None,
+            order_key: None,
             time_left: DEADLINE,
             destination: DestinationId(number),
             resubmitted: false,
             history: AttemptHistory::default(),
         };
-        self.give(now, Work::Message, Event::Submitted(arrival));
+        self.give(now, Work::Message, Event::MessageSubmitted(arrival));
     }
 
-    fn answered(&mut self, now: Micros, id: MessageId, attempt: u8, outcome: Outcome) {
-        let Some(message) = self.open.get_mut(&id).filter(|m| m.attempts == attempt + 1) else {
+    fn answered(&mut self, now: Micros, id: MessageId, attempt_index: u8, outcome: Outcome) {
+        let Some(message) = self
+            .open
+            .get_mut(&id)
+            .filter(|m| m.attempts == attempt_index + 1)
+        else {
             return;
         };
         let Some((target, sent)) = message.out.take() else {
@@ -227,15 +231,15 @@
         ) {
             self.met(now, target, sent);
         }
-        let (took, closed) = (now - sent, outcome == Outcome::Delivered);
+        let (elapsed, closed) = (now - sent, outcome == Outcome::Delivered);
         let event = Event::AttemptEnded {
             id,
-            attempt,
+            attempt_index,
             endpoint: target,
             outcome,
-            took,
-            completed: closed,
-            report: Vec::new(),
+            elapsed,
+            message_completed: closed,
+            load_metrics: Vec::new(),
         };
         self.give(now, Work::Message, event);
     }
@@ -264,16 +268,16 @@
 
     fn carry_out(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 id,
                 endpoint,
                 timeout,
                 ..
             } => self.send(now, id, endpoint, timeout),
-            Action::Cancel { id, attempt } => {
-                self.answer_at(now, id, attempt, Outcome::Cancelled);
+            Action::CancelAttempt { id, attempt_index } => {
+                self.answer_at(now, id, attempt_index, Outcome::Cancelled);
             }
-            Action::HealthCheck { endpoint } => self.send_health_check(now, endpoint),
+            Action::StartHealthCheck { endpoint } => self.send_health_check(now, endpoint),
             Action::Fail { id } => {
                 if self.open.remove(&id).is_some() {
                     self.counts.failed += 1;
@@ -284,8 +288,8 @@
                     self.counts.rejected += 1;
                 }
             }
-            Action::SetTimer { after, token } => {
-                self.inbox.push(now + after, Incoming::Alarm(token))
+            Action::SetTimer { delay, token } => {
+                self.inbox.push(now + delay, Incoming::Alarm(token))
             }
             Action::SendGossip { peer, payload } => {
                 let message = payload.into();
--- a/crates/lab/src/capacity/fleet/messages.rs
+++ b/crates/lab/src/capacity/fleet/messages.rs
@@ -21,7 +21,7 @@
         outcome: Outcome,
     },
     Gossip {
-        from: u16,
+        peer: u16,
         message: Arc<[u8]>,
     },
     List {
--- a/crates/lab/src/capacity/fleet/plan.rs
+++ b/crates/lab/src/capacity/fleet/plan.rs
@@ -2,7 +2,7 @@
 
 use opalpulley::{
     Config, DeduplicationScope, DeliveryClassConfig, DeliverySemantics, EndpointKindConfig,
-    ListedRates, Micros, OrderRelease, PriorityDecay, RuleConfig,
+    ListedRateAccuracy, Micros, OrderRelease, PriorityDecay, ServiceRuleConfig,
 };
 use serde::Serialize;
 
@@ -213,39 +213,39 @@
             window: 15 * SECOND,
         };
         Config {
-            forwarder: forwarder as u16,
+            forwarder_id: forwarder as u16,
             fleet_size: self.configured_forwarders.unwrap_or(self.forwarders),
             concurrency_limit: CONCURRENCY,
-            message_capacity: ROOM,
+            max_messages: ROOM,
             max_attempts: MAX_ATTEMPTS,
-            order_release: OrderRelease::OnDecision,
+            order_release: OrderRelease::OnFinalAnswer,
             may_health_check: true,
             may_cancel: true,
             may_send_retry_after: true,
             may_gossip: true,
             max_retry_after: 2 * SECOND,
-            listed_rates: ListedRates::Nominal,
+            listed_rate_accuracy: ListedRateAccuracy::Nominal,
             priority_decay: PriorityDecay::Exponential,
-            over_quota_weight: 0.1,
+            over_quota_weight_share: 0.1,
             classes: vec![class(keyed), class(DeliverySemantics::Idempotent)],
             tenants: Vec::new(),
             endpoint_kinds: vec![EndpointKindConfig {
-                independent_limits: false,
-                batch_size: 1,
+                has_independent_limits: false,
+                max_batch_size: 1,
             }],
             zone_costs: vec![0.0; usize::from(ZONES)],
-            poll_interval: None,
+            list_poll_interval: None,
             rules: rules(),
-            scheduling_interval: 5_000,
+            min_tick_interval: 5_000,
             full_destinations: self.full_destinations.setting(),
-            notified_within: None,
+            list_notification_delay: None,
         }
     }
 }
 
 /// The figures of the rules, as forwarders are told them and as receivers are judged by them.
-pub fn rules() -> RuleConfig {
-    RuleConfig {
+pub fn rules() -> ServiceRuleConfig {
+    ServiceRuleConfig {
         answer_slack: 20_000,
         drain_grace: SECOND,
         cold_capacity_share: 0.25,
--- a/crates/lab/src/experiments/bids.rs
+++ b/crates/lab/src/experiments/bids.rs
@@ -116,7 +116,7 @@
             kind: EndpointKindId(0),
         };
         let list = EndpointListUpdate::Cached(vec![entry]);
-        bench.handle(Event::EndpointList(list));
+        bench.handle(Event::EndpointListUpdated(list));
         bench
     }
 
@@ -126,11 +126,11 @@
 
     fn submit(&mut self) {
         self.submitted += 1;
-        self.handle(Event::Submitted(Submission {
+        self.handle(Event::MessageSubmitted(Submission {
             id: MessageId(self.submitted),
             class: DeliveryClassId(0),
             tenant: TenantId(u32::MAX),
-            key: None,
+            order_key: None,
             time_left: self.time_to_live,
             destination: DestinationId(0),
             resubmitted: false,
@@ -141,12 +141,12 @@
     fn end_attempt(&mut self, id: MessageId) {
         self.handle(Event::AttemptEnded {
             id,
-            attempt: 0,
+            attempt_index: 0,
             endpoint: ENDPOINT,
             outcome: Outcome::Delivered,
-            took: STEP,
-            completed: true,
-            report: Vec::new(),
+            elapsed: STEP,
+            message_completed: true,
+            load_metrics: Vec::new(),
         });
     }
 
@@ -154,7 +154,7 @@
     fn in_flight(&self) -> Option<MessageId> {
         let mut actions = self.actions.iter().rev();
         actions.find_map(|action| match action {
-            Action::Send { id, .. } => Some(*id),
+            Action::StartAttempt { id, .. } => Some(*id),
             _ => None,
         })
     }
--- a/crates/lab/src/scenario/config.rs
+++ b/crates/lab/src/scenario/config.rs
@@ -2,8 +2,8 @@
 
 use super::{DeliveryClass, DeliverySemantics, ForwarderProcesses, PriorityDecay, Scenario};
 use opalpulley::{
-    Config, DeduplicationScope, DeliveryClassConfig, EndpointKindConfig, ListedRates, RuleConfig,
-    TenantConfig,
+    Config, DeduplicationScope, DeliveryClassConfig, EndpointKindConfig, ListedRateAccuracy,
+    ServiceRuleConfig, TenantConfig,
 };
 use serde_json::{json, Value};
 
@@ -26,10 +26,10 @@
         let fleet = &self.forwarders;
         let poll = self.network.polled_discovery.as_ref();
         Config {
-            forwarder: number as u16,
+            forwarder_id: number as u16,
             fleet_size: fleet.count,
             concurrency_limit: fleet.concurrency_limit,
-            message_capacity: fleet.message_capacity,
+            max_messages: fleet.message_capacity,
             max_attempts: fleet.max_attempts,
             order_release: opalpulley::OrderRelease::default(),
             may_health_check: fleet.may_health_check,
@@ -37,17 +37,17 @@
             may_send_retry_after: fleet.may_send_retry_after,
             may_gossip: fleet.may_gossip,
             max_retry_after: fleet.max_retry_after.0,
-            listed_rates: ListedRates::Nominal,
+            listed_rate_accuracy: ListedRateAccuracy::Nominal,
             priority_decay: fleet.priority_decay.into(),
-            over_quota_weight: OVER_QUOTA_WEIGHT,
+            over_quota_weight_share: OVER_QUOTA_WEIGHT,
             classes: self.classes.iter().map(DeliveryClass::config).collect(),
             tenants: self.tenant_configs(),
             endpoint_kinds: INDEPENDENT_LIMITS.map(endpoint_kind).to_vec(),
             zone_costs: vec![0.0, 0.0],
-            poll_interval: poll.map(|discovery| discovery.poll_interval.0),
-            notified_within: None,
+            list_poll_interval: poll.map(|discovery| discovery.poll_interval.0),
+            list_notification_delay: None,
             rules: self.rule_config(),
-            scheduling_interval: SCHEDULING_INTERVAL,
+            min_tick_interval: SCHEDULING_INTERVAL,
             full_destinations: None,
         }
     }
@@ -57,9 +57,9 @@
         quotas.map(|quota| TenantConfig { quota }).collect()
     }
 
-    fn rule_config(&self) -> RuleConfig {
+    fn rule_config(&self) -> ServiceRuleConfig {
         let rules = &self.rules;
-        RuleConfig {
+        ServiceRuleConfig {
             answer_slack: rules.answer_slack.0,
             drain_grace: rules.drain_grace.0,
             cold_capacity_share: rules.cold_capacity_share,
@@ -144,10 +144,10 @@
     }
 }
 
-fn endpoint_kind(independent_limits: bool) -> EndpointKindConfig {
+fn endpoint_kind(has_independent_limits: bool) -> EndpointKindConfig {
     EndpointKindConfig {
-        independent_limits,
-        batch_size: 1,
+        has_independent_limits,
+        max_batch_size: 1,
     }
 }
 
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -220,7 +220,7 @@
         let served = outcome == Outcome::Delivered && !held.ended;
         let sent_at = attempt.sent_at + clock_lead;
         held.attempt_ended(number, outcome, sent_at, ZoneId(place.zone));
-        let completed = held.ended;
+        let message_completed = held.ended;
         if served {
             self.final_answer(
                 attempt.client_message,
@@ -233,12 +233,12 @@
         self.forget_finished(attempt.forwarder, attempt.id);
         let ended = Event::AttemptEnded {
             id: attempt.id,
-            attempt: attempt.number,
+            attempt_index: attempt.number,
             endpoint: attempt.endpoint,
             outcome,
-            took: self.now - attempt.sent_at,
-            completed,
-            report: Vec::new(),
+            elapsed: self.now - attempt.sent_at,
+            message_completed,
+            load_metrics: Vec::new(),
         };
         self.deliver_event(attempt.forwarder, incarnation, ended);
     }
@@ -284,7 +284,7 @@
             Outcome::Rejected { .. } => ("refused", Tick::CallRefused),
             Outcome::Timeout => ("time-out", Tick::CallFailed),
             Outcome::NoConnection => ("no-connection", Tick::CallFailed),
-            Outcome::Reset => ("reset", Tick::CallFailed),
+            Outcome::ConnectionReset => ("reset", Tick::CallFailed),
             Outcome::Cancelled => ("called-off", Tick::CallFailed),
             Outcome::WithdrawnBeforeSend => ("taken-back", Tick::CallFailed),
             Outcome::NotAttempted { .. } => ("moot", Tick::CallFailed),
@@ -368,7 +368,7 @@
         ReceiverReply::Refused | ReceiverReply::ClosedEarly => Outcome::NoConnection,
         ReceiverReply::Reset
         | ReceiverReply::Garbled
-        | ReceiverReply::TooManyRequestsTruncated { .. } => Outcome::Reset,
+        | ReceiverReply::TooManyRequestsTruncated { .. } => Outcome::ConnectionReset,
         ReceiverReply::Silent => return None,
     })
 }
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -212,7 +212,7 @@
             id: MessageId(0),
             class: DeliveryClassId(self.due.class),
             tenant: self.due.tenant.map_or(NO_TENANT, TenantId),
-            key: key.map(|key| OrderKey(key + 1)),
+            order_key: key.map(|key| OrderKey(key + 1)),
             time_left: self.expires - now,
             destination: DestinationId(self.due.destination),
             resubmitted: self.resubmitted,
--- a/crates/lab/src/sim/discovery.rs
+++ b/crates/lab/src/sim/discovery.rs
@@ -117,7 +117,7 @@
             process.follows_list = true;
             self.send_complete_list(forwarder);
         } else {
-            let failed = Event::EndpointList(EndpointListUpdate::Failed);
+            let failed = Event::EndpointListUpdated(EndpointListUpdate::Failed);
             self.deliver_event(forwarder, incarnation, failed);
         }
     }
@@ -137,7 +137,7 @@
             }
             EndpointListUpdate::Failed => {}
         }
-        self.deliver_event(forwarder, incarnation, Event::EndpointList(update));
+        self.deliver_event(forwarder, incarnation, Event::EndpointListUpdated(update));
     }
 
     /// Removes endpoints that a complete list does not name.
--- a/crates/lab/src/sim/handlers.rs
+++ b/crates/lab/src/sim/handlers.rs
@@ -59,10 +59,10 @@
         }
     }
 
-    fn receive_gossip(&mut self, from: u32, to: u32, payload: Vec<u8>) {
+    fn receive_gossip(&mut self, peer: u32, to: u32, payload: Vec<u8>) {
         let incarnation = self.processes[to as usize].incarnation;
-        let from = from as u16;
-        self.deliver_event(to, incarnation, Event::Gossip { from, payload });
+        let peer = peer as u16;
+        self.deliver_event(to, incarnation, Event::GossipReceived { peer, payload });
     }
 
     /// Lets the oracle look for what is overdue, and notes how much the tables hold.
--- a/crates/lab/src/sim/health_checks.rs
+++ b/crates/lab/src/sim/health_checks.rs
@@ -56,8 +56,8 @@
         let ended = Event::HealthCheckEnded {
             endpoint: health_check.endpoint,
             outcome,
-            took: self.now - health_check.sent_at,
-            report: Vec::new(),
+            elapsed: self.now - health_check.sent_at,
+            load_metrics: Vec::new(),
         };
         self.deliver_event(health_check.forwarder, health_check.incarnation, ended);
     }
--- a/crates/lab/src/sim/lifecycle.rs
+++ b/crates/lab/src/sim/lifecycle.rs
@@ -117,7 +117,7 @@
         };
         let message = held.message.clone();
         process.open.insert(id, held);
-        self.run_forwarder(forwarder, Event::Submitted(message), None);
+        self.run_forwarder(forwarder, Event::MessageSubmitted(message), None);
     }
 
     /// Stops a process: it reads and sends nothing until it goes on.
--- a/crates/lab/src/sim/simulated_process.rs
+++ b/crates/lab/src/sim/simulated_process.rs
@@ -145,7 +145,7 @@
             process.listed = list.into_iter().enumerate().collect();
         }
         let list = process.listed.values().cloned().collect();
-        let cached = Event::EndpointList(EndpointListUpdate::Cached(list));
+        let cached = Event::EndpointListUpdated(EndpointListUpdate::Cached(list));
         self.run_forwarder(forwarder, cached, None);
     }
 
@@ -169,7 +169,7 @@
             possible_effect: None,
         };
         process.open.insert(id, held);
-        let answer = self.run_forwarder(forwarder, Event::Submitted(message), Some(id));
+        let answer = self.run_forwarder(forwarder, Event::MessageSubmitted(message), Some(id));
         if !matches!(answer, SubmissionAnswer::Accepted) {
             self.processes[forwarder as usize].open.remove(&id);
         }
@@ -219,7 +219,7 @@
 
     fn carry_out(&mut self, forwarder: u32, action: Action) {
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 id,
                 endpoint,
                 timeout,
@@ -229,21 +229,23 @@
             Action::Reject { id, retry_after } => {
                 self.finish_message(forwarder, id, FinalAnswer::Rejected, retry_after)
             }
-            Action::SetTimer { after, token } => {
+            Action::SetTimer { delay, token } => {
                 let fires = SimulatedEvent::TimerFires {
                     forwarder,
                     incarnation: self.processes[forwarder as usize].incarnation,
                     token,
                 };
-                self.schedule(self.now + after.max(1), fires);
+                self.schedule(self.now + delay.max(1), fires);
+            }
+            Action::StartHealthCheck { endpoint } => self.send_health_check(forwarder, endpoint),
+            Action::CancelAttempt { id, attempt_index } => {
+                self.cancel(forwarder, id, attempt_index)
             }
-            Action::HealthCheck { endpoint } => self.send_health_check(forwarder, endpoint),
-            Action::Cancel { id, attempt } => self.cancel(forwarder, id, attempt),
             Action::CloseIdleConnections { endpoint } => {
                 let connections = &mut self.connections[Layout::endpoint_index(endpoint)];
                 connections.idle.remove(&forwarder);
             }
-            Action::WatchEndpointList { on: true } => self.poll_list(forwarder),
+            Action::WatchEndpointList { enabled: true } => self.poll_list(forwarder),
             Action::SendGossip { peer, payload } => self.send_gossip(forwarder, peer, payload),
             Action::WithdrawUnsent { endpoint } => self.withdraw_unsent(forwarder, endpoint),
             Action::WatchEndpointList { .. }
--- a/crates/lab/src/subject/broken.rs
+++ b/crates/lab/src/subject/broken.rs
@@ -40,26 +40,30 @@
     /// What the core is told instead of an event.
     fn changed_event(&mut self, event: Event) -> Event {
         match event {
-            Event::Submitted(message) => Event::Submitted(self.changed_message(message)),
+            Event::MessageSubmitted(message) => {
+                Event::MessageSubmitted(self.changed_message(message))
+            }
             Event::AttemptEnded {
                 id,
-                attempt,
+                attempt_index,
                 endpoint,
                 outcome,
-                took,
-                completed,
-                report,
+                elapsed,
+                message_completed,
+                load_metrics,
             } => Event::AttemptEnded {
                 id,
-                attempt,
+                attempt_index,
                 endpoint,
                 outcome: self.changed_outcome(id, outcome),
-                took,
-                completed,
-                report,
+                elapsed,
+                message_completed,
+                load_metrics,
             },
-            Event::EndpointList(update) if self.variant == ForwarderVariant::SendsAfterDrain => {
-                Event::EndpointList(self.without_drains(update))
+            Event::EndpointListUpdated(update)
+                if self.variant == ForwarderVariant::SendsAfterDrain =>
+            {
+                Event::EndpointListUpdated(self.without_drains(update))
             }
             other => other,
         }
@@ -67,7 +71,7 @@
 
     fn changed_message(&mut self, mut message: Submission) -> Submission {
         match self.variant {
-            ForwarderVariant::IgnoresOrder => message.key = None,
+            ForwarderVariant::IgnoresOrder => message.order_key = None,
             ForwarderVariant::ResendsAtMostOnce => {
                 let semantics = self.semantics.get(usize::from(message.class.0));
                 if semantics == Some(&DeliverySemantics::AtMostOnce) {
@@ -132,7 +136,7 @@
             self.final_answers += 1;
             self.at_most_once.remove(&id);
         }
-        let is_send = matches!(action, Action::Send { .. });
+        let is_send = matches!(action, Action::StartAttempt { .. });
         let is_withdrawal = matches!(action, Action::WithdrawUnsent { .. });
         let times = match self.variant {
             ForwarderVariant::SecondAnswer if answered.is_some() => 2,
@@ -164,7 +168,7 @@
             return;
         }
         if let Some((id, endpoint)) = delivered {
-            actions.push(Action::Send {
+            actions.push(Action::StartAttempt {
                 id,
                 endpoint,
                 timeout: None,
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -112,7 +112,7 @@
         EventKind::Gossip => record::decode_gossip(fields),
         EventKind::AnswerStarted => record::decode_answer_started(fields),
         EventKind::Withdrawn => record::decode_withdrawn(fields),
-        EventKind::Submitted => record::decode_submission(fields).map(Event::Submitted),
+        EventKind::Submitted => record::decode_submission(fields).map(Event::MessageSubmitted),
     }
 }
 
@@ -132,7 +132,7 @@
         ListUpdateKind::Complete => EndpointListUpdate::Complete(entries()?),
         ListUpdateKind::Changes => EndpointListUpdate::Changes(entries()?),
     };
-    Ok(Event::EndpointList(update))
+    Ok(Event::EndpointListUpdated(update))
 }
 
 #[cfg(test)]
--- a/crates/simhost/src/host/golden_tests.rs
+++ b/crates/simhost/src/host/golden_tests.rs
@@ -20,7 +20,7 @@
 /// Each action under the name that the simulator's page gives it.
 fn records() -> Vec<(&'static str, Record)> {
     let id = MessageId(0x5d3a_91c4);
-    let send = |limit| Action::Send {
+    let send = |limit| Action::StartAttempt {
         id,
         endpoint: ENDPOINT,
         timeout: limit,
@@ -47,17 +47,20 @@
         (
             "NotifyMe",
             Record::Action(Action::SetTimer {
-                after: 500_000,
+                delay: 500_000,
                 token: TimerToken(0x4d),
             }),
         ),
         (
             "Poll",
-            Record::Action(Action::HealthCheck { endpoint: ENDPOINT }),
+            Record::Action(Action::StartHealthCheck { endpoint: ENDPOINT }),
         ),
         (
             "UndoSend",
-            Record::Action(Action::Cancel { id, attempt: 2 }),
+            Record::Action(Action::CancelAttempt {
+                id,
+                attempt_index: 2,
+            }),
         ),
         (
             "nothing for a withdrawal before the send",
@@ -69,11 +72,11 @@
         ),
         (
             "Tail, on",
-            Record::Action(Action::WatchEndpointList { on: true }),
+            Record::Action(Action::WatchEndpointList { enabled: true }),
         ),
         (
             "Tail, off",
-            Record::Action(Action::WatchEndpointList { on: false }),
+            Record::Action(Action::WatchEndpointList { enabled: false }),
         ),
         ("QueryAll", Record::Action(Action::FetchEndpointList)),
         (
@@ -98,7 +101,7 @@
         (
             "too long an interval",
             Record::Action(Action::SetTimer {
-                after: 1 << 32,
+                delay: 1 << 32,
                 token: TimerToken(1),
             }),
         ),
--- a/crates/simhost/src/host/tests.rs
+++ b/crates/simhost/src/host/tests.rs
@@ -117,7 +117,7 @@
     reply
         .push(
             3,
-            &Action::Send {
+            &Action::StartAttempt {
                 id,
                 endpoint,
                 timeout: Some(80_000),
@@ -129,7 +129,7 @@
         .push(
             3,
             &Action::SetTimer {
-                after: 500_000,
+                delay: 500_000,
                 token: TimerToken(0x4d),
             },
         )
@@ -144,7 +144,7 @@
         .push(
             3,
             &Action::SetTimer {
-                after: u64::MAX,
+                delay: u64::MAX,
                 token: TimerToken(1)
             }
         )
--- a/crates/simhost/src/record.rs
+++ b/crates/simhost/src/record.rs
@@ -141,32 +141,32 @@
 
 /// Decodes the start of an endpoint's answer to an attempt: `Accepted` on the wire.
 pub fn decode_answer_started(fields: &mut FieldReader) -> Result<Event, WireError> {
-    Ok(Event::AnswerStarted {
+    Ok(Event::ResponseStarted {
         id: MessageId(fields.u32()?),
-        attempt: fields.u8()?,
+        attempt_index: fields.u8()?,
         endpoint: fields.endpoint()?,
-        took: fields.u32()?.into(),
+        elapsed: fields.u32()?.into(),
     })
 }
 
 /// Decodes the end of an attempt.
 pub fn decode_attempt_ended(fields: &mut FieldReader) -> Result<Event, WireError> {
     let id = MessageId(fields.u32()?);
-    let attempt = fields.u8()?;
+    let attempt_index = fields.u8()?;
     let endpoint = fields.endpoint()?;
     let outcome_code = fields.u16()?;
-    let took = fields.u32()?.into();
-    let completed = fields.u8()? != 0;
+    let elapsed = fields.u32()?.into();
+    let message_completed = fields.u8()? != 0;
     let detail = fields.u32()?;
     let outcome = outcome_of_code(outcome_code, detail, fields)?;
     Ok(Event::AttemptEnded {
         id,
-        attempt,
+        attempt_index,
         endpoint,
         outcome,
-        took,
-        completed,
-        report: decode_load_report(fields)?,
+        elapsed,
+        message_completed,
+        load_metrics: decode_load_report(fields)?,
     })
 }
 
@@ -177,14 +177,14 @@
     Ok(Event::HealthCheckEnded {
         endpoint,
         outcome: outcome_of_code(outcome_code, 0, fields)?,
-        took: fields.u32()?.into(),
-        report: decode_load_report(fields)?,
+        elapsed: fields.u32()?.into(),
+        load_metrics: decode_load_report(fields)?,
     })
 }
 
 /// Decodes the withdrawal of a message.
 pub fn decode_withdrawn(fields: &mut FieldReader) -> Result<Event, WireError> {
-    Ok(Event::Withdrawn {
+    Ok(Event::MessageWithdrawn {
         id: MessageId(fields.u32()?),
     })
 }
@@ -198,10 +198,10 @@
 
 /// Decodes gossip of another forwarder.
 pub fn decode_gossip(fields: &mut FieldReader) -> Result<Event, WireError> {
-    let from = fields.u16()?;
+    let peer = fields.u16()?;
     let length = fields.u16()?;
     let payload = fields.take(length.into())?.to_vec();
-    Ok(Event::Gossip { from, payload })
+    Ok(Event::GossipReceived { peer, payload })
 }
 
 /// Decodes a client's submission.
@@ -219,7 +219,7 @@
         id,
         class,
         tenant,
-        key: (order_key != 0).then_some(OrderKey(order_key)),
+        order_key: (order_key != 0).then_some(OrderKey(order_key)),
         time_left,
         destination,
         resubmitted: flags & FLAG_RESUBMITTED != 0,
@@ -247,7 +247,7 @@
         }),
         408 => Ok(Outcome::Timeout),
         521 => Ok(Outcome::NoConnection),
-        520 => Ok(Outcome::Reset),
+        520 => Ok(Outcome::ConnectionReset),
         444 => Ok(Outcome::Cancelled),
         409 => Ok(Outcome::NotAttempted {
             no_permit: detail == DETAIL_NO_PERMIT,
--- a/crates/simhost/src/reply.rs
+++ b/crates/simhost/src/reply.rs
@@ -50,7 +50,7 @@
     pub fn push(&mut self, instance: u16, action: &Action) -> Result<(), WireError> {
         let mut record = ActionRecord::new(instance);
         let code = match action {
-            Action::Send {
+            Action::StartAttempt {
                 id,
                 endpoint,
                 timeout,
@@ -58,13 +58,13 @@
             } => record.put_send(*id, *endpoint, *timeout)?,
             Action::Fail { id } => record.put_fail(*id),
             Action::Reject { id, retry_after } => record.put_reject(*id, *retry_after)?,
-            Action::SetTimer { after, token } => record.put_set_timer(*after, *token)?,
-            Action::HealthCheck { endpoint } => record.put_health_check(*endpoint),
-            Action::Cancel { id, attempt } => record.put_cancel(*id, *attempt),
+            Action::SetTimer { delay, token } => record.put_set_timer(*delay, *token)?,
+            Action::StartHealthCheck { endpoint } => record.put_health_check(*endpoint),
+            Action::CancelAttempt { id, attempt_index } => record.put_cancel(*id, *attempt_index),
             // On this wire an attempt is written whole in the moment in which it is sent.
             Action::WithdrawUnsent { .. } => return Ok(()),
             Action::CloseIdleConnections { endpoint } => record.put_close_idle(*endpoint),
-            Action::WatchEndpointList { on } => record.put_watch_endpoint_list(*on),
+            Action::WatchEndpointList { enabled } => record.put_watch_endpoint_list(*enabled),
             Action::FetchEndpointList => CODE_FETCH_ENDPOINT_LIST,
             Action::SendGossip { peer, payload } => record.put_gossip(*peer, payload)?,
             Action::LogError(text) => record.put_error(text)?,
@@ -128,8 +128,8 @@
         Ok(CODE_REJECT)
     }
 
-    fn put_set_timer(&mut self, after: Micros, token: TimerToken) -> Result<u16, WireError> {
-        self.put_micros("NotifyMe", after)?;
+    fn put_set_timer(&mut self, delay: Micros, token: TimerToken) -> Result<u16, WireError> {
+        self.put_micros("NotifyMe", delay)?;
         self.put_u32(token.0);
         Ok(CODE_SET_TIMER)
     }
@@ -139,9 +139,9 @@
         CODE_HEALTH_CHECK
     }
 
-    fn put_cancel(&mut self, id: MessageId, attempt: u8) -> u16 {
+    fn put_cancel(&mut self, id: MessageId, attempt_index: u8) -> u16 {
         self.put_message(id);
-        self.put_u8(attempt);
+        self.put_u8(attempt_index);
         CODE_CANCEL
     }
 
@@ -150,8 +150,8 @@
         CODE_CLOSE_IDLE_CONNECTIONS
     }
 
-    fn put_watch_endpoint_list(&mut self, on: bool) -> u16 {
-        self.put_u8(u8::from(on));
+    fn put_watch_endpoint_list(&mut self, enabled: bool) -> u16 {
+        self.put_u8(u8::from(enabled));
         CODE_WATCH_ENDPOINT_LIST
     }
 
--- a/examples/resident.rs
+++ b/examples/resident.rs
@@ -41,22 +41,22 @@
         ordered: false,
     };
     let kind = EndpointKindConfig {
-        independent_limits: false,
-        batch_size: 1,
+        has_independent_limits: false,
+        max_batch_size: 1,
     };
     Config {
         fleet_size: FLEET_SIZE,
         concurrency_limit: 64,
-        message_capacity: 10_000,
+        max_messages: 10_000,
         max_attempts: 6,
         may_health_check: true,
         may_cancel: true,
         may_send_retry_after: true,
         max_retry_after: 2_000_000,
-        listed_rates: ListedRates::Nominal,
+        listed_rate_accuracy: ListedRateAccuracy::Nominal,
         classes: vec![class],
         endpoint_kinds: vec![kind],
-        rules: RuleConfig {
+        rules: ServiceRuleConfig {
             answer_slack: 20_000,
             drain_grace: 500_000,
             cold_capacity_share: 0.2,
@@ -65,7 +65,7 @@
             overload_window: 2_000_000,
             order_settle_time: 300_000,
         },
-        scheduling_interval: 5_000,
+        min_tick_interval: 5_000,
         full_destinations,
         ..Config::default()
     }
@@ -127,7 +127,7 @@
             let end = self.destinations.min(first + LIST_CHUNK);
             let entries = (first..end).map(entry).collect();
             let update = EndpointListUpdate::Changes(entries);
-            self.handle(now, Event::EndpointList(update));
+            self.handle(now, Event::EndpointListUpdated(update));
         }
     }
 
@@ -139,13 +139,13 @@
                 id: MessageId(number),
                 class: DeliveryClassId(0),
                 tenant: TenantId(0),
-                key: None,
+                order_key: None,
                 time_left: TIME_TO_LIVE,
                 destination: DestinationId(rng.random_range(0..self.destinations)),
                 resubmitted: false,
                 history: AttemptHistory::default(),
             };
-            self.handle(now, Event::Submitted(submission));
+            self.handle(now, Event::MessageSubmitted(submission));
             let token = TimerToken(0);
             self.handle(now, Event::TimerFired { token });
             self.deliver_due(now);
@@ -159,12 +159,12 @@
         for InFlight { id, endpoint, .. } in due {
             let delivered = Event::AttemptEnded {
                 id,
-                attempt: 0,
+                attempt_index: 0,
                 endpoint,
                 outcome: Outcome::Delivered,
-                took: ANSWER_TIME,
-                completed: true,
-                report: Vec::new(),
+                elapsed: ANSWER_TIME,
+                message_completed: true,
+                load_metrics: Vec::new(),
             };
             self.handle(now, delivered);
         }
@@ -175,7 +175,7 @@
         let mut actions = Vec::new();
         self.forwarder.handle(now, event, &mut actions);
         for action in actions {
-            if let Action::Send { id, endpoint, .. } = action {
+            if let Action::StartAttempt { id, endpoint, .. } = action {
                 self.in_flight.push(InFlight {
                     delivered_at: now + ANSWER_TIME,
                     id,
--- a/src/destination.rs
+++ b/src/destination.rs
@@ -13,7 +13,7 @@
 use crate::endpoint::EndpointSnapshot;
 use crate::forwarder::context::DecisionContext;
 use crate::forwarder::mailbox::{
-    Activity, DestinationMessage, EndpointMessage, EndpointTick, ForwarderMessage,
+    Activity, DestinationEvent, EndpointEvent, EndpointTick, ForwarderEvent,
 };
 use crate::model::{Action, Config, DestinationId, EndpointId, MessageId, Micros};
 use crate::policy::admission::{self, FinalAnswer};
@@ -60,39 +60,39 @@
     }
 
     /// Handles one message of its mailbox.
-    pub fn handle(&mut self, message: DestinationMessage, context: &mut DecisionContext) {
-        match message {
-            DestinationMessage::Enqueue(message) => self.enqueue(message, context),
-            DestinationMessage::OrderGranted(id) => self.grant_order(id, context.config),
-            DestinationMessage::AttemptEnded(ended) => {
+    pub fn handle(&mut self, event: DestinationEvent, context: &mut DecisionContext) {
+        match event {
+            DestinationEvent::MessageSubmitted(message) => self.enqueue(message, context),
+            DestinationEvent::OrderGranted(id) => self.grant_order(id, context.config),
+            DestinationEvent::AttemptEnded(ended) => {
                 let Some(attempt) = self.take_attempt(ended.id, ended.endpoint) else {
                     return;
                 };
                 self.end_attempt(ended, attempt, context);
             }
-            DestinationMessage::Withdrawn(id) => self.withdraw(id, context),
-            DestinationMessage::EndpointListed { endpoint, rate } => {
+            DestinationEvent::MessageWithdrawn(id) => self.withdraw(id, context),
+            DestinationEvent::EndpointListed { endpoint, rate } => {
                 self.apply_listed_rate(endpoint, rate, context);
             }
-            DestinationMessage::EndpointForgotten(endpoint) => {
+            DestinationEvent::EndpointDiscarded(endpoint) => {
                 self.endpoints.remove(&endpoint);
             }
-            DestinationMessage::Snapshot { endpoint, snapshot } => {
+            DestinationEvent::SnapshotUpdated { endpoint, snapshot } => {
                 if let Some(known) = self.endpoints.get_mut(&endpoint) {
                     *known = snapshot;
                 }
             }
-            DestinationMessage::TimerTick { permits } => self.tick(0.0, permits, context),
-            DestinationMessage::PeerRejected => self.peer_rejected(context),
-            DestinationMessage::RetryAfter {
+            DestinationEvent::TimerTick { permits } => self.tick(0.0, permits, context),
+            DestinationEvent::PeerRejectionReceived => self.peer_rejected(context),
+            DestinationEvent::RetryAfterReceived {
                 endpoint,
                 retry_after,
             } => {
                 self.honour_retry_after(endpoint, retry_after, context);
             }
-            DestinationMessage::RequestCandidate => self.offer_candidate(context),
-            DestinationMessage::GrantPermit => self.start_call(context),
-            DestinationMessage::ShedLoad => self.shed_load(context),
+            DestinationEvent::CandidateRequested => self.offer_candidate(context),
+            DestinationEvent::PermitGranted => self.start_call(context),
+            DestinationEvent::LoadSheddingRequested => self.shed_load(context),
         }
         self.report_activity(context);
     }
@@ -104,13 +104,13 @@
             && self.messages.is_empty()
             && self.endpoints.values().all(|e| e.needs_no_ticks);
         let activity = (!needs_no_ticks).then(|| Activity {
-            calls: self.calls(),
+            calls_in_flight: self.calls(),
             is_degraded: self.is_degraded(),
-            waiting: self.queue.len(),
+            waiting_messages: self.queue.len(),
         });
         context
             .mailboxes
-            .send_to_forwarder(ForwarderMessage::Activity {
+            .send_to_forwarder(ForwarderEvent::ActivityUpdated {
                 destination: self.id,
                 activity,
             });
@@ -196,11 +196,11 @@
         };
         pacer.pause_until(context.now.saturating_add(retry_after));
         let overload_window = context.config.rules.overload_window;
-        let is_long = outlier::is_long_retry_after(retry_after, overload_window);
+        let is_long_pause = outlier::is_long_retry_after(retry_after, overload_window);
         for other in self.endpoints.keys() {
             if !self.has_independent_limits || *other == endpoint {
-                let message = EndpointMessage::Paused { is_long };
-                context.mailboxes.send_to_endpoint(*other, message);
+                let event = EndpointEvent::Paused { is_long_pause };
+                context.mailboxes.send_to_endpoint(*other, event);
             }
         }
     }
@@ -251,7 +251,7 @@
             };
             context
                 .mailboxes
-                .send_to_endpoint(*endpoint, EndpointMessage::TimerTick(tick));
+                .send_to_endpoint(*endpoint, EndpointEvent::TimerTick(tick));
         }
     }
 
@@ -313,11 +313,14 @@
         if let Some(message) = self.messages.remove(&id) {
             self.queue.remove(&message.entry(context.config));
         }
-        let is_answered = answer.is_some();
+        let is_answered_by_core = answer.is_some();
         if let Some(answer) = answer {
-            context.mailboxes.act(answer);
+            context.mailboxes.emit_action(answer);
         }
-        let ended = ForwarderMessage::MessageEnded { id, is_answered };
+        let ended = ForwarderEvent::MessageEnded {
+            id,
+            is_answered_by_core,
+        };
         context.mailboxes.send_to_forwarder(ended);
     }
 }
--- a/src/destination/attempts.rs
+++ b/src/destination/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::{Destination, InFlightAttempt};
 use crate::forwarder::context::DecisionContext;
-use crate::forwarder::mailbox::{EndedAttempt, EndpointMessage, ForwarderMessage};
+use crate::forwarder::mailbox::{EndedAttempt, EndpointEvent, ForwarderEvent};
 use crate::model::{Action, EndpointId, MessageId, Micros, Outcome, PossibleEffect, ZoneId};
 use crate::policy::attempt_timeout::{self, Permits};
 use crate::policy::{ordering, retry};
@@ -32,20 +32,20 @@
             id,
             endpoint,
             outcome,
-            took,
-            completed,
+            elapsed,
+            message_completed,
         } = ended;
         let sent_at = attempt.sent_at;
         self.in_flight.remove(&id);
         if let Some(message) = self.messages.get_mut(&id) {
-            message.is_completed |= completed;
+            message.is_completed |= message_completed;
         }
-        let message = EndpointMessage::AttemptEnded {
+        let event = EndpointEvent::AttemptEnded {
             sent_at,
             outcome,
-            took,
+            elapsed,
         };
-        context.mailboxes.send_to_endpoint(endpoint, message);
+        context.mailboxes.send_to_endpoint(endpoint, event);
         if let Outcome::Rejected { retry_after } = outcome {
             self.apply_rejection(endpoint, sent_at, retry_after.unwrap_or(0), context);
         }
@@ -77,13 +77,13 @@
         let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
-        if let Some(key) = message
+        if let Some(order_key) = message
             .key
             .filter(|_| ordering::is_outcome_unknown(outcome))
         {
             context
                 .mailboxes
-                .send_to_forwarder(ForwarderMessage::OutcomeUnknown { key });
+                .send_to_forwarder(ForwarderEvent::OutcomeUnknown { order_key });
         }
         if outcome.may_have_taken_effect() && message.possible_effect.is_none() {
             let zone = self.endpoints.get(&attempt.endpoint).map_or(0, |e| e.zone);
@@ -143,9 +143,9 @@
             let semantics = context.config.classes[message.class].semantics;
             if attempt_timeout::is_overdue(elapsed, bound, semantics, permits) {
                 message.is_cancelled = true;
-                context.mailboxes.act(Action::Cancel {
+                context.mailboxes.emit_action(Action::CancelAttempt {
                     id: *id,
-                    attempt: (message.attempts - 1) as u8,
+                    attempt_index: (message.attempts - 1) as u8,
                 });
             }
         }
--- a/src/destination/dispatch.rs
+++ b/src/destination/dispatch.rs
@@ -3,7 +3,7 @@
 use super::{Destination, InFlightAttempt};
 use crate::endpoint::EndpointSnapshot;
 use crate::forwarder::context::DecisionContext;
-use crate::forwarder::mailbox::{Candidate, EndpointMessage, ForwarderMessage};
+use crate::forwarder::mailbox::{Candidate, EndpointEvent, ForwarderEvent};
 use crate::model::{Action, EndpointId, MessageId};
 use crate::policy::{attempt_timeout, concurrency, retry, selection};
 use crate::queue::DispatchQueue;
@@ -31,17 +31,17 @@
             return;
         }
         for endpoint in self.open_endpoints(context) {
-            let Some(loss) = self.loss_at(endpoint, context) else {
+            let Some(loss_per_permit_time) = self.loss_at(endpoint, context) else {
                 continue;
             };
             self.candidate = Some(endpoint);
             let candidate = Candidate {
                 destination: self.id,
-                loss,
+                loss_per_permit_time,
             };
             context
                 .mailboxes
-                .send_to_forwarder(ForwarderMessage::Candidate(candidate));
+                .send_to_forwarder(ForwarderEvent::CandidateOffered(candidate));
             return;
         }
     }
@@ -179,8 +179,8 @@
         let send_by = retry::send_by(message.last_send(context.config));
         context
             .mailboxes
-            .send_to_endpoint(endpoint, EndpointMessage::MessageSent);
-        context.mailboxes.act(Action::Send {
+            .send_to_endpoint(endpoint, EndpointEvent::AttemptStarted);
+        context.mailboxes.emit_action(Action::StartAttempt {
             id,
             endpoint,
             timeout,
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -8,7 +8,7 @@
 pub(crate) use snapshot::EndpointSnapshot;
 
 use crate::forwarder::context::DecisionContext;
-use crate::forwarder::mailbox::{DestinationMessage, EndpointMessage, EndpointTick};
+use crate::forwarder::mailbox::{DestinationEvent, EndpointEvent, EndpointTick};
 use crate::latency::LatencyEstimator;
 use crate::model::{
     Action, Config, DestinationId, EjectionReason, EndpointId, EndpointStatus, LogEvent, Micros,
@@ -82,42 +82,42 @@
     }
 
     /// Handles one message of its mailbox.
-    pub fn handle(&mut self, message: EndpointMessage, context: &mut DecisionContext) {
+    pub fn handle(&mut self, event: EndpointEvent, context: &mut DecisionContext) {
         let before = self.snapshot;
-        match message {
-            EndpointMessage::Listed { zone, status, cost } => {
+        match event {
+            EndpointEvent::Listed { zone, status, cost } => {
                 self.apply_entry(zone, status, cost, context);
             }
-            EndpointMessage::MessageSent => self.count_message(context),
-            EndpointMessage::AttemptEnded {
+            EndpointEvent::AttemptStarted => self.count_message(context),
+            EndpointEvent::AttemptEnded {
                 sent_at,
                 outcome,
-                took,
+                elapsed,
             } => {
-                if !self.end_attempt(sent_at, outcome, took, context) {
+                if !self.end_attempt(sent_at, outcome, elapsed, context) {
                     return;
                 }
             }
-            EndpointMessage::HealthCheckEnded { outcome } => {
+            EndpointEvent::HealthCheckEnded { outcome } => {
                 self.end_health_check(outcome, context.now);
             }
-            EndpointMessage::Paused { is_long } => {
+            EndpointEvent::Paused { is_long_pause } => {
                 self.withdraw_unsent(context);
-                if is_long {
+                if is_long_pause {
                     self.eject(EjectionReason::LongRetryAfter, context);
                 }
             }
-            EndpointMessage::TimerTick(tick) => self.tick(tick, context),
+            EndpointEvent::TimerTick(tick) => self.tick(tick, context),
         }
         self.update_snapshot(context);
         if self.snapshot != before {
-            let message = DestinationMessage::Snapshot {
+            let event = DestinationEvent::SnapshotUpdated {
                 endpoint: self.id,
                 snapshot: self.snapshot,
             };
             context
                 .mailboxes
-                .send_to_destination(self.destination, message);
+                .send_to_destination(self.destination, event);
         }
     }
 
@@ -185,7 +185,7 @@
         &mut self,
         sent_at: Micros,
         outcome: Outcome,
-        took: Micros,
+        elapsed: Micros,
         context: &mut DecisionContext,
     ) -> bool {
         let Some(place) = self.calls.iter().position(|call| call.sent_at == sent_at) else {
@@ -200,10 +200,10 @@
         if self.calls.is_empty() && context.are_connections_scarce {
             context
                 .mailboxes
-                .act(Action::CloseIdleConnections { endpoint: self.id });
+                .emit_action(Action::CloseIdleConnections { endpoint: self.id });
         }
         if is_first {
-            self.judge(outcome, took, context);
+            self.judge(outcome, elapsed, context);
         }
         true
     }
@@ -223,12 +223,12 @@
         if !self.calls.is_empty() || self.has_health_check_out() {
             context
                 .mailboxes
-                .act(Action::WithdrawUnsent { endpoint: self.id });
+                .emit_action(Action::WithdrawUnsent { endpoint: self.id });
         }
     }
 
     /// Draws from the outcome of a call what it says of the endpoint.
-    fn judge(&mut self, outcome: Outcome, took: Micros, context: &mut DecisionContext) {
+    fn judge(&mut self, outcome: Outcome, elapsed: Micros, context: &mut DecisionContext) {
         let circumstances = Circumstances {
             now: context.now,
             overload_window: context.config.rules.overload_window,
@@ -238,7 +238,7 @@
             self.budget.refund_call();
         }
         if outcome == Outcome::Delivered {
-            attempt_timeout::observe(&mut self.latency, took);
+            attempt_timeout::observe(&mut self.latency, elapsed);
             if self.is_ejected() {
                 self.readmit(context);
             }
@@ -253,7 +253,7 @@
         self.failures.window.clear();
         context
             .mailboxes
-            .act(Action::Log(LogEvent::EndpointReadmitted {
+            .emit_action(Action::Log(LogEvent::EndpointReadmitted {
                 destination: self.destination,
                 endpoint: self.id,
             }));
@@ -263,7 +263,7 @@
         if !self.is_ejected() {
             context
                 .mailboxes
-                .act(Action::Log(LogEvent::EndpointEjected {
+                .emit_action(Action::Log(LogEvent::EndpointEjected {
                     destination: self.destination,
                     endpoint: self.id,
                     reason,
@@ -313,7 +313,7 @@
         let latency_bound = self.snapshot.latency_bound;
         let unanswered = self.unanswered_calls(context.now, latency_bound);
         if self.health == Health::Healthy && outlier::is_silent(unanswered) {
-            self.eject(EjectionReason::Silence, context);
+            self.eject(EjectionReason::Unresponsive, context);
         }
         if !tick.is_paused {
             self.start_trial_if_due(share, context);
@@ -345,7 +345,7 @@
                 self.next_check_at = HEALTH_CHECK_OUT;
                 context
                     .mailboxes
-                    .act(Action::HealthCheck { endpoint: self.id });
+                    .emit_action(Action::StartHealthCheck { endpoint: self.id });
             }
         }
     }
--- a/src/forwarder.rs
+++ b/src/forwarder.rs
@@ -138,10 +138,10 @@
         if self.next_tick_at.is_some() || is_idle {
             return;
         }
-        let after = TIMER_INTERVAL.max(self.config.scheduling_interval);
-        self.next_tick_at = Some(now + after);
+        let delay = TIMER_INTERVAL.max(self.config.min_tick_interval);
+        self.next_tick_at = Some(now + delay);
         actions.push(Action::SetTimer {
-            after,
+            delay,
             token: TICK_TIMER,
         });
     }
@@ -150,18 +150,18 @@
     /// then destinations, then the forwarder itself.
     fn drain_mailboxes(&mut self, now: Micros, actions: &mut Vec<Action>) {
         loop {
-            if let Some((id, message)) = self.mailboxes.endpoints.pop_front() {
+            if let Some((id, event)) = self.mailboxes.endpoints.pop_front() {
                 let (tables, mut context) = self.split(now);
                 if let Some(endpoint) = tables.endpoints.get_mut(&id) {
-                    endpoint.handle(message, &mut context);
+                    endpoint.handle(event, &mut context);
                 }
-            } else if let Some((id, message)) = self.mailboxes.destinations.pop_front() {
+            } else if let Some((id, event)) = self.mailboxes.destinations.pop_front() {
                 let (tables, mut context) = self.split(now);
                 if let Some(destination) = tables.destinations.get_mut(&id) {
-                    destination.handle(message, &mut context);
+                    destination.handle(event, &mut context);
                 }
-            } else if let Some(message) = self.mailboxes.forwarder.pop_front() {
-                self.handle_message(now, message, actions);
+            } else if let Some(event) = self.mailboxes.forwarder.pop_front() {
+                self.handle_event(now, event, actions);
             } else {
                 return;
             }
--- a/src/forwarder/endpoint_list.rs
+++ b/src/forwarder/endpoint_list.rs
@@ -3,7 +3,7 @@
 //! A list that names more than may be held in full is applied in chunks; what a chunk has restored
 //! or created is summarised again before the next one.
 
-use super::mailbox::{DestinationMessage, EndpointMessage};
+use super::mailbox::{DestinationEvent, EndpointEvent};
 use super::Forwarder;
 use crate::endpoint::Endpoint;
 use crate::idle::LIST_CHUNK;
@@ -95,9 +95,9 @@
             .endpoints
             .extract_if(.., |_, endpoint| endpoint.is_forgettable(now));
         for (id, endpoint) in forgotten {
-            let message = DestinationMessage::EndpointForgotten(id);
+            let event = DestinationEvent::EndpointDiscarded(id);
             self.mailboxes
-                .send_to_destination(endpoint.destination, message);
+                .send_to_destination(endpoint.destination, event);
         }
         self.idle.forget_removed(now, entries);
     }
@@ -118,19 +118,18 @@
         let cost = self.cost_in(entry.zone, kind.has_independent_limits);
         if entry.status != EndpointStatus::Removed {
             self.create_if_new(now, &entry, &kind);
-            let message = DestinationMessage::EndpointListed {
+            let event = DestinationEvent::EndpointListed {
                 endpoint: entry.endpoint,
                 rate: entry.rate.into(),
             };
-            self.mailboxes
-                .send_to_destination(entry.destination, message);
+            self.mailboxes.send_to_destination(entry.destination, event);
         }
-        let message = EndpointMessage::Listed {
+        let event = EndpointEvent::Listed {
             zone: entry.zone,
             status: entry.status,
             cost,
         };
-        self.mailboxes.send_to_endpoint(entry.endpoint, message);
+        self.mailboxes.send_to_endpoint(entry.endpoint, event);
     }
 
     /// An unknown kind counts as the last one.
@@ -138,8 +137,8 @@
         let kinds = &self.config.endpoint_kinds;
         match kinds.get(kind.0 as usize).or(kinds.last()) {
             Some(kind) => KindProperties {
-                has_independent_limits: kind.independent_limits,
-                batch_size: kind.batch_size.max(1) as usize,
+                has_independent_limits: kind.has_independent_limits,
+                batch_size: kind.max_batch_size.max(1) as usize,
             },
             None => KindProperties {
                 has_independent_limits: false,
--- a/src/forwarder/events.rs
+++ b/src/forwarder/events.rs
@@ -1,6 +1,6 @@
 //! Applies an event, and the messages of destinations to the forwarder.
 
-use super::mailbox::{DestinationMessage, EndedAttempt, EndpointMessage, ForwarderMessage};
+use super::mailbox::{DestinationEvent, EndedAttempt, EndpointEvent, ForwarderEvent};
 use super::{Forwarder, TICK_TIMER};
 use crate::destination::Destination;
 use crate::model::{
@@ -14,22 +14,22 @@
     /// Applies one event; messages to the parts carry the rest. Long, for it has an arm an event.
     pub(super) fn apply(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointList(update) => self.apply_list(now, update, actions),
-            Event::Submitted(submission) => self.submit(now, submission),
+            Event::EndpointListUpdated(update) => self.apply_list(now, update, actions),
+            Event::MessageSubmitted(submission) => self.submit(now, submission),
             Event::AttemptEnded {
                 id,
                 endpoint,
                 outcome,
-                took,
-                completed,
+                elapsed,
+                message_completed,
                 ..
             } => {
                 let ended = EndedAttempt {
                     id,
                     endpoint,
                     outcome,
-                    took,
-                    completed,
+                    elapsed,
+                    message_completed,
                 };
                 self.end_attempt(now, ended, actions);
             }
@@ -39,30 +39,36 @@
             } => {
                 self.receive_retry_after(endpoint, retry_after);
             }
-            Event::Withdrawn { id } => {
-                self.send_to_destination_of(id, DestinationMessage::Withdrawn(id));
+            Event::MessageWithdrawn { id } => {
+                self.send_to_destination_of(id, DestinationEvent::MessageWithdrawn(id));
             }
             Event::HealthCheckEnded {
                 endpoint, outcome, ..
             } => {
-                let message = EndpointMessage::HealthCheckEnded { outcome };
-                self.mailboxes.send_to_endpoint(endpoint, message);
+                let event = EndpointEvent::HealthCheckEnded { outcome };
+                self.mailboxes.send_to_endpoint(endpoint, event);
             }
-            Event::ReportAcknowledged { id } => {
+            Event::FinalAnswerAcknowledged { id } => {
                 let key = self.ordered_queues.acknowledge(id);
                 self.release_order(now, id, key);
             }
-            Event::PendingReport { id, class, key } => self.await_report(id, class, key),
+            Event::CompletionReportPending {
+                id,
+                class,
+                order_key,
+            } => self.await_report(id, class, order_key),
             Event::TimerFired { token: TICK_TIMER } => self.tick(now),
             Event::ShuttingDown => self.config.concurrency_limit = 0,
-            Event::Gossip { from, payload } => self.receive_gossip(now, from, &payload, actions),
-            Event::TimerFired { .. } | Event::AnswerStarted { .. } => {}
+            Event::GossipReceived { peer, payload } => {
+                self.receive_gossip(now, peer, &payload, actions)
+            }
+            Event::TimerFired { .. } | Event::ResponseStarted { .. } => {}
         }
     }
 
     fn end_attempt(&mut self, now: Micros, ended: EndedAttempt, actions: &mut Vec<Action>) {
         if ended.outcome == Outcome::Delivered {
-            attempt_timeout::observe(&mut self.latency, ended.took);
+            attempt_timeout::observe(&mut self.latency, ended.elapsed);
         }
         self.connection_scarcity.observe(ended.outcome);
         if matches!(ended.outcome, Outcome::Rejected { .. }) {
@@ -74,54 +80,53 @@
                 actions.extend(gossip);
             }
         }
-        self.send_to_destination_of(ended.id, DestinationMessage::AttemptEnded(ended));
+        self.send_to_destination_of(ended.id, DestinationEvent::AttemptEnded(ended));
     }
 
     fn receive_retry_after(&mut self, endpoint: EndpointId, retry_after: Micros) {
         if let Some(known) = self.endpoints.get(&endpoint) {
-            let message = DestinationMessage::RetryAfter {
+            let event = DestinationEvent::RetryAfterReceived {
                 endpoint,
                 retry_after,
             };
-            self.mailboxes
-                .send_to_destination(known.destination, message);
+            self.mailboxes.send_to_destination(known.destination, event);
         }
     }
 
     /// A completion report of an earlier run: messages of its key wait until it is acknowledged.
-    fn await_report(&mut self, id: MessageId, class: DeliveryClassId, key: OrderKey) {
+    fn await_report(&mut self, id: MessageId, class: DeliveryClassId, order_key: OrderKey) {
         let class = self.config.classes.get(class.0 as usize);
         if class.is_some_and(|class| class.ordered) {
             let message = QueuedMessage {
                 id,
                 destination: DestinationId::default(),
             };
-            self.ordered_queues.enqueue(key, message);
-            self.ordered_queues.await_acknowledgement(key, id);
+            self.ordered_queues.enqueue(order_key, message);
+            self.ordered_queues.await_acknowledgement(order_key, id);
         }
     }
 
     fn receive_gossip(
         &mut self,
         now: Micros,
-        from: u16,
+        peer: u16,
         payload: &[u8],
         actions: &mut Vec<Action>,
     ) {
         let is_known = |id| self.destinations.contains_key(&id) || self.idle.holds(id);
-        let Some(id) = self.gossip.receive(now, from, payload, is_known, actions) else {
+        let Some(id) = self.gossip.receive(now, peer, payload, is_known, actions) else {
             return;
         };
         if !self.apply_peer_rejection_to_idle(now, id) {
             self.mailboxes
-                .send_to_destination(id, DestinationMessage::PeerRejected);
+                .send_to_destination(id, DestinationEvent::PeerRejectionReceived);
         }
     }
 
-    fn send_to_destination_of(&mut self, id: MessageId, message: DestinationMessage) {
+    fn send_to_destination_of(&mut self, id: MessageId, event: DestinationEvent) {
         if let Some(location) = self.messages.get(&id) {
             self.mailboxes
-                .send_to_destination(location.destination, message);
+                .send_to_destination(location.destination, event);
         }
     }
 
@@ -135,8 +140,8 @@
             Permits::Free
         };
         for id in self.activities.keys() {
-            let message = DestinationMessage::TimerTick { permits };
-            self.mailboxes.send_to_destination(*id, message);
+            let event = DestinationEvent::TimerTick { permits };
+            self.mailboxes.send_to_destination(*id, event);
         }
         self.ordered_queues.forget_unused(now);
         for key in self.ordered_queues.keys() {
@@ -149,7 +154,7 @@
         if let Some(message) = self.ordered_queues.granted(now, key) {
             self.mailboxes.send_to_destination(
                 message.destination,
-                DestinationMessage::OrderGranted(message.id),
+                DestinationEvent::OrderGranted(message.id),
             );
         }
     }
@@ -163,30 +168,33 @@
     }
 
     /// Handles a message of a destination.
-    pub(super) fn handle_message(
+    pub(super) fn handle_event(
         &mut self,
         now: Micros,
-        message: ForwarderMessage,
+        event: ForwarderEvent,
         actions: &mut Vec<Action>,
     ) {
-        match message {
-            ForwarderMessage::Act(action) => actions.push(action),
-            ForwarderMessage::MessageEnded { id, is_answered } => {
-                self.end_message(now, id, is_answered);
+        match event {
+            ForwarderEvent::ActionEmitted(action) => actions.push(action),
+            ForwarderEvent::MessageEnded {
+                id,
+                is_answered_by_core,
+            } => {
+                self.end_message(now, id, is_answered_by_core);
             }
-            ForwarderMessage::OutcomeUnknown { key } => {
+            ForwarderEvent::OutcomeUnknown { order_key } => {
                 let settled_at = now + self.config.rules.order_settle_time;
-                self.ordered_queues.pause(key, settled_at);
+                self.ordered_queues.pause(order_key, settled_at);
             }
-            ForwarderMessage::Candidate(candidate) => self.candidates.push(candidate),
-            ForwarderMessage::Activity {
+            ForwarderEvent::CandidateOffered(candidate) => self.candidates.push(candidate),
+            ForwarderEvent::ActivityUpdated {
                 destination,
                 activity: Some(activity),
             } => {
                 self.activities.insert(destination, activity);
                 self.leave_idle_queue(destination);
             }
-            ForwarderMessage::Activity {
+            ForwarderEvent::ActivityUpdated {
                 destination,
                 activity: None,
             } => {
@@ -197,11 +205,11 @@
 
     /// A message has its final answer. Where a call could overtake the answer, the next message of
     /// its key waits until the answer is acknowledged.
-    fn end_message(&mut self, now: Micros, id: MessageId, is_answered: bool) {
+    fn end_message(&mut self, now: Micros, id: MessageId, is_answered_by_core: bool) {
         let key = self.messages.remove(&id).and_then(|location| location.key);
         let on_acknowledgement = self.config.order_release == OrderRelease::OnAcknowledgement;
         match key {
-            Some(key) if is_answered && on_acknowledgement => {
+            Some(key) if is_answered_by_core && on_acknowledgement => {
                 self.ordered_queues.await_acknowledgement(key, id);
             }
             _ => self.release_order(now, id, key),
--- a/src/forwarder/idle_destinations.rs
+++ b/src/forwarder/idle_destinations.rs
@@ -28,7 +28,7 @@
     /// Restores the destination that the event concerns. A list restores those that it names.
     pub(super) fn restore_for(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::Submitted(submission) => self.restore(now, submission.destination),
+            Event::MessageSubmitted(submission) => self.restore(now, submission.destination),
             Event::RetryAfterReceived { endpoint, .. }
             | Event::AttemptEnded { endpoint, .. }
             | Event::HealthCheckEnded { endpoint, .. } => self.restore_endpoint(now, *endpoint),
--- a/src/forwarder/mailbox.rs
+++ b/src/forwarder/mailbox.rs
@@ -1,10 +1,10 @@
-//! The messages between the three parts of the core, and their mailboxes.
+//! The events that the three parts of the core exchange, and their mailboxes.
 //!
 //! [`Forwarder`](super::Forwarder), [`Destination`](crate::destination::Destination) and
-//! [`Endpoint`](crate::endpoint::Endpoint) decide on their own state alone. Each
-//! handles one message at a time and answers by messages; `Forwarder::drain_mailboxes` empties the
-//! mailboxes within the event that filled them. Only creating and restoring a part writes its state
-//! from outside.
+//! [`Endpoint`](crate::endpoint::Endpoint) each decide on their own state alone. A part handles one
+//! event at a time and affects the others only by events of its own. `Forwarder::drain_mailboxes`
+//! empties the mailboxes before `Forwarder::handle` returns. The state of a part is written from
+//! outside only when the part is created or restored.
 
 use crate::destination::Message;
 use crate::endpoint::EndpointSnapshot;
@@ -14,159 +14,166 @@
 use crate::policy::attempt_timeout::Permits;
 use std::collections::VecDeque;
 
-/// For the forwarder.
-pub(crate) enum ForwarderMessage {
-    /// Carry this out.
-    Act(Action),
-    /// A message has its final answer and leaves.
+/// An event for the forwarder, sent by destinations and endpoints.
+pub(crate) enum ForwarderEvent {
+    /// A part decided on an action for the caller of the core.
+    ActionEmitted(Action),
+    /// A message has its final answer and left its destination.
     MessageEnded {
         id: MessageId,
-        /// Whether the core gave the answer: somebody has yet to acknowledge it.
-        is_answered: bool,
+        /// Whether the core gave the final answer, so that its acknowledgement is still due.
+        is_answered_by_core: bool,
     },
-    /// An attempt at a message of this key may still be at work.
-    OutcomeUnknown { key: OrderKey },
-    /// A destination would use a permit.
-    Candidate(Candidate),
-    /// What is under way at a destination. None: no messages, no calls, and no timer that needs a
-    /// tick.
-    Activity {
+    /// An attempt at a message of this order key may still be running at an endpoint.
+    OutcomeUnknown { order_key: OrderKey },
+    /// A destination has a call for a concurrency permit.
+    CandidateOffered(Candidate),
+    /// The activity of a destination may have changed. `None`: the destination has no messages, no
+    /// calls in flight and no timer that needs a tick.
+    ActivityUpdated {
         destination: DestinationId,
         activity: Option<Activity>,
     },
 }
 
-/// A destination's claim to the next permit.
+/// The claim of a destination to a concurrency permit in a scheduling round.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidate {
     pub destination: DestinationId,
-    /// What is lost by leaving its next message, per µs that the call would hold the permit.
-    pub loss: f64,
+    /// Expected loss of weight if the next message is not sent now, per µs for which its call would
+    /// hold the permit.
+    pub loss_per_permit_time: f64,
 }
 
-/// What is under way at a destination.
+/// The calls and messages of a destination, as counted by the forwarder.
 #[derive(Clone, Copy)]
 pub(crate) struct Activity {
-    /// Calls out there.
-    pub calls: usize,
-    /// Whether it counts against the limit of all degraded destinations.
+    /// Number of calls in flight to the destination.
+    pub calls_in_flight: usize,
+    /// Whether the calls count against the limit that all degraded destinations share.
     pub is_degraded: bool,
-    /// Messages that wait there.
-    pub waiting: usize,
+    /// Number of messages that wait at the destination.
+    pub waiting_messages: usize,
 }
 
-/// For a destination.
-pub(crate) enum DestinationMessage {
-    /// A message comes.
-    Enqueue(Message),
-    /// It is the message's turn within its order key.
+/// An event for a destination, sent by the forwarder and by its endpoints.
+pub(crate) enum DestinationEvent {
+    /// A message was submitted or recovered.
+    MessageSubmitted(Message),
+    /// The message is the next one of its order key.
     OrderGranted(MessageId),
-    /// An attempt is over.
+    /// An attempt ended.
     AttemptEnded(EndedAttempt),
-    /// The client does not want the message any more.
-    Withdrawn(MessageId),
-    /// An entry of the endpoint list; `rate` is in calls per second for the whole fleet.
+    /// The client withdrew the message.
+    MessageWithdrawn(MessageId),
+    /// The endpoint list has an entry for the endpoint. `rate` is in calls per second for the whole
+    /// fleet.
     EndpointListed { endpoint: EndpointId, rate: f64 },
-    /// An endpoint is forgotten.
-    EndpointForgotten(EndpointId),
-    /// How an endpoint stands now.
-    Snapshot {
+    /// The forwarder discarded the state of an endpoint.
+    EndpointDiscarded(EndpointId),
+    /// The snapshot of an endpoint changed.
+    SnapshotUpdated {
         endpoint: EndpointId,
         snapshot: EndpointSnapshot,
     },
-    /// Look at all timers.
+    /// The tick timer fired: all deadlines and limits are checked.
     TimerTick { permits: Permits },
-    /// Another forwarder was rejected there.
-    PeerRejected,
-    /// An endpoint asks to be left alone.
-    RetryAfter {
+    /// Gossip from another forwarder: the destination rejected one of its calls.
+    PeerRejectionReceived,
+    /// A response of an endpoint contains a retry-after.
+    RetryAfterReceived {
         endpoint: EndpointId,
+        /// In µs.
         retry_after: Micros,
     },
-    /// Name a candidate for a permit, if there is one.
-    RequestCandidate,
-    /// Use a permit for the candidate.
-    GrantPermit,
-    /// Too many messages are held: give one up.
-    ShedLoad,
+    /// The forwarder has a free permit. The destination responds with
+    /// [`ForwarderEvent::CandidateOffered`] if it has a call for it.
+    CandidateRequested,
+    /// The forwarder granted a permit to the candidate that the destination offered last.
+    PermitGranted,
+    /// The forwarder holds too many messages: the destination gives up one that waits.
+    LoadSheddingRequested,
 }
 
-/// An attempt that is over.
+/// An attempt that ended.
 #[derive(Clone, Copy)]
 pub(crate) struct EndedAttempt {
     pub id: MessageId,
     pub endpoint: EndpointId,
     pub outcome: Outcome,
-    pub took: Micros,
-    /// The message is over and needs no further answer.
-    pub completed: bool,
+    /// Time since the attempt was sent, in µs.
+    pub elapsed: Micros,
+    /// Whether the caller has completed the message, so that the core gives no final answer.
+    pub message_completed: bool,
 }
 
-/// For an endpoint.
-pub(crate) enum EndpointMessage {
-    /// An entry of the endpoint list.
+/// An event for an endpoint, sent by the forwarder and by its destination.
+pub(crate) enum EndpointEvent {
+    /// The endpoint list has an entry for the endpoint.
     Listed {
         zone: ZoneId,
         status: EndpointStatus,
-        /// What a message to it costs.
+        /// Cost of a message to the endpoint.
         cost: f64,
     },
-    /// A message goes there now.
-    MessageSent,
-    /// An attempt there is over.
+    /// An attempt at a message started now.
+    AttemptStarted,
+    /// An attempt at the endpoint ended.
     AttemptEnded {
+        /// Identifies the call that the attempt was part of.
         sent_at: Micros,
         outcome: Outcome,
-        took: Micros,
+        /// Time since the attempt was sent, in µs.
+        elapsed: Micros,
     },
-    /// A health check there is over.
+    /// A health check of the endpoint ended.
     HealthCheckEnded { outcome: Outcome },
-    /// Look at all timers.
+    /// The tick timer fired: budget, health and health checks are updated.
     TimerTick(EndpointTick),
-    /// Its limit is paused by a retry-after.
+    /// A retry-after paused the limit that the endpoint is behind.
     Paused {
-        /// For longer than an overload lasts.
-        is_long: bool,
+        /// Whether the retry-after exceeds the overload window of the service rules.
+        is_long_pause: bool,
     },
 }
 
-/// What a destination tells its endpoints at each look at the timers.
+/// State of the destination that its endpoints receive at each tick.
 #[derive(Clone, Copy)]
 pub(crate) struct EndpointTick {
-    /// Calls per second that the endpoint takes from the whole fleet.
+    /// Calls per second that the endpoint accepts from the whole fleet.
     pub capacity: f64,
-    /// Messages that came for it since the last tick.
+    /// Number of messages that arrived with this tick, divided evenly among the ready endpoints.
     pub arrivals: f64,
-    /// Whether a retry-after binds.
+    /// Whether a retry-after pauses the limit.
     pub is_paused: bool,
 }
 
-/// The mailboxes of all parts.
+/// The mailboxes of all parts: events that are sent and not yet handled, oldest first.
 #[derive(Default)]
 pub(crate) struct Mailboxes {
-    pub forwarder: VecDeque<ForwarderMessage>,
-    pub destinations: VecDeque<(DestinationId, DestinationMessage)>,
-    pub endpoints: VecDeque<(EndpointId, EndpointMessage)>,
+    pub forwarder: VecDeque<ForwarderEvent>,
+    pub destinations: VecDeque<(DestinationId, DestinationEvent)>,
+    pub endpoints: VecDeque<(EndpointId, EndpointEvent)>,
 }
 
 impl Mailboxes {
-    /// For the forwarder.
-    pub fn send_to_forwarder(&mut self, message: ForwarderMessage) {
-        self.forwarder.push_back(message);
+    /// Sends an event to the forwarder.
+    pub fn send_to_forwarder(&mut self, event: ForwarderEvent) {
+        self.forwarder.push_back(event);
     }
 
-    /// Have this carried out.
-    pub fn act(&mut self, action: Action) {
-        self.send_to_forwarder(ForwarderMessage::Act(action));
+    /// Sends an action to the forwarder, which returns it to the caller of the core.
+    pub fn emit_action(&mut self, action: Action) {
+        self.send_to_forwarder(ForwarderEvent::ActionEmitted(action));
     }
 
-    /// For a destination.
-    pub fn send_to_destination(&mut self, id: DestinationId, message: DestinationMessage) {
-        self.destinations.push_back((id, message));
+    /// Sends an event to a destination. The event is dropped if the destination does not exist.
+    pub fn send_to_destination(&mut self, id: DestinationId, event: DestinationEvent) {
+        self.destinations.push_back((id, event));
     }
 
-    /// For an endpoint.
-    pub fn send_to_endpoint(&mut self, id: EndpointId, message: EndpointMessage) {
-        self.endpoints.push_back((id, message));
+    /// Sends an event to an endpoint. The event is dropped if the endpoint does not exist.
+    pub fn send_to_endpoint(&mut self, id: EndpointId, event: EndpointEvent) {
+        self.endpoints.push_back((id, event));
     }
 }
--- a/src/forwarder/scheduler.rs
+++ b/src/forwarder/scheduler.rs
@@ -1,7 +1,7 @@
 //! Scheduling rounds: hands free concurrency permits to the destinations that lose most by
 //! waiting.
 
-use super::mailbox::DestinationMessage;
+use super::mailbox::DestinationEvent;
 use super::Forwarder;
 use crate::model::{Action, Micros};
 use crate::policy::concurrency;
@@ -26,9 +26,9 @@
     pub(super) fn calls_in_flight(&self) -> CallsInFlight {
         let mut calls = CallsInFlight::default();
         for activity in self.activities.values() {
-            calls.total += activity.calls;
+            calls.total += activity.calls_in_flight;
             if activity.is_degraded {
-                calls.degraded += activity.calls;
+                calls.degraded += activity.calls_in_flight;
             }
         }
         calls
@@ -66,9 +66,9 @@
 
     fn request_candidates(&mut self) {
         for (id, activity) in &self.activities {
-            if activity.waiting > 0 {
+            if activity.waiting_messages > 0 {
                 self.mailboxes
-                    .send_to_destination(*id, DestinationMessage::RequestCandidate);
+                    .send_to_destination(*id, DestinationEvent::CandidateRequested);
             }
         }
     }
@@ -78,7 +78,7 @@
     fn grant_permits(&mut self, mut free: FreePermits) -> usize {
         let mut candidates = std::mem::take(&mut self.candidates);
         candidates.sort_by(|a, b| {
-            let by_loss = b.loss.total_cmp(&a.loss);
+            let by_loss = b.loss_per_permit_time.total_cmp(&a.loss_per_permit_time);
             by_loss.then(a.destination.cmp(&b.destination))
         });
         let mut granted = 0;
@@ -92,7 +92,7 @@
             free.degraded -= usize::from(is_degraded);
             granted += 1;
             self.mailboxes
-                .send_to_destination(candidate.destination, DestinationMessage::GrantPermit);
+                .send_to_destination(candidate.destination, DestinationEvent::PermitGranted);
         }
         granted
     }
--- a/src/forwarder/submissions.rs
+++ b/src/forwarder/submissions.rs
@@ -1,6 +1,6 @@
 //! Takes a message on.
 
-use super::mailbox::DestinationMessage;
+use super::mailbox::DestinationEvent;
 use super::{Forwarder, MessageLocation};
 use crate::destination::Message;
 use crate::model::{Micros, Submission};
@@ -28,7 +28,7 @@
             .insert(id, MessageLocation { destination, key });
         self.destinations.entry(destination).or_default().id = destination;
         self.mailboxes
-            .send_to_destination(destination, DestinationMessage::Enqueue(message));
+            .send_to_destination(destination, DestinationEvent::MessageSubmitted(message));
         if let Some(key) = key {
             self.grant_order(now, key);
         }
@@ -40,7 +40,7 @@
         let factor = self
             .tenant_quotas
             .weight_factor(now, submission.tenant, &self.config);
-        let key = submission.key.filter(|_| class_config.ordered);
+        let key = submission.order_key.filter(|_| class_config.ordered);
         Message {
             id: submission.id,
             class,
@@ -58,17 +58,17 @@
 
     /// Has the destination with the longest queue give up a message, where too many are held.
     fn shed_load_if_overloaded(&mut self) {
-        if !admission::is_overloaded(self.messages.len(), self.config.message_capacity) {
+        if !admission::is_overloaded(self.messages.len(), self.config.max_messages) {
             return;
         }
         let longest = self
             .activities
             .iter()
-            .max_by_key(|(_, activity)| activity.waiting)
+            .max_by_key(|(_, activity)| activity.waiting_messages)
             .map(|(id, _)| *id);
         if let Some(id) = longest {
             self.mailboxes
-                .send_to_destination(id, DestinationMessage::ShedLoad);
+                .send_to_destination(id, DestinationEvent::LoadSheddingRequested);
         }
     }
 }
--- a/src/idle.rs
+++ b/src/idle.rs
@@ -35,7 +35,7 @@
 
 /// How many destinations may be summarised after this event.
 pub(crate) fn max_summaries_after(event: &Event) -> usize {
-    if matches!(event, Event::EndpointList(_)) {
+    if matches!(event, Event::EndpointListUpdated(_)) {
         2 * LIST_CHUNK
     } else {
         SUMMARIES_PER_EVENT
--- a/src/model/action.rs
+++ b/src/model/action.rs
@@ -1,123 +1,127 @@
-//! What a forwarder is to do: the output of the core, carried out in order.
+//! The output of the decision core: actions that the caller carries out in the given order.
 
 use super::{DestinationId, EndpointId, MessageId, Micros, TimerToken};
 use std::fmt;
 
-/// One thing to do.
+/// An action that the caller of the core carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Starts the next attempt at a message.
-    Send {
-        /// The message.
+    StartAttempt {
+        /// The message to deliver.
         id: MessageId,
-        /// Where it goes.
+        /// The endpoint that the attempt goes to.
         endpoint: EndpointId,
-        /// How long the attempt may take; none: until the message's deadline.
+        /// Upper bound on the duration of the attempt, in µs. `None`: the attempt may last until the message's
+        /// deadline.
         timeout: Option<Micros>,
-        /// An attempt that has put no byte on a connection by then puts none there at all: it ends as
-        /// [`Outcome::NotAttempted`](super::Outcome::NotAttempted).
+        /// The time by which the first byte of the attempt must be written. An attempt that has written no byte by
+        /// then writes none and ends as [`Outcome::NotAttempted`](super::Outcome::NotAttempted).
         send_by: Micros,
     },
-    /// The final answer to a message: it was not delivered.
+    /// Gives the final answer to a message: it was not delivered and is not to be submitted again.
     Fail {
-        /// The message.
+        /// The message that failed.
         id: MessageId,
     },
-    /// The final answer to a message: the client may submit it again.
+    /// Gives the final answer to a message: it was not delivered, and the client may submit it again.
     Reject {
-        /// The message.
+        /// The message that is rejected.
         id: MessageId,
-        /// When the client should come back, where the deployment may say so.
+        /// Time after which the client should submit the message again, in µs. `None` where the deployment does not
+        /// allow a retry-after ([`Config::may_send_retry_after`](super::Config::may_send_retry_after)).
         retry_after: Option<Micros>,
     },
-    /// Asks for [`Event::TimerFired`](super::Event::TimerFired).
+    /// Sets a timer; [`Event::TimerFired`](super::Event::TimerFired) follows when it expires.
     SetTimer {
-        /// From now.
-        after: Micros,
-        /// The name of the timer.
+        /// Time from now to the expiry of the timer, in µs.
+        delay: Micros,
+        /// Identifies the timer; the event returns it.
         token: TimerToken,
     },
-    /// Asks an endpoint whether it is well.
-    HealthCheck {
-        /// The endpoint.
+    /// Sends a health check; [`Event::HealthCheckEnded`](super::Event::HealthCheckEnded) follows.
+    StartHealthCheck {
+        /// The endpoint to check.
         endpoint: EndpointId,
     },
-    /// Ends an attempt that is out: it ends as [`Outcome::Cancelled`](super::Outcome::Cancelled), unless its answer
-    /// has come.
-    Cancel {
-        /// The message.
+    /// Cancels an attempt in flight. It ends as [`Outcome::Cancelled`](super::Outcome::Cancelled), unless its
+    /// response has arrived before.
+    CancelAttempt {
+        /// The message of the attempt.
         id: MessageId,
-        /// The number of the attempt, from 0.
-        attempt: u8,
+        /// Index of the attempt among those at the message, from 0.
+        attempt_index: u8,
     },
-    /// Attempts and health checks to an endpoint whose last byte has not gone go no further: each ends as
-    /// [`Outcome::WithdrawnBeforeSend`](super::Outcome::WithdrawnBeforeSend). Those that have gone whole run on.
+    /// Withdraws the attempts and health checks to an endpoint whose last byte has not been written. Each of them
+    /// ends as [`Outcome::WithdrawnBeforeSend`](super::Outcome::WithdrawnBeforeSend). Requests that have been
+    /// written whole continue.
     WithdrawUnsent {
-        /// The endpoint.
+        /// The endpoint whose unsent requests are withdrawn.
         endpoint: EndpointId,
     },
-    /// Closes the connections to an endpoint that carry nothing.
+    /// Closes the connections to an endpoint that carry no request.
     CloseIdleConnections {
-        /// The endpoint.
+        /// The endpoint whose idle connections are closed.
         endpoint: EndpointId,
     },
-    /// Begins or ends the watch on the endpoint list.
+    /// Starts or stops the watch on the endpoint list.
     WatchEndpointList {
-        /// Whether it is to run.
-        on: bool,
+        /// `true` starts the watch, `false` stops it.
+        enabled: bool,
     },
-    /// Asks discovery for the complete list once.
+    /// Fetches the complete endpoint list from discovery once.
     FetchEndpointList,
     /// Sends a datagram to other forwarders.
     SendGossip {
-        /// The number of the forwarder; none for all.
+        /// Number of the receiving forwarder, from 0. `None`: all other forwarders.
         peer: Option<u16>,
-        /// Its bytes.
+        /// The encoded gossip message.
         payload: Vec<u8>,
     },
-    /// Writes a line to the log.
+    /// Writes an event to the log.
     Log(LogEvent),
-    /// Writes an error to the log: something that must never happen. The core has no such case now;
-    /// the simulator's protocol names it.
+    /// Writes an error to the log, for a state that must never be reached. The core emits none at present; the
+    /// variant exists because the simulator's protocol defines it.
     LogError(String),
 }
 
-/// What the core wants in the log.
+/// An event that the core writes to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// No calls go to an endpoint any more, but for health checks and single tries.
+    /// An endpoint was ejected: it gets health checks and single trial calls only.
     EndpointEjected {
-        /// The group of the endpoint.
+        /// The destination that the endpoint belongs to.
         destination: DestinationId,
-        /// The endpoint.
+        /// The ejected endpoint.
         endpoint: EndpointId,
-        /// Why.
+        /// The cause of the ejection.
         reason: EjectionReason,
     },
-    /// An ejected endpoint took a message: it gets calls again, few at first.
+    /// An ejected endpoint accepted a message and was readmitted: its call rate grows during slow start.
     EndpointReadmitted {
-        /// The group of the endpoint.
+        /// The destination that the endpoint belongs to.
         destination: DestinationId,
-        /// The endpoint.
+        /// The readmitted endpoint.
         endpoint: EndpointId,
     },
-    /// A datagram of another forwarder can't be used.
-    UnreadableGossip {
-        /// The number of the forwarder that sent it.
+    /// A gossip message could not be decoded and was ignored.
+    GossipIgnored {
+        /// Number of the forwarder that sent the message, from 0.
         peer: u16,
-        /// What is wrong with it.
+        /// Why the message could not be decoded.
         problem: String,
     },
 }
 
-/// Why an endpoint was ejected.
+/// The cause of an ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionReason {
-    /// Several failures or rejections in a row, or too many among the latest attempts.
+    /// Too many failures or rejections, either in a row or among the latest attempts.
     Failures,
-    /// It takes calls and answers none.
-    Silence,
-    /// It asked for a wait that is longer than an overload lasts.
+    /// The endpoint accepted calls and responded to none of them.
+    Unresponsive,
+    /// The endpoint asked for a retry-after that exceeds
+    /// [`ServiceRuleConfig::overload_window`](super::ServiceRuleConfig::overload_window).
     LongRetryAfter,
 }
 
@@ -125,13 +129,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             EjectionReason::Failures => "too many failures",
-            EjectionReason::Silence => "attempts stay unanswered",
+            EjectionReason::Unresponsive => "attempts stay unanswered",
             EjectionReason::LongRetryAfter => "asked for a long retry-after",
         })
     }
 }
 
-/// The address and port of an endpoint, as log lines show it.
+/// Formats the address and port of an endpoint for log lines.
 struct Address(EndpointId);
 
 impl fmt::Display for Address {
@@ -141,7 +145,7 @@
     }
 }
 
-/// One line, for fronts that log text only.
+/// Formats the event as one line, for callers whose log holds text only.
 impl fmt::Display for LogEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -164,7 +168,7 @@
                 destination.0,
                 Address(*endpoint)
             ),
-            LogEvent::UnreadableGossip { peer, problem } => {
+            LogEvent::GossipIgnored { peer, problem } => {
                 write!(
                     f,
                     "gossip message ignored: from forwarder {peer}, {problem}"
--- a/src/model/config.rs
+++ b/src/model/config.rs
@@ -1,181 +1,185 @@
-//! What a forwarder is told at its start.
+//! The configuration of the decision core.
 
 use super::Micros;
 
-/// Whether an attempt at a message may be repeated.
+/// Delivery semantics of a message: whether an attempt at it may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DeliverySemantics {
-    /// May take effect any number of times.
+    /// The message may take effect any number of times and is repeated freely.
     Idempotent,
-    /// Carries an idempotency key, by which the endpoints of the scope drop a repeat that begins within the window.
+    /// The message carries an idempotency key. The endpoints of the scope drop a repeat that starts within the window.
     IdempotencyKeyed {
-        /// The endpoints that know each other's keys.
+        /// The endpoints that share their record of keys.
         scope: DeduplicationScope,
-        /// Counted from the start of the first attempt that may have taken effect.
+        /// Deduplication window in µs, from the start of the first attempt that may have taken effect.
         window: Micros,
     },
-    /// Must not take effect twice: not repeated once an attempt may have taken effect.
+    /// The message must not take effect twice. It is not repeated once an attempt may have taken effect.
     #[default]
     AtMostOnce,
 }
 
-/// Endpoints that drop each other's repeats of an idempotency key.
+/// The set of endpoints that drop each other's repeats of an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All endpoints.
     AllEndpoints,
-    /// Those of the same zone.
+    /// The endpoints of the same zone.
     Zone,
-    /// Those of the same destination. The settings can name it (`cell`); no deployment does.
+    /// The endpoints of the same destination. The settings can name this scope (`cell`); no deployment does.
     Destination,
 }
 
-/// How the priority weight of a message falls once its latency objective has passed.
+/// How the priority weight of a message decays after its latency objective has passed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PriorityDecay {
-    /// Linearly, down to the late share at the deadline.
+    /// Linearly, down to [`DeliveryClassConfig::late_weight_share`] at the deadline.
     #[default]
     Linear,
-    /// By half with each further latency objective, not under the late share.
+    /// By half with each further latency objective, down to [`DeliveryClassConfig::late_weight_share`] at least.
     Exponential,
 }
 
-/// What messages of one delivery class have in common.
+/// Configuration of a delivery class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DeliveryClassConfig {
-    /// Whether an attempt may be repeated.
+    /// Whether an attempt at a message may be repeated.
     pub semantics: DeliverySemantics,
-    /// Delivered within this time a message counts in full.
+    /// Latency objective in µs: a message that is delivered within it counts with its full weight.
     pub latency_objective: Micros,
-    /// From its submission to its deadline.
+    /// Time from the first submission of a message to its deadline, in µs.
     pub time_to_live: Micros,
-    /// What its delivery counts, relative to other messages.
+    /// Weight of the delivery of a message, relative to other messages.
     pub priority_weight: f64,
-    /// Part of the weight that a late delivery counts at least, between 0 and 1.
+    /// Lower bound on the share of the weight that a late delivery keeps, from 0 to 1.
     pub late_weight_share: f64,
-    /// Whether messages of one key are delivered one at a time, in the order of submission.
+    /// Whether messages of one order key are delivered one at a time, in the order of submission.
     pub ordered: bool,
 }
 
-/// One tenant.
+/// Configuration of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantConfig {
-    /// Messages per second within its quota, for the whole fleet.
+    /// Quota in messages per second, for the whole fleet.
     pub quota: f64,
 }
 
-/// One kind of endpoint.
+/// Configuration of a kind of endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointKindConfig {
-    /// Each endpoint of a destination has its own limit, pace and outages.
-    pub independent_limits: bool,
-    /// Messages in one call at most.
-    pub batch_size: u32,
+    /// Whether each endpoint of a destination has its own limit, pace and outages. Otherwise the endpoints share
+    /// them.
+    pub has_independent_limits: bool,
+    /// Upper bound on the number of messages in one call; 0 counts as 1.
+    pub max_batch_size: u32,
 }
 
-/// What the rates of the endpoint list are good for.
+/// How far the rates in the endpoint list can be trusted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ListedRates {
-    /// The list names none.
+pub enum ListedRateAccuracy {
+    /// The list contains no rates.
     #[default]
     Unlisted,
-    /// As agreed with the destination.
+    /// The rates are those agreed with the destinations.
     Nominal,
-    /// Up to half too high or too low.
+    /// The rates may be too high or too low by half.
     Approximate,
 }
 
-/// The figures of the operators' service rules.
+/// Figures of the operators' service rules, which the forwarder must keep.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RuleConfig {
-    /// How much later than its deadline the final answer to a message may come.
+pub struct ServiceRuleConfig {
+    /// Upper bound on the time from the deadline of a message to its final answer, in µs.
     pub answer_slack: Micros,
-    /// After this time nothing may be sent to an endpoint that drains or has left.
+    /// Time in µs after which nothing may be sent to an endpoint that drains or has left the list.
     pub drain_grace: Micros,
-    /// Part of its capacity that a destination has as it returns from an outage, between 0 and 1.
+    /// Share of its capacity that a destination has as it returns from an outage, from 0 to 1.
     pub cold_capacity_share: f64,
-    /// From its return until it has its whole capacity.
+    /// Time in µs from the return of a destination until it has its whole capacity.
     pub warm_up_time: Micros,
-    /// A returning destination falls over at this multiple of what it can take at the moment.
+    /// The load at which a returning destination fails again, as a multiple of its capacity at the moment.
     pub overload_multiple: f64,
-    /// For how long it must be overloaded to fall over.
+    /// Time in µs for which a returning destination must be overloaded to fail again.
     pub overload_window: Micros,
-    /// After an attempt with an unknown outcome, the pause until the next message of its key.
+    /// Pause in µs between an attempt with an unknown outcome and the next message of the same order key.
     pub order_settle_time: Micros,
 }
 
-/// When the next message of an order key may be sent.
+/// The condition on which the next message of an order key may be sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OrderRelease {
-    /// With the final answer: whoever carries out the actions keeps their order.
+    /// The core has given the final answer. Correct where the caller carries out the actions in their order.
     #[default]
-    OnDecision,
-    /// With [`Event::ReportAcknowledged`](super::Event::ReportAcknowledged): an answer and a call travel apart, and
-    /// the call may overtake.
+    OnFinalAnswer,
+    /// [`Event::FinalAnswerAcknowledged`](super::Event::FinalAnswerAcknowledged) has arrived. Needed where the final
+    /// answer and the next call travel separately, so that the call could overtake the answer.
     OnAcknowledgement,
 }
 
-/// What a forwarder is told at its start.
+/// Configuration of the decision core. It is fixed while the forwarder runs, except that
+/// [`Event::ShuttingDown`](super::Event::ShuttingDown) sets the concurrency limit to 0.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Config {
-    /// The number of this forwarder in the fleet.
-    pub forwarder: u16,
-    /// How many forwarders there are.
+    /// Number of this forwarder in the fleet, from 0.
+    pub forwarder_id: u16,
+    /// Number of forwarders in the fleet.
     pub fleet_size: u32,
-    /// Calls out at once at most: the number of concurrency permits.
+    /// Upper bound on the number of calls in flight: the number of concurrency permits.
     pub concurrency_limit: u32,
-    /// Messages held at once at most.
-    pub message_capacity: u32,
-    /// Attempts at a message at most, those of previous runs included.
+    /// Upper bound on the number of messages that the forwarder holds.
+    pub max_messages: u32,
+    /// Upper bound on the number of attempts at a message, including those of previous runs.
     pub max_attempts: u32,
-    /// When the next message of an order key may be sent.
+    /// The condition on which the next message of an order key may be sent.
     pub order_release: OrderRelease,
     /// Whether health checks may be sent.
     pub may_health_check: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub may_cancel: bool,
     /// Whether a rejection may name a retry-after.
     pub may_send_retry_after: bool,
-    /// Whether forwarders may send each other datagrams.
+    /// Whether forwarders may send each other gossip.
     pub may_gossip: bool,
-    /// The longest retry-after that clients honour.
+    /// Upper bound on the retry-after that clients honour, in µs.
     pub max_retry_after: Micros,
-    /// What the rates of the endpoint list are good for.
-    pub listed_rates: ListedRates,
-    /// How priority weights fall after the latency objective.
+    /// How far the rates in the endpoint list can be trusted.
+    pub listed_rate_accuracy: ListedRateAccuracy,
+    /// How priority weights decay after the latency objective.
     pub priority_decay: PriorityDecay,
-    /// Part of the weight that a message beyond its tenant's quota counts.
-    pub over_quota_weight: f64,
-    /// The delivery classes.
+    /// Share of the weight that a message beyond its tenant's quota keeps.
+    pub over_quota_weight_share: f64,
+    /// The delivery classes, indexed by [`DeliveryClassId`](super::DeliveryClassId).
     pub classes: Vec<DeliveryClassConfig>,
-    /// The tenants.
+    /// The tenants, indexed by [`TenantId`](super::TenantId).
     pub tenants: Vec<TenantConfig>,
-    /// The kinds of endpoints.
+    /// The kinds of endpoints, indexed by [`EndpointKindId`](super::EndpointKindId).
     pub endpoint_kinds: Vec<EndpointKindConfig>,
-    /// For each zone, what a message to an endpoint with a limit of its own there costs.
+    /// Cost of a message to an endpoint with its own limit, for each zone; indexed by [`ZoneId`](super::ZoneId).
     pub zone_costs: Vec<f64>,
-    /// Where discovery must be polled: the interval in which the rules want a poll. None: lists are pushed.
-    pub poll_interval: Option<Micros>,
-    /// Where discovery must be polled: how long after a change, and discovery being in reach, the forwarder counts as
-    /// notified, whether it is or not. None: only the interval counts.
-    pub notified_within: Option<Micros>,
-    /// The figures of the service rules.
-    pub rules: RuleConfig,
-    /// The shortest time between two ticks of the core's timers. Scheduling rounds run after every
-    /// event.
-    pub scheduling_interval: Micros,
-    /// Destinations whose state is held in full before idle ones are summarised. None: all, always.
+    /// Upper bound on the time between two polls of discovery, in µs. `None`: discovery pushes the list.
+    pub list_poll_interval: Option<Micros>,
+    /// Time in µs after which the service rules assume that a polling forwarder knows of a change of the list, whether
+    /// it received the list or not; counted while discovery is reachable. `None`: only
+    /// [`Config::list_poll_interval`] bounds the delay of a poll.
+    pub list_notification_delay: Option<Micros>,
+    /// The operators' service rules.
+    pub rules: ServiceRuleConfig,
+    /// Lower bound on the time between two ticks of the core's timers, in µs. Scheduling rounds run after every event,
+    /// not at ticks.
+    pub min_tick_interval: Micros,
+    /// Number of destinations whose state is held in full; beyond it, idle destinations are summarised. `None`: the
+    /// state of all destinations is always held in full.
     pub full_destinations: Option<u32>,
 }
 
 impl Config {
-    /// The shortest latency objective of all delivery classes.
+    /// Returns the shortest latency objective of all delivery classes, in µs; 0 without classes.
     pub fn shortest_latency_objective(&self) -> Micros {
         let objectives = self.classes.iter().map(|class| class.latency_objective);
         objectives.min().unwrap_or(0)
     }
 
-    /// The longest time to live of all delivery classes.
+    /// Returns the longest time to live of all delivery classes, in µs; 0 without classes.
     pub fn longest_time_to_live(&self) -> Micros {
         let lives = self.classes.iter().map(|class| class.time_to_live);
         lives.max().unwrap_or(0)
--- a/src/model/endpoint_list.rs
+++ b/src/model/endpoint_list.rs
@@ -1,47 +1,48 @@
-//! The endpoint list as discovery reports it.
+//! The endpoint list, as received from discovery.
 
 use super::{DestinationId, EndpointId, EndpointKindId, Micros, ZoneId};
 
-/// What the list says of an endpoint's life.
+/// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It takes calls.
+    /// The endpoint accepts calls.
     #[default]
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The endpoint finishes the calls in flight and accepts no new ones.
     Draining,
-    /// It has left the list.
+    /// The endpoint is no longer in the list.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// The endpoint that the entry is about.
+    /// The endpoint that the entry describes.
     pub endpoint: EndpointId,
-    /// Where it runs.
+    /// The zone that the endpoint runs in.
     pub zone: ZoneId,
-    /// When it came up.
+    /// Time at which the endpoint started, in µs.
     pub up_since: Micros,
-    /// Whether it takes calls.
+    /// Whether the endpoint accepts calls.
     pub status: EndpointStatus,
-    /// Calls per second that the destination takes from the whole fleet, as far as the list knows.
+    /// Calls per second that the destination accepts from the whole fleet.
+    /// [`Config::listed_rate_accuracy`](super::Config::listed_rate_accuracy) says how far the figure can be trusted.
     pub rate: f32,
-    /// The group that it belongs to.
+    /// The destination that the endpoint belongs to.
     pub destination: DestinationId,
-    /// What kind of endpoint it is.
+    /// The kind of the endpoint, which sets its limits and batch size.
     pub kind: EndpointKindId,
 }
 
-/// A report of discovery.
+/// An update from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointListUpdate {
-    /// Only the entries that changed.
+    /// The entries that changed since the last update.
     Changes(Vec<EndpointEntry>),
-    /// Every endpoint there is; one that is missing has left.
+    /// All endpoints. An endpoint that is missing from the update has left the list.
     Complete(Vec<EndpointEntry>),
-    /// Every endpoint as it was known last; it may be outdated.
+    /// All endpoints from the last list that was stored; they may be outdated.
     Cached(Vec<EndpointEntry>),
-    /// Discovery refused, did not answer or could not be reached.
+    /// Discovery refused the request, did not respond or could not be reached.
     Failed,
 }
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -1,137 +1,137 @@
-//! What happens to a forwarder: the input of the core.
+//! The input of the decision core: events that the caller passes to it.
 
 use super::{
     DeliveryClassId, DestinationId, EndpointId, EndpointListUpdate, MessageId, Micros, OrderKey,
     Outcome, TenantId, TimerToken, ZoneId,
 };
 
-/// A message that a client submits, or that a previous run of the forwarder left.
+/// A message that a client submits, or that is recovered from a previous run of the forwarder.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
-    /// Names the message from now on.
+    /// Identifies the message until it has ended. Chosen by the caller.
     pub id: MessageId,
-    /// Its delivery class.
+    /// The delivery class of the message.
     pub class: DeliveryClassId,
-    /// Who pays for it.
+    /// The tenant whose quota the message counts against.
     pub tenant: TenantId,
-    /// What it keeps its order by, where its class is ordered.
-    pub key: Option<OrderKey>,
-    /// How long from now it may still be delivered.
+    /// Order key of the message. The core ignores it unless the delivery class is ordered.
+    pub order_key: Option<OrderKey>,
+    /// Time from now to the deadline of the message, in µs.
     pub time_left: Micros,
-    /// Where it goes.
+    /// The destination of the message.
     pub destination: DestinationId,
-    /// Whether it was submitted before: its latency objective has passed already.
+    /// Whether the client submitted the message before. A resubmitted message gets no new latency objective.
     pub resubmitted: bool,
-    /// What a previous run of the forwarder did for it.
+    /// The attempts of previous runs of the forwarder.
     pub history: AttemptHistory,
 }
 
-/// The attempts at a message before it was submitted to this run of the forwarder.
+/// The attempts at a message in previous runs of the forwarder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptHistory {
-    /// How many there were.
+    /// Number of attempts.
     pub attempts: u32,
-    /// The earliest that may have taken effect.
+    /// The earliest attempt that may have taken effect.
     pub possible_effect: Option<PossibleEffect>,
 }
 
 /// An attempt that may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PossibleEffect {
-    /// When it was sent.
+    /// Time at which the attempt was sent, in µs.
     pub sent_at: Micros,
-    /// The zone of the endpoint that it went to.
+    /// Zone of the endpoint that the attempt went to.
     pub zone: ZoneId,
 }
 
-/// What happened.
+/// An event that the caller passes to the core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Discovery reported.
-    EndpointList(EndpointListUpdate),
-    /// A message came.
-    Submitted(Submission),
-    /// The answer to an attempt has begun to stream.
-    AnswerStarted {
-        /// The message.
+    /// Discovery sent an update of the endpoint list, or a request to it failed.
+    EndpointListUpdated(EndpointListUpdate),
+    /// A client submitted a message, or a message of a previous run was recovered.
+    MessageSubmitted(Submission),
+    /// The first part of the response to an attempt arrived.
+    ResponseStarted {
+        /// The message of the attempt.
         id: MessageId,
-        /// The number of the attempt, from 0.
-        attempt: u8,
-        /// Where it went.
+        /// Index of the attempt among those at the message, from 0.
+        attempt_index: u8,
+        /// The endpoint that the attempt went to.
         endpoint: EndpointId,
-        /// Time since it was sent.
-        took: Micros,
+        /// Time since the attempt was sent, in µs.
+        elapsed: Micros,
     },
-    /// An attempt is over.
+    /// An attempt ended.
     AttemptEnded {
-        /// The message.
+        /// The message of the attempt.
         id: MessageId,
-        /// The number of the attempt, from 0.
-        attempt: u8,
-        /// Where it went.
+        /// Index of the attempt among those at the message, from 0.
+        attempt_index: u8,
+        /// The endpoint that the attempt went to.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// Time since it was sent.
-        took: Micros,
-        /// The front has closed the message: it needs no further answer. A delivery that comes with
-        /// `false` was too late, and the message fails.
-        completed: bool,
-        /// What the endpoint said of its load: one figure for each name in the settings.
-        report: Vec<f32>,
+        /// Time since the attempt was sent, in µs.
+        elapsed: Micros,
+        /// Whether the caller has completed the message, so that the core gives no final answer. A delivery with
+        /// `false` came after the deadline, and the message fails.
+        message_completed: bool,
+        /// Load metrics from the response: one value for each name in the settings, or empty.
+        load_metrics: Vec<f32>,
     },
-    /// An answer asks to be left alone for a while. How its attempt or health check ended comes later, and may be
-    /// something else than a rejection.
+    /// A response contains a retry-after. The outcome of its attempt or health check follows in an event of its own
+    /// and is not necessarily a rejection.
     RetryAfterReceived {
-        /// The endpoint that asked.
+        /// The endpoint that sent the response.
         endpoint: EndpointId,
-        /// For how long.
+        /// Time during which the endpoint asks for no further calls, in µs.
         retry_after: Micros,
     },
-    /// The client does not want the message delivered any more.
-    Withdrawn {
-        /// The message.
+    /// The client withdrew a message: no further attempt is needed.
+    MessageWithdrawn {
+        /// The withdrawn message.
         id: MessageId,
     },
-    /// The client or the platform knows the final answer to the message; told only under
+    /// The client or the platform received the final answer to a message. Sent only under
     /// [`OrderRelease::OnAcknowledgement`](super::OrderRelease::OnAcknowledgement).
-    ReportAcknowledged {
-        /// The message.
+    FinalAnswerAcknowledged {
+        /// The message that was answered.
         id: MessageId,
     },
-    /// A completion report of a previous run is not acknowledged yet: messages of its key come after it.
-    /// [`Event::ReportAcknowledged`] follows with the same id.
-    PendingReport {
-        /// The message that is over.
+    /// The completion report on a message of a previous run is not acknowledged yet. Messages of the same order key
+    /// wait until [`Event::FinalAnswerAcknowledged`] follows with the same id.
+    CompletionReportPending {
+        /// The message that has ended.
         id: MessageId,
-        /// Its delivery class.
+        /// The delivery class of the message.
         class: DeliveryClassId,
-        /// What it keeps its order by.
-        key: OrderKey,
+        /// Order key of the message.
+        order_key: OrderKey,
     },
-    /// A timer that the core set has run out.
+    /// A timer that the core set with [`Action::SetTimer`](super::Action::SetTimer) expired.
     TimerFired {
-        /// The name it was set under.
+        /// The token that the timer was set with.
         token: TimerToken,
     },
-    /// A datagram of another forwarder.
-    Gossip {
-        /// The number of the forwarder that sent it.
-        from: u16,
-        /// Its bytes.
+    /// A datagram arrived from another forwarder.
+    GossipReceived {
+        /// Number of the forwarder that sent the datagram, from 0.
+        peer: u16,
+        /// The encoded gossip message.
         payload: Vec<u8>,
     },
-    /// A health check is over.
+    /// A health check ended.
     HealthCheckEnded {
-        /// Where it went.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome of the health check.
         outcome: Outcome,
-        /// Time since it was sent.
-        took: Micros,
-        /// What the endpoint said of its load: one figure for each name in the settings.
-        report: Vec<f32>,
+        /// Time since the health check was sent, in µs.
+        elapsed: Micros,
+        /// Load metrics from the response: one value for each name in the settings, or empty.
+        load_metrics: Vec<f32>,
     },
-    /// The forwarder ends soon: nothing new is to be sent.
+    /// The forwarder is shutting down. From now on the core starts no attempts.
     ShuttingDown,
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,6 +1,7 @@
-//! The vocabulary of the decision core: plain data that goes in and comes out. It decides nothing.
+//! The data types of the decision core's interface: identifiers, configuration, events and actions. They hold no
+//! decisions.
 //!
-//! Times are whole microseconds ([`Micros`]): points in time on the caller's clock, and durations.
+//! Instants and durations are whole microseconds ([`Micros`]). Instants are on the clock of the caller.
 
 mod action;
 mod config;
@@ -12,7 +13,7 @@
 pub use action::{Action, EjectionReason, LogEvent};
 pub use config::{
     Config, DeduplicationScope, DeliveryClassConfig, DeliverySemantics, EndpointKindConfig,
-    ListedRates, OrderRelease, PriorityDecay, RuleConfig, TenantConfig,
+    ListedRateAccuracy, OrderRelease, PriorityDecay, ServiceRuleConfig, TenantConfig,
 };
 pub use endpoint_list::{EndpointEntry, EndpointListUpdate, EndpointStatus};
 pub use event::{AttemptHistory, Event, PossibleEffect, Submission};
@@ -22,8 +23,8 @@
 };
 pub use outcome::Outcome;
 
-/// Microseconds: a duration, or a point in time on the clock of whoever calls the core.
+/// Microseconds: a duration, or an instant on the clock of the caller of the core.
 pub type Micros = u64;
 
-/// µs in a second, for rates.
+/// Microseconds in a second, to convert rates per second.
 pub const MICROS_PER_SECOND: f64 = 1e6;
--- a/src/model/outcome.rs
+++ b/src/model/outcome.rs
@@ -1,45 +1,47 @@
-//! How an attempt or a health check ended.
+//! The outcome of an attempt or a health check.
 
 use super::Micros;
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The endpoint answered that it has the message.
+    /// The endpoint responded that it accepted the message.
     Delivered,
-    /// The endpoint answered with an error.
+    /// The endpoint responded with an error.
     Error,
-    /// Turned away before any work was done; `retry_after` is the wait it asked for.
+    /// The endpoint rejected the request before it did any work.
     Rejected {
-        /// How long the destination asked to be left alone.
+        /// Time during which the destination asked for no further calls, in µs.
         retry_after: Option<Micros>,
     },
-    /// No answer within the attempt's timeout.
+    /// No response arrived within the timeout of the attempt.
     Timeout,
-    /// No connection came up, or it took no byte of the call.
+    /// No connection was established, or no byte of the call was written to it.
     NoConnection,
-    /// The connection broke while the call was out.
-    Reset,
+    /// The connection broke while the call was in flight.
+    ConnectionReset,
     /// The core cancelled the attempt.
     Cancelled,
-    /// Withdrawn before its last byte went: it has surely not run, and the attempt does not count.
+    /// The request was withdrawn before its last byte was written. The message can't have taken effect, and the
+    /// attempt does not count.
     WithdrawnBeforeSend,
-    /// Not sent at all. Unlike a withdrawn attempt it counts, and the message backs off.
+    /// The message did not run at the endpoint. Unlike a withdrawn attempt, the attempt counts, and the message
+    /// backs off.
     NotAttempted {
-        /// Whether a concurrency permit was missing, as the front found.
+        /// Whether the attempt was refused for want of a concurrency permit.
         no_permit: bool,
     },
 }
 
 impl Outcome {
-    /// Whether the message may have taken effect at the endpoint.
+    /// Returns whether the message may have taken effect at the endpoint.
     pub fn may_have_taken_effect(self) -> bool {
         matches!(
             self,
             Outcome::Delivered
                 | Outcome::Error
                 | Outcome::Timeout
-                | Outcome::Reset
+                | Outcome::ConnectionReset
                 | Outcome::Cancelled
         )
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -53,7 +53,7 @@
             bucket.tokens -= 1.0;
             1.0
         } else {
-            config.over_quota_weight
+            config.over_quota_weight_share
         }
     }
 }
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -12,7 +12,7 @@
 fn config() -> Config {
     Config {
         fleet_size: 10,
-        over_quota_weight: 0.1,
+        over_quota_weight_share: 0.1,
         max_retry_after: 5 * SECOND,
         may_send_retry_after: true,
         tenants: vec![TenantConfig { quota: 50.0 }],
@@ -25,7 +25,7 @@
         id: MessageId(1),
         class: DeliveryClassId(0),
         tenant: TENANT,
-        key: None,
+        order_key: None,
         time_left,
         destination: DestinationId(1),
         resubmitted: false,
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -97,7 +97,7 @@
             return;
         }
         self.logged_at = Some(now);
-        actions.push(Action::Log(LogEvent::UnreadableGossip {
+        actions.push(Action::Log(LogEvent::GossipIgnored {
             peer: from,
             problem: error.to_string(),
         }));
--- a/src/policy/gossip/tests.rs
+++ b/src/policy/gossip/tests.rs
@@ -42,7 +42,7 @@
     let destination = gossip.receive(now, PEER, payload, is_known, &mut actions);
     let logged = matches!(
         &actions[..],
-        [Action::Log(LogEvent::UnreadableGossip { peer: PEER, .. })]
+        [Action::Log(LogEvent::GossipIgnored { peer: PEER, .. })]
     );
     assert!(logged || actions.is_empty());
     Received {
--- a/src/policy/list_polling.rs
+++ b/src/policy/list_polling.rs
@@ -82,20 +82,23 @@
         rng: &mut impl Rng,
         actions: &mut Vec<Action>,
     ) {
-        let Some(poll_interval) = config.poll_interval else {
+        let Some(poll_interval) = config.list_poll_interval else {
             return;
         };
-        let failed = matches!(event, Event::EndpointList(EndpointListUpdate::Failed));
+        let failed = matches!(
+            event,
+            Event::EndpointListUpdated(EndpointListUpdate::Failed)
+        );
         if failed || !self.started {
             let delay = self.schedule_poll(now, failed, poll_interval, config, rng);
             actions.push(Action::SetTimer {
-                after: delay,
+                delay,
                 token: POLL_TIMER,
             });
         }
         if self.next_poll_at.take_if(|at| now >= *at).is_some() {
             self.last_poll_at = now;
-            actions.push(Action::WatchEndpointList { on: true });
+            actions.push(Action::WatchEndpointList { enabled: true });
         }
     }
 
@@ -126,7 +129,7 @@
     /// row of failures.
     fn count_failure(&mut self, since_poll: Micros, poll_interval: Micros, config: &Config) {
         // Twice the longest silence, because a silence may be reported late.
-        let answered_after = match config.notified_within {
+        let answered_after = match config.list_notification_delay {
             Some(_) => 2 * LONGEST_SILENCE,
             None => poll_interval,
         };
@@ -174,7 +177,7 @@
 
 /// The longest delay of the next poll, `since_poll` after the failed one.
 fn longest_delay(since_poll: Micros, poll_interval: Micros, config: &Config) -> Micros {
-    let Some(notified_within) = config.notified_within else {
+    let Some(notified_within) = config.list_notification_delay else {
         return poll_interval;
     };
     // Discovery may have been in reach ever since the failed poll, so that time is spent.
