--- a/src/policy/list_polling/tests.rs
+++ b/src/policy/list_polling/tests.rs
@@ -26,7 +26,7 @@
 fn config(fleet_size: u32) -> Config {
     Config {
         fleet_size,
-        poll_interval: Some(POLL_INTERVAL),
+        list_poll_interval: Some(POLL_INTERVAL),
         ..Config::default()
     }
 }
@@ -49,7 +49,7 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             timer: None,
         };
-        let cached_list = Event::EndpointList(EndpointListUpdate::Cached(Vec::new()));
+        let cached_list = Event::EndpointListUpdated(EndpointListUpdate::Cached(Vec::new()));
         let polls = forwarder.handle(0, cached_list);
         assert!(is_alone || !polls || forwarder.timer == Some(0));
         forwarder
@@ -68,11 +68,11 @@
         self.list_poller
             .handle(now, &event, &self.config, &mut self.rng, &mut actions);
         for action in &actions {
-            if let Action::SetTimer { after, .. } = action {
-                self.timer = Some(now + after);
+            if let Action::SetTimer { delay, .. } = action {
+                self.timer = Some(now + delay);
             }
         }
-        actions.contains(&Action::WatchEndpointList { on: true })
+        actions.contains(&Action::WatchEndpointList { enabled: true })
     }
 
     /// Fires the timer if it is due; returns whether the forwarder polls.
@@ -82,7 +82,7 @@
     }
 
     fn fail_poll(&mut self, now: Micros) {
-        self.handle(now, Event::EndpointList(EndpointListUpdate::Failed));
+        self.handle(now, Event::EndpointListUpdated(EndpointListUpdate::Failed));
     }
 
     /// When the next poll is due.
@@ -167,8 +167,8 @@
     seed: u64,
 ) {
     let mut forwarder = PollingForwarder::new(config(fleet_size), seed);
-    forwarder.config.poll_interval = Some(poll_interval);
-    forwarder.config.notified_within = Some(NOTIFIED_WITHIN);
+    forwarder.config.list_poll_interval = Some(poll_interval);
+    forwarder.config.list_notification_delay = Some(NOTIFIED_WITHIN);
     for failures in 1..=20 {
         let polled_at = forwarder.next_poll_at();
         // A lone forwarder has sent its first poll as it started.
@@ -206,7 +206,7 @@
         (3, LONGEST_SILENCE + 30 * MS),
     ] {
         let mut forwarder = PollingForwarder::new(config(fleet_size), 2);
-        forwarder.config.notified_within = Some(NOTIFIED_WITHIN);
+        forwarder.config.list_notification_delay = Some(NOTIFIED_WITHIN);
         let delays = forwarder.delays_after_failures(8, fails_after);
         assert!(
             delays[0] < 300 * MS && delays[7] >= 1_000 * MS,
@@ -219,8 +219,8 @@
 fn the_first_answer_is_in_by_the_time_of_notification_however_long_the_interval() {
     for seed in 0..200 {
         let long_interval = Config {
-            poll_interval: Some(60 * POLL_INTERVAL),
-            notified_within: Some(NOTIFIED_WITHIN),
+            list_poll_interval: Some(60 * POLL_INTERVAL),
+            list_notification_delay: Some(NOTIFIED_WITHIN),
             ..config(350)
         };
         let forwarder = PollingForwarder::new(long_interval, seed);
--- a/src/policy/list_polling/tests/outage.rs
+++ b/src/policy/list_polling/tests/outage.rs
@@ -73,7 +73,7 @@
 impl SimulatedForwarder {
     /// A forwarder whose watch falls silent, which it notices at `fails_at`.
     fn new(mut polling: PollingForwarder, outage: &Outage, fails_at: Micros) -> SimulatedForwarder {
-        polling.config.notified_within = outage.notified_within;
+        polling.config.list_notification_delay = outage.notified_within;
         polling.timer = None;
         polling.list_poller.next_poll_at = None;
         SimulatedForwarder {
--- a/src/policy/ordering.rs
+++ b/src/policy/ordering.rs
@@ -96,7 +96,7 @@
 pub fn is_outcome_unknown(outcome: Outcome) -> bool {
     matches!(
         outcome,
-        Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
+        Outcome::Timeout | Outcome::ConnectionReset | Outcome::Cancelled
     )
 }
 
--- a/src/policy/ordering/tests.rs
+++ b/src/policy/ordering/tests.rs
@@ -78,7 +78,11 @@
 
 #[test]
 fn an_outcome_is_unknown_where_the_endpoint_may_still_be_at_work() {
-    for outcome in [Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
+    for outcome in [
+        Outcome::Timeout,
+        Outcome::ConnectionReset,
+        Outcome::Cancelled,
+    ] {
         assert!(is_outcome_unknown(outcome));
     }
     for outcome in [Outcome::Delivered, Outcome::Error, Outcome::NoConnection] {
--- a/src/policy/outlier/tests.rs
+++ b/src/policy/outlier/tests.rs
@@ -37,7 +37,7 @@
         Outcome::Error,
         Outcome::Timeout,
         Outcome::Delivered,
-        Outcome::Reset,
+        Outcome::ConnectionReset,
         Outcome::Error,
     ];
     assert!(!record_all(&mut failures, &outcomes).contains(&Verdict::Eject));
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -6,7 +6,7 @@
 //! Intervals and times are µs, capacities calls per second for the whole fleet.
 //! Source: Retry-After as the paper has it; the interval is ours (`docs/design.md`).
 
-use crate::model::{Config, ListedRates, Micros, MICROS_PER_SECOND};
+use crate::model::{Config, ListedRateAccuracy, Micros, MICROS_PER_SECOND};
 use rand::Rng;
 
 /// First interval after a rejection, in calls at the known capacity.
@@ -48,8 +48,9 @@
 impl ListedCapacity {
     /// Reads a rate of the endpoint list.
     pub fn from_rate(rate: f64, config: &Config) -> ListedCapacity {
-        let is_known =
-            config.listed_rates != ListedRates::Unlisted && rate.is_finite() && rate > 0.0;
+        let is_known = config.listed_rate_accuracy != ListedRateAccuracy::Unlisted
+            && rate.is_finite()
+            && rate > 0.0;
         let guess = config.concurrency_limit.max(1).into();
         ListedCapacity {
             calls_per_second: if is_known { rate } else { guess },
--- a/src/policy/pacing/tests.rs
+++ b/src/policy/pacing/tests.rs
@@ -13,7 +13,7 @@
     Config {
         fleet_size: 10,
         concurrency_limit: 64,
-        listed_rates: ListedRates::Nominal,
+        listed_rate_accuracy: ListedRateAccuracy::Nominal,
         classes: vec![DeliveryClassConfig {
             latency_objective: 2 * SECOND,
             time_to_live: 20 * SECOND,
@@ -42,7 +42,7 @@
         assert!(!guess.is_known && guess.calls_per_second == 64.0, "{rate}");
     }
     let unlisted = Config {
-        listed_rates: ListedRates::Unlisted,
+        listed_rate_accuracy: ListedRateAccuracy::Unlisted,
         ..config()
     };
     assert!(!ListedCapacity::from_rate(10.0, &unlisted).is_known);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -7,7 +7,7 @@
 //! Rates are calls per second, times µs. Source: the design page (returning destinations); the
 //! division among forwarders is ours.
 
-use crate::model::{Config, Micros, RuleConfig, MICROS_PER_SECOND};
+use crate::model::{Config, Micros, ServiceRuleConfig, MICROS_PER_SECOND};
 use crate::token_bucket::TokenBucket;
 
 /// Part of the allowed load that is used: each forwarder only estimates the capacity.
@@ -34,7 +34,7 @@
 /// ramp: it grows from the cold share to the whole over the warm-up time.
 ///
 /// `warming_since`: when it was readmitted; none while it is ejected.
-pub fn allowed_load(now: Micros, warming_since: Option<Micros>, rules: &RuleConfig) -> f64 {
+pub fn allowed_load(now: Micros, warming_since: Option<Micros>, rules: &ServiceRuleConfig) -> f64 {
     let warmth = match warming_since {
         Some(since) => (now - since) as f64 / rules.warm_up_time.max(1) as f64,
         None => 0.0,
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -8,12 +8,12 @@
 fn config(fleet_size: u32) -> Config {
     Config {
         fleet_size,
-        rules: RuleConfig {
+        rules: ServiceRuleConfig {
             cold_capacity_share: 0.1,
             warm_up_time: 10 * SECOND,
             overload_multiple: 2.0,
             overload_window: SECOND,
-            ..RuleConfig::default()
+            ..ServiceRuleConfig::default()
         },
         ..Config::default()
     }
--- a/tests/common/fixtures.rs
+++ b/tests/common/fixtures.rs
@@ -62,10 +62,10 @@
 }
 
 /// The kind of endpoints, with one message a call.
-pub fn endpoint_kind(independent_limits: bool) -> EndpointKindConfig {
+pub fn endpoint_kind(has_independent_limits: bool) -> EndpointKindConfig {
     EndpointKindConfig {
-        independent_limits,
-        batch_size: 1,
+        has_independent_limits,
+        max_batch_size: 1,
     }
 }
 
@@ -76,20 +76,20 @@
         window: 3_000 * MS,
     };
     Config {
-        forwarder: 0,
+        forwarder_id: 0,
         fleet_size: 2,
         concurrency_limit: 8,
-        message_capacity: 100,
+        max_messages: 100,
         max_attempts: 6,
-        order_release: OrderRelease::OnDecision,
+        order_release: OrderRelease::OnFinalAnswer,
         may_health_check: true,
         may_cancel: true,
         may_send_retry_after: true,
         may_gossip: true,
         max_retry_after: 2_000 * MS,
-        listed_rates: ListedRates::Nominal,
+        listed_rate_accuracy: ListedRateAccuracy::Nominal,
         priority_decay: PriorityDecay::Exponential,
-        over_quota_weight: 0.1,
+        over_quota_weight_share: 0.1,
         classes: vec![
             delivery_class(DeliverySemantics::Idempotent),
             delivery_class(keyed),
@@ -98,16 +98,16 @@
         tenants: Vec::new(),
         endpoint_kinds: vec![endpoint_kind(false)],
         zone_costs: vec![0.0, 0.05],
-        poll_interval: None,
-        notified_within: None,
+        list_poll_interval: None,
+        list_notification_delay: None,
         rules: service_rules(),
-        scheduling_interval: 5 * MS,
+        min_tick_interval: 5 * MS,
         full_destinations: None,
     }
 }
 
-fn service_rules() -> RuleConfig {
-    RuleConfig {
+fn service_rules() -> ServiceRuleConfig {
+    ServiceRuleConfig {
         answer_slack: 20 * MS,
         drain_grace: 500 * MS,
         cold_capacity_share: 0.2,
@@ -124,7 +124,7 @@
         id,
         class: DeliveryClassId(class),
         tenant: TenantId(0),
-        key: None,
+        order_key: None,
         time_left,
         destination: DestinationId(destination),
         resubmitted: false,
--- a/tests/common/history.rs
+++ b/tests/common/history.rs
@@ -56,12 +56,12 @@
         ..config()
     };
     config.concurrency_limit = rng.random_range(1..12);
-    config.message_capacity = rng.random_range(3..60);
+    config.max_messages = rng.random_range(3..60);
     config.max_attempts = rng.random_range(1..7);
     config.order_release = if rng.random() {
         OrderRelease::OnAcknowledgement
     } else {
-        OrderRelease::OnDecision
+        OrderRelease::OnFinalAnswer
     };
     config.may_health_check = rng.random();
     config.may_cancel = rng.random();
@@ -71,8 +71,8 @@
         PriorityDecay::Exponential
     };
     config.endpoint_kinds[0] = EndpointKindConfig {
-        independent_limits: rng.random(),
-        batch_size: if rng.random_bool(0.3) { 4 } else { 1 },
+        has_independent_limits: rng.random(),
+        max_batch_size: if rng.random_bool(0.3) { 4 } else { 1 },
     };
     let scope = if rng.random() {
         DeduplicationScope::Zone
@@ -191,7 +191,7 @@
             },
             1 => Outcome::Rejected { retry_after: None },
             2 => Outcome::NoConnection,
-            3 => Outcome::Reset,
+            3 => Outcome::ConnectionReset,
             4 => Outcome::NotAttempted { no_permit: true },
             _ => Outcome::Error,
         }
@@ -268,12 +268,12 @@
         let endpoint = endpoint(self.rng.random_range(0..9));
         self.world.handle(Event::AttemptEnded {
             id,
-            attempt: 0,
+            attempt_index: 0,
             endpoint,
             outcome: Outcome::Delivered,
-            took: 0,
-            completed: true,
-            report: vec![],
+            elapsed: 0,
+            message_completed: true,
+            load_metrics: vec![],
         })
     }
 }
--- a/tests/common/oracle.rs
+++ b/tests/common/oracle.rs
@@ -53,7 +53,7 @@
     /// The key by which a message keeps its order.
     pub fn order_key(&self, message: &TrackedMessage) -> Option<OrderKey> {
         let is_ordered = self.class(message).ordered;
-        message.submission.key.filter(|_| is_ordered)
+        message.submission.order_key.filter(|_| is_ordered)
     }
 
     fn class(&self, message: &TrackedMessage) -> &DeliveryClassConfig {
@@ -61,11 +61,11 @@
     }
 
     fn has_batches(&self) -> bool {
-        self.config.endpoint_kinds[0].batch_size > 1
+        self.config.endpoint_kinds[0].max_batch_size > 1
     }
 
     fn route(&self, destination: DestinationId, endpoint: EndpointId) -> Route {
-        let has_own_limit = self.config.endpoint_kinds[0].independent_limits;
+        let has_own_limit = self.config.endpoint_kinds[0].has_independent_limits;
         (destination, has_own_limit.then_some(endpoint))
     }
 
--- a/tests/common/oracle/endpoint_record.rs
+++ b/tests/common/oracle/endpoint_record.rs
@@ -49,7 +49,9 @@
                 }
                 self.consecutive_failures = 0;
             }
-            Outcome::Error | Outcome::Timeout | Outcome::Reset => self.consecutive_failures += 1,
+            Outcome::Error | Outcome::Timeout | Outcome::ConnectionReset => {
+                self.consecutive_failures += 1
+            }
             _ => {}
         }
         if self.consecutive_failures >= FAILURES_OF_AN_OUTAGE && !self.is_failing {
@@ -94,7 +96,7 @@
     }
 
     /// How far an endpoint that fails or warms up has come, from 0 to 1. None if it is warm.
-    fn warmth(&self, now: Micros, rules: &RuleConfig) -> Option<f64> {
+    fn warmth(&self, now: Micros, rules: &ServiceRuleConfig) -> Option<f64> {
         if self.is_failing {
             return Some(0.0);
         }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -46,7 +46,7 @@
     }
 
     fn before_list(config: Config) -> World {
-        let seed = 7 + u64::from(config.forwarder);
+        let seed = 7 + u64::from(config.forwarder_id);
         World {
             now: START,
             forwarder: Forwarder::new(config.clone(), seed),
@@ -95,7 +95,7 @@
     fn recover(&mut self, mut message: TrackedMessage) -> Checked {
         if let Some(last) = message.attempts.last_mut() {
             if last.is_in_flight() {
-                last.outcome = Some(Outcome::Reset);
+                last.outcome = Some(Outcome::ConnectionReset);
                 last.bytes_sent_at = None;
             }
         }
@@ -107,7 +107,7 @@
             });
         let submission = Submission {
             time_left: message.deadline.saturating_sub(self.now),
-            key: None,
+            order_key: None,
             resubmitted: true,
             history: AttemptHistory {
                 attempts: message.attempts.len() as u32,
@@ -127,7 +127,7 @@
     /// Discovery reports the endpoint list.
     pub fn report_list(&mut self, update: EndpointListUpdate) -> Checked {
         self.oracle.observe_list(self.now, &update);
-        self.handle(Event::EndpointList(update))
+        self.handle(Event::EndpointListUpdated(update))
     }
 
     /// Discovery reports a change of one entry.
@@ -163,13 +163,13 @@
         &mut self,
         class: u16,
         destination: u32,
-        key: Option<OrderKey>,
+        order_key: Option<OrderKey>,
         time_left: Micros,
     ) -> Checked<MessageId> {
         self.last_id += 1;
         let id = MessageId(self.last_id);
         let submission = Submission {
-            key,
+            order_key,
             ..submission(id, class, destination, time_left)
         };
         self.submit_with_attempts(submission, Vec::new())
@@ -187,25 +187,25 @@
             attempts,
             completed: false,
         });
-        self.handle(Event::Submitted(submission))?;
+        self.handle(Event::MessageSubmitted(submission))?;
         Ok(id)
     }
 
     /// A client withdraws a message.
     pub fn withdraw(&mut self, id: MessageId) -> Checked {
         self.messages.get_mut(id)?.completed = true;
-        self.handle(Event::Withdrawn { id })
+        self.handle(Event::MessageWithdrawn { id })
     }
 
     /// The final answer to a message is acknowledged.
     pub fn acknowledge(&mut self, id: MessageId) -> Checked {
         self.messages.unacknowledged.remove(&id);
-        self.handle(Event::ReportAcknowledged { id })
+        self.handle(Event::FinalAnswerAcknowledged { id })
     }
 
     /// A gossip message comes from the forwarder with this number.
-    pub fn receive_gossip(&mut self, from: u16, payload: Vec<u8>) -> Checked {
-        self.handle(Event::Gossip { from, payload })
+    pub fn receive_gossip(&mut self, peer: u16, payload: Vec<u8>) -> Checked {
+        self.handle(Event::GossipReceived { peer, payload })
     }
 
     /// The endpoint of a message's attempt asks for a pause ahead of its answer, which comes later.
@@ -250,12 +250,12 @@
         self.record_outcome(id, outcome)?;
         self.handle(Event::AttemptEnded {
             id,
-            attempt: number as u8,
+            attempt_index: number as u8,
             endpoint: attempt.endpoint,
             outcome,
-            took: self.now - attempt.sent_at,
-            completed: self.messages[id].completed,
-            report: Vec::new(),
+            elapsed: self.now - attempt.sent_at,
+            message_completed: self.messages[id].completed,
+            load_metrics: Vec::new(),
         })
     }
 
@@ -281,7 +281,7 @@
         }
         let is_unclear = matches!(
             outcome,
-            Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
+            Outcome::Timeout | Outcome::ConnectionReset | Outcome::Cancelled
         );
         if let (true, Some(key)) = (is_unclear, self.oracle.order_key(&self.messages[id])) {
             self.oracle.observe_unclear_outcome(self.now, key);
@@ -295,8 +295,8 @@
             Some(endpoint) => self.handle(Event::HealthCheckEnded {
                 endpoint,
                 outcome,
-                took: MS,
-                report: Vec::new(),
+                elapsed: MS,
+                load_metrics: Vec::new(),
             }),
             None => Ok(()),
         }
--- a/tests/common/world/actions.rs
+++ b/tests/common/world/actions.rs
@@ -20,22 +20,22 @@
 
     fn carry_out(&mut self, action: &Action) -> Checked {
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 id,
                 endpoint,
                 timeout,
                 ..
             } => self.send(*id, *endpoint, *timeout),
             Action::Reject { id, .. } | Action::Fail { id } => self.complete(*id, action),
-            Action::HealthCheck { endpoint } => self.send_health_check(*endpoint),
-            Action::Cancel { id, .. } => self.cancel(*id),
+            Action::StartHealthCheck { endpoint } => self.send_health_check(*endpoint),
+            Action::CancelAttempt { id, .. } => self.cancel(*id),
             Action::WithdrawUnsent { endpoint } => {
                 self.withdraw_unsent(*endpoint);
                 Ok(())
             }
-            Action::SetTimer { after, token } => {
+            Action::SetTimer { delay, token } => {
                 // A timer fires after the moment at which it was set.
-                self.timers.insert((self.now + after.max(&1), *token));
+                self.timers.insert((self.now + delay.max(&1), *token));
                 Ok(())
             }
             _ => Ok(()),
--- a/tests/idle/large_lists.rs
+++ b/tests/idle/large_lists.rs
@@ -46,27 +46,27 @@
 
 fn report_complete(forwarder: &mut Forwarder, now: Micros, entries: Vec<EndpointEntry>) {
     let update = EndpointListUpdate::Complete(entries);
-    handle(forwarder, now, Event::EndpointList(update));
+    handle(forwarder, now, Event::EndpointListUpdated(update));
 }
 
 fn report_changes(forwarder: &mut Forwarder, now: Micros, entries: Vec<EndpointEntry>) {
     let update = EndpointListUpdate::Changes(entries);
-    handle(forwarder, now, Event::EndpointList(update));
+    handle(forwarder, now, Event::EndpointListUpdated(update));
 }
 
 /// Submits a message and delivers its attempt, if it is sent at once.
 fn deliver(forwarder: &mut Forwarder, now: Micros, id: MessageId, destination: u32) {
     let submission = submission(id, IDEMPOTENT, destination, TIME_TO_LIVE);
-    for action in handle(forwarder, now, Event::Submitted(submission)) {
-        if let Action::Send { id, endpoint, .. } = action {
+    for action in handle(forwarder, now, Event::MessageSubmitted(submission)) {
+        if let Action::StartAttempt { id, endpoint, .. } = action {
             let delivered = Event::AttemptEnded {
                 id,
-                attempt: 0,
+                attempt_index: 0,
                 endpoint,
                 outcome: Outcome::Delivered,
-                took: MS,
-                completed: true,
-                report: Vec::new(),
+                elapsed: MS,
+                message_completed: true,
+                load_metrics: Vec::new(),
             };
             handle(forwarder, now, delivered);
         }
--- a/tests/idle/main.rs
+++ b/tests/idle/main.rs
@@ -71,7 +71,7 @@
     for _ in 0..10 {
         world.advance(3_000 * MS)?;
         // Destinations are summarised after an event, whichever it is.
-        world.handle(Event::EndpointList(EndpointListUpdate::Failed))?;
+        world.handle(Event::EndpointListUpdated(EndpointListUpdate::Failed))?;
     }
     let counts = world.forwarder.state_counts();
     match counts.full {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -22,7 +22,7 @@
 fn forwarders() -> impl Iterator<Item = World> {
     (0..SIMULATED as u16).map(|number| {
         let config = Config {
-            forwarder: number,
+            forwarder_id: number,
             ..config_in_fleet(300)
         };
         let list = vec![listed_endpoint(1, 0, 20.0), listed_endpoint(2, 0, 20.0)];
@@ -121,7 +121,7 @@
     }
     let before = world.actions.len();
     world.advance(20_000 * MS)?;
-    let is_health_check = |action: &Action| matches!(action, Action::HealthCheck { .. });
+    let is_health_check = |action: &Action| matches!(action, Action::StartHealthCheck { .. });
     assert!(
         !world.actions[before..].iter().any(is_health_check),
         "a health check was sent"
--- a/tests/rules/admission.rs
+++ b/tests/rules/admission.rs
@@ -6,7 +6,7 @@
 #[test]
 fn near_the_capacity_the_message_of_the_least_weight_is_rejected_at_once() -> Checked {
     let mut config = config();
-    config.message_capacity = 20;
+    config.max_messages = 20;
     let mut world = World::new(config, vec![listed_endpoint(1, 0, 2.0)]);
     world.submit_many(20, IDEMPOTENT, 0)?;
     world.advance(50 * MS)?;
@@ -28,14 +28,14 @@
 fn config_with_least_limits() -> Config {
     let mut config = Config {
         concurrency_limit: 1,
-        message_capacity: 1,
+        max_messages: 1,
         max_attempts: 1,
         fleet_size: 0,
-        listed_rates: ListedRates::Unlisted,
+        listed_rate_accuracy: ListedRateAccuracy::Unlisted,
         ..config()
     };
     config.classes[0].latency_objective = 0;
-    config.endpoint_kinds[0].batch_size = 0;
+    config.endpoint_kinds[0].max_batch_size = 0;
     config
 }
 
--- a/tests/rules/attempt_timeout.rs
+++ b/tests/rules/attempt_timeout.rs
@@ -28,7 +28,10 @@
         } else {
             world.advance(3_500 * MS)?;
         }
-        let cancel = Action::Cancel { id, attempt: 0 };
+        let cancel = Action::CancelAttempt {
+            id,
+            attempt_index: 0,
+        };
         assert_eq!(world.actions.contains(&cancel), is_overtaken);
         assert_eq!(
             (world.has_failed(id), world.attempts(id)),
@@ -50,7 +53,7 @@
     }
     world.submit(IDEMPOTENT, 1)?;
     world.advance(2_500 * MS)?;
-    let is_cancel = |action: &Action| matches!(action, Action::Cancel { .. });
+    let is_cancel = |action: &Action| matches!(action, Action::CancelAttempt { .. });
     assert!(!world.actions.iter().any(is_cancel));
     Ok(())
 }
--- a/tests/rules/ordering.rs
+++ b/tests/rules/ordering.rs
@@ -7,7 +7,7 @@
 /// not overtake it, nor the answer of a previous run.
 #[test]
 fn a_key_waits_until_the_final_answer_before_is_acknowledged() -> Checked {
-    let key = OrderKey(5);
+    let order_key = OrderKey(5);
     let mut config = Config {
         order_release: OrderRelease::OnAcknowledgement,
         ..config()
@@ -17,13 +17,13 @@
     }
     let mut world = World::new(config, vec![listed_endpoint(1, 0, 20.0)]);
     let of_previous_run = MessageId(900);
-    world.handle(Event::PendingReport {
+    world.handle(Event::CompletionReportPending {
         id: of_previous_run,
         class: DeliveryClassId(IDEMPOTENT),
-        key,
+        order_key,
     })?;
-    let first = world.submit_with_key(IDEMPOTENT, 0, Some(key), 300 * MS)?;
-    let second = world.submit_with_key(IDEMPOTENT, 0, Some(key), TIME_TO_LIVE)?;
+    let first = world.submit_with_key(IDEMPOTENT, 0, Some(order_key), 300 * MS)?;
+    let second = world.submit_with_key(IDEMPOTENT, 0, Some(order_key), TIME_TO_LIVE)?;
     world.advance(200 * MS)?;
     assert_eq!(world.attempts(first), 0);
     world.advance(400 * MS)?;
--- a/tests/rules/pacing.rs
+++ b/tests/rules/pacing.rs
@@ -10,7 +10,7 @@
     let config = Config {
         fleet_size: 10,
         concurrency_limit: 100,
-        message_capacity: 1_000,
+        max_messages: 1_000,
         ..config()
     };
     let mut world = World::new(config, vec![listed_endpoint(1, 0, 20.0)]);
--- a/tests/rules/repeats.rs
+++ b/tests/rules/repeats.rs
@@ -9,7 +9,7 @@
     let mut world = one_endpoint();
     let keyed = world.submit(IDEMPOTENCY_KEYED, 0)?;
     world.advance(1_000 * MS)?;
-    world.end_attempt(keyed, Outcome::Reset)?;
+    world.end_attempt(keyed, Outcome::ConnectionReset)?;
     // The pause lasts beyond the window.
     let rejected = world.submit(IDEMPOTENT, 0)?;
     let outcome = Outcome::Rejected {
@@ -23,7 +23,7 @@
 
 #[test]
 fn an_at_most_once_message_that_may_have_taken_effect_fails() -> Checked {
-    for outcome in [Outcome::Error, Outcome::Reset, Outcome::Timeout] {
+    for outcome in [Outcome::Error, Outcome::ConnectionReset, Outcome::Timeout] {
         let mut world = one_endpoint();
         let id = world.submit(AT_MOST_ONCE, 0)?;
         world.end_attempt(id, outcome)?;
--- a/tests/rules/retry_after.rs
+++ b/tests/rules/retry_after.rs
@@ -56,7 +56,7 @@
     world.receive_retry_after(first, 900 * MS)?;
     world.submit(IDEMPOTENT, 0)?;
     world.advance(100 * MS)?;
-    world.end_attempt(first, Outcome::Reset)?;
+    world.end_attempt(first, Outcome::ConnectionReset)?;
     world.advance(750 * MS)?;
     assert!(world.messages.in_flight().is_empty());
     world.advance(2_000 * MS)?;
--- a/tests/rules/selection.rs
+++ b/tests/rules/selection.rs
@@ -21,7 +21,7 @@
     ))?;
     let bound_to_zone = world.submit(IDEMPOTENCY_KEYED, 0)?;
     world.advance(500 * MS)?;
-    world.end_attempt(bound_to_zone, Outcome::Reset)?;
+    world.end_attempt(bound_to_zone, Outcome::ConnectionReset)?;
     world.report_list(EndpointListUpdate::Complete(vec![second_endpoint]))?;
     world.advance(500 * MS)?;
     let free = world.submit(IDEMPOTENCY_KEYED, 0)?;
--- a/tests/slow_start_fleet/budget.rs
+++ b/tests/slow_start_fleet/budget.rs
@@ -13,7 +13,7 @@
 
 /// The calls and health checks of the whole fleet, compared with the limit.
 pub struct FleetBudget {
-    rules: RuleConfig,
+    rules: ServiceRuleConfig,
     /// Calls per second that the destination takes when it is warm.
     capacity: f64,
     /// When the destination returns.
@@ -27,7 +27,7 @@
 }
 
 impl FleetBudget {
-    pub fn new(rules: RuleConfig, capacity: f64, returns_at: Micros) -> FleetBudget {
+    pub fn new(rules: ServiceRuleConfig, capacity: f64, returns_at: Micros) -> FleetBudget {
         FleetBudget {
             rules,
             capacity,
--- a/tests/slow_start_fleet/fleet.rs
+++ b/tests/slow_start_fleet/fleet.rs
@@ -87,11 +87,11 @@
 
 fn forwarder_config(case: Case, number: usize) -> Config {
     Config {
-        forwarder: number as u16,
+        forwarder_id: number as u16,
         fleet_size: FORWARDERS as u32,
         may_health_check: case.may_health_check,
         max_attempts: 20,
-        message_capacity: 400,
+        max_messages: 400,
         ..config()
     }
 }
@@ -120,7 +120,7 @@
         for number in 0..FORWARDERS {
             let list = vec![listed_endpoint(1, 0, case.capacity)];
             let update = EndpointListUpdate::Complete(list);
-            fleet.handle(number, Event::EndpointList(update));
+            fleet.handle(number, Event::EndpointListUpdated(update));
             fleet.schedule_submission(number);
         }
         fleet
@@ -174,16 +174,16 @@
 
     fn carry_out(&mut self, forwarder: usize, action: Action) {
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 id,
                 endpoint,
                 timeout,
                 ..
             } => self.send(forwarder, id, endpoint, timeout.unwrap_or(TIME_TO_LIVE)),
-            Action::HealthCheck { endpoint } => self.send_health_check(forwarder, endpoint),
-            Action::Cancel { id, .. } => self.cancel(forwarder, id),
-            Action::SetTimer { after, token } => {
-                self.schedule(after, forwarder, Scheduled::Timer(token));
+            Action::StartHealthCheck { endpoint } => self.send_health_check(forwarder, endpoint),
+            Action::CancelAttempt { id, .. } => self.cancel(forwarder, id),
+            Action::SetTimer { delay, token } => {
+                self.schedule(delay, forwarder, Scheduled::Timer(token));
             }
             _ => {}
         }
@@ -253,10 +253,10 @@
         self.last_id += 1;
         let submission = submission(MessageId(self.last_id), IDEMPOTENT, 0, TIME_TO_LIVE);
         self.schedule_submission(forwarder);
-        self.handle(forwarder, Event::Submitted(submission));
+        self.handle(forwarder, Event::MessageSubmitted(submission));
     }
 
-    fn end_call(&mut self, forwarder: usize, id: MessageId, attempt: u8, call: InFlight) {
+    fn end_call(&mut self, forwarder: usize, id: MessageId, attempt_index: u8, call: InFlight) {
         self.note_failure(forwarder, call);
         let is_delivered = call.outcome == Outcome::Delivered;
         if is_delivered && self.now > RETURNS_AT {
@@ -264,12 +264,12 @@
         }
         let ended = Event::AttemptEnded {
             id,
-            attempt,
+            attempt_index,
             endpoint: call.endpoint,
             outcome: call.outcome,
-            took: self.now - call.sent_at,
-            completed: is_delivered,
-            report: Vec::new(),
+            elapsed: self.now - call.sent_at,
+            message_completed: is_delivered,
+            load_metrics: Vec::new(),
         };
         self.handle(forwarder, ended);
     }
@@ -279,8 +279,8 @@
         let ended = Event::HealthCheckEnded {
             endpoint: health_check.endpoint,
             outcome: health_check.outcome,
-            took: self.now - health_check.sent_at,
-            report: Vec::new(),
+            elapsed: self.now - health_check.sent_at,
+            load_metrics: Vec::new(),
         };
         self.handle(forwarder, ended);
     }
