--- a/crates/forwarder/src/endpoint_list/watch.rs
+++ b/crates/forwarder/src/endpoint_list/watch.rs
@@ -8,7 +8,7 @@
 use crate::platform::{Platform, PlatformAnswer, PlatformError, Reachability};
 use crate::protocol::{list_path, EndpointListDocument};
 use hyper::{Method, StatusCode};
-use opalpulley::{EndpointListUpdate, Event, LONGEST_SILENCE};
+use opalpulley::{EndpointListUpdate, Event, MAX_POLL_SILENCE};
 use opalpulley_config::Names;
 use slog::{info, warn, Logger};
 use std::future::Future;
@@ -30,7 +30,7 @@
 
 /// The same as [`ANSWER_TIMEOUT`] where discovery must be polled. The core counts on the sum of the wait and this.
 const POLLED_ANSWER_TIMEOUT: Duration =
-    Duration::from_micros(LONGEST_SILENCE).saturating_sub(POLLED_WATCH_WAIT);
+    Duration::from_micros(MAX_POLL_SILENCE).saturating_sub(POLLED_WATCH_WAIT);
 
 /// How long a poll that timed out goes on in the background: longer than any poll that is made meanwhile.
 const LATE_POLL_TIMEOUT: Duration = Duration::from_secs(7);
--- a/src/destination.rs
+++ b/src/destination.rs
@@ -176,7 +176,7 @@
     /// Does nothing where each endpoint is at a limit of its own.
     fn peer_rejected(&mut self, context: &mut DecisionContext) {
         if let Some(pacer) = self.pacers.get_mut(&None) {
-            pacer.peer_rejected(context.now, context.config, context.rng);
+            pacer.handle_peer_rejection(context.now, context.config, context.rng);
         }
     }
 
--- a/src/destination/attempts.rs
+++ b/src/destination/attempts.rs
@@ -62,7 +62,7 @@
     ) {
         self.honour_retry_after(endpoint, retry_after, context);
         if let Some(pacer) = self.pacer_of(endpoint) {
-            pacer.rejected(context.now, sent_at, context.config, context.rng);
+            pacer.handle_rejection(context.now, sent_at, context.config, context.rng);
         }
     }
 
--- a/src/destination/dispatch.rs
+++ b/src/destination/dispatch.rs
@@ -59,7 +59,7 @@
                 Some(pacer) if pacer.is_open(context.now) => {
                     ranked.push((snapshot.rank(), *endpoint));
                 }
-                Some(pacer) => pacer.has_delayed = true,
+                Some(pacer) => pacer.has_delayed_message = true,
                 None => {}
             }
         }
@@ -112,7 +112,7 @@
         endpoint: &EndpointSnapshot,
         context: &DecisionContext,
     ) -> Vec<MessageId> {
-        let look_ahead = selection::look_ahead(context.config);
+        let look_ahead = selection::look_ahead_delays(context.config);
         let mut ids = Vec::new();
         for (group, messages) in self.queue.groups() {
             if group.zone.is_some_and(|zone| zone != endpoint.zone) {
--- a/src/destination/message.rs
+++ b/src/destination/message.rs
@@ -1,7 +1,7 @@
 //! A message that waits or is in flight.
 
 use crate::model::{Config, EndpointId, MessageId, Micros, OrderKey, PossibleEffect};
-use crate::policy::admission::Undelivered;
+use crate::policy::admission::UndeliveredMessage;
 use crate::policy::retry;
 use crate::policy::selection::Urgency;
 use crate::queue::{MessageGroup, QueueEntry};
@@ -44,7 +44,7 @@
 impl Message {
     /// The last moment at which its next attempt may begin.
     pub fn last_send(&self, config: &Config) -> Micros {
-        retry::last_send(
+        retry::last_send_at(
             config.classes[self.class].semantics,
             self.attempts,
             config.max_attempts,
@@ -59,7 +59,7 @@
             weight: self.weight,
             objective_at: self.objective_at,
             deadline: self.deadline,
-            last_send: self.last_send(config),
+            last_send_at: self.last_send(config),
         }
     }
 
@@ -100,8 +100,8 @@
     }
 
     /// It as the rule on final answers sees it.
-    pub fn undelivered(&self, config: &Config) -> Undelivered {
-        Undelivered {
+    pub fn undelivered(&self, config: &Config) -> UndeliveredMessage {
+        UndeliveredMessage {
             semantics: config.classes[self.class].semantics,
             attempts: self.attempts,
             deadline: self.deadline,
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -16,7 +16,7 @@
 };
 use crate::policy::attempt_timeout;
 use crate::policy::health_check::{self, Trial};
-use crate::policy::outlier::{self, Circumstances, FailureAccrual, Verdict};
+use crate::policy::outlier::{self, FailureAccrual, OutcomeContext, Verdict};
 use crate::policy::selection;
 use crate::policy::slow_start::{self, ForwarderShare, SlowStartBudget};
 use rand::Rng;
@@ -157,7 +157,7 @@
         self.status = status;
         self.snapshot.zone = zone.0;
         self.snapshot.cost = cost;
-        self.snapshot.tie_breaker = selection::tie_breaker(context.rng);
+        self.snapshot.tie_breaker = selection::draw_tie_breaker(context.rng);
     }
 
     /// A message goes there: in the call that begins now, or in one of its own.
@@ -229,10 +229,12 @@
 
     /// Draws from the outcome of a call what it says of the endpoint.
     fn judge(&mut self, outcome: Outcome, elapsed: Micros, context: &mut DecisionContext) {
-        let circumstances = Circumstances {
+        let circumstances = OutcomeContext {
             now: context.now,
             overload_window: context.config.rules.overload_window,
-            is_budget_scant: self.forwarder_share(context.now, context.config).is_scant,
+            is_budget_negligible: self
+                .forwarder_share(context.now, context.config)
+                .is_negligible,
         };
         if outcome == Outcome::WithdrawnBeforeSend {
             self.budget.refund_call();
@@ -312,7 +314,7 @@
         self.finish_warm_up(context.now, context.config);
         let latency_bound = self.snapshot.latency_bound;
         let unanswered = self.unanswered_calls(context.now, latency_bound);
-        if self.health == Health::Healthy && outlier::is_silent(unanswered) {
+        if self.health == Health::Healthy && outlier::is_unresponsive(unanswered) {
             self.eject(EjectionReason::Unresponsive, context);
         }
         if !tick.is_paused {
@@ -353,7 +355,7 @@
     /// Calls sent since the last answer that have been out for longer than `time` (µs).
     fn unanswered_calls(&self, now: Micros, time: f64) -> usize {
         let is_unanswered = |call: &&Call| {
-            call.sent_at >= self.failures.answered_at && (now - call.sent_at) as f64 > time
+            call.sent_at >= self.failures.last_response_at && (now - call.sent_at) as f64 > time
         };
         self.calls.iter().filter(is_unanswered).count()
     }
--- a/src/endpoint/snapshot.rs
+++ b/src/endpoint/snapshot.rs
@@ -11,7 +11,7 @@
     pub zone: u16,
     /// What a message to it costs.
     pub cost: f64,
-    /// Drawn at random; see [`selection::tie_breaker`].
+    /// Drawn at random; see [`selection::draw_tie_breaker`].
     pub tie_breaker: f64,
     /// Calls that it may get now.
     pub free_calls: usize,
@@ -44,7 +44,9 @@
         let all = context.latency;
         let needs_no_ticks = self.calls.is_empty()
             && (self.health == Health::Healthy
-                || self.forwarder_share(context.now, context.config).is_scant);
+                || self
+                    .forwarder_share(context.now, context.config)
+                    .is_negligible);
         self.snapshot = EndpointSnapshot {
             free_calls: self.free_calls(context),
             calls: self.calls.len(),
--- a/src/forwarder.rs
+++ b/src/forwarder.rs
@@ -112,7 +112,7 @@
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.detect_stall(now);
         self.list_poller
-            .handle(now, &event, &self.config, &mut self.rng, actions);
+            .handle_event(now, &event, &self.config, &mut self.rng, actions);
         self.restore_for(now, &event);
         let max_summaries = crate::idle::max_summaries_after(&event);
         self.apply(now, event, actions);
--- a/src/forwarder/endpoint_list.rs
+++ b/src/forwarder/endpoint_list.rs
@@ -170,7 +170,7 @@
         let answered_at = if is_beyond_full { 0 } else { now };
         self.endpoints.entry(entry.endpoint).or_insert_with(|| {
             let mut endpoint = Endpoint::new(entry.endpoint, entry.destination, kind.batch_size);
-            endpoint.failures.answered_at = answered_at;
+            endpoint.failures.last_response_at = answered_at;
             endpoint
         });
     }
--- a/src/forwarder/events.rs
+++ b/src/forwarder/events.rs
@@ -143,7 +143,7 @@
             let event = DestinationEvent::TimerTick { permits };
             self.mailboxes.send_to_destination(*id, event);
         }
-        self.ordered_queues.forget_unused(now);
+        self.ordered_queues.remove_unused_keys(now);
         for key in self.ordered_queues.keys() {
             self.grant_order(now, key);
         }
@@ -151,7 +151,7 @@
 
     /// Tells the message whose turn it is, if there is one.
     pub(super) fn grant_order(&mut self, now: Micros, key: OrderKey) {
-        if let Some(message) = self.ordered_queues.granted(now, key) {
+        if let Some(message) = self.ordered_queues.next_message(now, key) {
             self.mailboxes.send_to_destination(
                 message.destination,
                 DestinationEvent::OrderGranted(message.id),
--- a/src/forwarder/idle_destinations.rs
+++ b/src/forwarder/idle_destinations.rs
@@ -118,7 +118,7 @@
             return true; // each is at a limit of its own
         }
         let mut pacer = summary.pacer(self.idle.binding(first), now);
-        pacer.peer_rejected(now, &self.config, &mut self.rng);
+        pacer.handle_peer_rejection(now, &self.config, &mut self.rng);
         for endpoint in endpoints {
             let binding = self.idle.binding_mut(endpoint);
             binding.next_call_at = pacer.next_call_at;
@@ -144,7 +144,7 @@
         summary.capacity = listed.calls_per_second as f32;
         summary.zone = entry.zone.0;
         summary.status = entry.status;
-        summary.tie_breaker = selection::tie_breaker(&mut self.rng) as f32;
+        summary.tie_breaker = selection::draw_tie_breaker(&mut self.rng) as f32;
         true
     }
 
@@ -174,7 +174,7 @@
             .endpoints
             .keys()
             .filter_map(|endpoint| self.endpoints.get(endpoint))
-            .map(|endpoint| endpoint.failures.answered_at)
+            .map(|endpoint| endpoint.failures.last_response_at)
             .filter(|answered_at| *answered_at > 0)
             .map(|answered_at| answered_at + CONNECTION_GRACE);
         pace_settled.chain(connection_grace).max().unwrap_or(now)
--- a/src/idle/summary.rs
+++ b/src/idle/summary.rs
@@ -5,7 +5,7 @@
 use crate::endpoint::Endpoint;
 use crate::latency::LatencyEstimator;
 use crate::model::{DestinationId, EndpointId, EndpointStatus, Micros};
-use crate::policy::outlier::{OutcomeWindow, WINDOW};
+use crate::policy::outlier::{OutcomeWindow, OUTCOME_WINDOW_SIZE};
 use crate::policy::pacing::Pacer;
 
 /// What is believed of an idle endpoint. The pace of a destination stands in the summary of each
@@ -30,14 +30,14 @@
 // What 91,000 destinations may take rests on this: a field more is a decision.
 const _: () = assert!(std::mem::size_of::<Summary>() <= 28);
 
-/// On how many answers and outcomes a summary stands, of each [`WINDOW`] at most: four bits each.
+/// On how many answers and outcomes a summary stands, of each [`OUTCOME_WINDOW_SIZE`] at most: four bits each.
 #[derive(Clone, Copy)]
 struct SampleSizes(u8);
 
 impl SampleSizes {
     fn new(answers: f64, outcomes: usize) -> SampleSizes {
-        let answers = (answers as u8).min(WINDOW as u8);
-        let outcomes = outcomes.min(WINDOW) as u8;
+        let answers = (answers as u8).min(OUTCOME_WINDOW_SIZE as u8);
+        let outcomes = outcomes.min(OUTCOME_WINDOW_SIZE) as u8;
         SampleSizes(answers << 4 | outcomes)
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -21,4 +21,4 @@
 pub use forwarder::Forwarder;
 pub use idle::StateCounts;
 pub use model::*;
-pub use policy::list_polling::LONGEST_SILENCE;
+pub use policy::list_polling::MAX_POLL_SILENCE;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -17,7 +17,7 @@
 /// Seconds of a tenant's quota that may come at once: arrivals are uneven.
 const QUOTA_BURST_SECONDS: f64 = 2.0;
 /// Part of the message capacity that is used: beyond it the front turns work away unseen.
-const CAPACITY_IN_USE: f64 = 0.95;
+const CAPACITY_SHARE_IN_USE: f64 = 0.95;
 /// What a client is asked to wait at least, unless `max_retry_after` is shorter.
 const MIN_RETRY_AFTER: Micros = 1_000_000;
 
@@ -30,12 +30,12 @@
 impl TenantQuotas {
     /// Full quotas.
     pub fn new(tenants: usize) -> TenantQuotas {
-        let full = TokenBucket {
+        let full_bucket = TokenBucket {
             tokens: f64::MAX,
             filled_at: 0,
         };
         TenantQuotas {
-            buckets: vec![full; tenants],
+            buckets: vec![full_bucket; tenants],
         }
     }
 
@@ -71,13 +71,13 @@
 }
 
 /// Whether a message has to be given up for others.
-pub fn is_overloaded(messages: usize, capacity: u32) -> bool {
-    messages as f64 > CAPACITY_IN_USE * f64::from(capacity)
+pub fn is_overloaded(message_count: usize, capacity: u32) -> bool {
+    message_count as f64 > CAPACITY_SHARE_IN_USE * f64::from(capacity)
 }
 
 /// A message that waits and is given up.
 #[derive(Clone, Copy, Debug)]
-pub struct Undelivered {
+pub struct UndeliveredMessage {
     /// Whether it may be repeated.
     pub semantics: DeliverySemantics,
     /// Attempts so far.
@@ -105,7 +105,7 @@
 /// A message without an attempt has not failed, however late it is.
 pub fn final_answer(
     now: Micros,
-    message: Undelivered,
+    message: UndeliveredMessage,
     paused_until: Micros,
     config: &Config,
 ) -> FinalAnswer {
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -41,8 +41,8 @@
     }
 }
 
-fn undelivered(attempts: u32, has_effect: bool) -> Undelivered {
-    Undelivered {
+fn undelivered(attempts: u32, has_effect: bool) -> UndeliveredMessage {
+    UndeliveredMessage {
         semantics: DeliverySemantics::AtMostOnce,
         attempts,
         deadline: NOW + 3 * SECOND,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn two_seconds_of_an_even_part_of_the_quota_count_in_full() {
+fn applies_over_quota_weight_after_two_seconds_of_quota() {
     let mut quotas = TenantQuotas::new(1);
     let factors: Vec<f64> = (0..11)
         .map(|_| quotas.weight_factor(NOW, TENANT, &config()))
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_message_of_no_known_tenant_has_no_quota() {
+fn applies_no_quota_to_unknown_tenant() {
     let mut quotas = TenantQuotas::new(1);
     for _ in 0..1_000 {
         assert_eq!(quotas.weight_factor(NOW, TenantId(9), &config()), 1.0);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_objective_is_counted_back_from_the_deadline() {
+fn derives_objective_from_deadline() {
     let whole = submission(6 * SECOND);
     assert_eq!(objective_at(NOW, &whole, &class()), NOW + SECOND);
     let half = submission(3 * SECOND);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_first_submission_with_little_time_counts_in_full_to_its_end() {
+fn uses_deadline_as_objective_for_short_first_submission() {
     let short = submission(SECOND);
     assert_eq!(objective_at(NOW, &short, &class()), NOW + SECOND);
     let again = Submission {
@@ -94,13 +94,13 @@
 }
 
 #[test]
-fn load_is_shed_beyond_ninety_five_in_a_hundred() {
+fn is_overloaded_above_95_percent_of_capacity() {
     assert!(!is_overloaded(95, 100));
     assert!(is_overloaded(96, 100));
 }
 
 #[test]
-fn a_message_without_effect_is_rejected_with_a_second_at_least() {
+fn rejects_message_without_effect_with_minimum_retry_after() {
     assert_eq!(
         final_answer(NOW, undelivered(1, false), 0, &config()),
         FinalAnswer::Reject {
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_pause_sets_the_retry_after_up_to_what_clients_honour() {
+fn derives_retry_after_from_pause_up_to_maximum() {
     let at = |pause| final_answer(NOW, undelivered(0, false), NOW + pause, &config());
     let reject = |retry_after| FinalAnswer::Reject {
         retry_after: Some(retry_after),
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_message_fails_where_the_client_would_come_back_too_late() {
+fn fails_attempted_message_if_resubmission_would_miss_deadline() {
     let until = NOW + 3 * SECOND;
     let answer = |attempts| final_answer(NOW, undelivered(attempts, false), until, &config());
     assert_eq!(answer(1), FinalAnswer::Fail);
@@ -131,13 +131,13 @@
 }
 
 #[test]
-fn a_message_that_may_have_taken_effect_fails() {
+fn fails_at_most_once_message_after_possible_effect() {
     let answer = final_answer(NOW, undelivered(1, true), 0, &config());
     assert_eq!(answer, FinalAnswer::Fail);
 }
 
 #[test]
-fn no_time_is_named_where_the_deployment_forbids_it() {
+fn omits_retry_after_if_deployment_forbids_it() {
     let config = Config {
         may_send_retry_after: false,
         ..config()
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -15,18 +15,18 @@
 pub const SILENCE_THRESHOLD: Micros = 1_000_000;
 
 /// Weight of a new answer in the running mean: some eight answers count.
-const ANSWER_WEIGHT: f64 = 0.125;
+const RESPONSE_WEIGHT: f64 = 0.125;
 /// Answers from which an endpoint's own estimate counts alone.
-const TRUSTED_ANSWERS: f64 = 3.0;
+const TRUSTED_RESPONSES: f64 = 3.0;
 /// Deviations above the mean within which an answer is expected: latencies have long tails.
 const BOUND_DEVIATIONS: f64 = 8.0;
 /// Deviations above the mean from which a call is slow.
 const SLOW_DEVIATIONS: f64 = BOUND_DEVIATIONS / 2.0;
 /// How much longer an attempt may take while permits are free, and again where it must not be
 /// repeated.
-const SLACK: f64 = 2.0;
+const BOUND_EXTENSION: f64 = 2.0;
 /// The timeout of a call, in attempt bounds: beyond any moment at which it is cancelled.
-const TIMEOUT_BOUNDS: f64 = SLACK * SLACK;
+const TIMEOUT_BOUND_FACTOR: f64 = BOUND_EXTENSION * BOUND_EXTENSION;
 /// Keeps the factor in range.
 const MAX_DOUBLINGS: u32 = 8;
 
@@ -40,9 +40,9 @@
 }
 
 impl Permits {
-    fn slack(self) -> f64 {
+    fn bound_factor(self) -> f64 {
         match self {
-            Permits::Free => SLACK,
+            Permits::Free => BOUND_EXTENSION,
             Permits::Exhausted => 1.0,
         }
     }
@@ -50,32 +50,32 @@
 
 /// Takes an answer into an estimate.
 pub fn observe(estimate: &mut LatencyEstimator, latency: Micros) {
-    estimate.observe(latency as f64, ANSWER_WEIGHT);
+    estimate.observe(latency as f64, RESPONSE_WEIGHT);
 }
 
 /// The latency to expect of an endpoint. Where it has few answers of its own, the estimate over all
 /// endpoints makes up for the rest.
 pub fn mean_latency(own: &LatencyEstimator, all: &LatencyEstimator) -> f64 {
-    own.blend_with(all, TRUSTED_ANSWERS, |estimate| estimate.mean)
+    own.blend_with(all, TRUSTED_RESPONSES, |estimate| estimate.mean)
 }
 
 /// The time within which an answer of an endpoint is expected.
 pub fn latency_bound(own: &LatencyEstimator, all: &LatencyEstimator) -> f64 {
     let bound = |estimate: &LatencyEstimator| estimate.mean + BOUND_DEVIATIONS * estimate.deviation;
-    own.blend_with(all, TRUSTED_ANSWERS, bound)
+    own.blend_with(all, TRUSTED_RESPONSES, bound)
         .max(SILENCE_THRESHOLD as f64)
 }
 
 /// The time from which a call counts as slow; 0 while nothing is known.
 pub fn slow_threshold(own: &LatencyEstimator, all: &LatencyEstimator) -> f64 {
-    own.blend_with(all, TRUSTED_ANSWERS, |estimate| {
+    own.blend_with(all, TRUSTED_RESPONSES, |estimate| {
         estimate.mean + SLOW_DEVIATIONS * estimate.deviation
     })
 }
 
-/// The latency bound of the `attempts`-th attempt at a message.
-pub fn attempt_bound(latency_bound: f64, attempts: u32) -> f64 {
-    let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
+/// The latency bound of the `attempt_number`-th attempt at a message.
+pub fn attempt_bound(latency_bound: f64, attempt_number: u32) -> f64 {
+    let doublings = attempt_number.saturating_sub(1).min(MAX_DOUBLINGS);
     latency_bound * f64::from(1u32 << doublings)
 }
 
@@ -86,11 +86,11 @@
     semantics: DeliverySemantics,
     permits: Permits,
 ) -> bool {
-    let slack = match semantics {
-        DeliverySemantics::AtMostOnce => SLACK * permits.slack(),
-        _ => permits.slack(),
+    let bound_factor = match semantics {
+        DeliverySemantics::AtMostOnce => BOUND_EXTENSION * permits.bound_factor(),
+        _ => permits.bound_factor(),
     };
-    elapsed as f64 / attempt_bound > slack
+    elapsed as f64 / attempt_bound > bound_factor
 }
 
 /// The timeout of a call; none: it may take until the deadline.
@@ -102,11 +102,13 @@
     attempt_bound: f64,
     time_left: Micros,
 ) -> Option<Micros> {
-    let longest = (TIMEOUT_BOUNDS * attempt_bound).min(class.time_to_live as f64 / 2.0);
+    let max_timeout = (TIMEOUT_BOUND_FACTOR * attempt_bound).min(class.time_to_live as f64 / 2.0);
     let timeout = match class.semantics {
         DeliverySemantics::AtMostOnce => return None,
-        DeliverySemantics::Idempotent => longest as Micros,
-        DeliverySemantics::IdempotencyKeyed { window, .. } => (longest as Micros).min(window / 2),
+        DeliverySemantics::Idempotent => max_timeout as Micros,
+        DeliverySemantics::IdempotencyKeyed { window, .. } => {
+            (max_timeout as Micros).min(window / 2)
+        }
     };
     Some(timeout.clamp(1, time_left))
 }
--- a/src/policy/attempt_timeout/tests.rs
+++ b/src/policy/attempt_timeout/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_latency_bound_is_never_shorter_than_a_pause() {
+fn latency_bound_is_at_least_silence_threshold() {
     let none = LatencyEstimator::default();
     assert_eq!(latency_bound(&none, &none), SILENCE_THRESHOLD as f64);
     let fast = estimate(1_000.0, 100.0);
@@ -29,16 +29,16 @@
 }
 
 #[test]
-fn few_answers_of_its_own_are_eked_out_with_those_of_all() {
+fn blends_mean_latency_with_all_endpoints_below_trusted_responses() {
     let all = estimate(300.0, 0.0);
-    let one_answer = LatencyEstimator::from_parts(600.0, 0.0, 1.0);
-    let mean = mean_latency(&one_answer, &all);
+    let one_response = LatencyEstimator::from_parts(600.0, 0.0, 1.0);
+    let mean = mean_latency(&one_response, &all);
     assert!((mean - 400.0).abs() < 1e-9, "{mean}");
     assert_eq!(mean_latency(&estimate(600.0, 0.0), &all), 600.0);
 }
 
 #[test]
-fn a_call_is_slow_at_half_the_deviations_of_the_bound() {
+fn slow_threshold_is_four_deviations_above_mean() {
     let known = estimate(2e6, 0.5e6);
     assert_eq!(slow_threshold(&known, &known), 4e6);
     let none = LatencyEstimator::default();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn each_further_attempt_gets_twice_the_bound_up_to_a_limit() {
+fn doubles_attempt_bound_per_attempt_up_to_limit() {
     assert_eq!(attempt_bound(BOUND, 0), BOUND);
     assert_eq!(attempt_bound(BOUND, 1), BOUND);
     assert_eq!(attempt_bound(BOUND, 2), 2.0 * BOUND);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn attempts_are_cancelled_sooner_while_no_permit_is_free() {
+fn cancels_attempts_at_one_bound_if_permits_are_exhausted() {
     let overdue =
         |elapsed, permits| is_overdue(elapsed, BOUND, DeliverySemantics::Idempotent, permits);
     assert!(!overdue(SECOND, Permits::Exhausted));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn at_most_once_attempts_are_cancelled_at_twice_that_time() {
+fn cancels_at_most_once_attempts_at_twice_the_usual_time() {
     let overdue =
         |elapsed, permits| is_overdue(elapsed, BOUND, DeliverySemantics::AtMostOnce, permits);
     assert!(!overdue(2 * SECOND, Permits::Exhausted));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_timeout_is_four_bounds_and_at_most_half_the_time_to_live() {
+fn timeout_is_four_bounds_up_to_half_the_time_to_live() {
     let idempotent = class(DeliverySemantics::Idempotent);
     assert_eq!(timeout(&idempotent, BOUND, 20 * SECOND), Some(4 * SECOND));
     assert_eq!(
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_timeout_leaves_half_the_deduplication_window_for_a_repeat() {
+fn timeout_is_at_most_half_the_deduplication_window() {
     let keyed = class(DeliverySemantics::IdempotencyKeyed {
         scope: DeduplicationScope::AllEndpoints,
         window: 6 * SECOND,
@@ -94,14 +94,14 @@
 }
 
 #[test]
-fn the_timeout_ends_by_the_deadline_and_is_never_nothing() {
+fn timeout_ends_by_deadline_and_is_at_least_one_microsecond() {
     let idempotent = class(DeliverySemantics::Idempotent);
     assert_eq!(timeout(&idempotent, BOUND, SECOND), Some(SECOND));
     assert_eq!(timeout(&idempotent, 0.0, SECOND), Some(1));
 }
 
 #[test]
-fn an_at_most_once_attempt_runs_until_its_deadline() {
+fn sets_no_timeout_for_at_most_once_attempt() {
     let once = class(DeliverySemantics::AtMostOnce);
     assert_eq!(timeout(&once, BOUND, SECOND), None);
 }
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -21,8 +21,8 @@
 const MIN_ENDPOINT_LIMIT: usize = 4;
 
 /// Calls out at once to one destination at most.
-pub fn destination_limit(permits: u32, degraded: bool) -> usize {
-    let share = if degraded {
+pub fn destination_limit(permits: u32, is_degraded: bool) -> usize {
+    let share = if is_degraded {
         DEGRADED_SHARE
     } else {
         HEALTHY_SHARE
@@ -39,8 +39,8 @@
 ///
 /// `capacity` is in calls per second, `mean_latency` in µs.
 pub fn endpoint_limit(capacity: f64, mean_latency: f64) -> usize {
-    let busy = capacity * mean_latency / MICROS_PER_SECOND;
-    ((1.0 + ENDPOINT_QUEUE_FACTOR * busy).ceil() as usize).max(MIN_ENDPOINT_LIMIT)
+    let busy_calls = capacity * mean_latency / MICROS_PER_SECOND;
+    ((1.0 + ENDPOINT_QUEUE_FACTOR * busy_calls).ceil() as usize).max(MIN_ENDPOINT_LIMIT)
 }
 
 #[cfg(test)]
--- a/src/policy/concurrency/tests.rs
+++ b/src/policy/concurrency/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_destination_gets_its_share_of_the_permits_and_one_at_least() {
+fn limits_destination_to_its_share_of_permits_and_at_least_one_call() {
     assert_eq!(destination_limit(64, false), 48);
     assert_eq!(destination_limit(64, true), 32);
     assert_eq!(destination_limit(1, false), 1);
@@ -11,13 +11,13 @@
 }
 
 #[test]
-fn all_degraded_destinations_leave_half_of_the_permits() {
+fn limits_all_degraded_destinations_to_half_of_the_permits() {
     assert_eq!(all_degraded_limit(64), 32);
     assert_eq!(all_degraded_limit(1), 1);
 }
 
 #[test]
-fn an_endpoint_gets_twice_what_its_capacity_keeps_busy() {
+fn limits_endpoint_to_twice_its_busy_calls() {
     // 100 calls per second of 50 ms keep 5 busy.
     assert_eq!(endpoint_limit(100.0, 50_000.0), 11);
     assert_eq!(endpoint_limit(0.0, 0.0), 4, "enough to learn from");
--- a/src/policy/connection_reuse.rs
+++ b/src/policy/connection_reuse.rs
@@ -9,12 +9,12 @@
 /// Weight of an attempt in the running share: some thirty attempts count.
 const ATTEMPT_WEIGHT: f64 = 0.03;
 /// Share of attempts without a connection from which none is kept: one in a hundred reaches it.
-const SCARCE_SHARE: f64 = 0.002;
+const SCARCITY_THRESHOLD: f64 = 0.002;
 
 /// The running share of attempts, over all endpoints, that got no connection.
 #[derive(Debug, Default)]
 pub struct ConnectionScarcity {
-    share: f64,
+    no_connection_share: f64,
 }
 
 impl ConnectionScarcity {
@@ -23,13 +23,13 @@
         if outcome == Outcome::WithdrawnBeforeSend {
             return;
         }
-        let refused = f64::from(u8::from(outcome == Outcome::NoConnection));
-        self.share += ATTEMPT_WEIGHT * (refused - self.share);
+        let no_connection = f64::from(u8::from(outcome == Outcome::NoConnection));
+        self.no_connection_share += ATTEMPT_WEIGHT * (no_connection - self.no_connection_share);
     }
 
     /// Whether idle connections are to be closed.
     pub fn is_scarce(&self) -> bool {
-        self.share > SCARCE_SHARE
+        self.no_connection_share > SCARCITY_THRESHOLD
     }
 }
 
--- a/src/policy/connection_reuse/tests.rs
+++ b/src/policy/connection_reuse/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn connections_are_kept_until_one_attempt_gets_none() {
+fn is_scarce_after_one_attempt_without_connection() {
     let mut scarcity = ConnectionScarcity::default();
     for _ in 0..1_000 {
         scarcity.observe(Outcome::Delivered);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_refused_connection_is_forgotten_after_some_hundred_attempts() {
+fn is_not_scarce_100_attempts_after_failed_connection() {
     let mut scarcity = ConnectionScarcity::default();
     scarcity.observe(Outcome::NoConnection);
     for _ in 0..50 {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_withdrawn_attempt_says_nothing() {
+fn ignores_withdrawn_attempts() {
     let mut scarcity = ConnectionScarcity::default();
     scarcity.observe(Outcome::NoConnection);
     for _ in 0..1_000 {
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -34,7 +34,7 @@
     /// [`ANNOUNCEMENT_INTERVAL`] are removed on each use.
     announced_at: BTreeMap<DestinationId, Micros>,
     /// When an unreadable message was last logged.
-    logged_at: Option<Micros>,
+    last_logged_at: Option<Micros>,
 }
 
 impl Gossip {
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Reads a message from the forwarder number `from`.
+    /// Reads a message from the forwarder number `sender`.
     ///
     /// Returns the destination that is at its limit, if `is_known` accepts it and it was not
     /// announced recently. An unreadable message adds a log line to `actions`, at most one in
@@ -67,7 +67,7 @@
     pub fn receive(
         &mut self,
         now: Micros,
-        from: u16,
+        sender: u16,
         payload: &[u8],
         is_known: impl Fn(DestinationId) -> bool,
         actions: &mut Vec<Action>,
@@ -79,7 +79,7 @@
                 is_accepted.then_some(destination)
             }
             Err(error) => {
-                self.log_unreadable(now, from, error, actions);
+                self.log_unreadable(now, sender, error, actions);
                 None
             }
         }
@@ -88,17 +88,19 @@
     fn log_unreadable(
         &mut self,
         now: Micros,
-        from: u16,
+        sender: u16,
         error: message::GossipError,
         actions: &mut Vec<Action>,
     ) {
-        let logged_recently = self.logged_at.is_some_and(|at| now < at + LOG_INTERVAL);
+        let logged_recently = self
+            .last_logged_at
+            .is_some_and(|at| now < at + LOG_INTERVAL);
         if logged_recently {
             return;
         }
-        self.logged_at = Some(now);
+        self.last_logged_at = Some(now);
         actions.push(Action::Log(LogEvent::GossipIgnored {
-            peer: from,
+            peer: sender,
             problem: error.to_string(),
         }));
     }
--- a/src/policy/gossip/golden_tests.rs
+++ b/src/policy/gossip/golden_tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn datagrams_are_written_and_read_as_recorded() {
+fn encodes_and_decodes_datagrams_as_recorded() {
     let mut compared = 0;
     for line in GOLDEN
         .lines()
--- a/src/policy/gossip/message.rs
+++ b/src/policy/gossip/message.rs
@@ -52,8 +52,8 @@
 /// The destination that the message says is at its limit.
 pub fn decode(payload: &[u8]) -> Result<DestinationId, GossipError> {
     match *payload {
-        [VERSION, AT_LIMIT, low, high] => Ok(destination([low, high, 0, 0])),
-        [VERSION, AT_LIMIT_WIDE, a, b, c, d] => Ok(destination([a, b, c, d])),
+        [VERSION, AT_LIMIT, low, high] => Ok(destination_from_bytes([low, high, 0, 0])),
+        [VERSION, AT_LIMIT_WIDE, a, b, c, d] => Ok(destination_from_bytes([a, b, c, d])),
         [VERSION, AT_LIMIT | AT_LIMIT_WIDE, ..] => Err(GossipError::Length(payload.len())),
         [VERSION, subject, _, ..] => Err(GossipError::Subject(subject)),
         [version, _, _, ..] => Err(GossipError::Version(version)),
@@ -61,6 +61,6 @@
     }
 }
 
-fn destination(little_endian: [u8; 4]) -> DestinationId {
+fn destination_from_bytes(little_endian: [u8; 4]) -> DestinationId {
     DestinationId(u32::from_le_bytes(little_endian))
 }
--- a/src/policy/gossip/tests.rs
+++ b/src/policy/gossip/tests.rs
@@ -5,7 +5,7 @@
 const MS: Micros = 1_000;
 
 /// Destinations with a smaller number are known to the receiver.
-const KNOWN_DESTINATIONS: u32 = 1_000;
+const KNOWN_DESTINATION_COUNT: u32 = 1_000;
 
 /// The number of the forwarder that all received messages come from.
 const PEER: u16 = 4;
@@ -38,7 +38,7 @@
 /// Receives a message. Nothing but a log line about it may be among the actions.
 fn receive(gossip: &mut Gossip, now: Micros, payload: &[u8]) -> Received {
     let mut actions = Vec::new();
-    let is_known = |destination: DestinationId| destination.0 < KNOWN_DESTINATIONS;
+    let is_known = |destination: DestinationId| destination.0 < KNOWN_DESTINATION_COUNT;
     let destination = gossip.receive(now, PEER, payload, is_known, &mut actions);
     let logged = matches!(
         &actions[..],
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_fleet_announces_a_destination_once_a_second() {
+fn announces_destination_once_per_second_in_fleet() {
     let config = config(3, true);
     let (mut sender, mut receiver) = (Gossip::default(), Gossip::default());
     let destination = DestinationId(700);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn nothing_is_announced_without_peers_or_without_permission() {
+fn announces_nothing_without_peers_or_with_gossip_off() {
     let destination = DestinationId(700);
     for config in [config(1, true), config(3, false)] {
         let announcement = Gossip::default().announce_rejection(0, destination, &config);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_unreadable_message_is_ignored_with_a_log_line() {
+fn ignores_and_logs_unreadable_message() {
     for (payload, error) in [
         (vec![], GossipError::Length(0)),
         (vec![1; 256], GossipError::Length(256)),
@@ -125,20 +125,20 @@
 }
 
 #[test]
-fn unreadable_messages_log_one_line_a_minute() {
+fn logs_unreadable_messages_once_per_minute() {
     let mut gossip = Gossip::default();
-    let mut lines = 0;
+    let mut logged_lines = 0;
     for tenth in 0..600 {
         let received = receive(&mut gossip, tenth * 100 * MS, &[]);
-        lines += usize::from(received.logged);
+        logged_lines += usize::from(received.logged);
     }
-    assert_eq!(lines, 1);
+    assert_eq!(logged_lines, 1);
     assert!(receive(&mut gossip, 60_000 * MS, &[]).logged);
 }
 
 /// Forwarders of earlier versions read four bytes and ignore six.
 #[test]
-fn numbers_of_16_bits_take_four_bytes_and_larger_ones_six() {
+fn encodes_16_bit_numbers_in_four_bytes_and_larger_ones_in_six() {
     for (number, payload) in [
         (0, vec![1, 1, 0, 0]),
         (700, vec![1, 1, 0xbc, 2]),
@@ -156,7 +156,7 @@
 /// Whatever is received, nothing panics, only known destinations are reported, and the table holds
 /// no more than what one second brings.
 #[test]
-fn any_sequence_of_messages_leaves_a_small_table() {
+fn keeps_announcement_table_small_for_any_message_sequence() {
     fn property(messages: Vec<(u8, u32, Vec<u8>)>) -> bool {
         let mut gossip = Gossip::default();
         let mut now = 0;
@@ -166,11 +166,11 @@
             let destination = DestinationId(random >> (random % 32));
             let received = receive(&mut gossip, now, &encode(destination));
             receive(&mut gossip, now, &payload);
-            let reported_rightly = match received.destination {
-                Some(reported) => reported == destination && reported.0 < KNOWN_DESTINATIONS,
+            let is_report_correct = match received.destination {
+                Some(reported) => reported == destination && reported.0 < KNOWN_DESTINATION_COUNT,
                 None => true,
             };
-            !received.logged && reported_rightly && gossip.announced_at.len() <= 16
+            !received.logged && is_report_correct && gossip.announced_at.len() <= 16
         })
     }
     QuickCheck::new()
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 
 /// Chance that a message goes in place of a health check.
-const MESSAGE_CHANCE: f64 = 0.25;
+const MESSAGE_PROBABILITY: f64 = 0.25;
 
 /// What tries an ejected endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 pub fn choose_trial(share: ForwarderShare, config: &Config, rng: &mut impl Rng) -> Trial {
     let objective = config.shortest_latency_objective() as f64;
     let is_next_call_late = share.calls_per_second * objective < MICROS_PER_SECOND;
-    if share.is_scant || is_next_call_late || rng.random_bool(MESSAGE_CHANCE) {
+    if share.is_negligible || is_next_call_late || rng.random_bool(MESSAGE_PROBABILITY) {
         Trial::Message
     } else {
         Trial::HealthCheck
--- a/src/policy/health_check/tests.rs
+++ b/src/policy/health_check/tests.rs
@@ -5,7 +5,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-fn trials(calls_per_second: f64, is_scant: bool) -> Vec<Trial> {
+fn trials(calls_per_second: f64, is_negligible: bool) -> Vec<Trial> {
     let config = Config {
         classes: vec![DeliveryClassConfig {
             latency_objective: 1_000_000,
@@ -15,7 +15,7 @@
     };
     let share = ForwarderShare {
         calls_per_second,
-        is_scant,
+        is_negligible,
     };
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     (0..1_000)
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn mostly_a_health_check_goes_and_now_and_then_a_message() {
+fn chooses_message_for_a_quarter_of_trials() {
     let trials = trials(1.0, false);
     let messages = trials.iter().filter(|trial| **trial == Trial::Message);
     let messages = messages.count();
@@ -32,11 +32,11 @@
 }
 
 #[test]
-fn a_message_goes_where_the_next_call_would_miss_the_objective() {
+fn chooses_message_if_next_call_would_miss_objective() {
     assert!(!trials(0.99, false).contains(&Trial::HealthCheck));
 }
 
 #[test]
-fn a_message_goes_where_the_budget_is_scant() {
+fn chooses_message_if_budget_is_negligible() {
     assert!(!trials(10.0, true).contains(&Trial::HealthCheck));
 }
--- a/src/policy/list_polling.rs
+++ b/src/policy/list_polling.rs
@@ -20,7 +20,7 @@
 
 /// µs within which the caller has to report a poll as failed, counted from the poll or from its
 /// last answer.
-pub const LONGEST_SILENCE: Micros = 3_000_000;
+pub const MAX_POLL_SILENCE: Micros = 3_000_000;
 
 /// µs left for the answer to the next poll, out of the time after which a forwarder counts as
 /// notified.
@@ -46,7 +46,7 @@
 /// Decides when to poll. It holds no endpoint list.
 #[derive(Debug, Default)]
 pub struct ListPoller {
-    started: bool,
+    has_started: bool,
     next_poll_at: Option<Micros>,
     last_poll_at: Micros,
     /// Failed polls in a row, none of which was answered for long.
@@ -74,7 +74,7 @@
 impl ListPoller {
     /// Reacts to any event of the forwarder: adds the poll to `actions` when it is due, and sets
     /// its timer when it is scheduled.
-    pub fn handle(
+    pub fn handle_event(
         &mut self,
         now: Micros,
         event: &Event,
@@ -85,12 +85,12 @@
         let Some(poll_interval) = config.list_poll_interval else {
             return;
         };
-        let failed = matches!(
+        let poll_failed = matches!(
             event,
             Event::EndpointListUpdated(EndpointListUpdate::Failed)
         );
-        if failed || !self.started {
-            let delay = self.schedule_poll(now, failed, poll_interval, config, rng);
+        if poll_failed || !self.has_started {
+            let delay = self.schedule_poll(now, poll_failed, poll_interval, config, rng);
             actions.push(Action::SetTimer {
                 delay,
                 token: POLL_TIMER,
@@ -102,21 +102,21 @@
         }
     }
 
-    /// Schedules the next poll, after a failed one if `failed`. Returns the delay until then.
+    /// Schedules the next poll, after a failed one if `poll_failed`. Returns the delay until then.
     fn schedule_poll(
         &mut self,
         now: Micros,
-        failed: bool,
+        poll_failed: bool,
         poll_interval: Micros,
         config: &Config,
         rng: &mut impl Rng,
     ) -> Micros {
-        self.started = true;
-        let since_poll = now.saturating_sub(self.last_poll_at);
-        let window = if failed {
-            self.count_failure(since_poll, poll_interval, config);
-            let longest = longest_delay(since_poll, poll_interval, config);
-            self.window_after_failure(longest, poll_interval, config)
+        self.has_started = true;
+        let elapsed_since_poll = now.saturating_sub(self.last_poll_at);
+        let window = if poll_failed {
+            self.count_failure(elapsed_since_poll, poll_interval, config);
+            let max_delay = longest_delay(elapsed_since_poll, poll_interval, config);
+            self.window_after_failure(max_delay, poll_interval, config)
         } else {
             first_window(poll_interval, config)
         };
@@ -127,13 +127,18 @@
 
     /// Counts a failed poll. A poll that lasted long was answered before it failed and starts a new
     /// row of failures.
-    fn count_failure(&mut self, since_poll: Micros, poll_interval: Micros, config: &Config) {
+    fn count_failure(
+        &mut self,
+        elapsed_since_poll: Micros,
+        poll_interval: Micros,
+        config: &Config,
+    ) {
         // Twice the longest silence, because a silence may be reported late.
-        let answered_after = match config.list_notification_delay {
-            Some(_) => 2 * LONGEST_SILENCE,
+        let answered_threshold = match config.list_notification_delay {
+            Some(_) => 2 * MAX_POLL_SILENCE,
             None => poll_interval,
         };
-        let was_answered = since_poll > answered_after;
+        let was_answered = elapsed_since_poll > answered_threshold;
         self.consecutive_failures = if was_answered {
             1
         } else {
@@ -143,28 +148,28 @@
 
     fn window_after_failure(
         &self,
-        longest: Micros,
+        max_delay: Micros,
         poll_interval: Micros,
         config: &Config,
     ) -> DelayWindow {
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
-        let doubled = base_window(poll_interval, config) << doublings;
+        let doubled_window = base_window(poll_interval, config) << doublings;
         // A lone forwarder has an empty window. The shortest delay keeps it from polling without a
         // pause.
-        let shortest = (POLL_COST_US << doublings).min(longest / SHORTEST_DELAY_DIVISOR);
+        let shortest = (POLL_COST_US << doublings).min(max_delay / SHORTEST_DELAY_DIVISOR);
         DelayWindow {
             shortest,
-            end: doubled.min(longest),
+            end: doubled_window.min(max_delay),
         }
     }
 }
 
 /// The window of the first poll of a process.
 fn first_window(poll_interval: Micros, config: &Config) -> DelayWindow {
-    let longest = longest_delay(0, poll_interval, config);
+    let max_delay = longest_delay(0, poll_interval, config);
     DelayWindow {
         shortest: 0,
-        end: base_window(poll_interval, config).min(longest),
+        end: base_window(poll_interval, config).min(max_delay),
     }
 }
 
@@ -175,14 +180,16 @@
     (POLL_COST_US * other_forwarders).min(poll_interval / FIRST_WINDOW_DIVISOR)
 }
 
-/// The longest delay of the next poll, `since_poll` after the failed one.
-fn longest_delay(since_poll: Micros, poll_interval: Micros, config: &Config) -> Micros {
-    let Some(notified_within) = config.list_notification_delay else {
+/// The longest delay of the next poll, `elapsed_since_poll` after the failed one.
+fn longest_delay(elapsed_since_poll: Micros, poll_interval: Micros, config: &Config) -> Micros {
+    let Some(notification_delay) = config.list_notification_delay else {
         return poll_interval;
     };
     // Discovery may have been in reach ever since the failed poll, so that time is spent.
-    let spent = since_poll.min(LONGEST_SILENCE) + ANSWER_ALLOWANCE_US;
-    notified_within.saturating_sub(spent).min(poll_interval)
+    let time_spent = elapsed_since_poll.min(MAX_POLL_SILENCE) + ANSWER_ALLOWANCE_US;
+    notification_delay
+        .saturating_sub(time_spent)
+        .min(poll_interval)
 }
 
 #[cfg(test)]
--- a/src/policy/list_polling/tests.rs
+++ b/src/policy/list_polling/tests.rs
@@ -21,7 +21,7 @@
 const REJECTION_TIME: Micros = 20 * MS;
 
 /// The time after a change at which a forwarder counts as notified, as on sockets.
-const NOTIFIED_WITHIN: Micros = 6_000 * MS;
+const NOTIFICATION_DELAY: Micros = 6_000 * MS;
 
 fn config(fleet_size: u32) -> Config {
     Config {
@@ -42,7 +42,7 @@
 impl PollingForwarder {
     /// A forwarder that starts at time 0.
     fn new(config: Config, seed: u64) -> PollingForwarder {
-        let is_alone = config.fleet_size == 1;
+        let is_only_forwarder = config.fleet_size == 1;
         let mut forwarder = PollingForwarder {
             list_poller: ListPoller::default(),
             config,
@@ -51,7 +51,7 @@
         };
         let cached_list = Event::EndpointListUpdated(EndpointListUpdate::Cached(Vec::new()));
         let polls = forwarder.handle(0, cached_list);
-        assert!(is_alone || !polls || forwarder.timer == Some(0));
+        assert!(is_only_forwarder || !polls || forwarder.timer == Some(0));
         forwarder
     }
 
@@ -66,7 +66,7 @@
     fn handle(&mut self, now: Micros, event: Event) -> bool {
         let mut actions = Vec::new();
         self.list_poller
-            .handle(now, &event, &self.config, &mut self.rng, &mut actions);
+            .handle_event(now, &event, &self.config, &mut self.rng, &mut actions);
         for action in &actions {
             if let Action::SetTimer { delay, .. } = action {
                 self.timer = Some(now + delay);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_first_poll_is_within_half_the_interval_and_a_lone_forwarder_polls_at_once() {
+fn sends_first_poll_within_half_the_interval_and_at_once_without_peers() {
     for fleet_size in [1, 2, 50, 100_000] {
         let delay = PollingForwarder::new(config(fleet_size), 1).next_poll_at();
         assert!(
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn failures_in_a_row_lengthen_the_delay_up_to_the_interval() {
+fn consecutive_failures_lengthen_delay_up_to_poll_interval() {
     for fleet_size in [1, 100] {
         let mut forwarder = PollingForwarder::new(config(fleet_size), 2);
         let delays = forwarder.delays_after_failures(40, POLL_TIMEOUT);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_poll_that_was_answered_for_long_ends_the_row_of_failures() {
+fn restarts_failure_count_after_long_answered_poll() {
     for fleet_size in [1, 100] {
         let mut forwarder = PollingForwarder::new(config(fleet_size), 2);
         forwarder.delays_after_failures(40, POLL_TIMEOUT);
@@ -148,10 +148,10 @@
 
 /// Polls fail by a rejection, by a break, or by the longest silence.
 #[test]
-fn after_any_failure_the_next_answer_is_in_by_the_time_of_notification() {
+fn next_answer_arrives_within_notification_delay_after_any_failure() {
     for fleet_size in [1, 20, 350] {
         for poll_interval in [POLL_INTERVAL, 60 * POLL_INTERVAL] {
-            for fails_after in [REJECTION_TIME, 1_000 * MS, LONGEST_SILENCE] {
+            for fails_after in [REJECTION_TIME, 1_000 * MS, MAX_POLL_SILENCE] {
                 for seed in 0..200 {
                     check_delays_between_polls(fleet_size, poll_interval, fails_after, seed);
                 }
@@ -168,45 +168,45 @@
 ) {
     let mut forwarder = PollingForwarder::new(config(fleet_size), seed);
     forwarder.config.list_poll_interval = Some(poll_interval);
-    forwarder.config.list_notification_delay = Some(NOTIFIED_WITHIN);
+    forwarder.config.list_notification_delay = Some(NOTIFICATION_DELAY);
     for failures in 1..=20 {
         let polled_at = forwarder.next_poll_at();
         // A lone forwarder has sent its first poll as it started.
         assert!(forwarder.fire_timer(polled_at) || fleet_size == 1 && failures == 1);
         forwarder.fail_poll(polled_at + fails_after);
-        let between = forwarder.next_poll_at() - polled_at;
+        let time_between_polls = forwarder.next_poll_at() - polled_at;
         assert!(
-            between + ANSWER_ALLOWANCE_US <= NOTIFIED_WITHIN,
-            "{fleet_size} forwarders, {failures} failures: {between} µs to the next poll"
+            time_between_polls + ANSWER_ALLOWANCE_US <= NOTIFICATION_DELAY,
+            "{fleet_size} forwarders, {failures} failures: {time_between_polls} µs to the next poll"
         );
         assert!(
-            between > fails_after,
+            time_between_polls > fails_after,
             "{fleet_size} forwarders: polls again without a delay"
         );
     }
     // A watch that was answered for long falls silent. That is noticed after the longest silence.
     let polled_at = forwarder.next_poll_at();
     assert!(forwarder.fire_timer(polled_at));
-    let noticed_at = polled_at + 2 * POLL_INTERVAL + LONGEST_SILENCE;
+    let noticed_at = polled_at + 2 * POLL_INTERVAL + MAX_POLL_SILENCE;
     forwarder.fail_poll(noticed_at);
-    let without_watch = LONGEST_SILENCE + forwarder.next_poll_at() - noticed_at;
+    let time_without_watch = MAX_POLL_SILENCE + forwarder.next_poll_at() - noticed_at;
     assert!(
-        without_watch + ANSWER_ALLOWANCE_US <= NOTIFIED_WITHIN,
-        "{fleet_size} forwarders: {without_watch} µs from a silent watch to a new one"
+        time_without_watch + ANSWER_ALLOWANCE_US <= NOTIFICATION_DELAY,
+        "{fleet_size} forwarders: {time_without_watch} µs from a silent watch to a new one"
     );
 }
 
 /// Also where a silence is reported a little late, as on sockets, and in a small fleet, whose
 /// window is nearly empty.
 #[test]
-fn failures_in_a_row_lengthen_the_delay_under_a_time_of_notification() {
+fn consecutive_failures_lengthen_delay_under_notification_delay() {
     for (fleet_size, fails_after) in [
         (1, REJECTION_TIME),
-        (1, LONGEST_SILENCE + 30 * MS),
-        (3, LONGEST_SILENCE + 30 * MS),
+        (1, MAX_POLL_SILENCE + 30 * MS),
+        (3, MAX_POLL_SILENCE + 30 * MS),
     ] {
         let mut forwarder = PollingForwarder::new(config(fleet_size), 2);
-        forwarder.config.list_notification_delay = Some(NOTIFIED_WITHIN);
+        forwarder.config.list_notification_delay = Some(NOTIFICATION_DELAY);
         let delays = forwarder.delays_after_failures(8, fails_after);
         assert!(
             delays[0] < 300 * MS && delays[7] >= 1_000 * MS,
@@ -216,14 +216,14 @@
 }
 
 #[test]
-fn the_first_answer_is_in_by_the_time_of_notification_however_long_the_interval() {
+fn first_answer_arrives_within_notification_delay_for_long_poll_interval() {
     for seed in 0..200 {
-        let long_interval = Config {
+        let config_with_long_interval = Config {
             list_poll_interval: Some(60 * POLL_INTERVAL),
-            list_notification_delay: Some(NOTIFIED_WITHIN),
+            list_notification_delay: Some(NOTIFICATION_DELAY),
             ..config(350)
         };
-        let forwarder = PollingForwarder::new(long_interval, seed);
-        assert!(forwarder.next_poll_at() + ANSWER_ALLOWANCE_US <= NOTIFIED_WITHIN);
+        let forwarder = PollingForwarder::new(config_with_long_interval, seed);
+        assert!(forwarder.next_poll_at() + ANSWER_ALLOWANCE_US <= NOTIFICATION_DELAY);
     }
 }
--- a/src/policy/list_polling/tests/outage.rs
+++ b/src/policy/list_polling/tests/outage.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// When the watches fall silent.
-const SILENT_FROM: Micros = 2 * POLL_INTERVAL;
+const SILENT_SINCE: Micros = 2 * POLL_INTERVAL;
 
 /// The simulation ends this long after discovery's return.
 const RECOVERY_TIME: Micros = 30_000 * MS;
@@ -16,12 +16,12 @@
     /// µs of discovery's time that a poll takes.
     poll_cost: Micros,
     /// Discovery rejects a poll that would wait for longer.
-    longest_wait: Micros,
+    max_wait: Micros,
     /// How long discovery is down.
     duration: Micros,
-    notified_within: Option<Micros>,
+    notification_delay: Option<Micros>,
     /// A poll without an answer fails after this time.
-    silence: Micros,
+    poll_timeout: Micros,
     /// An answer to a poll that failed counts all the same, up to this time after the poll.
     late_answer_limit: Micros,
 }
@@ -29,10 +29,10 @@
 const OUTAGE: Outage = Outage {
     fleet_size: 350,
     poll_cost: 16 * MS,
-    longest_wait: 3 * POLL_TIMEOUT,
+    max_wait: 3 * POLL_TIMEOUT,
     duration: 8_000 * MS,
-    notified_within: Some(NOTIFIED_WITHIN),
-    silence: LONGEST_SILENCE,
+    notification_delay: Some(NOTIFICATION_DELAY),
+    poll_timeout: MAX_POLL_SILENCE,
     late_answer_limit: 7_000 * MS,
 };
 
@@ -45,8 +45,8 @@
     /// The answer to each forwarder.
     answers: Vec<Micros>,
     /// Polls in the busiest second.
-    most_polls_per_second: usize,
-    all_polls: usize,
+    max_polls_per_second: usize,
+    poll_count: usize,
 }
 
 impl Recovery {
@@ -73,7 +73,7 @@
 impl SimulatedForwarder {
     /// A forwarder whose watch falls silent, which it notices at `fails_at`.
     fn new(mut polling: PollingForwarder, outage: &Outage, fails_at: Micros) -> SimulatedForwarder {
-        polling.config.list_notification_delay = outage.notified_within;
+        polling.config.list_notification_delay = outage.notification_delay;
         polling.timer = None;
         polling.list_poller.next_poll_at = None;
         SimulatedForwarder {
@@ -101,11 +101,11 @@
             self.fails_at = Some(now + REJECTION_TIME);
             return;
         };
-        let takes = answer_at - now;
-        let counts = takes <= outage.silence.max(outage.late_answer_limit);
-        let fails = takes > outage.silence;
-        self.answer_at = counts.then_some(answer_at);
-        self.fails_at = fails.then_some(now + outage.silence);
+        let response_time = answer_at - now;
+        let is_accepted = response_time <= outage.poll_timeout.max(outage.late_answer_limit);
+        let times_out = response_time > outage.poll_timeout;
+        self.answer_at = is_accepted.then_some(answer_at);
+        self.fails_at = times_out.then_some(now + outage.poll_timeout);
     }
 
     fn check_failure(&mut self, now: Micros) {
@@ -121,49 +121,52 @@
 
 /// Simulates the outage and half a minute from discovery's return.
 fn recover(outage: Outage, seed: u64) -> Recovery {
-    let returns_at = SILENT_FROM + outage.duration;
-    let mut discovery = Discovery::new(outage.poll_cost, outage.longest_wait);
+    let discovery_returns_at = SILENT_SINCE + outage.duration;
+    let mut discovery = Discovery::new(outage.poll_cost, outage.max_wait);
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut fleet = Vec::new();
     for polling in PollingForwarder::fleet(outage.fleet_size, seed) {
-        let fails_at = SILENT_FROM + rng.random_range(MS..=outage.silence);
+        let fails_at = SILENT_SINCE + rng.random_range(MS..=outage.poll_timeout);
         fleet.push(SimulatedForwarder::new(polling, &outage, fails_at));
     }
-    let mut polls_at = Vec::new();
-    for now in (SILENT_FROM..returns_at + RECOVERY_TIME).step_by(MS as usize) {
+    let mut poll_times = Vec::new();
+    for now in (SILENT_SINCE..discovery_returns_at + RECOVERY_TIME).step_by(MS as usize) {
         for forwarder in &mut fleet {
             forwarder.check_answers(now);
             if forwarder.answered_at.is_some() {
                 continue;
             }
             if forwarder.polling.fire_timer(now) {
-                if now < returns_at {
-                    forwarder.fails_at = Some(now + outage.silence);
+                if now < discovery_returns_at {
+                    forwarder.fails_at = Some(now + outage.poll_timeout);
                 } else {
-                    polls_at.push(now);
+                    poll_times.push(now);
                     forwarder.poll(now, &outage, &mut discovery);
                 }
             }
             forwarder.check_failure(now);
         }
     }
-    let since_return = |at: Option<Micros>| at.unwrap_or(Micros::MAX).saturating_sub(returns_at);
+    let since_discovery_return = |at: Option<Micros>| {
+        at.unwrap_or(Micros::MAX)
+            .saturating_sub(discovery_returns_at)
+    };
     Recovery {
         first_polls: fleet
             .iter()
-            .map(|forwarder| since_return(forwarder.first_poll_at))
+            .map(|forwarder| since_discovery_return(forwarder.first_poll_at))
             .collect(),
         answers: fleet
             .iter()
-            .map(|forwarder| since_return(forwarder.answered_at))
+            .map(|forwarder| since_discovery_return(forwarder.answered_at))
             .collect(),
-        most_polls_per_second: most_within_a_second(&polls_at),
-        all_polls: polls_at.len(),
+        max_polls_per_second: max_within_a_second(&poll_times),
+        poll_count: poll_times.len(),
     }
 }
 
 /// The most of these times that lie within one second from one of them.
-fn most_within_a_second(times: &[Micros]) -> usize {
+fn max_within_a_second(times: &[Micros]) -> usize {
     let within_a_second_from = |from: &Micros| {
         let second = *from..from + 1_000 * MS;
         times.iter().filter(|at| second.contains(at)).count()
@@ -173,7 +176,7 @@
 
 /// Where discovery can work off the polls of all within the time of notification.
 #[test]
-fn a_fleet_gets_its_list_by_the_time_of_notification_after_an_outage() {
+fn fleet_gets_list_within_notification_delay_after_outage() {
     for poll_cost in [1, 8, 14].map(|ms| ms * MS) {
         for seed in 0..5 {
             let recovery = recover(
@@ -185,13 +188,13 @@
             );
             let last = recovery.answers.iter().max().expect("a fleet");
             assert!(
-                *last <= NOTIFIED_WITHIN,
+                *last <= NOTIFICATION_DELAY,
                 "{poll_cost} µs a poll, seed {seed}: the last answer after {last} µs"
             );
             assert!(
-                recovery.most_polls_per_second <= 175,
+                recovery.max_polls_per_second <= 175,
                 "{} polls in a second",
-                recovery.most_polls_per_second
+                recovery.max_polls_per_second
             );
         }
     }
@@ -200,13 +203,13 @@
 /// The window exists for this: repeated polls do not keep an overloaded discovery down. At least a
 /// third of what it can work off reaches the fleet, late answers included.
 #[test]
-fn a_discovery_slower_than_the_fleet_polls_still_answers_it() {
+fn overloaded_discovery_answers_a_third_of_possible_polls() {
     for poll_cost in [80, 40, 25].map(|ms| ms * MS) {
-        for longest_wait in [1_500, 6_000].map(|ms| ms * MS) {
+        for max_wait in [1_500, 6_000].map(|ms| ms * MS) {
             for seed in 0..5 {
                 let outage = Outage {
                     poll_cost,
-                    longest_wait,
+                    max_wait,
                     ..OUTAGE
                 };
                 let recovery = recover(outage, seed);
@@ -215,7 +218,7 @@
                     let possible = (seconds * 1_000 * MS / poll_cost).min(350);
                     assert!(
                         3 * answered >= possible,
-                        "{poll_cost} µs a poll, longest wait {longest_wait} µs: \
+                        "{poll_cost} µs a poll, longest wait {max_wait} µs: \
                          {answered} of {possible} answered in {seconds} s"
                     );
                 }
@@ -229,10 +232,10 @@
 ///     cargo test --lib trade -- --ignored --nocapture
 #[test]
 #[ignore = "prints a table"]
-fn trade_off_of_the_longest_delay() {
+fn prints_trade_off_of_longest_delay() {
     let unbounded = Outage {
-        notified_within: None,
-        silence: 7_000 * MS,
+        notification_delay: None,
+        poll_timeout: 7_000 * MS,
         late_answer_limit: 0,
         ..OUTAGE
     };
@@ -263,8 +266,8 @@
     let runs: Vec<Recovery> = (0..5).map(|seed| recover(outage, seed)).collect();
     let first_polls = runs.iter().flat_map(|run| &run.first_polls);
     let last_first_poll = first_polls.max().expect("polls") / MS;
-    let busiest = runs.iter().map(|run| run.most_polls_per_second).max();
-    let polls = runs.iter().map(|run| run.all_polls).sum::<usize>() / runs.len();
+    let busiest = runs.iter().map(|run| run.max_polls_per_second).max();
+    let polls = runs.iter().map(|run| run.poll_count).sum::<usize>() / runs.len();
     let answered = |seconds: Micros| {
         let answered = runs.iter().map(|run| run.answered_within(seconds));
         answered.sum::<usize>() / runs.len()
--- a/src/policy/list_polling/tests/start.rs
+++ b/src/policy/list_polling/tests/start.rs
@@ -16,15 +16,15 @@
     let mut answered_at = vec![None; fleet.len()];
     let mut fails_at = vec![None; fleet.len()];
     for now in (0..until).step_by(MS as usize) {
-        for (number, forwarder) in fleet.iter_mut().enumerate() {
+        for (index, forwarder) in fleet.iter_mut().enumerate() {
             if forwarder.fire_timer(now) {
                 match discovery.accept(now) {
-                    None => fails_at[number] = Some(now + REJECTION_TIME),
-                    Some(at) if at - now <= POLL_TIMEOUT => answered_at[number] = Some(at),
-                    Some(_) => fails_at[number] = Some(now + POLL_TIMEOUT),
+                    None => fails_at[index] = Some(now + REJECTION_TIME),
+                    Some(at) if at - now <= POLL_TIMEOUT => answered_at[index] = Some(at),
+                    Some(_) => fails_at[index] = Some(now + POLL_TIMEOUT),
                 }
             }
-            if fails_at[number].take_if(|at| *at <= now).is_some() {
+            if fails_at[index].take_if(|at| *at <= now).is_some() {
                 forwarder.fail_poll(now);
             }
         }
@@ -34,7 +34,7 @@
 
 /// However slow discovery is. Polls repeated each second would never be answered.
 #[test]
-fn a_fleet_that_starts_at_once_gets_its_list() {
+fn fleet_started_at_once_gets_list_within_25_seconds() {
     for (fleet_size, poll_cost) in [
         (3, 500 * MS),
         (100, 20 * MS),
@@ -43,13 +43,13 @@
     ] {
         for seed in 0..5 {
             let answers = answers_after_start(fleet_size, poll_cost, seed, 30_000 * MS);
-            let late = answers
+            let late_count = answers
                 .iter()
                 .filter(|at| at.is_none_or(|at| at > 25_000 * MS))
                 .count();
             assert!(
-                late * 50 <= fleet_size as usize,
-                "{fleet_size} forwarders, {poll_cost} µs a poll: {late} not answered in 25 s"
+                late_count * 50 <= fleet_size as usize,
+                "{fleet_size} forwarders, {poll_cost} µs a poll: {late_count} not answered in 25 s"
             );
         }
     }
--- a/src/policy/ordering.rs
+++ b/src/policy/ordering.rs
@@ -67,7 +67,7 @@
     }
 
     /// The message whose turn it is, unless its key is paused.
-    pub fn granted(&self, now: Micros, key: OrderKey) -> Option<QueuedMessage> {
+    pub fn next_message(&self, now: Micros, key: OrderKey) -> Option<QueuedMessage> {
         let queue = self.keys.get(&key)?;
         if queue.paused_until > now {
             return None;
@@ -76,7 +76,7 @@
     }
 
     /// Forgets the keys that hold nothing back any more.
-    pub fn forget_unused(&mut self, now: Micros) {
+    pub fn remove_unused_keys(&mut self, now: Micros) {
         self.keys
             .retain(|_, queue| !queue.messages.is_empty() || queue.paused_until > now);
     }
--- a/src/policy/ordering/tests.rs
+++ b/src/policy/ordering/tests.rs
@@ -20,64 +20,64 @@
 }
 
 #[test]
-fn the_first_message_of_a_key_is_granted_until_it_leaves() {
+fn returns_first_message_of_key_until_removed() {
     let mut queues = queues(&[1, 2]);
-    assert_eq!(queues.granted(0, KEY), Some(message(1)));
-    assert_eq!(queues.granted(0, KEY), Some(message(1)));
+    assert_eq!(queues.next_message(0, KEY), Some(message(1)));
+    assert_eq!(queues.next_message(0, KEY), Some(message(1)));
     queues.remove(KEY, MessageId(1));
-    assert_eq!(queues.granted(0, KEY), Some(message(2)));
+    assert_eq!(queues.next_message(0, KEY), Some(message(2)));
     queues.remove(KEY, MessageId(2));
-    assert_eq!(queues.granted(0, KEY), None);
+    assert_eq!(queues.next_message(0, KEY), None);
 }
 
 #[test]
-fn a_message_that_leaves_from_the_middle_changes_no_turn() {
+fn keeps_order_if_middle_message_is_removed() {
     let mut queues = queues(&[1, 2, 3]);
     queues.remove(KEY, MessageId(2));
-    assert_eq!(queues.granted(0, KEY), Some(message(1)));
+    assert_eq!(queues.next_message(0, KEY), Some(message(1)));
     queues.remove(KEY, MessageId(1));
-    assert_eq!(queues.granted(0, KEY), Some(message(3)));
+    assert_eq!(queues.next_message(0, KEY), Some(message(3)));
 }
 
 #[test]
-fn a_paused_key_grants_nothing_and_a_pause_is_never_shortened() {
+fn returns_no_message_until_longest_pause_ends() {
     let mut queues = queues(&[1]);
     queues.pause(KEY, 100);
     queues.pause(KEY, 50);
-    assert_eq!(queues.granted(99, KEY), None);
-    assert_eq!(queues.granted(100, KEY), Some(message(1)));
+    assert_eq!(queues.next_message(99, KEY), None);
+    assert_eq!(queues.next_message(100, KEY), Some(message(1)));
 }
 
 #[test]
-fn keys_do_not_wait_for_each_other() {
+fn pause_of_one_key_leaves_other_keys_unaffected() {
     let mut queues = queues(&[1]);
     queues.pause(KEY, 100);
     queues.enqueue(OrderKey(8), message(2));
-    assert_eq!(queues.granted(0, OrderKey(8)), Some(message(2)));
+    assert_eq!(queues.next_message(0, OrderKey(8)), Some(message(2)));
 }
 
 #[test]
-fn an_unacknowledged_message_keeps_its_turn() {
+fn keeps_unacknowledged_message_first() {
     let mut queues = queues(&[1, 2]);
     queues.await_acknowledgement(KEY, MessageId(1));
-    assert_eq!(queues.granted(0, KEY), Some(message(1)));
+    assert_eq!(queues.next_message(0, KEY), Some(message(1)));
     assert_eq!(queues.acknowledge(MessageId(1)), Some(KEY));
     assert_eq!(queues.acknowledge(MessageId(1)), None);
 }
 
 #[test]
-fn a_key_is_forgotten_once_it_is_empty_and_its_pause_over() {
+fn removes_key_once_empty_and_unpaused() {
     let mut queues = queues(&[1]);
     queues.pause(KEY, 100);
     queues.remove(KEY, MessageId(1));
-    queues.forget_unused(99);
+    queues.remove_unused_keys(99);
     assert!(!queues.is_empty());
-    queues.forget_unused(100);
+    queues.remove_unused_keys(100);
     assert!(queues.is_empty());
 }
 
 #[test]
-fn an_outcome_is_unknown_where_the_endpoint_may_still_be_at_work() {
+fn outcome_is_unknown_if_endpoint_may_still_be_processing() {
     for outcome in [
         Outcome::Timeout,
         Outcome::ConnectionReset,
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -12,24 +12,24 @@
 use std::collections::VecDeque;
 
 /// Latest outcomes that judge an endpoint: at a call per second a verdict turns within seconds.
-pub const WINDOW: usize = 8;
+pub const OUTCOME_WINDOW_SIZE: usize = 8;
 /// Fewer successes than this in a full window eject: most attempts failed.
 const EJECT_BELOW_SUCCESSES: usize = 4;
 /// Failures or rejections in a row from which an endpoint is ejected: chance seldom makes three.
 const EJECT_AFTER_FAILURES: u32 = 3;
 /// The same where a cold endpoint would get next to nothing: the retries of a large fleet add up.
-const EJECT_AFTER_FAILURES_SCANT: u32 = 2;
+const EJECT_AFTER_FAILURES_NEGLIGIBLE_BUDGET: u32 = 2;
 /// Failed connections in a row that are excused while other calls get through.
-const EXCUSED_CONNECTION_FAILURES: u32 = 4;
+const MAX_EXCUSED_CONNECTION_FAILURES: u32 = 4;
 /// Failures in the window that make an endpoint degraded: one may be chance.
 const DEGRADED_FAILURES: usize = 2;
 /// Unanswered calls beyond the latency bound that eject.
-const EJECT_AFTER_SILENT_CALLS: usize = 2;
+const EJECT_AFTER_UNANSWERED_CALLS: usize = 2;
 
 /// After an answer, failed connections prove nothing for this time.
 pub const CONNECTION_GRACE: Micros = 2 * SILENCE_THRESHOLD;
 
-/// The latest outcomes of an endpoint, the newest first, [`WINDOW`] at most.
+/// The latest outcomes of an endpoint, the newest first, [`OUTCOME_WINDOW_SIZE`] at most.
 #[derive(Clone, Debug, Default)]
 pub struct OutcomeWindow {
     successes: VecDeque<bool>,
@@ -39,7 +39,7 @@
     /// Takes an outcome in.
     pub fn record(&mut self, success: bool) {
         self.successes.push_front(success);
-        self.successes.truncate(WINDOW);
+        self.successes.truncate(OUTCOME_WINDOW_SIZE);
     }
 
     /// Forgets all outcomes.
@@ -58,7 +58,7 @@
     }
 
     fn has_mostly_failures(&self) -> bool {
-        self.len() == WINDOW && self.len() - self.failures() < EJECT_BELOW_SUCCESSES
+        self.len() == OUTCOME_WINDOW_SIZE && self.len() - self.failures() < EJECT_BELOW_SUCCESSES
     }
 
     /// One bit an outcome, the newest in the lowest, 1 for a success.
@@ -66,15 +66,15 @@
         self.successes
             .iter()
             .enumerate()
-            .fold(0, |bits, (place, success)| {
-                bits | u8::from(*success) << place
+            .fold(0, |bits, (index, success)| {
+                bits | u8::from(*success) << index
             })
     }
 
     /// Reads what [`OutcomeWindow::to_bits`] wrote of `len` outcomes.
     pub fn from_bits(bits: u8, len: u8) -> OutcomeWindow {
         OutcomeWindow {
-            successes: (0..len).map(|place| bits >> place & 1 == 1).collect(),
+            successes: (0..len).map(|index| bits >> index & 1 == 1).collect(),
         }
     }
 }
@@ -90,7 +90,7 @@
 
 /// Under what conditions an outcome is judged.
 #[derive(Clone, Copy, Debug)]
-pub struct Circumstances {
+pub struct OutcomeContext {
     /// Now.
     pub now: Micros,
     /// How long a destination is overloaded before it falls over: rejections over a shorter time
@@ -98,7 +98,7 @@
     pub overload_window: Micros,
     /// Whether this forwarder's share of the endpoint is next to nothing. For a healthy endpoint:
     /// whether it would be, if the endpoint were cold.
-    pub is_budget_scant: bool,
+    pub is_budget_negligible: bool,
 }
 
 /// What the outcomes of attempts say of an endpoint.
@@ -113,13 +113,13 @@
     /// When the failures in a row began; while there are none, the time of the last outcome.
     pub run_started_at: Micros,
     /// When the endpoint answered last.
-    pub answered_at: Micros,
+    pub last_response_at: Micros,
 }
 
 impl FailureAccrual {
     /// Takes the outcome of an attempt in.
-    pub fn record(&mut self, outcome: Outcome, circumstances: Circumstances) -> Verdict {
-        let now = circumstances.now;
+    pub fn record(&mut self, outcome: Outcome, context: OutcomeContext) -> Verdict {
+        let now = context.now;
         if self.consecutive_failures == 0 {
             self.run_started_at = now;
         }
@@ -127,18 +127,18 @@
             self.refused_connections = 0;
         }
         match outcome {
-            Outcome::NoConnection if self.do_others_get_through(now) => {
+            Outcome::NoConnection if self.excuses_connection_failure(now) => {
                 self.refused_connections += 1;
                 return Verdict::Keep;
             }
             Outcome::WithdrawnBeforeSend | Outcome::NotAttempted { .. } => return Verdict::Keep,
-            Outcome::Cancelled if !circumstances.is_budget_scant => return Verdict::Keep,
+            Outcome::Cancelled if !context.is_budget_negligible => return Verdict::Keep,
             Outcome::Delivered => {
-                self.answered_at = now;
+                self.last_response_at = now;
                 self.consecutive_failures = 0;
             }
             Outcome::Rejected { .. } => {
-                self.answered_at = now;
+                self.last_response_at = now;
                 self.consecutive_failures += 1;
             }
             _ => self.consecutive_failures += 1,
@@ -147,27 +147,27 @@
         if !is_rejection {
             self.window.record(outcome == Outcome::Delivered);
         }
-        self.judge(is_rejection, circumstances)
+        self.judge(is_rejection, context)
     }
 
-    fn do_others_get_through(&self, now: Micros) -> bool {
-        now < self.answered_at + CONNECTION_GRACE
-            && self.refused_connections < EXCUSED_CONNECTION_FAILURES
+    fn excuses_connection_failure(&self, now: Micros) -> bool {
+        now < self.last_response_at + CONNECTION_GRACE
+            && self.refused_connections < MAX_EXCUSED_CONNECTION_FAILURES
     }
 
-    fn judge(&self, is_rejection: bool, circumstances: Circumstances) -> Verdict {
-        let min_run = if is_rejection {
-            circumstances.overload_window
+    fn judge(&self, is_rejection: bool, context: OutcomeContext) -> Verdict {
+        let min_run_duration = if is_rejection {
+            context.overload_window
         } else {
             0
         };
-        let run = self.consecutive_failures.max(self.refused_connections);
-        let is_long_run =
-            run >= EJECT_AFTER_FAILURES && circumstances.now >= self.run_started_at + min_run;
-        let is_scant_run = !is_rejection
-            && circumstances.is_budget_scant
-            && self.consecutive_failures >= EJECT_AFTER_FAILURES_SCANT;
-        if is_long_run || is_scant_run || self.window.has_mostly_failures() {
+        let run_length = self.consecutive_failures.max(self.refused_connections);
+        let is_long_run = run_length >= EJECT_AFTER_FAILURES
+            && context.now >= self.run_started_at + min_run_duration;
+        let is_run_on_negligible_budget = !is_rejection
+            && context.is_budget_negligible
+            && self.consecutive_failures >= EJECT_AFTER_FAILURES_NEGLIGIBLE_BUDGET;
+        if is_long_run || is_run_on_negligible_budget || self.window.has_mostly_failures() {
             Verdict::Eject
         } else {
             Verdict::Keep
@@ -182,8 +182,8 @@
 
 /// Whether so many calls, sent since the last answer and unanswered beyond the latency bound,
 /// eject an endpoint. Only a healthy one is judged by it.
-pub fn is_silent(unanswered_calls: usize) -> bool {
-    unanswered_calls >= EJECT_AFTER_SILENT_CALLS
+pub fn is_unresponsive(unanswered_calls: usize) -> bool {
+    unanswered_calls >= EJECT_AFTER_UNANSWERED_CALLS
 }
 
 /// Whether a retry-after is too long for an overload: the destination is taken for shut.
--- a/src/policy/outlier/tests.rs
+++ b/src/policy/outlier/tests.rs
@@ -6,11 +6,11 @@
 /// Long after any answer.
 const NOW: Micros = 100 * SECOND;
 
-fn circumstances(now: Micros) -> Circumstances {
-    Circumstances {
+fn context(now: Micros) -> OutcomeContext {
+    OutcomeContext {
         now,
         overload_window: 2 * SECOND,
-        is_budget_scant: false,
+        is_budget_negligible: false,
     }
 }
 
@@ -19,19 +19,19 @@
 }
 
 fn record_all(failures: &mut FailureAccrual, outcomes: &[Outcome]) -> Vec<Verdict> {
-    let record = |outcome: &Outcome| failures.record(*outcome, circumstances(NOW));
+    let record = |outcome: &Outcome| failures.record(*outcome, context(NOW));
     outcomes.iter().map(record).collect()
 }
 
 #[test]
-fn the_third_failure_in_a_row_ejects() {
+fn ejects_after_three_consecutive_failures() {
     let mut failures = FailureAccrual::default();
     let verdicts = record_all(&mut failures, &[Outcome::Error; 3]);
     assert_eq!(verdicts, [Verdict::Keep, Verdict::Keep, Verdict::Eject]);
 }
 
 #[test]
-fn a_success_begins_a_new_row() {
+fn success_resets_consecutive_failures() {
     let mut failures = FailureAccrual::default();
     let outcomes = [
         Outcome::Error,
@@ -44,18 +44,24 @@
 }
 
 #[test]
-fn two_failures_eject_where_the_budget_is_scant() {
-    let scant = Circumstances {
-        is_budget_scant: true,
-        ..circumstances(NOW)
+fn ejects_after_two_failures_if_budget_is_negligible() {
+    let negligible_budget = OutcomeContext {
+        is_budget_negligible: true,
+        ..context(NOW)
     };
     let mut failures = FailureAccrual::default();
-    assert_eq!(failures.record(Outcome::Error, scant), Verdict::Keep);
-    assert_eq!(failures.record(Outcome::Error, scant), Verdict::Eject);
+    assert_eq!(
+        failures.record(Outcome::Error, negligible_budget),
+        Verdict::Keep
+    );
+    assert_eq!(
+        failures.record(Outcome::Error, negligible_budget),
+        Verdict::Eject
+    );
 }
 
 #[test]
-fn five_failures_in_a_full_window_eject() {
+fn ejects_after_five_failures_in_full_window() {
     let mut failures = FailureAccrual::default();
     let mixed = [
         Outcome::Delivered,
@@ -74,18 +80,18 @@
 }
 
 #[test]
-fn rejections_eject_only_over_a_time_longer_than_an_overload() {
+fn ejects_for_rejections_only_after_overload_window() {
     let mut failures = FailureAccrual::default();
     for _ in 0..20 {
-        let verdict = failures.record(rejected(), circumstances(NOW));
+        let verdict = failures.record(rejected(), context(NOW));
         assert_eq!(verdict, Verdict::Keep);
     }
-    let later = circumstances(NOW + 2 * SECOND);
+    let later = context(NOW + 2 * SECOND);
     assert_eq!(failures.record(rejected(), later), Verdict::Eject);
 }
 
 #[test]
-fn rejections_do_not_make_an_endpoint_degraded() {
+fn rejections_do_not_degrade_endpoint() {
     let mut failures = FailureAccrual::default();
     record_all(&mut failures, &[rejected(); 2]);
     assert!(!failures.is_degraded());
@@ -94,7 +100,7 @@
 }
 
 #[test]
-fn failed_connections_prove_nothing_right_after_an_answer() {
+fn excuses_four_failed_connections_after_response() {
     let mut failures = FailureAccrual::default();
     record_all(&mut failures, &[Outcome::Delivered]);
     let refused = [Outcome::NoConnection; 4];
@@ -108,58 +114,58 @@
 }
 
 #[test]
-fn failed_connections_count_once_the_last_answer_is_old() {
+fn counts_failed_connection_after_grace_period() {
     let mut failures = FailureAccrual::default();
     record_all(&mut failures, &[Outcome::Delivered]);
-    let later = circumstances(NOW + CONNECTION_GRACE);
+    let later = context(NOW + CONNECTION_GRACE);
     failures.record(Outcome::NoConnection, later);
     assert_eq!(failures.consecutive_failures, 1);
 }
 
 #[test]
-fn outcomes_that_say_nothing_change_nothing() {
+fn ignores_inconclusive_outcomes() {
     let mut failures = FailureAccrual::default();
-    let silent = [
+    let inconclusive = [
         Outcome::WithdrawnBeforeSend,
         Outcome::NotAttempted { no_permit: false },
         Outcome::Cancelled,
     ];
-    record_all(&mut failures, &silent);
+    record_all(&mut failures, &inconclusive);
     assert_eq!(failures.window.len(), 0);
     assert_eq!(failures.consecutive_failures, 0);
 }
 
 #[test]
-fn a_cancelled_attempt_counts_where_the_budget_is_scant() {
+fn counts_cancelled_attempt_if_budget_is_negligible() {
     let mut failures = FailureAccrual::default();
-    let scant = Circumstances {
-        is_budget_scant: true,
-        ..circumstances(NOW)
+    let negligible_budget = OutcomeContext {
+        is_budget_negligible: true,
+        ..context(NOW)
     };
-    failures.record(Outcome::Cancelled, scant);
+    failures.record(Outcome::Cancelled, negligible_budget);
     assert_eq!(failures.consecutive_failures, 1);
 }
 
 #[test]
-fn the_window_holds_the_latest_outcomes_and_survives_as_bits() {
+fn window_keeps_latest_outcomes_and_round_trips_as_bits() {
     let mut window = OutcomeWindow::default();
-    for place in 0..20 {
-        window.record(place % 3 == 0);
+    for index in 0..20 {
+        window.record(index % 3 == 0);
     }
-    assert_eq!(window.len(), WINDOW);
+    assert_eq!(window.len(), OUTCOME_WINDOW_SIZE);
     let copy = OutcomeWindow::from_bits(window.to_bits(), window.len() as u8);
     assert_eq!(copy.successes, window.successes);
     assert_eq!(window.successes.front(), Some(&false), "19 is not a third");
 }
 
 #[test]
-fn two_silent_calls_eject() {
-    assert!(!is_silent(1));
-    assert!(is_silent(2));
+fn is_unresponsive_after_two_unanswered_calls() {
+    assert!(!is_unresponsive(1));
+    assert!(is_unresponsive(2));
 }
 
 #[test]
-fn a_retry_after_is_long_beyond_the_overload_window() {
+fn retry_after_is_long_beyond_overload_window() {
     assert!(!is_long_retry_after(2 * SECOND, 2 * SECOND));
     assert!(is_long_retry_after(2 * SECOND + 1, 2 * SECOND));
 }
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -18,7 +18,7 @@
 /// Longest interval, in even shares: a rejection may be another forwarder's doing.
 const MAX_INTERVAL_SHARES: f64 = 2.0;
 /// Longest interval, as a part of the longest time to live.
-const MAX_INTERVAL_LIFE_SHARE: f64 = 0.25;
+const MAX_INTERVAL_TIME_TO_LIVE_SHARE: f64 = 0.25;
 /// Rate that is left after a rejection at an even share: mild, for one rejection says little.
 const REJECTION_RATE_FACTOR: f64 = 0.85;
 /// Growth of the interval after a rejection at most.
@@ -51,9 +51,9 @@
         let is_known = config.listed_rate_accuracy != ListedRateAccuracy::Unlisted
             && rate.is_finite()
             && rate > 0.0;
-        let guess = config.concurrency_limit.max(1).into();
+        let fallback_rate = config.concurrency_limit.max(1).into();
         ListedCapacity {
-            calls_per_second: if is_known { rate } else { guess },
+            calls_per_second: if is_known { rate } else { fallback_rate },
             is_known,
         }
     }
@@ -61,7 +61,7 @@
 
 /// The longest interval between two calls that a deployment can bear.
 pub fn max_interval(config: &Config) -> f64 {
-    MAX_INTERVAL_LIFE_SHARE * config.longest_time_to_live() as f64
+    MAX_INTERVAL_TIME_TO_LIVE_SHARE * config.longest_time_to_live() as f64
 }
 
 /// Paces the calls to one limit: a destination, or an endpoint that has a limit of its own.
@@ -72,7 +72,7 @@
     /// µs between two calls; 0: no pacing.
     pub interval: f64,
     /// Whether a message waited for the interval since the last recovery step.
-    pub has_delayed: bool,
+    pub has_delayed_message: bool,
     /// When the interval recovered last; 0 before the first entry of the list.
     pub recovered_at: Micros,
     /// When the interval was lengthened last.
@@ -89,9 +89,9 @@
     pub fn apply_listed_rate(&mut self, now: Micros, rate: f64, config: &Config) {
         let listed = ListedCapacity::from_rate(rate, config);
         self.capacity = listed.calls_per_second;
-        let is_first = self.recovered_at == 0;
+        let is_first_entry = self.recovered_at == 0;
         self.recovered_at = now;
-        if !is_first {
+        if !is_first_entry {
             return;
         }
         let interval = EVEN_INTERVAL_SHARES * self.even_share_interval(config);
@@ -111,13 +111,13 @@
     /// Shortens the interval by the time since the last recovery step, where any call waited for it
     /// in between.
     pub fn recover(&mut self, now: Micros) {
-        let passed = now.saturating_sub(self.recovered_at) as f64 / MICROS_PER_SECOND;
+        let elapsed_seconds = now.saturating_sub(self.recovered_at) as f64 / MICROS_PER_SECOND;
         self.recovered_at = now;
-        let has_delayed = std::mem::take(&mut self.has_delayed);
-        if has_delayed && now >= self.paused_until {
-            let span = INTERVAL_RECOVERY_SECONDS
+        let has_delayed_message = std::mem::take(&mut self.has_delayed_message);
+        if has_delayed_message && now >= self.paused_until {
+            let recovery_seconds = INTERVAL_RECOVERY_SECONDS
                 .max(INTERVAL_RECOVERY_INTERVALS * self.interval / MICROS_PER_SECOND);
-            self.interval *= (-passed / span).exp();
+            self.interval *= (-elapsed_seconds / recovery_seconds).exp();
         }
         if self.interval < MIN_INTERVAL_CALLS * MICROS_PER_SECOND / self.capacity {
             self.interval = 0.0;
@@ -154,9 +154,9 @@
 
     /// Another forwarder was rejected here: this one goes no faster than an even share, before it
     /// has used up a call to learn the same.
-    pub fn peer_rejected(&mut self, now: Micros, config: &Config, rng: &mut impl Rng) {
-        let even = EVEN_INTERVAL_SHARES * self.even_share_interval(config);
-        let interval = even.min(max_interval(config));
+    pub fn handle_peer_rejection(&mut self, now: Micros, config: &Config, rng: &mut impl Rng) {
+        let even_share = EVEN_INTERVAL_SHARES * self.even_share_interval(config);
+        let interval = even_share.min(max_interval(config));
         if self.interval < interval {
             self.interval = interval;
             self.lengthened_at = now;
@@ -167,7 +167,13 @@
 
     /// A call that was sent at `sent_at` was rejected. Lengthens the interval, unless the call was
     /// sent before the interval was lengthened last: that rejection is accounted for.
-    pub fn rejected(&mut self, now: Micros, sent_at: Micros, config: &Config, rng: &mut impl Rng) {
+    pub fn handle_rejection(
+        &mut self,
+        now: Micros,
+        sent_at: Micros,
+        config: &Config,
+        rng: &mut impl Rng,
+    ) {
         if sent_at >= self.lengthened_at {
             self.interval = self.interval_after_rejection(config);
             self.lengthened_at = now;
@@ -177,15 +183,16 @@
 
     fn interval_after_rejection(&self, config: &Config) -> f64 {
         let even_share = self.even_share_interval(config);
-        let first = (FIRST_INTERVAL_CALLS * MICROS_PER_SECOND / self.capacity)
+        let first_interval = (FIRST_INTERVAL_CALLS * MICROS_PER_SECOND / self.capacity)
             .max(FIRST_INTERVAL_SHARES * even_share);
-        let longest = (MAX_INTERVAL_SHARES * even_share)
+        let longest_interval = (MAX_INTERVAL_SHARES * even_share)
             .min(max_interval(config))
-            .max(first);
-        let mild = self.interval.max(EVEN_INTERVAL_SHARES * even_share) / REJECTION_RATE_FACTOR;
+            .max(first_interval);
+        let mild_interval =
+            self.interval.max(EVEN_INTERVAL_SHARES * even_share) / REJECTION_RATE_FACTOR;
         (REJECTION_INTERVAL_FACTOR * self.interval)
-            .min(mild)
-            .clamp(first, longest)
+            .min(mild_interval)
+            .clamp(first_interval, longest_interval)
     }
 
     /// Pauses all calls until `until`, or longer where an earlier retry-after binds longer.
@@ -199,8 +206,8 @@
         if self.next_call_at == 0 {
             return 0; // no call has gone yet
         }
-        let settling = (self.interval + self.catch_up_time()) as Micros;
-        self.next_call_at.saturating_add(settling)
+        let settling_time = (self.interval + self.catch_up_time()) as Micros;
+        self.next_call_at.saturating_add(settling_time)
     }
 }
 
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -13,27 +13,27 @@
 /// Longest wait before jitter, as a part of the time to live.
 const MAX_BACKOFF_SHARE: f64 = 0.25;
 /// Largest random part, of the wait. Under 1, so that doubled waits still grow.
-const JITTER: f64 = 0.5;
+const JITTER_SHARE: f64 = 0.5;
 /// Keeps the shift in range; any maximum is reached long before.
 const MAX_DOUBLINGS: u32 = 20;
 
 /// A message is not sent this close to its last moment: timers are late by as much.
 pub const SEND_MARGIN: Micros = 2 * TIMER_INTERVAL;
 
-/// The wait after the `attempts`-th attempt has failed.
+/// The wait after the `attempt_number`-th attempt has failed.
 ///
-/// `random` is drawn from 0 to 1. It spreads messages that failed together.
-pub fn backoff(attempts: u32, time_to_live: Micros, random: f64) -> Micros {
-    let max = (MAX_BACKOFF_SHARE * time_to_live as f64) as Micros;
-    let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
-    let wait = (BASE_BACKOFF << doublings).min(max);
-    wait + (wait as f64 * JITTER * random) as Micros
+/// `jitter_fraction` is drawn from 0 to 1. It spreads messages that failed together.
+pub fn backoff(attempt_number: u32, time_to_live: Micros, jitter_fraction: f64) -> Micros {
+    let max_wait = (MAX_BACKOFF_SHARE * time_to_live as f64) as Micros;
+    let doublings = attempt_number.saturating_sub(1).min(MAX_DOUBLINGS);
+    let wait = (BASE_BACKOFF << doublings).min(max_wait);
+    wait + (wait as f64 * JITTER_SHARE * jitter_fraction) as Micros
 }
 
 /// The last moment at which the next attempt at a message may begin; 0 when there is to be none.
 ///
 /// `attempts` counts those of earlier runs too.
-pub fn last_send(
+pub fn last_send_at(
     semantics: DeliverySemantics,
     attempts: u32,
     max_attempts: u32,
@@ -75,13 +75,13 @@
 }
 
 /// Whether it is too late for another attempt: the last moment to send comes within the margin.
-pub fn is_too_late(now: Micros, last_send: Micros) -> bool {
-    now + SEND_MARGIN >= last_send
+pub fn is_too_late(now: Micros, last_send_at: Micros) -> bool {
+    now + SEND_MARGIN >= last_send_at
 }
 
 /// The moment by which the first byte of an attempt has to be out.
-pub fn send_by(last_send: Micros) -> Micros {
-    last_send.saturating_sub(SEND_MARGIN)
+pub fn send_by(last_send_at: Micros) -> Micros {
+    last_send_at.saturating_sub(SEND_MARGIN)
 }
 
 #[cfg(test)]
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_backoff_doubles_from_its_base_up_to_a_part_of_the_time_to_live() {
+fn backoff_doubles_up_to_share_of_time_to_live() {
     let waits: Vec<Micros> = (1..=6).map(|n| backoff(n, 4 * SECOND, 0.0)).collect();
     assert_eq!(
         waits,
@@ -27,13 +27,13 @@
 }
 
 #[test]
-fn the_longest_backoff_holds_for_any_number_of_attempts() {
+fn backoff_stays_in_range_for_any_attempt_number() {
     assert_eq!(backoff(u32::MAX, 4 * SECOND, 0.0), SECOND);
     assert_eq!(backoff(0, 4 * SECOND, 0.0), 100_000);
 }
 
 #[test]
-fn jitter_adds_less_than_the_next_doubling() {
+fn jitter_adds_less_than_next_doubling() {
     for attempts in 1..4 {
         let longest = backoff(attempts, DEADLINE, 1.0);
         assert_eq!(longest, backoff(attempts, DEADLINE, 0.0) * 3 / 2);
@@ -42,34 +42,34 @@
 }
 
 #[test]
-fn the_attempt_limit_counts_for_every_class() {
+fn allows_no_send_at_attempt_limit_for_any_semantics() {
     for semantics in [
         DeliverySemantics::Idempotent,
         KEYED,
         DeliverySemantics::AtMostOnce,
     ] {
-        assert_eq!(last_send(semantics, 7, 8, DEADLINE, None), DEADLINE);
-        assert_eq!(last_send(semantics, 8, 8, DEADLINE, None), 0);
+        assert_eq!(last_send_at(semantics, 7, 8, DEADLINE, None), DEADLINE);
+        assert_eq!(last_send_at(semantics, 8, 8, DEADLINE, None), 0);
     }
 }
 
 #[test]
-fn a_keyed_message_is_repeated_within_the_window_of_its_first_effect() {
-    let last = |sent_at| last_send(KEYED, 1, 8, DEADLINE, effect_at(sent_at));
+fn repeats_keyed_message_within_deduplication_window() {
+    let last = |sent_at| last_send_at(KEYED, 1, 8, DEADLINE, effect_at(sent_at));
     assert_eq!(last(5 * SECOND), 15 * SECOND);
     assert_eq!(last(55 * SECOND), DEADLINE, "the deadline comes first");
     assert_eq!(last(Micros::MAX), DEADLINE, "no overflow");
 }
 
 #[test]
-fn an_at_most_once_message_is_not_repeated_after_a_possible_effect() {
+fn does_not_repeat_at_most_once_message_after_possible_effect() {
     let once = DeliverySemantics::AtMostOnce;
-    assert_eq!(last_send(once, 1, 8, DEADLINE, effect_at(0)), 0);
-    assert_eq!(last_send(once, 1, 8, DEADLINE, None), DEADLINE);
+    assert_eq!(last_send_at(once, 1, 8, DEADLINE, effect_at(0)), 0);
+    assert_eq!(last_send_at(once, 1, 8, DEADLINE, None), DEADLINE);
 }
 
 #[test]
-fn only_a_possible_effect_in_a_zone_scope_requires_a_zone() {
+fn requires_zone_only_for_possible_effect_with_zone_scope() {
     let everywhere = DeliverySemantics::IdempotencyKeyed {
         scope: DeduplicationScope::AllEndpoints,
         window: SECOND,
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn only_idempotent_messages_may_be_resubmitted_after_a_possible_effect() {
+fn allows_resubmission_after_possible_effect_only_if_idempotent() {
     assert!(may_be_resubmitted(
         DeliverySemantics::Idempotent,
         effect_at(0)
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_send_margin_is_kept_before_the_last_moment() {
+fn is_too_late_within_send_margin_of_last_send() {
     assert!(!is_too_late(DEADLINE - SEND_MARGIN - 1, DEADLINE));
     assert!(is_too_late(DEADLINE - SEND_MARGIN, DEADLINE));
     assert_eq!(send_by(DEADLINE), DEADLINE - SEND_MARGIN);
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -15,9 +15,9 @@
 
 /// In the last part of its time to live (one in so many) a message that must not be repeated may
 /// go to a degraded endpoint.
-const LAST_RESORT_LIFE_DIVISOR: Micros = 4;
+const LAST_RESORT_TIME_TO_LIVE_DIVISOR: Micros = 4;
 /// Width of the random tie-breaker between endpoints, in calls.
-const TIE_BREAKER: std::ops::Range<f64> = 0.5..1.5;
+const TIE_BREAKER_RANGE: std::ops::Range<f64> = 0.5..1.5;
 
 /// What decides when a message is sent.
 #[derive(Clone, Copy, Debug)]
@@ -29,7 +29,7 @@
     /// When it is over.
     pub deadline: Micros,
     /// The last moment at which it may be sent.
-    pub last_send: Micros,
+    pub last_send_at: Micros,
 }
 
 impl Urgency {
@@ -38,22 +38,22 @@
         if at >= self.deadline as f64 {
             return 0.0;
         }
-        let late = (at - self.objective_at as f64).max(0.0);
-        let remaining = match decay {
+        let lateness = (at - self.objective_at as f64).max(0.0);
+        let remaining_share = match decay {
             PriorityDecay::Exponential => {
                 let half_life = (class.latency_objective as f64).max(1.0);
-                (-late / half_life).exp2().max(class.late_weight_share)
+                (-lateness / half_life).exp2().max(class.late_weight_share)
             }
             PriorityDecay::Linear => {
-                let span = self.deadline.saturating_sub(self.objective_at) as f64;
-                1.0 - (1.0 - class.late_weight_share) * late / span.max(1.0)
+                let decay_span = self.deadline.saturating_sub(self.objective_at) as f64;
+                1.0 - (1.0 - class.late_weight_share) * lateness / decay_span.max(1.0)
             }
         };
-        self.weight * remaining
+        self.weight * remaining_share
     }
 
     /// What is lost by sending it somewhat later than now: its weight now, less the mean over
-    /// the later times of [`look_ahead`].
+    /// the later times of [`look_ahead_delays`].
     pub fn expected_loss(
         &self,
         now: Micros,
@@ -63,27 +63,28 @@
     ) -> f64 {
         let now = now as f64;
         let weight_after = |delay: f64| {
-            if now + delay < self.last_send as f64 {
+            if now + delay < self.last_send_at as f64 {
                 self.weight_at(now + delay + mean_latency, class, config.priority_decay)
             } else {
                 0.0
             }
         };
-        let [first, soon, later, late] = look_ahead(config).map(weight_after);
-        first - (soon + later + late) / 3.0
+        let [weight_now, weight_soon, weight_later, weight_late] =
+            look_ahead_delays(config).map(weight_after);
+        weight_now - (weight_soon + weight_later + weight_late) / 3.0
     }
 }
 
 /// How far ahead the loss is looked at: now, and on the scale of the shortest objective.
-pub fn look_ahead(config: &Config) -> [f64; 4] {
+pub fn look_ahead_delays(config: &Config) -> [f64; 4] {
     let objective = config.shortest_latency_objective() as f64;
     [0.0, objective / 4.0, objective, 3.0 * objective]
 }
 
 /// How long after its objective the weight of a message falls, where it decays exponentially.
 pub fn decay_time(class: &DeliveryClassConfig) -> f64 {
-    let late_share = class.late_weight_share.max(f64::MIN_POSITIVE);
-    -late_share.log2() * class.latency_objective as f64
+    let late_weight_share = class.late_weight_share.max(f64::MIN_POSITIVE);
+    -late_weight_share.log2() * class.latency_objective as f64
 }
 
 /// The latency objectives (`objective_at`) of messages that an endpoint may get now.
@@ -96,12 +97,12 @@
     objective_to_deadline: i64,
     objective_to_last_send: i64,
     class: &DeliveryClassConfig,
-    degraded: bool,
+    is_degraded: bool,
 ) -> RangeInclusive<i64> {
     let earliest = (now + SEND_MARGIN) as i64 - objective_to_last_send + 1;
-    let latest = if class.semantics == DeliverySemantics::AtMostOnce && degraded {
-        let last_resort = (class.time_to_live / LAST_RESORT_LIFE_DIVISOR) as i64;
-        now as i64 + last_resort - objective_to_deadline - 1
+    let latest = if class.semantics == DeliverySemantics::AtMostOnce && is_degraded {
+        let last_resort_time = (class.time_to_live / LAST_RESORT_TIME_TO_LIVE_DIVISOR) as i64;
+        now as i64 + last_resort_time - objective_to_deadline - 1
     } else {
         i64::MAX
     };
@@ -116,22 +117,27 @@
 }
 
 /// What is lost by waiting, per µs that the call would hold its permit.
-pub fn loss_per_permit_time(loss: f64, mean_latency: f64) -> f64 {
-    loss / mean_latency.max(1.0)
+pub fn loss_per_permit_time(expected_loss: f64, mean_latency: f64) -> f64 {
+    expected_loss / mean_latency.max(1.0)
 }
 
 /// The rank of an endpoint among those that can take a call: the least goes first.
 ///
-/// `cost` is its price for a message, `calls` those out there; latency in µs.
-pub fn endpoint_rank(cost: f64, mean_latency: f64, calls: usize, tie_breaker: f64) -> f64 {
-    let load = calls as f64 + tie_breaker;
+/// `cost` is its price for a message, `calls_in_flight` those out there; latency in µs.
+pub fn endpoint_rank(
+    cost: f64,
+    mean_latency: f64,
+    calls_in_flight: usize,
+    tie_breaker: f64,
+) -> f64 {
+    let load = calls_in_flight as f64 + tie_breaker;
     cost * MICROS_PER_SECOND * MICROS_PER_SECOND + mean_latency * load
 }
 
 /// Draws a tie-breaker for [`endpoint_rank`]: forwarders that know little must not all choose the
 /// same endpoint.
-pub fn tie_breaker(rng: &mut impl Rng) -> f64 {
-    rng.random_range(TIE_BREAKER)
+pub fn draw_tie_breaker(rng: &mut impl Rng) -> f64 {
+    rng.random_range(TIE_BREAKER_RANGE)
 }
 
 #[cfg(test)]
--- a/src/policy/selection/tests.rs
+++ b/src/policy/selection/tests.rs
@@ -29,7 +29,7 @@
         weight: 4.0,
         objective_at: 10 * SECOND,
         deadline: 14 * SECOND,
-        last_send: 14 * SECOND,
+        last_send_at: 14 * SECOND,
     }
 }
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_delivery_counts_in_full_up_to_the_objective_and_nothing_from_the_deadline() {
+fn weight_is_full_until_objective_and_zero_from_deadline() {
     for decay in [PriorityDecay::Linear, PriorityDecay::Exponential] {
         assert_eq!(weight_at(0.0, decay), 4.0);
         assert_eq!(weight_at(10.0, decay), 4.0);
@@ -48,53 +48,53 @@
 }
 
 #[test]
-fn linear_decay_ends_at_the_late_share() {
+fn linear_decay_ends_at_late_weight_share() {
     assert_eq!(weight_at(12.0, PriorityDecay::Linear), 4.0 * 0.625);
     assert!((weight_at(13.999_999, PriorityDecay::Linear) - 1.0).abs() < 1e-3);
 }
 
 #[test]
-fn exponential_decay_halves_with_each_objective_down_to_the_late_share() {
+fn exponential_decay_halves_per_objective_down_to_late_weight_share() {
     assert_eq!(weight_at(11.0, PriorityDecay::Exponential), 2.0);
     assert_eq!(weight_at(12.0, PriorityDecay::Exponential), 1.0);
     assert_eq!(weight_at(13.5, PriorityDecay::Exponential), 1.0);
 }
 
 #[test]
-fn nothing_is_lost_by_leaving_a_message_that_is_not_due_for_long() {
+fn expected_loss_is_zero_long_before_objective() {
     let class = class(DeliverySemantics::Idempotent);
     let loss = urgency().expected_loss(0, 0.0, &class, &config());
     assert_eq!(loss, 0.0);
 }
 
 #[test]
-fn all_is_lost_where_it_can_be_sent_only_now() {
+fn expected_loss_is_full_weight_if_sendable_only_now() {
     let class = class(DeliverySemantics::Idempotent);
-    let last_call = Urgency {
-        last_send: 9 * SECOND + 1,
+    let sendable_only_now = Urgency {
+        last_send_at: 9 * SECOND + 1,
         ..urgency()
     };
-    let loss = last_call.expected_loss(9 * SECOND, 0.0, &class, &config());
+    let loss = sendable_only_now.expected_loss(9 * SECOND, 0.0, &class, &config());
     assert_eq!(loss, 4.0);
 }
 
 #[test]
-fn the_loss_is_looked_at_on_the_scale_of_the_shortest_objective() {
-    assert_eq!(look_ahead(&config()), [0.0, 0.25e6, 1e6, 3e6]);
+fn look_ahead_delays_scale_with_shortest_objective() {
+    assert_eq!(look_ahead_delays(&config()), [0.0, 0.25e6, 1e6, 3e6]);
 }
 
 #[test]
-fn a_weight_decays_until_it_reaches_the_late_share() {
+fn decay_time_ends_at_late_weight_share_and_is_finite() {
     assert_eq!(decay_time(&class(DeliverySemantics::Idempotent)), 2e6);
-    let no_late_share = DeliveryClassConfig {
+    let without_late_weight = DeliveryClassConfig {
         late_weight_share: 0.0,
         ..class(DeliverySemantics::Idempotent)
     };
-    assert!(decay_time(&no_late_share).is_finite());
+    assert!(decay_time(&without_late_weight).is_finite());
 }
 
 #[test]
-fn a_message_too_late_to_be_sent_is_not_eligible() {
+fn excludes_message_too_late_to_send() {
     let class = class(DeliverySemantics::Idempotent);
     // Its last moment to send is 4 s after its objective.
     let eligible = eligible_objectives(10 * SECOND, 4_000_000, 4_000_000, &class, false);
@@ -105,10 +105,10 @@
 }
 
 #[test]
-fn an_at_most_once_message_is_kept_from_a_degraded_endpoint_while_there_is_time() {
-    let once = class(DeliverySemantics::AtMostOnce);
+fn excludes_at_most_once_message_from_degraded_endpoint_until_last_quarter() {
+    let at_most_once = class(DeliverySemantics::AtMostOnce);
     let eligible =
-        |degraded| eligible_objectives(10 * SECOND, 4_000_000, 4_000_000, &once, degraded);
+        |degraded| eligible_objectives(10 * SECOND, 4_000_000, 4_000_000, &at_most_once, degraded);
     // A quarter of its time to live is left: its objective was at 8 s, its deadline is at 12 s.
     assert!(!eligible(true).contains(&8_000_000));
     assert!(eligible(true).contains(&7_999_999));
@@ -116,32 +116,32 @@
 }
 
 #[test]
-fn a_late_message_leaves_the_next_call_to_others_unless_one_is_to_spare() {
+fn late_message_takes_call_only_if_one_is_spare() {
     assert!(may_take_call(SECOND, SECOND + 1, false));
     assert!(!may_take_call(SECOND, SECOND, false));
     assert!(may_take_call(SECOND, SECOND, true));
 }
 
 #[test]
-fn a_permit_that_is_held_for_less_is_used_better() {
+fn shorter_permit_time_ranks_higher() {
     assert!(loss_per_permit_time(1.0, 10.0) > loss_per_permit_time(1.0, 20.0));
     assert_eq!(loss_per_permit_time(1.0, 0.0), 1.0);
 }
 
 #[test]
-fn the_cheapest_endpoint_goes_first_then_the_least_loaded() {
-    let free = endpoint_rank(0.0, 50_000.0, 20, 1.0);
+fn ranks_endpoints_by_cost_then_by_load() {
+    let free_of_charge = endpoint_rank(0.0, 50_000.0, 20, 1.0);
     let paid = endpoint_rank(0.001, 50_000.0, 0, 1.0);
-    assert!(free < paid);
+    assert!(free_of_charge < paid);
     let busy = endpoint_rank(0.0, 50_000.0, 2, 0.5);
     let idle = endpoint_rank(0.0, 50_000.0, 0, 1.5);
     assert!(idle < busy);
 }
 
 #[test]
-fn a_tie_breaker_is_less_than_a_call() {
+fn tie_breaker_stays_in_range() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     for _ in 0..100 {
-        assert!((0.5..1.5).contains(&tie_breaker(&mut rng)));
+        assert!((0.5..1.5).contains(&draw_tie_breaker(&mut rng)));
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -11,15 +11,15 @@
 use crate::token_bucket::TokenBucket;
 
 /// Part of the allowed load that is used: each forwarder only estimates the capacity.
-const ALLOWED_LOAD_USED: f64 = 0.8;
+const ALLOWED_LOAD_SHARE_USED: f64 = 0.8;
 /// Calls per overload window under which an even part is scant.
-const SCANT_CALLS: f64 = 0.25;
+const NEGLIGIBLE_CALLS: f64 = 0.25;
 /// What messages may add to a scant part, as a multiple of what is left of it: 1.5 halves.
 const MAX_EARNED_SHARES: f64 = 1.5;
 /// What a further message in a call costs, in calls.
 const BATCHED_MESSAGE_COST: f64 = 0.15;
 /// Calls that a budget holds at most.
-const MAX_BUDGET: f64 = 1.0;
+const MAX_BUDGET_CALLS: f64 = 1.0;
 
 /// What this forwarder may send to an endpoint that may be cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -27,7 +27,7 @@
     /// Calls per second, whatever messages there are.
     pub calls_per_second: f64,
     /// Whether it is next to nothing, so that messages earn calls on top.
-    pub is_scant: bool,
+    pub is_negligible: bool,
 }
 
 /// What an endpoint may get from the whole fleet, as a multiple of its capacity. It is the recovery
@@ -35,21 +35,28 @@
 ///
 /// `warming_since`: when it was readmitted; none while it is ejected.
 pub fn allowed_load(now: Micros, warming_since: Option<Micros>, rules: &ServiceRuleConfig) -> f64 {
-    let warmth = match warming_since {
+    let warm_up_progress = match warming_since {
         Some(since) => (now - since) as f64 / rules.warm_up_time.max(1) as f64,
         None => 0.0,
     };
-    let cold = rules.cold_capacity_share;
-    ALLOWED_LOAD_USED * rules.overload_multiple * (cold + (1.0 - cold) * warmth.min(1.0))
+    let cold_share = rules.cold_capacity_share;
+    ALLOWED_LOAD_SHARE_USED
+        * rules.overload_multiple
+        * (cold_share + (1.0 - cold_share) * warm_up_progress.min(1.0))
 }
 
 /// This forwarder's even part of the allowed load; `capacity` is in calls per second.
 pub fn forwarder_share(allowed_load: f64, capacity: f64, config: &Config) -> ForwarderShare {
-    let even = allowed_load * capacity / f64::from(config.fleet_size.max(1));
-    let is_scant = even * (config.rules.overload_window as f64) < SCANT_CALLS * MICROS_PER_SECOND;
+    let even_share = allowed_load * capacity / f64::from(config.fleet_size.max(1));
+    let is_negligible =
+        even_share * (config.rules.overload_window as f64) < NEGLIGIBLE_CALLS * MICROS_PER_SECOND;
     ForwarderShare {
-        calls_per_second: if is_scant { even / 2.0 } else { even },
-        is_scant,
+        calls_per_second: if is_negligible {
+            even_share / 2.0
+        } else {
+            even_share
+        },
+        is_negligible,
     }
 }
 
@@ -81,17 +88,19 @@
     ///
     /// `arrivals`: messages for the endpoint since then; they count where the share is scant.
     pub fn refill(&mut self, now: Micros, share: ForwarderShare, arrivals: f64, allowed_load: f64) {
-        let earned = if share.is_scant {
+        let earned = if share.is_negligible {
             arrivals / 2.0 * allowed_load
         } else {
             0.0
         };
         let max_earned_per_second = MAX_EARNED_SHARES * share.calls_per_second;
-        self.earned.refill(now, max_earned_per_second, MAX_BUDGET);
+        self.earned
+            .refill(now, max_earned_per_second, MAX_BUDGET_CALLS);
         let earned = earned.min(self.earned.tokens);
         self.earned.tokens -= earned;
         self.calls.tokens += earned;
-        self.calls.refill(now, share.calls_per_second, MAX_BUDGET);
+        self.calls
+            .refill(now, share.calls_per_second, MAX_BUDGET_CALLS);
     }
 
     /// Whole calls that may go now.
@@ -116,7 +125,7 @@
 
     /// A call that was spent did not go.
     pub fn refund_call(&mut self) {
-        self.calls.tokens = (self.calls.tokens + 1.0).min(MAX_BUDGET);
+        self.calls.tokens = (self.calls.tokens + 1.0).min(MAX_BUDGET_CALLS);
     }
 
     /// Replaces a full budget after a pause by a part of a call, drawn from 0 to 1: the forwarders
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_share_grows_over_the_warm_up_time_and_keeps_a_margin() {
+fn allowed_load_grows_over_warm_up_time_with_margin() {
     let rules = config(1).rules;
     let share = |now| allowed_load(now, Some(0), &rules);
     assert_close(allowed_load(SECOND, None, &rules), 0.8 * 2.0 * 0.1);
@@ -35,18 +35,18 @@
 }
 
 #[test]
-fn the_shares_of_the_fleet_sum_to_the_allowed_load() {
+fn forwarder_shares_sum_to_allowed_load() {
     for fleet_size in [1, 4, 8] {
         let share = forwarder_share(0.16, 100.0, &config(fleet_size));
-        assert!(!share.is_scant);
+        assert!(!share.is_negligible);
         assert_close(share.calls_per_second * f64::from(fleet_size), 16.0);
     }
 }
 
 #[test]
-fn a_scant_share_is_halved_and_the_other_half_earned_by_messages() {
+fn halves_negligible_share_and_lets_messages_earn_calls() {
     let share = forwarder_share(0.16, 100.0, &config(400));
-    assert!(share.is_scant);
+    assert!(share.is_negligible);
     assert_close(share.calls_per_second, 16.0 / 400.0 / 2.0);
     let mut budget = SlowStartBudget::new(0.0, 0);
     budget.refill(10 * SECOND, share, 1.0, 0.16);
@@ -54,20 +54,20 @@
 }
 
 #[test]
-fn messages_earn_nothing_where_the_share_is_not_scant() {
+fn messages_earn_no_calls_if_share_is_not_negligible() {
     let share = forwarder_share(0.16, 1.0, &config(1));
-    assert!(share.is_scant);
-    let ample = ForwarderShare {
-        is_scant: false,
+    assert!(share.is_negligible);
+    let not_negligible = ForwarderShare {
+        is_negligible: false,
         ..share
     };
     let mut budget = SlowStartBudget::new(0.0, 0);
-    budget.refill(SECOND, ample, 100.0, 0.16);
+    budget.refill(SECOND, not_negligible, 100.0, 0.16);
     assert_close(budget.calls.tokens, share.calls_per_second);
 }
 
 #[test]
-fn many_messages_earn_one_and_a_half_halves_at_most() {
+fn messages_earn_at_most_one_and_a_half_times_halved_share() {
     let share = forwarder_share(0.16, 100.0, &config(400));
     let mut budget = SlowStartBudget::new(0.0, 0);
     budget.refill(10 * SECOND, share, 1e6, 0.16);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_budget_holds_one_call_at_most() {
+fn budget_holds_at_most_one_call() {
     let share = forwarder_share(0.16, 100.0, &config(1));
     let mut budget = SlowStartBudget::new(0.5, 0);
     assert!(!budget.has_call());
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_spent_budget_allows_nothing_until_it_has_refilled() {
+fn spent_budget_allows_no_call() {
     let mut budget = SlowStartBudget::new(1.0, 0);
     budget.spend_call();
     budget.spend_batched_message();
