--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,12 +1,15 @@
-//! What a new message counts, when load is shed, and what the client of an undelivered message
-//! hears.
+//! Admission: the weight of a new message, load shedding, and the final answer to the client of an
+//! undelivered message.
 //!
-//! Messages beyond a tenant's quota count less. Once nearly as many messages are held as may be,
-//! the one that counts least in the longest queue is given up. A waiting message that is given up
-//! is rejected with a retry-after where another try does no harm, else it fails. Two further ends
-//! are in `destination/attempts.rs`: a message fails without a question where its next attempt
-//! would come too late, and where it was delivered after its deadline. Times are µs, quotas messages per second for the whole fleet.
-//! Source: the design page (bounded work, final answers); the quota's burst is ours.
+//! A message over its tenant's quota has a reduced weight. When the forwarder holds nearly as many
+//! messages as its capacity allows, it sheds the message with the lowest weight in the longest
+//! queue. A waiting message that is shed is rejected with a retry-after if a resubmission does no
+//! harm, and fails otherwise. `destination/attempts.rs` ends messages in two further cases, without
+//! calling this module: a message fails if its next attempt would be too late, or if it was
+//! delivered after its deadline.
+//!
+//! Times are in µs, quotas in messages per second for the whole fleet. See the design page on
+//! bounded work and final answers.
 
 use super::retry;
 use crate::model::{
@@ -14,21 +17,22 @@
 };
 use crate::token_bucket::TokenBucket;
 
-/// Seconds of a tenant's quota that may come at once: arrivals are uneven.
+/// Burst that a tenant's quota allows, in seconds of the quota. Arrivals are uneven.
 const QUOTA_BURST_SECONDS: f64 = 2.0;
-/// Part of the message capacity that is used: beyond it the front turns work away unseen.
+/// Share of the message capacity above which load is shed. Beyond the full capacity, submissions
+/// are refused before the decision core sees them.
 const CAPACITY_SHARE_IN_USE: f64 = 0.95;
-/// What a client is asked to wait at least, unless `max_retry_after` is shorter.
+/// Lower bound on the retry-after of a rejection, in µs, unless `max_retry_after` is shorter.
 const MIN_RETRY_AFTER: Micros = 1_000_000;
 
-/// What is left of each tenant's quota.
+/// Tracks the unused quota of each tenant. Owned by the forwarder.
 #[derive(Debug)]
 pub struct TenantQuotas {
     buckets: Vec<TokenBucket>,
 }
 
 impl TenantQuotas {
-    /// Full quotas.
+    /// Creates the quotas of `tenants` tenants, none of which is used yet.
     pub fn new(tenants: usize) -> TenantQuotas {
         let full_bucket = TokenBucket {
             tokens: f64::MAX,
@@ -39,8 +43,12 @@
         }
     }
 
-    /// The factor on the weight of a message that comes now: 1 within the quota, or without one.
-    /// Each forwarder takes an even part of the fleet's quota for its own.
+    /// Returns the factor on the weight of a message that is submitted now, and counts the message
+    /// against the tenant's quota.
+    ///
+    /// The factor is 1 within the quota and for an unknown tenant, and
+    /// `over_quota_weight_share` beyond the quota. Each forwarder applies an even share of the
+    /// quota, which holds for the whole fleet.
     pub fn weight_factor(&mut self, now: Micros, tenant: TenantId, config: &Config) -> f64 {
         let index = tenant.0 as usize;
         let (Some(bucket), Some(tenant)) = (self.buckets.get_mut(index), config.tenants.get(index))
@@ -58,8 +66,10 @@
     }
 }
 
-/// When a message that is submitted now is late: its latency objective is counted back from its
-/// deadline. A first submission with less time than the objective counts in full to the end.
+/// Returns the time from which a message that is submitted now is late.
+///
+/// The latency objective of the class is counted from the deadline minus the time to live. A first
+/// submission with no more time left than the objective is late only at its deadline.
 pub fn objective_at(now: Micros, submission: &Submission, class: &DeliveryClassConfig) -> Micros {
     let deadline = now + submission.time_left;
     let is_short = !submission.resubmitted && submission.time_left <= class.latency_objective;
@@ -70,21 +80,21 @@
     }
 }
 
-/// Whether a message has to be given up for others.
+/// Returns whether a message must be shed when `message_count` messages are held.
 pub fn is_overloaded(message_count: usize, capacity: u32) -> bool {
     message_count as f64 > CAPACITY_SHARE_IN_USE * f64::from(capacity)
 }
 
-/// A message that waits and is given up.
+/// A waiting message that the forwarder ends without delivery.
 #[derive(Clone, Copy, Debug)]
 pub struct UndeliveredMessage {
-    /// Whether it may be repeated.
+    /// Determines whether the message may be repeated.
     pub semantics: DeliverySemantics,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// Its deadline.
+    /// Time after which a delivery no longer counts, in µs.
     pub deadline: Micros,
-    /// The first attempt that may have taken effect.
+    /// The first attempt that may have taken effect, if there is one.
     pub possible_effect: Option<PossibleEffect>,
 }
 
@@ -93,16 +103,17 @@
 pub enum FinalAnswer {
     /// The client may submit it again.
     Reject {
-        /// When, where the deployment may say so.
+        /// Time after which to resubmit, in µs; `None` if the deployment forbids a retry-after.
         retry_after: Option<Micros>,
     },
-    /// Another try is of no use, or could take effect twice.
+    /// A resubmission would be too late, or the message could take effect twice.
     Fail,
 }
 
-/// The final answer to a message that waits at a destination which is paused until then.
+/// Returns the final answer to a message that waits at a destination paused until `paused_until`.
 ///
-/// A message without an attempt has not failed, however late it is.
+/// A message without an attempt is rejected rather than failed, even if a resubmission would miss
+/// the deadline.
 pub fn final_answer(
     now: Micros,
     message: UndeliveredMessage,
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -1,4 +1,4 @@
-//! What the rule on admission promises at its limits.
+//! Tests of weights, load shedding and final answers, at the limits of the rules.
 
 use super::*;
 use crate::model::{
@@ -126,7 +126,7 @@
     assert_eq!(answer(1), FinalAnswer::Fail);
     assert!(
         matches!(answer(0), FinalAnswer::Reject { .. }),
-        "what was never sent has not failed"
+        "a message without an attempt is rejected and does not fail"
     );
 }
 
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -1,45 +1,50 @@
-//! How long an attempt may take, and when it is cancelled.
+//! Latency bounds of attempts, their cancellation, and the timeouts of calls.
 //!
-//! An endpoint's answers set a latency bound: their mean and a multiple of their deviation, one
-//! second at least. Each further attempt at a message gets twice the bound of the one before, for
-//! some messages take long wherever they go. An attempt beyond the bound is cancelled, where the
-//! deployment allows it: sooner while no concurrency permit is free, later for a message that
-//! must not be repeated. The timeout of the call itself is wider, for calls that hang.
-//! Times are µs. The rule is ours; `docs/design.md` has the reasons.
+//! The latency bound of an endpoint is the mean of its response times plus a multiple of their
+//! deviation, and at least one second. The bound doubles with each further attempt at a message,
+//! because some messages take long at every endpoint. If the deployment allows it, an attempt that
+//! exceeds its bound is cancelled: sooner while no concurrency permit is free, later if the message
+//! must not be repeated. The timeout of the call is longer than any of these limits, and ends calls
+//! that hang.
+//!
+//! Times are in µs. `docs/design.md` gives the reasons.
 
 use crate::latency::LatencyEstimator;
 use crate::model::{DeliveryClassConfig, DeliverySemantics, Micros};
 
-/// An attempt that is unanswered for less than this says nothing: a healthy endpoint may stall for
-/// as long.
+/// Lower bound on the latency bound, in µs. A healthy endpoint may stall for this long, so a
+/// shorter silence is no evidence of a failure.
 pub const SILENCE_THRESHOLD: Micros = 1_000_000;
 
-/// Weight of a new answer in the running mean: some eight answers count.
+/// Weight of a new response in the running mean, which thus spans about eight responses.
 const RESPONSE_WEIGHT: f64 = 0.125;
-/// Answers from which an endpoint's own estimate counts alone.
+/// Number of responses from which an endpoint's own estimate is used alone.
 const TRUSTED_RESPONSES: f64 = 3.0;
-/// Deviations above the mean within which an answer is expected: latencies have long tails.
+/// Deviations above the mean within which a response is expected. Latencies have long tails.
 const BOUND_DEVIATIONS: f64 = 8.0;
-/// Deviations above the mean from which a call is slow.
+/// Deviations above the mean from which a call counts as slow.
 const SLOW_DEVIATIONS: f64 = BOUND_DEVIATIONS / 2.0;
-/// How much longer an attempt may take while permits are free, and again where it must not be
-/// repeated.
+/// Factor on the latency bound of an attempt while permits are free. It applies once more if the
+/// message must not be repeated.
 const BOUND_EXTENSION: f64 = 2.0;
-/// The timeout of a call, in attempt bounds: beyond any moment at which it is cancelled.
+/// Timeout of a call as a multiple of the attempt's latency bound. An attempt is cancelled no later
+/// than this.
 const TIMEOUT_BOUND_FACTOR: f64 = BOUND_EXTENSION * BOUND_EXTENSION;
-/// Keeps the factor in range.
+/// Upper bound on the doublings of the latency bound. Keeps the shift in range.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// Whether concurrency permits are left: if none is, other messages may wait for one.
+/// Availability of concurrency permits. Other messages may be waiting for a permit while none is
+/// free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permits {
-    /// Some are free.
+    /// At least one permit is free.
     Free,
-    /// All are taken.
+    /// All permits are in use.
     Exhausted,
 }
 
 impl Permits {
+    /// Returns the factor on the latency bound after which an attempt is cancelled.
     fn bound_factor(self) -> f64 {
         match self {
             Permits::Free => BOUND_EXTENSION,
@@ -48,38 +53,42 @@
     }
 }
 
-/// Takes an answer into an estimate.
+/// Adds a response that took `latency` µs to an estimate.
 pub fn observe(estimate: &mut LatencyEstimator, latency: Micros) {
     estimate.observe(latency as f64, RESPONSE_WEIGHT);
 }
 
-/// The latency to expect of an endpoint. Where it has few answers of its own, the estimate over all
-/// endpoints makes up for the rest.
+/// Returns the expected latency of an endpoint, in µs.
+///
+/// While the endpoint has few responses of its own (`own`), the result is blended with the estimate
+/// over all endpoints (`all`).
 pub fn mean_latency(own: &LatencyEstimator, all: &LatencyEstimator) -> f64 {
     own.blend_with(all, TRUSTED_RESPONSES, |estimate| estimate.mean)
 }
 
-/// The time within which an answer of an endpoint is expected.
+/// Returns the time within which an endpoint is expected to respond, in µs: at least
+/// [`SILENCE_THRESHOLD`].
 pub fn latency_bound(own: &LatencyEstimator, all: &LatencyEstimator) -> f64 {
     let bound = |estimate: &LatencyEstimator| estimate.mean + BOUND_DEVIATIONS * estimate.deviation;
     own.blend_with(all, TRUSTED_RESPONSES, bound)
         .max(SILENCE_THRESHOLD as f64)
 }
 
-/// The time from which a call counts as slow; 0 while nothing is known.
+/// Returns the time from which a call counts as slow, in µs; 0 while there is no response to
+/// estimate it from.
 pub fn slow_threshold(own: &LatencyEstimator, all: &LatencyEstimator) -> f64 {
     own.blend_with(all, TRUSTED_RESPONSES, |estimate| {
         estimate.mean + SLOW_DEVIATIONS * estimate.deviation
     })
 }
 
-/// The latency bound of the `attempt_number`-th attempt at a message.
+/// Returns the latency bound of an attempt at a message, in µs. The first attempt has number 1.
 pub fn attempt_bound(latency_bound: f64, attempt_number: u32) -> f64 {
     let doublings = attempt_number.saturating_sub(1).min(MAX_DOUBLINGS);
     latency_bound * f64::from(1u32 << doublings)
 }
 
-/// Whether an attempt that has been out for `elapsed` is to be cancelled.
+/// Returns whether to cancel an attempt that was sent `elapsed` µs ago and has no response.
 pub fn is_overdue(
     elapsed: Micros,
     attempt_bound: f64,
@@ -93,10 +102,12 @@
     elapsed as f64 / attempt_bound > bound_factor
 }
 
-/// The timeout of a call; none: it may take until the deadline.
+/// Returns the timeout of a call in µs, between 1 and `time_left`, which must be at least 1.
+/// `None`: the call may take until the deadline.
 ///
-/// At most half the time to live and half the deduplication window, so that a repeat fits in. A
-/// message that is lost with its attempt gains nothing by an early timeout.
+/// The timeout is at most half the time to live and half the deduplication window, so that a repeat
+/// fits into the rest. A message with at-most-once semantics gets no timeout: it can't be repeated,
+/// so ending its attempt early gains nothing.
 pub fn timeout(
     class: &DeliveryClassConfig,
     attempt_bound: f64,
--- a/src/policy/attempt_timeout/tests.rs
+++ b/src/policy/attempt_timeout/tests.rs
@@ -1,4 +1,4 @@
-//! What the rule on attempt timeouts promises at its limits.
+//! Tests of latency bounds, cancellation and timeouts, at the limits of the rules.
 
 use super::*;
 use crate::model::DeduplicationScope;
@@ -33,7 +33,10 @@
     let all = estimate(300.0, 0.0);
     let one_response = LatencyEstimator::from_parts(600.0, 0.0, 1.0);
     let mean = mean_latency(&one_response, &all);
-    assert!((mean - 400.0).abs() < 1e-9, "{mean}");
+    assert!(
+        (mean - 400.0).abs() < 1e-9,
+        "expected a mean of 400 µs, got {mean}"
+    );
     assert_eq!(mean_latency(&estimate(600.0, 0.0), &all), 600.0);
 }
 
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -1,26 +1,28 @@
-//! How many calls may be out at once: to one destination, to all degraded ones together, and to
+//! Limits on concurrent calls: to one destination, to all degraded destinations together, and to
 //! one endpoint.
 //!
-//! A forwarder has a fixed number of concurrency permits. A destination gets a share of them, a
-//! smaller one while any of its endpoints is degraded, and all degraded ones together leave the
-//! rest to the others.
-//! An endpoint gets what its capacity keeps busy, and as much again.
-//! Source: the design page ("calls per destination under a share of slots").
+//! A forwarder has a fixed number of concurrency permits. The calls to a destination are limited to
+//! a share of the permits, which is smaller while any of its endpoints is degraded. All degraded
+//! destinations together are limited to a share as well, so that the rest remains for healthy ones.
+//! The calls to an endpoint are limited to twice the number that its capacity keeps busy.
+//!
+//! See the design page ("calls per destination under a share of slots").
 
 use crate::model::MICROS_PER_SECOND;
 
-/// Part of the permits for a destination that answers well.
+/// Share of the permits that a healthy destination may use.
 const HEALTHY_SHARE: f64 = 0.75;
-/// Part of the permits for a degraded destination.
+/// Share of the permits that a degraded destination may use.
 const DEGRADED_SHARE: f64 = 0.5;
-/// Part of the permits for all degraded destinations together.
+/// Share of the permits that all degraded destinations together may use.
 const ALL_DEGRADED_SHARE: f64 = 0.5;
-/// Calls at once to an endpoint, as a multiple of what its capacity keeps busy.
+/// Limit on the concurrent calls to an endpoint, as a multiple of the calls that its capacity keeps
+/// busy.
 const ENDPOINT_QUEUE_FACTOR: f64 = 2.0;
-/// Fewest calls at once to an endpoint: enough to learn from.
+/// Lower bound on the limit of an endpoint. Fewer calls give too few outcomes to estimate from.
 const MIN_ENDPOINT_LIMIT: usize = 4;
 
-/// Calls out at once to one destination at most.
+/// Returns the limit on concurrent calls to one destination: at least 1.
 pub fn destination_limit(permits: u32, is_degraded: bool) -> usize {
     let share = if is_degraded {
         DEGRADED_SHARE
@@ -30,12 +32,12 @@
     ((share * f64::from(permits)) as usize).max(1)
 }
 
-/// Calls out at once to all degraded destinations together at most.
+/// Returns the limit on concurrent calls to all degraded destinations together: at least 1.
 pub fn all_degraded_limit(permits: usize) -> usize {
     ((ALL_DEGRADED_SHARE * permits as f64) as usize).max(1)
 }
 
-/// Calls out at once to one endpoint at most.
+/// Returns the limit on concurrent calls to one endpoint.
 ///
 /// `capacity` is in calls per second, `mean_latency` in µs.
 pub fn endpoint_limit(capacity: f64, mean_latency: f64) -> usize {
--- a/src/policy/concurrency/tests.rs
+++ b/src/policy/concurrency/tests.rs
@@ -1,4 +1,4 @@
-//! What the rule on concurrency promises at its limits.
+//! Tests of the limits on concurrent calls.
 
 use super::*;
 
@@ -18,7 +18,11 @@
 
 #[test]
 fn limits_endpoint_to_twice_its_busy_calls() {
-    // 100 calls per second of 50 ms keep 5 busy.
+    // 100 calls per second that take 50 ms each keep 5 calls busy.
     assert_eq!(endpoint_limit(100.0, 50_000.0), 11);
-    assert_eq!(endpoint_limit(0.0, 0.0), 4, "enough to learn from");
+    assert_eq!(
+        endpoint_limit(0.0, 0.0),
+        4,
+        "the limit must not fall below the minimum"
+    );
 }
--- a/src/policy/connection_reuse.rs
+++ b/src/policy/connection_reuse.rs
@@ -1,24 +1,27 @@
-//! Whether idle connections to endpoints are kept.
+//! Whether idle connections to endpoints are kept open.
 //!
-//! A fleet whose forwarders each keep a connection that they seldom use can fill an endpoint's
-//! connection table. So while more than 0.2% of attempts get no connection, none is kept. The rule
-//! is ours.
+//! If each forwarder of a fleet keeps a connection that it seldom uses, the connections can fill an
+//! endpoint's connection table. Idle connections are therefore closed while more than 0.2% of
+//! attempts fail to get a connection.
 
 use crate::model::Outcome;
 
-/// Weight of an attempt in the running share: some thirty attempts count.
+/// Weight of an attempt in the running share, which thus spans about thirty attempts.
 const ATTEMPT_WEIGHT: f64 = 0.03;
-/// Share of attempts without a connection from which none is kept: one in a hundred reaches it.
+/// Share of attempts without a connection above which idle connections are closed. One such attempt
+/// in a hundred exceeds it.
 const SCARCITY_THRESHOLD: f64 = 0.002;
 
-/// The running share of attempts, over all endpoints, that got no connection.
+/// Tracks the share of attempts, over all endpoints, that got no connection.
 #[derive(Debug, Default)]
 pub struct ConnectionScarcity {
+    /// Exponentially weighted share, from 0 to 1.
     no_connection_share: f64,
 }
 
 impl ConnectionScarcity {
-    /// Takes the outcome of an attempt in. One that was withdrawn says nothing.
+    /// Records the outcome of an attempt. A withdrawn attempt is ignored, because it is no evidence
+    /// of whether a connection was available.
     pub fn observe(&mut self, outcome: Outcome) {
         if outcome == Outcome::WithdrawnBeforeSend {
             return;
@@ -27,7 +30,7 @@
         self.no_connection_share += ATTEMPT_WEIGHT * (no_connection - self.no_connection_share);
     }
 
-    /// Whether idle connections are to be closed.
+    /// Returns whether idle connections must be closed.
     pub fn is_scarce(&self) -> bool {
         self.no_connection_share > SCARCITY_THRESHOLD
     }
--- a/src/policy/connection_reuse/tests.rs
+++ b/src/policy/connection_reuse/tests.rs
@@ -1,4 +1,4 @@
-//! What the rule on idle connections promises at its limits.
+//! Tests of when idle connections are closed, at the limits of the rules.
 
 use super::*;
 
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -1,46 +1,48 @@
 //! Gossip between forwarders about destinations that are at their rate limit.
 //!
-//! Rule: the first rejection that a forwarder receives from a destination is announced to the whole
-//! fleet, at most once a second for each destination. A forwarder that receives the announcement
-//! slows down to an even share of the destination's rate for a while, as it does after a rejection
-//! of its own.
+//! The first rejection that a forwarder receives from a destination is announced to the whole
+//! fleet, at most once per second for each destination. A forwarder that receives the announcement
+//! temporarily slows down to an even share of the destination's rate, as it does after a rejection
+//! of its own calls.
 //!
-//! In a fleet of hundreds, a forwarder calls a given destination every few seconds only. Without
-//! gossip, each forwarder finds a lowered limit by a rejection of its own, and the rejected calls
-//! use up what the limit still allows.
+//! In a fleet of hundreds, a forwarder calls a given destination only every few seconds. Without
+//! gossip, each forwarder would discover a lowered limit by a rejection of its own call, and the
+//! rejected calls would use up the calls that the limit still allows.
 //!
-//! A message only slows its receiver down. A lost, late, duplicated or false message therefore
-//! breaks no service rule: at worst a destination is called at even shares for a while.
+//! A gossip message can only slow its receiver down. A lost, late, duplicated or false message
+//! therefore breaks no service rule: in the worst case a destination is temporarily called at even
+//! shares.
 //!
-//! Source: our own rule, see `docs/incidents/many-forwarders.md`.
+//! See `docs/incidents/many-forwarders.md`.
 
 mod message;
 
 use crate::model::{Action, Config, DestinationId, LogEvent, Micros};
 use std::collections::BTreeMap;
 
-/// µs in which a destination is announced once at most, by whichever forwarder. All forwarders have
-/// received the first announcement by then.
+/// Minimum time between two announcements of a destination by any forwarders, in µs. All forwarders
+/// have received the first announcement by the end of this time.
 const ANNOUNCEMENT_INTERVAL: Micros = 1_000_000;
 
-/// µs between two log lines about unreadable messages. Bounds what a faulty peer can write to the
-/// log.
+/// Minimum time between two log lines about unreadable gossip messages, in µs. Bounds the log
+/// volume that a faulty peer can cause.
 const LOG_INTERVAL: Micros = 60_000_000;
 
-/// What a forwarder knows of the announcements in the fleet.
+/// Tracks the recent announcements in the fleet. Owned by the forwarder.
 #[derive(Debug, Default)]
 pub struct Gossip {
     /// When each destination was last announced, by this forwarder or by a peer. Entries older than
     /// [`ANNOUNCEMENT_INTERVAL`] are removed on each use.
     announced_at: BTreeMap<DestinationId, Micros>,
-    /// When an unreadable message was last logged.
+    /// When an unreadable gossip message was last logged.
     last_logged_at: Option<Micros>,
 }
 
 impl Gossip {
-    /// The announcement to send after a call to `destination` was rejected.
+    /// Returns the announcement to send after a call to `destination` was rejected.
     ///
-    /// None if gossip is off, if there are no peers, or if the destination was announced recently.
+    /// Returns `None` if gossip is off, if there are no peers, or if the destination was announced
+    /// within [`ANNOUNCEMENT_INTERVAL`].
     pub fn announce_rejection(
         &mut self,
         now: Micros,
@@ -59,11 +61,11 @@
         })
     }
 
-    /// Reads a message from the forwarder number `sender`.
+    /// Handles a gossip message from the forwarder with the number `sender`.
     ///
-    /// Returns the destination that is at its limit, if `is_known` accepts it and it was not
-    /// announced recently. An unreadable message adds a log line to `actions`, at most one in
-    /// [`LOG_INTERVAL`].
+    /// Returns the destination that is at its rate limit, if `is_known` accepts it and it was not
+    /// announced within [`ANNOUNCEMENT_INTERVAL`]. An unreadable message adds a log line to
+    /// `actions`, at most one per [`LOG_INTERVAL`].
     pub fn receive(
         &mut self,
         now: Micros,
@@ -85,6 +87,7 @@
         }
     }
 
+    /// Logs an unreadable gossip message, unless one was logged within [`LOG_INTERVAL`].
     fn log_unreadable(
         &mut self,
         now: Micros,
@@ -105,8 +108,8 @@
         }));
     }
 
-    /// Records an announcement of the destination, unless there was one within
-    /// [`ANNOUNCEMENT_INTERVAL`]. Returns whether it was recorded.
+    /// Records an announcement of the destination, unless the destination was announced within
+    /// [`ANNOUNCEMENT_INTERVAL`]. Returns whether the announcement was recorded.
     fn record_announcement(&mut self, now: Micros, destination: DestinationId) -> bool {
         self.announced_at
             .retain(|_, announced_at| now < *announced_at + ANNOUNCEMENT_INTERVAL);
--- a/src/policy/gossip/golden_tests.rs
+++ b/src/policy/gossip/golden_tests.rs
@@ -1,5 +1,5 @@
-//! Proves that gossip datagrams stay the same: the bytes written for each recorded destination, the destination read from
-//! each recorded datagram, and the words about those that can't be used.
+//! Compares gossip datagrams with recorded ones: the bytes encoded for a destination, the
+//! destination decoded from a datagram, and the error text for a datagram that can't be decoded.
 
 use super::message::{decode, encode};
 use crate::model::DestinationId;
@@ -7,10 +7,13 @@
 const GOLDEN: &str = include_str!("../../../tests/golden/gossip-datagrams.txt");
 
 fn to_bytes(hex: &str) -> Vec<u8> {
-    assert!(hex.len().is_multiple_of(2), "{hex}: two digits a byte");
+    assert!(
+        hex.len().is_multiple_of(2),
+        "{hex} must have two digits per byte"
+    );
     let digits = (0..hex.len()).step_by(2);
     digits
-        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal digits"))
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("must be hexadecimal digits"))
         .collect()
 }
 
@@ -27,7 +30,7 @@
 
 fn encoded(destination: &str) -> String {
     to_hex(&encode(DestinationId(
-        destination.parse().expect("a destination"),
+        destination.parse().expect("must be a destination number"),
     )))
 }
 
@@ -38,15 +41,22 @@
         .lines()
         .filter(|line| !line.is_empty() && !line.starts_with('#'))
     {
-        let (operation, rest) = line.split_once(' ').expect("an operation");
-        let (input, expected) = rest.split_once(" -> ").expect("an input and what it gives");
+        let (operation, rest) = line
+            .split_once(' ')
+            .expect("each line must begin with an operation");
+        let (input, expected) = rest
+            .split_once(" -> ")
+            .expect("each line must have an input and an output");
         let actual = match operation {
             "write" => encoded(input),
             "read" => decoded(input),
-            other => panic!("{other} is no operation"),
+            other => panic!("unknown operation {other}"),
         };
         assert_eq!(actual, expected, "{line}");
         compared += 1;
     }
-    assert!(compared > 20, "{compared} datagrams");
+    assert!(
+        compared > 20,
+        "compared {compared} datagrams, expected more than 20"
+    );
 }
--- a/src/policy/gossip/message.rs
+++ b/src/policy/gossip/message.rs
@@ -1,29 +1,30 @@
 //! The wire format of gossip: a version byte, a subject byte and the number of a destination in
-//! little-endian order.
+//! little-endian byte order.
 //!
-//! A number of 16 bits takes two bytes, which forwarders of every version read. A larger number
-//! takes four bytes under a subject of its own, which earlier versions ignore.
+//! A number that fits into 16 bits is encoded in two bytes, which forwarders of every version can
+//! decode. A larger number is encoded in four bytes with a different subject, which earlier
+//! versions ignore.
 
 use crate::model::DestinationId;
 use std::fmt;
 
-/// The version of the format.
+/// The version of the wire format.
 const VERSION: u8 = 1;
 
-/// Subject: the destination is at its limit. Two bytes of its number follow.
+/// Subject byte: the destination is at its rate limit. Its number follows in two bytes.
 const AT_LIMIT: u8 = 1;
 
-/// Subject: the destination is at its limit. Four bytes of its number follow.
+/// Subject byte: the destination is at its rate limit. Its number follows in four bytes.
 const AT_LIMIT_WIDE: u8 = 2;
 
-/// Why a gossip message can't be read.
+/// The reason why a gossip message can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GossipError {
-    /// The length in bytes, which is not that of a message on its subject.
+    /// The message does not have the length that its subject requires. Holds the length in bytes.
     Length(usize),
-    /// The version, which is not [`VERSION`].
+    /// The version byte is not [`VERSION`]. Holds the version byte.
     Version(u8),
-    /// The subject, which is none of this version.
+    /// This version does not define the subject. Holds the subject byte.
     Subject(u8),
 }
 
@@ -41,7 +42,7 @@
 
 impl std::error::Error for GossipError {}
 
-/// The message that says that a destination is at its limit.
+/// Encodes the message that the destination is at its rate limit.
 pub fn encode(destination: DestinationId) -> Vec<u8> {
     match destination.0.to_le_bytes() {
         [low, high, 0, 0] => vec![VERSION, AT_LIMIT, low, high],
@@ -49,7 +50,8 @@
     }
 }
 
-/// The destination that the message says is at its limit.
+/// Decodes the destination that is at its rate limit. Fails if the version, the subject or the
+/// length is not one that [`encode`] writes.
 pub fn decode(payload: &[u8]) -> Result<DestinationId, GossipError> {
     match *payload {
         [VERSION, AT_LIMIT, low, high] => Ok(destination_from_bytes([low, high, 0, 0])),
--- a/src/policy/gossip/tests.rs
+++ b/src/policy/gossip/tests.rs
@@ -4,10 +4,10 @@
 
 const MS: Micros = 1_000;
 
-/// Destinations with a smaller number are known to the receiver.
+/// The receiver knows the destinations with the numbers below this count.
 const KNOWN_DESTINATION_COUNT: u32 = 1_000;
 
-/// The number of the forwarder that all received messages come from.
+/// The number of the forwarder that sends all received messages.
 const PEER: u16 = 4;
 
 fn config(fleet_size: u32, may_gossip: bool) -> Config {
@@ -18,7 +18,7 @@
     }
 }
 
-/// What a forwarder made of a message.
+/// The result of receiving a gossip message.
 #[derive(Debug, PartialEq)]
 struct Received {
     destination: Option<DestinationId>,
@@ -35,7 +35,7 @@
     logged: true,
 };
 
-/// Receives a message. Nothing but a log line about it may be among the actions.
+/// Receives a message, and asserts that the actions contain at most one log line about it.
 fn receive(gossip: &mut Gossip, now: Micros, payload: &[u8]) -> Received {
     let mut actions = Vec::new();
     let is_known = |destination: DestinationId| destination.0 < KNOWN_DESTINATION_COUNT;
@@ -62,7 +62,7 @@
         payload,
     }) = announcement
     else {
-        panic!("not announced to all: {announcement:?}")
+        panic!("expected an announcement to all peers, got {announcement:?}")
     };
     assert!(sender
         .announce_rejection(999 * MS, destination, &config)
@@ -76,13 +76,13 @@
     assert_eq!(
         receive(&mut receiver, 20 * MS, &payload),
         IGNORED,
-        "a duplicate"
+        "a duplicate must be ignored"
     );
     assert!(
         receiver
             .announce_rejection(500 * MS, destination, &config)
             .is_none(),
-        "the fleet knows already"
+        "a destination that a peer announced must not be announced again"
     );
     assert!(receiver
         .announce_rejection(500 * MS, DestinationId(1), &config)
@@ -136,7 +136,7 @@
     assert!(receive(&mut gossip, 60_000 * MS, &[]).logged);
 }
 
-/// Forwarders of earlier versions read four bytes and ignore six.
+/// Forwarders of earlier versions decode messages of four bytes and ignore those of six bytes.
 #[test]
 fn encodes_16_bit_numbers_in_four_bytes_and_larger_ones_in_six() {
     for (number, payload) in [
@@ -153,8 +153,8 @@
     assert_eq!(decode(&[1, 2, 7, 0, 0, 0]), Ok(DestinationId(7)));
 }
 
-/// Whatever is received, nothing panics, only known destinations are reported, and the table holds
-/// no more than what one second brings.
+/// For any input, nothing panics, only known destinations are reported, and the table holds no more
+/// than the announcements of one second.
 #[test]
 fn keeps_announcement_table_small_for_any_message_sequence() {
     fn property(messages: Vec<(u8, u32, Vec<u8>)>) -> bool {
@@ -162,7 +162,7 @@
         let mut now = 0;
         messages.into_iter().all(|(gap, random, payload)| {
             now += Micros::from(gap) * MS + ANNOUNCEMENT_INTERVAL / 8;
-            // Shifted, so that small numbers occur too.
+            // The shift makes small numbers likely too.
             let destination = DestinationId(random >> (random % 32));
             let received = receive(&mut gossip, now, &encode(destination));
             receive(&mut gossip, now, &payload);
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -1,27 +1,28 @@
-//! How an ejected endpoint is tried: by a health check, or by a message.
+//! Whether an ejected endpoint is tried with a health check or with a message.
 //!
-//! Once its budget holds a call ([`super::slow_start`]) an ejected endpoint is tried. Mostly a
-//! health check goes, which risks no message. A message goes in its place where the next call
-//! would come too late for it, and now and then at random, for health checks may be what fails.
-//! The rule is ours.
+//! An ejected endpoint is tried once its budget holds a call ([`super::slow_start`]). Usually the
+//! trial is a health check, which puts no message at risk. A message is sent instead if the budget
+//! is negligible, if the next call would be too late for the shortest latency objective, and
+//! sometimes at random, because health checks may fail at an endpoint that serves messages.
 
 use super::slow_start::ForwarderShare;
 use crate::model::{Config, MICROS_PER_SECOND};
 use rand::Rng;
 
-/// Chance that a message goes in place of a health check.
+/// Probability that a message is sent instead of a health check.
 const MESSAGE_PROBABILITY: f64 = 0.25;
 
-/// What tries an ejected endpoint.
+/// The kind of call with which an ejected endpoint is tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trial {
     /// A health check.
     HealthCheck,
-    /// The next message.
+    /// The next message for the endpoint.
     Message,
 }
 
-/// Chooses what tries an ejected endpoint whose budget holds a call.
+/// Chooses the trial of an ejected endpoint whose budget holds a call. `share` is this forwarder's
+/// share of the endpoint's allowed load.
 pub fn choose_trial(share: ForwarderShare, config: &Config, rng: &mut impl Rng) -> Trial {
     let objective = config.shortest_latency_objective() as f64;
     let is_next_call_late = share.calls_per_second * objective < MICROS_PER_SECOND;
--- a/src/policy/health_check/tests.rs
+++ b/src/policy/health_check/tests.rs
@@ -1,4 +1,4 @@
-//! What the rule on trials of ejected endpoints promises at its limits.
+//! Tests of the choice between a health check and a message, at the limits of the rules.
 
 use super::*;
 use crate::model::DeliveryClassConfig;
@@ -28,7 +28,10 @@
     let trials = trials(1.0, false);
     let messages = trials.iter().filter(|trial| **trial == Trial::Message);
     let messages = messages.count();
-    assert!((200..=300).contains(&messages), "{messages} of 1,000");
+    assert!(
+        (200..=300).contains(&messages),
+        "{messages} of 1,000 trials were messages, expected 200 to 300"
+    );
 }
 
 #[test]
--- a/src/policy/list_polling.rs
+++ b/src/policy/list_polling.rs
@@ -1,60 +1,64 @@
-//! When a forwarder polls discovery for the endpoint list, where the list is not pushed.
+//! When a forwarder polls discovery for the endpoint list, if discovery does not push the list.
 //!
-//! Rule: the first poll comes at a random moment within a window that grows with the fleet. Each
-//! failed poll in a row doubles the window. The window stays within the poll interval of the
-//! service rules and leaves room for an answer before the forwarder counts as notified of a change.
+//! The first poll is sent at a random time within a window that grows with the size of the fleet.
+//! Each consecutive failed poll doubles the window. The window is bounded by the poll interval of
+//! the service rules, and leaves time for an answer before the forwarder counts as notified of a
+//! change.
 //!
-//! Discovery serves the whole fleet. It rejects polls, or answers them too late, once more are in
-//! flight than it can work off. Polls that fail together and are repeated together keep it
-//! overloaded, so that no forwarder gets a list. The random delay spreads them.
+//! Discovery serves the whole fleet. It rejects polls, or answers them too late, when more polls
+//! are in flight than it can process. Polls that fail together and are repeated together keep
+//! discovery overloaded, so that no forwarder gets the list. The random delay spreads the polls.
 //!
-//! A forwarder may count as notified a fixed time after a change, whether it received the list or
-//! not. Discovery may have recovered right after the failed poll, so the time since that poll is
-//! taken off the longest delay.
+//! The service rules may treat a forwarder as notified a fixed time after a change, whether it
+//! received the list or not. Discovery may have recovered right after the failed poll, so the time
+//! elapsed since that poll is subtracted from the longest delay.
 //!
-//! All times are in µs. Source: our own rule, see `docs/design/fleet-growth.md` and
+//! All times are in µs. See `docs/design/fleet-growth.md` and
 //! `docs/incidents/overbooked-discovery.md`.
 
 use crate::model::{Action, Config, EndpointListUpdate, Event, Micros, TimerToken};
 use rand::Rng;
 
-/// µs within which the caller has to report a poll as failed, counted from the poll or from its
-/// last answer.
+/// Time without an answer after which the caller must report a poll as failed, in µs. It is counted
+/// from the poll or from the last answer to it.
 pub const MAX_POLL_SILENCE: Micros = 3_000_000;
 
-/// µs left for the answer to the next poll, out of the time after which a forwarder counts as
-/// notified.
+/// Time reserved for the answer to the next poll, in µs. It is part of the time after which a
+/// forwarder counts as notified.
 const ANSWER_ALLOWANCE_US: Micros = 1_000_000;
 
-/// µs of discovery's time that one poll may take. Some tens a second can be served until more is
-/// known of discovery.
+/// Assumed time in which discovery processes one poll, in µs. The speed of discovery is not known;
+/// this value assumes some tens of polls per second.
 const POLL_COST_US: Micros = 50_000;
 
-/// The window of a first poll is at most the poll interval divided by this.
+/// The window of the first poll is at most the poll interval divided by this number.
 const FIRST_WINDOW_DIVISOR: Micros = 2;
 
-/// The shortest delay after a failure is at most the longest delay divided by this.
+/// The shortest delay after a failure is at most the longest delay divided by this number.
 const SHORTEST_DELAY_DIVISOR: Micros = 2;
 
-/// Doublings of the window at most. They take it past any poll interval that the service rules may
-/// name.
+/// Upper bound on the doublings of the window. This many exceed any poll interval that the service
+/// rules may set.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// The name of the timer for the next poll. The forwarder's own timers have the name 0.
+/// Token of the timer for the next poll. The forwarder's own timers have the token 0.
 const POLL_TIMER: TimerToken = TimerToken(1);
 
-/// Decides when to poll. It holds no endpoint list.
+/// Schedules the polls of one forwarder, which owns it. It does not hold the endpoint list.
 #[derive(Debug, Default)]
 pub struct ListPoller {
+    /// Whether the first poll has been scheduled.
     has_started: bool,
+    /// `None` while no poll is scheduled.
     next_poll_at: Option<Micros>,
+    /// 0 before the first poll.
     last_poll_at: Micros,
-    /// Failed polls in a row, none of which was answered for long.
+    /// Number of consecutive polls that failed without being answered for long.
     consecutive_failures: u32,
 }
 
-/// The next poll is sent after a random delay, in µs, from `shortest` up to but without `end`. If
-/// the range is empty it is sent after `shortest`.
+/// The range of the random delay before the next poll, in µs: from `shortest` up to and excluding
+/// `end`. If the range is empty, the delay is `shortest`.
 #[derive(Clone, Copy, Debug)]
 struct DelayWindow {
     shortest: Micros,
@@ -62,6 +66,7 @@
 }
 
 impl DelayWindow {
+    /// Draws a delay.
     fn draw(self, rng: &mut impl Rng) -> Micros {
         if self.end > self.shortest {
             rng.random_range(self.shortest..self.end)
@@ -72,8 +77,8 @@
 }
 
 impl ListPoller {
-    /// Reacts to any event of the forwarder: adds the poll to `actions` when it is due, and sets
-    /// its timer when it is scheduled.
+    /// Handles an event of the forwarder, of whatever kind. Adds the poll to `actions` if the poll
+    /// is due, and a timer if a poll was scheduled. Does nothing if discovery pushes the list.
     pub fn handle_event(
         &mut self,
         now: Micros,
@@ -102,7 +107,8 @@
         }
     }
 
-    /// Schedules the next poll, after a failed one if `poll_failed`. Returns the delay until then.
+    /// Schedules the first poll, or the next one if `poll_failed`. Returns the delay of the poll in
+    /// µs.
     fn schedule_poll(
         &mut self,
         now: Micros,
@@ -125,15 +131,15 @@
         delay
     }
 
-    /// Counts a failed poll. A poll that lasted long was answered before it failed and starts a new
-    /// row of failures.
+    /// Counts a failed poll. A poll that lasted long was answered before it failed, so the count
+    /// restarts at 1.
     fn count_failure(
         &mut self,
         elapsed_since_poll: Micros,
         poll_interval: Micros,
         config: &Config,
     ) {
-        // Twice the longest silence, because a silence may be reported late.
+        // A silence may be reported late, so twice its limit must have passed.
         let answered_threshold = match config.list_notification_delay {
             Some(_) => 2 * MAX_POLL_SILENCE,
             None => poll_interval,
@@ -146,6 +152,7 @@
         };
     }
 
+    /// Returns the window of the poll that follows a failed one. `max_delay` bounds the delay.
     fn window_after_failure(
         &self,
         max_delay: Micros,
@@ -154,8 +161,8 @@
     ) -> DelayWindow {
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
         let doubled_window = base_window(poll_interval, config) << doublings;
-        // A lone forwarder has an empty window. The shortest delay keeps it from polling without a
-        // pause.
+        // The window of a forwarder without peers is empty. The shortest delay keeps such a
+        // forwarder from polling in a tight loop.
         let shortest = (POLL_COST_US << doublings).min(max_delay / SHORTEST_DELAY_DIVISOR);
         DelayWindow {
             shortest,
@@ -164,7 +171,7 @@
     }
 }
 
-/// The window of the first poll of a process.
+/// Returns the window of the first poll after the start of the process.
 fn first_window(poll_interval: Micros, config: &Config) -> DelayWindow {
     let max_delay = longest_delay(0, poll_interval, config);
     DelayWindow {
@@ -173,19 +180,21 @@
     }
 }
 
-/// µs in which discovery works off one poll of each other forwarder, as far as the poll interval
-/// has room for it.
+/// Returns the time in which discovery processes one poll of each other forwarder, in µs: at most
+/// half the poll interval.
 fn base_window(poll_interval: Micros, config: &Config) -> Micros {
     let other_forwarders = Micros::from(config.fleet_size.saturating_sub(1));
     (POLL_COST_US * other_forwarders).min(poll_interval / FIRST_WINDOW_DIVISOR)
 }
 
-/// The longest delay of the next poll, `elapsed_since_poll` after the failed one.
+/// Returns the longest delay of the next poll, in µs, when `elapsed_since_poll` µs have passed
+/// since the failed poll.
 fn longest_delay(elapsed_since_poll: Micros, poll_interval: Micros, config: &Config) -> Micros {
     let Some(notification_delay) = config.list_notification_delay else {
         return poll_interval;
     };
-    // Discovery may have been in reach ever since the failed poll, so that time is spent.
+    // Discovery may have been reachable ever since the failed poll, so the elapsed time counts
+    // towards the notification delay.
     let time_spent = elapsed_since_poll.min(MAX_POLL_SILENCE) + ANSWER_ALLOWANCE_US;
     notification_delay
         .saturating_sub(time_spent)
--- a/src/policy/list_polling/tests.rs
+++ b/src/policy/list_polling/tests.rs
@@ -1,4 +1,4 @@
-//! The delays of one forwarder, and how a fleet fares at its start and after an outage of
+//! Tests of the poll delays of one forwarder, and of a fleet at its start and after an outage of
 //! discovery.
 
 use super::*;
@@ -11,16 +11,17 @@
 
 const MS: Micros = 1_000;
 
-/// The poll interval of the service rules, where a test needs no other.
+/// Poll interval of the service rules in most tests, in µs.
 const POLL_INTERVAL: Micros = 10_000 * MS;
 
-/// How long a poll waits for its answer, where a test needs no other.
+/// Time that a poll waits for its answer in most tests, in µs.
 const POLL_TIMEOUT: Micros = 2_000 * MS;
 
-/// How long a rejected poll takes to fail.
+/// Time until a rejected poll fails, in µs.
 const REJECTION_TIME: Micros = 20 * MS;
 
-/// The time after a change at which a forwarder counts as notified, as on sockets.
+/// Time after a change at which a forwarder counts as notified, in µs; the same as in the tests on
+/// sockets.
 const NOTIFICATION_DELAY: Micros = 6_000 * MS;
 
 fn config(fleet_size: u32) -> Config {
@@ -31,7 +32,7 @@
     }
 }
 
-/// The list poller of one forwarder, and the timer that it has set.
+/// The list poller of one forwarder, and the time of the timer that it has set.
 struct PollingForwarder {
     list_poller: ListPoller,
     config: Config,
@@ -40,7 +41,7 @@
 }
 
 impl PollingForwarder {
-    /// A forwarder that starts at time 0.
+    /// Creates a forwarder that starts at time 0.
     fn new(config: Config, seed: u64) -> PollingForwarder {
         let is_only_forwarder = config.fleet_size == 1;
         let mut forwarder = PollingForwarder {
@@ -55,14 +56,14 @@
         forwarder
     }
 
-    /// The forwarders of a fleet that starts at time 0.
+    /// Creates the forwarders of a fleet that starts at time 0.
     fn fleet(fleet_size: u32, seed: u64) -> Vec<PollingForwarder> {
         (0..fleet_size)
             .map(|number| PollingForwarder::new(config(fleet_size), seed << 32 | u64::from(number)))
             .collect()
     }
 
-    /// Handles an event; returns whether the forwarder polls.
+    /// Handles an event, and returns whether the forwarder polls.
     fn handle(&mut self, now: Micros, event: Event) -> bool {
         let mut actions = Vec::new();
         self.list_poller
@@ -75,7 +76,7 @@
         actions.contains(&Action::WatchEndpointList { enabled: true })
     }
 
-    /// Fires the timer if it is due; returns whether the forwarder polls.
+    /// Fires the timer if it is due, and returns whether the forwarder polls.
     fn fire_timer(&mut self, now: Micros) -> bool {
         let is_due = self.timer.take_if(|at| *at <= now).is_some();
         is_due && self.handle(now, Event::TimerFired { token: POLL_TIMER })
@@ -85,13 +86,13 @@
         self.handle(now, Event::EndpointListUpdated(EndpointListUpdate::Failed));
     }
 
-    /// When the next poll is due.
+    /// Returns the time at which the next poll is due.
     fn next_poll_at(&self) -> Micros {
-        self.timer.expect("a poll is scheduled")
+        self.timer.expect("a poll must be scheduled")
     }
 
-    /// Polls when it is due and fails each poll `fails_after` it. Returns the delays from each
-    /// failure to the next poll.
+    /// Sends each poll when it is due, and fails it after `fails_after`. Returns the delays between
+    /// each failure and the next poll.
     fn delays_after_failures(&mut self, failures: usize, fails_after: Micros) -> Vec<Micros> {
         let mut delays = Vec::new();
         for _ in 0..failures {
@@ -111,7 +112,7 @@
         let delay = PollingForwarder::new(config(fleet_size), 1).next_poll_at();
         assert!(
             delay <= POLL_INTERVAL / 2 && (fleet_size > 1 || delay == 0),
-            "{fleet_size} forwarders: {delay} µs"
+            "{fleet_size} forwarders: the first poll came after {delay} µs"
         );
     }
 }
@@ -125,11 +126,11 @@
             delays
                 .iter()
                 .all(|delay| (1..=POLL_INTERVAL).contains(delay)),
-            "{delays:?}"
+            "delays must be within 1 µs and the poll interval: {delays:?}"
         );
         assert!(
             delays.iter().any(|delay| *delay >= POLL_INTERVAL / 2),
-            "{delays:?}"
+            "a delay must reach half the poll interval: {delays:?}"
         );
     }
 }
@@ -146,7 +147,7 @@
     }
 }
 
-/// Polls fail by a rejection, by a break, or by the longest silence.
+/// Polls fail by a rejection, by a broken connection, or by a silence of the longest duration.
 #[test]
 fn next_answer_arrives_within_notification_delay_after_any_failure() {
     for fleet_size in [1, 20, 350] {
@@ -171,7 +172,7 @@
     forwarder.config.list_notification_delay = Some(NOTIFICATION_DELAY);
     for failures in 1..=20 {
         let polled_at = forwarder.next_poll_at();
-        // A lone forwarder has sent its first poll as it started.
+        // A forwarder without peers sends its first poll when it starts.
         assert!(forwarder.fire_timer(polled_at) || fleet_size == 1 && failures == 1);
         forwarder.fail_poll(polled_at + fails_after);
         let time_between_polls = forwarder.next_poll_at() - polled_at;
@@ -181,10 +182,11 @@
         );
         assert!(
             time_between_polls > fails_after,
-            "{fleet_size} forwarders: polls again without a delay"
+            "{fleet_size} forwarders: the next poll must be delayed"
         );
     }
-    // A watch that was answered for long falls silent. That is noticed after the longest silence.
+    // A watch that was answered for long receives no more answers. The forwarder detects the
+    // silence after its longest duration.
     let polled_at = forwarder.next_poll_at();
     assert!(forwarder.fire_timer(polled_at));
     let noticed_at = polled_at + 2 * POLL_INTERVAL + MAX_POLL_SILENCE;
@@ -196,8 +198,8 @@
     );
 }
 
-/// Also where a silence is reported a little late, as on sockets, and in a small fleet, whose
-/// window is nearly empty.
+/// Covers a silence that is reported slightly late, as on sockets, and small fleets, whose window
+/// is nearly empty.
 #[test]
 fn consecutive_failures_lengthen_delay_under_notification_delay() {
     for (fleet_size, fails_after) in [
@@ -210,7 +212,7 @@
         let delays = forwarder.delays_after_failures(8, fails_after);
         assert!(
             delays[0] < 300 * MS && delays[7] >= 1_000 * MS,
-            "{fleet_size} forwarders: {delays:?}"
+            "{fleet_size} forwarders: the delays must grow from under 300 ms to 1 s: {delays:?}"
         );
     }
 }
--- a/src/policy/list_polling/tests/discovery.rs
+++ b/src/policy/list_polling/tests/discovery.rs
@@ -2,14 +2,15 @@
 
 use super::*;
 
-/// Discovery that answers one poll after the other. It also works off the polls that nobody waits
-/// for any more.
+/// A discovery service that processes one poll after another, including polls whose senders no
+/// longer wait for the answer.
 pub struct Discovery {
-    /// µs to work off one poll.
+    /// Time to process one poll, in µs.
     pub poll_cost: Micros,
-    /// A poll that would wait for longer is rejected at once, in µs.
+    /// Upper bound on the time until a poll is answered, in µs. A poll that would take longer is
+    /// rejected at once.
     pub max_wait: Micros,
-    /// When the polls accepted so far are worked off.
+    /// Time at which all accepted polls will have been processed, in µs.
     busy_until: Micros,
 }
 
@@ -22,7 +23,7 @@
         }
     }
 
-    /// When a poll that is sent now is answered; none if it is rejected.
+    /// Returns the time at which a poll that is sent now is answered, or `None` if it is rejected.
     pub fn accept(&mut self, now: Micros) -> Option<Micros> {
         let answered_at = self.busy_until.max(now) + self.poll_cost;
         if answered_at - now > self.max_wait {
--- a/src/policy/list_polling/tests/outage.rs
+++ b/src/policy/list_polling/tests/outage.rs
@@ -1,28 +1,29 @@
-//! A fleet whose watches all fall silent as discovery goes down, and discovery's recovery.
+//! Tests of a fleet whose watches all receive no more answers because discovery is down, and of its
+//! recovery when discovery returns.
 
 use super::discovery::Discovery;
 use super::*;
 
-/// When the watches fall silent.
+/// Time from which the watches receive no answers, in µs.
 const SILENT_SINCE: Micros = 2 * POLL_INTERVAL;
 
-/// The simulation ends this long after discovery's return.
+/// Time between discovery's return and the end of the simulation, in µs.
 const RECOVERY_TIME: Micros = 30_000 * MS;
 
 /// An outage of discovery.
 #[derive(Clone, Copy)]
 struct Outage {
     fleet_size: u32,
-    /// µs of discovery's time that a poll takes.
+    /// Time in which discovery processes one poll, in µs.
     poll_cost: Micros,
-    /// Discovery rejects a poll that would wait for longer.
+    /// Discovery rejects a poll that would be answered only after a longer time, in µs.
     max_wait: Micros,
-    /// How long discovery is down.
+    /// Time for which discovery is down, in µs.
     duration: Micros,
     notification_delay: Option<Micros>,
-    /// A poll without an answer fails after this time.
+    /// Time after which a poll without an answer fails, in µs.
     poll_timeout: Micros,
-    /// An answer to a poll that failed counts all the same, up to this time after the poll.
+    /// Time after a poll up to which its answer is accepted even if the poll has failed, in µs.
     late_answer_limit: Micros,
 }
 
@@ -36,42 +37,43 @@
     late_answer_limit: 7_000 * MS,
 };
 
-/// How the fleet recovered. Times are in µs from discovery's return; `Micros::MAX` or near it is
-/// never.
+/// The recovery of the fleet. Times are in µs since discovery's return; a value near `Micros::MAX`
+/// means never.
 #[derive(Debug)]
 struct Recovery {
-    /// The first poll of each forwarder.
+    /// Time of the first poll of each forwarder.
     first_polls: Vec<Micros>,
-    /// The answer to each forwarder.
+    /// Time of the answer to each forwarder.
     answers: Vec<Micros>,
-    /// Polls in the busiest second.
+    /// Number of polls in the busiest second.
     max_polls_per_second: usize,
     poll_count: usize,
 }
 
 impl Recovery {
-    /// Forwarders answered within so many seconds.
+    /// Returns the number of forwarders answered within `seconds` of discovery's return.
     fn answered_within(&self, seconds: Micros) -> usize {
         let in_time = |at: &&Micros| **at <= seconds * 1_000 * MS;
         self.answers.iter().filter(in_time).count()
     }
 }
 
-/// A forwarder and its polls.
+/// A simulated forwarder and the state of its polls.
 struct SimulatedForwarder {
     polling: PollingForwarder,
-    /// When the poll in flight is answered.
+    /// Time at which the poll in flight is answered.
     answer_at: Option<Micros>,
-    /// When the last poll that failed and was accepted is answered.
+    /// Time at which the latest poll that discovery accepted, but that has since failed, is
+    /// answered.
     late_answer_at: Option<Micros>,
     fails_at: Option<Micros>,
-    /// The first poll after discovery's return.
+    /// Time of the first poll after discovery's return.
     first_poll_at: Option<Micros>,
     answered_at: Option<Micros>,
 }
 
 impl SimulatedForwarder {
-    /// A forwarder whose watch falls silent, which it notices at `fails_at`.
+    /// Creates a forwarder that detects at `fails_at` that its watch receives no answers.
     fn new(mut polling: PollingForwarder, outage: &Outage, fails_at: Micros) -> SimulatedForwarder {
         polling.config.list_notification_delay = outage.notification_delay;
         polling.timer = None;
@@ -86,15 +88,15 @@
         }
     }
 
-    /// Notes an answer that is in. Where both the last poll and one that failed are answered, the
-    /// last poll counts, even if its answer is the later one.
+    /// Records an answer that has arrived. If both the last poll and a failed poll are answered,
+    /// the answer to the last poll counts, even if it is the later one.
     fn check_answers(&mut self, now: Micros) {
         let is_in = |at: &Micros| *at <= now;
         let late_answer = self.late_answer_at.filter(is_in);
         self.answered_at = self.answer_at.filter(is_in).or(late_answer);
     }
 
-    /// Sends a poll to discovery, which is back.
+    /// Sends a poll to discovery, which must have returned.
     fn poll(&mut self, now: Micros, outage: &Outage, discovery: &mut Discovery) {
         self.first_poll_at.get_or_insert(now);
         let Some(answer_at) = discovery.accept(now) else {
@@ -110,7 +112,7 @@
 
     fn check_failure(&mut self, now: Micros) {
         if self.fails_at.take_if(|at| *at <= now).is_some() {
-            // Only the last accepted poll is still answered; a rejected one leaves it in place.
+            // Only the latest accepted poll is still answered. A rejected poll does not replace it.
             if let Some(answer_at) = self.answer_at.take() {
                 self.late_answer_at = Some(answer_at);
             }
@@ -119,7 +121,7 @@
     }
 }
 
-/// Simulates the outage and half a minute from discovery's return.
+/// Simulates the outage and the half minute after discovery's return.
 fn recover(outage: Outage, seed: u64) -> Recovery {
     let discovery_returns_at = SILENT_SINCE + outage.duration;
     let mut discovery = Discovery::new(outage.poll_cost, outage.max_wait);
@@ -165,7 +167,7 @@
     }
 }
 
-/// The most of these times that lie within one second from one of them.
+/// Returns the largest number of `times` within one second that starts at one of them.
 fn max_within_a_second(times: &[Micros]) -> usize {
     let within_a_second_from = |from: &Micros| {
         let second = *from..from + 1_000 * MS;
@@ -174,7 +176,8 @@
     times.iter().map(within_a_second_from).max().unwrap_or(0)
 }
 
-/// Where discovery can work off the polls of all within the time of notification.
+/// Covers a discovery service that can process the polls of all forwarders within the notification
+/// delay.
 #[test]
 fn fleet_gets_list_within_notification_delay_after_outage() {
     for poll_cost in [1, 8, 14].map(|ms| ms * MS) {
@@ -186,22 +189,27 @@
                 },
                 seed,
             );
-            let last = recovery.answers.iter().max().expect("a fleet");
+            let last = recovery
+                .answers
+                .iter()
+                .max()
+                .expect("the fleet must not be empty");
             assert!(
                 *last <= NOTIFICATION_DELAY,
-                "{poll_cost} µs a poll, seed {seed}: the last answer after {last} µs"
+                "{poll_cost} µs per poll, seed {seed}: the last answer arrived after {last} µs"
             );
             assert!(
                 recovery.max_polls_per_second <= 175,
-                "{} polls in a second",
+                "{} polls in a second, expected at most 175",
                 recovery.max_polls_per_second
             );
         }
     }
 }
 
-/// The window exists for this: repeated polls do not keep an overloaded discovery down. At least a
-/// third of what it can work off reaches the fleet, late answers included.
+/// Guards against repeated polls that keep discovery overloaded, which the delay window prevents.
+/// At least a third of the polls that discovery can process must reach the fleet as answers,
+/// including late ones.
 #[test]
 fn overloaded_discovery_answers_a_third_of_possible_polls() {
     for poll_cost in [80, 40, 25].map(|ms| ms * MS) {
@@ -218,8 +226,8 @@
                     let possible = (seconds * 1_000 * MS / poll_cost).min(350);
                     assert!(
                         3 * answered >= possible,
-                        "{poll_cost} µs a poll, longest wait {max_wait} µs: \
-                         {answered} of {possible} answered in {seconds} s"
+                        "{poll_cost} µs per poll, longest wait {max_wait} µs: \
+                         {answered} of {possible} answered in {seconds} s, expected a third"
                     );
                 }
             }
@@ -260,12 +268,12 @@
     }
 }
 
-/// Prints the means of five seeds, but for the first polls and the busiest second, which are the
-/// most of all.
+/// Prints the means over five seeds; for the first polls and the busiest second, the maximum over
+/// all seeds.
 fn print_row(name: &str, outage: Outage) {
     let runs: Vec<Recovery> = (0..5).map(|seed| recover(outage, seed)).collect();
     let first_polls = runs.iter().flat_map(|run| &run.first_polls);
-    let last_first_poll = first_polls.max().expect("polls") / MS;
+    let last_first_poll = first_polls.max().expect("each run must have polls") / MS;
     let busiest = runs.iter().map(|run| run.max_polls_per_second).max();
     let polls = runs.iter().map(|run| run.poll_count).sum::<usize>() / runs.len();
     let answered = |seconds: Micros| {
@@ -278,6 +286,6 @@
         answered(6),
         answered(15),
         answered(30),
-        busiest.expect("runs"),
+        busiest.expect("there must be runs"),
     );
 }
--- a/src/policy/list_polling/tests/start.rs
+++ b/src/policy/list_polling/tests/start.rs
@@ -1,10 +1,10 @@
-//! A fleet whose forwarders all start at once.
+//! Tests of a fleet whose forwarders all start at the same time.
 
 use super::discovery::Discovery;
 use super::*;
 
-/// When each forwarder is answered. Discovery takes `poll_cost` µs a poll; the simulation lasts
-/// `until`.
+/// Returns the time at which each forwarder is answered, or `None` if it is not answered by
+/// `until`. Discovery processes one poll in `poll_cost` µs.
 fn answers_after_start(
     fleet_size: u32,
     poll_cost: Micros,
@@ -32,7 +32,8 @@
     answered_at
 }
 
-/// However slow discovery is. Polls repeated each second would never be answered.
+/// Guards against a fleet that repeats its polls each second, which a slow discovery service would
+/// never answer.
 #[test]
 fn fleet_started_at_once_gets_list_within_25_seconds() {
     for (fleet_size, poll_cost) in [
@@ -49,7 +50,8 @@
                 .count();
             assert!(
                 late_count * 50 <= fleet_size as usize,
-                "{fleet_size} forwarders, {poll_cost} µs a poll: {late_count} not answered in 25 s"
+                "{fleet_size} forwarders, {poll_cost} µs per poll: \
+                 {late_count} not answered in 25 s, expected at most 2%"
             );
         }
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,9 +1,9 @@
-//! The rules of the forwarder: one rule a file, with its constants beside it.
+//! The decision rules of the forwarder, one per file, each with its constants.
 //!
-//! Each file can be read alone. It holds a small type or pure functions over plain values, and
-//! states the rule, its inputs and their units in its first lines. The state of messages,
-//! destinations and endpoints lies outside ([`crate::destination`], [`crate::endpoint`],
-//! [`crate::forwarder`]): it calls the rules and has no thresholds of its own.
+//! A file can be read by itself. It holds a small type or pure functions over plain values, and
+//! its module documentation states the rule, the inputs and their units. The state of messages,
+//! destinations and endpoints is kept in [`crate::destination`], [`crate::endpoint`] and
+//! [`crate::forwarder`]. These modules call the rules and define no thresholds of their own.
 
 pub mod admission;
 pub mod attempt_timeout;
@@ -21,5 +21,6 @@
 
 use crate::model::Micros;
 
-/// Time between two looks at all timers: short beside any attempt, long beside its cost.
+/// Interval between two checks of all timers, in µs. It is short compared with any attempt, and
+/// long compared with the cost of a check.
 pub const TIMER_INTERVAL: Micros = 25_000;
--- a/src/policy/ordering/tests.rs
+++ b/src/policy/ordering/tests.rs
@@ -1,4 +1,4 @@
-//! What the rule on order by key promises at its limits.
+//! Tests of the order, the pauses and the acknowledgements of a key, at the limits of the rules.
 
 use super::*;
 
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,67 +1,74 @@
-//! When an endpoint is ejected, and when it counts as degraded.
+//! Outlier detection: when an endpoint is ejected, and when it counts as degraded.
 //!
-//! An endpoint is ejected after several failures in a row, once most of its latest attempts
-//! failed, when it answers none of several calls, or when it asks for a wait that is longer than
-//! an overload lasts. The first delivered message readmits it; a successful health check only
-//! lets a message try it ([`super::health_check`]). Failed connections alone prove nothing while other calls get through:
-//! a connection table may be full.
-//! Inputs are outcomes of attempts, times in µs. The rule is ours (`docs/design.md`).
+//! An endpoint is ejected after several consecutive failures, if most of its latest attempts
+//! failed, if it responds to none of several calls, or if it sends a retry-after that is longer
+//! than an overload lasts. The first delivered message readmits the endpoint. A successful health
+//! check only allows a trial with a message ([`super::health_check`]). Failed connections alone are
+//! no evidence of an outage while other calls succeed, because the endpoint's connection table may
+//! be full.
+//!
+//! The inputs are outcomes of attempts, and times in µs. See `docs/design.md`.
 
 use super::attempt_timeout::SILENCE_THRESHOLD;
 use crate::model::{Micros, Outcome};
 use std::collections::VecDeque;
 
-/// Latest outcomes that judge an endpoint: at a call per second a verdict turns within seconds.
+/// Number of latest outcomes by which an endpoint is judged. At one call per second, the verdict
+/// changes within seconds.
 pub const OUTCOME_WINDOW_SIZE: usize = 8;
-/// Fewer successes than this in a full window eject: most attempts failed.
+/// An endpoint with fewer successes than this in a full window is ejected: most attempts failed.
 const EJECT_BELOW_SUCCESSES: usize = 4;
-/// Failures or rejections in a row from which an endpoint is ejected: chance seldom makes three.
+/// Number of consecutive failures or rejections from which an endpoint is ejected. Three are seldom
+/// a coincidence.
 const EJECT_AFTER_FAILURES: u32 = 3;
-/// The same where a cold endpoint would get next to nothing: the retries of a large fleet add up.
+/// Number of consecutive failures from which an endpoint is ejected if this forwarder's share of it
+/// is negligible, or would be if the endpoint were cold. The retries of a large fleet add up.
 const EJECT_AFTER_FAILURES_NEGLIGIBLE_BUDGET: u32 = 2;
-/// Failed connections in a row that are excused while other calls get through.
+/// Upper bound on the consecutive failed connections that are excused while other calls succeed.
 const MAX_EXCUSED_CONNECTION_FAILURES: u32 = 4;
-/// Failures in the window that make an endpoint degraded: one may be chance.
+/// Number of failures in the window from which an endpoint is degraded. One may be a coincidence.
 const DEGRADED_FAILURES: usize = 2;
-/// Unanswered calls beyond the latency bound that eject.
+/// Number of calls without a response beyond the latency bound from which an endpoint is ejected.
 const EJECT_AFTER_UNANSWERED_CALLS: usize = 2;
 
-/// After an answer, failed connections prove nothing for this time.
+/// Time after a response during which failed connections are excused, in µs.
 pub const CONNECTION_GRACE: Micros = 2 * SILENCE_THRESHOLD;
 
-/// The latest outcomes of an endpoint, the newest first, [`OUTCOME_WINDOW_SIZE`] at most.
+/// Holds the latest outcomes of an endpoint: at most [`OUTCOME_WINDOW_SIZE`].
 #[derive(Clone, Debug, Default)]
 pub struct OutcomeWindow {
+    /// Whether each attempt was successful, the newest first.
     successes: VecDeque<bool>,
 }
 
 impl OutcomeWindow {
-    /// Takes an outcome in.
+    /// Adds an outcome. The oldest outcome is dropped if the window is full.
     pub fn record(&mut self, success: bool) {
         self.successes.push_front(success);
         self.successes.truncate(OUTCOME_WINDOW_SIZE);
     }
 
-    /// Forgets all outcomes.
+    /// Removes all outcomes.
     pub fn clear(&mut self) {
         self.successes.clear();
     }
 
-    /// Outcomes in the window.
+    /// Returns the number of outcomes in the window.
     pub fn len(&self) -> usize {
         self.successes.len()
     }
 
-    /// Failures in the window.
+    /// Returns the number of failures in the window.
     pub fn failures(&self) -> usize {
         self.successes.iter().filter(|success| !**success).count()
     }
 
+    /// Returns whether the window is full and most of its outcomes are failures.
     fn has_mostly_failures(&self) -> bool {
         self.len() == OUTCOME_WINDOW_SIZE && self.len() - self.failures() < EJECT_BELOW_SUCCESSES
     }
 
-    /// One bit an outcome, the newest in the lowest, 1 for a success.
+    /// Encodes each outcome as one bit: 1 for a success, the newest outcome in the lowest bit.
     pub fn to_bits(&self) -> u8 {
         self.successes
             .iter()
@@ -71,7 +78,8 @@
             })
     }
 
-    /// Reads what [`OutcomeWindow::to_bits`] wrote of `len` outcomes.
+    /// Decodes `len` outcomes from the bits that [`OutcomeWindow::to_bits`] returned. `len` must be
+    /// at most [`OUTCOME_WINDOW_SIZE`].
     pub fn from_bits(bits: u8, len: u8) -> OutcomeWindow {
         OutcomeWindow {
             successes: (0..len).map(|index| bits >> index & 1 == 1).collect(),
@@ -79,45 +87,47 @@
     }
 }
 
-/// What an outcome comes to.
+/// The consequence of an outcome for an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The endpoint stays as it is.
+    /// The endpoint keeps its health state.
     Keep,
-    /// The endpoint is to be ejected.
+    /// The caller must eject the endpoint.
     Eject,
 }
 
-/// Under what conditions an outcome is judged.
+/// The conditions under which an outcome is judged.
 #[derive(Clone, Copy, Debug)]
 pub struct OutcomeContext {
-    /// Now.
+    /// The current time, in µs.
     pub now: Micros,
-    /// How long a destination is overloaded before it falls over: rejections over a shorter time
-    /// come from a limit, not from an outage.
+    /// Time for which a destination must be overloaded to fail, in µs. Rejections over a shorter
+    /// time come from a rate limit and not from an outage.
     pub overload_window: Micros,
-    /// Whether this forwarder's share of the endpoint is next to nothing. For a healthy endpoint:
-    /// whether it would be, if the endpoint were cold.
+    /// Whether this forwarder's share of the endpoint is negligible. For a healthy endpoint:
+    /// whether the share would be negligible if the endpoint were cold.
     pub is_budget_negligible: bool,
 }
 
-/// What the outcomes of attempts say of an endpoint.
+/// Accumulates the outcomes of the attempts at one endpoint, which owns it.
 #[derive(Clone, Debug, Default)]
 pub struct FailureAccrual {
-    /// The latest outcomes.
+    /// The latest outcomes that count as a success or a failure.
     pub window: OutcomeWindow,
-    /// Failures and rejections since the last success. Excused connection failures don't count.
+    /// Number of failures and rejections since the last success. Excused connection failures are
+    /// not counted.
     pub consecutive_failures: u32,
-    /// Failed connections since the last answer, while other calls got through.
+    /// Number of excused connection failures since the last response.
     pub refused_connections: u32,
-    /// When the failures in a row began; while there are none, the time of the last outcome.
+    /// Time of the first of the consecutive failures; without one, the time of the last outcome.
     pub run_started_at: Micros,
-    /// When the endpoint answered last.
+    /// Time of the last response that accepted or rejected a request, in µs. For a new endpoint,
+    /// the owner sets the time from which the grace for failed connections counts.
     pub last_response_at: Micros,
 }
 
 impl FailureAccrual {
-    /// Takes the outcome of an attempt in.
+    /// Records the outcome of an attempt, and returns whether the endpoint must be ejected.
     pub fn record(&mut self, outcome: Outcome, context: OutcomeContext) -> Verdict {
         let now = context.now;
         if self.consecutive_failures == 0 {
@@ -150,11 +160,13 @@
         self.judge(is_rejection, context)
     }
 
+    /// Returns whether a failed connection is excused because other calls have succeeded recently.
     fn excuses_connection_failure(&self, now: Micros) -> bool {
         now < self.last_response_at + CONNECTION_GRACE
             && self.refused_connections < MAX_EXCUSED_CONNECTION_FAILURES
     }
 
+    /// Judges the outcomes so far. `is_rejection` describes the outcome that was recorded last.
     fn judge(&self, is_rejection: bool, context: OutcomeContext) -> Verdict {
         let min_run_duration = if is_rejection {
             context.overload_window
@@ -174,19 +186,22 @@
         }
     }
 
-    /// Whether the outcomes make the endpoint degraded.
+    /// Returns whether the endpoint is degraded.
     pub fn is_degraded(&self) -> bool {
         self.window.failures() >= DEGRADED_FAILURES
     }
 }
 
-/// Whether so many calls, sent since the last answer and unanswered beyond the latency bound,
-/// eject an endpoint. Only a healthy one is judged by it.
+/// Returns whether an endpoint must be ejected because of calls without a response.
+///
+/// `unanswered_calls` is the number of calls that were sent since the last response and have
+/// exceeded the latency bound. The caller must apply this only to a healthy endpoint.
 pub fn is_unresponsive(unanswered_calls: usize) -> bool {
     unanswered_calls >= EJECT_AFTER_UNANSWERED_CALLS
 }
 
-/// Whether a retry-after is too long for an overload: the destination is taken for shut.
+/// Returns whether a retry-after is longer than an overload lasts. The destination is then treated
+/// as unavailable.
 pub fn is_long_retry_after(retry_after: Micros, overload_window: Micros) -> bool {
     retry_after > overload_window
 }
--- a/src/policy/outlier/tests.rs
+++ b/src/policy/outlier/tests.rs
@@ -1,9 +1,9 @@
-//! What the rule on outliers promises at its limits.
+//! Tests of ejection, degradation and the outcome window, at the limits of the rules.
 
 use super::*;
 
 const SECOND: Micros = 1_000_000;
-/// Long after any answer.
+/// Long after the time of the last response, which is 0 by default.
 const NOW: Micros = 100 * SECOND;
 
 fn context(now: Micros) -> OutcomeContext {
@@ -106,7 +106,7 @@
     let refused = [Outcome::NoConnection; 4];
     assert!(!record_all(&mut failures, &refused).contains(&Verdict::Eject));
     assert_eq!(failures.window.failures(), 0);
-    // The fifth counts, and the four before it with it.
+    // The fifth failed connection counts, together with the four excused ones before it.
     assert_eq!(
         record_all(&mut failures, &[Outcome::NoConnection]),
         [Verdict::Eject]
@@ -155,7 +155,11 @@
     assert_eq!(window.len(), OUTCOME_WINDOW_SIZE);
     let copy = OutcomeWindow::from_bits(window.to_bits(), window.len() as u8);
     assert_eq!(copy.successes, window.successes);
-    assert_eq!(window.successes.front(), Some(&false), "19 is not a third");
+    assert_eq!(
+        window.successes.front(),
+        Some(&false),
+        "the newest outcome (index 19, a failure) must be first"
+    );
 }
 
 #[test]
--- a/src/policy/pacing/tests.rs
+++ b/src/policy/pacing/tests.rs
@@ -1,4 +1,4 @@
-//! What the rule on pacing promises at its limits.
+//! Tests of the interval, its recovery and the pauses, at the limits of the rules.
 
 use super::*;
 use crate::model::DeliveryClassConfig;
@@ -8,7 +8,7 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// Ten forwarders before a limit of ten calls per second: an even share is a call per second.
+/// Ten forwarders share a limit of ten calls per second: an even share is one call per second.
 fn config() -> Config {
     Config {
         fleet_size: 10,
@@ -41,7 +41,7 @@
         let unknown = ListedCapacity::from_rate(rate, &config());
         assert!(
             !unknown.is_known && unknown.calls_per_second == 64.0,
-            "{rate}"
+            "a listed rate of {rate} must count as unknown"
         );
     }
     let unlisted = Config {
@@ -81,7 +81,10 @@
         pacer.next_call_at = 10 * SECOND;
         pacer.start_call(10 * SECOND, &mut rng);
         let wait = pacer.next_call_at - 10 * SECOND;
-        assert!((400 * MS..=1_200 * MS).contains(&wait), "{wait}");
+        assert!(
+            (400 * MS..=1_200 * MS).contains(&wait),
+            "the next call must be due after 400 to 1,200 ms, got {wait} µs"
+        );
     }
 }
 
@@ -99,7 +102,10 @@
     let mut pacer = listed_pacer(10.0, &config());
     pacer.interval = 0.1e6;
     pacer.handle_rejection(10 * SECOND, 10 * SECOND, &config(), &mut rng());
-    assert_eq!(pacer.interval, 0.5e6, "half an even share at least");
+    assert_eq!(
+        pacer.interval, 0.5e6,
+        "the interval must be at least half that of an even share"
+    );
     pacer.interval = 1e6;
     pacer.handle_rejection(12 * SECOND, 11 * SECOND, &config(), &mut rng());
     assert_eq!(pacer.interval, 1e6 / 0.85);
@@ -142,7 +148,7 @@
     assert_eq!(pacer.interval, 0.8e6);
     pacer.has_delayed_message = true;
     pacer.recover(21 * SECOND);
-    // 24 intervals of 0.8 s recover it to 1/e.
+    // The interval recovers to 1/e in 24 intervals of 0.8 s.
     assert!((pacer.interval - 0.8e6 * (-1.0f64 / 19.2).exp()).abs() < 1.0);
     assert!(!pacer.has_delayed_message);
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,28 +1,33 @@
-//! When a message is sent again, and until when it may be sent at all.
+//! Retries: the backoff after a failed attempt, and the time until which a message may be sent.
 //!
-//! After a failed attempt a message waits `min(base * 2^n, max)`, where `n` counts the attempts
-//! before the failed one, and a random part on top. Attempts are bounded in number, and a message
+//! After a failed attempt a message waits for `min(base * 2^n, max)` plus random jitter, where `n`
+//! is the number of attempts before the failed one. The number of attempts is bounded. A message
 //! that may have taken effect is repeated only as far as its delivery class allows.
-//! Source: "Implementing Webhooks and Observing Failure Modes"; the jitter is ours.
+//!
+//! The backoff follows "Implementing Webhooks and Observing Failure Modes", with jitter added.
 
 use super::TIMER_INTERVAL;
 use crate::model::{DeduplicationScope, DeliverySemantics, Micros, PossibleEffect, ZoneId};
 
-/// Wait before the first retry.
+/// Backoff before the first retry, without jitter, in µs.
 const BASE_BACKOFF: Micros = 100_000;
-/// Longest wait before jitter, as a part of the time to live.
+/// Upper bound on the backoff without jitter, as a share of the time to live.
 const MAX_BACKOFF_SHARE: f64 = 0.25;
-/// Largest random part, of the wait. Under 1, so that doubled waits still grow.
+/// Upper bound on the jitter, as a share of the backoff. It is below 1, so that a doubled backoff
+/// is longer than its predecessor in any case.
 const JITTER_SHARE: f64 = 0.5;
-/// Keeps the shift in range; any maximum is reached long before.
+/// Upper bound on the doublings of the backoff. Keeps the shift in range; the backoff reaches its
+/// own upper bound long before.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// A message is not sent this close to its last moment: timers are late by as much.
+/// Time before the last permitted send in which a message is no longer sent, in µs. Timers may fire
+/// this late.
 pub const SEND_MARGIN: Micros = 2 * TIMER_INTERVAL;
 
-/// The wait after the `attempt_number`-th attempt has failed.
+/// Returns the delay after a failed attempt, in µs. The first attempt has number 1.
 ///
-/// `jitter_fraction` is drawn from 0 to 1. It spreads messages that failed together.
+/// The caller must draw `jitter_fraction` at random from 0 to 1. It spreads the retries of messages
+/// that failed together.
 pub fn backoff(attempt_number: u32, time_to_live: Micros, jitter_fraction: f64) -> Micros {
     let max_wait = (MAX_BACKOFF_SHARE * time_to_live as f64) as Micros;
     let doublings = attempt_number.saturating_sub(1).min(MAX_DOUBLINGS);
@@ -30,9 +35,10 @@
     wait + (wait as f64 * JITTER_SHARE * jitter_fraction) as Micros
 }
 
-/// The last moment at which the next attempt at a message may begin; 0 when there is to be none.
+/// Returns the last time at which the next attempt at a message may begin, in µs; 0 if the message
+/// must not be sent again.
 ///
-/// `attempts` counts those of earlier runs too.
+/// `attempts` includes the attempts of earlier runs of the forwarder.
 pub fn last_send_at(
     semantics: DeliverySemantics,
     attempts: u32,
@@ -52,7 +58,8 @@
     }
 }
 
-/// The only zone that may get a repeat; none where any may.
+/// Returns the only zone to which the message may be repeated, or `None` if it may be sent to any
+/// zone.
 pub fn required_zone(
     semantics: DeliverySemantics,
     possible_effect: Option<PossibleEffect>,
@@ -66,7 +73,7 @@
     }
 }
 
-/// Whether the client may submit the message again without a second effect.
+/// Returns whether the client may resubmit the message without the risk of a harmful second effect.
 pub fn may_be_resubmitted(
     semantics: DeliverySemantics,
     possible_effect: Option<PossibleEffect>,
@@ -74,12 +81,13 @@
     possible_effect.is_none() || semantics == DeliverySemantics::Idempotent
 }
 
-/// Whether it is too late for another attempt: the last moment to send comes within the margin.
+/// Returns whether it is too late for another attempt: `last_send_at` is within [`SEND_MARGIN`] of
+/// now, or past.
 pub fn is_too_late(now: Micros, last_send_at: Micros) -> bool {
     now + SEND_MARGIN >= last_send_at
 }
 
-/// The moment by which the first byte of an attempt has to be out.
+/// Returns the time by which the first byte of an attempt must have been sent, in µs.
 pub fn send_by(last_send_at: Micros) -> Micros {
     last_send_at.saturating_sub(SEND_MARGIN)
 }
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -1,4 +1,4 @@
-//! What the rule on retries promises at its limits.
+//! Tests of backoff, the last permitted send and resubmission, at the limits of the rules.
 
 use super::*;
 
@@ -57,8 +57,16 @@
 fn repeats_keyed_message_within_deduplication_window() {
     let last = |sent_at| last_send_at(KEYED, 1, 8, DEADLINE, effect_at(sent_at));
     assert_eq!(last(5 * SECOND), 15 * SECOND);
-    assert_eq!(last(55 * SECOND), DEADLINE, "the deadline comes first");
-    assert_eq!(last(Micros::MAX), DEADLINE, "no overflow");
+    assert_eq!(
+        last(55 * SECOND),
+        DEADLINE,
+        "the deadline is before the end of the window"
+    );
+    assert_eq!(
+        last(Micros::MAX),
+        DEADLINE,
+        "the end of the window must not overflow"
+    );
 }
 
 #[test]
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,10 +1,12 @@
-//! Which message is sent next, and to which endpoint.
+//! Selection of the message that is sent next, and of its endpoint.
 //!
-//! Permits and paced calls are scarce, so the message goes first that loses most by waiting: what
-//! its delivery counts now, less what it counts somewhat later, on the scale of the shortest
-//! latency objective. Between destinations the loss per time that a permit is held decides.
-//! Among endpoints the cheapest goes first, then the one with the shortest expected wait.
-//! Times are µs; weights have no unit. The rule is ours (`docs/design.md`).
+//! Permits and paced calls are scarce, so the message that loses most by waiting is sent first. Its
+//! loss is the weight of a delivery now, minus the weight of a delivery somewhat later, on the
+//! scale of the shortest latency objective. Destinations are compared by the loss per time for
+//! which the call would hold a permit. Among the endpoints of a destination, the cheapest one is
+//! chosen, and among equally cheap ones the one with the shortest expected wait.
+//!
+//! Times are in µs; weights have no unit. See `docs/design.md`.
 
 use super::retry::SEND_MARGIN;
 use crate::model::{
@@ -13,27 +15,27 @@
 use rand::Rng;
 use std::ops::RangeInclusive;
 
-/// In the last part of its time to live (one in so many) a message that must not be repeated may
-/// go to a degraded endpoint.
+/// A message with at-most-once semantics may be sent to a degraded endpoint once the time left is
+/// below the time to live divided by this number.
 const LAST_RESORT_TIME_TO_LIVE_DIVISOR: Micros = 4;
-/// Width of the random tie-breaker between endpoints, in calls.
+/// Range of the random tie-breaker between endpoints, in calls.
 const TIE_BREAKER_RANGE: std::ops::Range<f64> = 0.5..1.5;
 
-/// What decides when a message is sent.
+/// The properties of a message that determine how urgent it is.
 #[derive(Clone, Copy, Debug)]
 pub struct Urgency {
-    /// What its delivery counts up to the latency objective.
+    /// Weight of a delivery up to the latency objective.
     pub weight: f64,
-    /// When it is late.
+    /// Time from which the message is late, in µs.
     pub objective_at: Micros,
-    /// When it is over.
+    /// Time from which a delivery has no weight, in µs.
     pub deadline: Micros,
-    /// The last moment at which it may be sent.
+    /// Last time at which the message may be sent, in µs.
     pub last_send_at: Micros,
 }
 
 impl Urgency {
-    /// What a delivery at this time counts.
+    /// Returns the weight of a delivery at the time `at`, in µs.
     pub fn weight_at(&self, at: f64, class: &DeliveryClassConfig, decay: PriorityDecay) -> f64 {
         if at >= self.deadline as f64 {
             return 0.0;
@@ -52,8 +54,10 @@
         self.weight * remaining_share
     }
 
-    /// What is lost by sending it somewhat later than now: its weight now, less the mean over
-    /// the later times of [`look_ahead_delays`].
+    /// Returns the weight that is lost by sending the message somewhat later than now: the weight
+    /// if sent now, minus the mean weight over the later delays of [`look_ahead_delays`].
+    ///
+    /// `mean_latency` is the expected latency of the endpoint, in µs.
     pub fn expected_loss(
         &self,
         now: Micros,
@@ -75,23 +79,27 @@
     }
 }
 
-/// How far ahead the loss is looked at: now, and on the scale of the shortest objective.
+/// Returns the delays for which the loss is evaluated, in µs: 0, and three multiples of the
+/// shortest latency objective.
 pub fn look_ahead_delays(config: &Config) -> [f64; 4] {
     let objective = config.shortest_latency_objective() as f64;
     [0.0, objective / 4.0, objective, 3.0 * objective]
 }
 
-/// How long after its objective the weight of a message falls, where it decays exponentially.
+/// Returns the time after its latency objective during which the weight of a message decreases, in
+/// µs, if it decays exponentially.
 pub fn decay_time(class: &DeliveryClassConfig) -> f64 {
     let late_weight_share = class.late_weight_share.max(f64::MIN_POSITIVE);
     -late_weight_share.log2() * class.latency_objective as f64
 }
 
-/// The latency objectives (`objective_at`) of messages that an endpoint may get now.
+/// Returns the range of latency objectives (`objective_at`) of the messages that may be sent to an
+/// endpoint now.
 ///
-/// `objective_to_deadline` and `objective_to_last_send` are what the messages have in common. A
-/// message that must not be repeated is kept from a degraded endpoint until the last quarter of
-/// its time to live: an endpoint that loses what it takes would lose it for good.
+/// The messages share `objective_to_deadline` and `objective_to_last_send`: the times from the
+/// latency objective to the deadline and to the last permitted send, in µs. A message with
+/// at-most-once semantics is not sent to a degraded endpoint before the last quarter of its time to
+/// live, because a message that such an endpoint loses can't be repeated.
 pub fn eligible_objectives(
     now: Micros,
     objective_to_deadline: i64,
@@ -109,21 +117,25 @@
     earliest..=latest
 }
 
-/// Whether the best message may take the next paced call. A late one loses no more by waiting: it
-/// leaves the call to messages that come in time, until a second call is to spare. Only the best
-/// message is asked: where it is late, none goes.
+/// Returns whether the best message may use the next paced call.
+///
+/// A late message has missed its objective whether it waits or not. It leaves the call to messages
+/// that can still meet theirs, unless there is a spare call. The caller must ask only for the best
+/// message: if that message may not use the call, no message does.
 pub fn may_take_call(now: Micros, objective_at: Micros, has_spare_call: bool) -> bool {
     has_spare_call || objective_at > now
 }
 
-/// What is lost by waiting, per µs that the call would hold its permit.
+/// Returns the loss by waiting per µs for which the call would hold its permit.
 pub fn loss_per_permit_time(expected_loss: f64, mean_latency: f64) -> f64 {
     expected_loss / mean_latency.max(1.0)
 }
 
-/// The rank of an endpoint among those that can take a call: the least goes first.
+/// Returns the rank of an endpoint among those that can accept a call. The endpoint with the lowest
+/// rank is chosen.
 ///
-/// `cost` is its price for a message, `calls_in_flight` those out there; latency in µs.
+/// `cost` is the price of a message to the endpoint, `mean_latency` is in µs, and `calls_in_flight`
+/// counts the calls to the endpoint that have not ended.
 pub fn endpoint_rank(
     cost: f64,
     mean_latency: f64,
@@ -134,8 +146,8 @@
     cost * MICROS_PER_SECOND * MICROS_PER_SECOND + mean_latency * load
 }
 
-/// Draws a tie-breaker for [`endpoint_rank`]: forwarders that know little must not all choose the
-/// same endpoint.
+/// Draws a tie-breaker for [`endpoint_rank`]. It keeps forwarders that have few estimates from all
+/// choosing the same endpoint.
 pub fn draw_tie_breaker(rng: &mut impl Rng) -> f64 {
     rng.random_range(TIE_BREAKER_RANGE)
 }
--- a/src/policy/selection/tests.rs
+++ b/src/policy/selection/tests.rs
@@ -1,4 +1,4 @@
-//! What the rule on selection promises at its limits.
+//! Tests of weights, losses, eligibility and endpoint ranks, at the limits of the rules.
 
 use super::*;
 use rand::SeedableRng;
@@ -23,7 +23,7 @@
     }
 }
 
-/// Due at 10 s, over at 14 s.
+/// A message whose latency objective is at 10 s and whose deadline is at 14 s.
 fn urgency() -> Urgency {
     Urgency {
         weight: 4.0,
@@ -96,7 +96,7 @@
 #[test]
 fn excludes_message_too_late_to_send() {
     let class = class(DeliverySemantics::Idempotent);
-    // Its last moment to send is 4 s after its objective.
+    // The last permitted send is 4 s after the latency objective.
     let eligible = eligible_objectives(10 * SECOND, 4_000_000, 4_000_000, &class, false);
     let margin = SEND_MARGIN as i64;
     assert!(!eligible.contains(&(6_000_000 + margin)));
@@ -109,7 +109,8 @@
     let at_most_once = class(DeliverySemantics::AtMostOnce);
     let eligible =
         |degraded| eligible_objectives(10 * SECOND, 4_000_000, 4_000_000, &at_most_once, degraded);
-    // A quarter of its time to live is left: its objective was at 8 s, its deadline is at 12 s.
+    // A quarter of the time to live is left if the objective was at 8 s and the deadline is at 12
+    // s.
     assert!(!eligible(true).contains(&8_000_000));
     assert!(eligible(true).contains(&7_999_999));
     assert!(eligible(false).contains(&8_000_000));
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,39 +1,42 @@
-//! How much an endpoint gets that may have returned from an outage.
+//! Slow start: the load on an endpoint that may have just returned from an outage.
 //!
-//! The first calls of a whole fleet can overload a destination that has just returned. So
-//! while an endpoint is ejected or warms up, the fleet keeps within a part of its capacity that
-//! grows over the warm-up time, and each forwarder within its even part of that. Where the even
-//! part is next to nothing, half of it goes to forwarders with messages for the endpoint.
-//! Rates are calls per second, times µs. Source: the design page (returning destinations); the
-//! division among forwarders is ours.
+//! The first calls of a whole fleet can overload a destination that has just returned. While an
+//! endpoint is ejected or warming up, the fleet therefore limits its load to a share of the
+//! endpoint's capacity that grows over the warm-up time, and each forwarder limits its load to an
+//! even share of the fleet's. If the even share is negligible, half of it is instead earned by the
+//! forwarders that have messages for the endpoint.
+//!
+//! Rates are in calls per second, times in µs. See the design page on returning destinations.
 
 use crate::model::{Config, Micros, ServiceRuleConfig, MICROS_PER_SECOND};
 use crate::token_bucket::TokenBucket;
 
-/// Part of the allowed load that is used: each forwarder only estimates the capacity.
+/// Share of the allowed load that is used. Each forwarder only estimates the capacity.
 const ALLOWED_LOAD_SHARE_USED: f64 = 0.8;
-/// Calls per overload window under which an even part is scant.
+/// Number of calls per overload window below which a forwarder's even share is negligible.
 const NEGLIGIBLE_CALLS: f64 = 0.25;
-/// What messages may add to a scant part, as a multiple of what is left of it: 1.5 halves.
+/// Upper bound on the calls that messages earn while the share is negligible, as a multiple of the
+/// halved share: 1.5 halves.
 const MAX_EARNED_SHARES: f64 = 1.5;
-/// What a further message in a call costs, in calls.
+/// Cost of each further message in the same call, in calls.
 const BATCHED_MESSAGE_COST: f64 = 0.15;
-/// Calls that a budget holds at most.
+/// Upper bound on the calls that a budget holds.
 const MAX_BUDGET_CALLS: f64 = 1.0;
 
-/// What this forwarder may send to an endpoint that may be cold.
+/// This forwarder's share of the allowed load of an endpoint that may be cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ForwarderShare {
-    /// Calls per second, whatever messages there are.
+    /// Calls per second that are allowed independently of the messages for the endpoint.
     pub calls_per_second: f64,
-    /// Whether it is next to nothing, so that messages earn calls on top.
+    /// Whether the even share is negligible, so that messages earn additional calls.
     pub is_negligible: bool,
 }
 
-/// What an endpoint may get from the whole fleet, as a multiple of its capacity. It is the recovery
-/// ramp: it grows from the cold share to the whole over the warm-up time.
+/// Returns the load that the whole fleet may put on an endpoint, as a multiple of the endpoint's
+/// capacity. This is the recovery ramp, which rises from the cold share to the full share over the
+/// warm-up time.
 ///
-/// `warming_since`: when it was readmitted; none while it is ejected.
+/// `warming_since` is the time of readmission, at most `now`; `None` while the endpoint is ejected.
 pub fn allowed_load(now: Micros, warming_since: Option<Micros>, rules: &ServiceRuleConfig) -> f64 {
     let warm_up_progress = match warming_since {
         Some(since) => (now - since) as f64 / rules.warm_up_time.max(1) as f64,
@@ -45,7 +48,7 @@
         * (cold_share + (1.0 - cold_share) * warm_up_progress.min(1.0))
 }
 
-/// This forwarder's even part of the allowed load; `capacity` is in calls per second.
+/// Returns this forwarder's even share of the allowed load. `capacity` is in calls per second.
 pub fn forwarder_share(allowed_load: f64, capacity: f64, config: &Config) -> ForwarderShare {
     let even_share = allowed_load * capacity / f64::from(config.fleet_size.max(1));
     let is_negligible =
@@ -60,17 +63,19 @@
     }
 }
 
-/// Calls that an endpoint which may be cold still gets from this forwarder, one at most.
+/// Tracks the calls that this forwarder may send to an endpoint that may be cold: at most one at a
+/// time. Owned by the endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStartBudget {
     calls: TokenBucket,
-    /// Bounds what messages add.
+    /// Bounds the calls that messages earn.
     earned: TokenBucket,
 }
 
 impl SlowStartBudget {
-    /// A budget of an endpoint that is ejected now. `calls` is drawn from 0 to 1: forwarders that
-    /// eject an endpoint together are not to try it together.
+    /// Creates the budget of an endpoint that is ejected now. The caller must draw `calls` at
+    /// random from 0 to 1, so that forwarders that eject an endpoint together don't try it
+    /// together.
     pub fn new(calls: f64, now: Micros) -> SlowStartBudget {
         SlowStartBudget {
             calls: TokenBucket {
@@ -84,9 +89,10 @@
         }
     }
 
-    /// Adds what has come since the last time.
+    /// Adds the calls that have accrued since the last refill.
     ///
-    /// `arrivals`: messages for the endpoint since then; they count where the share is scant.
+    /// `arrivals` is the number of messages for the endpoint since then. They earn calls only if
+    /// the share is negligible.
     pub fn refill(&mut self, now: Micros, share: ForwarderShare, arrivals: f64, allowed_load: f64) {
         let earned = if share.is_negligible {
             arrivals / 2.0 * allowed_load
@@ -103,33 +109,34 @@
             .refill(now, share.calls_per_second, MAX_BUDGET_CALLS);
     }
 
-    /// Whole calls that may go now.
+    /// Returns the number of whole calls that may be sent now.
     pub fn whole_calls(&self) -> usize {
         self.calls.tokens as usize // a negative budget gives 0
     }
 
-    /// Whether a call may go now.
+    /// Returns whether a call may be sent now.
     pub fn has_call(&self) -> bool {
         self.calls.tokens >= 1.0
     }
 
-    /// A call goes.
+    /// Deducts a call that is sent now.
     pub fn spend_call(&mut self) {
         self.calls.tokens -= 1.0;
     }
 
-    /// A further message goes in the same call.
+    /// Deducts the cost of a further message in the same call.
     pub fn spend_batched_message(&mut self) {
         self.calls.tokens -= BATCHED_MESSAGE_COST;
     }
 
-    /// A call that was spent did not go.
+    /// Refunds a call that was deducted but not sent.
     pub fn refund_call(&mut self) {
         self.calls.tokens = (self.calls.tokens + 1.0).min(MAX_BUDGET_CALLS);
     }
 
-    /// Replaces a full budget after a pause by a part of a call, drawn from 0 to 1: the forwarders
-    /// that the same pause held back then don't all call as it ends.
+    /// Replaces the budget by a fraction of a call. The caller must apply this to a full budget
+    /// during a pause, and draw `calls` at random from 0 to 1, so that the forwarders that the same
+    /// pause delays don't all call when it ends.
     pub fn randomise(&mut self, calls: f64) {
         self.calls.tokens = calls;
     }
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -1,10 +1,10 @@
-//! What the rule on slow start promises at its limits.
+//! Tests of allowed load, forwarder shares and call budgets, at the limits of the rules.
 
 use super::*;
 
 const SECOND: Micros = 1_000_000;
 
-/// A cold endpoint has a tenth of its capacity, and falls over at twice what it can take.
+/// A cold endpoint has a tenth of its capacity, and fails at twice the load that it can serve.
 fn config(fleet_size: u32) -> Config {
     Config {
         fleet_size,
@@ -20,7 +20,10 @@
 }
 
 fn assert_close(value: f64, expected: f64) {
-    assert!((value - expected).abs() < 1e-9, "{value}, not {expected}");
+    assert!(
+        (value - expected).abs() < 1e-9,
+        "expected {expected}, got {value}"
+    );
 }
 
 #[test]
