--- a/src/policy/list_polling/tests.rs
+++ b/src/policy/list_polling/tests.rs
@@ -1,4 +1,4 @@
-//! The delays of one forwarder, and how a fleet fares at its start and after an outage of
+//! Tests of the poll delays of one forwarder, and of a fleet at its start and after an outage of
 //! discovery.
 
 use super::*;
@@ -11,17 +11,18 @@
 
 const MS: Micros = 1_000;
 
-/// The poll interval of the service rules, where a test needs no other.
+/// Poll interval of the service rules in most tests, in µs.
 const POLL_INTERVAL: Micros = 10_000 * MS;
 
-/// How long a poll waits for its answer, where a test needs no other.
+/// Time that a poll waits for its answer in most tests, in µs.
 const POLL_TIMEOUT: Micros = 2_000 * MS;
 
-/// How long a rejected poll takes to fail.
+/// Time until a rejected poll fails, in µs.
 const REJECTION_TIME: Micros = 20 * MS;
 
-/// The time after a change at which a forwarder counts as notified, as on sockets.
-const NOTIFIED_WITHIN: Micros = 6_000 * MS;
+/// Time after a change at which a forwarder counts as notified, in µs; the same as in the tests on
+/// sockets.
+const NOTIFICATION_DELAY: Micros = 6_000 * MS;
 
 fn config(fleet_size: u32) -> Config {
     Config {
@@ -31,7 +32,7 @@
     }
 }
 
-/// The list poller of one forwarder, and the timer that it has set.
+/// The list poller of one forwarder, and the time of the timer that it has set.
 struct PollingForwarder {
     list_poller: ListPoller,
     config: Config,
@@ -40,9 +41,9 @@
 }
 
 impl PollingForwarder {
-    /// A forwarder that starts at time 0.
+    /// Creates a forwarder that starts at time 0.
     fn new(config: Config, seed: u64) -> PollingForwarder {
-        let is_alone = config.fleet_size == 1;
+        let is_only_forwarder = config.fleet_size == 1;
         let mut forwarder = PollingForwarder {
             list_poller: ListPoller::default(),
             config,
@@ -51,22 +52,22 @@
         };
         let cached_list = Event::EndpointListUpdated(EndpointListUpdate::Cached(Vec::new()));
         let polls = forwarder.handle(0, cached_list);
-        assert!(is_alone || !polls || forwarder.timer == Some(0));
+        assert!(is_only_forwarder || !polls || forwarder.timer == Some(0));
         forwarder
     }
 
-    /// The forwarders of a fleet that starts at time 0.
+    /// Creates the forwarders of a fleet that starts at time 0.
     fn fleet(fleet_size: u32, seed: u64) -> Vec<PollingForwarder> {
         (0..fleet_size)
             .map(|number| PollingForwarder::new(config(fleet_size), seed << 32 | u64::from(number)))
             .collect()
     }
 
-    /// Handles an event; returns whether the forwarder polls.
+    /// Handles an event, and returns whether the forwarder polls.
     fn handle(&mut self, now: Micros, event: Event) -> bool {
         let mut actions = Vec::new();
         self.list_poller
-            .handle(now, &event, &self.config, &mut self.rng, &mut actions);
+            .handle_event(now, &event, &self.config, &mut self.rng, &mut actions);
         for action in &actions {
             if let Action::SetTimer { delay, .. } = action {
                 self.timer = Some(now + delay);
@@ -75,7 +76,7 @@
         actions.contains(&Action::WatchEndpointList { enabled: true })
     }
 
-    /// Fires the timer if it is due; returns whether the forwarder polls.
+    /// Fires the timer if it is due, and returns whether the forwarder polls.
     fn fire_timer(&mut self, now: Micros) -> bool {
         let is_due = self.timer.take_if(|at| *at <= now).is_some();
         is_due && self.handle(now, Event::TimerFired { token: POLL_TIMER })
@@ -85,13 +86,13 @@
         self.handle(now, Event::EndpointListUpdated(EndpointListUpdate::Failed));
     }
 
-    /// When the next poll is due.
+    /// Returns the time at which the next poll is due.
     fn next_poll_at(&self) -> Micros {
-        self.timer.expect("a poll is scheduled")
+        self.timer.expect("a poll must be scheduled")
     }
 
-    /// Polls when it is due and fails each poll `fails_after` it. Returns the delays from each
-    /// failure to the next poll.
+    /// Sends each poll when it is due, and fails it after `fails_after`. Returns the delays between
+    /// each failure and the next poll.
     fn delays_after_failures(&mut self, failures: usize, fails_after: Micros) -> Vec<Micros> {
         let mut delays = Vec::new();
         for _ in 0..failures {
@@ -106,18 +107,18 @@
 }
 
 #[test]
-fn the_first_poll_is_within_half_the_interval_and_a_lone_forwarder_polls_at_once() {
+fn sends_first_poll_within_half_the_interval_and_at_once_without_peers() {
     for fleet_size in [1, 2, 50, 100_000] {
         let delay = PollingForwarder::new(config(fleet_size), 1).next_poll_at();
         assert!(
             delay <= POLL_INTERVAL / 2 && (fleet_size > 1 || delay == 0),
-            "{fleet_size} forwarders: {delay} µs"
+            "{fleet_size} forwarders: the first poll came after {delay} µs"
         );
     }
 }
 
 #[test]
-fn failures_in_a_row_lengthen_the_delay_up_to_the_interval() {
+fn consecutive_failures_lengthen_delay_up_to_poll_interval() {
     for fleet_size in [1, 100] {
         let mut forwarder = PollingForwarder::new(config(fleet_size), 2);
         let delays = forwarder.delays_after_failures(40, POLL_TIMEOUT);
@@ -125,17 +126,17 @@
             delays
                 .iter()
                 .all(|delay| (1..=POLL_INTERVAL).contains(delay)),
-            "{delays:?}"
+            "delays must be within 1 µs and the poll interval: {delays:?}"
         );
         assert!(
             delays.iter().any(|delay| *delay >= POLL_INTERVAL / 2),
-            "{delays:?}"
+            "a delay must reach half the poll interval: {delays:?}"
         );
     }
 }
 
 #[test]
-fn a_poll_that_was_answered_for_long_ends_the_row_of_failures() {
+fn restarts_failure_count_after_long_answered_poll() {
     for fleet_size in [1, 100] {
         let mut forwarder = PollingForwarder::new(config(fleet_size), 2);
         forwarder.delays_after_failures(40, POLL_TIMEOUT);
@@ -146,12 +147,12 @@
     }
 }
 
-/// Polls fail by a rejection, by a break, or by the longest silence.
+/// Polls fail by a rejection, by a broken connection, or by a silence of the longest duration.
 #[test]
-fn after_any_failure_the_next_answer_is_in_by_the_time_of_notification() {
+fn next_answer_arrives_within_notification_delay_after_any_failure() {
     for fleet_size in [1, 20, 350] {
         for poll_interval in [POLL_INTERVAL, 60 * POLL_INTERVAL] {
-            for fails_after in [REJECTION_TIME, 1_000 * MS, LONGEST_SILENCE] {
+            for fails_after in [REJECTION_TIME, 1_000 * MS, MAX_POLL_SILENCE] {
                 for seed in 0..200 {
                     check_delays_between_polls(fleet_size, poll_interval, fails_after, seed);
                 }
@@ -168,62 +169,63 @@
 ) {
     let mut forwarder = PollingForwarder::new(config(fleet_size), seed);
     forwarder.config.list_poll_interval = Some(poll_interval);
-    forwarder.config.list_notification_delay = Some(NOTIFIED_WITHIN);
+    forwarder.config.list_notification_delay = Some(NOTIFICATION_DELAY);
     for failures in 1..=20 {
         let polled_at = forwarder.next_poll_at();
-        // A lone forwarder has sent its first poll as it started.
+        // A forwarder without peers sends its first poll when it starts.
         assert!(forwarder.fire_timer(polled_at) || fleet_size == 1 && failures == 1);
         forwarder.fail_poll(polled_at + fails_after);
-        let between = forwarder.next_poll_at() - polled_at;
+        let time_between_polls = forwarder.next_poll_at() - polled_at;
         assert!(
-            between + ANSWER_ALLOWANCE_US <= NOTIFIED_WITHIN,
-            "{fleet_size} forwarders, {failures} failures: {between} µs to the next poll"
+            time_between_polls + ANSWER_ALLOWANCE_US <= NOTIFICATION_DELAY,
+            "{fleet_size} forwarders, {failures} failures: {time_between_polls} µs to the next poll"
         );
         assert!(
-            between > fails_after,
-            "{fleet_size} forwarders: polls again without a delay"
+            time_between_polls > fails_after,
+            "{fleet_size} forwarders: the next poll must be delayed"
         );
     }
-    // A watch that was answered for long falls silent. That is noticed after the longest silence.
+    // A watch that was answered for long receives no more answers. The forwarder detects the
+    // silence after its longest duration.
     let polled_at = forwarder.next_poll_at();
     assert!(forwarder.fire_timer(polled_at));
-    let noticed_at = polled_at + 2 * POLL_INTERVAL + LONGEST_SILENCE;
+    let noticed_at = polled_at + 2 * POLL_INTERVAL + MAX_POLL_SILENCE;
     forwarder.fail_poll(noticed_at);
-    let without_watch = LONGEST_SILENCE + forwarder.next_poll_at() - noticed_at;
+    let time_without_watch = MAX_POLL_SILENCE + forwarder.next_poll_at() - noticed_at;
     assert!(
-        without_watch + ANSWER_ALLOWANCE_US <= NOTIFIED_WITHIN,
-        "{fleet_size} forwarders: {without_watch} µs from a silent watch to a new one"
+        time_without_watch + ANSWER_ALLOWANCE_US <= NOTIFICATION_DELAY,
+        "{fleet_size} forwarders: {time_without_watch} µs from a silent watch to a new one"
     );
 }
 
-/// Also where a silence is reported a little late, as on sockets, and in a small fleet, whose
-/// window is nearly empty.
+/// Covers a silence that is reported slightly late, as on sockets, and small fleets, whose window
+/// is nearly empty.
 #[test]
-fn failures_in_a_row_lengthen_the_delay_under_a_time_of_notification() {
+fn consecutive_failures_lengthen_delay_under_notification_delay() {
     for (fleet_size, fails_after) in [
         (1, REJECTION_TIME),
-        (1, LONGEST_SILENCE + 30 * MS),
-        (3, LONGEST_SILENCE + 30 * MS),
+        (1, MAX_POLL_SILENCE + 30 * MS),
+        (3, MAX_POLL_SILENCE + 30 * MS),
     ] {
         let mut forwarder = PollingForwarder::new(config(fleet_size), 2);
-        forwarder.config.list_notification_delay = Some(NOTIFIED_WITHIN);
+        forwarder.config.list_notification_delay = Some(NOTIFICATION_DELAY);
         let delays = forwarder.delays_after_failures(8, fails_after);
         assert!(
             delays[0] < 300 * MS && delays[7] >= 1_000 * MS,
-            "{fleet_size} forwarders: {delays:?}"
+            "{fleet_size} forwarders: the delays must grow from under 300 ms to 1 s: {delays:?}"
         );
     }
 }
 
 #[test]
-fn the_first_answer_is_in_by_the_time_of_notification_however_long_the_interval() {
+fn first_answer_arrives_within_notification_delay_for_long_poll_interval() {
     for seed in 0..200 {
-        let long_interval = Config {
+        let config_with_long_interval = Config {
             list_poll_interval: Some(60 * POLL_INTERVAL),
-            list_notification_delay: Some(NOTIFIED_WITHIN),
+            list_notification_delay: Some(NOTIFICATION_DELAY),
             ..config(350)
         };
-        let forwarder = PollingForwarder::new(long_interval, seed);
-        assert!(forwarder.next_poll_at() + ANSWER_ALLOWANCE_US <= NOTIFIED_WITHIN);
+        let forwarder = PollingForwarder::new(config_with_long_interval, seed);
+        assert!(forwarder.next_poll_at() + ANSWER_ALLOWANCE_US <= NOTIFICATION_DELAY);
     }
 }
