--- a/src/destination.rs
+++ b/src/destination.rs
@@ -43,9 +43,9 @@
     /// Those of them with an attempt out.
     in_flight: BTreeSet<MessageId>,
     /// Where the next message would go, between a candidate and its permit.
-    candidate: Option<EndpointId>,
+    candidate_endpoint: Option<EndpointId>,
     /// When it may be summarised, while it is in the queue for that.
-    pub summarise_due_at: Option<Micros>,
+    pub summary_due_at: Option<Micros>,
 }
 
 impl Destination {
@@ -83,12 +83,12 @@
                 }
             }
             DestinationEvent::TimerTick { permits } => self.tick(0.0, permits, context),
-            DestinationEvent::PeerRejectionReceived => self.peer_rejected(context),
+            DestinationEvent::PeerRejectionReceived => self.apply_peer_rejection(context),
             DestinationEvent::RetryAfterReceived {
                 endpoint,
                 retry_after,
             } => {
-                self.honour_retry_after(endpoint, retry_after, context);
+                self.apply_retry_after(endpoint, retry_after, context);
             }
             DestinationEvent::CandidateRequested => self.offer_candidate(context),
             DestinationEvent::PermitGranted => self.start_call(context),
@@ -99,12 +99,12 @@
 
     /// Tells the forwarder what is under way here.
     fn report_activity(&self, context: &mut DecisionContext) {
-        let is_known = !self.endpoints.is_empty() || self.pacers.is_empty();
-        let needs_no_ticks = is_known
+        let has_no_orphaned_pacer = !self.endpoints.is_empty() || self.pacers.is_empty();
+        let needs_no_ticks = has_no_orphaned_pacer
             && self.messages.is_empty()
             && self.endpoints.values().all(|e| e.needs_no_ticks);
         let activity = (!needs_no_ticks).then(|| Activity {
-            calls_in_flight: self.calls(),
+            calls_in_flight: self.calls_in_flight(),
             is_degraded: self.is_degraded(),
             waiting_messages: self.queue.len(),
         });
@@ -125,8 +125,8 @@
         self.pacers.get_mut(&self.pacer_key(endpoint))
     }
 
-    fn calls(&self) -> usize {
-        self.endpoints.values().map(|e| e.calls).sum()
+    fn calls_in_flight(&self) -> usize {
+        self.endpoints.values().map(|e| e.calls_in_flight).sum()
     }
 
     /// Whether any of its endpoints is degraded: then the smaller share of permits holds for all.
@@ -135,17 +135,17 @@
     }
 
     /// Until when all of its limits are paused.
-    fn paused_until(&self) -> Micros {
-        let pauses = self.pacers.values().map(|pacer| pacer.paused_until);
-        pauses.min().unwrap_or(0)
+    fn all_paused_until(&self) -> Micros {
+        let pause_ends = self.pacers.values().map(|pacer| pacer.paused_until);
+        pause_ends.min().unwrap_or(0)
     }
 
-    fn waiting(&self, ids: Vec<MessageId>) -> impl Iterator<Item = &Message> {
+    fn messages_with_ids(&self, ids: Vec<MessageId>) -> impl Iterator<Item = &Message> {
         ids.into_iter().filter_map(|id| self.messages.get(&id))
     }
 
     fn enqueue(&mut self, message: Message, context: &mut DecisionContext) {
-        self.queue.insert(&message.entry(context.config));
+        self.queue.insert(&message.queue_entry(context.config));
         self.messages.insert(message.id, message);
         // At once: it may have less time than the next tick takes to come.
         self.tick(1.0, Permits::Free, context);
@@ -154,7 +154,7 @@
     fn grant_order(&mut self, id: MessageId, config: &Config) {
         if let Some(message) = self.messages.get_mut(&id) {
             message.is_order_granted = true;
-            self.queue.release(&message.entry(config));
+            self.queue.grant_order(&message.queue_entry(config));
         }
     }
 
@@ -162,7 +162,7 @@
         match self.messages.get_mut(&id) {
             // Its attempt still runs: it keeps its turn and its permit until the outcome comes.
             Some(message) if message.in_flight.is_some() => message.is_completed = true,
-            Some(_) => self.end(id, None, context),
+            Some(_) => self.end_message(id, None, context),
             None => {}
         }
     }
@@ -174,7 +174,7 @@
     }
 
     /// Does nothing where each endpoint is at a limit of its own.
-    fn peer_rejected(&mut self, context: &mut DecisionContext) {
+    fn apply_peer_rejection(&mut self, context: &mut DecisionContext) {
         if let Some(pacer) = self.pacers.get_mut(&None) {
             pacer.peer_rejected(context.now, context.config, context.rng);
         }
@@ -182,7 +182,7 @@
 
     /// A retry-after binds everything behind the limit from when it is received: also calls and
     /// health checks that were chosen before and have not gone whole.
-    fn honour_retry_after(
+    fn apply_retry_after(
         &mut self,
         endpoint: EndpointId,
         retry_after: Micros,
@@ -211,42 +211,42 @@
         for pacer in self.pacers.values_mut() {
             pacer.recover(context.now);
         }
-        self.tick_endpoints(arrivals, context);
-        self.cancel_overdue(permits, context);
+        self.send_endpoint_ticks(arrivals, context);
+        self.cancel_overdue_attempts(permits, context);
         self.give_up_expired(context);
     }
 
     /// Drops the pacers of endpoints that are forgotten, and the shared one unless it is in use.
     /// One whose pause still binds stays.
-    pub fn drop_unused_pacers(&mut self, now: Micros, is_shared_used: bool) {
+    pub fn drop_unused_pacers(&mut self, now: Micros, is_shared_pacer_used: bool) {
         let endpoints = &self.endpoints;
-        let is_used = |limit: &Option<EndpointId>| match limit {
+        let is_used = |key: &Option<EndpointId>| match key {
             Some(endpoint) => endpoints.contains_key(endpoint),
-            None => is_shared_used,
+            None => is_shared_pacer_used,
         };
         self.pacers
-            .retain(|limit, pacer| is_used(limit) || pacer.paused_until > now);
+            .retain(|key, pacer| is_used(key) || pacer.paused_until > now);
     }
 
-    fn tick_endpoints(&self, arrivals: f64, context: &mut DecisionContext) {
-        let ready = self
+    fn send_endpoint_ticks(&self, arrivals: f64, context: &mut DecisionContext) {
+        let ready_endpoints = self
             .endpoints
             .values()
             .filter(|e| e.is_ready)
             .count()
             .max(1) as f64;
-        let sharing = if self.has_independent_limits {
+        let endpoints_per_limit = if self.has_independent_limits {
             1.0
         } else {
-            ready
+            ready_endpoints
         };
         for endpoint in self.endpoints.keys() {
             let Some(pacer) = self.pacers.get(&self.pacer_key(*endpoint)) else {
                 continue;
             };
             let tick = EndpointTick {
-                capacity: pacer.capacity / sharing,
-                arrivals: arrivals / ready,
+                capacity: pacer.capacity / endpoints_per_limit,
+                arrivals: arrivals / ready_endpoints,
                 is_paused: context.now < pacer.paused_until,
             };
             context
@@ -257,13 +257,13 @@
 
     /// Gives up the waiting messages that can't be sent in time any more.
     fn give_up_expired(&mut self, context: &mut DecisionContext) {
-        let paused_until = self.paused_until();
+        let paused_until = self.all_paused_until();
         let horizon = paused_until.max(context.now + SEND_MARGIN);
         let expired: Vec<MessageId> = self
-            .waiting(self.queue.expiring_by(horizon))
+            .messages_with_ids(self.queue.expiring_by(horizon))
             .filter(|message| {
                 paused_until >= message.deadline
-                    || retry::is_too_late(context.now, message.last_send(context.config))
+                    || retry::is_too_late(context.now, message.latest_send_at(context.config))
             })
             .map(|message| message.id)
             .collect();
@@ -281,37 +281,42 @@
         let answer = admission::final_answer(
             context.now,
             undelivered,
-            self.paused_until(),
+            self.all_paused_until(),
             context.config,
         );
         let action = match answer {
             FinalAnswer::Reject { retry_after } => Action::Reject { id, retry_after },
             FinalAnswer::Fail => Action::Fail { id },
         };
-        self.end(id, Some(action), context);
+        self.end_message(id, Some(action), context);
     }
 
     /// Gives up the waiting message that counts least; of equal ones that with the latest
     /// objective.
     fn shed_load(&mut self, context: &mut DecisionContext) {
-        let weight = |message: &Message| message.weight_at(context.now, context.config);
-        let least = self
-            .waiting(self.queue.expiring_by(Micros::MAX))
+        let current_weight = |message: &Message| message.weight_at(context.now, context.config);
+        let least_important = self
+            .messages_with_ids(self.queue.expiring_by(Micros::MAX))
             .min_by(|a, b| {
-                let by_weight = weight(a).total_cmp(&weight(b));
+                let by_weight = current_weight(a).total_cmp(&current_weight(b));
                 by_weight.then(b.objective_at.cmp(&a.objective_at))
             })
             .map(|message| message.id);
-        if let Some(id) = least {
+        if let Some(id) = least_important {
             self.give_up(id, context);
         }
     }
 
     /// A message leaves, with its final answer unless somebody else gave it.
-    fn end(&mut self, id: MessageId, answer: Option<Action>, context: &mut DecisionContext) {
+    fn end_message(
+        &mut self,
+        id: MessageId,
+        answer: Option<Action>,
+        context: &mut DecisionContext,
+    ) {
         self.in_flight.remove(&id);
         if let Some(message) = self.messages.remove(&id) {
-            self.queue.remove(&message.entry(context.config));
+            self.queue.remove(&message.queue_entry(context.config));
         }
         let is_answered_by_core = answer.is_some();
         if let Some(answer) = answer {
--- a/src/destination/attempts.rs
+++ b/src/destination/attempts.rs
@@ -49,7 +49,7 @@
         if let Outcome::Rejected { retry_after } = outcome {
             self.apply_rejection(endpoint, sent_at, retry_after.unwrap_or(0), context);
         }
-        self.note_possible_effect(id, attempt, outcome, context);
+        self.record_possible_effect(id, attempt, outcome, context);
         self.answer_or_retry(id, outcome, context);
     }
 
@@ -60,14 +60,14 @@
         retry_after: Micros,
         context: &mut DecisionContext,
     ) {
-        self.honour_retry_after(endpoint, retry_after, context);
+        self.apply_retry_after(endpoint, retry_after, context);
         if let Some(pacer) = self.pacer_of(endpoint) {
             pacer.rejected(context.now, sent_at, context.config, context.rng);
         }
     }
 
     /// Keeps what an unclear outcome binds: the window of a repeat, and the order of the key.
-    fn note_possible_effect(
+    fn record_possible_effect(
         &mut self,
         id: MessageId,
         attempt: InFlightAttempt,
@@ -78,7 +78,7 @@
             return;
         };
         if let Some(order_key) = message
-            .key
+            .order_key
             .filter(|_| ordering::is_outcome_unknown(outcome))
         {
             context
@@ -103,25 +103,30 @@
         if message.is_completed || outcome == Outcome::Delivered {
             // A delivery that came too late completes nothing: the final answer is still due.
             let answer = (!message.is_completed).then_some(Action::Fail { id });
-            return self.end(id, answer, context);
+            return self.end_message(id, answer, context);
         }
         if outcome == Outcome::WithdrawnBeforeSend {
             message.attempts -= 1; // it keeps its place in the queue
-            return self.queue.insert(&message.entry(context.config));
+            return self.queue.insert(&message.queue_entry(context.config));
         }
-        let time_to_live = context.config.classes[message.class].time_to_live;
+        let time_to_live = context.config.classes[message.class_index].time_to_live;
         let random = context.rng.random();
-        message.ready_at = context.now + retry::backoff(message.attempts, time_to_live, random);
-        let entry = message.entry(context.config);
+        message.backoff_until =
+            context.now + retry::backoff(message.attempts, time_to_live, random);
+        let entry = message.queue_entry(context.config);
         self.queue.insert(&entry);
-        if entry.ready_at >= entry.last_send {
-            self.end(id, Some(Action::Fail { id }), context);
+        if entry.backoff_until >= entry.latest_send_at {
+            self.end_message(id, Some(Action::Fail { id }), context);
         }
     }
 
     /// Cancels attempts that take too long: they may have got lost on the way. An ejected endpoint
     /// answers nobody, so that cancelling gains nothing there.
-    pub(super) fn cancel_overdue(&mut self, permits: Permits, context: &mut DecisionContext) {
+    pub(super) fn cancel_overdue_attempts(
+        &mut self,
+        permits: Permits,
+        context: &mut DecisionContext,
+    ) {
         if !context.config.may_cancel {
             return;
         }
@@ -135,14 +140,15 @@
             let Some(endpoint) = self.endpoints.get(&attempt.endpoint) else {
                 continue;
             };
-            if message.is_cancelled || message.is_completed || endpoint.is_ejected {
+            if message.is_attempt_cancelled || message.is_completed || endpoint.is_ejected {
                 continue;
             }
             let elapsed = context.now - attempt.sent_at;
-            let bound = attempt_timeout::attempt_bound(endpoint.latency_bound, message.attempts);
-            let semantics = context.config.classes[message.class].semantics;
-            if attempt_timeout::is_overdue(elapsed, bound, semantics, permits) {
-                message.is_cancelled = true;
+            let attempt_bound =
+                attempt_timeout::attempt_bound(endpoint.latency_bound, message.attempts);
+            let semantics = context.config.classes[message.class_index].semantics;
+            if attempt_timeout::is_overdue(elapsed, attempt_bound, semantics, permits) {
+                message.is_attempt_cancelled = true;
                 context.mailboxes.emit_action(Action::CancelAttempt {
                     id: *id,
                     attempt_index: (message.attempts - 1) as u8,
--- a/src/destination/dispatch.rs
+++ b/src/destination/dispatch.rs
@@ -9,32 +9,33 @@
 use crate::queue::DispatchQueue;
 
 /// A message that could go to an endpoint.
-struct Choice {
+struct ScoredMessage {
     id: MessageId,
     /// What is lost by leaving it.
-    loss: f64,
+    expected_loss: f64,
 }
 
 impl Destination {
     /// Tells the forwarder what a permit would be used for, if anything.
     pub(super) fn offer_candidate(&mut self, context: &mut DecisionContext) {
-        self.candidate = None;
+        self.candidate_endpoint = None;
         let messages = &self.messages;
         self.queue.promote_ready(context.now, |id| {
             messages
                 .get(&id)
-                .map(|message| message.entry(context.config))
+                .map(|message| message.queue_entry(context.config))
         });
         let limit =
             concurrency::destination_limit(context.config.concurrency_limit, self.is_degraded());
-        if self.calls() >= limit {
+        if self.calls_in_flight() >= limit {
             return;
         }
-        for endpoint in self.open_endpoints(context) {
-            let Some(loss_per_permit_time) = self.loss_at(endpoint, context) else {
+        for endpoint in self.rank_available_endpoints(context) {
+            let Some(loss_per_permit_time) = self.candidate_loss_per_permit_time(endpoint, context)
+            else {
                 continue;
             };
-            self.candidate = Some(endpoint);
+            self.candidate_endpoint = Some(endpoint);
             let candidate = Candidate {
                 destination: self.id,
                 loss_per_permit_time,
@@ -48,7 +49,7 @@
 
     /// Endpoints that can take a call now, the best first. Limits that hold calls back are told
     /// so: their interval recovers.
-    fn open_endpoints(&mut self, context: &DecisionContext) -> Vec<EndpointId> {
+    fn rank_available_endpoints(&mut self, context: &DecisionContext) -> Vec<EndpointId> {
         let mut ranked: Vec<(f64, EndpointId)> = Vec::new();
         for (endpoint, snapshot) in &self.endpoints {
             if !snapshot.is_ready || snapshot.free_calls == 0 {
@@ -69,14 +70,18 @@
 
     /// What is lost by not sending the best message to this endpoint now, per µs of the permit;
     /// none where nothing may go.
-    fn loss_at(&self, endpoint: EndpointId, context: &DecisionContext) -> Option<f64> {
+    fn candidate_loss_per_permit_time(
+        &self,
+        endpoint: EndpointId,
+        context: &DecisionContext,
+    ) -> Option<f64> {
         let snapshot = &self.endpoints[&endpoint];
-        let choice = self.best_message_for(snapshot, context)?;
-        let objective_at = self.messages[&choice.id].objective_at;
+        let best = self.best_message_for(snapshot, context)?;
+        let objective_at = self.messages[&best.id].objective_at;
         let pacer = self.pacers.get(&self.pacer_key(endpoint));
         let has_spare_call = pacer.is_none_or(|pacer| pacer.has_spare_call(context.now));
         selection::may_take_call(context.now, objective_at, has_spare_call)
-            .then(|| selection::loss_per_permit_time(choice.loss, snapshot.mean_latency))
+            .then(|| selection::loss_per_permit_time(best.expected_loss, snapshot.mean_latency))
     }
 
     /// The waiting message that loses most by not going to this endpoint now. Of equal ones the
@@ -85,59 +90,63 @@
         &self,
         endpoint: &EndpointSnapshot,
         context: &DecisionContext,
-    ) -> Option<Choice> {
+    ) -> Option<ScoredMessage> {
         let loss_of = |id: MessageId| {
             let message = self.messages.get(&id)?;
             let loss = message.expected_loss(context.now, endpoint.mean_latency, context.config);
             Some((message, loss))
         };
-        self.best_of_each_group(endpoint, context)
+        self.best_message_candidates(endpoint, context)
             .into_iter()
             .filter_map(loss_of)
-            .max_by(|(a, a_loss), (b, b_loss)| {
-                a_loss
-                    .total_cmp(b_loss)
+            .max_by(|(a, loss_a), (b, loss_b)| {
+                loss_a
+                    .total_cmp(loss_b)
                     .then(b.objective_at.cmp(&a.objective_at))
                     .then(b.id.cmp(&a.id))
             })
-            .map(|(message, loss)| Choice {
+            .map(|(message, loss)| ScoredMessage {
                 id: message.id,
-                loss,
+                expected_loss: loss,
             })
     }
 
     /// Messages among which the best for this endpoint is.
-    fn best_of_each_group(
+    fn best_message_candidates(
         &self,
         endpoint: &EndpointSnapshot,
         context: &DecisionContext,
     ) -> Vec<MessageId> {
-        let look_ahead = selection::look_ahead(context.config);
-        let mut ids = Vec::new();
+        let delays = selection::look_ahead(context.config);
+        let mut candidate_ids = Vec::new();
         for (group, messages) in self.queue.groups() {
             if group.zone.is_some_and(|zone| zone != endpoint.zone) {
                 continue;
             }
-            let class = context.class(group.class);
-            let eligible = selection::eligible_objectives(
+            let class = context.class(group.class_index);
+            let eligible_objectives = selection::eligible_objectives(
                 context.now,
                 group.objective_to_deadline,
-                group.objective_to_last_send,
+                group.objective_to_latest_send,
                 class,
                 endpoint.is_degraded,
             );
             let decay_time = selection::decay_time(class);
             let now = context.now as f64;
-            let turning_points =
-                || group.turning_points(now, endpoint.mean_latency, look_ahead, decay_time);
-            DispatchQueue::candidates(messages, eligible, turning_points, &mut ids);
+            let breakpoints = || group.breakpoints(now, endpoint.mean_latency, delays, decay_time);
+            DispatchQueue::collect_best_message_candidates(
+                messages,
+                eligible_objectives,
+                breakpoints,
+                &mut candidate_ids,
+            );
         }
-        ids
+        candidate_ids
     }
 
     /// Starts the call that the candidate stood for: an attempt at each message of the batch.
     pub(super) fn start_call(&mut self, context: &mut DecisionContext) {
-        let Some(endpoint) = self.candidate.take() else {
+        let Some(endpoint) = self.candidate_endpoint.take() else {
             return;
         };
         let Some(snapshot) = self.endpoints.get(&endpoint).copied() else {
@@ -147,10 +156,10 @@
             pacer.start_call(context.now, context.rng);
         }
         for _ in 0..self.batch_size {
-            let Some(choice) = self.best_message_for(&snapshot, context) else {
+            let Some(best) = self.best_message_for(&snapshot, context) else {
                 break;
             };
-            self.start_attempt(choice.id, endpoint, &snapshot, context);
+            self.start_attempt(best.id, endpoint, &snapshot, context);
         }
     }
 
@@ -164,19 +173,20 @@
         let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
-        self.queue.remove(&message.entry(context.config));
+        self.queue.remove(&message.queue_entry(context.config));
         self.in_flight.insert(id);
         message.attempts += 1;
         message.in_flight = Some(InFlightAttempt {
             endpoint,
             sent_at: context.now,
         });
-        message.is_cancelled = false;
-        let class = context.class(message.class);
-        let bound = attempt_timeout::attempt_bound(snapshot.latency_bound, message.attempts);
+        message.is_attempt_cancelled = false;
+        let class = context.class(message.class_index);
+        let attempt_bound =
+            attempt_timeout::attempt_bound(snapshot.latency_bound, message.attempts);
         let time_left = message.deadline - context.now;
-        let timeout = attempt_timeout::timeout(class, bound, time_left);
-        let send_by = retry::send_by(message.last_send(context.config));
+        let timeout = attempt_timeout::timeout(class, attempt_bound, time_left);
+        let send_by = retry::send_by(message.latest_send_at(context.config));
         context
             .mailboxes
             .send_to_endpoint(endpoint, EndpointEvent::AttemptStarted);
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -39,9 +39,9 @@
 struct Call {
     sent_at: Micros,
     /// Messages in it without an outcome.
-    messages: usize,
+    pending_messages: usize,
     /// Whether one of its outcomes has been judged: the others say the same.
-    is_judged: bool,
+    is_outcome_recorded: bool,
 }
 
 /// One endpoint.
@@ -62,13 +62,13 @@
     /// What it may get while it is not healthy.
     pub budget: SlowStartBudget,
     pub latency: LatencyEstimator,
-    /// When the next health check may go. While one is out: [`HEALTH_CHECK_OUT`]. Once the
+    /// When the next health check may go. While one is out: [`HEALTH_CHECK_IN_FLIGHT`]. Once the
     /// endpoint has left the list: when it may be forgotten.
-    pub next_check_at: Micros,
+    pub next_check_or_discard_at: Micros,
 }
 
 /// Stands for [`Endpoint::next_check_at`] while a health check is out.
-pub(crate) const HEALTH_CHECK_OUT: Micros = Micros::MAX;
+pub(crate) const HEALTH_CHECK_IN_FLIGHT: Micros = Micros::MAX;
 
 impl Endpoint {
     /// A healthy endpoint of which nothing is known.
@@ -83,23 +83,23 @@
 
     /// Handles one message of its mailbox.
     pub fn handle(&mut self, event: EndpointEvent, context: &mut DecisionContext) {
-        let before = self.snapshot;
+        let previous_snapshot = self.snapshot;
         match event {
             EndpointEvent::Listed { zone, status, cost } => {
-                self.apply_entry(zone, status, cost, context);
+                self.apply_list_entry(zone, status, cost, context);
             }
-            EndpointEvent::AttemptStarted => self.count_message(context),
+            EndpointEvent::AttemptStarted => self.record_attempt_start(context),
             EndpointEvent::AttemptEnded {
                 sent_at,
                 outcome,
                 elapsed,
             } => {
-                if !self.end_attempt(sent_at, outcome, elapsed, context) {
+                if !self.record_attempt_end(sent_at, outcome, elapsed, context) {
                     return;
                 }
             }
             EndpointEvent::HealthCheckEnded { outcome } => {
-                self.end_health_check(outcome, context.now);
+                self.record_health_check_end(outcome, context.now);
             }
             EndpointEvent::Paused { is_long_pause } => {
                 self.withdraw_unsent(context);
@@ -110,7 +110,7 @@
             EndpointEvent::TimerTick(tick) => self.tick(tick, context),
         }
         self.update_snapshot(context);
-        if self.snapshot != before {
+        if self.snapshot != previous_snapshot {
             let event = DestinationEvent::SnapshotUpdated {
                 endpoint: self.id,
                 snapshot: self.snapshot,
@@ -122,23 +122,25 @@
     }
 
     /// Whether it has no calls out.
-    pub fn is_idle(&self) -> bool {
+    pub fn has_no_calls_in_flight(&self) -> bool {
         self.calls.is_empty()
     }
 
     /// Whether a health check is out.
-    pub fn has_health_check_out(&self) -> bool {
-        self.next_check_at == HEALTH_CHECK_OUT
+    pub fn has_health_check_in_flight(&self) -> bool {
+        self.next_check_or_discard_at == HEALTH_CHECK_IN_FLIGHT
     }
 
     /// Whether it left the list, and long enough ago to be forgotten.
-    pub fn is_forgettable(&self, now: Micros) -> bool {
-        self.status == EndpointStatus::Removed && self.is_idle() && now >= self.next_check_at
+    pub fn is_discardable(&self, now: Micros) -> bool {
+        self.status == EndpointStatus::Removed
+            && self.has_no_calls_in_flight()
+            && now >= self.next_check_or_discard_at
     }
 
     /// Applies its entry of the endpoint list. One that has left is remembered for the warm-up
     /// time: if it comes back before, it may still be cold.
-    fn apply_entry(
+    fn apply_list_entry(
         &mut self,
         zone: ZoneId,
         status: EndpointStatus,
@@ -148,12 +150,12 @@
         if status != EndpointStatus::Ready {
             self.withdraw_unsent(context);
         }
-        let remembered_for = if status == EndpointStatus::Removed {
+        let retention_time = if status == EndpointStatus::Removed {
             context.config.rules.warm_up_time
         } else {
             0
         };
-        self.next_check_at = context.now.saturating_add(remembered_for);
+        self.next_check_or_discard_at = context.now.saturating_add(retention_time);
         self.status = status;
         self.snapshot.zone = zone.0;
         self.snapshot.cost = cost;
@@ -161,18 +163,18 @@
     }
 
     /// A message goes there: in the call that begins now, or in one of its own.
-    fn count_message(&mut self, context: &DecisionContext) {
+    fn record_attempt_start(&mut self, context: &DecisionContext) {
         if let Some(call) = self.calls.last_mut() {
-            if call.sent_at == context.now && call.messages < self.batch_size {
-                call.messages += 1;
+            if call.sent_at == context.now && call.pending_messages < self.batch_size {
+                call.pending_messages += 1;
                 self.budget.spend_batched_message();
                 return;
             }
         }
         self.calls.push(Call {
             sent_at: context.now,
-            messages: 1,
-            is_judged: false,
+            pending_messages: 1,
+            is_outcome_recorded: false,
         });
         self.budget.spend_call();
         if self.health == Health::HalfOpen && context.config.may_health_check {
@@ -181,36 +183,36 @@
     }
 
     /// Whether the attempt belonged to a call that is out.
-    fn end_attempt(
+    fn record_attempt_end(
         &mut self,
         sent_at: Micros,
         outcome: Outcome,
         elapsed: Micros,
         context: &mut DecisionContext,
     ) -> bool {
-        let Some(place) = self.calls.iter().position(|call| call.sent_at == sent_at) else {
+        let Some(index) = self.calls.iter().position(|call| call.sent_at == sent_at) else {
             return false;
         };
-        let call = &mut self.calls[place];
-        call.messages -= 1;
-        let is_first = !std::mem::replace(&mut call.is_judged, true);
-        if call.messages == 0 {
-            self.calls.remove(place);
+        let call = &mut self.calls[index];
+        call.pending_messages -= 1;
+        let is_first_outcome = !std::mem::replace(&mut call.is_outcome_recorded, true);
+        if call.pending_messages == 0 {
+            self.calls.remove(index);
         }
         if self.calls.is_empty() && context.are_connections_scarce {
             context
                 .mailboxes
                 .emit_action(Action::CloseIdleConnections { endpoint: self.id });
         }
-        if is_first {
-            self.judge(outcome, elapsed, context);
+        if is_first_outcome {
+            self.record_call_outcome(outcome, elapsed, context);
         }
         true
     }
 
-    fn end_health_check(&mut self, outcome: Outcome, now: Micros) {
+    fn record_health_check_end(&mut self, outcome: Outcome, now: Micros) {
         if self.status != EndpointStatus::Removed {
-            self.next_check_at = now;
+            self.next_check_or_discard_at = now;
         }
         if self.health == Health::Ejected && outcome == Outcome::Delivered {
             self.health = Health::HalfOpen;
@@ -220,7 +222,7 @@
     /// Withdraws calls and health checks that have not gone whole: what binds from now on binds
     /// them too.
     fn withdraw_unsent(&self, context: &mut DecisionContext) {
-        if !self.calls.is_empty() || self.has_health_check_out() {
+        if !self.calls.is_empty() || self.has_health_check_in_flight() {
             context
                 .mailboxes
                 .emit_action(Action::WithdrawUnsent { endpoint: self.id });
@@ -228,7 +230,12 @@
     }
 
     /// Draws from the outcome of a call what it says of the endpoint.
-    fn judge(&mut self, outcome: Outcome, elapsed: Micros, context: &mut DecisionContext) {
+    fn record_call_outcome(
+        &mut self,
+        outcome: Outcome,
+        elapsed: Micros,
+        context: &mut DecisionContext,
+    ) {
         let circumstances = Circumstances {
             now: context.now,
             overload_window: context.config.rules.overload_window,
@@ -330,19 +337,19 @@
 
     /// Starts a trial of an ejected endpoint once its budget holds a call.
     fn start_trial_if_due(&mut self, share: ForwarderShare, context: &mut DecisionContext) {
-        let is_due = context.config.may_health_check
+        let is_trial_due = context.config.may_health_check
             && self.status == EndpointStatus::Ready
             && self.health == Health::Ejected
-            && context.now >= self.next_check_at
+            && context.now >= self.next_check_or_discard_at
             && self.budget.has_call();
-        if !is_due {
+        if !is_trial_due {
             return;
         }
         match health_check::choose_trial(share, context.config, context.rng) {
             Trial::Message => self.health = Health::HalfOpen,
             Trial::HealthCheck => {
                 self.budget.spend_call();
-                self.next_check_at = HEALTH_CHECK_OUT;
+                self.next_check_or_discard_at = HEALTH_CHECK_IN_FLIGHT;
                 context
                     .mailboxes
                     .emit_action(Action::StartHealthCheck { endpoint: self.id });
@@ -351,9 +358,9 @@
     }
 
     /// Calls sent since the last answer that have been out for longer than `time` (µs).
-    fn unanswered_calls(&self, now: Micros, time: f64) -> usize {
+    fn unanswered_calls(&self, now: Micros, min_elapsed: f64) -> usize {
         let is_unanswered = |call: &&Call| {
-            call.sent_at >= self.failures.answered_at && (now - call.sent_at) as f64 > time
+            call.sent_at >= self.failures.answered_at && (now - call.sent_at) as f64 > min_elapsed
         };
         self.calls.iter().filter(is_unanswered).count()
     }
--- a/src/endpoint/snapshot.rs
+++ b/src/endpoint/snapshot.rs
@@ -16,7 +16,7 @@
     /// Calls that it may get now.
     pub free_calls: usize,
     /// Calls out there.
-    pub calls: usize,
+    pub calls_in_flight: usize,
     /// Whether the list has it as ready.
     pub is_ready: bool,
     pub is_ejected: bool,
@@ -34,32 +34,37 @@
 impl EndpointSnapshot {
     /// Its rank among endpoints that can take a call; the least goes first.
     pub fn rank(&self) -> f64 {
-        selection::endpoint_rank(self.cost, self.mean_latency, self.calls, self.tie_breaker)
+        selection::endpoint_rank(
+            self.cost,
+            self.mean_latency,
+            self.calls_in_flight,
+            self.tie_breaker,
+        )
     }
 }
 
 impl Endpoint {
     /// Brings the snapshot up to date.
     pub fn update_snapshot(&mut self, context: &DecisionContext) {
-        let all = context.latency;
+        let overall = context.overall_latency;
         let needs_no_ticks = self.calls.is_empty()
             && (self.health == Health::Healthy
                 || self.forwarder_share(context.now, context.config).is_scant);
         self.snapshot = EndpointSnapshot {
             free_calls: self.free_calls(context),
-            calls: self.calls.len(),
+            calls_in_flight: self.calls.len(),
             is_ready: self.status == EndpointStatus::Ready,
             is_ejected: self.is_ejected(),
             is_degraded: self.is_ejected() || self.is_slow(context) || self.failures.is_degraded(),
             needs_no_ticks,
-            mean_latency: attempt_timeout::mean_latency(&self.latency, all),
-            latency_bound: attempt_timeout::latency_bound(&self.latency, all),
+            mean_latency: attempt_timeout::mean_latency(&self.latency, overall),
+            latency_bound: attempt_timeout::latency_bound(&self.latency, overall),
             ..self.snapshot
         };
     }
 
     fn free_calls(&self, context: &DecisionContext) -> usize {
-        let mean_latency = attempt_timeout::mean_latency(&self.latency, context.latency);
+        let mean_latency = attempt_timeout::mean_latency(&self.latency, context.overall_latency);
         let limit = concurrency::endpoint_limit(self.capacity, mean_latency);
         let free = limit.saturating_sub(self.calls.len());
         match self.health {
@@ -71,7 +76,7 @@
 
     /// Whether a call is out for long, and nothing was answered since it was sent.
     fn is_slow(&self, context: &DecisionContext) -> bool {
-        let threshold = attempt_timeout::slow_threshold(&self.latency, context.latency);
+        let threshold = attempt_timeout::slow_threshold(&self.latency, context.overall_latency);
         threshold > 0.0 && self.unanswered_calls(context.now, threshold) > 0
     }
 }
--- a/src/forwarder.rs
+++ b/src/forwarder.rs
@@ -40,7 +40,7 @@
 struct MessageLocation {
     destination: DestinationId,
     /// What it keeps its order by.
-    key: Option<OrderKey>,
+    order_key: Option<OrderKey>,
 }
 
 /// The tables of the parts.
@@ -74,7 +74,7 @@
     gossip: Gossip,
     connection_scarcity: ConnectionScarcity,
     /// Latency over all endpoints.
-    latency: LatencyEstimator,
+    overall_latency: LatencyEstimator,
     idle: IdleTable,
 }
 
@@ -100,7 +100,7 @@
             list_poller: ListPoller::default(),
             gossip: Gossip::default(),
             connection_scarcity: ConnectionScarcity::default(),
-            latency: LatencyEstimator::default(),
+            overall_latency: LatencyEstimator::default(),
             idle: IdleTable::default(),
             config,
         }
@@ -113,12 +113,12 @@
         self.detect_stall(now);
         self.list_poller
             .handle(now, &event, &self.config, &mut self.rng, actions);
-        self.restore_for(now, &event);
+        self.restore_destination_of_event(now, &event);
         let max_summaries = crate::idle::max_summaries_after(&event);
-        self.apply(now, event, actions);
+        self.apply_event(now, event, actions);
         self.drain_mailboxes(now, actions);
         self.run_scheduling_rounds(now, actions);
-        self.summarise_idle(now, max_summaries);
+        self.summarise_idle_destinations(now, max_summaries);
         self.schedule_tick(now, actions);
     }
 
@@ -134,8 +134,8 @@
 
     /// Sets the timer for the next tick, while there is something to look at.
     fn schedule_tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let is_idle = self.activities.is_empty() && self.ordered_queues.is_empty();
-        if self.next_tick_at.is_some() || is_idle {
+        let needs_no_tick = self.activities.is_empty() && self.ordered_queues.is_empty();
+        if self.next_tick_at.is_some() || needs_no_tick {
             return;
         }
         let delay = TIMER_INTERVAL.max(self.config.min_tick_interval);
@@ -151,17 +151,17 @@
     fn drain_mailboxes(&mut self, now: Micros, actions: &mut Vec<Action>) {
         loop {
             if let Some((id, event)) = self.mailboxes.endpoints.pop_front() {
-                let (tables, mut context) = self.split(now);
+                let (tables, mut context) = self.split_state(now);
                 if let Some(endpoint) = tables.endpoints.get_mut(&id) {
                     endpoint.handle(event, &mut context);
                 }
             } else if let Some((id, event)) = self.mailboxes.destinations.pop_front() {
-                let (tables, mut context) = self.split(now);
+                let (tables, mut context) = self.split_state(now);
                 if let Some(destination) = tables.destinations.get_mut(&id) {
                     destination.handle(event, &mut context);
                 }
             } else if let Some(event) = self.mailboxes.forwarder.pop_front() {
-                self.handle_event(now, event, actions);
+                self.handle_forwarder_event(now, event, actions);
             } else {
                 return;
             }
@@ -169,7 +169,7 @@
     }
 
     /// The tables of the parts, and beside them what the parts see of the forwarder.
-    fn split(&mut self, now: Micros) -> (PartTables<'_>, DecisionContext<'_>) {
+    fn split_state(&mut self, now: Micros) -> (PartTables<'_>, DecisionContext<'_>) {
         let tables = PartTables {
             destinations: &mut self.destinations,
             endpoints: &mut self.endpoints,
@@ -180,7 +180,7 @@
             rng: &mut self.rng,
             mailboxes: &mut self.mailboxes,
             are_connections_scarce: self.connection_scarcity.is_scarce(),
-            latency: &self.latency,
+            overall_latency: &self.overall_latency,
         };
         (tables, context)
     }
--- a/src/forwarder/context.rs
+++ b/src/forwarder/context.rs
@@ -14,12 +14,12 @@
     /// Whether so many attempts get no connection that idle ones are closed.
     pub are_connections_scarce: bool,
     /// Latency over all endpoints.
-    pub latency: &'a LatencyEstimator,
+    pub overall_latency: &'a LatencyEstimator,
 }
 
 impl DecisionContext<'_> {
     /// The configuration of a delivery class.
-    pub fn class(&self, class: usize) -> &DeliveryClassConfig {
-        &self.config.classes[class]
+    pub fn class(&self, class_index: usize) -> &DeliveryClassConfig {
+        &self.config.classes[class_index]
     }
 }
--- a/src/forwarder/endpoint_list.rs
+++ b/src/forwarder/endpoint_list.rs
@@ -6,7 +6,7 @@
 use super::mailbox::{DestinationEvent, EndpointEvent};
 use super::Forwarder;
 use crate::endpoint::Endpoint;
-use crate::idle::LIST_CHUNK;
+use crate::idle::LIST_CHUNK_ENTRIES;
 use crate::model::{
     Action, DestinationId, EndpointEntry, EndpointId, EndpointKindId, EndpointListUpdate,
     EndpointStatus, Micros, ZoneId,
@@ -25,7 +25,7 @@
 
 impl Forwarder {
     /// Applies what discovery reported.
-    pub(super) fn apply_list(
+    pub(super) fn apply_list_update(
         &mut self,
         now: Micros,
         update: EndpointListUpdate,
@@ -38,37 +38,37 @@
             }
             EndpointListUpdate::Failed => return,
         };
-        let mut missing_idle = Vec::new();
+        let mut missing_idle_entries = Vec::new();
         if is_complete {
-            let named: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
-            entries.extend(self.missing_endpoints(&named));
-            missing_idle = self.missing_idle_endpoints(&named);
+            let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
+            entries.extend(self.missing_endpoints(&listed));
+            missing_idle_entries = self.missing_idle_endpoints(&listed);
         }
-        self.forget_removed(now, entries.len() + missing_idle.len());
-        if !self.is_beyond_full(entries.len()) && missing_idle.is_empty() {
+        self.discard_removed(now, entries.len() + missing_idle_entries.len());
+        if !self.exceeds_full_limit(entries.len()) && missing_idle_entries.is_empty() {
             for entry in entries {
-                self.restore_and_apply(now, entry);
+                self.restore_and_apply_entry(now, entry);
             }
             return;
         }
         self.apply_in_chunks(now, entries, actions);
-        self.apply_in_chunks(now, missing_idle, actions);
+        self.apply_in_chunks(now, missing_idle_entries, actions);
     }
 
     /// Entries for the endpoints in use that a complete list does not name.
-    fn missing_endpoints(&self, named: &BTreeSet<EndpointId>) -> Vec<EndpointEntry> {
+    fn missing_endpoints(&self, listed: &BTreeSet<EndpointId>) -> Vec<EndpointEntry> {
         self.endpoints
             .iter()
-            .filter(|(id, _)| !named.contains(id))
+            .filter(|(id, _)| !listed.contains(id))
             .map(|(id, e)| removed_entry(*id, ZoneId(e.snapshot.zone), e.destination))
             .collect()
     }
 
     /// The same for the idle endpoints.
-    fn missing_idle_endpoints(&self, named: &BTreeSet<EndpointId>) -> Vec<EndpointEntry> {
+    fn missing_idle_endpoints(&self, listed: &BTreeSet<EndpointId>) -> Vec<EndpointEntry> {
         self.idle
             .listed()
-            .filter(|idle| !named.contains(&idle.endpoint))
+            .filter(|idle| !listed.contains(&idle.endpoint))
             .map(|idle| removed_entry(idle.endpoint, idle.zone, idle.destination))
             .collect()
     }
@@ -81,41 +81,41 @@
     ) {
         let mut entries = entries.into_iter();
         while entries.len() > 0 {
-            for entry in entries.by_ref().take(LIST_CHUNK) {
-                self.restore_and_apply(now, entry);
+            for entry in entries.by_ref().take(LIST_CHUNK_ENTRIES) {
+                self.restore_and_apply_entry(now, entry);
             }
             self.drain_mailboxes(now, actions);
-            self.summarise_idle(now, DESTINATIONS_PER_ENTRY * LIST_CHUNK);
+            self.summarise_idle_destinations(now, DESTINATIONS_PER_ENTRY * LIST_CHUNK_ENTRIES);
         }
     }
 
     /// Forgets the endpoints that left the list the warm-up time ago and have nothing under way.
-    fn forget_removed(&mut self, now: Micros, entries: usize) {
+    fn discard_removed(&mut self, now: Micros, entry_count: usize) {
         let forgotten = self
             .endpoints
-            .extract_if(.., |_, endpoint| endpoint.is_forgettable(now));
+            .extract_if(.., |_, endpoint| endpoint.is_discardable(now));
         for (id, endpoint) in forgotten {
             let event = DestinationEvent::EndpointDiscarded(id);
             self.mailboxes
                 .send_to_destination(endpoint.destination, event);
         }
-        self.idle.forget_removed(now, entries);
+        self.idle.discard_removed(now, entry_count);
     }
 
-    fn restore_and_apply(&mut self, now: Micros, entry: EndpointEntry) {
-        if self.apply_to_summary(&entry) {
+    fn restore_and_apply_entry(&mut self, now: Micros, entry: EndpointEntry) {
+        if self.apply_entry_to_summary(&entry) {
             return;
         }
-        self.restore_endpoint(now, entry.endpoint);
+        self.restore_destination_of(now, entry.endpoint);
         if entry.status != EndpointStatus::Removed {
-            self.restore(now, entry.destination);
+            self.restore_destination(now, entry.destination);
         }
         self.apply_entry(now, entry);
     }
 
     fn apply_entry(&mut self, now: Micros, entry: EndpointEntry) {
         let kind = self.kind_properties(entry.kind);
-        let cost = self.cost_in(entry.zone, kind.has_independent_limits);
+        let cost = self.message_cost(entry.zone, kind.has_independent_limits);
         if entry.status != EndpointStatus::Removed {
             self.create_if_new(now, &entry, &kind);
             let event = DestinationEvent::EndpointListed {
@@ -149,7 +149,7 @@
 
     /// What a message to an endpoint in this zone costs: only those with limits of their own have
     /// a price.
-    pub(super) fn cost_in(&self, zone: ZoneId, has_independent_limits: bool) -> f64 {
+    pub(super) fn message_cost(&self, zone: ZoneId, has_independent_limits: bool) -> f64 {
         if !has_independent_limits {
             return 0.0;
         }
@@ -158,7 +158,7 @@
     }
 
     fn create_if_new(&mut self, now: Micros, entry: &EndpointEntry, kind: &KindProperties) {
-        let is_beyond_full = self.is_beyond_full(1);
+        let exceeds_full_limit = self.exceeds_full_limit(1);
         let destination = self.destinations.entry(entry.destination).or_default();
         if destination.endpoints.is_empty() {
             destination.id = entry.destination;
@@ -167,7 +167,7 @@
         }
         // A new endpoint gets the same grace for failed connections as one that has just answered.
         // Beyond what is held in full it gets none: it can be summarised at once.
-        let answered_at = if is_beyond_full { 0 } else { now };
+        let answered_at = if exceeds_full_limit { 0 } else { now };
         self.endpoints.entry(entry.endpoint).or_insert_with(|| {
             let mut endpoint = Endpoint::new(entry.endpoint, entry.destination, kind.batch_size);
             endpoint.failures.answered_at = answered_at;
--- a/src/forwarder/events.rs
+++ b/src/forwarder/events.rs
@@ -12,9 +12,9 @@
 
 impl Forwarder {
     /// Applies one event; messages to the parts carry the rest. Long, for it has an arm an event.
-    pub(super) fn apply(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+    pub(super) fn apply_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointListUpdated(update) => self.apply_list(now, update, actions),
+            Event::EndpointListUpdated(update) => self.apply_list_update(now, update, actions),
             Event::MessageSubmitted(submission) => self.submit(now, submission),
             Event::AttemptEnded {
                 id,
@@ -49,14 +49,14 @@
                 self.mailboxes.send_to_endpoint(endpoint, event);
             }
             Event::FinalAnswerAcknowledged { id } => {
-                let key = self.ordered_queues.acknowledge(id);
-                self.release_order(now, id, key);
+                let order_key = self.ordered_queues.acknowledge(id);
+                self.release_order(now, id, order_key);
             }
             Event::CompletionReportPending {
                 id,
                 class,
                 order_key,
-            } => self.await_report(id, class, order_key),
+            } => self.await_completion_report(id, class, order_key),
             Event::TimerFired { token: TICK_TIMER } => self.tick(now),
             Event::ShuttingDown => self.config.concurrency_limit = 0,
             Event::GossipReceived { peer, payload } => {
@@ -68,7 +68,7 @@
 
     fn end_attempt(&mut self, now: Micros, ended: EndedAttempt, actions: &mut Vec<Action>) {
         if ended.outcome == Outcome::Delivered {
-            attempt_timeout::observe(&mut self.latency, ended.elapsed);
+            attempt_timeout::observe(&mut self.overall_latency, ended.elapsed);
         }
         self.connection_scarcity.observe(ended.outcome);
         if matches!(ended.outcome, Outcome::Rejected { .. }) {
@@ -94,7 +94,12 @@
     }
 
     /// A completion report of an earlier run: messages of its key wait until it is acknowledged.
-    fn await_report(&mut self, id: MessageId, class: DeliveryClassId, order_key: OrderKey) {
+    fn await_completion_report(
+        &mut self,
+        id: MessageId,
+        class: DeliveryClassId,
+        order_key: OrderKey,
+    ) {
         let class = self.config.classes.get(class.0 as usize);
         if class.is_some_and(|class| class.ordered) {
             let message = QueuedMessage {
@@ -113,7 +118,7 @@
         payload: &[u8],
         actions: &mut Vec<Action>,
     ) {
-        let is_known = |id| self.destinations.contains_key(&id) || self.idle.holds(id);
+        let is_known = |id| self.destinations.contains_key(&id) || self.idle.contains(id);
         let Some(id) = self.gossip.receive(now, peer, payload, is_known, actions) else {
             return;
         };
@@ -144,14 +149,14 @@
             self.mailboxes.send_to_destination(*id, event);
         }
         self.ordered_queues.forget_unused(now);
-        for key in self.ordered_queues.keys() {
-            self.grant_order(now, key);
+        for order_key in self.ordered_queues.keys() {
+            self.grant_order(now, order_key);
         }
     }
 
     /// Tells the message whose turn it is, if there is one.
-    pub(super) fn grant_order(&mut self, now: Micros, key: OrderKey) {
-        if let Some(message) = self.ordered_queues.granted(now, key) {
+    pub(super) fn grant_order(&mut self, now: Micros, order_key: OrderKey) {
+        if let Some(message) = self.ordered_queues.granted(now, order_key) {
             self.mailboxes.send_to_destination(
                 message.destination,
                 DestinationEvent::OrderGranted(message.id),
@@ -160,15 +165,15 @@
     }
 
     /// A message leaves the queue of its key, if it has one: the next has its turn.
-    fn release_order(&mut self, now: Micros, id: MessageId, key: Option<OrderKey>) {
-        if let Some(key) = key {
-            self.ordered_queues.remove(key, id);
-            self.grant_order(now, key);
+    fn release_order(&mut self, now: Micros, id: MessageId, order_key: Option<OrderKey>) {
+        if let Some(order_key) = order_key {
+            self.ordered_queues.remove(order_key, id);
+            self.grant_order(now, order_key);
         }
     }
 
     /// Handles a message of a destination.
-    pub(super) fn handle_event(
+    pub(super) fn handle_forwarder_event(
         &mut self,
         now: Micros,
         event: ForwarderEvent,
@@ -192,13 +197,13 @@
                 activity: Some(activity),
             } => {
                 self.activities.insert(destination, activity);
-                self.leave_idle_queue(destination);
+                self.cancel_scheduled_summary(destination);
             }
             ForwarderEvent::ActivityUpdated {
                 destination,
                 activity: None,
             } => {
-                self.release_destination(now, destination);
+                self.deactivate_destination(now, destination);
             }
         }
     }
@@ -206,24 +211,27 @@
     /// A message has its final answer. Where a call could overtake the answer, the next message of
     /// its key waits until the answer is acknowledged.
     fn end_message(&mut self, now: Micros, id: MessageId, is_answered_by_core: bool) {
-        let key = self.messages.remove(&id).and_then(|location| location.key);
+        let order_key = self
+            .messages
+            .remove(&id)
+            .and_then(|location| location.order_key);
         let on_acknowledgement = self.config.order_release == OrderRelease::OnAcknowledgement;
-        match key {
-            Some(key) if is_answered_by_core && on_acknowledgement => {
-                self.ordered_queues.await_acknowledgement(key, id);
+        match order_key {
+            Some(order_key) if is_answered_by_core && on_acknowledgement => {
+                self.ordered_queues.await_acknowledgement(order_key, id);
             }
-            _ => self.release_order(now, id, key),
+            _ => self.release_order(now, id, order_key),
         }
     }
 
     /// Nothing is under way at a destination: it may be forgotten or summarised.
-    fn release_destination(&mut self, now: Micros, id: DestinationId) {
+    fn deactivate_destination(&mut self, now: Micros, id: DestinationId) {
         self.activities.remove(&id);
         let is_empty = |d: &Destination| d.endpoints.is_empty() && d.messages.is_empty();
         if self.destinations.get(&id).is_some_and(is_empty) {
-            self.leave_idle_queue(id);
+            self.cancel_scheduled_summary(id);
             self.destinations.remove(&id);
         }
-        self.join_idle_queue(now, id);
+        self.schedule_summary(now, id);
     }
 }
--- a/src/forwarder/idle_destinations.rs
+++ b/src/forwarder/idle_destinations.rs
@@ -3,7 +3,7 @@
 use super::Forwarder;
 use crate::destination::Destination;
 use crate::endpoint::{Endpoint, EndpointSnapshot};
-use crate::idle::{BindingState, Summary, SUMMARISE_RETRY_INTERVAL};
+use crate::idle::{BindingState, EndpointSummary, SUMMARY_RETRY_INTERVAL};
 use crate::model::{
     DestinationId, EndpointEntry, EndpointId, EndpointStatus, Event, Micros, ZoneId,
 };
@@ -14,37 +14,41 @@
 /// An endpoint as the idle table holds it.
 struct SummarisedEndpoint {
     endpoint: EndpointId,
-    summary: Summary,
-    binding: Option<BindingState>,
+    summary: EndpointSummary,
+    binding_state: Option<BindingState>,
 }
 
 impl Forwarder {
     /// Whether so many destinations more than now are more than are to be held in full.
-    pub(super) fn is_beyond_full(&self, more: usize) -> bool {
-        let full = self.config.full_destinations;
-        full.is_some_and(|full| self.destinations.len() + more > full as usize)
+    pub(super) fn exceeds_full_limit(&self, additional: usize) -> bool {
+        let full_limit = self.config.full_destinations;
+        full_limit.is_some_and(|limit| self.destinations.len() + additional > limit as usize)
     }
 
     /// Restores the destination that the event concerns. A list restores those that it names.
-    pub(super) fn restore_for(&mut self, now: Micros, event: &Event) {
+    pub(super) fn restore_destination_of_event(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::MessageSubmitted(submission) => self.restore(now, submission.destination),
+            Event::MessageSubmitted(submission) => {
+                self.restore_destination(now, submission.destination)
+            }
             Event::RetryAfterReceived { endpoint, .. }
             | Event::AttemptEnded { endpoint, .. }
-            | Event::HealthCheckEnded { endpoint, .. } => self.restore_endpoint(now, *endpoint),
+            | Event::HealthCheckEnded { endpoint, .. } => {
+                self.restore_destination_of(now, *endpoint)
+            }
             _ => {}
         }
     }
 
     /// Restores the destination of an endpoint, if it is idle.
-    pub(super) fn restore_endpoint(&mut self, now: Micros, endpoint: EndpointId) {
+    pub(super) fn restore_destination_of(&mut self, now: Micros, endpoint: EndpointId) {
         if let Some(id) = self.idle.destination_of(endpoint) {
-            self.restore(now, id);
+            self.restore_destination(now, id);
         }
     }
 
     /// Restores a destination, if it is idle.
-    pub(super) fn restore(&mut self, now: Micros, id: DestinationId) {
+    pub(super) fn restore_destination(&mut self, now: Micros, id: DestinationId) {
         let endpoints = self.idle.endpoints_of(id);
         let Some(first) = endpoints.first().and_then(|e| self.idle.summary(id, *e)) else {
             return;
@@ -52,50 +56,59 @@
         let batch_size = first.batch_size.into();
         let mut destination = Destination::new(id, first.has_independent_limits, batch_size);
         for endpoint in endpoints {
-            self.restore_into(&mut destination, now, endpoint);
+            self.restore_endpoint_into(&mut destination, now, endpoint);
         }
-        self.update_restored(&mut destination, now);
+        self.update_restored_endpoints(&mut destination, now);
         self.destinations.insert(id, destination);
         self.idle.count_restored();
-        self.join_idle_queue(now, id);
+        self.schedule_summary(now, id);
     }
 
     /// Restores an endpoint of a destination.
-    fn restore_into(&mut self, destination: &mut Destination, now: Micros, endpoint: EndpointId) {
-        let Some((summary, binding)) = self.idle.remove(destination.id, endpoint) else {
+    fn restore_endpoint_into(
+        &mut self,
+        destination: &mut Destination,
+        now: Micros,
+        endpoint: EndpointId,
+    ) {
+        let Some((summary, binding_state)) = self.idle.remove(destination.id, endpoint) else {
             return;
         };
-        let pacer = summary.pacer(binding.as_ref(), now);
-        let limit = destination.pacer_key(endpoint);
-        destination.pacers.entry(limit).or_insert(pacer);
+        let pacer = summary.to_pacer(binding_state.as_ref(), now);
+        let pacer_key = destination.pacer_key(endpoint);
+        destination.pacers.entry(pacer_key).or_insert(pacer);
         destination
             .endpoints
             .insert(endpoint, EndpointSnapshot::default());
-        let restored = summary.endpoint(endpoint, destination.id, binding);
-        self.endpoints.insert(endpoint, restored);
+        let restored_endpoint = summary.to_endpoint(endpoint, destination.id, binding_state);
+        self.endpoints.insert(endpoint, restored_endpoint);
     }
 
     /// Brings the endpoints of a restored destination up to date, and what it knows of them.
-    fn update_restored(&mut self, destination: &mut Destination, now: Micros) {
+    fn update_restored_endpoints(&mut self, destination: &mut Destination, now: Micros) {
         let is_ready = |id: &&EndpointId| {
             let endpoint = self.endpoints.get(id);
             endpoint.is_some_and(|endpoint| endpoint.status == EndpointStatus::Ready)
         };
-        let ready = destination.endpoints.keys().filter(is_ready).count().max(1) as f64;
+        let ready_endpoints = destination.endpoints.keys().filter(is_ready).count().max(1) as f64;
         let has_independent_limits = destination.has_independent_limits;
-        let sharing = if has_independent_limits { 1.0 } else { ready };
+        let endpoints_per_limit = if has_independent_limits {
+            1.0
+        } else {
+            ready_endpoints
+        };
         for (id, snapshot) in &mut destination.endpoints {
             let Some(zone) = self.endpoints.get(id).map(|e| ZoneId(e.snapshot.zone)) else {
                 continue;
             };
-            let cost = self.cost_in(zone, has_independent_limits);
+            let cost = self.message_cost(zone, has_independent_limits);
             let pacer = destination
                 .pacers
                 .get(&has_independent_limits.then_some(*id));
             let capacity = pacer.map_or(0.0, |pacer| pacer.capacity);
-            let (tables, context) = self.split(now);
+            let (tables, context) = self.split_state(now);
             if let Some(endpoint) = tables.endpoints.get_mut(id) {
-                endpoint.capacity = capacity / sharing;
+                endpoint.capacity = capacity / endpoints_per_limit;
                 endpoint.snapshot.cost = cost;
                 endpoint.update_snapshot(&context);
                 *snapshot = endpoint.snapshot;
@@ -117,14 +130,14 @@
         if summary.has_independent_limits {
             return true; // each is at a limit of its own
         }
-        let mut pacer = summary.pacer(self.idle.binding(first), now);
+        let mut pacer = summary.to_pacer(self.idle.binding_state(first), now);
         pacer.peer_rejected(now, &self.config, &mut self.rng);
         for endpoint in endpoints {
-            let binding = self.idle.binding_mut(endpoint);
-            binding.next_call_at = pacer.next_call_at;
-            binding.pace_settled_at = pacer.settled_at();
+            let binding_state = self.idle.binding_state_mut(endpoint);
+            binding_state.next_call_at = pacer.next_call_at;
+            binding_state.pace_settled_at = pacer.settled_at();
             if let Some(summary) = self.idle.summary_mut(id, endpoint) {
-                summary.interval = pacer.interval as f32;
+                summary.pacing_interval = pacer.interval as f32;
             }
         }
         true
@@ -132,12 +145,12 @@
 
     /// Applies an entry of the list to the summary of an idle destination's only endpoint, where
     /// neither says that it left; whether it did.
-    pub(super) fn apply_to_summary(&mut self, entry: &EndpointEntry) -> bool {
-        let Some((endpoint, summary)) = self.idle.only_summary_mut(entry.destination) else {
+    pub(super) fn apply_entry_to_summary(&mut self, entry: &EndpointEntry) -> bool {
+        let Some((endpoint, summary)) = self.idle.single_summary_mut(entry.destination) else {
             return false;
         };
-        let has_left = [entry.status, summary.status].contains(&EndpointStatus::Removed);
-        if endpoint != entry.endpoint || has_left {
+        let is_removed = [entry.status, summary.status].contains(&EndpointStatus::Removed);
+        if endpoint != entry.endpoint || is_removed {
             return false;
         }
         let listed = ListedCapacity::from_rate(entry.rate.into(), &self.config);
@@ -149,84 +162,87 @@
     }
 
     /// A destination has nothing under way: it may be summarised once its timers have run out.
-    pub(super) fn join_idle_queue(&mut self, now: Micros, id: DestinationId) {
+    pub(super) fn schedule_summary(&mut self, now: Micros, id: DestinationId) {
         if self.config.full_destinations.is_none() {
             return;
         }
         let Some(destination) = self.destinations.get(&id) else {
             return;
         };
-        if destination.summarise_due_at.is_some() {
+        if destination.summary_due_at.is_some() {
             return;
         }
-        let due = self.timers_over_at(destination, now);
-        self.enqueue_idle(id, due);
+        let due_at = self.timers_end_at(destination, now);
+        self.schedule_summary_at(id, due_at);
     }
 
     /// When the last timer of a destination with nothing under way has run out.
-    fn timers_over_at(&self, destination: &Destination, now: Micros) -> Micros {
-        let latest_pace = now + pacing::max_interval(&self.config) as Micros;
-        let pace_settled = destination
+    fn timers_end_at(&self, destination: &Destination, now: Micros) -> Micros {
+        let latest_settled_at = now + pacing::max_interval(&self.config) as Micros;
+        let pace_settled_at = destination
             .pacers
             .values()
-            .map(|pacer| pacer.settled_at().min(latest_pace));
-        let connection_grace = destination
+            .map(|pacer| pacer.settled_at().min(latest_settled_at));
+        let connection_grace_end = destination
             .endpoints
             .keys()
             .filter_map(|endpoint| self.endpoints.get(endpoint))
             .map(|endpoint| endpoint.failures.answered_at)
             .filter(|answered_at| *answered_at > 0)
             .map(|answered_at| answered_at + CONNECTION_GRACE);
-        pace_settled.chain(connection_grace).max().unwrap_or(now)
+        pace_settled_at
+            .chain(connection_grace_end)
+            .max()
+            .unwrap_or(now)
     }
 
-    fn enqueue_idle(&mut self, id: DestinationId, due: Micros) {
+    fn schedule_summary_at(&mut self, id: DestinationId, due_at: Micros) {
         if let Some(destination) = self.destinations.get_mut(&id) {
-            destination.summarise_due_at = Some(due);
-            self.idle.enqueue(due, id);
+            destination.summary_due_at = Some(due_at);
+            self.idle.enqueue(due_at, id);
         }
     }
 
     /// A destination is in use again, or about to be removed.
-    pub(super) fn leave_idle_queue(&mut self, id: DestinationId) {
+    pub(super) fn cancel_scheduled_summary(&mut self, id: DestinationId) {
         if self.config.full_destinations.is_none() {
             return;
         }
         let Some(destination) = self.destinations.get_mut(&id) else {
             return;
         };
-        if let Some(due) = destination.summarise_due_at.take() {
-            self.idle.dequeue(due, id);
+        if let Some(due_at) = destination.summary_due_at.take() {
+            self.idle.dequeue(due_at, id);
         }
     }
 
     /// Summarises destinations that are due, the oldest first, while more are held in full than
     /// are to be.
-    pub(super) fn summarise_idle(&mut self, now: Micros, max: usize) {
+    pub(super) fn summarise_idle_destinations(&mut self, now: Micros, max_summaries: usize) {
         if self.config.full_destinations.is_none() {
             return;
         }
         self.idle.count_full(self.destinations.len());
         self.idle.sweep(now, self.config.rules.warm_up_time);
-        for _ in 0..max {
+        for _ in 0..max_summaries {
             let Some(id) = self.idle.next_due(now) else {
                 return;
             };
-            if !self.is_beyond_full(0) {
+            if !self.exceeds_full_limit(0) {
                 return;
             }
-            self.leave_idle_queue(id);
+            self.cancel_scheduled_summary(id);
             match self.summaries_of(now, id) {
                 Some(summaries) => self.summarise(id, summaries),
-                None => self.summarise_later(now, id),
+                None => self.retry_summary_later(now, id),
             }
         }
     }
 
     /// A destination could not be summarised: it is looked at again, unless it is in use.
-    fn summarise_later(&mut self, now: Micros, id: DestinationId) {
+    fn retry_summary_later(&mut self, now: Micros, id: DestinationId) {
         if !self.activities.contains_key(&id) {
-            self.enqueue_idle(id, now + SUMMARISE_RETRY_INTERVAL);
+            self.schedule_summary_at(id, now + SUMMARY_RETRY_INTERVAL);
         }
     }
 
@@ -235,11 +251,11 @@
         for SummarisedEndpoint {
             endpoint,
             summary,
-            binding,
+            binding_state,
         } in summaries
         {
             self.endpoints.remove(&endpoint);
-            self.idle.insert(id, endpoint, summary, binding);
+            self.idle.insert(id, endpoint, summary, binding_state);
         }
         self.idle.count_summarised();
     }
@@ -252,13 +268,14 @@
         for pacer in destination.pacers.values_mut() {
             pacer.recover(now);
         }
-        let limits = if destination.has_independent_limits {
+        let limit_count = if destination.has_independent_limits {
             destination.endpoints.len()
         } else {
             1
         };
         let is_unused = !self.activities.contains_key(&id) && destination.messages.is_empty();
-        let is_complete = !destination.endpoints.is_empty() && destination.pacers.len() == limits;
+        let is_complete =
+            !destination.endpoints.is_empty() && destination.pacers.len() == limit_count;
         if !is_unused || !is_complete {
             return None;
         }
@@ -280,8 +297,8 @@
         let endpoint = self.endpoints.get(&id)?;
         let is_summarisable = |endpoint: &Endpoint| {
             endpoint.destination == destination.id
-                && endpoint.is_idle()
-                && !endpoint.has_health_check_out()
+                && endpoint.has_no_calls_in_flight()
+                && !endpoint.has_health_check_in_flight()
                 && endpoint.batch_size == destination.batch_size
         };
         if !is_summarisable(endpoint) {
@@ -290,8 +307,8 @@
         let warm_up_time = self.config.rules.warm_up_time;
         Some(SummarisedEndpoint {
             endpoint: id,
-            summary: Summary::of(endpoint, pacer, destination)?,
-            binding: BindingState::of(endpoint, pacer, now, warm_up_time),
+            summary: EndpointSummary::of(endpoint, pacer, destination)?,
+            binding_state: BindingState::of(endpoint, pacer, now, warm_up_time),
         })
     }
 }
--- a/src/forwarder/submissions.rs
+++ b/src/forwarder/submissions.rs
@@ -10,48 +10,53 @@
 impl Forwarder {
     /// Hands a submitted message to its destination. An unknown class counts as the last one.
     pub(super) fn submit(&mut self, now: Micros, submission: Submission) {
-        let class = (submission.class.0 as usize).min(self.config.classes.len() - 1);
-        let message = self.new_message(now, class, &submission);
-        let key = message.key;
+        let class_index = (submission.class.0 as usize).min(self.config.classes.len() - 1);
+        let message = self.new_message(now, class_index, &submission);
+        let order_key = message.order_key;
         let id = submission.id;
         let destination = submission.destination;
-        if let Some(key) = key {
+        if let Some(order_key) = order_key {
             let queued = QueuedMessage { id, destination };
-            self.ordered_queues.enqueue(key, queued);
+            self.ordered_queues.enqueue(order_key, queued);
             // An attempt of an earlier run may still be at work.
             if submission.history.possible_effect.is_some() {
                 let settled_at = now + self.config.rules.order_settle_time;
-                self.ordered_queues.pause(key, settled_at);
+                self.ordered_queues.pause(order_key, settled_at);
             }
         }
-        self.messages
-            .insert(id, MessageLocation { destination, key });
+        self.messages.insert(
+            id,
+            MessageLocation {
+                destination,
+                order_key,
+            },
+        );
         self.destinations.entry(destination).or_default().id = destination;
         self.mailboxes
             .send_to_destination(destination, DestinationEvent::MessageSubmitted(message));
-        if let Some(key) = key {
-            self.grant_order(now, key);
+        if let Some(order_key) = order_key {
+            self.grant_order(now, order_key);
         }
         self.shed_load_if_overloaded();
     }
 
-    fn new_message(&mut self, now: Micros, class: usize, submission: &Submission) -> Message {
-        let class_config = &self.config.classes[class];
-        let factor = self
+    fn new_message(&mut self, now: Micros, class_index: usize, submission: &Submission) -> Message {
+        let class_config = &self.config.classes[class_index];
+        let weight_factor = self
             .tenant_quotas
             .weight_factor(now, submission.tenant, &self.config);
-        let key = submission.order_key.filter(|_| class_config.ordered);
+        let order_key = submission.order_key.filter(|_| class_config.ordered);
         Message {
             id: submission.id,
-            class,
-            weight: class_config.priority_weight * factor,
+            class_index,
+            weight: class_config.priority_weight * weight_factor,
             objective_at: admission::objective_at(now, submission, class_config),
             deadline: now + submission.time_left,
             attempts: submission.history.attempts,
-            key,
-            is_order_granted: key.is_none(),
+            order_key,
+            is_order_granted: order_key.is_none(),
             possible_effect: submission.history.possible_effect,
-            ready_at: now,
+            backoff_until: now,
             ..Message::default()
         }
     }
@@ -61,12 +66,12 @@
         if !admission::is_overloaded(self.messages.len(), self.config.max_messages) {
             return;
         }
-        let longest = self
+        let longest_queue = self
             .activities
             .iter()
             .max_by_key(|(_, activity)| activity.waiting_messages)
             .map(|(id, _)| *id);
-        if let Some(id) = longest {
+        if let Some(id) = longest_queue {
             self.mailboxes
                 .send_to_destination(id, DestinationEvent::LoadSheddingRequested);
         }
--- a/src/idle.rs
+++ b/src/idle.rs
@@ -6,7 +6,7 @@
 //! concerns it a destination is restored. No destination is held both ways.
 //!
 //! Whatever binds is kept exactly ([`BindingState`]): pauses by retry-after, draining, ejection and
-//! readmission, the slow-start budget, failures in a row. Estimates are rounded ([`Summary`]):
+//! readmission, the slow-start budget, failures in a row. Estimates are rounded ([`EndpointSummary`]):
 //! latencies, the pacing interval, the listed rate.
 //!
 //! A summary leaves as its destination is restored, or once its endpoint left the list for the
@@ -18,7 +18,7 @@
 mod table;
 
 pub(crate) use binding_state::BindingState;
-pub(crate) use summary::Summary;
+pub(crate) use summary::EndpointSummary;
 pub(crate) use table::IdleTable;
 
 use crate::model::{Event, Micros};
@@ -26,17 +26,17 @@
 
 /// Entries of a list that are applied at a time: they bound what a list may hold in full beyond
 /// the setting for a moment, some 0.4 MB. Larger chunks cost more memory and save no time.
-pub(crate) const LIST_CHUNK: usize = 64;
+pub(crate) const LIST_CHUNK_ENTRIES: usize = 64;
 /// Destinations summarised after an event other than a list. It restores one at most, so that a
 /// backlog shrinks, at some µs each.
 const SUMMARIES_PER_EVENT: usize = 8;
 /// How long a destination that could not be summarised waits until it is looked at again.
-pub(crate) const SUMMARISE_RETRY_INTERVAL: Micros = 2 * SILENCE_THRESHOLD;
+pub(crate) const SUMMARY_RETRY_INTERVAL: Micros = 2 * SILENCE_THRESHOLD;
 
 /// How many destinations may be summarised after this event.
 pub(crate) fn max_summaries_after(event: &Event) -> usize {
     if matches!(event, Event::EndpointListUpdated(_)) {
-        2 * LIST_CHUNK
+        2 * LIST_CHUNK_ENTRIES
     } else {
         SUMMARIES_PER_EVENT
     }
--- a/src/idle/binding_state.rs
+++ b/src/idle/binding_state.rs
@@ -15,9 +15,9 @@
     /// From when on `next_call_at` changes nothing.
     pub pace_settled_at: Micros,
     /// When the failures in a row began.
-    pub run_started_at: Micros,
+    pub failure_run_started_at: Micros,
     /// Of an endpoint that left the list: until when it is not forgotten.
-    pub remembered_until: Micros,
+    pub retained_until: Micros,
     pub health: Health,
     pub budget: SlowStartBudget,
     pub consecutive_failures: u32,
@@ -36,9 +36,9 @@
             paused_until: pacer.paused_until,
             next_call_at: pacer.next_call_at,
             pace_settled_at: pacer.settled_at(),
-            run_started_at: endpoint.failures.run_started_at,
-            remembered_until: match endpoint.status {
-                EndpointStatus::Removed => endpoint.next_check_at,
+            failure_run_started_at: endpoint.failures.run_started_at,
+            retained_until: match endpoint.status {
+                EndpointStatus::Removed => endpoint.next_check_or_discard_at,
                 _ => 0,
             },
             health: endpoint.health,
@@ -46,30 +46,30 @@
             consecutive_failures: endpoint.failures.consecutive_failures,
             refused_connections: endpoint.failures.refused_connections,
         };
-        state.binds(now, warm_up_time).then_some(state)
+        state.is_binding(now, warm_up_time).then_some(state)
     }
 
     /// Whether anything of it still matters.
-    pub fn binds(&self, now: Micros, warm_up_time: Micros) -> bool {
-        let may_be_cold = match self.health {
+    pub fn is_binding(&self, now: Micros, warm_up_time: Micros) -> bool {
+        let is_not_healthy = match self.health {
             Health::Healthy => false,
             Health::Ejected | Health::HalfOpen => true,
             Health::WarmingUp { since } => now < since.saturating_add(warm_up_time),
         };
         let has_failures = self.consecutive_failures + self.refused_connections > 0;
-        let last_timer = self
+        let last_timer_at = self
             .paused_until
             .max(self.pace_settled_at)
-            .max(self.remembered_until);
-        may_be_cold || has_failures || now < last_timer
+            .max(self.retained_until);
+        is_not_healthy || has_failures || now < last_timer_at
     }
 
     /// Gives an endpoint back what binds it.
-    pub fn restore(self, endpoint: &mut Endpoint) {
-        endpoint.next_check_at = self.remembered_until;
+    pub fn restore_to(self, endpoint: &mut Endpoint) {
+        endpoint.next_check_or_discard_at = self.retained_until;
         endpoint.health = self.health;
         endpoint.budget = self.budget;
-        endpoint.failures.run_started_at = self.run_started_at;
+        endpoint.failures.run_started_at = self.failure_run_started_at;
         endpoint.failures.consecutive_failures = self.consecutive_failures;
         endpoint.failures.refused_connections = self.refused_connections;
     }
--- a/src/idle/summary.rs
+++ b/src/idle/summary.rs
@@ -10,11 +10,11 @@
 
 /// What is believed of an idle endpoint. The pace of a destination stands in the summary of each
 /// of its endpoints.
-pub(crate) struct Summary {
+pub(crate) struct EndpointSummary {
     /// Of the limit; calls per second for the whole fleet.
     pub capacity: f32,
     /// Between two calls; µs.
-    pub interval: f32,
+    pub pacing_interval: f32,
     pub tie_breaker: f32,
     mean_latency: f32,
     latency_deviation: f32,
@@ -22,26 +22,26 @@
     pub batch_size: u16,
     sample_sizes: SampleSizes,
     /// Of [`OutcomeWindow::to_bits`].
-    outcomes: u8,
+    outcome_bits: u8,
     pub status: EndpointStatus,
     pub has_independent_limits: bool,
 }
 
 // What 91,000 destinations may take rests on this: a field more is a decision.
-const _: () = assert!(std::mem::size_of::<Summary>() <= 28);
+const _: () = assert!(std::mem::size_of::<EndpointSummary>() <= 28);
 
 /// On how many answers and outcomes a summary stands, of each [`WINDOW`] at most: four bits each.
 #[derive(Clone, Copy)]
 struct SampleSizes(u8);
 
 impl SampleSizes {
-    fn new(answers: f64, outcomes: usize) -> SampleSizes {
-        let answers = (answers as u8).min(WINDOW as u8);
+    fn new(latency_samples: f64, outcomes: usize) -> SampleSizes {
+        let latency_samples = (latency_samples as u8).min(WINDOW as u8);
         let outcomes = outcomes.min(WINDOW) as u8;
-        SampleSizes(answers << 4 | outcomes)
+        SampleSizes(latency_samples << 4 | outcomes)
     }
 
-    fn answers(self) -> f64 {
+    fn latency_samples(self) -> f64 {
         f64::from(self.0 >> 4)
     }
 
@@ -50,57 +50,61 @@
     }
 }
 
-impl Summary {
+impl EndpointSummary {
     /// The summary of an endpoint; none where its batch size does not fit.
-    pub fn of(endpoint: &Endpoint, pacer: &Pacer, destination: &Destination) -> Option<Summary> {
+    pub fn of(
+        endpoint: &Endpoint,
+        pacer: &Pacer,
+        destination: &Destination,
+    ) -> Option<EndpointSummary> {
         let window = &endpoint.failures.window;
-        Some(Summary {
+        Some(EndpointSummary {
             capacity: pacer.capacity as f32,
-            interval: pacer.interval as f32,
+            pacing_interval: pacer.interval as f32,
             tie_breaker: endpoint.snapshot.tie_breaker as f32,
             mean_latency: endpoint.latency.mean as f32,
             latency_deviation: endpoint.latency.deviation as f32,
             zone: endpoint.snapshot.zone,
             batch_size: u16::try_from(endpoint.batch_size).ok()?,
-            sample_sizes: SampleSizes::new(endpoint.latency.count(), window.len()),
-            outcomes: window.to_bits(),
+            sample_sizes: SampleSizes::new(endpoint.latency.sample_count(), window.len()),
+            outcome_bits: window.to_bits(),
             status: endpoint.status,
             has_independent_limits: destination.has_independent_limits,
         })
     }
 
     /// The pacer that the endpoint's calls go by.
-    pub fn pacer(&self, binding: Option<&BindingState>, now: Micros) -> Pacer {
+    pub fn to_pacer(&self, binding_state: Option<&BindingState>, now: Micros) -> Pacer {
         Pacer {
             capacity: self.capacity.into(),
-            interval: self.interval.into(),
-            next_call_at: binding.map_or(0, |state| state.next_call_at),
-            paused_until: binding.map_or(0, |state| state.paused_until),
+            interval: self.pacing_interval.into(),
+            next_call_at: binding_state.map_or(0, |state| state.next_call_at),
+            paused_until: binding_state.map_or(0, |state| state.paused_until),
             recovered_at: now.max(1),
             ..Pacer::default()
         }
     }
 
     /// The endpoint in full.
-    pub fn endpoint(
+    pub fn to_endpoint(
         &self,
         id: EndpointId,
         destination: DestinationId,
-        binding: Option<BindingState>,
+        binding_state: Option<BindingState>,
     ) -> Endpoint {
         let mut endpoint = Endpoint::new(id, destination, self.batch_size.into());
         endpoint.status = self.status;
         endpoint.latency = LatencyEstimator::from_parts(
             self.mean_latency.into(),
             self.latency_deviation.into(),
-            self.sample_sizes.answers(),
+            self.sample_sizes.latency_samples(),
         );
         endpoint.snapshot.zone = self.zone;
         endpoint.snapshot.tie_breaker = self.tie_breaker.into();
         endpoint.failures.window =
-            OutcomeWindow::from_bits(self.outcomes, self.sample_sizes.outcomes());
-        if let Some(binding) = binding {
-            binding.restore(&mut endpoint);
+            OutcomeWindow::from_bits(self.outcome_bits, self.sample_sizes.outcomes());
+        if let Some(binding_state) = binding_state {
+            binding_state.restore_to(&mut endpoint);
         }
         endpoint
     }
--- a/src/idle/table.rs
+++ b/src/idle/table.rs
@@ -1,22 +1,22 @@
 //! The table of idle endpoints. It holds summaries and decides nothing.
 
-use super::{BindingState, StateCounts, Summary};
+use super::{BindingState, EndpointSummary, StateCounts};
 use crate::model::{DestinationId, EndpointId, EndpointStatus, Micros, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Bound, RangeInclusive};
 
 /// Removed endpoints forgotten with each list, beyond one an entry: a table that outgrew a list
 /// shrinks again.
-const FORGOTTEN_PER_LIST: usize = 1_024;
+const MAX_EXTRA_DISCARDS_PER_LIST: usize = 1_024;
 /// Binding states looked at after each event: more than one event can add.
-const SWEPT_PER_EVENT: usize = 2;
+const BINDING_STATES_SWEPT_PER_EVENT: usize = 2;
 
-const FIRST_ENDPOINT: EndpointId = EndpointId {
+const MIN_ENDPOINT_ID: EndpointId = EndpointId {
     address: [0; 4],
     port: 0,
     incarnation: 0,
 };
-const LAST_ENDPOINT: EndpointId = EndpointId {
+const MAX_ENDPOINT_ID: EndpointId = EndpointId {
     address: [u8::MAX; 4],
     port: u16::MAX,
     incarnation: u32::MAX,
@@ -32,64 +32,71 @@
 /// All idle endpoints, and the queue of destinations that may become idle.
 #[derive(Default)]
 pub(crate) struct IdleTable {
-    summaries: BTreeMap<(DestinationId, EndpointId), Summary>,
-    destinations: BTreeMap<EndpointId, DestinationId>,
-    binding: BTreeMap<EndpointId, BindingState>,
+    summaries: BTreeMap<(DestinationId, EndpointId), EndpointSummary>,
+    destination_by_endpoint: BTreeMap<EndpointId, DestinationId>,
+    binding_states: BTreeMap<EndpointId, BindingState>,
     /// Endpoints that left the list, by when each is forgotten.
     removed: BTreeSet<(Micros, EndpointId)>,
     /// Full destinations that may be summarised, by when.
-    queue: BTreeSet<(Micros, DestinationId)>,
+    summary_queue: BTreeSet<(Micros, DestinationId)>,
     /// The last endpoint whose binding state was looked at.
-    swept: Option<EndpointId>,
+    last_swept: Option<EndpointId>,
     most_full: usize,
     restored: u64,
     summarised: u64,
 }
 
-fn endpoints_of(id: DestinationId) -> RangeInclusive<(DestinationId, EndpointId)> {
-    (id, FIRST_ENDPOINT)..=(id, LAST_ENDPOINT)
+fn summary_keys_of(id: DestinationId) -> RangeInclusive<(DestinationId, EndpointId)> {
+    (id, MIN_ENDPOINT_ID)..=(id, MAX_ENDPOINT_ID)
 }
 
 impl IdleTable {
     /// Whether the destination is idle.
-    pub fn holds(&self, id: DestinationId) -> bool {
-        self.summaries.range(endpoints_of(id)).next().is_some()
+    pub fn contains(&self, id: DestinationId) -> bool {
+        self.summaries.range(summary_keys_of(id)).next().is_some()
     }
 
     /// The endpoints of an idle destination.
     pub fn endpoints_of(&self, id: DestinationId) -> Vec<EndpointId> {
-        let summaries = self.summaries.range(endpoints_of(id));
+        let summaries = self.summaries.range(summary_keys_of(id));
         summaries.map(|((_, endpoint), _)| *endpoint).collect()
     }
 
     /// The destination of an idle endpoint.
     pub fn destination_of(&self, endpoint: EndpointId) -> Option<DestinationId> {
-        self.destinations.get(&endpoint).copied()
+        self.destination_by_endpoint.get(&endpoint).copied()
     }
 
     /// The summary of an endpoint.
-    pub fn summary(&self, id: DestinationId, endpoint: EndpointId) -> Option<&Summary> {
+    pub fn summary(&self, id: DestinationId, endpoint: EndpointId) -> Option<&EndpointSummary> {
         self.summaries.get(&(id, endpoint))
     }
 
     /// The same, to be changed.
-    pub fn summary_mut(&mut self, id: DestinationId, endpoint: EndpointId) -> Option<&mut Summary> {
+    pub fn summary_mut(
+        &mut self,
+        id: DestinationId,
+        endpoint: EndpointId,
+    ) -> Option<&mut EndpointSummary> {
         self.summaries.get_mut(&(id, endpoint))
     }
 
     /// What binds an endpoint.
-    pub fn binding(&self, endpoint: EndpointId) -> Option<&BindingState> {
-        self.binding.get(&endpoint)
+    pub fn binding_state(&self, endpoint: EndpointId) -> Option<&BindingState> {
+        self.binding_states.get(&endpoint)
     }
 
     /// The same, to be changed; begins with nothing that binds.
-    pub fn binding_mut(&mut self, endpoint: EndpointId) -> &mut BindingState {
-        self.binding.entry(endpoint).or_default()
+    pub fn binding_state_mut(&mut self, endpoint: EndpointId) -> &mut BindingState {
+        self.binding_states.entry(endpoint).or_default()
     }
 
     /// The summary of a destination's only endpoint, unless it has more.
-    pub fn only_summary_mut(&mut self, id: DestinationId) -> Option<(EndpointId, &mut Summary)> {
-        let mut summaries = self.summaries.range_mut(endpoints_of(id));
+    pub fn single_summary_mut(
+        &mut self,
+        id: DestinationId,
+    ) -> Option<(EndpointId, &mut EndpointSummary)> {
+        let mut summaries = self.summaries.range_mut(summary_keys_of(id));
         let ((_, endpoint), summary) = summaries.next()?;
         summaries.next().is_none().then_some((*endpoint, summary))
     }
@@ -111,17 +118,19 @@
         &mut self,
         id: DestinationId,
         endpoint: EndpointId,
-        summary: Summary,
-        binding: Option<BindingState>,
+        summary: EndpointSummary,
+        binding_state: Option<BindingState>,
     ) {
         if summary.status == EndpointStatus::Removed {
-            let remembered_until = binding.as_ref().map_or(0, |b| b.remembered_until);
-            self.removed.insert((remembered_until, endpoint));
+            let retained_until = binding_state
+                .as_ref()
+                .map_or(0, |state| state.retained_until);
+            self.removed.insert((retained_until, endpoint));
         }
-        self.destinations.insert(endpoint, id);
+        self.destination_by_endpoint.insert(endpoint, id);
         self.summaries.insert((id, endpoint), summary);
-        if let Some(binding) = binding {
-            self.binding.insert(endpoint, binding);
+        if let Some(binding_state) = binding_state {
+            self.binding_states.insert(endpoint, binding_state);
         }
     }
 
@@ -130,30 +139,32 @@
         &mut self,
         id: DestinationId,
         endpoint: EndpointId,
-    ) -> Option<(Summary, Option<BindingState>)> {
+    ) -> Option<(EndpointSummary, Option<BindingState>)> {
         let summary = self.summaries.remove(&(id, endpoint))?;
-        self.destinations.remove(&endpoint);
-        let binding = self.binding.remove(&endpoint);
-        let remembered_until = binding.as_ref().map_or(0, |b| b.remembered_until);
-        self.removed.remove(&(remembered_until, endpoint));
-        Some((summary, binding))
+        self.destination_by_endpoint.remove(&endpoint);
+        let binding_state = self.binding_states.remove(&endpoint);
+        let retained_until = binding_state
+            .as_ref()
+            .map_or(0, |state| state.retained_until);
+        self.removed.remove(&(retained_until, endpoint));
+        Some((summary, binding_state))
     }
 
     /// Forgets endpoints that left the list long enough ago. A paused one is kept until its pause
     /// is over.
-    pub fn forget_removed(&mut self, now: Micros, entries: usize) {
-        for _ in 0..entries + FORGOTTEN_PER_LIST {
-            let Some((at, endpoint)) = self.removed.first().copied() else {
+    pub fn discard_removed(&mut self, now: Micros, entry_count: usize) {
+        for _ in 0..entry_count + MAX_EXTRA_DISCARDS_PER_LIST {
+            let Some((due_at, endpoint)) = self.removed.first().copied() else {
                 return;
             };
-            if at > now {
+            if due_at > now {
                 return;
             }
-            self.removed.remove(&(at, endpoint));
-            match self.binding.get_mut(&endpoint) {
-                Some(binding) if binding.paused_until > now => {
-                    binding.remembered_until = binding.paused_until;
-                    self.removed.insert((binding.paused_until, endpoint));
+            self.removed.remove(&(due_at, endpoint));
+            match self.binding_states.get_mut(&endpoint) {
+                Some(binding_state) if binding_state.paused_until > now => {
+                    binding_state.retained_until = binding_state.paused_until;
+                    self.removed.insert((binding_state.paused_until, endpoint));
                 }
                 _ => {
                     let id = self.destination_of(endpoint).unwrap_or_default();
@@ -165,37 +176,39 @@
 
     /// Looks at the next few binding states and drops those that bind no more.
     pub fn sweep(&mut self, now: Micros, warm_up_time: Micros) {
-        for _ in 0..SWEPT_PER_EVENT {
-            let from = self.swept.map_or(Bound::Unbounded, Bound::Excluded);
-            let next = self.binding.range((from, Bound::Unbounded)).next();
-            let Some((endpoint, binding)) = next else {
-                self.swept = None;
+        for _ in 0..BINDING_STATES_SWEPT_PER_EVENT {
+            let from = self.last_swept.map_or(Bound::Unbounded, Bound::Excluded);
+            let next = self.binding_states.range((from, Bound::Unbounded)).next();
+            let Some((endpoint, binding_state)) = next else {
+                self.last_swept = None;
                 return;
             };
             let endpoint = *endpoint;
-            let is_remembered = self.removed.contains(&(binding.remembered_until, endpoint));
-            let is_needed = binding.binds(now, warm_up_time) || is_remembered;
-            self.swept = Some(endpoint);
+            let is_retained = self
+                .removed
+                .contains(&(binding_state.retained_until, endpoint));
+            let is_needed = binding_state.is_binding(now, warm_up_time) || is_retained;
+            self.last_swept = Some(endpoint);
             if !is_needed {
-                self.binding.remove(&endpoint);
+                self.binding_states.remove(&endpoint);
             }
         }
     }
 
     /// A full destination may be summarised from then on.
-    pub fn enqueue(&mut self, at: Micros, id: DestinationId) {
-        self.queue.insert((at, id));
+    pub fn enqueue(&mut self, due_at: Micros, id: DestinationId) {
+        self.summary_queue.insert((due_at, id));
     }
 
     /// A full destination that was queued for then is in use, or gone.
-    pub fn dequeue(&mut self, at: Micros, id: DestinationId) {
-        self.queue.remove(&(at, id));
+    pub fn dequeue(&mut self, due_at: Micros, id: DestinationId) {
+        self.summary_queue.remove(&(due_at, id));
     }
 
     /// The full destination that may be summarised and waits longest.
     pub fn next_due(&self, now: Micros) -> Option<DestinationId> {
-        let (at, id) = self.queue.first().copied()?;
-        (at <= now).then_some(id)
+        let (due_at, id) = self.summary_queue.first().copied()?;
+        (due_at <= now).then_some(id)
     }
 
     /// Counts a destination that was restored.
@@ -209,19 +222,19 @@
     }
 
     /// Counts the destinations that are held in full.
-    pub fn count_full(&mut self, full: usize) {
-        self.most_full = self.most_full.max(full);
+    pub fn count_full(&mut self, full_destinations: usize) {
+        self.most_full = self.most_full.max(full_destinations);
     }
 
     /// How much is held, beside so many full destinations.
-    pub fn counts(&self, full: usize) -> StateCounts {
+    pub fn counts(&self, full_destinations: usize) -> StateCounts {
         StateCounts {
-            full,
+            full: full_destinations,
             most_full: self.most_full,
             summaries: self.summaries.len(),
-            bounds: self.binding.len(),
+            bounds: self.binding_states.len(),
             gone: self.removed.len(),
-            queued: self.queue.len(),
+            queued: self.summary_queue.len(),
             restored: self.restored,
             summarised: self.summarised,
         }
--- a/src/latency.rs
+++ b/src/latency.rs
@@ -11,48 +11,48 @@
     /// The weighted mean deviation from the mean, in µs.
     pub deviation: f64,
     /// Answers observed, up to the number that the weighted mean spans.
-    count: f64,
+    sample_count: f64,
 }
 
 impl LatencyEstimator {
-    /// An estimate that was taken earlier, from `count` answers.
-    pub fn from_parts(mean: f64, deviation: f64, count: f64) -> LatencyEstimator {
+    /// An estimate that was taken earlier, from `sample_count` answers.
+    pub fn from_parts(mean: f64, deviation: f64, sample_count: f64) -> LatencyEstimator {
         LatencyEstimator {
             mean,
             deviation,
-            count,
+            sample_count,
         }
     }
 
     /// Answers observed, up to the number that the weighted mean spans.
-    pub fn count(&self) -> f64 {
-        self.count
+    pub fn sample_count(&self) -> f64 {
+        self.sample_count
     }
 
-    /// Includes an answer that took `answer_time` µs. `weight` is its weight in the mean, between 0
+    /// Includes an answer that took `latency` µs. `weight` is its weight in the mean, between 0
     /// and 1.
-    pub fn observe(&mut self, answer_time: f64, weight: f64) {
-        if self.count == 0.0 {
-            self.mean = answer_time;
-            self.deviation = answer_time / 2.0;
+    pub fn observe(&mut self, latency: f64, weight: f64) {
+        if self.sample_count == 0.0 {
+            self.mean = latency;
+            self.deviation = latency / 2.0;
         }
-        self.count = (self.count + 1.0).min(1.0 / weight);
+        self.sample_count = (self.sample_count + 1.0).min(1.0 / weight);
         // The deviation follows twice as fast as the mean, and is measured from the mean before
         // this answer.
-        let distance = (answer_time - self.mean).abs();
+        let distance = (latency - self.mean).abs();
         self.deviation += 2.0 * weight * (distance - self.deviation);
-        self.mean += weight * (answer_time - self.mean);
+        self.mean += weight * (latency - self.mean);
     }
 
-    /// A figure of this estimate blended with that of `all`. This estimate counts alone from
-    /// `enough` answers on; with fewer, `all` makes up for the missing part.
+    /// A figure of this estimate blended with that of `overall`. This estimate counts alone from
+    /// `required_samples` answers on; with fewer, `overall` makes up for the missing part.
     pub fn blend_with(
         &self,
-        all: &LatencyEstimator,
-        enough: f64,
-        figure: fn(&LatencyEstimator) -> f64,
+        overall: &LatencyEstimator,
+        required_samples: f64,
+        statistic: fn(&LatencyEstimator) -> f64,
     ) -> f64 {
-        let own = (self.count / enough).min(1.0);
-        own * figure(self) + (1.0 - own) * figure(all)
+        let own_weight = (self.sample_count / required_samples).min(1.0);
+        own_weight * statistic(self) + (1.0 - own_weight) * statistic(overall)
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -32,7 +32,7 @@
     pub fn new(tenants: usize) -> TenantQuotas {
         let full = TokenBucket {
             tokens: f64::MAX,
-            filled_at: 0,
+            refilled_at: 0,
         };
         TenantQuotas {
             buckets: vec![full; tenants],
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -68,11 +68,11 @@
         SlowStartBudget {
             calls: TokenBucket {
                 tokens: calls,
-                filled_at: now,
+                refilled_at: now,
             },
             earned: TokenBucket {
                 tokens: 0.0,
-                filled_at: now,
+                refilled_at: now,
             },
         }
     }
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -8,7 +8,7 @@
 //! each piece are therefore at its ends, so that a caller who looks for the best message of a group
 //! compares two messages a piece, not all ([`DispatchQueue::candidates`]).
 //!
-//! Invariant: every waiting message is in `by_last_send`. It is in its group as well once it is
+//! Invariant: every waiting message is in `by_latest_send`. It is in its group as well once it is
 //! released by its order key and its backoff is over; it is in `backing_off` while only the backoff
 //! is missing. It leaves all three together.
 
@@ -17,27 +17,27 @@
 use std::ops::RangeInclusive;
 
 /// Messages of a group up to which comparing all is cheaper than finding the ends of its pieces.
-const SMALL_GROUP: usize = 16;
+const MAX_SMALL_GROUP: usize = 16;
 
 /// Turning points at four moments ahead: four each, and the two times beside each.
-const MAX_TURNING_POINTS: usize = 4 * 4 * 3;
+const MAX_BREAKPOINTS: usize = 4 * 4 * 3;
 
 /// What the messages of one group have in common.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageGroup {
     /// The delivery class, as an index into the configured classes.
-    pub class: usize,
+    pub class_index: usize,
     /// The bits of the priority weight, an `f64`.
     pub weight_bits: u64,
     /// µs from the due time (its latency objective) to the deadline.
     pub objective_to_deadline: i64,
     /// µs from the due time to the last moment to send.
-    pub objective_to_last_send: i64,
+    pub objective_to_latest_send: i64,
     /// The only zone that may receive the message, because it may have taken effect there.
     pub zone: Option<u16>,
 }
 
-/// A message as the queue sees it. Nothing but `is_released` may change while it waits.
+/// A message as the queue sees it. Nothing but `is_order_granted` may change while it waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QueueEntry {
     /// The message.
@@ -45,13 +45,13 @@
     /// What it has in common with others.
     pub group: MessageGroup,
     /// When it is due: its latency objective is over then, in µs.
-    pub due: Micros,
+    pub objective_at: Micros,
     /// The last moment to send it, in µs.
-    pub last_send: Micros,
+    pub latest_send_at: Micros,
     /// When its backoff is over, in µs.
-    pub ready_at: Micros,
+    pub backoff_until: Micros,
     /// Whether no earlier message of its order key is in the way.
-    pub is_released: bool,
+    pub is_order_granted: bool,
 }
 
 /// A message and a time, ordered by the time.
@@ -67,12 +67,12 @@
     }
 
     /// The first message that there can be at this time.
-    fn first_at(at: Micros) -> TimedMessage {
+    fn lower_bound(at: Micros) -> TimedMessage {
         TimedMessage::new(at, MessageId(0))
     }
 
     /// The last message that there can be at this time.
-    fn last_at(at: Micros) -> TimedMessage {
+    fn upper_bound(at: Micros) -> TimedMessage {
         TimedMessage::new(at, MessageId(u32::MAX))
     }
 }
@@ -88,38 +88,38 @@
     /// Released messages, by when their backoff is over.
     backing_off: BTreeSet<TimedMessage>,
     /// All waiting messages, by the last moment to send them.
-    by_last_send: BTreeSet<TimedMessage>,
+    by_latest_send: BTreeSet<TimedMessage>,
 }
 
 impl DispatchQueue {
     /// How many messages wait.
     pub fn len(&self) -> usize {
-        self.by_last_send.len()
+        self.by_latest_send.len()
     }
 
     /// Adds a message.
     pub fn insert(&mut self, entry: &QueueEntry) {
-        self.by_last_send.insert(entry.by_last_send());
-        if entry.is_released {
-            self.backing_off.insert(entry.by_ready_at());
+        self.by_latest_send.insert(entry.by_latest_send());
+        if entry.is_order_granted {
+            self.backing_off.insert(entry.by_backoff_until());
         }
     }
 
     /// Records that no earlier message of its order key is in the way: `entry.is_released` holds
     /// from now on. Does nothing for a message that does not wait.
-    pub fn release(&mut self, entry: &QueueEntry) {
-        let is_waiting = self.by_last_send.contains(&entry.by_last_send());
-        if is_waiting && !self.is_in_its_group(entry) {
-            self.backing_off.insert(entry.by_ready_at());
+    pub fn grant_order(&mut self, entry: &QueueEntry) {
+        let is_waiting = self.by_latest_send.contains(&entry.by_latest_send());
+        if is_waiting && !self.is_in_group(entry) {
+            self.backing_off.insert(entry.by_backoff_until());
         }
     }
 
     /// Removes a message. Does nothing for a message that does not wait.
     pub fn remove(&mut self, entry: &QueueEntry) {
-        self.by_last_send.remove(&entry.by_last_send());
-        self.backing_off.remove(&entry.by_ready_at());
+        self.by_latest_send.remove(&entry.by_latest_send());
+        self.backing_off.remove(&entry.by_backoff_until());
         if let Some(messages) = self.groups.get_mut(&entry.group) {
-            messages.remove(&entry.by_due());
+            messages.remove(&entry.by_objective());
             if messages.is_empty() {
                 self.groups.remove(&entry.group);
             }
@@ -140,7 +140,7 @@
             self.backing_off.pop_first();
             if let Some(entry) = entry_of(first.id) {
                 let messages = self.groups.entry(entry.group).or_default();
-                messages.insert(entry.by_due());
+                messages.insert(entry.by_objective());
             }
         }
     }
@@ -153,7 +153,9 @@
     /// The waiting messages whose last moment to send is at `time` or before, in the order of their
     /// ids.
     pub fn expiring_by(&self, time: Micros) -> Vec<MessageId> {
-        let expiring = self.by_last_send.range(..=TimedMessage::last_at(time));
+        let expiring = self
+            .by_latest_send
+            .range(..=TimedMessage::upper_bound(time));
         let mut ids: Vec<MessageId> = expiring.map(|message| message.id).collect();
         ids.sort_unstable();
         ids
@@ -164,43 +166,43 @@
     ///
     /// Of each piece between two turning points these are the earliest message and the latest, at
     /// equal due times the one with the least id. A turning point is the last due time of its
-    /// piece. Of a small group they are all messages in the range, and `turning_points` is not
+    /// piece. Of a small group they are all messages in the range, and `breakpoints` is not
     /// called.
-    pub fn candidates(
+    pub fn collect_best_message_candidates(
         messages: &GroupMessages,
-        due: RangeInclusive<i64>,
-        turning_points: impl Fn() -> Vec<i64>,
+        objectives: RangeInclusive<i64>,
+        breakpoints: impl Fn() -> Vec<i64>,
         candidates: &mut Vec<MessageId>,
     ) {
-        let Ok(to) = u64::try_from(*due.end()) else {
+        let Ok(to) = u64::try_from(*objectives.end()) else {
             return;
         };
-        let from = u64::try_from(*due.start()).unwrap_or(0);
+        let from = u64::try_from(*objectives.start()).unwrap_or(0);
         if from > to {
             return;
         }
-        if messages.len() <= SMALL_GROUP {
-            candidates.extend(due_within(messages, from, to).map(|message| message.id));
+        if messages.len() <= MAX_SMALL_GROUP {
+            candidates.extend(messages_within(messages, from, to).map(|message| message.id));
             return;
         }
-        let piece_ends = piece_ends_within(turning_points(), from, to);
-        let mut next = due_within(messages, from, to).next();
+        let piece_ends = piece_ends_within(breakpoints(), from, to);
+        let mut next = messages_within(messages, from, to).next();
         while let Some(earliest) = next {
             candidates.push(earliest.id);
             let piece_end = end_of_piece(&piece_ends, earliest.at).unwrap_or(to);
             let latest = latest_with_least_id(messages, earliest.at, piece_end);
             candidates.extend(latest.map(|message| message.id));
             next = if piece_end < to {
-                due_within(messages, piece_end + 1, to).next()
+                messages_within(messages, piece_end + 1, to).next()
             } else {
                 None
             };
         }
     }
 
-    fn is_in_its_group(&self, entry: &QueueEntry) -> bool {
+    fn is_in_group(&self, entry: &QueueEntry) -> bool {
         match self.groups.get(&entry.group) {
-            Some(messages) => messages.contains(&entry.by_due()),
+            Some(messages) => messages.contains(&entry.by_objective()),
             None => false,
         }
     }
@@ -208,21 +210,21 @@
 
 /// The messages due from `from` to `to`, both included, in the order of their due times and ids.
 /// `from` must not be beyond `to`.
-fn due_within(
+fn messages_within(
     messages: &GroupMessages,
     from: Micros,
     to: Micros,
 ) -> impl DoubleEndedIterator<Item = &TimedMessage> {
-    messages.range(TimedMessage::first_at(from)..=TimedMessage::last_at(to))
+    messages.range(TimedMessage::lower_bound(from)..=TimedMessage::upper_bound(to))
 }
 
 /// The last due times of the pieces within the range, in ascending order, but for that of the last
 /// piece, `to`.
-fn piece_ends_within(turning_points: Vec<i64>, from: Micros, to: Micros) -> Vec<Micros> {
-    let mut ends = Vec::with_capacity(turning_points.len());
-    for point in turning_points {
-        match u64::try_from(point) {
-            Ok(point) if (from..to).contains(&point) => ends.push(point),
+fn piece_ends_within(breakpoints: Vec<i64>, from: Micros, to: Micros) -> Vec<Micros> {
+    let mut ends = Vec::with_capacity(breakpoints.len());
+    for breakpoint in breakpoints {
+        match u64::try_from(breakpoint) {
+            Ok(breakpoint) if (from..to).contains(&breakpoint) => ends.push(breakpoint),
             _ => {}
         }
     }
@@ -230,9 +232,9 @@
     ends
 }
 
-/// The end of the piece in which `due` lies.
-fn end_of_piece(piece_ends: &[Micros], due: Micros) -> Option<Micros> {
-    let piece = piece_ends.partition_point(|end| *end < due);
+/// The end of the piece in which `objective_at` lies.
+fn end_of_piece(piece_ends: &[Micros], objective_at: Micros) -> Option<Micros> {
+    let piece = piece_ends.partition_point(|end| *end < objective_at);
     piece_ends.get(piece).copied()
 }
 
@@ -243,25 +245,25 @@
     earliest: Micros,
     piece_end: Micros,
 ) -> Option<&TimedMessage> {
-    let latest = due_within(messages, earliest, piece_end).next_back()?;
+    let latest = messages_within(messages, earliest, piece_end).next_back()?;
     if latest.at > earliest {
-        due_within(messages, latest.at, latest.at).next()
+        messages_within(messages, latest.at, latest.at).next()
     } else {
         None
     }
 }
 
 impl QueueEntry {
-    fn by_due(&self) -> TimedMessage {
-        TimedMessage::new(self.due, self.id)
+    fn by_objective(&self) -> TimedMessage {
+        TimedMessage::new(self.objective_at, self.id)
     }
 
-    fn by_ready_at(&self) -> TimedMessage {
-        TimedMessage::new(self.ready_at, self.id)
+    fn by_backoff_until(&self) -> TimedMessage {
+        TimedMessage::new(self.backoff_until, self.id)
     }
 
-    fn by_last_send(&self) -> TimedMessage {
-        TimedMessage::new(self.last_send, self.id)
+    fn by_latest_send(&self) -> TimedMessage {
+        TimedMessage::new(self.latest_send_at, self.id)
     }
 }
 
@@ -269,32 +271,32 @@
     /// The due times at which the expected loss of waiting has a bend, each with the two times
     /// beside it, where rounding may put the bend.
     ///
-    /// The loss is evaluated at several moments, `look_ahead` in µs from `now`. It has a bend for a
+    /// The loss is evaluated at several moments, `delays` in µs from `now`. It has a bend for a
     /// message that, sent at one of them, would be answered at its due time, at the end of the fall
     /// of its weight (`decay_time` µs after its due time) or at its deadline, and for a message whose
     /// last moment to send it is. An answer takes `mean_latency` µs.
-    pub fn turning_points(
+    pub fn breakpoints(
         &self,
         now: f64,
         mean_latency: f64,
-        look_ahead: [f64; 4],
+        delays: [f64; 4],
         decay_time: f64,
     ) -> Vec<i64> {
-        let mut points = Vec::with_capacity(MAX_TURNING_POINTS);
-        for lookahead in look_ahead {
-            let answered = now + lookahead + mean_latency;
-            let bends = [
-                answered,
-                answered - decay_time,
-                answered - self.objective_to_deadline as f64,
-                now + lookahead - self.objective_to_last_send as f64,
+        let mut breakpoints = Vec::with_capacity(MAX_BREAKPOINTS);
+        for delay in delays {
+            let answered_at = now + delay + mean_latency;
+            let unrounded = [
+                answered_at,
+                answered_at - decay_time,
+                answered_at - self.objective_to_deadline as f64,
+                now + delay - self.objective_to_latest_send as f64,
             ];
-            for bend in bends {
-                let bend = bend.floor() as i64;
-                points.extend([bend - 1, bend, bend + 1]);
+            for breakpoint in unrounded {
+                let breakpoint = breakpoint.floor() as i64;
+                breakpoints.extend([breakpoint - 1, breakpoint, breakpoint + 1]);
             }
         }
-        points
+        breakpoints
     }
 }
 
