--- a/src/destination.rs
+++ b/src/destination.rs
@@ -1,8 +1,8 @@
-//! The state of one destination: its queue, its limits, and what it knows of its endpoints.
+//! The state of one destination: its queue, its limits and the snapshots of its endpoints.
 //!
-//! [`Destination`] owns the messages for it, from their submission to the final answer. It calls
-//! the rules in [`crate::policy`] and holds no threshold of its own. `attempts` handles the end of
-//! attempts, `dispatch` chooses what goes next.
+//! [`Destination`] owns its messages from submission to the final answer. It calls the rules in
+//! [`crate::policy`] and defines no thresholds itself. `attempts` handles the end of attempts;
+//! `dispatch` selects the next call.
 
 mod attempts;
 mod dispatch;
@@ -24,32 +24,36 @@
 use crate::queue::DispatchQueue;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A destination: endpoints that share a queue, and a limit unless each has one of its own.
+/// A group of endpoints with a common queue, owned by the forwarder. The endpoints share one limit,
+/// unless each has a limit of its own.
 #[derive(Default)]
 pub(crate) struct Destination {
     pub id: DestinationId,
-    /// Whether each endpoint has its own limit, pace and outages.
+    /// Whether each endpoint has its own limit, pacing, pauses and outages.
     pub has_independent_limits: bool,
-    /// Messages in one call at most.
+    /// Upper bound on the number of messages in a call.
     pub batch_size: usize,
-    /// How each endpoint stands; emptied as endpoints are forgotten.
+    /// The latest snapshot of each endpoint. An entry is removed when the endpoint is discarded.
     pub endpoints: BTreeMap<EndpointId, EndpointSnapshot>,
-    /// By [`Destination::pacer_key`]; emptied as endpoints are forgotten and pauses end.
+    /// Pacers by [`Destination::pacer_key`]. A pacer is removed once its endpoints are discarded
+    /// and its pause has ended.
     pub pacers: BTreeMap<Option<EndpointId>, Pacer>,
-    /// Messages without a final answer, or with an attempt out.
+    /// Messages that have no final answer yet or an attempt in flight.
     pub messages: BTreeMap<MessageId, Message>,
-    /// Those of them that wait.
+    /// The messages that wait for an attempt.
     queue: DispatchQueue,
-    /// Those of them with an attempt out.
+    /// The messages that have an attempt in flight.
     in_flight: BTreeSet<MessageId>,
-    /// Where the next message would go, between a candidate and its permit.
+    /// The endpoint of the call that was offered to the forwarder last. `None` once the permit is
+    /// used.
     candidate_endpoint: Option<EndpointId>,
-    /// When it may be summarised, while it is in the queue for that.
+    /// The instant in µs from which the destination may be summarised. `None` while no summary is
+    /// scheduled.
     pub summary_due_at: Option<Micros>,
 }
 
 impl Destination {
-    /// A destination without endpoints and messages.
+    /// Creates a destination without endpoints and messages.
     pub fn new(id: DestinationId, has_independent_limits: bool, batch_size: usize) -> Destination {
         Destination {
             id,
@@ -59,7 +63,7 @@
         }
     }
 
-    /// Handles one message of its mailbox.
+    /// Handles one event from the mailbox of the destination.
     pub fn handle(&mut self, event: DestinationEvent, context: &mut DecisionContext) {
         match event {
             DestinationEvent::MessageSubmitted(message) => self.enqueue(message, context),
@@ -97,7 +101,8 @@
         self.report_activity(context);
     }
 
-    /// Tells the forwarder what is under way here.
+    /// Reports the calls and waiting messages to the forwarder, or that the destination needs no
+    /// ticks.
     fn report_activity(&self, context: &mut DecisionContext) {
         let has_no_orphaned_pacer = !self.endpoints.is_empty() || self.pacers.is_empty();
         let needs_no_ticks = has_no_orphaned_pacer
@@ -116,7 +121,8 @@
             });
     }
 
-    /// The key of the pacer that an endpoint's calls go by: its own, or that of all.
+    /// Returns the key of the pacer that limits calls to the endpoint: the endpoint itself, or
+    /// `None` for the pacer that all endpoints share.
     pub fn pacer_key(&self, endpoint: EndpointId) -> Option<EndpointId> {
         self.has_independent_limits.then_some(endpoint)
     }
@@ -129,12 +135,13 @@
         self.endpoints.values().map(|e| e.calls_in_flight).sum()
     }
 
-    /// Whether any of its endpoints is degraded: then the smaller share of permits holds for all.
+    /// Returns whether any endpoint is degraded. The destination is then bound by the lower
+    /// concurrency limit of degraded destinations.
     fn is_degraded(&self) -> bool {
         self.endpoints.values().any(|e| e.is_degraded)
     }
 
-    /// Until when all of its limits are paused.
+    /// Returns the instant in µs until which every pacer is paused.
     fn all_paused_until(&self) -> Micros {
         let pause_ends = self.pacers.values().map(|pacer| pacer.paused_until);
         pause_ends.min().unwrap_or(0)
@@ -147,7 +154,7 @@
     fn enqueue(&mut self, message: Message, context: &mut DecisionContext) {
         self.queue.insert(&message.queue_entry(context.config));
         self.messages.insert(message.id, message);
-        // At once: it may have less time than the next tick takes to come.
+        // The tick runs now because the deadline of the message may be before the next timer tick.
         self.tick(1.0, Permits::Free, context);
     }
 
@@ -160,7 +167,8 @@
 
     fn withdraw(&mut self, id: MessageId, context: &mut DecisionContext) {
         match self.messages.get_mut(&id) {
-            // Its attempt still runs: it keeps its turn and its permit until the outcome comes.
+            // The attempt is still running: the message keeps its turn in the order and its permit
+            // until the outcome is known.
             Some(message) if message.in_flight.is_some() => message.is_completed = true,
             Some(_) => self.end_message(id, None, context),
             None => {}
@@ -173,15 +181,16 @@
         pacer.apply_listed_rate(context.now, rate, context.config);
     }
 
-    /// Does nothing where each endpoint is at a limit of its own.
+    /// Slows the shared pacer. Does nothing where each endpoint has its own limit, because the
+    /// event does not name the endpoint that rejected the call.
     fn apply_peer_rejection(&mut self, context: &mut DecisionContext) {
         if let Some(pacer) = self.pacers.get_mut(&None) {
             pacer.peer_rejected(context.now, context.config, context.rng);
         }
     }
 
-    /// A retry-after binds everything behind the limit from when it is received: also calls and
-    /// health checks that were chosen before and have not gone whole.
+    /// Pauses the limit of the endpoint from now on. The endpoints behind the limit also withdraw
+    /// calls and health checks that were started before and are not yet sent completely.
     fn apply_retry_after(
         &mut self,
         endpoint: EndpointId,
@@ -205,7 +214,8 @@
         }
     }
 
-    /// Looks at all timers. `arrivals`: messages that have just come.
+    /// Updates pacers, endpoints and attempts, and gives up expired messages. `arrivals` is the
+    /// number of messages that arrived with this tick.
     fn tick(&mut self, arrivals: f64, permits: Permits, context: &mut DecisionContext) {
         self.drop_unused_pacers(context.now, !self.endpoints.is_empty());
         for pacer in self.pacers.values_mut() {
@@ -216,8 +226,8 @@
         self.give_up_expired(context);
     }
 
-    /// Drops the pacers of endpoints that are forgotten, and the shared one unless it is in use.
-    /// One whose pause still binds stays.
+    /// Removes the pacers of discarded endpoints, and the shared pacer unless
+    /// `is_shared_pacer_used`. A pacer that is still paused is kept.
     pub fn drop_unused_pacers(&mut self, now: Micros, is_shared_pacer_used: bool) {
         let endpoints = &self.endpoints;
         let is_used = |key: &Option<EndpointId>| match key {
@@ -255,7 +265,7 @@
         }
     }
 
-    /// Gives up the waiting messages that can't be sent in time any more.
+    /// Gives up the waiting messages that can no longer be sent in time.
     fn give_up_expired(&mut self, context: &mut DecisionContext) {
         let paused_until = self.all_paused_until();
         let horizon = paused_until.max(context.now + SEND_MARGIN);
@@ -272,7 +282,7 @@
         }
     }
 
-    /// Gives a waiting message its final answer.
+    /// Ends a waiting message with the final answer that the admission rules choose.
     fn give_up(&mut self, id: MessageId, context: &mut DecisionContext) {
         let Some(message) = self.messages.get(&id) else {
             return;
@@ -291,8 +301,8 @@
         self.end_message(id, Some(action), context);
     }
 
-    /// Gives up the waiting message that counts least; of equal ones that with the latest
-    /// objective.
+    /// Gives up the waiting message with the lowest current weight. Ties are broken by the latest
+    /// latency objective.
     fn shed_load(&mut self, context: &mut DecisionContext) {
         let current_weight = |message: &Message| message.weight_at(context.now, context.config);
         let least_important = self
@@ -307,7 +317,8 @@
         }
     }
 
-    /// A message leaves, with its final answer unless somebody else gave it.
+    /// Removes a message. `answer` is its final answer, or `None` if the message is completed
+    /// without one.
     fn end_message(
         &mut self,
         id: MessageId,
--- a/src/destination/attempts.rs
+++ b/src/destination/attempts.rs
@@ -1,4 +1,4 @@
-//! The end of attempts: what it means for the message, its key and the pace.
+//! The end of attempts, and its consequences for the message, its order key and the pacing.
 
 use super::{Destination, InFlightAttempt};
 use crate::forwarder::context::DecisionContext;
@@ -9,7 +9,8 @@
 use rand::Rng;
 
 impl Destination {
-    /// Removes the attempt in flight of a message, where it went to this endpoint, and returns it.
+    /// Removes and returns the in-flight attempt of a message if it was sent to `endpoint`. Returns
+    /// `None` for an unknown message or another endpoint.
     pub(super) fn take_attempt(
         &mut self,
         id: MessageId,
@@ -21,7 +22,7 @@
             .take_if(|attempt| attempt.endpoint == endpoint)
     }
 
-    /// Handles the end of an attempt that was out.
+    /// Applies the outcome of an attempt that [`Destination::take_attempt`] returned.
     pub(super) fn end_attempt(
         &mut self,
         ended: EndedAttempt,
@@ -66,7 +67,9 @@
         }
     }
 
-    /// Keeps what an unclear outcome binds: the window of a repeat, and the order of the key.
+    /// Records that an attempt may have taken effect or may still be running. The first limits
+    /// where and until when the message may be repeated; the second delays the next message of its
+    /// order key.
     fn record_possible_effect(
         &mut self,
         id: MessageId,
@@ -94,19 +97,21 @@
         }
     }
 
-    /// Ends the message, or puts it back into the queue. It fails where its backoff ends too late
-    /// for another attempt; a rejection is only for messages that wait ([`Destination::give_up`]).
+    /// Ends the message or returns it to the queue. The message fails if its backoff ends too late
+    /// for another attempt: only a message that is waiting can be rejected
+    /// ([`Destination::give_up`]).
     fn answer_or_retry(&mut self, id: MessageId, outcome: Outcome, context: &mut DecisionContext) {
         let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
         if message.is_completed || outcome == Outcome::Delivered {
-            // A delivery that came too late completes nothing: the final answer is still due.
+            // A delivery that ended too late does not complete the message: the final answer is
+            // still due.
             let answer = (!message.is_completed).then_some(Action::Fail { id });
             return self.end_message(id, answer, context);
         }
         if outcome == Outcome::WithdrawnBeforeSend {
-            message.attempts -= 1; // it keeps its place in the queue
+            message.attempts -= 1; // it was not sent and keeps its place in the queue
             return self.queue.insert(&message.queue_entry(context.config));
         }
         let time_to_live = context.config.classes[message.class_index].time_to_live;
@@ -120,8 +125,9 @@
         }
     }
 
-    /// Cancels attempts that take too long: they may have got lost on the way. An ejected endpoint
-    /// answers nobody, so that cancelling gains nothing there.
+    /// Cancels attempts that take too long, because the request or the response may have been lost.
+    /// Attempts at an ejected endpoint are left running: the endpoint responds to nobody, so
+    /// cancelling them gains nothing.
     pub(super) fn cancel_overdue_attempts(
         &mut self,
         permits: Permits,
--- a/src/destination/dispatch.rs
+++ b/src/destination/dispatch.rs
@@ -1,4 +1,5 @@
-//! What goes next: the candidate for a permit, and the call that uses it.
+//! Selection of the next call: the candidate that is offered for a permit, and the call that uses
+//! the permit.
 
 use super::{Destination, InFlightAttempt};
 use crate::endpoint::EndpointSnapshot;
@@ -8,15 +9,15 @@
 use crate::policy::{attempt_timeout, concurrency, retry, selection};
 use crate::queue::DispatchQueue;
 
-/// A message that could go to an endpoint.
+/// A message that may be sent to an endpoint, with the score by which it was selected.
 struct ScoredMessage {
     id: MessageId,
-    /// What is lost by leaving it.
+    /// Expected loss of weight if the message is not sent now.
     expected_loss: f64,
 }
 
 impl Destination {
-    /// Tells the forwarder what a permit would be used for, if anything.
+    /// Offers the forwarder a candidate for a permit, if any call may start now.
     pub(super) fn offer_candidate(&mut self, context: &mut DecisionContext) {
         self.candidate_endpoint = None;
         let messages = &self.messages;
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Endpoints that can take a call now, the best first. Limits that hold calls back are told
-    /// so: their interval recovers.
+    /// Returns the endpoints that accept a call now, in the order of their rank. Marks the pacers
+    /// that delay a call, so that their interval recovers.
     fn rank_available_endpoints(&mut self, context: &DecisionContext) -> Vec<EndpointId> {
         let mut ranked: Vec<(f64, EndpointId)> = Vec::new();
         for (endpoint, snapshot) in &self.endpoints {
@@ -68,8 +69,8 @@
         ranked.into_iter().map(|(_, endpoint)| endpoint).collect()
     }
 
-    /// What is lost by not sending the best message to this endpoint now, per µs of the permit;
-    /// none where nothing may go.
+    /// Returns the expected loss per µs of the permit if the best message for the endpoint is not
+    /// sent now. Returns `None` if no message may be sent to the endpoint.
     fn candidate_loss_per_permit_time(
         &self,
         endpoint: EndpointId,
@@ -84,8 +85,8 @@
             .then(|| selection::loss_per_permit_time(best.expected_loss, snapshot.mean_latency))
     }
 
-    /// The waiting message that loses most by not going to this endpoint now. Of equal ones the
-    /// one with the earliest objective, then the one with the least id.
+    /// Returns the waiting message with the highest expected loss if it is not sent to the endpoint
+    /// now. Ties are broken by the earliest latency objective, then by the lowest id.
     fn best_message_for(
         &self,
         endpoint: &EndpointSnapshot,
@@ -111,7 +112,7 @@
             })
     }
 
-    /// Messages among which the best for this endpoint is.
+    /// Returns messages that include the best one for the endpoint.
     fn best_message_candidates(
         &self,
         endpoint: &EndpointSnapshot,
@@ -144,7 +145,8 @@
         candidate_ids
     }
 
-    /// Starts the call that the candidate stood for: an attempt at each message of the batch.
+    /// Starts the call that was offered as the candidate, with an attempt at each message of the
+    /// batch. The forwarder must have granted a permit.
     pub(super) fn start_call(&mut self, context: &mut DecisionContext) {
         let Some(endpoint) = self.candidate_endpoint.take() else {
             return;
--- a/src/destination/message.rs
+++ b/src/destination/message.rs
@@ -1,4 +1,4 @@
-//! A message that waits or is in flight.
+//! The state of a message that is waiting or in flight.
 
 use crate::model::{Config, EndpointId, MessageId, Micros, OrderKey, PossibleEffect};
 use crate::policy::admission::Undelivered;
@@ -6,43 +6,43 @@
 use crate::policy::selection::Urgency;
 use crate::queue::{MessageGroup, QueueEntry};
 
-/// The attempt that is out.
+/// An attempt that has started and has no outcome yet.
 #[derive(Clone, Copy)]
 pub(crate) struct InFlightAttempt {
     pub endpoint: EndpointId,
     pub sent_at: Micros,
 }
 
-/// A message that has no final answer yet, or whose last attempt is still out.
+/// A message that has no final answer yet or an attempt in flight. It is owned by its destination.
 #[derive(Default)]
 pub(crate) struct Message {
     pub id: MessageId,
-    /// Index of its delivery class.
+    /// Index of the delivery class in the configuration.
     pub class_index: usize,
-    /// What its delivery counts up to its latency objective.
+    /// Weight of a delivery up to the latency objective; it decays after it.
     pub weight: f64,
-    /// When it is late.
+    /// The instant of the latency objective, in µs.
     pub objective_at: Micros,
     pub deadline: Micros,
-    /// Attempts so far, those of earlier runs included.
+    /// Number of attempts so far, including those of earlier runs of the process.
     pub attempts: u32,
-    /// What it keeps its order by.
+    /// The order key, if the delivery class is ordered.
     pub order_key: Option<OrderKey>,
-    /// Whether it is its turn within its key.
+    /// Whether the message is the next one of its order key. True for messages without a key.
     pub is_order_granted: bool,
-    /// The first attempt that may have taken effect.
+    /// The first attempt that may have taken effect at the receiver.
     pub possible_effect: Option<PossibleEffect>,
-    /// When its backoff is over.
+    /// The instant in µs at which the backoff ends.
     pub backoff_until: Micros,
     pub in_flight: Option<InFlightAttempt>,
-    /// Whether the attempt that is out was cancelled.
+    /// Whether the attempt in flight was cancelled.
     pub is_attempt_cancelled: bool,
-    /// Whether it needs no final answer any more.
+    /// Whether the message needs no final answer from the core.
     pub is_completed: bool,
 }
 
 impl Message {
-    /// The last moment at which its next attempt may begin.
+    /// Returns the latest instant in µs at which the next attempt may start.
     pub fn latest_send_at(&self, config: &Config) -> Micros {
         retry::last_send(
             config.classes[self.class_index].semantics,
@@ -53,7 +53,7 @@
         )
     }
 
-    /// What decides when it is sent.
+    /// Returns the inputs of the rules on the order of dispatch.
     pub fn urgency(&self, config: &Config) -> Urgency {
         Urgency {
             weight: self.weight,
@@ -63,21 +63,22 @@
         }
     }
 
-    /// What its delivery counts now.
+    /// Returns the weight of a delivery at `now`.
     pub fn weight_at(&self, now: Micros, config: &Config) -> f64 {
         let class = &config.classes[self.class_index];
         self.urgency(config)
             .weight_at(now as f64, class, config.priority_decay)
     }
 
-    /// What is lost by sending it later than now to an endpoint of this latency (µs).
+    /// Returns the expected loss of weight if the message is not sent now to an endpoint with this
+    /// mean latency, in µs.
     pub fn expected_loss(&self, now: Micros, mean_latency: f64, config: &Config) -> f64 {
         let class = &config.classes[self.class_index];
         self.urgency(config)
             .expected_loss(now, mean_latency, class, config)
     }
 
-    /// It as the dispatch queue sees it.
+    /// Returns the message's entry in the dispatch queue.
     pub fn queue_entry(&self, config: &Config) -> QueueEntry {
         let semantics = config.classes[self.class_index].semantics;
         let latest_send_at = self.latest_send_at(config);
@@ -99,7 +100,7 @@
         }
     }
 
-    /// It as the rule on final answers sees it.
+    /// Returns the inputs of the rule on final answers.
     pub fn undelivered(&self, config: &Config) -> Undelivered {
         Undelivered {
             semantics: config.classes[self.class_index].semantics,
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,7 +1,7 @@
-//! The state of one endpoint: its calls, its health, and what is known of its latency.
+//! The state of one endpoint: its calls, its health and its latency.
 //!
-//! [`Endpoint`] calls the rules in [`crate::policy`] and holds no threshold of its own. Whenever
-//! something changes it sends its destination an [`EndpointSnapshot`].
+//! [`Endpoint`] calls the rules in [`crate::policy`] and defines no thresholds itself. It sends an
+//! [`EndpointSnapshot`] to its destination whenever its state changes.
 
 mod snapshot;
 
@@ -21,57 +21,59 @@
 use crate::policy::slow_start::{self, ForwarderShare, SlowStartBudget};
 use rand::Rng;
 
-/// What an endpoint may get.
+/// The health of an endpoint, which decides what may be sent to it.
 #[derive(Clone, Copy, PartialEq, Default)]
 pub(crate) enum Health {
-    /// All that its limits allow.
+    /// Calls are bound by the limits alone.
     #[default]
     Healthy,
-    /// Nothing but health checks.
+    /// The endpoint is ejected: only health checks are sent.
     Ejected,
-    /// Single calls: it is ejected, and a message may try it.
+    /// The endpoint is ejected, and single calls may be sent as a trial.
     HalfOpen,
-    /// A growing part of its capacity: it was readmitted then.
+    /// The endpoint was readmitted at `since` (µs) and gets a growing share of its capacity.
     WarmingUp { since: Micros },
 }
 
-/// A call that is out.
+/// A call in flight: one or more attempts that started at the same instant.
 struct Call {
     sent_at: Micros,
-    /// Messages in it without an outcome.
+    /// Number of messages in the call that have no outcome yet.
     pending_messages: usize,
-    /// Whether one of its outcomes has been judged: the others say the same.
+    /// Whether an outcome of the call was recorded. Only the first one is, because the messages of
+    /// a call share its outcome.
     is_outcome_recorded: bool,
 }
 
-/// One endpoint.
+/// The state of one endpoint, owned by the forwarder.
 #[derive(Default)]
 pub(crate) struct Endpoint {
     pub id: EndpointId,
     pub destination: DestinationId,
-    /// Messages in one call at most.
+    /// Upper bound on the number of messages in a call.
     pub batch_size: usize,
     pub status: EndpointStatus,
     pub snapshot: EndpointSnapshot,
-    /// Each leaves with its last outcome.
+    /// Calls in flight. A call is removed with the outcome of its last message.
     calls: Vec<Call>,
     pub failures: FailureAccrual,
     pub health: Health,
-    /// Calls per second that it takes from the whole fleet.
+    /// Calls per second that the endpoint accepts from the whole fleet.
     pub capacity: f64,
-    /// What it may get while it is not healthy.
+    /// Number of calls that may be sent while the endpoint is not healthy.
     pub budget: SlowStartBudget,
     pub latency: LatencyEstimator,
-    /// When the next health check may go. While one is out: [`HEALTH_CHECK_IN_FLIGHT`]. Once the
-    /// endpoint has left the list: when it may be forgotten.
+    /// The instant in µs from which the next health check may start, or [`HEALTH_CHECK_IN_FLIGHT`]
+    /// while one is running. Once the endpoint has left the list: the instant from which it may be
+    /// discarded.
     pub next_check_or_discard_at: Micros,
 }
 
-/// Stands for [`Endpoint::next_check_at`] while a health check is out.
+/// Value of [`Endpoint::next_check_or_discard_at`] while a health check is in flight.
 pub(crate) const HEALTH_CHECK_IN_FLIGHT: Micros = Micros::MAX;
 
 impl Endpoint {
-    /// A healthy endpoint of which nothing is known.
+    /// Creates a healthy endpoint without calls and latency samples.
     pub fn new(id: EndpointId, destination: DestinationId, batch_size: usize) -> Endpoint {
         Endpoint {
             id,
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Handles one message of its mailbox.
+    /// Handles one event from the mailbox of the endpoint.
     pub fn handle(&mut self, event: EndpointEvent, context: &mut DecisionContext) {
         let previous_snapshot = self.snapshot;
         match event {
@@ -121,25 +123,24 @@
         }
     }
 
-    /// Whether it has no calls out.
     pub fn has_no_calls_in_flight(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Whether a health check is out.
     pub fn has_health_check_in_flight(&self) -> bool {
         self.next_check_or_discard_at == HEALTH_CHECK_IN_FLIGHT
     }
 
-    /// Whether it left the list, and long enough ago to be forgotten.
+    /// Returns whether the endpoint has left the list, has no calls in flight and was retained for
+    /// long enough.
     pub fn is_discardable(&self, now: Micros) -> bool {
         self.status == EndpointStatus::Removed
             && self.has_no_calls_in_flight()
             && now >= self.next_check_or_discard_at
     }
 
-    /// Applies its entry of the endpoint list. One that has left is remembered for the warm-up
-    /// time: if it comes back before, it may still be cold.
+    /// Applies an entry of the endpoint list. An endpoint that has left the list is retained for
+    /// the warm-up time, because it may still be cold if it returns earlier.
     fn apply_list_entry(
         &mut self,
         zone: ZoneId,
@@ -162,7 +163,8 @@
         self.snapshot.tie_breaker = selection::tie_breaker(context.rng);
     }
 
-    /// A message goes there: in the call that begins now, or in one of its own.
+    /// Adds a message to the call that starts now, or starts a new call if there is none or its
+    /// batch is full.
     fn record_attempt_start(&mut self, context: &DecisionContext) {
         if let Some(call) = self.calls.last_mut() {
             if call.sent_at == context.now && call.pending_messages < self.batch_size {
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Whether the attempt belonged to a call that is out.
+    /// Records the outcome of an attempt. Returns whether the attempt was part of a call in flight.
     fn record_attempt_end(
         &mut self,
         sent_at: Micros,
@@ -219,8 +221,8 @@
         }
     }
 
-    /// Withdraws calls and health checks that have not gone whole: what binds from now on binds
-    /// them too.
+    /// Withdraws calls and health checks that are not yet sent completely, because a new pause or
+    /// status applies to them as well.
     fn withdraw_unsent(&self, context: &mut DecisionContext) {
         if !self.calls.is_empty() || self.has_health_check_in_flight() {
             context
@@ -229,7 +231,7 @@
         }
     }
 
-    /// Draws from the outcome of a call what it says of the endpoint.
+    /// Updates latency, failures and health with the outcome of a call.
     fn record_call_outcome(
         &mut self,
         outcome: Outcome,
@@ -285,12 +287,13 @@
         self.failures.window.clear();
     }
 
-    /// Whether it is ejected, also while a message may try it.
+    /// Returns whether the endpoint is ejected, including while a trial call is allowed.
     fn is_ejected(&self) -> bool {
         matches!(self.health, Health::Ejected | Health::HalfOpen)
     }
 
-    /// The part of its capacity that it may get from the whole fleet while it is not healthy.
+    /// Returns the load that the whole fleet may send while the endpoint is not healthy, as a
+    /// multiple of its capacity.
     fn allowed_load(&self, now: Micros, config: &Config) -> f64 {
         let warming_since = match self.health {
             Health::WarmingUp { since } => Some(since),
@@ -299,7 +302,7 @@
         slow_start::allowed_load(now, warming_since, &config.rules)
     }
 
-    /// What it may get from this forwarder while it is not healthy.
+    /// Returns this forwarder's share of the allowed load.
     fn forwarder_share(&self, now: Micros, config: &Config) -> ForwarderShare {
         slow_start::forwarder_share(self.allowed_load(now, config), self.capacity, config)
     }
@@ -312,7 +315,8 @@
             self.budget
                 .refill(context.now, share, tick.arrivals, allowed_load);
         }
-        // Without this, the forwarders that a pause holds back would all call as it ends.
+        // The budget is drawn at random during a pause. Otherwise all forwarders that the pause
+        // holds back would call as soon as it ends.
         if tick.is_paused && self.budget.has_call() {
             self.budget.randomise(context.rng.random());
         }
@@ -335,7 +339,7 @@
         }
     }
 
-    /// Starts a trial of an ejected endpoint once its budget holds a call.
+    /// Starts a trial of an ejected endpoint once the budget allows a call.
     fn start_trial_if_due(&mut self, share: ForwarderShare, context: &mut DecisionContext) {
         let is_trial_due = context.config.may_health_check
             && self.status == EndpointStatus::Ready
@@ -357,7 +361,8 @@
         }
     }
 
-    /// Calls sent since the last answer that have been out for longer than `time` (µs).
+    /// Counts the calls that were sent since the last response and have been in flight for longer
+    /// than `min_elapsed` µs.
     fn unanswered_calls(&self, now: Micros, min_elapsed: f64) -> usize {
         let is_unanswered = |call: &&Call| {
             call.sent_at >= self.failures.answered_at && (now - call.sent_at) as f64 > min_elapsed
--- a/src/endpoint/snapshot.rs
+++ b/src/endpoint/snapshot.rs
@@ -1,38 +1,40 @@
-//! What a destination knows of an endpoint.
+//! The state of an endpoint that its destination sees.
 
 use super::{Endpoint, Health};
 use crate::forwarder::context::DecisionContext;
 use crate::model::EndpointStatus;
 use crate::policy::{attempt_timeout, concurrency, selection};
 
-/// How an endpoint stands, as its destination chooses by it.
+/// The state of an endpoint by which its destination selects calls. The endpoint owns it and sends
+/// a copy to its destination on every change.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(crate) struct EndpointSnapshot {
     pub zone: u16,
-    /// What a message to it costs.
+    /// Cost of a message to the endpoint.
     pub cost: f64,
-    /// Drawn at random; see [`selection::tie_breaker`].
+    /// Random tie breaker of the rank; see [`selection::tie_breaker`].
     pub tie_breaker: f64,
-    /// Calls that it may get now.
+    /// Number of further calls that may start now.
     pub free_calls: usize,
-    /// Calls out there.
+    /// Number of calls in flight.
     pub calls_in_flight: usize,
-    /// Whether the list has it as ready.
+    /// Whether the endpoint list has the endpoint as ready.
     pub is_ready: bool,
     pub is_ejected: bool,
-    /// Whether it fails, is slow or is ejected.
+    /// Whether the endpoint fails, is slow or is ejected.
     pub is_degraded: bool,
-    /// Whether it needs no ticks: no call is out, and it is healthy or its budget is scant. An
-    /// endpoint with a scant budget is tried by the next message.
+    /// Whether the endpoint needs no timer ticks: it has no calls in flight, and it is healthy or
+    /// its budget is scant. With a scant budget, the next message is the trial of the endpoint.
     pub needs_no_ticks: bool,
-    /// µs.
+    /// Mean latency of a call, in µs.
     pub mean_latency: f64,
-    /// Time within which an answer is expected, µs.
+    /// Time in µs within which a response is expected.
     pub latency_bound: f64,
 }
 
 impl EndpointSnapshot {
-    /// Its rank among endpoints that can take a call; the least goes first.
+    /// Returns the rank among the endpoints that accept a call. The endpoint with the lowest rank
+    /// is selected first.
     pub fn rank(&self) -> f64 {
         selection::endpoint_rank(
             self.cost,
@@ -44,7 +46,7 @@
 }
 
 impl Endpoint {
-    /// Brings the snapshot up to date.
+    /// Recomputes the snapshot. Zone, cost and tie breaker keep their values.
     pub fn update_snapshot(&mut self, context: &DecisionContext) {
         let overall = context.overall_latency;
         let needs_no_ticks = self.calls.is_empty()
@@ -74,7 +76,8 @@
         }
     }
 
-    /// Whether a call is out for long, and nothing was answered since it was sent.
+    /// Returns whether a call has been in flight for longer than the slow threshold without any
+    /// response since it was sent.
     fn is_slow(&self, context: &DecisionContext) -> bool {
         let threshold = attempt_timeout::slow_threshold(&self.latency, context.overall_latency);
         threshold > 0.0 && self.unanswered_calls(context.now, threshold) > 0
--- a/src/forwarder.rs
+++ b/src/forwarder.rs
@@ -1,9 +1,9 @@
-//! The forwarder: takes events in, keeps the tables of all parts, and gives actions out.
+//! The forwarder: it receives events, owns the state of all parts and returns actions.
 //!
 //! [`Forwarder::handle`] is the whole interface. It applies one event (`events`), lets the parts
-//! exchange messages until none is left (`mailbox`), hands out permits (`scheduler`), and
-//! summarises destinations out of use (`idle_destinations`). The same configuration, seed and
-//! events give the same actions.
+//! exchange events until all mailboxes are empty (`mailbox`), grants permits (`scheduler`), and
+//! summarises idle destinations (`idle_destinations`). The same configuration, seed and sequence of
+//! events always produce the same actions.
 
 pub(crate) mod context;
 mod endpoint_list;
@@ -33,53 +33,57 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// The timer that looks at all timers of the parts.
+/// The timer of the periodic tick, at which the timers of all parts are checked.
 const TICK_TIMER: TimerToken = TimerToken(0);
 
-/// Where a message is.
+/// The destination and the order key of a message.
 struct MessageLocation {
     destination: DestinationId,
-    /// What it keeps its order by.
+    /// The order key, if the delivery class is ordered.
     order_key: Option<OrderKey>,
 }
 
-/// The tables of the parts.
+/// The destinations and endpoints, borrowed apart from the rest of the forwarder.
 struct PartTables<'a> {
     destinations: &'a mut BTreeMap<DestinationId, Destination>,
     endpoints: &'a mut BTreeMap<EndpointId, Endpoint>,
 }
 
-/// One forwarder: every decision on messages, destinations and endpoints.
+/// The decision core of one forwarder. It owns the state of all messages, destinations and
+/// endpoints.
 pub struct Forwarder {
     config: Config,
     rng: Pcg64Mcg,
     mailboxes: Mailboxes,
-    /// Messages without a final answer, or with an attempt out.
+    /// Messages that have no final answer yet or an attempt in flight.
     messages: BTreeMap<MessageId, MessageLocation>,
-    /// Emptied of those without endpoints, messages and pauses.
+    /// Destinations that are held in full. A destination is removed once it has no endpoints,
+    /// messages and pauses.
     destinations: BTreeMap<DestinationId, Destination>,
-    /// Emptied of those that left the list for the warm-up time and are idle.
+    /// Endpoints that are held in full. An endpoint is removed once it has been off the list for
+    /// the warm-up time and has no calls in flight.
     endpoints: BTreeMap<EndpointId, Endpoint>,
     ordered_queues: OrderedQueues,
     tenant_quotas: TenantQuotas,
-    /// Only destinations where something is under way: the work follows these.
+    /// Destinations with messages, calls or timers. Ticks and scheduling rounds visit only these.
     activities: BTreeMap<DestinationId, Activity>,
-    /// Claims to permits, within a scheduling round.
+    /// The candidates of the current scheduling round.
     candidates: Vec<Candidate>,
-    /// When the next tick is due.
+    /// The instant of the next tick, in µs. `None` while no tick is scheduled.
     next_tick_at: Option<Micros>,
-    /// Nothing is sent before, after the process stood still.
+    /// The instant in µs before which no call starts, after a stall of the process.
     sends_paused_until: Micros,
     list_poller: ListPoller,
     gossip: Gossip,
     connection_scarcity: ConnectionScarcity,
-    /// Latency over all endpoints.
+    /// Latency of the calls to all endpoints.
     overall_latency: LatencyEstimator,
     idle: IdleTable,
 }
 
 impl Forwarder {
-    /// A forwarder without messages, destinations and endpoints.
+    /// Creates a forwarder without messages, destinations and endpoints. `seed` seeds all random
+    /// decisions.
     pub fn new(mut config: Config, seed: u64) -> Forwarder {
         let classes = config.classes.len().max(1);
         config
@@ -106,9 +110,9 @@
         }
     }
 
-    /// Handles one event and adds what is to be done, in order, to `actions`.
+    /// Handles one event and appends the actions to carry out, in order, to `actions`.
     ///
-    /// `now` must not run backwards.
+    /// `now` is in µs and must not be less than at the call before.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.detect_stall(now);
         self.list_poller
@@ -122,8 +126,8 @@
         self.schedule_tick(now, actions);
     }
 
-    /// After the process stood still it sends nothing until it has read what happened meanwhile:
-    /// an endpoint may have begun to drain.
+    /// Pauses sending after a stall of the process. The events that arrived during the stall are
+    /// read first, because an endpoint may have started to drain.
     fn detect_stall(&mut self, now: Micros) {
         let tolerance = self.config.rules.drain_grace / 2;
         if self.next_tick_at.is_some_and(|due| now > due + tolerance) {
@@ -132,7 +136,7 @@
         }
     }
 
-    /// Sets the timer for the next tick, while there is something to look at.
+    /// Sets the timer for the next tick if any part needs one.
     fn schedule_tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let needs_no_tick = self.activities.is_empty() && self.ordered_queues.is_empty();
         if self.next_tick_at.is_some() || needs_no_tick {
@@ -146,8 +150,8 @@
         });
     }
 
-    /// Lets the parts handle their messages until all mailboxes are empty. Endpoints go first,
-    /// then destinations, then the forwarder itself.
+    /// Lets the parts handle their events until all mailboxes are empty. The events of endpoints
+    /// are handled first, then those of destinations, then those of the forwarder.
     fn drain_mailboxes(&mut self, now: Micros, actions: &mut Vec<Action>) {
         loop {
             if let Some((id, event)) = self.mailboxes.endpoints.pop_front() {
@@ -168,7 +172,7 @@
         }
     }
 
-    /// The tables of the parts, and beside them what the parts see of the forwarder.
+    /// Borrows the destinations and endpoints, together with a context of the rest of the state.
     fn split_state(&mut self, now: Micros) -> (PartTables<'_>, DecisionContext<'_>) {
         let tables = PartTables {
             destinations: &mut self.destinations,
@@ -185,7 +189,7 @@
         (tables, context)
     }
 
-    /// How many destinations and endpoints are held in full and as summaries.
+    /// Returns the number of destinations and endpoints that are held in full and as summaries.
     pub fn state_counts(&self) -> StateCounts {
         self.idle.counts(self.destinations.len())
     }
--- a/src/forwarder/endpoint_list.rs
+++ b/src/forwarder/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! Applies the endpoint list to destinations and endpoints.
 //!
-//! A list that names more than may be held in full is applied in chunks; what a chunk has restored
-//! or created is summarised again before the next one.
+//! A list with more entries than destinations may be held in full is applied in chunks. The
+//! destinations that a chunk restored or created are summarised before the next chunk.
 
 use super::mailbox::{DestinationEvent, EndpointEvent};
 use super::Forwarder;
@@ -13,18 +13,18 @@
 };
 use std::collections::BTreeSet;
 
-/// Destinations that one entry of the list may restore or create: its own, and the one that the
-/// endpoint belonged to.
+/// Number of destinations that an entry of the list may restore or create: the destination of the
+/// entry, and the one to which the endpoint belonged before.
 const DESTINATIONS_PER_ENTRY: usize = 2;
 
-/// What the kind of an endpoint says of it.
+/// The properties of an endpoint that follow from its kind.
 struct KindProperties {
     has_independent_limits: bool,
     batch_size: usize,
 }
 
 impl Forwarder {
-    /// Applies what discovery reported.
+    /// Applies an update of the endpoint list. The state stays unchanged if the update failed.
     pub(super) fn apply_list_update(
         &mut self,
         now: Micros,
@@ -55,7 +55,7 @@
         self.apply_in_chunks(now, missing_idle_entries, actions);
     }
 
-    /// Entries for the endpoints in use that a complete list does not name.
+    /// Returns entries that remove the endpoints held in full that are not in `listed`.
     fn missing_endpoints(&self, listed: &BTreeSet<EndpointId>) -> Vec<EndpointEntry> {
         self.endpoints
             .iter()
@@ -64,7 +64,7 @@
             .collect()
     }
 
-    /// The same for the idle endpoints.
+    /// Returns entries that remove the idle endpoints that are not in `listed`.
     fn missing_idle_endpoints(&self, listed: &BTreeSet<EndpointId>) -> Vec<EndpointEntry> {
         self.idle
             .listed()
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Forgets the endpoints that left the list the warm-up time ago and have nothing under way.
+    /// Discards the endpoints that left the list at least the warm-up time ago and have no calls in
+    /// flight. `entry_count` is the number of entries of the list that is applied.
     fn discard_removed(&mut self, now: Micros, entry_count: usize) {
         let forgotten = self
             .endpoints
@@ -132,7 +133,8 @@
         self.mailboxes.send_to_endpoint(entry.endpoint, event);
     }
 
-    /// An unknown kind counts as the last one.
+    /// Returns the properties of a kind. An unknown kind has the properties of the last configured
+    /// one.
     fn kind_properties(&self, kind: EndpointKindId) -> KindProperties {
         let kinds = &self.config.endpoint_kinds;
         match kinds.get(kind.0 as usize).or(kinds.last()) {
@@ -147,8 +149,8 @@
         }
     }
 
-    /// What a message to an endpoint in this zone costs: only those with limits of their own have
-    /// a price.
+    /// Returns the cost of a message to an endpoint in the zone. Only endpoints with limits of
+    /// their own have a cost.
     pub(super) fn message_cost(&self, zone: ZoneId, has_independent_limits: bool) -> f64 {
         if !has_independent_limits {
             return 0.0;
@@ -165,8 +167,9 @@
             destination.has_independent_limits = kind.has_independent_limits;
             destination.batch_size = kind.batch_size;
         }
-        // A new endpoint gets the same grace for failed connections as one that has just answered.
-        // Beyond what is held in full it gets none: it can be summarised at once.
+        // A new endpoint gets the same grace period for failed connections as one that has just
+        // responded. Beyond the limit of destinations held in full there is no grace period, so
+        // that the endpoint can be summarised at once.
         let answered_at = if exceeds_full_limit { 0 } else { now };
         self.endpoints.entry(entry.endpoint).or_insert_with(|| {
             let mut endpoint = Endpoint::new(entry.endpoint, entry.destination, kind.batch_size);
--- a/src/forwarder/events.rs
+++ b/src/forwarder/events.rs
@@ -1,4 +1,4 @@
-//! Applies an event, and the messages of destinations to the forwarder.
+//! Applies the events of the caller, and the events that the parts send to the forwarder.
 
 use super::mailbox::{DestinationEvent, EndedAttempt, EndpointEvent, ForwarderEvent};
 use super::{Forwarder, TICK_TIMER};
@@ -11,7 +11,8 @@
 use crate::policy::ordering::QueuedMessage;
 
 impl Forwarder {
-    /// Applies one event; messages to the parts carry the rest. Long, for it has an arm an event.
+    /// Applies one event of the caller. What concerns a destination or an endpoint is sent to its
+    /// mailbox.
     pub(super) fn apply_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointListUpdated(update) => self.apply_list_update(now, update, actions),
@@ -93,7 +94,8 @@
         }
     }
 
-    /// A completion report of an earlier run: messages of its key wait until it is acknowledged.
+    /// Holds the messages of an order key back until the completion report of an earlier run of the
+    /// process is acknowledged.
     fn await_completion_report(
         &mut self,
         id: MessageId,
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Looks at all timers.
+    /// Sends a tick to each active destination and updates the order keys.
     fn tick(&mut self, now: Micros) {
         self.next_tick_at = None;
         let is_exhausted = self.calls_in_flight().total >= self.config.concurrency_limit as usize;
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Tells the message whose turn it is, if there is one.
+    /// Notifies the message whose turn it is, if there is one.
     pub(super) fn grant_order(&mut self, now: Micros, order_key: OrderKey) {
         if let Some(message) = self.ordered_queues.granted(now, order_key) {
             self.mailboxes.send_to_destination(
@@ -164,7 +166,8 @@
         }
     }
 
-    /// A message leaves the queue of its key, if it has one: the next has its turn.
+    /// Removes a message from the queue of its order key, if it has one, and grants the next
+    /// message its turn.
     fn release_order(&mut self, now: Micros, id: MessageId, order_key: Option<OrderKey>) {
         if let Some(order_key) = order_key {
             self.ordered_queues.remove(order_key, id);
@@ -172,7 +175,7 @@
         }
     }
 
-    /// Handles a message of a destination.
+    /// Handles an event that a destination or an endpoint sent to the forwarder.
     pub(super) fn handle_forwarder_event(
         &mut self,
         now: Micros,
@@ -208,8 +211,9 @@
         }
     }
 
-    /// A message has its final answer. Where a call could overtake the answer, the next message of
-    /// its key waits until the answer is acknowledged.
+    /// Removes a message that has its final answer. If the configuration releases an order key on
+    /// acknowledgement, the next message of the key waits until the answer of the core is
+    /// acknowledged, because its call could otherwise overtake the answer.
     fn end_message(&mut self, now: Micros, id: MessageId, is_answered_by_core: bool) {
         let order_key = self
             .messages
@@ -224,7 +228,8 @@
         }
     }
 
-    /// Nothing is under way at a destination: it may be forgotten or summarised.
+    /// Removes a destination that has no messages, calls and timers from the active ones. It is
+    /// dropped if it has no endpoints, and scheduled for a summary otherwise.
     fn deactivate_destination(&mut self, now: Micros, id: DestinationId) {
         self.activities.remove(&id);
         let is_empty = |d: &Destination| d.endpoints.is_empty() && d.messages.is_empty();
--- a/src/forwarder/idle_destinations.rs
+++ b/src/forwarder/idle_destinations.rs
@@ -1,4 +1,4 @@
-//! Summarises destinations out of use, and restores them before they are used again.
+//! Summarises idle destinations, and restores them before they are used again.
 
 use super::Forwarder;
 use crate::destination::Destination;
@@ -11,7 +11,7 @@
 use crate::policy::pacing::{self, ListedCapacity};
 use crate::policy::selection;
 
-/// An endpoint as the idle table holds it.
+/// A summarised endpoint, as the idle table holds it.
 struct SummarisedEndpoint {
     endpoint: EndpointId,
     summary: EndpointSummary,
@@ -19,13 +19,15 @@
 }
 
 impl Forwarder {
-    /// Whether so many destinations more than now are more than are to be held in full.
+    /// Returns whether `additional` destinations would exceed the limit of destinations held in
+    /// full.
     pub(super) fn exceeds_full_limit(&self, additional: usize) -> bool {
         let full_limit = self.config.full_destinations;
         full_limit.is_some_and(|limit| self.destinations.len() + additional > limit as usize)
     }
 
-    /// Restores the destination that the event concerns. A list restores those that it names.
+    /// Restores the destination that the event concerns. The destinations of an endpoint list are
+    /// restored while the list is applied.
     pub(super) fn restore_destination_of_event(&mut self, now: Micros, event: &Event) {
         match event {
             Event::MessageSubmitted(submission) => {
@@ -40,14 +42,14 @@
         }
     }
 
-    /// Restores the destination of an endpoint, if it is idle.
+    /// Restores the destination of an endpoint if the destination is idle.
     pub(super) fn restore_destination_of(&mut self, now: Micros, endpoint: EndpointId) {
         if let Some(id) = self.idle.destination_of(endpoint) {
             self.restore_destination(now, id);
         }
     }
 
-    /// Restores a destination, if it is idle.
+    /// Restores a destination if it is idle.
     pub(super) fn restore_destination(&mut self, now: Micros, id: DestinationId) {
         let endpoints = self.idle.endpoints_of(id);
         let Some(first) = endpoints.first().and_then(|e| self.idle.summary(id, *e)) else {
@@ -64,7 +66,7 @@
         self.schedule_summary(now, id);
     }
 
-    /// Restores an endpoint of a destination.
+    /// Moves an endpoint from the idle table to a destination that is being restored.
     fn restore_endpoint_into(
         &mut self,
         destination: &mut Destination,
@@ -84,7 +86,7 @@
         self.endpoints.insert(endpoint, restored_endpoint);
     }
 
-    /// Brings the endpoints of a restored destination up to date, and what it knows of them.
+    /// Updates the capacity, the cost and the snapshot of each endpoint of a restored destination.
     fn update_restored_endpoints(&mut self, destination: &mut Destination, now: Micros) {
         let is_ready = |id: &&EndpointId| {
             let endpoint = self.endpoints.get(id);
@@ -116,9 +118,9 @@
         }
     }
 
-    /// Another forwarder was rejected at a destination. If that is idle here, applies it to the
-    /// summaries, and gives true: restoring each of which others speak would hold in full what is
-    /// in use elsewhere.
+    /// Applies a rejection that a peer reported to the summaries of a destination. Returns whether
+    /// the destination is idle. The destination is not restored: otherwise each forwarder would
+    /// hold in full what other forwarders use.
     pub(super) fn apply_peer_rejection_to_idle(&mut self, now: Micros, id: DestinationId) -> bool {
         let endpoints = self.idle.endpoints_of(id);
         let Some(first) = endpoints.first().copied() else {
@@ -128,7 +130,7 @@
             return false;
         };
         if summary.has_independent_limits {
-            return true; // each is at a limit of its own
+            return true; // no shared limit to slow down
         }
         let mut pacer = summary.to_pacer(self.idle.binding_state(first), now);
         pacer.peer_rejected(now, &self.config, &mut self.rng);
@@ -143,8 +145,9 @@
         true
     }
 
-    /// Applies an entry of the list to the summary of an idle destination's only endpoint, where
-    /// neither says that it left; whether it did.
+    /// Applies an entry of the list to the summary of an idle endpoint. Returns false and changes
+    /// nothing if the endpoint is not the only one of its destination, or if the entry or the
+    /// summary has it as removed.
     pub(super) fn apply_entry_to_summary(&mut self, entry: &EndpointEntry) -> bool {
         let Some((endpoint, summary)) = self.idle.single_summary_mut(entry.destination) else {
             return false;
@@ -161,7 +164,8 @@
         true
     }
 
-    /// A destination has nothing under way: it may be summarised once its timers have run out.
+    /// Schedules the summary of a destination that has no messages and calls. It is due once the
+    /// timers of the destination have run out.
     pub(super) fn schedule_summary(&mut self, now: Micros, id: DestinationId) {
         if self.config.full_destinations.is_none() {
             return;
@@ -176,7 +180,7 @@
         self.schedule_summary_at(id, due_at);
     }
 
-    /// When the last timer of a destination with nothing under way has run out.
+    /// Returns the instant in µs at which the last timer of the destination runs out.
     fn timers_end_at(&self, destination: &Destination, now: Micros) -> Micros {
         let latest_settled_at = now + pacing::max_interval(&self.config) as Micros;
         let pace_settled_at = destination
@@ -203,7 +207,7 @@
         }
     }
 
-    /// A destination is in use again, or about to be removed.
+    /// Cancels the scheduled summary of a destination that is in use again or about to be removed.
     pub(super) fn cancel_scheduled_summary(&mut self, id: DestinationId) {
         if self.config.full_destinations.is_none() {
             return;
@@ -216,8 +220,8 @@
         }
     }
 
-    /// Summarises destinations that are due, the oldest first, while more are held in full than
-    /// are to be.
+    /// Summarises up to `max_summaries` destinations that are due, in the order of their due times,
+    /// while the limit of destinations held in full is exceeded.
     pub(super) fn summarise_idle_destinations(&mut self, now: Micros, max_summaries: usize) {
         if self.config.full_destinations.is_none() {
             return;
@@ -239,7 +243,8 @@
         }
     }
 
-    /// A destination could not be summarised: it is looked at again, unless it is in use.
+    /// Schedules another try for a destination that could not be summarised, unless the destination
+    /// is in use.
     fn retry_summary_later(&mut self, now: Micros, id: DestinationId) {
         if !self.activities.contains_key(&id) {
             self.schedule_summary_at(id, now + SUMMARY_RETRY_INTERVAL);
@@ -260,8 +265,8 @@
         self.idle.count_summarised();
     }
 
-    /// The summaries of a destination's endpoints; none while something is under way there, or
-    /// where a summary would lose what binds.
+    /// Returns the summaries of the endpoints of a destination. Returns `None` if the destination
+    /// is in use, or if a summary would lose binding state.
     fn summaries_of(&mut self, now: Micros, id: DestinationId) -> Option<Vec<SummarisedEndpoint>> {
         let destination = self.destinations.get_mut(&id)?;
         destination.drop_unused_pacers(now, !destination.has_independent_limits);
--- a/src/forwarder/scheduler.rs
+++ b/src/forwarder/scheduler.rs
@@ -1,24 +1,24 @@
-//! Scheduling rounds: hands free concurrency permits to the destinations that lose most by
-//! waiting.
+//! Scheduling rounds: they grant free concurrency permits to the destinations with the highest
+//! expected loss from waiting.
 
 use super::mailbox::DestinationEvent;
 use super::Forwarder;
 use crate::model::{Action, Micros};
 use crate::policy::concurrency;
 
-/// Calls that are out.
+/// Numbers of calls in flight.
 #[derive(Default)]
 pub(super) struct CallsInFlight {
     pub total: usize,
-    /// Those to degraded destinations.
+    /// Calls to degraded destinations, included in `total`.
     pub degraded: usize,
 }
 
-/// Permits that are left.
+/// Numbers of permits that are not in use.
 #[derive(Clone, Copy, PartialEq)]
 struct FreePermits {
     total: usize,
-    /// Those that degraded destinations may have.
+    /// Permits that degraded destinations may use, at most `total`.
     degraded: usize,
 }
 
@@ -34,7 +34,7 @@
         calls
     }
 
-    /// Runs rounds until no destination uses a permit.
+    /// Runs scheduling rounds until no permit is granted.
     pub(super) fn run_scheduling_rounds(&mut self, now: Micros, actions: &mut Vec<Action>) {
         loop {
             let free = self.free_permits(now);
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Grants a permit to each candidate, the greatest loss first, while there are any; gives how
-    /// many it granted.
+    /// Grants permits to the candidates in descending order of their loss, as far as permits are
+    /// free. Returns the number of permits granted.
     fn grant_permits(&mut self, mut free: FreePermits) -> usize {
         let mut candidates = std::mem::take(&mut self.candidates);
         candidates.sort_by(|a, b| {
--- a/src/forwarder/submissions.rs
+++ b/src/forwarder/submissions.rs
@@ -1,4 +1,4 @@
-//! Takes a message on.
+//! Accepts submitted messages.
 
 use super::mailbox::DestinationEvent;
 use super::{Forwarder, MessageLocation};
@@ -8,7 +8,8 @@
 use crate::policy::ordering::QueuedMessage;
 
 impl Forwarder {
-    /// Hands a submitted message to its destination. An unknown class counts as the last one.
+    /// Sends a submitted message to its destination. An unknown class is treated as the last
+    /// configured one.
     pub(super) fn submit(&mut self, now: Micros, submission: Submission) {
         let class_index = (submission.class.0 as usize).min(self.config.classes.len() - 1);
         let message = self.new_message(now, class_index, &submission);
@@ -18,7 +19,7 @@
         if let Some(order_key) = order_key {
             let queued = QueuedMessage { id, destination };
             self.ordered_queues.enqueue(order_key, queued);
-            // An attempt of an earlier run may still be at work.
+            // An attempt of an earlier run of the process may still be running at the receiver.
             if submission.history.possible_effect.is_some() {
                 let settled_at = now + self.config.rules.order_settle_time;
                 self.ordered_queues.pause(order_key, settled_at);
@@ -61,7 +62,8 @@
         }
     }
 
-    /// Has the destination with the longest queue give up a message, where too many are held.
+    /// Requests the destination with the longest queue to give up a message if the forwarder holds
+    /// too many.
     fn shed_load_if_overloaded(&mut self) {
         if !admission::is_overloaded(self.messages.len(), self.config.max_messages) {
             return;
--- a/src/idle.rs
+++ b/src/idle.rs
@@ -1,17 +1,18 @@
-//! Summaries of destinations out of use: one short record an endpoint in place of some 3 kB.
+//! Summaries of idle destinations: one short record per endpoint in place of about 3 kB of state.
 //!
-//! The forwarder owns one [`IdleTable`]. Where its configuration names a number of destinations to
-//! hold in full, it holds no more than these and those in use: whatever is beyond is summarised
-//! once nothing is under way there and none of its timers runs, oldest first. Before an event that
-//! concerns it a destination is restored. No destination is held both ways.
+//! The forwarder owns one [`IdleTable`]. If its configuration limits the number of destinations
+//! that are held in full, a destination beyond the limit is summarised once it has no messages,
+//! calls and running timers, in the order in which the destinations become due. A destination is
+//! restored before an event that concerns it is applied. It is never held both in full and as a
+//! summary.
 //!
-//! Whatever binds is kept exactly ([`BindingState`]): pauses by retry-after, draining, ejection and
-//! readmission, the slow-start budget, failures in a row. Estimates are rounded ([`EndpointSummary`]):
-//! latencies, the pacing interval, the listed rate.
+//! State that restricts calls is kept exactly ([`BindingState`]): pauses by retry-after, draining,
+//! ejection and readmission, the slow-start budget and consecutive failures. Estimates are rounded
+//! ([`EndpointSummary`]): latencies, the pacing interval and the listed rate.
 //!
-//! A summary leaves as its destination is restored, or once its endpoint left the list for the
-//! warm-up time. Binding state leaves with its summary, or when a sweep, two records at each
-//! event, finds that it binds no more.
+//! A summary is removed when its destination is restored, or once its endpoint has been off the
+//! list for the warm-up time. Binding state is removed with its summary, or when a sweep finds that
+//! it has no effect any more. The sweep checks two records after each event.
 
 mod binding_state;
 mod summary;
@@ -24,16 +25,17 @@
 use crate::model::{Event, Micros};
 use crate::policy::attempt_timeout::SILENCE_THRESHOLD;
 
-/// Entries of a list that are applied at a time: they bound what a list may hold in full beyond
-/// the setting for a moment, some 0.4 MB. Larger chunks cost more memory and save no time.
+/// Number of entries of a list that are applied at a time. It bounds the memory that a list holds
+/// in full beyond the configured limit, about 0.4 MB. Larger chunks cost more memory and save no
+/// time.
 pub(crate) const LIST_CHUNK_ENTRIES: usize = 64;
-/// Destinations summarised after an event other than a list. It restores one at most, so that a
-/// backlog shrinks, at some µs each.
+/// Upper bound on the destinations that are summarised after an event other than a list. Such an
+/// event restores at most one destination, so that a backlog shrinks. A summary takes a few µs.
 const SUMMARIES_PER_EVENT: usize = 8;
-/// How long a destination that could not be summarised waits until it is looked at again.
+/// Delay in µs until the summary of a destination is tried again after it failed.
 pub(crate) const SUMMARY_RETRY_INTERVAL: Micros = 2 * SILENCE_THRESHOLD;
 
-/// How many destinations may be summarised after this event.
+/// Returns the upper bound on the destinations that are summarised after the event.
 pub(crate) fn max_summaries_after(event: &Event) -> usize {
     if matches!(event, Event::EndpointListUpdated(_)) {
         2 * LIST_CHUNK_ENTRIES
@@ -42,24 +44,24 @@
     }
 }
 
-/// How much is held, and what it cost so far: for tests and measurements, read only.
+/// Numbers of destinations and endpoints held, for tests and measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StateCounts {
-    /// Destinations held in full now.
+    /// Destinations that are held in full now.
     pub full: usize,
-    /// Most destinations held in full at once so far, as seen whenever one was summarised or an
-    /// event ended.
+    /// Maximum of the destinations held in full at once. It is updated at the end of each event and
+    /// whenever a destination is summarised.
     pub most_full: usize,
-    /// Idle endpoints, each a summary.
+    /// Idle endpoints, each of which has a summary.
     pub summaries: usize,
-    /// Idle endpoints with something that binds.
+    /// Idle endpoints that have binding state.
     pub bounds: usize,
-    /// Idle endpoints that have left the list and are not forgotten yet.
+    /// Idle endpoints that have left the list and are not yet discarded.
     pub gone: usize,
-    /// Destinations in the queue of those that may be summarised.
+    /// Destinations held in full whose summary is scheduled.
     pub queued: usize,
-    /// Destinations restored so far.
+    /// Number of times that a destination was restored.
     pub restored: u64,
-    /// Destinations summarised so far.
+    /// Number of times that a destination was summarised.
     pub summarised: u64,
 }
--- a/src/idle/binding_state.rs
+++ b/src/idle/binding_state.rs
@@ -1,22 +1,23 @@
-//! What binds an idle endpoint, kept exactly.
+//! The state of an idle endpoint that restricts calls, kept exactly.
 
 use crate::endpoint::{Endpoint, Health};
 use crate::model::{EndpointStatus, Micros};
 use crate::policy::pacing::Pacer;
 use crate::policy::slow_start::SlowStartBudget;
 
-/// What binds an idle endpoint, exactly as it was; absent where nothing does.
+/// State of an idle endpoint that restricts calls. The idle table owns it, and holds none for an
+/// endpoint without restrictions.
 #[derive(Default)]
 pub(crate) struct BindingState {
-    /// Until when a retry-after binds.
+    /// The instant in µs until which a retry-after pauses calls.
     pub paused_until: Micros,
-    /// When the next call may go.
+    /// The earliest instant in µs of the next call.
     pub next_call_at: Micros,
-    /// From when on `next_call_at` changes nothing.
+    /// The instant in µs from which `next_call_at` has no effect.
     pub pace_settled_at: Micros,
-    /// When the failures in a row began.
+    /// The instant in µs of the first of the consecutive failures.
     pub failure_run_started_at: Micros,
-    /// Of an endpoint that left the list: until when it is not forgotten.
+    /// The instant in µs until which an endpoint that left the list is retained, otherwise 0.
     pub retained_until: Micros,
     pub health: Health,
     pub budget: SlowStartBudget,
@@ -25,7 +26,8 @@
 }
 
 impl BindingState {
-    /// What binds this endpoint now, if anything does.
+    /// Returns the state that restricts calls to the endpoint at `now`. Returns `None` if nothing
+    /// does.
     pub fn of(
         endpoint: &Endpoint,
         pacer: &Pacer,
@@ -49,7 +51,7 @@
         state.is_binding(now, warm_up_time).then_some(state)
     }
 
-    /// Whether anything of it still matters.
+    /// Returns whether the state still has an effect at `now`.
     pub fn is_binding(&self, now: Micros, warm_up_time: Micros) -> bool {
         let is_not_healthy = match self.health {
             Health::Healthy => false,
@@ -64,7 +66,8 @@
         is_not_healthy || has_failures || now < last_timer_at
     }
 
-    /// Gives an endpoint back what binds it.
+    /// Copies the state to a restored endpoint. The pause and the next call belong to the pacer,
+    /// which [`super::EndpointSummary::to_pacer`] restores.
     pub fn restore_to(self, endpoint: &mut Endpoint) {
         endpoint.next_check_or_discard_at = self.retained_until;
         endpoint.health = self.health;
--- a/src/idle/summary.rs
+++ b/src/idle/summary.rs
@@ -1,4 +1,4 @@
-//! What is believed of an idle endpoint, rounded.
+//! The rounded estimates of an idle endpoint.
 
 use super::BindingState;
 use crate::destination::Destination;
@@ -8,12 +8,12 @@
 use crate::policy::outlier::{OutcomeWindow, WINDOW};
 use crate::policy::pacing::Pacer;
 
-/// What is believed of an idle endpoint. The pace of a destination stands in the summary of each
-/// of its endpoints.
+/// The rounded estimates and the status of an idle endpoint, owned by the idle table. The pacing of
+/// a destination is repeated in the summary of each of its endpoints.
 pub(crate) struct EndpointSummary {
-    /// Of the limit; calls per second for the whole fleet.
+    /// Capacity of the limit, in calls per second for the whole fleet.
     pub capacity: f32,
-    /// Between two calls; µs.
+    /// Interval between two calls, in µs.
     pub pacing_interval: f32,
     pub tie_breaker: f32,
     mean_latency: f32,
@@ -21,16 +21,18 @@
     pub zone: u16,
     pub batch_size: u16,
     sample_sizes: SampleSizes,
-    /// Of [`OutcomeWindow::to_bits`].
+    /// The latest outcomes, as bits of [`OutcomeWindow::to_bits`].
     outcome_bits: u8,
     pub status: EndpointStatus,
     pub has_independent_limits: bool,
 }
 
-// What 91,000 destinations may take rests on this: a field more is a decision.
+// The memory for 91,000 destinations depends on this size. Adding a field needs a decision about
+// that memory.
 const _: () = assert!(std::mem::size_of::<EndpointSummary>() <= 28);
 
-/// On how many answers and outcomes a summary stands, of each [`WINDOW`] at most: four bits each.
+/// Numbers of latency samples and of outcomes in a summary, in four bits each. Each is at most
+/// [`WINDOW`].
 #[derive(Clone, Copy)]
 struct SampleSizes(u8);
 
@@ -51,7 +53,8 @@
 }
 
 impl EndpointSummary {
-    /// The summary of an endpoint; none where its batch size does not fit.
+    /// Creates the summary of an endpoint. Returns `None` if the batch size does not fit into 16
+    /// bits.
     pub fn of(
         endpoint: &Endpoint,
         pacer: &Pacer,
@@ -73,7 +76,7 @@
         })
     }
 
-    /// The pacer that the endpoint's calls go by.
+    /// Returns the pacer that limits calls to the endpoint.
     pub fn to_pacer(&self, binding_state: Option<&BindingState>, now: Micros) -> Pacer {
         Pacer {
             capacity: self.capacity.into(),
@@ -85,7 +88,7 @@
         }
     }
 
-    /// The endpoint in full.
+    /// Returns the endpoint in full.
     pub fn to_endpoint(
         &self,
         id: EndpointId,
--- a/src/idle/table.rs
+++ b/src/idle/table.rs
@@ -1,14 +1,15 @@
-//! The table of idle endpoints. It holds summaries and decides nothing.
+//! The table of idle endpoints. It holds summaries and makes no decisions.
 
 use super::{BindingState, EndpointSummary, StateCounts};
 use crate::model::{DestinationId, EndpointId, EndpointStatus, Micros, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Bound, RangeInclusive};
 
-/// Removed endpoints forgotten with each list, beyond one an entry: a table that outgrew a list
-/// shrinks again.
+/// Number of removed endpoints that a list may discard beyond one per entry. A table that has grown
+/// larger than the list thereby shrinks again.
 const MAX_EXTRA_DISCARDS_PER_LIST: usize = 1_024;
-/// Binding states looked at after each event: more than one event can add.
+/// Number of binding states that are checked after each event. It exceeds the number that one event
+/// can add.
 const BINDING_STATES_SWEPT_PER_EVENT: usize = 2;
 
 const MIN_ENDPOINT_ID: EndpointId = EndpointId {
@@ -29,17 +30,17 @@
     pub destination: DestinationId,
 }
 
-/// All idle endpoints, and the queue of destinations that may become idle.
+/// All idle endpoints, and the queue of destinations to summarise. The forwarder owns the table.
 #[derive(Default)]
 pub(crate) struct IdleTable {
     summaries: BTreeMap<(DestinationId, EndpointId), EndpointSummary>,
     destination_by_endpoint: BTreeMap<EndpointId, DestinationId>,
     binding_states: BTreeMap<EndpointId, BindingState>,
-    /// Endpoints that left the list, by when each is forgotten.
+    /// Endpoints that left the list, by the instant in µs from which each may be discarded.
     removed: BTreeSet<(Micros, EndpointId)>,
-    /// Full destinations that may be summarised, by when.
+    /// Destinations held in full, by the instant in µs from which each may be summarised.
     summary_queue: BTreeSet<(Micros, DestinationId)>,
-    /// The last endpoint whose binding state was looked at.
+    /// The endpoint whose binding state was checked last. `None` at the start of a sweep.
     last_swept: Option<EndpointId>,
     most_full: usize,
     restored: u64,
@@ -51,28 +52,28 @@
 }
 
 impl IdleTable {
-    /// Whether the destination is idle.
+    /// Returns whether the destination is idle.
     pub fn contains(&self, id: DestinationId) -> bool {
         self.summaries.range(summary_keys_of(id)).next().is_some()
     }
 
-    /// The endpoints of an idle destination.
+    /// Returns the endpoints of an idle destination, or none if it is not idle.
     pub fn endpoints_of(&self, id: DestinationId) -> Vec<EndpointId> {
         let summaries = self.summaries.range(summary_keys_of(id));
         summaries.map(|((_, endpoint), _)| *endpoint).collect()
     }
 
-    /// The destination of an idle endpoint.
+    /// Returns the destination of an idle endpoint.
     pub fn destination_of(&self, endpoint: EndpointId) -> Option<DestinationId> {
         self.destination_by_endpoint.get(&endpoint).copied()
     }
 
-    /// The summary of an endpoint.
+    /// Returns the summary of an idle endpoint.
     pub fn summary(&self, id: DestinationId, endpoint: EndpointId) -> Option<&EndpointSummary> {
         self.summaries.get(&(id, endpoint))
     }
 
-    /// The same, to be changed.
+    /// Returns the summary of an idle endpoint for modification.
     pub fn summary_mut(
         &mut self,
         id: DestinationId,
@@ -81,17 +82,19 @@
         self.summaries.get_mut(&(id, endpoint))
     }
 
-    /// What binds an endpoint.
+    /// Returns the binding state of an idle endpoint, if it has any.
     pub fn binding_state(&self, endpoint: EndpointId) -> Option<&BindingState> {
         self.binding_states.get(&endpoint)
     }
 
-    /// The same, to be changed; begins with nothing that binds.
+    /// Returns the binding state of an idle endpoint for modification. Creates one without
+    /// restrictions if there is none.
     pub fn binding_state_mut(&mut self, endpoint: EndpointId) -> &mut BindingState {
         self.binding_states.entry(endpoint).or_default()
     }
 
-    /// The summary of a destination's only endpoint, unless it has more.
+    /// Returns the only endpoint of an idle destination, with its summary. Returns `None` if the
+    /// destination has several endpoints or is not idle.
     pub fn single_summary_mut(
         &mut self,
         id: DestinationId,
@@ -101,7 +104,7 @@
         summaries.next().is_none().then_some((*endpoint, summary))
     }
 
-    /// All idle endpoints that have not left the list.
+    /// Returns all idle endpoints that have not left the list.
     pub fn listed(&self) -> impl Iterator<Item = IdleEndpoint> + '_ {
         self.summaries
             .iter()
@@ -113,7 +116,7 @@
             })
     }
 
-    /// Takes an endpoint in.
+    /// Adds an endpoint. Its destination must not be held in full any more.
     pub fn insert(
         &mut self,
         id: DestinationId,
@@ -134,7 +137,8 @@
         }
     }
 
-    /// Gives an endpoint away.
+    /// Removes an endpoint and returns its summary and binding state. Returns `None` if the
+    /// endpoint is not idle.
     pub fn remove(
         &mut self,
         id: DestinationId,
@@ -150,8 +154,8 @@
         Some((summary, binding_state))
     }
 
-    /// Forgets endpoints that left the list long enough ago. A paused one is kept until its pause
-    /// is over.
+    /// Discards the endpoints whose retention has ended. A paused endpoint is retained until its
+    /// pause ends. `entry_count` is the number of entries of the list that is applied.
     pub fn discard_removed(&mut self, now: Micros, entry_count: usize) {
         for _ in 0..entry_count + MAX_EXTRA_DISCARDS_PER_LIST {
             let Some((due_at, endpoint)) = self.removed.first().copied() else {
@@ -174,7 +178,7 @@
         }
     }
 
-    /// Looks at the next few binding states and drops those that bind no more.
+    /// Checks the next binding states and removes those that have no effect any more.
     pub fn sweep(&mut self, now: Micros, warm_up_time: Micros) {
         for _ in 0..BINDING_STATES_SWEPT_PER_EVENT {
             let from = self.last_swept.map_or(Bound::Unbounded, Bound::Excluded);
@@ -195,38 +199,37 @@
         }
     }
 
-    /// A full destination may be summarised from then on.
+    /// Adds a destination that may be summarised from `due_at` on.
     pub fn enqueue(&mut self, due_at: Micros, id: DestinationId) {
         self.summary_queue.insert((due_at, id));
     }
 
-    /// A full destination that was queued for then is in use, or gone.
+    /// Removes a destination that was added with `due_at`.
     pub fn dequeue(&mut self, due_at: Micros, id: DestinationId) {
         self.summary_queue.remove(&(due_at, id));
     }
 
-    /// The full destination that may be summarised and waits longest.
+    /// Returns the destination that has been due for longest.
     pub fn next_due(&self, now: Micros) -> Option<DestinationId> {
         let (due_at, id) = self.summary_queue.first().copied()?;
         (due_at <= now).then_some(id)
     }
 
-    /// Counts a destination that was restored.
     pub fn count_restored(&mut self) {
         self.restored += 1;
     }
 
-    /// Counts a destination that was summarised.
     pub fn count_summarised(&mut self) {
         self.summarised += 1;
     }
 
-    /// Counts the destinations that are held in full.
+    /// Updates the maximum of the destinations held in full.
     pub fn count_full(&mut self, full_destinations: usize) {
         self.most_full = self.most_full.max(full_destinations);
     }
 
-    /// How much is held, beside so many full destinations.
+    /// Returns the counts of the table. `full_destinations` is the number of destinations held in
+    /// full.
     pub fn counts(&self, full_destinations: usize) -> StateCounts {
         StateCounts {
             full: full_destinations,
--- a/src/latency.rs
+++ b/src/latency.rs
@@ -1,21 +1,22 @@
-//! Running estimates of answer times. Arithmetic only; the callers decide.
+//! Running estimates of the latency of calls. They are arithmetic only; callers make the decisions.
 //!
-//! The mean and the mean deviation are exponentially weighted towards the latest answers, as in the
-//! estimate from which TCP takes its retransmission timeout (RFC 6298, section 2).
+//! The mean and the mean deviation are exponentially weighted moving averages, as in the estimator
+//! of TCP's retransmission timeout (RFC 6298, section 2).
 
-/// The mean and the mean deviation of answer times, in µs.
+/// An estimate of the mean latency and its mean deviation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LatencyEstimator {
     /// The weighted mean, in µs.
     pub mean: f64,
     /// The weighted mean deviation from the mean, in µs.
     pub deviation: f64,
-    /// Answers observed, up to the number that the weighted mean spans.
+    /// Number of samples, up to the number that the weighted mean spans.
     sample_count: f64,
 }
 
 impl LatencyEstimator {
-    /// An estimate that was taken earlier, from `sample_count` answers.
+    /// Restores an estimate that was based on `sample_count` samples. `mean` and `deviation` are in
+    /// µs.
     pub fn from_parts(mean: f64, deviation: f64, sample_count: f64) -> LatencyEstimator {
         LatencyEstimator {
             mean,
@@ -24,28 +25,28 @@
         }
     }
 
-    /// Answers observed, up to the number that the weighted mean spans.
+    /// Returns the number of samples, up to the number that the weighted mean spans.
     pub fn sample_count(&self) -> f64 {
         self.sample_count
     }
 
-    /// Includes an answer that took `latency` µs. `weight` is its weight in the mean, between 0
-    /// and 1.
+    /// Adds a sample of `latency` µs. `weight` is its weight in the mean and must be greater than 0
+    /// and at most 1.
     pub fn observe(&mut self, latency: f64, weight: f64) {
         if self.sample_count == 0.0 {
             self.mean = latency;
             self.deviation = latency / 2.0;
         }
         self.sample_count = (self.sample_count + 1.0).min(1.0 / weight);
-        // The deviation follows twice as fast as the mean, and is measured from the mean before
-        // this answer.
+        // The deviation adapts twice as fast as the mean. It is measured from the mean before this
+        // sample.
         let distance = (latency - self.mean).abs();
         self.deviation += 2.0 * weight * (distance - self.deviation);
         self.mean += weight * (latency - self.mean);
     }
 
-    /// A figure of this estimate blended with that of `overall`. This estimate counts alone from
-    /// `required_samples` answers on; with fewer, `overall` makes up for the missing part.
+    /// Returns a statistic of this estimate, blended with the same statistic of `overall`. The
+    /// share of `overall` falls linearly to zero at `required_samples` samples.
     pub fn blend_with(
         &self,
         overall: &LatencyEstimator,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,14 @@
-//! The decision core of opalpulley: a dispatcher of notifications to outside receivers.
+//! The decision core of opalpulley, a dispatcher of notifications to outside receivers.
 //!
-//! [`Forwarder::handle`] takes an [`Event`] and gives the [`Action`]s to carry out. It knows no
-//! wire, clock or socket: a front translates its protocol into events and carries out the actions.
-//! The same configuration, seed and events give the same actions.
+//! [`Forwarder::handle`] takes an [`Event`] and returns the [`Action`]s to carry out. The core
+//! performs no I/O and reads no clock: its caller translates wire protocols into events and carries
+//! out the actions. The same configuration, seed and sequence of events always produce the same
+//! actions.
 //!
-//! `policy` has one rule a file, with its constants. `forwarder`, `destination` and `endpoint` hold
-//! the state and call the rules; `idle` holds destinations out of use as summaries. [`model`] is
-//! the vocabulary. `queue`, `token_bucket` and `latency` are data structures that decide nothing.
+//! `policy` holds the rules, one per file, with their constants. `forwarder`, `destination` and
+//! `endpoint` hold the state and call the rules. `idle` holds the summaries of destinations that
+//! are not in use. [`model`] defines the shared types. `queue`, `token_bucket` and `latency` are
+//! data structures that make no decisions.
 
 mod destination;
 mod endpoint;
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -1,60 +1,61 @@
-//! The queue of a destination: its waiting messages, ordered so that the next one is found at
-//! little cost however many wait. The queue decides nothing.
+//! The dispatch queue of a destination. It orders the waiting messages so that the next one is
+//! found without comparing all of them, and makes no decisions.
 //!
-//! A message is due when its latency objective is over. Messages that differ only in when they are
-//! due form a group, ordered by that time. Within a
-//! group the expected loss of waiting is a smooth function of the due time between a few turning
-//! points, and rises or falls all the way from one to the next. The greatest and the least loss of
-//! each piece are therefore at its ends, so that a caller who looks for the best message of a group
-//! compares two messages a piece, not all ([`DispatchQueue::candidates`]).
+//! Messages that differ only in their latency objective form a group, ordered by that objective.
+//! Within a group, the expected loss of waiting is a function of the objective that is smooth
+//! between a small number of breakpoints and monotonic within each such piece. The extreme losses
+//! of a piece are therefore at its ends, and a caller that looks for the best message of a group
+//! compares two messages per piece ([`DispatchQueue::collect_best_message_candidates`]).
 //!
-//! Invariant: every waiting message is in `by_latest_send`. It is in its group as well once it is
-//! released by its order key and its backoff is over; it is in `backing_off` while only the backoff
-//! is missing. It leaves all three together.
+//! Invariant: every waiting message is in `by_latest_send`. Once its order key has granted the
+//! message its turn, it is in `backing_off` until its backoff is over, and in its group after that.
+//! A message is removed from all indexes together.
 
 use crate::model::{MessageId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
 
-/// Messages of a group up to which comparing all is cheaper than finding the ends of its pieces.
+/// Number of messages up to which comparing all messages of a group is cheaper than finding the
+/// ends of its pieces.
 const MAX_SMALL_GROUP: usize = 16;
 
-/// Turning points at four moments ahead: four each, and the two times beside each.
+/// Upper bound on the breakpoints of a group: four for each of four delays, each with the two
+/// instants beside it.
 const MAX_BREAKPOINTS: usize = 4 * 4 * 3;
 
-/// What the messages of one group have in common.
+/// The properties that all messages of a group share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageGroup {
-    /// The delivery class, as an index into the configured classes.
+    /// Index of the delivery class in the configuration.
     pub class_index: usize,
     /// The bits of the priority weight, an `f64`.
     pub weight_bits: u64,
-    /// µs from the due time (its latency objective) to the deadline.
+    /// Time in µs from the latency objective to the deadline.
     pub objective_to_deadline: i64,
-    /// µs from the due time to the last moment to send.
+    /// Time in µs from the latency objective to the latest instant to send. Negative if that
+    /// instant is first.
     pub objective_to_latest_send: i64,
-    /// The only zone that may receive the message, because it may have taken effect there.
+    /// The only zone to which the message may be sent, because an earlier attempt may have taken
+    /// effect there.
     pub zone: Option<u16>,
 }
 
-/// A message as the queue sees it. Nothing but `is_order_granted` may change while it waits.
+/// The queue's view of a message. Only `is_order_granted` may change while the message waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QueueEntry {
-    /// The message.
     pub id: MessageId,
-    /// What it has in common with others.
     pub group: MessageGroup,
-    /// When it is due: its latency objective is over then, in µs.
+    /// The instant of the latency objective, in µs.
     pub objective_at: Micros,
-    /// The last moment to send it, in µs.
+    /// The latest instant to send the message, in µs.
     pub latest_send_at: Micros,
-    /// When its backoff is over, in µs.
+    /// The instant at which the backoff ends, in µs.
     pub backoff_until: Micros,
-    /// Whether no earlier message of its order key is in the way.
+    /// Whether no earlier message of the same order key is pending.
     pub is_order_granted: bool,
 }
 
-/// A message and a time, ordered by the time.
+/// A message with an instant, ordered by the instant and then by the id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimedMessage {
     at: Micros,
@@ -66,38 +67,38 @@
         TimedMessage { at, id }
     }
 
-    /// The first message that there can be at this time.
+    /// Returns the lower bound of all messages at an instant.
     fn lower_bound(at: Micros) -> TimedMessage {
         TimedMessage::new(at, MessageId(0))
     }
 
-    /// The last message that there can be at this time.
+    /// Returns the upper bound of all messages at an instant.
     fn upper_bound(at: Micros) -> TimedMessage {
         TimedMessage::new(at, MessageId(u32::MAX))
     }
 }
 
-/// The messages of one group that may be sent, by when they are due.
+/// The messages of a group that may be sent, ordered by latency objective.
 pub type GroupMessages = BTreeSet<TimedMessage>;
 
-/// The waiting messages of one destination.
+/// The waiting messages of a destination, which owns the queue.
 #[derive(Debug, Default)]
 pub struct DispatchQueue {
-    /// Messages that may be sent. A group without messages is removed.
+    /// The messages that may be sent. A group is removed with its last message.
     groups: BTreeMap<MessageGroup, GroupMessages>,
-    /// Released messages, by when their backoff is over.
+    /// Messages that have their turn in the order, by the end of their backoff.
     backing_off: BTreeSet<TimedMessage>,
-    /// All waiting messages, by the last moment to send them.
+    /// All waiting messages, by the latest instant to send.
     by_latest_send: BTreeSet<TimedMessage>,
 }
 
 impl DispatchQueue {
-    /// How many messages wait.
+    /// Returns the number of waiting messages.
     pub fn len(&self) -> usize {
         self.by_latest_send.len()
     }
 
-    /// Adds a message.
+    /// Adds a message. The message must not be waiting already.
     pub fn insert(&mut self, entry: &QueueEntry) {
         self.by_latest_send.insert(entry.by_latest_send());
         if entry.is_order_granted {
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Records that no earlier message of its order key is in the way: `entry.is_released` holds
-    /// from now on. Does nothing for a message that does not wait.
+    /// Records that no earlier message of the order key is pending: `entry.is_order_granted` is
+    /// true from now on. Does nothing if the message is not waiting.
     pub fn grant_order(&mut self, entry: &QueueEntry) {
         let is_waiting = self.by_latest_send.contains(&entry.by_latest_send());
         if is_waiting && !self.is_in_group(entry) {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Removes a message. Does nothing for a message that does not wait.
+    /// Removes a message. Does nothing if the message is not waiting.
     pub fn remove(&mut self, entry: &QueueEntry) {
         self.by_latest_send.remove(&entry.by_latest_send());
         self.backing_off.remove(&entry.by_backoff_until());
@@ -126,8 +127,8 @@
         }
     }
 
-    /// Moves the messages whose backoff is over by `now` into their groups. `entry_of` gives the
-    /// entry of a message.
+    /// Moves the messages whose backoff is over at `now` to their groups. `entry_of` must return
+    /// the entry of each waiting message.
     pub fn promote_ready(
         &mut self,
         now: Micros,
@@ -145,13 +146,13 @@
         }
     }
 
-    /// The groups that have messages to send, each with these.
+    /// Returns the groups that have messages to send, with these messages.
     pub fn groups(&self) -> impl Iterator<Item = (&MessageGroup, &GroupMessages)> {
         self.groups.iter()
     }
 
-    /// The waiting messages whose last moment to send is at `time` or before, in the order of their
-    /// ids.
+    /// Returns the waiting messages whose latest instant to send is not after `time`, ordered by
+    /// id.
     pub fn expiring_by(&self, time: Micros) -> Vec<MessageId> {
         let expiring = self
             .by_latest_send
@@ -161,13 +162,13 @@
         ids
     }
 
-    /// Adds to `candidates` those messages of a group, due within a range, that can be the best to
-    /// send next.
+    /// Adds the messages of a group that can be the best to send next to `candidates`. Only
+    /// messages with a latency objective within `objectives` are considered.
     ///
-    /// Of each piece between two turning points these are the earliest message and the latest, at
-    /// equal due times the one with the least id. A turning point is the last due time of its
-    /// piece. Of a small group they are all messages in the range, and `breakpoints` is not
-    /// called.
+    /// The candidates are the first and the last message of each piece between two breakpoints;
+    /// among equal objectives, the message with the lowest id. A breakpoint is the last objective
+    /// of its piece. For a small group, all messages in the range are candidates, and `breakpoints`
+    /// is not called.
     pub fn collect_best_message_candidates(
         messages: &GroupMessages,
         objectives: RangeInclusive<i64>,
@@ -208,8 +209,8 @@
     }
 }
 
-/// The messages due from `from` to `to`, both included, in the order of their due times and ids.
-/// `from` must not be beyond `to`.
+/// Returns the messages with an objective from `from` to `to` inclusive, ordered by objective and
+/// id. `from` must not be greater than `to`.
 fn messages_within(
     messages: &GroupMessages,
     from: Micros,
@@ -218,8 +219,8 @@
     messages.range(TimedMessage::lower_bound(from)..=TimedMessage::upper_bound(to))
 }
 
-/// The last due times of the pieces within the range, in ascending order, but for that of the last
-/// piece, `to`.
+/// Returns the last objective of each piece within the range in ascending order, except for `to`,
+/// the end of the last piece.
 fn piece_ends_within(breakpoints: Vec<i64>, from: Micros, to: Micros) -> Vec<Micros> {
     let mut ends = Vec::with_capacity(breakpoints.len());
     for breakpoint in breakpoints {
@@ -232,14 +233,14 @@
     ends
 }
 
-/// The end of the piece in which `objective_at` lies.
+/// Returns the end of the piece that contains `objective_at`, or `None` for the last piece.
 fn end_of_piece(piece_ends: &[Micros], objective_at: Micros) -> Option<Micros> {
     let piece = piece_ends.partition_point(|end| *end < objective_at);
     piece_ends.get(piece).copied()
 }
 
-/// The message with the least id among those due last in a piece, unless they are due at `earliest`
-/// like the first.
+/// Returns the message with the lowest id among those with the last objective of a piece. Returns
+/// `None` if that objective is `earliest`, whose message is a candidate already.
 fn latest_with_least_id(
     messages: &GroupMessages,
     earliest: Micros,
@@ -268,13 +269,13 @@
 }
 
 impl MessageGroup {
-    /// The due times at which the expected loss of waiting has a bend, each with the two times
-    /// beside it, where rounding may put the bend.
+    /// Returns the objectives at which the expected loss of waiting has a breakpoint. Each comes
+    /// with the two instants beside it, because rounding may move the breakpoint there.
     ///
-    /// The loss is evaluated at several moments, `delays` in µs from `now`. It has a bend for a
-    /// message that, sent at one of them, would be answered at its due time, at the end of the fall
-    /// of its weight (`decay_time` µs after its due time) or at its deadline, and for a message whose
-    /// last moment to send it is. An answer takes `mean_latency` µs.
+    /// The loss is evaluated for a message that is sent at `now` plus each of `delays` (µs) and
+    /// gets a response after `mean_latency` µs. The breakpoints are at the objectives for which the
+    /// response arrives at the objective, `decay_time` µs after it (when the weight has decayed),
+    /// or at the deadline, and for which the message is sent at the latest instant to send.
     pub fn breakpoints(
         &self,
         now: f64,
--- a/src/queue/tests.rs
+++ b/src/queue/tests.rs
@@ -2,8 +2,8 @@
 use quickcheck::{quickcheck, TestResult};
 use std::cmp::Reverse;
 
-/// A loss that is linear between two turning points, with a slope of its own in each piece. A steep
-/// jump lies at each turning point.
+/// A loss that is linear between two breakpoints, with a slope for each piece and a steep jump at
+/// each breakpoint.
 fn loss(objective_at: Micros, breakpoints: &[i64], slopes: &[i8]) -> i64 {
     let objective_at = objective_at as i64;
     let piece = breakpoints
@@ -14,7 +14,7 @@
     slope * objective_at + slope * 1000
 }
 
-/// A released message without backoff for each due time, with its index as the id.
+/// Returns a message with a granted order and no backoff for each objective. Its id is the index.
 fn entries_with_objectives_at(objectives: &[u8]) -> Vec<QueueEntry> {
     let entry = |(index, objective_at): (usize, &u8)| QueueEntry {
         id: MessageId(index as u32),
@@ -74,7 +74,8 @@
     }
 }
 
-/// A message that becomes ready at a time of its own; every second one is released at once.
+/// Returns a message whose backoff depends on its number. Every second message has its order
+/// granted.
 fn entry(number: u32) -> QueueEntry {
     QueueEntry {
         id: MessageId(number),
@@ -92,8 +93,8 @@
     }
 }
 
-/// A queue of fifty messages, some of them released and some ready, from which all are removed
-/// again.
+/// Adds fifty messages, of which some have their order granted and some are past their backoff, and
+/// removes all of them again.
 fn queue_after_removing_all_messages() -> DispatchQueue {
     let mut queue = DispatchQueue::default();
     for number in 0..50 {
@@ -113,7 +114,7 @@
     let queue = queue_after_removing_all_messages();
     assert!(
         queue.len() == 0 && queue.groups.is_empty() && queue.backing_off.is_empty(),
-        "{queue:?}"
+        "expected an empty queue: {queue:?}"
     );
 }
 
@@ -122,5 +123,8 @@
     let mut queue = queue_after_removing_all_messages();
     queue.remove(&entry(3));
     queue.grant_order(&entry(3));
-    assert!(queue.backing_off.is_empty(), "it does not wait");
+    assert!(
+        queue.backing_off.is_empty(),
+        "expected no entry for a message that is not waiting: {queue:?}"
+    );
 }
--- a/src/token_bucket.rs
+++ b/src/token_bucket.rs
@@ -1,19 +1,20 @@
-//! Token buckets: a rate with room for a small burst. Arithmetic only; the callers decide.
+//! Token buckets: a rate limit with room for a small burst. They are arithmetic only; callers make
+//! the decisions.
 
 use crate::model::{Micros, MICROS_PER_SECOND};
 
-/// Tokens that come with time, up to a capacity.
+/// A number of tokens that grows with time up to a capacity.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TokenBucket {
-    /// Tokens left.
+    /// Number of tokens left. Negative while the bucket is overdrawn.
     pub tokens: f64,
-    /// When the bucket was refilled last, in µs.
+    /// The instant of the last refill, in µs.
     pub refilled_at: Micros,
 }
 
 impl TokenBucket {
-    /// Refills the bucket up to `now`, at `rate` tokens per second, up to `capacity` tokens or one token, whichever is
-    /// more.
+    /// Adds the tokens since the last refill at `rate` tokens per second, up to `capacity` tokens
+    /// but at least one token. `now` must not be before the last refill.
     pub fn refill(&mut self, now: Micros, rate: f64, capacity: f64) {
         let elapsed = (now - self.refilled_at) as f64;
         self.tokens = (self.tokens + rate * elapsed / MICROS_PER_SECOND).min(capacity.max(1.0));
