--- a/src/destination/message.rs
+++ b/src/destination/message.rs
@@ -1,4 +1,4 @@
-//! A message that waits or is in flight.
+//! The state of a message that is waiting or in flight.
 
 use crate::model::{Config, EndpointId, MessageId, Micros, OrderKey, PossibleEffect};
 use crate::policy::admission::UndeliveredMessage;
@@ -6,46 +6,46 @@
 use crate::policy::selection::Urgency;
 use crate::queue::{MessageGroup, QueueEntry};
 
-/// The attempt that is out.
+/// An attempt that has started and has no outcome yet.
 #[derive(Clone, Copy)]
 pub(crate) struct InFlightAttempt {
     pub endpoint: EndpointId,
     pub sent_at: Micros,
 }
 
-/// A message that has no final answer yet, or whose last attempt is still out.
+/// A message that has no final answer yet or an attempt in flight. It is owned by its destination.
 #[derive(Default)]
 pub(crate) struct Message {
     pub id: MessageId,
-    /// Index of its delivery class.
-    pub class: usize,
-    /// What its delivery counts up to its latency objective.
+    /// Index of the delivery class in the configuration.
+    pub class_index: usize,
+    /// Weight of a delivery up to the latency objective; it decays after it.
     pub weight: f64,
-    /// When it is late.
+    /// The instant of the latency objective, in µs.
     pub objective_at: Micros,
     pub deadline: Micros,
-    /// Attempts so far, those of earlier runs included.
+    /// Number of attempts so far, including those of earlier runs of the process.
     pub attempts: u32,
-    /// What it keeps its order by.
-    pub key: Option<OrderKey>,
-    /// Whether it is its turn within its key.
+    /// The order key, if the delivery class is ordered.
+    pub order_key: Option<OrderKey>,
+    /// Whether the message is the next one of its order key. True for messages without a key.
     pub is_order_granted: bool,
-    /// The first attempt that may have taken effect.
+    /// The first attempt that may have taken effect at the receiver.
     pub possible_effect: Option<PossibleEffect>,
-    /// When its backoff is over.
-    pub ready_at: Micros,
+    /// The instant in µs at which the backoff ends.
+    pub backoff_until: Micros,
     pub in_flight: Option<InFlightAttempt>,
-    /// Whether the attempt that is out was cancelled.
-    pub is_cancelled: bool,
-    /// Whether it needs no final answer any more.
+    /// Whether the attempt in flight was cancelled.
+    pub is_attempt_cancelled: bool,
+    /// Whether the message needs no final answer from the core.
     pub is_completed: bool,
 }
 
 impl Message {
-    /// The last moment at which its next attempt may begin.
-    pub fn last_send(&self, config: &Config) -> Micros {
-        retry::last_send_at(
-            config.classes[self.class].semantics,
+    /// Returns the latest instant in µs at which the next attempt may start.
+    pub fn latest_send_at(&self, config: &Config) -> Micros {
+        retry::latest_send_at(
+            config.classes[self.class_index].semantics,
             self.attempts,
             config.max_attempts,
             self.deadline,
@@ -53,56 +53,57 @@
         )
     }
 
-    /// What decides when it is sent.
+    /// Returns the inputs of the rules on the order of dispatch.
     pub fn urgency(&self, config: &Config) -> Urgency {
         Urgency {
             weight: self.weight,
             objective_at: self.objective_at,
             deadline: self.deadline,
-            last_send_at: self.last_send(config),
+            latest_send_at: self.latest_send_at(config),
         }
     }
 
-    /// What its delivery counts now.
+    /// Returns the weight of a delivery at `now`.
     pub fn weight_at(&self, now: Micros, config: &Config) -> f64 {
-        let class = &config.classes[self.class];
+        let class = &config.classes[self.class_index];
         self.urgency(config)
             .weight_at(now as f64, class, config.priority_decay)
     }
 
-    /// What is lost by sending it later than now to an endpoint of this latency (µs).
+    /// Returns the expected loss of weight if the message is not sent now to an endpoint with this
+    /// mean latency, in µs.
     pub fn expected_loss(&self, now: Micros, mean_latency: f64, config: &Config) -> f64 {
-        let class = &config.classes[self.class];
+        let class = &config.classes[self.class_index];
         self.urgency(config)
             .expected_loss(now, mean_latency, class, config)
     }
 
-    /// It as the dispatch queue sees it.
-    pub fn entry(&self, config: &Config) -> QueueEntry {
-        let semantics = config.classes[self.class].semantics;
-        let last_send = self.last_send(config);
+    /// Returns the message's entry in the dispatch queue.
+    pub fn queue_entry(&self, config: &Config) -> QueueEntry {
+        let semantics = config.classes[self.class_index].semantics;
+        let latest_send_at = self.latest_send_at(config);
         let since_objective = |time: Micros| time as i64 - self.objective_at as i64;
         let group = MessageGroup {
-            class: self.class,
+            class_index: self.class_index,
             weight_bits: self.weight.to_bits(),
             objective_to_deadline: since_objective(self.deadline),
-            objective_to_last_send: since_objective(last_send),
+            objective_to_latest_send: since_objective(latest_send_at),
             zone: retry::required_zone(semantics, self.possible_effect).map(|zone| zone.0),
         };
         QueueEntry {
             id: self.id,
             group,
-            due: self.objective_at,
-            last_send,
-            ready_at: self.ready_at,
-            is_released: self.is_order_granted,
+            objective_at: self.objective_at,
+            latest_send_at,
+            backoff_until: self.backoff_until,
+            is_order_granted: self.is_order_granted,
         }
     }
 
-    /// It as the rule on final answers sees it.
+    /// Returns the inputs of the rule on final answers.
     pub fn undelivered(&self, config: &Config) -> UndeliveredMessage {
         UndeliveredMessage {
-            semantics: config.classes[self.class].semantics,
+            semantics: config.classes[self.class_index].semantics,
             attempts: self.attempts,
             deadline: self.deadline,
             possible_effect: self.possible_effect,
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -39,7 +39,7 @@
 /// must not be sent again.
 ///
 /// `attempts` includes the attempts of earlier runs of the forwarder.
-pub fn last_send_at(
+pub fn latest_send_at(
     semantics: DeliverySemantics,
     attempts: u32,
     max_attempts: u32,
@@ -81,15 +81,15 @@
     possible_effect.is_none() || semantics == DeliverySemantics::Idempotent
 }
 
-/// Returns whether it is too late for another attempt: `last_send_at` is within [`SEND_MARGIN`] of
+/// Returns whether it is too late for another attempt: `latest_send_at` is within [`SEND_MARGIN`] of
 /// now, or past.
-pub fn is_too_late(now: Micros, last_send_at: Micros) -> bool {
-    now + SEND_MARGIN >= last_send_at
+pub fn is_too_late(now: Micros, latest_send_at: Micros) -> bool {
+    now + SEND_MARGIN >= latest_send_at
 }
 
 /// Returns the time by which the first byte of an attempt must have been sent, in µs.
-pub fn send_by(last_send_at: Micros) -> Micros {
-    last_send_at.saturating_sub(SEND_MARGIN)
+pub fn send_by(latest_send_at: Micros) -> Micros {
+    latest_send_at.saturating_sub(SEND_MARGIN)
 }
 
 #[cfg(test)]
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -48,14 +48,14 @@
         KEYED,
         DeliverySemantics::AtMostOnce,
     ] {
-        assert_eq!(last_send_at(semantics, 7, 8, DEADLINE, None), DEADLINE);
-        assert_eq!(last_send_at(semantics, 8, 8, DEADLINE, None), 0);
+        assert_eq!(latest_send_at(semantics, 7, 8, DEADLINE, None), DEADLINE);
+        assert_eq!(latest_send_at(semantics, 8, 8, DEADLINE, None), 0);
     }
 }
 
 #[test]
 fn repeats_keyed_message_within_deduplication_window() {
-    let last = |sent_at| last_send_at(KEYED, 1, 8, DEADLINE, effect_at(sent_at));
+    let last = |sent_at| latest_send_at(KEYED, 1, 8, DEADLINE, effect_at(sent_at));
     assert_eq!(last(5 * SECOND), 15 * SECOND);
     assert_eq!(
         last(55 * SECOND),
@@ -72,8 +72,8 @@
 #[test]
 fn does_not_repeat_at_most_once_message_after_possible_effect() {
     let once = DeliverySemantics::AtMostOnce;
-    assert_eq!(last_send_at(once, 1, 8, DEADLINE, effect_at(0)), 0);
-    assert_eq!(last_send_at(once, 1, 8, DEADLINE, None), DEADLINE);
+    assert_eq!(latest_send_at(once, 1, 8, DEADLINE, effect_at(0)), 0);
+    assert_eq!(latest_send_at(once, 1, 8, DEADLINE, None), DEADLINE);
 }
 
 #[test]
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -31,7 +31,7 @@
     /// Time from which a delivery has no weight, in µs.
     pub deadline: Micros,
     /// Last time at which the message may be sent, in µs.
-    pub last_send_at: Micros,
+    pub latest_send_at: Micros,
 }
 
 impl Urgency {
@@ -67,7 +67,7 @@
     ) -> f64 {
         let now = now as f64;
         let weight_after = |delay: f64| {
-            if now + delay < self.last_send_at as f64 {
+            if now + delay < self.latest_send_at as f64 {
                 self.weight_at(now + delay + mean_latency, class, config.priority_decay)
             } else {
                 0.0
--- a/src/policy/selection/tests.rs
+++ b/src/policy/selection/tests.rs
@@ -29,7 +29,7 @@
         weight: 4.0,
         objective_at: 10 * SECOND,
         deadline: 14 * SECOND,
-        last_send_at: 14 * SECOND,
+        latest_send_at: 14 * SECOND,
     }
 }
 
@@ -71,7 +71,7 @@
 fn expected_loss_is_full_weight_if_sendable_only_now() {
     let class = class(DeliverySemantics::Idempotent);
     let sendable_only_now = Urgency {
-        last_send_at: 9 * SECOND + 1,
+        latest_send_at: 9 * SECOND + 1,
         ..urgency()
     };
     let loss = sendable_only_now.expected_loss(9 * SECOND, 0.0, &class, &config());
