--- a/examples/resident.rs
+++ b/examples/resident.rs
@@ -17,19 +17,19 @@
 
 const FLEET_SIZE: u32 = 400;
 
-const MESSAGES: u32 = 2_000;
+const MESSAGE_COUNT: u32 = 2_000;
 
 /// µs between two messages: 200 messages a second.
 const MESSAGE_INTERVAL: Micros = 5_000;
 
 /// µs until a message is delivered.
-const ANSWER_TIME: Micros = 30_000;
+const RESPONSE_TIME: Micros = 30_000;
 
 /// µs from the submission of a message to its deadline.
 const TIME_TO_LIVE: Micros = 30_000_000;
 
 /// Entries of the list that are reported at a time, so that the list itself is not measured.
-const LIST_CHUNK: u32 = 4_096;
+const LIST_CHUNK_LEN: u32 = 4_096;
 
 fn config(full_destinations: Option<u32>) -> Config {
     let class = DeliveryClassConfig {
@@ -72,7 +72,7 @@
 }
 
 /// The list entry of the only endpoint of a destination.
-fn entry(destination: u32) -> EndpointEntry {
+fn endpoint_entry(destination: u32) -> EndpointEntry {
     let [_, a, b, c] = destination.to_be_bytes();
     EndpointEntry {
         endpoint: EndpointId {
@@ -105,7 +105,7 @@
 }
 
 /// An attempt that is delivered at its time.
-struct InFlight {
+struct AttemptInFlight {
     delivered_at: Micros,
     id: MessageId,
     endpoint: EndpointId,
@@ -115,17 +115,17 @@
 struct Measurement {
     forwarder: Forwarder,
     destinations: u32,
-    in_flight: Vec<InFlight>,
+    in_flight: Vec<AttemptInFlight>,
     /// Resident memory before the first list, in bytes.
     bytes_before: u64,
-    step_started: Instant,
+    step_started_at: Instant,
 }
 
 impl Measurement {
     fn report_list(&mut self, now: Micros) {
-        for first in (0..self.destinations).step_by(LIST_CHUNK as usize) {
-            let end = self.destinations.min(first + LIST_CHUNK);
-            let entries = (first..end).map(entry).collect();
+        for first in (0..self.destinations).step_by(LIST_CHUNK_LEN as usize) {
+            let end = self.destinations.min(first + LIST_CHUNK_LEN);
+            let entries = (first..end).map(endpoint_entry).collect();
             let update = EndpointListUpdate::Changes(entries);
             self.handle(now, Event::EndpointListUpdated(update));
         }
@@ -133,7 +133,7 @@
 
     fn send_messages(&mut self, start: Micros) {
         let mut rng = Pcg64Mcg::seed_from_u64(1);
-        for number in 0..MESSAGES {
+        for number in 0..MESSAGE_COUNT {
             let now = start + MESSAGE_INTERVAL * Micros::from(number);
             let submission = Submission {
                 id: MessageId(number),
@@ -154,15 +154,15 @@
 
     /// Ends the attempts whose answer is in.
     fn deliver_due(&mut self, now: Micros) {
-        let is_due = |attempt: &mut InFlight| attempt.delivered_at <= now;
-        let due: Vec<InFlight> = self.in_flight.extract_if(.., is_due).collect();
-        for InFlight { id, endpoint, .. } in due {
+        let is_due = |attempt: &mut AttemptInFlight| attempt.delivered_at <= now;
+        let due: Vec<AttemptInFlight> = self.in_flight.extract_if(.., is_due).collect();
+        for AttemptInFlight { id, endpoint, .. } in due {
             let delivered = Event::AttemptEnded {
                 id,
                 attempt_index: 0,
                 endpoint,
                 outcome: Outcome::Delivered,
-                elapsed: ANSWER_TIME,
+                elapsed: RESPONSE_TIME,
                 message_completed: true,
                 load_metrics: Vec::new(),
             };
@@ -176,8 +176,8 @@
         self.forwarder.handle(now, event, &mut actions);
         for action in actions {
             if let Action::StartAttempt { id, endpoint, .. } = action {
-                self.in_flight.push(InFlight {
-                    delivered_at: now + ANSWER_TIME,
+                self.in_flight.push(AttemptInFlight {
+                    delivered_at: now + RESPONSE_TIME,
                     id,
                     endpoint,
                 });
@@ -186,13 +186,13 @@
     }
 
     /// Prints the memory since the start and the time since the last report.
-    fn report(&mut self, step: &str) -> Result<(), std::io::Error> {
+    fn print_step(&mut self, step: &str) -> Result<(), std::io::Error> {
         let bytes = resident_bytes()?.saturating_sub(self.bytes_before);
-        let took = self.step_started.elapsed();
+        let step_elapsed = self.step_started_at.elapsed();
         let counts = self.forwarder.state_counts();
-        let each = bytes as f64 / f64::from(self.destinations);
-        println!("{step}: {bytes} bytes, {each:.0} a destination, {took:.1?}; {counts:?}");
-        self.step_started = Instant::now();
+        let bytes_per_destination = bytes as f64 / f64::from(self.destinations);
+        println!("{step}: {bytes} bytes, {bytes_per_destination:.0} a destination, {step_elapsed:.1?}; {counts:?}");
+        self.step_started_at = Instant::now();
         Ok(())
     }
 }
@@ -206,13 +206,13 @@
         destinations,
         in_flight: Vec::new(),
         bytes_before: resident_bytes()?,
-        step_started: Instant::now(),
+        step_started_at: Instant::now(),
     };
     measurement.report_list(1_000_000);
-    measurement.report("complete list")?;
+    measurement.print_step("complete list")?;
     measurement.report_list(2_000_000);
-    measurement.report("the same list again")?;
+    measurement.print_step("the same list again")?;
     measurement.send_messages(10_000_000);
-    measurement.report("after the messages")?;
+    measurement.print_step("after the messages")?;
     Ok(())
 }
--- a/tests/common/history.rs
+++ b/tests/common/history.rs
@@ -5,12 +5,12 @@
 
 use super::fixtures::{config, endpoint, listed_endpoint, with_status, MS, TIME_TO_LIVE};
 use super::world::World;
-use super::Checked;
+use super::CheckResult;
 use opalpulley::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const ENDPOINTS: u8 = 6;
+const ENDPOINT_COUNT: u8 = 6;
 
 /// Time after the last step, in which every message gets its final answer.
 const FINAL_PAUSE: Micros = 30_000 * MS;
@@ -18,9 +18,9 @@
 /// How a random history is played.
 #[derive(Clone, Copy, Debug)]
 pub struct HistoryOptions {
-    pub steps: usize,
+    pub step_count: usize,
     /// The longest pause between two steps, in µs.
-    pub longest_pause: Micros,
+    pub max_pause: Micros,
     pub endpoints_per_destination: u8,
     /// The forwarder's setting of this name.
     pub full_destinations: Option<u32>,
@@ -28,22 +28,22 @@
 
 /// Plays a history with short pauses and two endpoints a destination. Fails with the rule that it
 /// breaks.
-pub fn check_history(seed: u64, steps: usize) -> Checked {
+pub fn check_history(seed: u64, step_count: usize) -> CheckResult {
     let options = HistoryOptions {
-        steps,
-        longest_pause: 200 * MS,
+        step_count,
+        max_pause: 200 * MS,
         endpoints_per_destination: 2,
         full_destinations: None,
     };
-    play_history(seed, &options)?;
+    run_history(seed, &options)?;
     Ok(())
 }
 
 /// Plays a history; returns the world as it is in the end. Fails with the rule that the history
 /// breaks.
-pub fn play_history(seed: u64, options: &HistoryOptions) -> Checked<World> {
+pub fn run_history(seed: u64, options: &HistoryOptions) -> CheckResult<World> {
     let mut history = RandomHistory::new(seed, options);
-    for _ in 0..options.steps {
+    for _ in 0..options.step_count {
         history.step()?;
     }
     history.world.advance(FINAL_PAUSE)?;
@@ -92,11 +92,11 @@
 struct RandomHistory {
     rng: Pcg64Mcg,
     world: World,
-    longest_pause: Micros,
+    max_pause: Micros,
     /// The endpoint list with every endpoint ready.
     list: Vec<EndpointEntry>,
     /// The chance that an attempt to an endpoint fails.
-    failure_rates: [f64; ENDPOINTS as usize],
+    failure_rates: [f64; ENDPOINT_COUNT as usize],
 }
 
 impl RandomHistory {
@@ -107,17 +107,17 @@
             let destination = u32::from(number / options.endpoints_per_destination);
             listed_endpoint(number, destination, 4.0 + f32::from(number))
         };
-        let list: Vec<EndpointEntry> = (0..ENDPOINTS).map(entry).collect();
+        let list: Vec<EndpointEntry> = (0..ENDPOINT_COUNT).map(entry).collect();
         RandomHistory {
             rng,
             world: World::new(config, list.clone()),
-            longest_pause: options.longest_pause,
+            max_pause: options.max_pause,
             list,
-            failure_rates: [0.1; ENDPOINTS as usize],
+            failure_rates: [0.1; ENDPOINT_COUNT as usize],
         }
     }
 
-    fn step(&mut self) -> Checked {
+    fn step(&mut self) -> CheckResult {
         self.world.connect_delay = if self.rng.random_bool(0.3) {
             self.rng.random_range(0..1_000) * MS
         } else {
@@ -125,25 +125,25 @@
         };
         match self.rng.random_range(0..100) {
             0..30 => self.submit(),
-            30..60 => self.end_an_attempt(),
+            30..60 => self.end_random_attempt(),
             60..90 => self.advance(),
-            90..92 => self.change_an_endpoint(),
-            92 => self.report_part_of_the_list(),
+            90..92 => self.change_random_endpoint(),
+            92 => self.report_partial_list(),
             93 => {
-                self.change_a_failure_rate();
+                self.change_random_failure_rate();
                 Ok(())
             }
-            94..97 => self.end_a_health_check(),
+            94..97 => self.end_last_health_check(),
             97 => self.withdraw_and_acknowledge(),
             98 if self.rng.random_bool(0.5) => self.receive_gossip(),
-            98 if self.rng.random_bool(0.1) => self.world.crash(),
-            98 if self.rng.random_bool(0.1) => self.world.restart(),
-            _ => self.end_an_unknown_attempt(),
+            98 if self.rng.random_bool(0.1) => self.world.restart_without_journal(),
+            98 if self.rng.random_bool(0.1) => self.world.restart_with_journal(),
+            _ => self.end_unknown_attempt(),
         }
     }
 
     /// Submits a message, seldom with next to no time left.
-    fn submit(&mut self) -> Checked {
+    fn submit(&mut self) -> CheckResult {
         let rng = &mut self.rng;
         let time_left = if rng.random_bool(0.1) {
             rng.random_range(0..50) * MS
@@ -162,10 +162,10 @@
         Ok(())
     }
 
-    fn end_an_attempt(&mut self) -> Checked {
-        let in_flight = self.world.messages.in_flight();
-        let choice = self.rng.random_range(0..in_flight.len().max(1));
-        let Some(id) = in_flight.get(choice).copied() else {
+    fn end_random_attempt(&mut self) -> CheckResult {
+        let in_flight = self.world.messages.ids_in_flight();
+        let index = self.rng.random_range(0..in_flight.len().max(1));
+        let Some(id) = in_flight.get(index).copied() else {
             return Ok(());
         };
         if self.rng.random_bool(0.05) {
@@ -201,12 +201,12 @@
         self.rng.random_range(1..3_000) * MS
     }
 
-    fn advance(&mut self) -> Checked {
-        let pause = self.rng.random_range(1..self.longest_pause / MS) * MS;
+    fn advance(&mut self) -> CheckResult {
+        let pause = self.rng.random_range(1..self.max_pause / MS) * MS;
         self.world.advance(pause)
     }
 
-    fn change_an_endpoint(&mut self) -> Checked {
+    fn change_random_endpoint(&mut self) -> CheckResult {
         let entry = self.list[self.rng.random_range(0..6)].clone();
         let statuses = [
             EndpointStatus::Ready,
@@ -215,21 +215,22 @@
             EndpointStatus::Removed,
         ];
         let status = statuses[self.rng.random_range(0..4)];
-        self.world.report_change(with_status(entry, status))
+        self.world.report_entry_change(with_status(entry, status))
     }
 
-    fn report_part_of_the_list(&mut self) -> Checked {
+    fn report_partial_list(&mut self) -> CheckResult {
         let first = self.rng.random_range(0..5);
-        let part = self.list[first..].to_vec();
-        self.world.report_list(EndpointListUpdate::Complete(part))
+        let partial_list = self.list[first..].to_vec();
+        self.world
+            .report_list(EndpointListUpdate::Complete(partial_list))
     }
 
-    fn change_a_failure_rate(&mut self) {
+    fn change_random_failure_rate(&mut self) {
         let rate = [0.0, 0.1, 0.9, 1.0][self.rng.random_range(0..4)];
         self.failure_rates[self.rng.random_range(0..6)] = rate;
     }
 
-    fn end_a_health_check(&mut self) -> Checked {
+    fn end_last_health_check(&mut self) -> CheckResult {
         let outcome = if self.rng.random() {
             Outcome::Delivered
         } else {
@@ -238,8 +239,8 @@
         self.world.end_health_check(outcome)
     }
 
-    fn withdraw_and_acknowledge(&mut self) -> Checked {
-        if let Some(id) = self.world.messages.first_pending() {
+    fn withdraw_and_acknowledge(&mut self) -> CheckResult {
+        if let Some(id) = self.world.messages.first_pending_id() {
             self.world.withdraw(id)?;
         }
         if let Some(id) = self.world.messages.unacknowledged.first().copied() {
@@ -250,7 +251,7 @@
 
     /// Receives gossip of any forwarder, in the fleet or not, about a known destination or not,
     /// whole or cut short.
-    fn receive_gossip(&mut self) -> Checked {
+    fn receive_gossip(&mut self) -> CheckResult {
         let mut payload = vec![1, 1, self.rng.random_range(0..4), 0];
         let length = if self.rng.random_bool(0.8) {
             4
@@ -258,12 +259,12 @@
             self.rng.random_range(0..4)
         };
         payload.truncate(length);
-        let from = self.rng.random();
-        self.world.receive_gossip(from, payload)
+        let peer = self.rng.random();
+        self.world.receive_gossip(peer, payload)
     }
 
     /// Reports the end of an attempt that the forwarder knows nothing of.
-    fn end_an_unknown_attempt(&mut self) -> Checked {
+    fn end_unknown_attempt(&mut self) -> CheckResult {
         let id = MessageId(self.rng.random_range(0..1_000_000));
         let endpoint = endpoint(self.rng.random_range(0..9));
         self.world.handle(Event::AttemptEnded {
--- a/tests/common/message_table.rs
+++ b/tests/common/message_table.rs
@@ -1,6 +1,6 @@
 //! The messages that a forwarder was given, with all attempts at them.
 
-use super::Checked;
+use super::CheckResult;
 use opalpulley::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
@@ -12,10 +12,10 @@
     pub endpoint: EndpointId,
     pub times_out_at: Micros,
     /// How the attempt ends at the next step, because the forwarder cancelled or withdrew it.
-    pub stopped_as: Option<Outcome>,
+    pub stop_outcome: Option<Outcome>,
     pub outcome: Option<Outcome>,
     /// When its bytes are sent, where its connection comes up late. None once they are sent.
-    pub bytes_sent_at: Option<Micros>,
+    pub bytes_due_at: Option<Micros>,
 }
 
 impl Attempt {
@@ -62,7 +62,7 @@
 #[derive(Default)]
 pub struct MessageTable {
     by_id: BTreeMap<MessageId, TrackedMessage>,
-    in_order_of_submission: Vec<MessageId>,
+    submission_order: Vec<MessageId>,
     /// Messages whose final answer is not acknowledged, where order keys wait for that.
     pub unacknowledged: BTreeSet<MessageId>,
 }
@@ -79,25 +79,25 @@
     pub fn insert(&mut self, message: TrackedMessage) {
         let id = message.submission.id;
         self.by_id.insert(id, message);
-        self.in_order_of_submission.push(id);
+        self.submission_order.push(id);
     }
 
-    pub fn get(&self, id: MessageId) -> Checked<&TrackedMessage> {
+    pub fn get(&self, id: MessageId) -> CheckResult<&TrackedMessage> {
         self.by_id.get(&id).ok_or("unknown message".into())
     }
 
-    pub fn get_mut(&mut self, id: MessageId) -> Checked<&mut TrackedMessage> {
+    pub fn get_mut(&mut self, id: MessageId) -> CheckResult<&mut TrackedMessage> {
         self.by_id.get_mut(&id).ok_or("unknown message".into())
     }
 
     /// The last attempt at a message.
-    pub fn last_attempt(&self, id: MessageId) -> Checked<&Attempt> {
+    pub fn last_attempt(&self, id: MessageId) -> CheckResult<&Attempt> {
         let last = self.by_id.get(&id).and_then(|m| m.attempts.last());
         last.ok_or("no such attempt".into())
     }
 
     /// The last attempt at a message.
-    pub fn last_attempt_mut(&mut self, id: MessageId) -> Checked<&mut Attempt> {
+    pub fn last_attempt_mut(&mut self, id: MessageId) -> CheckResult<&mut Attempt> {
         let last = self.by_id.get_mut(&id).and_then(|m| m.attempts.last_mut());
         last.ok_or("no such attempt".into())
     }
@@ -114,14 +114,14 @@
 
     /// The messages submitted before this one.
     pub fn submitted_before(&self, id: MessageId) -> impl Iterator<Item = &TrackedMessage> {
-        self.in_order_of_submission
+        self.submission_order
             .iter()
             .take_while(move |earlier| **earlier != id)
             .map(|earlier| &self.by_id[earlier])
     }
 
     /// The messages with an attempt in flight, in the order of their ids.
-    pub fn in_flight(&self) -> Vec<MessageId> {
+    pub fn ids_in_flight(&self) -> Vec<MessageId> {
         self.all()
             .filter(|message| message.attempt_in_flight().is_some())
             .map(|message| message.submission.id)
@@ -140,14 +140,14 @@
     }
 
     /// The first message that is not completed.
-    pub fn first_pending(&self) -> Option<MessageId> {
+    pub fn first_pending_id(&self) -> Option<MessageId> {
         self.all()
             .find(|message| !message.completed)
             .map(|message| message.submission.id)
     }
 
     /// How many messages are not completed.
-    pub fn pending(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.all().filter(|message| !message.completed).count()
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,9 +14,9 @@
 mod world;
 
 pub use fixtures::*;
-pub use history::{check_history, play_history, HistoryOptions};
+pub use history::{check_history, run_history, HistoryOptions};
 pub use message_table::{Attempt, MessageTable, TrackedMessage};
 pub use world::World;
 
 /// The result of a step. The error says which rule was broken, when and by what.
-pub type Checked<T = ()> = Result<T, String>;
+pub type CheckResult<T = ()> = Result<T, String>;
--- a/tests/common/oracle.rs
+++ b/tests/common/oracle.rs
@@ -4,7 +4,7 @@
 mod sending;
 
 use super::message_table::{Attempt, MessageTable, TrackedMessage};
-use super::Checked;
+use super::CheckResult;
 use endpoint_record::EndpointRecord;
 use opalpulley::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,7 +25,7 @@
     /// Until when no next message of a key may begin, because an attempt ended without a clear
     /// outcome.
     key_settles_at: BTreeMap<OrderKey, Micros>,
-    records: BTreeMap<EndpointId, EndpointRecord>,
+    endpoint_records: BTreeMap<EndpointId, EndpointRecord>,
 }
 
 impl Oracle {
@@ -36,7 +36,7 @@
             leaving_since: BTreeMap::new(),
             paused_until: BTreeMap::new(),
             key_settles_at: BTreeMap::new(),
-            records: BTreeMap::new(),
+            endpoint_records: BTreeMap::new(),
         }
     }
 
@@ -78,7 +78,7 @@
             EndpointListUpdate::Failed => return,
         };
         if is_complete {
-            self.observe_missing(now, entries);
+            self.observe_unlisted(now, entries);
         }
         for entry in entries {
             if entry.status == EndpointStatus::Ready {
@@ -91,10 +91,10 @@
     }
 
     /// Notes the endpoints that are missing in a complete list.
-    fn observe_missing(&mut self, now: Micros, entries: &[EndpointEntry]) {
-        let named: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
+    fn observe_unlisted(&mut self, now: Micros, entries: &[EndpointEntry]) {
+        let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
         for endpoint in self.entries.keys() {
-            if !named.contains(endpoint) {
+            if !listed.contains(endpoint) {
                 self.leaving_since.entry(*endpoint).or_insert(now);
             }
         }
@@ -116,20 +116,20 @@
     /// Notes how an attempt ended.
     pub fn observe_outcome(&mut self, now: Micros, attempt: &Attempt, outcome: Outcome) {
         let has_batches = self.has_batches();
-        let record = self.records.entry(attempt.endpoint).or_default();
+        let record = self.endpoint_records.entry(attempt.endpoint).or_default();
         record.observe_outcome(now, attempt.sent_at, outcome, has_batches);
     }
 
     /// Notes that an attempt at a message of this key ended without a clear outcome.
     pub fn observe_unclear_outcome(&mut self, now: Micros, key: OrderKey) {
         let settles_at = now + self.config.rules.order_settle_time;
-        let noted = self.key_settles_at.entry(key).or_default();
-        *noted = settles_at.max(*noted);
+        let current = self.key_settles_at.entry(key).or_default();
+        *current = settles_at.max(*current);
     }
 
     /// Rule: a message gets one final answer, and a message that may have taken effect is not given
     /// back to its client.
-    pub fn check_final_answer(&self, message: &TrackedMessage, answer: &Action) -> Checked {
+    pub fn check_final_answer(&self, message: &TrackedMessage, answer: &Action) -> CheckResult {
         if message.completed {
             return Err("a second final answer".into());
         }
@@ -151,7 +151,7 @@
 
     /// Rule: no more calls are in flight than there are permits. Messages sent together in a batch
     /// are one call.
-    pub fn check_permits(&self, messages: &MessageTable) -> Checked {
+    pub fn check_permits(&self, messages: &MessageTable) -> CheckResult {
         let calls = if self.has_batches() {
             let calls: BTreeSet<(EndpointId, Micros)> = messages
                 .attempts_in_flight()
@@ -170,11 +170,11 @@
     }
 
     /// Rule: every message gets its final answer by its deadline, with some slack.
-    pub fn check_deadlines(&self, now: Micros, messages: &MessageTable) -> Checked {
+    pub fn check_deadlines(&self, now: Micros, messages: &MessageTable) -> CheckResult {
         let slack = self.config.rules.answer_slack;
         let mut pending = messages.all().filter(|message| !message.completed);
         match pending.find(|message| message.deadline + slack < now) {
-            Some(lost) => Err(format!("no final answer at {now}: {lost:?}")),
+            Some(overdue) => Err(format!("no final answer at {now}: {overdue:?}")),
             None => Ok(()),
         }
     }
--- a/tests/common/oracle/endpoint_record.rs
+++ b/tests/common/oracle/endpoint_record.rs
@@ -1,12 +1,12 @@
 //! The health of one endpoint as the rules see it, and the rule on calls to an endpoint that
 //! returns from an outage.
 
-use super::super::Checked;
+use super::super::CheckResult;
 use opalpulley::*;
 use std::collections::BTreeSet;
 
 /// Failures in a row from which an endpoint counts as failing.
-const FAILURES_OF_AN_OUTAGE: u32 = 3;
+const OUTAGE_FAILURE_THRESHOLD: u32 = 3;
 
 /// Calls beyond the budget that are allowed: what chance and rounding may add.
 const SLACK_CALLS: f64 = 2.0;
@@ -17,14 +17,14 @@
     /// Calls that failed in a row.
     consecutive_failures: u32,
     /// When the calls were sent whose outcome was counted.
-    counted: BTreeSet<Micros>,
+    counted_calls_sent_at: BTreeSet<Micros>,
     is_failing: bool,
     /// Since when the forwarder knows whether the endpoint fails.
-    known_since: Micros,
+    state_known_since: Micros,
     /// The first answer after an outage.
     returned_at: Option<Micros>,
     /// When calls and health checks were sent, within the last overload window.
-    sent_at: Vec<Micros>,
+    calls_sent_at: Vec<Micros>,
 }
 
 impl EndpointRecord {
@@ -36,7 +36,7 @@
         outcome: Outcome,
         has_batches: bool,
     ) {
-        let is_first_of_call = self.counted.insert(sent_at);
+        let is_first_of_call = self.counted_calls_sent_at.insert(sent_at);
         if has_batches && !is_first_of_call {
             return;
         }
@@ -45,7 +45,7 @@
                 if self.is_failing {
                     self.is_failing = false;
                     self.returned_at = Some(now);
-                    self.known_since = now;
+                    self.state_known_since = now;
                 }
                 self.consecutive_failures = 0;
             }
@@ -54,9 +54,9 @@
             }
             _ => {}
         }
-        if self.consecutive_failures >= FAILURES_OF_AN_OUTAGE && !self.is_failing {
+        if self.consecutive_failures >= OUTAGE_FAILURE_THRESHOLD && !self.is_failing {
             self.is_failing = true;
-            self.known_since = now;
+            self.state_known_since = now;
         }
     }
 
@@ -71,22 +71,23 @@
         rate: f32,
         has_batches: bool,
         config: &Config,
-    ) -> Checked {
+    ) -> CheckResult {
         let rules = &config.rules;
-        self.sent_at
+        self.calls_sent_at
             .retain(|sent_at| sent_at + rules.overload_window > now);
-        if !has_batches || self.sent_at.last() != Some(&now) {
-            self.sent_at.push(now);
+        if !has_batches || self.calls_sent_at.last() != Some(&now) {
+            self.calls_sent_at.push(now);
         }
-        let Some(warmth) = self.warmth(now, rules) else {
+        let Some(warm_up_progress) = self.warm_up_progress(now, rules) else {
             return Ok(());
         };
-        let share = rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warmth;
-        let window = rules.overload_window as f64 / 1e6;
-        let budget = rules.overload_multiple * share * f64::from(rate) * window;
+        let capacity_share =
+            rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warm_up_progress;
+        let window_seconds = rules.overload_window as f64 / 1e6;
+        let budget = rules.overload_multiple * capacity_share * f64::from(rate) * window_seconds;
         let limit = budget / f64::from(config.fleet_size) + SLACK_CALLS;
-        let since_known = |sent_at: &&Micros| **sent_at >= self.known_since;
-        let calls = self.sent_at.iter().filter(since_known).count();
+        let is_since_known = |sent_at: &&Micros| **sent_at >= self.state_known_since;
+        let calls = self.calls_sent_at.iter().filter(is_since_known).count();
         if calls as f64 > limit {
             return Err(format!(
                 "{calls} calls to an endpoint that warms up, at most {limit}"
@@ -96,12 +97,12 @@
     }
 
     /// How far an endpoint that fails or warms up has come, from 0 to 1. None if it is warm.
-    fn warmth(&self, now: Micros, rules: &ServiceRuleConfig) -> Option<f64> {
+    fn warm_up_progress(&self, now: Micros, rules: &ServiceRuleConfig) -> Option<f64> {
         if self.is_failing {
             return Some(0.0);
         }
         let since_return = now - self.returned_at?;
-        let warmth = since_return as f64 / rules.warm_up_time as f64;
-        (warmth > 0.0 && warmth < 1.0).then_some(warmth)
+        let warm_up_progress = since_return as f64 / rules.warm_up_time as f64;
+        (warm_up_progress > 0.0 && warm_up_progress < 1.0).then_some(warm_up_progress)
     }
 }
--- a/tests/common/oracle/sending.rs
+++ b/tests/common/oracle/sending.rs
@@ -1,7 +1,7 @@
 //! The rules on when a message, a call or a health check may be sent, and where to.
 
 use super::super::message_table::{MessageTable, TrackedMessage};
-use super::super::Checked;
+use super::super::CheckResult;
 use super::Oracle;
 use opalpulley::*;
 
@@ -13,7 +13,7 @@
         messages: &MessageTable,
         id: MessageId,
         endpoint: EndpointId,
-    ) -> Checked {
+    ) -> CheckResult {
         let message = messages.get(id)?;
         self.check_attempts_left(message)?;
         self.check_destination(message, endpoint)?;
@@ -25,7 +25,7 @@
     }
 
     /// Rule: one attempt at a time, up to the limit, until the message is completed.
-    fn check_attempts_left(&self, message: &TrackedMessage) -> Checked {
+    fn check_attempts_left(&self, message: &TrackedMessage) -> CheckResult {
         let max_attempts = self.config.max_attempts as usize;
         if message.completed || message.attempts.len() >= max_attempts {
             return Err(format!("completed, or out of attempts: {message:?}"));
@@ -37,7 +37,7 @@
     }
 
     /// Rule: a message goes to an endpoint of its destination.
-    fn check_destination(&self, message: &TrackedMessage, endpoint: EndpointId) -> Checked {
+    fn check_destination(&self, message: &TrackedMessage, endpoint: EndpointId) -> CheckResult {
         match self.entries.get(&endpoint) {
             Some(entry) if entry.destination == message.submission.destination => Ok(()),
             _ => Err("no endpoint of its destination".into()),
@@ -46,7 +46,12 @@
 
     /// Rule: a message that may have taken effect is repeated only where a repeat is dropped or
     /// harmless.
-    fn check_repeat(&self, now: Micros, message: &TrackedMessage, endpoint: EndpointId) -> Checked {
+    fn check_repeat(
+        &self,
+        now: Micros,
+        message: &TrackedMessage,
+        endpoint: EndpointId,
+    ) -> CheckResult {
         let Some(first) = message.first_possible_effect() else {
             return Ok(());
         };
@@ -54,9 +59,9 @@
             DeliverySemantics::Idempotent => true,
             DeliverySemantics::AtMostOnce => false,
             DeliverySemantics::IdempotencyKeyed { scope, window } => {
-                let in_scope = scope != DeduplicationScope::Zone
+                let is_in_scope = scope != DeduplicationScope::Zone
                     || self.zone(first.endpoint) == self.zone(endpoint);
-                in_scope && now <= first.sent_at + window
+                is_in_scope && now <= first.sent_at + window
             }
         };
         if is_allowed {
@@ -74,14 +79,14 @@
         messages: &MessageTable,
         message: &TrackedMessage,
         key: OrderKey,
-    ) -> Checked {
+    ) -> CheckResult {
         for earlier in messages.submitted_before(message.submission.id) {
             if self.order_key(earlier) != Some(key) {
                 continue;
             }
-            let is_over = earlier.completed && earlier.attempt_in_flight().is_none();
+            let has_ended = earlier.completed && earlier.attempt_in_flight().is_none();
             let is_acknowledged = !messages.unacknowledged.contains(&earlier.submission.id);
-            if !is_over || !is_acknowledged {
+            if !has_ended || !is_acknowledged {
                 return Err("an earlier message of its key is not over".into());
             }
         }
@@ -94,18 +99,18 @@
 
     /// The rules on a call or a health check to an endpoint, at the moment when the forwarder
     /// decides on it.
-    pub fn check_call(&mut self, now: Micros, endpoint: EndpointId) -> Checked {
-        self.check_endpoint_takes_calls(now, endpoint)?;
+    pub fn check_call(&mut self, now: Micros, endpoint: EndpointId) -> CheckResult {
+        self.check_endpoint_accepts_calls(now, endpoint)?;
         let rate = self.entries[&endpoint].rate;
         let has_batches = self.has_batches();
-        let record = self.records.entry(endpoint).or_default();
+        let record = self.endpoint_records.entry(endpoint).or_default();
         record.check_slow_start(now, rate, has_batches, &self.config)
     }
 
     /// Rule: nothing is sent to an endpoint that drains or has left, after a grace, nor during a
     /// retry-after pause. The rule holds when a call is decided on and again when its bytes are
     /// sent.
-    pub fn check_endpoint_takes_calls(&self, now: Micros, endpoint: EndpointId) -> Checked {
+    pub fn check_endpoint_accepts_calls(&self, now: Micros, endpoint: EndpointId) -> CheckResult {
         let drain_grace = self.config.rules.drain_grace;
         let leaving_since = self.leaving_since.get(&endpoint);
         if leaving_since.is_some_and(|since| now > since + drain_grace) {
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -7,12 +7,12 @@
 use super::fixtures::{submission, MS, TIME_TO_LIVE};
 use super::message_table::{Attempt, MessageTable, TrackedMessage};
 use super::oracle::Oracle;
-use super::Checked;
+use super::CheckResult;
 use opalpulley::*;
 use std::collections::BTreeSet;
 
 /// When a world begins, in µs.
-const START: Micros = 1_000_000;
+const START_TIME: Micros = 1_000_000;
 
 /// A forwarder and all that it deals with. Each step is checked by the oracle.
 pub struct World {
@@ -25,78 +25,78 @@
     /// The actions of its previous runs.
     pub earlier_actions: Vec<Action>,
     /// Health checks in flight.
-    pub health_checks: Vec<EndpointId>,
+    pub health_checks_in_flight: Vec<EndpointId>,
     /// How late the connections of the next attempts come up; 0 if they are up already.
     pub connect_delay: Micros,
     oracle: Oracle,
     timers: BTreeSet<(Micros, TimerToken)>,
-    last_id: u32,
+    last_message_id: u32,
     /// Destinations that previous runs restored from summaries.
-    restored_earlier: u64,
+    restored_in_previous_runs: u64,
 }
 
 impl World {
     /// A forwarder that has just started with this list.
     pub fn new(config: Config, list: Vec<EndpointEntry>) -> World {
-        let mut world = World::before_list(config);
+        let mut world = World::without_list(config);
         world
             .report_list(EndpointListUpdate::Cached(list))
             .expect("the first list breaks no rule");
         world
     }
 
-    fn before_list(config: Config) -> World {
+    fn without_list(config: Config) -> World {
         let seed = 7 + u64::from(config.forwarder_id);
         World {
-            now: START,
+            now: START_TIME,
             forwarder: Forwarder::new(config.clone(), seed),
             oracle: Oracle::new(config.clone()),
             config,
             messages: MessageTable::default(),
             actions: Vec::new(),
             earlier_actions: Vec::new(),
-            health_checks: Vec::new(),
+            health_checks_in_flight: Vec::new(),
             connect_delay: 0,
             timers: BTreeSet::new(),
-            last_id: 0,
-            restored_earlier: 0,
+            last_message_id: 0,
+            restored_in_previous_runs: 0,
         }
     }
 
     /// The process crashes and starts again without a journal: it owes no answers any more.
-    pub fn crash(&mut self) -> Checked {
-        let known_list = EndpointListUpdate::Cached(self.oracle.entries());
+    pub fn restart_without_journal(&mut self) -> CheckResult {
+        let cached_list = EndpointListUpdate::Cached(self.oracle.entries());
         let mut earlier_actions = std::mem::take(&mut self.earlier_actions);
         earlier_actions.append(&mut self.actions);
         *self = World {
             now: self.now,
-            last_id: self.last_id,
+            last_message_id: self.last_message_id,
             earlier_actions,
-            restored_earlier: self.restored(),
+            restored_in_previous_runs: self.restored_destinations(),
             ..World::new(self.config.clone(), Vec::new())
         };
-        self.report_list(known_list)
+        self.report_list(cached_list)
     }
 
     /// The process ends and starts again with its journal: it owes every pending message a final
     /// answer.
-    pub fn restart(&mut self) -> Checked {
+    pub fn restart_with_journal(&mut self) -> CheckResult {
         let messages = std::mem::take(&mut self.messages);
-        self.crash()?;
+        self.restart_without_journal()?;
         for message in messages.into_all() {
             if !message.completed {
-                self.recover(message)?;
+                self.resubmit(message)?;
             }
         }
         Ok(())
     }
 
     /// Submits a message of the previous run again, with what its journal says of the attempts.
-    fn recover(&mut self, mut message: TrackedMessage) -> Checked {
-        if let Some(last) = message.attempts.last_mut() {
-            if last.is_in_flight() {
-                last.outcome = Some(Outcome::ConnectionReset);
-                last.bytes_sent_at = None;
+    fn resubmit(&mut self, mut message: TrackedMessage) -> CheckResult {
+        if let Some(last_attempt) = message.attempts.last_mut() {
+            if last_attempt.is_in_flight() {
+                last_attempt.outcome = Some(Outcome::ConnectionReset);
+                last_attempt.bytes_due_at = None;
             }
         }
         let possible_effect = message
@@ -120,28 +120,28 @@
     }
 
     /// Destinations that the forwarder has restored from summaries, in all its runs.
-    pub fn restored(&self) -> u64 {
-        self.restored_earlier + self.forwarder.state_counts().restored
+    pub fn restored_destinations(&self) -> u64 {
+        self.restored_in_previous_runs + self.forwarder.state_counts().restored
     }
 
     /// Discovery reports the endpoint list.
-    pub fn report_list(&mut self, update: EndpointListUpdate) -> Checked {
+    pub fn report_list(&mut self, update: EndpointListUpdate) -> CheckResult {
         self.oracle.observe_list(self.now, &update);
         self.handle(Event::EndpointListUpdated(update))
     }
 
     /// Discovery reports a change of one entry.
-    pub fn report_change(&mut self, entry: EndpointEntry) -> Checked {
+    pub fn report_entry_change(&mut self, entry: EndpointEntry) -> CheckResult {
         self.report_list(EndpointListUpdate::Changes(vec![entry]))
     }
 
     /// A client submits a message with its whole time to live and no order key.
-    pub fn submit(&mut self, class: u16, destination: u32) -> Checked<MessageId> {
+    pub fn submit(&mut self, class: u16, destination: u32) -> CheckResult<MessageId> {
         self.submit_with_time_left(class, destination, TIME_TO_LIVE)
     }
 
     /// A client submits so many messages.
-    pub fn submit_many(&mut self, count: usize, class: u16, destination: u32) -> Checked {
+    pub fn submit_many(&mut self, count: usize, class: u16, destination: u32) -> CheckResult {
         for _ in 0..count {
             self.submit(class, destination)?;
         }
@@ -154,7 +154,7 @@
         class: u16,
         destination: u32,
         time_left: Micros,
-    ) -> Checked<MessageId> {
+    ) -> CheckResult<MessageId> {
         self.submit_with_key(class, destination, None, time_left)
     }
 
@@ -165,9 +165,9 @@
         destination: u32,
         order_key: Option<OrderKey>,
         time_left: Micros,
-    ) -> Checked<MessageId> {
-        self.last_id += 1;
-        let id = MessageId(self.last_id);
+    ) -> CheckResult<MessageId> {
+        self.last_message_id += 1;
+        let id = MessageId(self.last_message_id);
         let submission = Submission {
             order_key,
             ..submission(id, class, destination, time_left)
@@ -179,7 +179,7 @@
         &mut self,
         submission: Submission,
         attempts: Vec<Attempt>,
-    ) -> Checked<MessageId> {
+    ) -> CheckResult<MessageId> {
         let id = submission.id;
         self.messages.insert(TrackedMessage {
             submission: submission.clone(),
@@ -192,28 +192,28 @@
     }
 
     /// A client withdraws a message.
-    pub fn withdraw(&mut self, id: MessageId) -> Checked {
+    pub fn withdraw(&mut self, id: MessageId) -> CheckResult {
         self.messages.get_mut(id)?.completed = true;
         self.handle(Event::MessageWithdrawn { id })
     }
 
     /// The final answer to a message is acknowledged.
-    pub fn acknowledge(&mut self, id: MessageId) -> Checked {
+    pub fn acknowledge(&mut self, id: MessageId) -> CheckResult {
         self.messages.unacknowledged.remove(&id);
         self.handle(Event::FinalAnswerAcknowledged { id })
     }
 
     /// A gossip message comes from the forwarder with this number.
-    pub fn receive_gossip(&mut self, peer: u16, payload: Vec<u8>) -> Checked {
+    pub fn receive_gossip(&mut self, peer: u16, payload: Vec<u8>) -> CheckResult {
         self.handle(Event::GossipReceived { peer, payload })
     }
 
     /// The endpoint of a message's attempt asks for a pause ahead of its answer, which comes later.
-    pub fn receive_retry_after(&mut self, id: MessageId, retry_after: Micros) -> Checked {
+    pub fn receive_retry_after(&mut self, id: MessageId, retry_after: Micros) -> CheckResult {
         let Some(attempt) = self.messages[id].attempt_in_flight() else {
             return Ok(());
         };
-        if attempt.bytes_sent_at.is_some() {
+        if attempt.bytes_due_at.is_some() {
             return Ok(());
         }
         let endpoint = attempt.endpoint;
@@ -232,9 +232,9 @@
 
     /// Ends the last attempt at a message with this outcome, or as its state requires: an attempt
     /// that was withdrawn ends so, and an endpoint answers only what it received.
-    pub fn end_attempt(&mut self, id: MessageId, outcome: Outcome) -> Checked {
+    pub fn end_attempt(&mut self, id: MessageId, outcome: Outcome) -> CheckResult {
         let attempt = self.messages.last_attempt(id)?.clone();
-        let outcome = match (attempt.stopped_as, attempt.bytes_sent_at) {
+        let outcome = match (attempt.stop_outcome, attempt.bytes_due_at) {
             (Some(Outcome::WithdrawnBeforeSend), _) => Outcome::WithdrawnBeforeSend,
             (None, Some(_)) if outcome != Outcome::Timeout => Outcome::NoConnection,
             _ => outcome,
@@ -246,11 +246,11 @@
             self.observe_retry_after(id, attempt.endpoint, retry_after);
         }
         self.oracle.observe_outcome(self.now, &attempt, outcome);
-        let number = self.messages[id].attempts.len() - 1;
+        let attempt_index = self.messages[id].attempts.len() - 1;
         self.record_outcome(id, outcome)?;
         self.handle(Event::AttemptEnded {
             id,
-            attempt_index: number as u8,
+            attempt_index: attempt_index as u8,
             endpoint: attempt.endpoint,
             outcome,
             elapsed: self.now - attempt.sent_at,
@@ -260,21 +260,21 @@
     }
 
     /// Ends all attempts in flight with this outcome; returns how many there were.
-    pub fn end_all_attempts(&mut self, outcome: Outcome) -> Checked<usize> {
-        let in_flight = self.messages.in_flight();
+    pub fn end_all_attempts(&mut self, outcome: Outcome) -> CheckResult<usize> {
+        let in_flight = self.messages.ids_in_flight();
         for id in &in_flight {
             self.end_attempt(*id, outcome)?;
         }
         Ok(in_flight.len())
     }
 
-    fn record_outcome(&mut self, id: MessageId, outcome: Outcome) -> Checked {
+    fn record_outcome(&mut self, id: MessageId, outcome: Outcome) -> CheckResult {
         let message = self.messages.get_mut(id)?;
         if outcome == Outcome::WithdrawnBeforeSend {
             // A withdrawn attempt does not count.
             message.attempts.pop();
-        } else if let Some(last) = message.attempts.last_mut() {
-            last.outcome = Some(outcome);
+        } else if let Some(last_attempt) = message.attempts.last_mut() {
+            last_attempt.outcome = Some(outcome);
         }
         if outcome == Outcome::Delivered {
             message.completed = true;
@@ -290,8 +290,8 @@
     }
 
     /// Ends the health check that was sent last, if one is in flight.
-    pub fn end_health_check(&mut self, outcome: Outcome) -> Checked {
-        match self.health_checks.pop() {
+    pub fn end_health_check(&mut self, outcome: Outcome) -> CheckResult {
+        match self.health_checks_in_flight.pop() {
             Some(endpoint) => self.handle(Event::HealthCheckEnded {
                 endpoint,
                 outcome,
@@ -303,13 +303,13 @@
     }
 
     /// When each attempt at a message was sent.
-    pub fn sent_at(&self, id: MessageId) -> Vec<Micros> {
+    pub fn attempts_sent_at(&self, id: MessageId) -> Vec<Micros> {
         let attempts = self.messages[id].attempts.iter();
         attempts.map(|attempt| attempt.sent_at).collect()
     }
 
     /// How many attempts at a message were sent.
-    pub fn attempts(&self, id: MessageId) -> usize {
+    pub fn attempt_count(&self, id: MessageId) -> usize {
         self.messages[id].attempts.len()
     }
 
@@ -319,9 +319,9 @@
     }
 
     /// Whether a log line contains these words.
-    pub fn has_logged(&self, words: &str) -> bool {
+    pub fn has_logged(&self, text: &str) -> bool {
         self.actions.iter().any(|action| match action {
-            Action::Log(event) => event.to_string().contains(words),
+            Action::Log(event) => event.to_string().contains(text),
             _ => false,
         })
     }
--- a/tests/common/world/actions.rs
+++ b/tests/common/world/actions.rs
@@ -1,34 +1,34 @@
 //! The forwarder handles events; its actions are checked and carried out.
 
 use super::super::message_table::Attempt;
-use super::super::Checked;
+use super::super::CheckResult;
 use super::World;
 use opalpulley::*;
 
 impl World {
     /// Gives an event to the forwarder. All its actions are checked and carried out.
-    pub fn handle(&mut self, event: Event) -> Checked {
+    pub fn handle(&mut self, event: Event) -> CheckResult {
         let mut actions = Vec::new();
         self.forwarder.handle(self.now, event, &mut actions);
         for action in &actions {
-            self.carry_out(action)
-                .map_err(|broken| format!("at {}: {action:?}: {broken}", self.now))?;
+            self.execute_action(action)
+                .map_err(|violation| format!("at {}: {action:?}: {violation}", self.now))?;
         }
         self.actions.extend(actions);
         Ok(())
     }
 
-    fn carry_out(&mut self, action: &Action) -> Checked {
+    fn execute_action(&mut self, action: &Action) -> CheckResult {
         match action {
             Action::StartAttempt {
                 id,
                 endpoint,
                 timeout,
                 ..
-            } => self.send(*id, *endpoint, *timeout),
-            Action::Reject { id, .. } | Action::Fail { id } => self.complete(*id, action),
-            Action::StartHealthCheck { endpoint } => self.send_health_check(*endpoint),
-            Action::CancelAttempt { id, .. } => self.cancel(*id),
+            } => self.start_attempt(*id, *endpoint, *timeout),
+            Action::Reject { id, .. } | Action::Fail { id } => self.complete_message(*id, action),
+            Action::StartHealthCheck { endpoint } => self.start_health_check(*endpoint),
+            Action::CancelAttempt { id, .. } => self.cancel_attempt(*id),
             Action::WithdrawUnsent { endpoint } => {
                 self.withdraw_unsent(*endpoint);
                 Ok(())
@@ -42,11 +42,16 @@
         }
     }
 
-    fn send(&mut self, id: MessageId, endpoint: EndpointId, timeout: Option<Micros>) -> Checked {
+    fn start_attempt(
+        &mut self,
+        id: MessageId,
+        endpoint: EndpointId,
+        timeout: Option<Micros>,
+    ) -> CheckResult {
         self.oracle
             .check_attempt(self.now, &self.messages, id, endpoint)?;
-        let is_late = self.connect_delay > 0;
-        let bytes_sent_at = is_late.then_some(self.now + self.connect_delay);
+        let connects_late = self.connect_delay > 0;
+        let bytes_due_at = connects_late.then_some(self.now + self.connect_delay);
         let message = self.messages.get_mut(id)?;
         let times_out_at = match timeout {
             Some(timeout) => self.now + timeout,
@@ -56,14 +61,14 @@
             sent_at: self.now,
             endpoint,
             times_out_at,
-            stopped_as: None,
+            stop_outcome: None,
             outcome: None,
-            bytes_sent_at,
+            bytes_due_at,
         });
         self.oracle.check_permits(&self.messages)
     }
 
-    fn complete(&mut self, id: MessageId, answer: &Action) -> Checked {
+    fn complete_message(&mut self, id: MessageId, answer: &Action) -> CheckResult {
         self.oracle
             .check_final_answer(self.messages.get(id)?, answer)?;
         self.messages.get_mut(id)?.completed = true;
@@ -73,27 +78,27 @@
         Ok(())
     }
 
-    fn send_health_check(&mut self, endpoint: EndpointId) -> Checked {
-        self.health_checks.push(endpoint);
+    fn start_health_check(&mut self, endpoint: EndpointId) -> CheckResult {
+        self.health_checks_in_flight.push(endpoint);
         if !self.config.may_health_check {
             return Err("health checks are off".into());
         }
         self.oracle.check_call(self.now, endpoint)
     }
 
-    fn cancel(&mut self, id: MessageId) -> Checked {
+    fn cancel_attempt(&mut self, id: MessageId) -> CheckResult {
         let attempt = self.messages.last_attempt_mut(id)?;
-        attempt.stopped_as.get_or_insert(Outcome::Cancelled);
+        attempt.stop_outcome.get_or_insert(Outcome::Cancelled);
         Ok(())
     }
 
     /// Stops the attempts to an endpoint whose bytes are not sent.
     fn withdraw_unsent(&mut self, endpoint: EndpointId) {
         for attempt in self.messages.last_attempts_mut() {
-            let is_unsent = attempt.is_in_flight() && attempt.bytes_sent_at.is_some();
+            let is_unsent = attempt.is_in_flight() && attempt.bytes_due_at.is_some();
             if attempt.endpoint == endpoint && is_unsent {
                 attempt
-                    .stopped_as
+                    .stop_outcome
                     .get_or_insert(Outcome::WithdrawnBeforeSend);
             }
         }
--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -2,38 +2,42 @@
 
 mod common;
 
-use common::{check_history, play_history, Checked, HistoryOptions, MS};
+use common::{check_history, run_history, CheckResult, HistoryOptions, MS};
 use opalpulley::Action;
 use quickcheck::{Gen, QuickCheck};
 
 const STEPS: usize = 600;
 
 #[test]
-fn no_history_breaks_a_service_rule() {
-    fn property(seed: u64) -> Checked {
+fn keeps_service_rules_in_random_histories() {
+    fn property(seed: u64) -> CheckResult {
         check_history(seed, STEPS)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 20_261_201))
         .tests(200)
-        .quickcheck(property as fn(u64) -> Checked);
+        .quickcheck(property as fn(u64) -> CheckResult);
 }
 
 /// The actions of all runs of the forwarder in a history. One history in eight has long pauses.
-fn actions_of_history(seed: u64, full_destinations: Option<u32>) -> Checked<Vec<Action>> {
-    let longest_pause = if seed.is_multiple_of(8) {
+fn actions_of_history(seed: u64, full_destinations: Option<u32>) -> CheckResult<Vec<Action>> {
+    let max_pause = if seed.is_multiple_of(8) {
         6_000 * MS
     } else {
         200 * MS
     };
     let options = HistoryOptions {
-        steps: STEPS,
-        longest_pause,
+        step_count: STEPS,
+        max_pause,
         endpoints_per_destination: 2,
         full_destinations,
     };
-    let world = play_history(seed, &options)?;
-    assert_eq!(world.restored(), 0, "too few destinations for a summary");
+    let world = run_history(seed, &options)?;
+    assert_eq!(
+        world.restored_destinations(),
+        0,
+        "too few destinations for a summary"
+    );
     let mut actions = world.earlier_actions;
     actions.extend(world.actions);
     Ok(actions)
@@ -41,7 +45,7 @@
 
 /// With summaries off, or on with room for every destination in full, the actions are the same.
 #[test]
-fn no_history_depends_on_whether_idle_destinations_may_be_summarised() {
+fn produces_same_actions_with_summaries_off_or_not_needed() {
     fn property(seed: u64) -> bool {
         actions_of_history(seed, None) == actions_of_history(seed, Some(1_024))
     }
--- a/tests/idle/bounds.rs
+++ b/tests/idle/bounds.rs
@@ -6,23 +6,23 @@
 
 /// When the message is sent that is submitted within a pause of a minute, which began before the
 /// destination became idle.
-fn sent_at_after_pause(full_destinations: Option<u32>) -> Checked<Option<Micros>> {
-    let mut world = one_endpoint(full_destinations);
-    send_one(&mut world, Outcome::Delivered)?;
+fn first_send_time_after_pause(full_destinations: Option<u32>) -> CheckResult<Option<Micros>> {
+    let mut world = world_with_one_endpoint(full_destinations);
+    submit_and_end_attempt(&mut world, Outcome::Delivered)?;
     let rejected = Outcome::Rejected {
         retry_after: Some(60_000 * MS),
     };
-    send_one(&mut world, rejected)?;
+    submit_and_end_attempt(&mut world, rejected)?;
     let rejected_at = world.now;
     world.advance(9_000 * MS)?;
-    pause(&mut world)?;
+    wait_until_idle(&mut world)?;
     if full_destinations.is_some() {
         assert_eq!(world.forwarder.state_counts().bounds, 1);
     }
     world.advance(rejected_at + 55_000 * MS - world.now)?;
     let id = world.submit_with_time_left(IDEMPOTENT, 0, 30_000 * MS)?;
     world.advance(25_000 * MS)?;
-    let sent_at = world.sent_at(id).first().copied();
+    let sent_at = world.attempts_sent_at(id).first().copied();
     assert!(
         sent_at.is_some_and(|at| at >= rejected_at + 60_000 * MS),
         "sent at {sent_at:?}, rejected at {rejected_at}"
@@ -31,80 +31,86 @@
 }
 
 #[test]
-fn a_retry_after_pause_outlasts_the_summary() -> Checked {
-    assert_eq!(sent_at_after_pause(SUMMARIES)?, sent_at_after_pause(FULL)?);
+fn keeps_retry_after_pause_while_summarised() -> CheckResult {
+    assert_eq!(
+        first_send_time_after_pause(HOLD_AS_SUMMARIES)?,
+        first_send_time_after_pause(HOLD_IN_FULL)?
+    );
     Ok(())
 }
 
 /// When the calls are sent that follow the ejection of the endpoint and half a minute without
 /// messages.
-fn calls_after_ejection(full_destinations: Option<u32>) -> Checked<Vec<Micros>> {
-    let mut world = one_endpoint(full_destinations);
-    send_one(&mut world, Outcome::Delivered)?;
+fn call_times_after_ejection(full_destinations: Option<u32>) -> CheckResult<Vec<Micros>> {
+    let mut world = world_with_one_endpoint(full_destinations);
+    submit_and_end_attempt(&mut world, Outcome::Delivered)?;
     for _ in 0..4 {
-        send_one(&mut world, Outcome::Error)?;
+        submit_and_end_attempt(&mut world, Outcome::Error)?;
     }
     world.advance(9_000 * MS)?;
-    pause(&mut world)?;
-    let before = attempts(&world).len();
+    wait_until_idle(&mut world)?;
+    let attempts_before = all_attempts(&world).len();
     deliver_one_by_one(&mut world, 300, 1_000 * MS)?;
-    Ok(sent_at_after(&world, before))
+    Ok(call_times_after(&world, attempts_before))
 }
 
 #[test]
-fn an_endpoint_ejected_before_it_is_summarised_returns_within_its_slow_start_budget() -> Checked {
-    let with = calls_after_ejection(SUMMARIES)?;
-    let without = calls_after_ejection(FULL)?;
-    assert!(with.len() > 100, "it returns: {with:?}");
-    assert_eq!(with, without, "within the budget, as in full");
+fn keeps_slow_start_budget_of_ejected_endpoint_while_summarised() -> CheckResult {
+    let with_summaries = call_times_after_ejection(HOLD_AS_SUMMARIES)?;
+    let in_full = call_times_after_ejection(HOLD_IN_FULL)?;
+    assert!(with_summaries.len() > 100, "it returns: {with_summaries:?}");
+    assert_eq!(with_summaries, in_full, "within the budget, as in full");
     Ok(())
 }
 
 #[test]
-fn a_drain_that_begins_during_the_summary_binds_and_ends() -> Checked {
-    let mut world = one_endpoint(SUMMARIES);
-    send_one(&mut world, Outcome::Delivered)?;
-    become_idle(&mut world)?;
+fn enforces_and_lifts_drain_that_begins_while_summarised() -> CheckResult {
+    let mut world = world_with_one_endpoint(HOLD_AS_SUMMARIES);
+    submit_and_end_attempt(&mut world, Outcome::Delivered)?;
+    wait_until_summarised(&mut world)?;
     let entry = listed_endpoint(1, 0, 20.0);
-    world.report_change(with_status(entry.clone(), EndpointStatus::Draining))?;
-    become_idle(&mut world)?;
-    let before = attempts(&world).len();
+    world.report_entry_change(with_status(entry.clone(), EndpointStatus::Draining))?;
+    wait_until_summarised(&mut world)?;
+    let attempts_before = all_attempts(&world).len();
     world.submit(IDEMPOTENT, 0)?;
     world.advance(9_000 * MS)?;
-    assert_eq!(attempts(&world).len(), before);
-    become_idle(&mut world)?;
-    world.report_change(entry)?;
-    send_one(&mut world, Outcome::Delivered)?;
-    assert_eq!(attempts(&world).len(), before + 1);
+    assert_eq!(all_attempts(&world).len(), attempts_before);
+    wait_until_summarised(&mut world)?;
+    world.report_entry_change(entry)?;
+    submit_and_end_attempt(&mut world, Outcome::Delivered)?;
+    assert_eq!(all_attempts(&world).len(), attempts_before + 1);
     Ok(())
 }
 
 #[test]
-fn an_endpoint_replaced_during_the_summary_gets_nothing_more() -> Checked {
-    let mut world = one_endpoint(SUMMARIES);
-    send_one(&mut world, Outcome::Delivered)?;
-    become_idle(&mut world)?;
-    let old = listed_endpoint(1, 0, 20.0);
-    let new = EndpointEntry {
+fn sends_nothing_more_to_endpoint_replaced_while_summarised() -> CheckResult {
+    let mut world = world_with_one_endpoint(HOLD_AS_SUMMARIES);
+    submit_and_end_attempt(&mut world, Outcome::Delivered)?;
+    wait_until_summarised(&mut world)?;
+    let old_entry = listed_endpoint(1, 0, 20.0);
+    let new_entry = EndpointEntry {
         endpoint: EndpointId {
             incarnation: 1,
             ..endpoint(1)
         },
-        ..old.clone()
+        ..old_entry.clone()
     };
-    let old = with_status(old, EndpointStatus::Removed);
-    world.report_list(EndpointListUpdate::Changes(vec![old, new.clone()]))?;
-    become_idle(&mut world)?;
+    let old_entry = with_status(old_entry, EndpointStatus::Removed);
+    world.report_list(EndpointListUpdate::Changes(vec![
+        old_entry,
+        new_entry.clone(),
+    ]))?;
+    wait_until_summarised(&mut world)?;
     assert_eq!(
         world.forwarder.state_counts().summaries,
         2,
         "the old one is not forgotten at once"
     );
-    send_one(&mut world, Outcome::Delivered)?;
-    let last_endpoint = attempts(&world).last().map(|attempt| attempt.endpoint);
-    assert_eq!(last_endpoint, Some(new.endpoint));
-    become_idle(&mut world)?;
-    world.report_list(EndpointListUpdate::Complete(vec![new]))?;
+    submit_and_end_attempt(&mut world, Outcome::Delivered)?;
+    let last_endpoint = all_attempts(&world).last().map(|attempt| attempt.endpoint);
+    assert_eq!(last_endpoint, Some(new_entry.endpoint));
+    wait_until_summarised(&mut world)?;
+    world.report_list(EndpointListUpdate::Complete(vec![new_entry]))?;
     world.advance(3_000 * MS)?;
     assert_eq!(
         world.forwarder.state_counts().summaries,
@@ -116,15 +122,15 @@
 
 /// When calls are sent within ten seconds, from the moment when gossip, if any, reached the idle
 /// destination.
-fn calls_after_gossip(
+fn call_times_after_gossip(
     full_destinations: Option<u32>,
     gossip: Option<&[u8]>,
-) -> Checked<Vec<Micros>> {
-    let mut world = one_endpoint(full_destinations);
-    send_one(&mut world, Outcome::Delivered)?;
-    pause(&mut world)?;
-    let restored = world.restored();
-    let (start, before) = (world.now, attempts(&world).len());
+) -> CheckResult<Vec<Micros>> {
+    let mut world = world_with_one_endpoint(full_destinations);
+    submit_and_end_attempt(&mut world, Outcome::Delivered)?;
+    wait_until_idle(&mut world)?;
+    let restored = world.restored_destinations();
+    let (start, attempts_before) = (world.now, all_attempts(&world).len());
     if let Some(payload) = gossip {
         world.receive_gossip(2, payload.to_vec())?;
     }
@@ -136,21 +142,21 @@
         );
     }
     deliver_one_by_one(&mut world, 20, 500 * MS)?;
-    let sent_at = sent_at_after(&world, before);
-    check_pace_is_forgotten(&mut world)?;
+    let sent_at = call_times_after(&world, attempts_before);
+    check_pacing_bound_expires(&mut world)?;
     Ok(sent_at.into_iter().map(|at| at - start).collect())
 }
 
 /// Delivers what is left and one message more. The pace of the calls binds no more in the next
 /// summary.
-fn check_pace_is_forgotten(world: &mut World) -> Checked {
+fn check_pacing_bound_expires(world: &mut World) -> CheckResult {
     for _ in 0..90 {
         world.advance(100 * MS)?;
         world.end_all_attempts(Outcome::Delivered)?;
     }
-    send_one(world, Outcome::Delivered)?;
+    submit_and_end_attempt(world, Outcome::Delivered)?;
     if world.config.full_destinations.is_some() {
-        become_idle(world)?;
+        wait_until_summarised(world)?;
         assert_eq!(world.forwarder.state_counts().bounds, 0);
     }
     Ok(())
@@ -158,16 +164,19 @@
 
 /// Destinations at their limit somewhere in the fleet must not all be held in full here.
 #[test]
-fn gossip_about_an_idle_destination_leaves_it_idle_and_slows_its_calls() -> Checked {
+fn slows_calls_without_restoring_idle_destination_on_gossip() -> CheckResult {
     let (about_destination, about_unknown) = ([1, 1, 0, 0], [1, 1, 9, 0]);
-    let slowed = calls_after_gossip(SUMMARIES, Some(&about_destination))?;
-    let slowed_in_full = calls_after_gossip(FULL, Some(&about_destination))?;
+    let slowed = call_times_after_gossip(HOLD_AS_SUMMARIES, Some(&about_destination))?;
+    let slowed_in_full = call_times_after_gossip(HOLD_IN_FULL, Some(&about_destination))?;
     assert_eq!(slowed, slowed_in_full);
-    let free = calls_after_gossip(SUMMARIES, None)?;
+    let without_gossip = call_times_after_gossip(HOLD_AS_SUMMARIES, None)?;
     assert!(
-        slowed.len() < free.len(),
-        "{slowed:?}, without gossip {free:?}"
+        slowed.len() < without_gossip.len(),
+        "{slowed:?}, without gossip {without_gossip:?}"
+    );
+    assert_eq!(
+        call_times_after_gossip(HOLD_IN_FULL, Some(&about_unknown))?,
+        without_gossip
     );
-    assert_eq!(calls_after_gossip(FULL, Some(&about_unknown))?, free);
     Ok(())
 }
--- a/tests/idle/large_lists.rs
+++ b/tests/idle/large_lists.rs
@@ -5,17 +5,17 @@
 use opalpulley::*;
 
 /// Entries of the list, each an endpoint of a destination of its own.
-const ENTRIES: u32 = 100_000;
+const ENTRY_COUNT: u32 = 100_000;
 
 /// Destinations held in full before idle ones are summarised.
-const HELD_IN_FULL: usize = 1_024;
+const MAX_HELD_IN_FULL: usize = 1_024;
 
 /// Destinations held in full beyond the setting: what one chunk of a list may restore or create
 /// before it is summarised.
-const PASSING: usize = 2 * 64;
+const MAX_EXCESS_IN_FULL: usize = 2 * 64;
 
 fn forwarder() -> Forwarder {
-    Forwarder::new(config_in_fleet(Some(HELD_IN_FULL as u32)), 1)
+    Forwarder::new(config_in_fleet(Some(MAX_HELD_IN_FULL as u32)), 1)
 }
 
 fn list(count: u32, status: EndpointStatus) -> Vec<EndpointEntry> {
@@ -40,7 +40,10 @@
     let mut actions = Vec::new();
     forwarder.handle(now, event, &mut actions);
     let counts = forwarder.state_counts();
-    assert!(counts.most_full <= HELD_IN_FULL + PASSING, "{counts:?}");
+    assert!(
+        counts.most_full <= MAX_HELD_IN_FULL + MAX_EXCESS_IN_FULL,
+        "{counts:?}"
+    );
     actions
 }
 
@@ -75,15 +78,19 @@
 
 /// Destinations beyond 65,536 included.
 #[test]
-fn a_list_of_100_000_entries_is_never_held_in_full_and_leaves_nothing_behind() {
+fn bounds_destinations_in_full_and_forgets_all_state_of_100_000_entries() {
     let mut forwarder = forwarder();
     for now in [0, 1_000 * MS] {
-        report_complete(&mut forwarder, now, list(ENTRIES, EndpointStatus::Ready));
+        report_complete(
+            &mut forwarder,
+            now,
+            list(ENTRY_COUNT, EndpointStatus::Ready),
+        );
     }
     let counts = forwarder.state_counts();
     assert_eq!(
         (counts.full, counts.full + counts.summaries),
-        (HELD_IN_FULL, ENTRIES as usize),
+        (MAX_HELD_IN_FULL, ENTRY_COUNT as usize),
         "{counts:?}"
     );
     for number in 0..50 {
@@ -100,58 +107,58 @@
         report_changes(&mut forwarder, now, Vec::new());
     }
     let counts = forwarder.state_counts();
-    let left = [
+    let remaining = [
         counts.full,
         counts.summaries,
         counts.bounds,
         counts.gone,
         counts.queued,
     ];
-    assert_eq!(left, [0; 5], "{counts:?}");
+    assert_eq!(remaining, [0; 5], "{counts:?}");
 }
 
 /// Removes and returns every second entry, a number of times. Each change restores no more
 /// destinations than it names.
-fn flap_half_of_the_list(forwarder: &mut Forwarder) {
-    const ROUNDS: u64 = 4;
+fn flap_half_of_list(forwarder: &mut Forwarder) {
+    const ROUND_COUNT: u64 = 4;
     let restored_before = forwarder.state_counts().restored;
-    for round in 1..=ROUNDS {
+    for round in 1..=ROUND_COUNT {
         let is_removal = round % 2 == 1;
         let status = if is_removal {
             EndpointStatus::Removed
         } else {
             EndpointStatus::Ready
         };
-        let half = list(ENTRIES, status).into_iter().step_by(2).collect();
+        let half = list(ENTRY_COUNT, status).into_iter().step_by(2).collect();
         report_changes(forwarder, round * 1_000 * MS, half);
         let counts = forwarder.state_counts();
-        let least_gone = if is_removal {
-            ENTRIES as usize / 2 - HELD_IN_FULL
+        let min_gone = if is_removal {
+            ENTRY_COUNT as usize / 2 - MAX_HELD_IN_FULL
         } else {
             0
         };
-        let most_gone = least_gone + HELD_IN_FULL;
-        assert!(
-            (least_gone..=most_gone).contains(&counts.gone),
-            "{counts:?}"
-        );
+        let max_gone = min_gone + MAX_HELD_IN_FULL;
+        assert!((min_gone..=max_gone).contains(&counts.gone), "{counts:?}");
     }
     let counts = forwarder.state_counts();
     let restored = counts.restored - restored_before;
-    assert!(restored <= ROUNDS * u64::from(ENTRIES) / 2, "{counts:?}");
+    assert!(
+        restored <= ROUND_COUNT * u64::from(ENTRY_COUNT) / 2,
+        "{counts:?}"
+    );
 }
 
 #[test]
-fn changes_of_half_a_list_restore_no_more_than_they_name() {
+fn restores_no_more_destinations_than_list_changes_name() {
     let mut forwarder = forwarder();
-    report_complete(&mut forwarder, 0, list(ENTRIES, EndpointStatus::Ready));
-    flap_half_of_the_list(&mut forwarder);
+    report_complete(&mut forwarder, 0, list(ENTRY_COUNT, EndpointStatus::Ready));
+    flap_half_of_list(&mut forwarder);
     let counts = forwarder.state_counts();
     assert!(
-        counts.summaries <= ENTRIES as usize && counts.bounds <= ENTRIES as usize,
+        counts.summaries <= ENTRY_COUNT as usize && counts.bounds <= ENTRY_COUNT as usize,
         "{counts:?}"
     );
-    let last_entry = list(ENTRIES, EndpointStatus::Draining).pop();
+    let last_entry = list(ENTRY_COUNT, EndpointStatus::Draining).pop();
     let change = last_entry.into_iter().collect();
     report_changes(&mut forwarder, 9_000 * MS, change);
     assert!(forwarder.state_counts().restored <= counts.restored + 1);
--- a/tests/idle/main.rs
+++ b/tests/idle/main.rs
@@ -16,10 +16,10 @@
 const FLEET_SIZE: u32 = 300;
 
 /// Holds every idle destination as a summary.
-const SUMMARIES: Option<u32> = Some(0);
+const HOLD_AS_SUMMARIES: Option<u32> = Some(0);
 
 /// Holds every destination in full.
-const FULL: Option<u32> = None;
+const HOLD_IN_FULL: Option<u32> = None;
 
 fn config_in_fleet(full_destinations: Option<u32>) -> Config {
     Config {
@@ -30,26 +30,26 @@
 }
 
 /// A destination with one endpoint.
-fn one_endpoint(full_destinations: Option<u32>) -> World {
+fn world_with_one_endpoint(full_destinations: Option<u32>) -> World {
     let list = vec![listed_endpoint(1, 0, 20.0)];
     World::new(config_in_fleet(full_destinations), list)
 }
 
 /// All attempts, in the order of the messages' ids.
-fn attempts(world: &World) -> Vec<&Attempt> {
+fn all_attempts(world: &World) -> Vec<&Attempt> {
     let messages = world.messages.all();
     messages.flat_map(|message| &message.attempts).collect()
 }
 
 /// When all attempts but the first `skipped` ones were sent.
-fn sent_at_after(world: &World, skipped: usize) -> Vec<Micros> {
-    let mut sent_at: Vec<Micros> = attempts(world).iter().map(|a| a.sent_at).collect();
+fn call_times_after(world: &World, skipped: usize) -> Vec<Micros> {
+    let mut sent_at: Vec<Micros> = all_attempts(world).iter().map(|a| a.sent_at).collect();
     sent_at.sort_unstable();
     sent_at.split_off(skipped)
 }
 
 /// Submits a message and ends its attempt with this outcome.
-fn send_one(world: &mut World, outcome: Outcome) -> Checked {
+fn submit_and_end_attempt(world: &mut World, outcome: Outcome) -> CheckResult {
     world.submit(IDEMPOTENT, 0)?;
     world.advance(3_000 * MS)?;
     world.end_all_attempts(outcome)?;
@@ -57,7 +57,7 @@
 }
 
 /// Submits messages one by one and delivers every attempt.
-fn deliver_one_by_one(world: &mut World, count: usize, interval: Micros) -> Checked {
+fn deliver_one_by_one(world: &mut World, count: usize, interval: Micros) -> CheckResult {
     for _ in 0..count {
         world.submit(IDEMPOTENT, 0)?;
         world.advance(interval)?;
@@ -67,7 +67,7 @@
 }
 
 /// Lets half a minute pass, by which every destination is held as a summary.
-fn become_idle(world: &mut World) -> Checked {
+fn wait_until_summarised(world: &mut World) -> CheckResult {
     for _ in 0..10 {
         world.advance(3_000 * MS)?;
         // Destinations are summarised after an event, whichever it is.
@@ -81,9 +81,9 @@
 }
 
 /// Lets half a minute pass, by which every destination is held as a summary if summaries are on.
-fn pause(world: &mut World) -> Checked {
+fn wait_until_idle(world: &mut World) -> CheckResult {
     if world.config.full_destinations.is_some() {
-        become_idle(world)
+        wait_until_summarised(world)
     } else {
         world.advance(30_000 * MS)
     }
--- a/tests/rules/admission.rs
+++ b/tests/rules/admission.rs
@@ -4,7 +4,7 @@
 use opalpulley::*;
 
 #[test]
-fn near_the_capacity_the_message_of_the_least_weight_is_rejected_at_once() -> Checked {
+fn rejects_lowest_weight_message_near_capacity() -> CheckResult {
     let mut config = config();
     config.max_messages = 20;
     let mut world = World::new(config, vec![listed_endpoint(1, 0, 2.0)]);
@@ -20,12 +20,12 @@
         )
     });
     assert!(has_rejected);
-    assert!(world.messages.pending() < 20);
+    assert!(world.messages.pending_count() < 20);
     Ok(())
 }
 
 /// Every limit at its least.
-fn config_with_least_limits() -> Config {
+fn config_with_minimum_limits() -> Config {
     let mut config = Config {
         concurrency_limit: 1,
         max_messages: 1,
@@ -52,13 +52,13 @@
 /// Also with rates that no list should have, and with messages that have no time left or an unknown
 /// destination.
 #[test]
-fn odd_configurations_and_messages_end_in_one_answer_each() -> Checked {
+fn sends_one_final_answer_per_message_under_extreme_configurations() -> CheckResult {
     let list = vec![
         listed_endpoint(1, 0, f32::NAN),
         listed_endpoint(2, 0, f32::INFINITY),
         listed_endpoint(3, 1, -1.0),
     ];
-    for config in [config_with_least_limits(), config_without_permits()] {
+    for config in [config_with_minimum_limits(), config_without_permits()] {
         let mut world = World::new(config, list.clone());
         for (destination, time_left) in [(0, 8_000), (0, 0), (1, 1), (9, 8_000), (1, 8_000)] {
             world.submit_with_time_left(IDEMPOTENT, destination, time_left * MS)?;
--- a/tests/rules/ordering.rs
+++ b/tests/rules/ordering.rs
@@ -6,7 +6,7 @@
 /// The final answer travels to the platform apart from calls, so the next message of the key must
 /// not overtake it, nor the answer of a previous run.
 #[test]
-fn a_key_waits_until_the_final_answer_before_is_acknowledged() -> Checked {
+fn holds_order_key_until_previous_final_answer_is_acknowledged() -> CheckResult {
     let order_key = OrderKey(5);
     let mut config = Config {
         order_release: OrderRelease::OnAcknowledgement,
@@ -16,23 +16,23 @@
         class.ordered = true;
     }
     let mut world = World::new(config, vec![listed_endpoint(1, 0, 20.0)]);
-    let of_previous_run = MessageId(900);
+    let previous_run_id = MessageId(900);
     world.handle(Event::CompletionReportPending {
-        id: of_previous_run,
+        id: previous_run_id,
         class: DeliveryClassId(IDEMPOTENT),
         order_key,
     })?;
     let first = world.submit_with_key(IDEMPOTENT, 0, Some(order_key), 300 * MS)?;
     let second = world.submit_with_key(IDEMPOTENT, 0, Some(order_key), TIME_TO_LIVE)?;
     world.advance(200 * MS)?;
-    assert_eq!(world.attempts(first), 0);
+    assert_eq!(world.attempt_count(first), 0);
     world.advance(400 * MS)?;
     assert!(world.messages.unacknowledged.contains(&first));
-    world.acknowledge(of_previous_run)?;
+    world.acknowledge(previous_run_id)?;
     world.advance(400 * MS)?;
-    assert_eq!(world.attempts(second), 0);
+    assert_eq!(world.attempt_count(second), 0);
     world.acknowledge(first)?;
     world.advance(50 * MS)?;
-    assert_eq!(world.attempts(second), 1);
+    assert_eq!(world.attempt_count(second), 1);
     Ok(())
 }
--- a/tests/rules/outliers.rs
+++ b/tests/rules/outliers.rs
@@ -1,33 +1,33 @@
 //! Ejection of endpoints that fail, health checks, and readmission.
 
 use super::common::*;
-use super::support::{deliver_for, fail_until_ejected, one_endpoint};
+use super::support::{deliver_for_seconds, fail_until_ejected, world_with_one_endpoint};
 use opalpulley::*;
 
 /// The slow-start budget must not be used up by the calls before the ejection, or the first health
 /// check comes minutes late.
 #[test]
-fn an_endpoint_ejected_after_a_busy_time_gets_a_health_check_soon() -> Checked {
-    let mut world = one_endpoint();
-    deliver_for(&mut world, 20)?;
+fn checks_health_soon_after_ejection_that_follows_busy_period() -> CheckResult {
+    let mut world = world_with_one_endpoint();
+    deliver_for_seconds(&mut world, 20)?;
     fail_until_ejected(&mut world)?;
     world.advance(3_000 * MS)?;
-    assert!(!world.health_checks.is_empty());
+    assert!(!world.health_checks_in_flight.is_empty());
     Ok(())
 }
 
 /// A few refused connections between answers are a full connection table. Refused connections
 /// without an answer are an outage, however short, and the endpoint needs a slow start after it.
 #[test]
-fn a_short_outage_ejects_and_a_full_connection_table_does_not() -> Checked {
+fn ejects_endpoint_after_short_outage_but_not_for_full_connection_table() -> CheckResult {
     for is_outage in [true, false] {
-        let mut world = one_endpoint();
-        deliver_for(&mut world, 3)?;
+        let mut world = world_with_one_endpoint();
+        deliver_for_seconds(&mut world, 3)?;
         for number in 0..12 {
             world.submit(IDEMPOTENT, 0)?;
             world.advance(50 * MS)?;
-            let answers = !is_outage && number % 3 == 2;
-            let outcome = if answers {
+            let responds = !is_outage && number % 3 == 2;
+            let outcome = if responds {
                 Outcome::Delivered
             } else {
                 Outcome::NoConnection
@@ -35,31 +35,31 @@
             world.end_all_attempts(outcome)?;
         }
         if world.has_ejected() != is_outage {
-            let since = "within 0.6 s of the last answer";
-            return Err(format!("outage: {is_outage}, {since}"));
+            let expectation = "within 0.6 s of the last answer";
+            return Err(format!("outage: {is_outage}, {expectation}"));
         }
     }
     Ok(())
 }
 
 #[test]
-fn an_ejected_endpoint_is_readmitted_by_a_health_check_and_then_a_call() -> Checked {
-    let mut world = one_endpoint();
+fn readmits_ejected_endpoint_after_health_check_and_call_succeed() -> CheckResult {
+    let mut world = world_with_one_endpoint();
     fail_until_ejected(&mut world)?;
     // It stays ejected though it leaves the list and returns, or it would get its full rate without
     // a slow start.
     let entry = listed_endpoint(1, 0, 20.0);
-    world.report_change(with_status(entry.clone(), EndpointStatus::Removed))?;
+    world.report_entry_change(with_status(entry.clone(), EndpointStatus::Removed))?;
     world.advance(100 * MS)?;
-    world.report_change(entry)?;
+    world.report_entry_change(entry)?;
     world.advance(3_000 * MS)?;
     assert!(
-        world.messages.in_flight().is_empty(),
+        world.messages.ids_in_flight().is_empty(),
         "nothing but health checks while it is ejected"
     );
     world.end_health_check(Outcome::Delivered)?;
     world.advance(2_000 * MS)?;
-    let id = world.messages.in_flight()[0];
+    let id = world.messages.ids_in_flight()[0];
     world.end_attempt(id, Outcome::Delivered)?;
     assert!(world.has_logged("endpoint readmitted"));
     Ok(())
@@ -67,8 +67,8 @@
 
 /// Health checks may fail where calls would succeed.
 #[test]
-fn a_message_is_sent_where_health_checks_stay_unanswered() -> Checked {
-    let mut world = one_endpoint();
+fn sends_message_to_ejected_endpoint_despite_unanswered_health_checks() -> CheckResult {
+    let mut world = world_with_one_endpoint();
     fail_until_ejected(&mut world)?;
     for _ in 0..3 {
         world.advance(2_000 * MS)?;
@@ -84,9 +84,9 @@
 }
 
 #[test]
-fn a_returning_endpoint_gets_this_forwarders_part_of_the_slow_start_budget() -> Checked {
-    let mut world = one_endpoint();
-    deliver_for(&mut world, 3)?;
+fn limits_calls_to_returning_endpoint_to_forwarder_share_of_slow_start_budget() -> CheckResult {
+    let mut world = world_with_one_endpoint();
+    deliver_for_seconds(&mut world, 3)?;
     fail_until_ejected(&mut world)?;
     world.advance(3_000 * MS)?;
     world.end_health_check(Outcome::Delivered)?;
@@ -106,9 +106,9 @@
 }
 
 #[test]
-fn an_endpoint_whose_calls_stay_unanswered_is_ejected() -> Checked {
-    let mut world = one_endpoint();
-    deliver_for(&mut world, 5)?;
+fn ejects_endpoint_that_leaves_calls_unanswered() -> CheckResult {
+    let mut world = world_with_one_endpoint();
+    deliver_for_seconds(&mut world, 5)?;
     world.submit_many(3, IDEMPOTENT, 0)?;
     world.advance(1_500 * MS)?;
     assert!(world.has_logged("unanswered"));
@@ -117,8 +117,8 @@
 
 /// Idle connections of hundreds of forwarders fill the connection table of a small endpoint.
 #[test]
-fn idle_connections_are_closed_once_a_connection_was_refused() -> Checked {
-    let mut world = one_endpoint();
+fn closes_idle_connections_after_refused_connection() -> CheckResult {
+    let mut world = world_with_one_endpoint();
     let close_idle = Action::CloseIdleConnections {
         endpoint: endpoint(1),
     };
--- a/tests/rules/pacing.rs
+++ b/tests/rules/pacing.rs
@@ -6,7 +6,7 @@
 /// If each of many forwarders grew its rate by the whole listed rate, a third of all calls would be
 /// rejected.
 #[test]
-fn the_rate_of_calls_grows_by_the_even_share_of_a_forwarder() -> Checked {
+fn grows_call_rate_by_even_share_of_forwarder() -> CheckResult {
     let config = Config {
         fleet_size: 10,
         concurrency_limit: 100,
--- a/tests/rules/repeats.rs
+++ b/tests/rules/repeats.rs
@@ -1,12 +1,12 @@
 //! Whether a message that may have taken effect is sent again.
 
 use super::common::*;
-use super::support::one_endpoint;
+use super::support::world_with_one_endpoint;
 use opalpulley::*;
 
 #[test]
-fn a_keyed_message_is_not_repeated_outside_its_window() -> Checked {
-    let mut world = one_endpoint();
+fn does_not_repeat_keyed_message_outside_deduplication_window() -> CheckResult {
+    let mut world = world_with_one_endpoint();
     let keyed = world.submit(IDEMPOTENCY_KEYED, 0)?;
     world.advance(1_000 * MS)?;
     world.end_attempt(keyed, Outcome::ConnectionReset)?;
@@ -17,14 +17,14 @@
     };
     world.end_attempt(rejected, outcome)?;
     world.advance(2_500 * MS)?;
-    assert!(world.has_failed(keyed) && world.attempts(keyed) == 1);
+    assert!(world.has_failed(keyed) && world.attempt_count(keyed) == 1);
     Ok(())
 }
 
 #[test]
-fn an_at_most_once_message_that_may_have_taken_effect_fails() -> Checked {
+fn fails_at_most_once_message_after_possible_effect() -> CheckResult {
     for outcome in [Outcome::Error, Outcome::ConnectionReset, Outcome::Timeout] {
-        let mut world = one_endpoint();
+        let mut world = world_with_one_endpoint();
         let id = world.submit(AT_MOST_ONCE, 0)?;
         world.end_attempt(id, outcome)?;
         assert!(world.has_failed(id), "{outcome:?}");
--- a/tests/rules/retries.rs
+++ b/tests/rules/retries.rs
@@ -4,7 +4,7 @@
 use opalpulley::*;
 
 #[test]
-fn the_backoff_doubles_up_to_a_quarter_of_the_time_to_live() -> Checked {
+fn doubles_backoff_up_to_quarter_of_time_to_live() -> CheckResult {
     let list = (1..7).map(|n| listed_endpoint(n, 0, 200.0)).collect();
     let mut world = World::new(config(), list);
     let id = world.submit(IDEMPOTENT, 0)?;
@@ -12,15 +12,15 @@
     for _ in 0..5 {
         failed_at.push(world.now);
         world.end_attempt(id, Outcome::Error)?;
-        while world.attempts(id) == failed_at.len() {
+        while world.attempt_count(id) == failed_at.len() {
             world.advance(5 * MS)?;
         }
     }
-    let sent_at = world.sent_at(id);
+    let sent_at = world.attempts_sent_at(id);
     let backoffs = [100, 200, 400, 800, 1_600].map(|ms| ms * MS);
     assert!(sent_at.len() > backoffs.len(), "too few attempts");
-    for (number, backoff) in backoffs.into_iter().enumerate() {
-        let waited = sent_at[number + 1] - failed_at[number];
+    for (index, backoff) in backoffs.into_iter().enumerate() {
+        let waited = sent_at[index + 1] - failed_at[index];
         assert!(
             waited >= backoff && waited <= backoff * 3 / 2 + 20 * MS,
             "waited {waited} µs, at least {backoff} µs"
--- a/tests/rules/retry_after.rs
+++ b/tests/rules/retry_after.rs
@@ -2,15 +2,17 @@
 //! begins.
 
 use super::common::*;
-use super::support::{deliver_for, one_endpoint, two_independent_endpoints};
+use super::support::{
+    deliver_for_seconds, world_with_independent_endpoints, world_with_one_endpoint,
+};
 use opalpulley::*;
 use std::collections::BTreeMap;
 
 #[test]
-fn a_retry_after_pauses_the_destination_or_only_an_endpoint_with_its_own_limit() -> Checked {
+fn pauses_destination_or_only_endpoint_with_independent_limit_on_retry_after() -> CheckResult {
     let list = vec![listed_endpoint(1, 0, 20.0), listed_endpoint(2, 0, 20.0)];
     let shared_limit = World::new(config(), list);
-    let own_limits = two_independent_endpoints(config());
+    let own_limits = world_with_independent_endpoints(config());
     for (mut world, pauses_both) in [(shared_limit, true), (own_limits, false)] {
         let rejected = world.submit(IDEMPOTENT, 0)?;
         let outcome = Outcome::Rejected {
@@ -19,16 +21,16 @@
         world.end_attempt(rejected, outcome)?;
         let second = world.submit(IDEMPOTENT, 0)?;
         world.advance(1_000 * MS)?;
-        assert_eq!(world.attempts(second) == 0, pauses_both);
+        assert_eq!(world.attempt_count(second) == 0, pauses_both);
         world.advance(1_000 * MS)?;
-        assert_eq!(world.attempts(second), 1);
+        assert_eq!(world.attempt_count(second), 1);
     }
     Ok(())
 }
 
 #[test]
-fn a_pause_beyond_the_deadline_ends_the_message_at_once() -> Checked {
-    let mut world = one_endpoint();
+fn completes_message_at_once_if_pause_exceeds_deadline() -> CheckResult {
+    let mut world = world_with_one_endpoint();
     let rejected = world.submit(IDEMPOTENT, 0)?;
     let second = world.submit_with_time_left(IDEMPOTENT, 0, 3_000 * MS)?;
     let outcome = Outcome::Rejected {
@@ -36,7 +38,7 @@
     };
     world.end_attempt(rejected, outcome)?;
     world.advance(50 * MS)?;
-    assert!(world.messages[second].completed || world.attempts(second) > 0);
+    assert!(world.messages[second].completed || world.attempt_count(second) > 0);
     let third = world.submit_with_time_left(IDEMPOTENT, 0, 3_000 * MS)?;
     world.advance(50 * MS)?;
     // It was never sent, so it is rejected and does not fail.
@@ -50,22 +52,22 @@
 
 /// An answer's head may ask for a pause before the answer ends, or before the connection breaks.
 #[test]
-fn a_retry_after_counts_even_if_the_rest_of_its_answer_is_lost() -> Checked {
-    let mut world = one_endpoint();
+fn honours_retry_after_if_rest_of_response_is_lost() -> CheckResult {
+    let mut world = world_with_one_endpoint();
     let first = world.submit(IDEMPOTENT, 0)?;
     world.receive_retry_after(first, 900 * MS)?;
     world.submit(IDEMPOTENT, 0)?;
     world.advance(100 * MS)?;
     world.end_attempt(first, Outcome::ConnectionReset)?;
     world.advance(750 * MS)?;
-    assert!(world.messages.in_flight().is_empty());
+    assert!(world.messages.ids_in_flight().is_empty());
     world.advance(2_000 * MS)?;
-    assert!(!world.messages.in_flight().is_empty());
+    assert!(!world.messages.ids_in_flight().is_empty());
     Ok(())
 }
 
 /// Two endpoints of destination 0 and one of destination 1, with one attempt a message.
-fn three_endpoints(independent_limits: bool) -> World {
+fn world_with_three_endpoints(independent_limits: bool) -> World {
     let config = Config {
         endpoint_kinds: vec![endpoint_kind(independent_limits)],
         max_attempts: 1,
@@ -87,11 +89,11 @@
 /// not follow, so the attempt is withdrawn, and the message may be sent again even if it had one
 /// attempt only.
 #[test]
-fn a_pause_or_a_drain_withdraws_unsent_attempts_which_do_not_count() -> Checked {
+fn withdraws_unsent_attempts_without_counting_them_on_pause_or_drain() -> CheckResult {
     for independent_limits in [false, true] {
-        let mut world = three_endpoints(independent_limits);
+        let mut world = world_with_three_endpoints(independent_limits);
         // Once answer times are known, the calls are spread over the endpoints.
-        deliver_for(&mut world, 1)?;
+        deliver_for_seconds(&mut world, 1)?;
         let mut by_endpoint = BTreeMap::new();
         for destination in [0, 0, 0, 0, 1] {
             let id = world.submit(AT_MOST_ONCE, destination)?;
@@ -110,17 +112,20 @@
             [true, !independent_limits, false]
         );
         let entry = listed_endpoint(3, 1, 200.0);
-        world.report_change(with_status(entry, EndpointStatus::Draining))?;
+        world.report_entry_change(with_status(entry, EndpointStatus::Draining))?;
         assert!(has_withdrawn_unsent(&world, 3));
 
         // The only attempt was not sent. It is repeated after the pause, at the latest a pacing
         // interval later.
         world.end_attempt(withdrawn, Outcome::WithdrawnBeforeSend)?;
         world.advance(if independent_limits { 0 } else { 690 * MS })?;
-        assert_eq!(world.attempts(withdrawn), usize::from(independent_limits));
+        assert_eq!(
+            world.attempt_count(withdrawn),
+            usize::from(independent_limits)
+        );
         world.advance(200 * MS)?;
         assert_eq!(
-            (world.attempts(withdrawn), world.has_failed(withdrawn)),
+            (world.attempt_count(withdrawn), world.has_failed(withdrawn)),
             (1, false)
         );
     }
--- a/tests/rules/selection.rs
+++ b/tests/rules/selection.rs
@@ -1,21 +1,21 @@
 //! Which message is sent next, and which endpoint gets it.
 
 use super::common::*;
-use super::support::two_independent_endpoints;
+use super::support::world_with_independent_endpoints;
 use opalpulley::*;
 
 /// The first message may have taken effect in the dearer zone and must be repeated there. The
 /// second one may go to the other zone.
 #[test]
-fn a_message_for_one_endpoint_does_not_block_the_queue_for_another() -> Checked {
+fn message_bound_to_one_endpoint_does_not_block_queue_for_another() -> CheckResult {
     let mut config = config();
     config.classes[1].semantics = DeliverySemantics::IdempotencyKeyed {
         scope: DeduplicationScope::Zone,
         window: 8_000 * MS,
     };
-    let mut world = two_independent_endpoints(config);
+    let mut world = world_with_independent_endpoints(config);
     let second_endpoint = listed_endpoint(2, 0, 20.0);
-    world.report_change(with_status(
+    world.report_entry_change(with_status(
         second_endpoint.clone(),
         EndpointStatus::Draining,
     ))?;
@@ -24,10 +24,13 @@
     world.end_attempt(bound_to_zone, Outcome::ConnectionReset)?;
     world.report_list(EndpointListUpdate::Complete(vec![second_endpoint]))?;
     world.advance(500 * MS)?;
-    let free = world.submit(IDEMPOTENCY_KEYED, 0)?;
+    let unbound = world.submit(IDEMPOTENCY_KEYED, 0)?;
     world.advance(100 * MS)?;
     assert_eq!(
-        (world.attempts(bound_to_zone), world.attempts(free)),
+        (
+            world.attempt_count(bound_to_zone),
+            world.attempt_count(unbound)
+        ),
         (1, 1)
     );
     Ok(())
@@ -36,17 +39,20 @@
 /// A message submitted with far less time left than usual is wanted now. It must not count as late
 /// already.
 #[test]
-fn a_message_with_little_time_left_is_sent_first() -> Checked {
+fn sends_message_with_little_time_left_first() -> CheckResult {
     let mut config = config();
     config.concurrency_limit = 1;
     config.classes[0].late_weight_share = 0.1;
     let mut world = World::new(config, vec![listed_endpoint(1, 0, 20.0)]);
     world.advance(9_000 * MS)?;
     let first = world.submit(IDEMPOTENT, 0)?;
-    let usual = world.submit(IDEMPOTENT, 0)?;
+    let not_urgent = world.submit(IDEMPOTENT, 0)?;
     let urgent = world.submit_with_time_left(IDEMPOTENT, 0, 600 * MS)?;
     world.advance(100 * MS)?;
     world.end_attempt(first, Outcome::Delivered)?;
-    assert_eq!((world.attempts(usual), world.attempts(urgent)), (0, 1));
+    assert_eq!(
+        (world.attempt_count(not_urgent), world.attempt_count(urgent)),
+        (0, 1)
+    );
     Ok(())
 }
--- a/tests/rules/support.rs
+++ b/tests/rules/support.rs
@@ -4,12 +4,12 @@
 use opalpulley::*;
 
 /// A destination with one endpoint.
-pub fn one_endpoint() -> World {
+pub fn world_with_one_endpoint() -> World {
     World::new(config(), vec![listed_endpoint(1, 0, 20.0)])
 }
 
 /// A destination with two endpoints, each in a zone and with a limit of its own.
-pub fn two_independent_endpoints(config: Config) -> World {
+pub fn world_with_independent_endpoints(config: Config) -> World {
     let config = Config {
         endpoint_kinds: vec![endpoint_kind(true)],
         ..config
@@ -19,11 +19,11 @@
 }
 
 /// Delivers five messages a second for so many seconds.
-pub fn deliver_for(world: &mut World, seconds: u64) -> Checked {
+pub fn deliver_for_seconds(world: &mut World, seconds: u64) -> CheckResult {
     for _ in 0..seconds * 5 {
         let id = world.submit(IDEMPOTENT, 0)?;
         world.advance(100 * MS)?;
-        if world.messages.in_flight().contains(&id) {
+        if world.messages.ids_in_flight().contains(&id) {
             world.end_attempt(id, Outcome::Delivered)?;
         }
         world.advance(100 * MS)?;
@@ -32,7 +32,7 @@
 }
 
 /// Submits messages and fails every attempt until the endpoint is ejected.
-pub fn fail_until_ejected(world: &mut World) -> Checked {
+pub fn fail_until_ejected(world: &mut World) -> CheckResult {
     for _ in 0..40 {
         if world.has_ejected() {
             return Ok(());
--- a/tests/slow_start_fleet/budget.rs
+++ b/tests/slow_start_fleet/budget.rs
@@ -19,9 +19,9 @@
     /// When the destination returns.
     returns_at: Micros,
     /// Those since the return, within the last overload window.
-    window: VecDeque<Call>,
+    recent_calls: VecDeque<Call>,
     /// The largest part of the limit that the calls of one window made up.
-    pub largest_part: f64,
+    pub max_limit_share: f64,
     /// The first window beyond the limit, in words.
     pub first_excess: Option<String>,
 }
@@ -32,8 +32,8 @@
             rules,
             capacity,
             returns_at,
-            window: VecDeque::new(),
-            largest_part: 0.0,
+            recent_calls: VecDeque::new(),
+            max_limit_share: 0.0,
             first_excess: None,
         }
     }
@@ -48,51 +48,52 @@
     ///
     /// A window counts only if more than two thirds of its calls come from such forwarders: the
     /// others can't know that the destination warms up.
-    pub fn count(&mut self, now: Micros, forwarder: usize, saw_failure: &[bool]) {
+    pub fn record_call(&mut self, now: Micros, forwarder: usize, saw_failure: &[bool]) {
         if !(self.returns_at..self.warm_at()).contains(&now) {
             return;
         }
-        self.forget_before(now);
-        self.window.push_back(Call {
+        self.remove_expired(now);
+        self.recent_calls.push_back(Call {
             sent_at: now,
             forwarder,
         });
-        let calls = self.window.len();
-        let knowing = self
-            .window
+        let calls = self.recent_calls.len();
+        let informed_calls = self
+            .recent_calls
             .iter()
             .filter(|call| saw_failure[call.forwarder])
             .count();
-        if 3 * knowing <= 2 * calls {
+        if 3 * informed_calls <= 2 * calls {
             return;
         }
-        let allowed = self.allowed(now);
+        let allowed_calls = self.allowed_calls(now);
         // Two standard deviations of a Poisson count, and two calls for rounding.
-        let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
-        self.largest_part = self.largest_part.max(calls as f64 / limit);
+        let limit = allowed_calls + 2.0 * allowed_calls.sqrt() + 2.0;
+        self.max_limit_share = self.max_limit_share.max(calls as f64 / limit);
         if calls as f64 > limit && self.first_excess.is_none() {
-            let after = (now - self.returns_at) / MS;
+            let elapsed_ms = (now - self.returns_at) / MS;
             self.first_excess = Some(format!(
-                "{calls} calls, {allowed:.1} allowed, limit {limit:.1}, {after} ms after the return"
+                "{calls} calls, {allowed_calls:.1} allowed, limit {limit:.1}, {elapsed_ms} ms after the return"
             ));
         }
     }
 
-    fn forget_before(&mut self, now: Micros) {
-        while let Some(oldest) = self.window.front() {
+    fn remove_expired(&mut self, now: Micros) {
+        while let Some(oldest) = self.recent_calls.front() {
             if oldest.sent_at + self.rules.overload_window > now {
                 return;
             }
-            self.window.pop_front();
+            self.recent_calls.pop_front();
         }
     }
 
     /// Calls in one overload window at which the destination does not fall over.
-    fn allowed(&self, now: Micros) -> f64 {
+    fn allowed_calls(&self, now: Micros) -> f64 {
         let rules = &self.rules;
-        let warmth = (now - self.returns_at) as f64 / rules.warm_up_time as f64;
-        let share = rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warmth;
-        let seconds = rules.overload_window as f64 / 1e6;
-        rules.overload_multiple * share * self.capacity * seconds
+        let warm_up_progress = (now - self.returns_at) as f64 / rules.warm_up_time as f64;
+        let capacity_share =
+            rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warm_up_progress;
+        let window_seconds = rules.overload_window as f64 / 1e6;
+        rules.overload_multiple * capacity_share * self.capacity * window_seconds
     }
 }
--- a/tests/slow_start_fleet/main.rs
+++ b/tests/slow_start_fleet/main.rs
@@ -21,27 +21,27 @@
 #[derive(Default)]
 struct SeedReport {
     /// The largest part of the limit that the calls of one window made up.
-    largest_part: f64,
+    max_limit_share: f64,
     /// The cases that exceeded the limit, in words.
-    exceeded: Vec<String>,
+    exceeding_cases: Vec<String>,
 }
 
 impl SeedReport {
-    fn add(&mut self, case: Case) {
+    fn run_case(&mut self, case: Case) {
         let mut fleet = Fleet::new(case);
-        fleet.run();
+        fleet.run_until_warm();
         let budget = &fleet.budget;
         println!(
             "{case:?}: {:.2} of the limit, {} delivered",
-            budget.largest_part, fleet.delivered
+            budget.max_limit_share, fleet.delivered_after_return
         );
         assert!(
-            fleet.delivered > 0,
+            fleet.delivered_after_return > 0,
             "{case:?}: nothing is delivered after the return"
         );
-        self.largest_part = self.largest_part.max(budget.largest_part);
+        self.max_limit_share = self.max_limit_share.max(budget.max_limit_share);
         if let Some(excess) = &budget.first_excess {
-            self.exceeded.push(format!("{case:?}: {excess}"));
+            self.exceeding_cases.push(format!("{case:?}: {excess}"));
         }
     }
 }
@@ -51,7 +51,7 @@
     for may_health_check in [true, false] {
         for capacity in CAPACITIES {
             for submission_rate in SUBMISSION_RATES {
-                report.add(Case {
+                report.run_case(Case {
                     seed,
                     may_health_check,
                     capacity,
@@ -77,29 +77,29 @@
     });
     for report in reports {
         assert!(
-            report.exceeded.is_empty(),
+            report.exceeding_cases.is_empty(),
             "beyond the limit:\n{}",
-            report.exceeded.join("\n")
+            report.exceeding_cases.join("\n")
         );
         assert!(
-            report.largest_part > 0.3,
+            report.max_limit_share > 0.3,
             "the fleet hardly calls: {:.2} of the limit",
-            report.largest_part
+            report.max_limit_share
         );
     }
 }
 
 #[test]
-fn a_destination_that_answered_with_errors_is_not_overloaded_as_it_warms_up() {
+fn fleet_does_not_overload_warming_destination_after_errors() {
     check_all_cases(Fault::Errors);
 }
 
 #[test]
-fn a_destination_that_refused_connections_is_not_overloaded_as_it_warms_up() {
+fn fleet_does_not_overload_warming_destination_after_refused_connections() {
     check_all_cases(Fault::RefusedConnections);
 }
 
 #[test]
-fn a_destination_that_did_not_answer_is_not_overloaded_as_it_warms_up() {
-    check_all_cases(Fault::NoAnswers);
+fn fleet_does_not_overload_warming_destination_after_missing_responses() {
+    check_all_cases(Fault::NoResponses);
 }
