--- a/examples/resident.rs
+++ b/examples/resident.rs
@@ -1,13 +1,13 @@
-//! Measures the resident memory of the core alone.
+//! Measures the resident memory of the decision core alone.
 //!
 //!     cargo run --release --example resident -- DESTINATIONS [FULL]
 //!
 //! DESTINATIONS is the number of destinations, each with one endpoint. FULL is the number of
-//! destinations held in full before idle ones are summarised; without it all are held in full. The
-//! forwarder is one of a fleet of 400.
+//! destinations that are held in full before idle ones are summarised; without it, all destinations
+//! are held in full. The forwarder belongs to a fleet of 400.
 //!
-//! Prints the growth of resident memory after the complete list, after the same list again, and
-//! after 10 s with 200 messages a second to random destinations. The time that each step took is
+//! Prints the growth of the resident memory after the complete list, after the same list again, and
+//! after 10 s with 200 messages a second to random destinations. The duration of each step is
 //! printed for comparison.
 
 use opalpulley::*;
@@ -19,16 +19,17 @@
 
 const MESSAGE_COUNT: u32 = 2_000;
 
-/// µs between two messages: 200 messages a second.
+/// Time between two messages in µs, which gives 200 messages a second.
 const MESSAGE_INTERVAL: Micros = 5_000;
 
-/// µs until a message is delivered.
+/// Time from the start of an attempt to its delivery, in µs.
 const RESPONSE_TIME: Micros = 30_000;
 
-/// µs from the submission of a message to its deadline.
+/// Time from the submission of a message to its deadline, in µs.
 const TIME_TO_LIVE: Micros = 30_000_000;
 
-/// Entries of the list that are reported at a time, so that the list itself is not measured.
+/// Number of list entries that are reported at a time. The list is reported in chunks so that the
+/// memory of the list itself is not measured.
 const LIST_CHUNK_LEN: u32 = 4_096;
 
 fn config(full_destinations: Option<u32>) -> Config {
@@ -71,7 +72,7 @@
     }
 }
 
-/// The list entry of the only endpoint of a destination.
+/// Returns the list entry of the only endpoint of a destination.
 fn endpoint_entry(destination: u32) -> EndpointEntry {
     let [_, a, b, c] = destination.to_be_bytes();
     EndpointEntry {
@@ -89,7 +90,8 @@
     }
 }
 
-/// Resident memory of this process, in bytes.
+/// Returns the resident memory of this process in bytes. Fails if `/proc/self/status` can't be read
+/// or holds no `VmRSS`.
 fn resident_bytes() -> Result<u64, std::io::Error> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status
@@ -104,14 +106,14 @@
     Ok(kilobytes * 1_024)
 }
 
-/// An attempt that is delivered at its time.
+/// An attempt in flight that will be delivered at `delivered_at`, in µs.
 struct AttemptInFlight {
     delivered_at: Micros,
     id: MessageId,
     endpoint: EndpointId,
 }
 
-/// A forwarder, and the attempts that it has sent.
+/// Drives a forwarder and owns its attempts in flight.
 struct Measurement {
     forwarder: Forwarder,
     destinations: u32,
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Ends the attempts whose answer is in.
+    /// Ends the attempts that are delivered by now.
     fn deliver_due(&mut self, now: Micros) {
         let is_due = |attempt: &mut AttemptInFlight| attempt.delivered_at <= now;
         let due: Vec<AttemptInFlight> = self.in_flight.extract_if(.., is_due).collect();
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Handles an event and keeps the attempts that are sent.
+    /// Handles an event and records the attempts that it starts.
     fn handle(&mut self, now: Micros, event: Event) {
         let mut actions = Vec::new();
         self.forwarder.handle(now, event, &mut actions);
@@ -185,13 +187,16 @@
         }
     }
 
-    /// Prints the memory since the start and the time since the last report.
+    /// Prints the growth of the resident memory since the start and the duration of the step.
     fn print_step(&mut self, step: &str) -> Result<(), std::io::Error> {
         let bytes = resident_bytes()?.saturating_sub(self.bytes_before);
         let step_elapsed = self.step_started_at.elapsed();
         let counts = self.forwarder.state_counts();
         let bytes_per_destination = bytes as f64 / f64::from(self.destinations);
-        println!("{step}: {bytes} bytes, {bytes_per_destination:.0} a destination, {step_elapsed:.1?}; {counts:?}");
+        println!(
+            "{step}: {bytes} bytes, {bytes_per_destination:.0} a destination, \
+             {step_elapsed:.1?}; {counts:?}"
+        );
         self.step_started_at = Instant::now();
         Ok(())
     }
@@ -199,7 +204,10 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let mut arguments = std::env::args().skip(1);
-    let destinations = arguments.next().ok_or("how many destinations?")?.parse()?;
+    let destinations = arguments
+        .next()
+        .ok_or("missing argument: DESTINATIONS")?
+        .parse()?;
     let full_destinations = arguments.next().map(|full| full.parse()).transpose()?;
     let mut measurement = Measurement {
         forwarder: Forwarder::new(config(full_destinations), 1),
--- a/tests/common/fixtures.rs
+++ b/tests/common/fixtures.rs
@@ -5,23 +5,24 @@
 /// One millisecond in µs.
 pub const MS: Micros = 1_000;
 
-/// The time to live of every delivery class here, and the time left of a message unless a test says
-/// otherwise.
+/// Time to live of every delivery class in these fixtures, and the time left of a message unless a
+/// test sets another one, in µs.
 pub const TIME_TO_LIVE: Micros = 8_000 * MS;
 
-/// The latency objective of every delivery class here.
+/// Latency objective of every delivery class in these fixtures, in µs.
 pub const LATENCY_OBJECTIVE: Micros = 1_000 * MS;
 
-/// The delivery class of messages that may be repeated.
+/// Index of the delivery class of messages that may be repeated.
 pub const IDEMPOTENT: u16 = 0;
 
-/// The delivery class of messages that may be repeated within a window.
+/// Index of the delivery class of messages that may be repeated within a deduplication window.
 pub const IDEMPOTENCY_KEYED: u16 = 1;
 
-/// The delivery class of messages that may not be repeated.
+/// Index of the delivery class of messages that must not be repeated once they may have taken
+/// effect.
 pub const AT_MOST_ONCE: u16 = 2;
 
-/// The endpoint with this number.
+/// Returns the id of the endpoint with this number, which is the last byte of its address.
 pub fn endpoint(number: u8) -> EndpointId {
     EndpointId {
         address: [10, 0, 0, number],
@@ -30,8 +31,8 @@
     }
 }
 
-/// The list entry of an endpoint that is ready, with a rate in calls per second. Even numbers are
-/// in zone 0, odd ones in zone 1.
+/// Returns the list entry of a ready endpoint with a rate in calls per second. Endpoints with even
+/// numbers are in zone 0, the others in zone 1.
 pub fn listed_endpoint(number: u8, destination: u32, rate: f32) -> EndpointEntry {
     EndpointEntry {
         endpoint: endpoint(number),
@@ -44,12 +45,12 @@
     }
 }
 
-/// The same entry with another status.
+/// Returns the entry with another status.
 pub fn with_status(entry: EndpointEntry, status: EndpointStatus) -> EndpointEntry {
     EndpointEntry { status, ..entry }
 }
 
-/// A delivery class without order keys.
+/// Returns a delivery class that is not ordered.
 pub fn delivery_class(semantics: DeliverySemantics) -> DeliveryClassConfig {
     DeliveryClassConfig {
         semantics,
@@ -61,7 +62,7 @@
     }
 }
 
-/// The kind of endpoints, with one message a call.
+/// Returns an endpoint kind whose calls carry one message each.
 pub fn endpoint_kind(has_independent_limits: bool) -> EndpointKindConfig {
     EndpointKindConfig {
         has_independent_limits,
@@ -69,7 +70,8 @@
     }
 }
 
-/// One of two forwarders, with eight permits and every optional feature on.
+/// Returns the configuration of one of two forwarders, with eight permits and every optional
+/// feature enabled.
 pub fn config() -> Config {
     let keyed = DeliverySemantics::IdempotencyKeyed {
         scope: DeduplicationScope::AllEndpoints,
@@ -118,7 +120,7 @@
     }
 }
 
-/// A submission of the first tenant, which was never submitted before and has no order key.
+/// Returns a submission of the first tenant that was never submitted before and has no order key.
 pub fn submission(id: MessageId, class: u16, destination: u32, time_left: Micros) -> Submission {
     Submission {
         id,
--- a/tests/common/history.rs
+++ b/tests/common/history.rs
@@ -1,7 +1,8 @@
-//! Random histories: a random configuration, then events in orders that are legal but hostile.
+//! Random histories: a random configuration, followed by events in orders that are legal but
+//! unfavourable.
 //!
-//! A seed names one history. The order of the random draws must stay as it is: a change gives every
-//! seed another history.
+//! A seed identifies one history. The order of the random draws must not change, because a change
+//! gives every seed another history.
 
 use super::fixtures::{config, endpoint, listed_endpoint, with_status, MS, TIME_TO_LIVE};
 use super::world::World;
@@ -12,22 +13,22 @@
 
 const ENDPOINT_COUNT: u8 = 6;
 
-/// Time after the last step, in which every message gets its final answer.
+/// Time after the last step in which every message must get its final answer, in µs.
 const FINAL_PAUSE: Micros = 30_000 * MS;
 
-/// How a random history is played.
+/// Options of a random history.
 #[derive(Clone, Copy, Debug)]
 pub struct HistoryOptions {
     pub step_count: usize,
-    /// The longest pause between two steps, in µs.
+    /// Upper bound, exclusive, on the time between two steps, in µs.
     pub max_pause: Micros,
     pub endpoints_per_destination: u8,
-    /// The forwarder's setting of this name.
+    /// Value of `Config::full_destinations`.
     pub full_destinations: Option<u32>,
 }
 
-/// Plays a history with short pauses and two endpoints a destination. Fails with the rule that it
-/// breaks.
+/// Runs a history with less than 200 ms between steps and two endpoints per destination. Fails with
+/// the rule that the history breaks.
 pub fn check_history(seed: u64, step_count: usize) -> CheckResult {
     let options = HistoryOptions {
         step_count,
@@ -39,7 +40,7 @@
     Ok(())
 }
 
-/// Plays a history; returns the world as it is in the end. Fails with the rule that the history
+/// Runs a history and returns the world in its final state. Fails with the rule that the history
 /// breaks.
 pub fn run_history(seed: u64, options: &HistoryOptions) -> CheckResult<World> {
     let mut history = RandomHistory::new(seed, options);
@@ -95,7 +96,7 @@
     max_pause: Micros,
     /// The endpoint list with every endpoint ready.
     list: Vec<EndpointEntry>,
-    /// The chance that an attempt to an endpoint fails.
+    /// Probability that an attempt fails, by endpoint number.
     failure_rates: [f64; ENDPOINT_COUNT as usize],
 }
 
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Submits a message, seldom with next to no time left.
+    /// Submits a message. One in ten has less than 50 ms left.
     fn submit(&mut self) -> CheckResult {
         let rng = &mut self.rng;
         let time_left = if rng.random_bool(0.1) {
@@ -249,8 +250,8 @@
         Ok(())
     }
 
-    /// Receives gossip of any forwarder, in the fleet or not, about a known destination or not,
-    /// whole or cut short.
+    /// Delivers gossip from an arbitrary forwarder, which may be outside the fleet, about a known
+    /// or unknown destination, complete or truncated.
     fn receive_gossip(&mut self) -> CheckResult {
         let mut payload = vec![1, 1, self.rng.random_range(0..4), 0];
         let length = if self.rng.random_bool(0.8) {
@@ -263,7 +264,7 @@
         self.world.receive_gossip(peer, payload)
     }
 
-    /// Reports the end of an attempt that the forwarder knows nothing of.
+    /// Reports the end of an attempt that the forwarder does not know.
     fn end_unknown_attempt(&mut self) -> CheckResult {
         let id = MessageId(self.rng.random_range(0..1_000_000));
         let endpoint = endpoint(self.rng.random_range(0..9));
--- a/tests/common/message_table.rs
+++ b/tests/common/message_table.rs
@@ -1,20 +1,22 @@
-//! The messages that a forwarder was given, with all attempts at them.
+//! The messages of a forwarder with all attempts at them.
 
 use super::CheckResult;
 use opalpulley::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
-/// An attempt at a message.
+/// An attempt at a message, sent or waiting for its connection.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub sent_at: Micros,
     pub endpoint: EndpointId,
     pub times_out_at: Micros,
-    /// How the attempt ends at the next step, because the forwarder cancelled or withdrew it.
+    /// Outcome with which the attempt ends at the next step, set once the forwarder has cancelled
+    /// or withdrawn it.
     pub stop_outcome: Option<Outcome>,
     pub outcome: Option<Outcome>,
-    /// When its bytes are sent, where its connection comes up late. None once they are sent.
+    /// Time at which the bytes will be sent, in µs, for an attempt whose connection is established
+    /// late. `None` once the bytes are sent.
     pub bytes_due_at: Option<Micros>,
 }
 
@@ -28,23 +30,23 @@
     }
 }
 
-/// A message and what became of it.
+/// A message with its attempts and its state.
 #[derive(Clone, Debug)]
 pub struct TrackedMessage {
     pub submission: Submission,
     pub deadline: Micros,
     pub attempts: Vec<Attempt>,
-    /// It was delivered, withdrawn by the client, or got its final answer.
+    /// Set once the message was delivered, withdrawn by its client, or got its final answer.
     pub completed: bool,
 }
 
 impl TrackedMessage {
-    /// The last attempt, if it is not over.
+    /// Returns the last attempt if it is still in flight.
     pub fn attempt_in_flight(&self) -> Option<&Attempt> {
         self.attempts.last().filter(|last| last.is_in_flight())
     }
 
-    /// The first attempt that may have taken effect.
+    /// Returns the first attempt that may have taken effect.
     pub fn first_possible_effect(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
@@ -58,12 +60,13 @@
     }
 }
 
-/// All messages of one run of the forwarder.
+/// All messages of one run of the forwarder, by id.
 #[derive(Default)]
 pub struct MessageTable {
     by_id: BTreeMap<MessageId, TrackedMessage>,
     submission_order: Vec<MessageId>,
-    /// Messages whose final answer is not acknowledged, where order keys wait for that.
+    /// Messages whose final answer is not acknowledged yet. Filled only where an order key is
+    /// released on acknowledgement.
     pub unacknowledged: BTreeSet<MessageId>,
 }
 
@@ -90,29 +93,29 @@
         self.by_id.get_mut(&id).ok_or("unknown message".into())
     }
 
-    /// The last attempt at a message.
+    /// Returns the last attempt at a message. Fails if the message is unknown or has no attempt.
     pub fn last_attempt(&self, id: MessageId) -> CheckResult<&Attempt> {
         let last = self.by_id.get(&id).and_then(|m| m.attempts.last());
-        last.ok_or("no such attempt".into())
+        last.ok_or("no attempt at this message".into())
     }
 
-    /// The last attempt at a message.
+    /// Returns the last attempt at a message. Fails if the message is unknown or has no attempt.
     pub fn last_attempt_mut(&mut self, id: MessageId) -> CheckResult<&mut Attempt> {
         let last = self.by_id.get_mut(&id).and_then(|m| m.attempts.last_mut());
-        last.ok_or("no such attempt".into())
+        last.ok_or("no attempt at this message".into())
     }
 
-    /// All messages, in the order of their ids.
+    /// Returns all messages in the order of their ids.
     pub fn all(&self) -> impl Iterator<Item = &TrackedMessage> {
         self.by_id.values()
     }
 
-    /// All messages, in the order of their ids.
+    /// Returns all messages in the order of their ids.
     pub fn into_all(self) -> impl Iterator<Item = TrackedMessage> {
         self.by_id.into_values()
     }
 
-    /// The messages submitted before this one.
+    /// Returns the messages that were submitted before this one, in the order of submission.
     pub fn submitted_before(&self, id: MessageId) -> impl Iterator<Item = &TrackedMessage> {
         self.submission_order
             .iter()
@@ -120,7 +123,7 @@
             .map(|earlier| &self.by_id[earlier])
     }
 
-    /// The messages with an attempt in flight, in the order of their ids.
+    /// Returns the ids of the messages with an attempt in flight, in ascending order.
     pub fn ids_in_flight(&self) -> Vec<MessageId> {
         self.all()
             .filter(|message| message.attempt_in_flight().is_some())
@@ -132,21 +135,21 @@
         self.all().filter_map(TrackedMessage::attempt_in_flight)
     }
 
-    /// The last attempt at each message, in flight or over.
+    /// Returns the last attempt at each message, whether it is in flight or has ended.
     pub fn last_attempts_mut(&mut self) -> impl Iterator<Item = &mut Attempt> {
         self.by_id
             .values_mut()
             .filter_map(|message| message.attempts.last_mut())
     }
 
-    /// The first message that is not completed.
+    /// Returns the lowest id of a message that is not completed.
     pub fn first_pending_id(&self) -> Option<MessageId> {
         self.all()
             .find(|message| !message.completed)
             .map(|message| message.submission.id)
     }
 
-    /// How many messages are not completed.
+    /// Returns the number of messages that are not completed.
     pub fn pending_count(&self) -> usize {
         self.all().filter(|message| !message.completed).count()
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,11 @@
-//! A forwarder in simulated surroundings, and an oracle that checks the service rules on everything
-//! it does.
+//! Simulates the surroundings of a forwarder and checks the service rules on everything that it
+//! does.
 //!
-//! The oracle knows the service rules and what happened, but nothing of the decision core's state.
-//! A test drives a [`World`]; every step of it fails with the rule that the forwarder broke.
+//! A test drives a [`World`]. After every step, an oracle checks the actions of the forwarder and
+//! fails the step with the rule that was broken. The oracle knows the service rules and the past
+//! events, but no state of the decision core.
 //!
-//! Each test program uses a part of this module, hence the allowance for unused code.
+//! Each test program uses only a part of this module, so unused code is allowed.
 #![allow(dead_code, unused_imports)]
 
 mod fixtures;
@@ -18,5 +19,6 @@
 pub use message_table::{Attempt, MessageTable, TrackedMessage};
 pub use world::World;
 
-/// The result of a step. The error says which rule was broken, when and by what.
+/// Result of a step of the simulation. The error names the rule that was broken, the time and the
+/// action that broke it.
 pub type CheckResult<T = ()> = Result<T, String>;
--- a/tests/common/oracle.rs
+++ b/tests/common/oracle.rs
@@ -1,4 +1,4 @@
-//! The service rules, checked on what a forwarder does.
+//! Checks the service rules on the actions of a forwarder.
 
 mod endpoint_record;
 mod sending;
@@ -9,21 +9,22 @@
 use opalpulley::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What shares a limit and a retry-after: a destination, or one of its endpoints where they have
-/// limits of their own.
+/// The scope of a limit and of a retry-after: a whole destination, or one of its endpoints where
+/// endpoints have independent limits.
 type Route = (DestinationId, Option<EndpointId>);
 
-/// What happened so far, as far as the rules depend on it.
+/// Records the past events on which the service rules depend. Owned by the world.
 pub struct Oracle {
     config: Config,
-    /// The last entry of each endpoint in the endpoint list.
+    /// Last entry of each endpoint in the endpoint list.
     entries: BTreeMap<EndpointId, EndpointEntry>,
-    /// Endpoints that drain or have left the list, each with the time since when.
+    /// Endpoints that drain or have left the list, with the time in µs at which the drain began or
+    /// the endpoint left.
     leaving_since: BTreeMap<EndpointId, Micros>,
-    /// The end of the retry-after pause of each route.
+    /// End of the retry-after pause of each route, in µs.
     paused_until: BTreeMap<Route, Micros>,
-    /// Until when no next message of a key may begin, because an attempt ended without a clear
-    /// outcome.
+    /// Time in µs before which the next message of an order key must not be sent, because an
+    /// attempt at the previous one ended without a clear outcome.
     key_settles_at: BTreeMap<OrderKey, Micros>,
     endpoint_records: BTreeMap<EndpointId, EndpointRecord>,
 }
@@ -40,17 +41,17 @@
         }
     }
 
-    /// The last entry of every endpoint that was ever listed.
+    /// Returns the last entry of every endpoint that was ever listed.
     pub fn entries(&self) -> Vec<EndpointEntry> {
         self.entries.values().cloned().collect()
     }
 
-    /// The zone of an endpoint, if it was ever listed.
+    /// Returns the zone of an endpoint, or `None` if it was never listed.
     pub fn zone(&self, endpoint: EndpointId) -> Option<ZoneId> {
         self.entries.get(&endpoint).map(|entry| entry.zone)
     }
 
-    /// The key by which a message keeps its order.
+    /// Returns the order key of a message whose delivery class is ordered.
     pub fn order_key(&self, message: &TrackedMessage) -> Option<OrderKey> {
         let is_ordered = self.class(message).ordered;
         message.submission.order_key.filter(|_| is_ordered)
@@ -69,7 +70,7 @@
         (destination, has_own_limit.then_some(endpoint))
     }
 
-    /// Notes what the endpoint list says.
+    /// Records an update of the endpoint list.
     pub fn observe_list(&mut self, now: Micros, update: &EndpointListUpdate) {
         let (entries, is_complete) = match update {
             EndpointListUpdate::Changes(entries) => (entries, false),
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Notes the endpoints that are missing in a complete list.
+    /// Records the endpoints that are missing from a complete list as having left.
     fn observe_unlisted(&mut self, now: Micros, entries: &[EndpointEntry]) {
         let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
         for endpoint in self.entries.keys() {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Notes a retry-after that an endpoint asked for.
+    /// Records a retry-after that an endpoint sent.
     pub fn observe_retry_after(
         &mut self,
         now: Micros,
@@ -113,25 +114,25 @@
         *paused_until = (*paused_until).max(now + retry_after);
     }
 
-    /// Notes how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn observe_outcome(&mut self, now: Micros, attempt: &Attempt, outcome: Outcome) {
         let has_batches = self.has_batches();
         let record = self.endpoint_records.entry(attempt.endpoint).or_default();
         record.observe_outcome(now, attempt.sent_at, outcome, has_batches);
     }
 
-    /// Notes that an attempt at a message of this key ended without a clear outcome.
+    /// Records that an attempt at a message of this key ended without a clear outcome.
     pub fn observe_unclear_outcome(&mut self, now: Micros, key: OrderKey) {
         let settles_at = now + self.config.rules.order_settle_time;
         let current = self.key_settles_at.entry(key).or_default();
         *current = settles_at.max(*current);
     }
 
-    /// Rule: a message gets one final answer, and a message that may have taken effect is not given
-    /// back to its client.
+    /// Rule: a message gets exactly one final answer, and a message that may have taken effect is
+    /// not rejected unless a repeat by its client is harmless.
     pub fn check_final_answer(&self, message: &TrackedMessage, answer: &Action) -> CheckResult {
         if message.completed {
-            return Err("a second final answer".into());
+            return Err("the message gets a second final answer".into());
         }
         let may_have_taken_effect =
             message.attempt_in_flight().is_some() || message.first_possible_effect().is_some();
@@ -145,12 +146,12 @@
         if is_repeatable || matches!(answer, Action::Fail { .. }) {
             Ok(())
         } else {
-            Err("rejected though it may have taken effect".into())
+            Err("the message is rejected though it may have taken effect".into())
         }
     }
 
-    /// Rule: no more calls are in flight than there are permits. Messages sent together in a batch
-    /// are one call.
+    /// Rule: the number of calls in flight does not exceed the number of permits. Messages that are
+    /// sent together in a batch are one call.
     pub fn check_permits(&self, messages: &MessageTable) -> CheckResult {
         let calls = if self.has_batches() {
             let calls: BTreeSet<(EndpointId, Micros)> = messages
@@ -165,11 +166,11 @@
         if calls <= permits as usize {
             Ok(())
         } else {
-            Err(format!("{calls} calls in flight, {permits} permits"))
+            Err(format!("{calls} calls in flight exceed {permits} permits"))
         }
     }
 
-    /// Rule: every message gets its final answer by its deadline, with some slack.
+    /// Rule: every message gets its final answer by its deadline plus `answer_slack`.
     pub fn check_deadlines(&self, now: Micros, messages: &MessageTable) -> CheckResult {
         let slack = self.config.rules.answer_slack;
         let mut pending = messages.all().filter(|message| !message.completed);
--- a/tests/common/oracle/endpoint_record.rs
+++ b/tests/common/oracle/endpoint_record.rs
@@ -1,34 +1,34 @@
-//! The health of one endpoint as the rules see it, and the rule on calls to an endpoint that
-//! returns from an outage.
+//! The health of one endpoint as the service rules define it, and the rule on calls to an endpoint
+//! that returns from an outage.
 
 use super::super::CheckResult;
 use opalpulley::*;
 use std::collections::BTreeSet;
 
-/// Failures in a row from which an endpoint counts as failing.
+/// Number of consecutive failed calls at which an endpoint counts as failing.
 const OUTAGE_FAILURE_THRESHOLD: u32 = 3;
 
-/// Calls beyond the budget that are allowed: what chance and rounding may add.
+/// Calls beyond the slow-start budget that are tolerated, because chance and rounding may add them.
 const SLACK_CALLS: f64 = 2.0;
 
-/// What happened at one endpoint.
+/// Tracks the calls to one endpoint and its health. Owned by the oracle.
 #[derive(Default)]
 pub struct EndpointRecord {
-    /// Calls that failed in a row.
+    /// Number of consecutive failed calls.
     consecutive_failures: u32,
-    /// When the calls were sent whose outcome was counted.
+    /// Times in µs at which the calls were sent whose outcome was counted.
     counted_calls_sent_at: BTreeSet<Micros>,
     is_failing: bool,
-    /// Since when the forwarder knows whether the endpoint fails.
+    /// Time in µs since which the forwarder knows whether the endpoint fails.
     state_known_since: Micros,
-    /// The first answer after an outage.
+    /// Time in µs of the first response after an outage.
     returned_at: Option<Micros>,
-    /// When calls and health checks were sent, within the last overload window.
+    /// Times in µs at which calls and health checks were sent within the last overload window.
     calls_sent_at: Vec<Micros>,
 }
 
 impl EndpointRecord {
-    /// Counts the outcome of a call. Messages sent together in a batch count once.
+    /// Counts the outcome of a call. Messages that were sent together in a batch count once.
     pub fn observe_outcome(
         &mut self,
         now: Micros,
@@ -60,11 +60,11 @@
         }
     }
 
-    /// Counts a call or a health check that is sent now.
+    /// Counts a call or a health check that is sent now, and checks the slow-start budget.
     ///
     /// Rule: to an endpoint that fails or warms up, the forwarder sends no more than its part of
-    /// the fleet's slow-start budget, plus the calls in flight before the outage was known. `rate`
-    /// is in calls per second.
+    /// the fleet's slow-start budget. Calls do not count if they were sent before the forwarder
+    /// knew that the endpoint fails or has returned. `rate` is in calls per second.
     pub fn check_slow_start(
         &mut self,
         now: Micros,
@@ -90,13 +90,14 @@
         let calls = self.calls_sent_at.iter().filter(is_since_known).count();
         if calls as f64 > limit {
             return Err(format!(
-                "{calls} calls to an endpoint that warms up, at most {limit}"
+                "{calls} calls to an endpoint that fails or warms up, expected at most {limit}"
             ));
         }
         Ok(())
     }
 
-    /// How far an endpoint that fails or warms up has come, from 0 to 1. None if it is warm.
+    /// Returns the progress of the warm-up from 0 to 1, which is 0 while the endpoint fails, or
+    /// `None` if the endpoint is warm.
     fn warm_up_progress(&self, now: Micros, rules: &ServiceRuleConfig) -> Option<f64> {
         if self.is_failing {
             return Some(0.0);
--- a/tests/common/oracle/sending.rs
+++ b/tests/common/oracle/sending.rs
@@ -1,4 +1,4 @@
-//! The rules on when a message, a call or a health check may be sent, and where to.
+//! The rules on the time and the receiving endpoint of an attempt, a call or a health check.
 
 use super::super::message_table::{MessageTable, TrackedMessage};
 use super::super::CheckResult;
@@ -6,7 +6,7 @@
 use opalpulley::*;
 
 impl Oracle {
-    /// The rules on an attempt at a message that is about to be sent.
+    /// Checks all rules on an attempt at a message that is about to be sent.
     pub fn check_attempt(
         &mut self,
         now: Micros,
@@ -24,28 +24,31 @@
         self.check_call(now, endpoint)
     }
 
-    /// Rule: one attempt at a time, up to the limit, until the message is completed.
+    /// Rule: a message has at most one attempt in flight and at most `max_attempts` in all, and
+    /// none after it is completed.
     fn check_attempts_left(&self, message: &TrackedMessage) -> CheckResult {
         let max_attempts = self.config.max_attempts as usize;
         if message.completed || message.attempts.len() >= max_attempts {
-            return Err(format!("completed, or out of attempts: {message:?}"));
+            return Err(format!(
+                "the message is completed or has no attempts left: {message:?}"
+            ));
         }
         if message.attempt_in_flight().is_some() {
-            return Err("an attempt is still in flight".into());
+            return Err("an attempt at the message is still in flight".into());
         }
         Ok(())
     }
 
-    /// Rule: a message goes to an endpoint of its destination.
+    /// Rule: a message is sent to an endpoint of its destination.
     fn check_destination(&self, message: &TrackedMessage, endpoint: EndpointId) -> CheckResult {
         match self.entries.get(&endpoint) {
             Some(entry) if entry.destination == message.submission.destination => Ok(()),
-            _ => Err("no endpoint of its destination".into()),
+            _ => Err("the endpoint does not belong to the destination of the message".into()),
         }
     }
 
-    /// Rule: a message that may have taken effect is repeated only where a repeat is dropped or
-    /// harmless.
+    /// Rule: a message that may have taken effect is sent again only where the repeat is
+    /// deduplicated or harmless.
     fn check_repeat(
         &self,
         now: Micros,
@@ -67,12 +70,12 @@
         if is_allowed {
             Ok(())
         } else {
-            Err(format!("might take effect twice: {message:?}"))
+            Err(format!("the message might take effect twice: {message:?}"))
         }
     }
 
-    /// Rule: messages of one key are sent one at a time, in the order of submission, with a pause
-    /// after an unclear outcome.
+    /// Rule: messages of one order key are sent one at a time and in the order of submission, with
+    /// a pause after an attempt without a clear outcome.
     fn check_order(
         &self,
         now: Micros,
@@ -87,18 +90,23 @@
             let has_ended = earlier.completed && earlier.attempt_in_flight().is_none();
             let is_acknowledged = !messages.unacknowledged.contains(&earlier.submission.id);
             if !has_ended || !is_acknowledged {
-                return Err("an earlier message of its key is not over".into());
+                return Err(
+                    "an earlier message of the order key has not ended or is not acknowledged"
+                        .into(),
+                );
             }
         }
         let settles_at = self.key_settles_at.get(&key);
         if message.attempts.is_empty() && settles_at.is_some_and(|at| now < *at) {
-            return Err("its key settles after an unclear outcome".into());
+            return Err(
+                "the order key still settles after an attempt without a clear outcome".into(),
+            );
         }
         Ok(())
     }
 
-    /// The rules on a call or a health check to an endpoint, at the moment when the forwarder
-    /// decides on it.
+    /// Checks the rules on a call or a health check to an endpoint, at the time at which the
+    /// forwarder decides on it.
     pub fn check_call(&mut self, now: Micros, endpoint: EndpointId) -> CheckResult {
         self.check_endpoint_accepts_calls(now, endpoint)?;
         let rate = self.entries[&endpoint].rate;
@@ -107,19 +115,19 @@
         record.check_slow_start(now, rate, has_batches, &self.config)
     }
 
-    /// Rule: nothing is sent to an endpoint that drains or has left, after a grace, nor during a
-    /// retry-after pause. The rule holds when a call is decided on and again when its bytes are
-    /// sent.
+    /// Rule: nothing is sent to an endpoint later than `drain_grace` after it began to drain or
+    /// left the list, nor during a retry-after pause. The rule binds when the forwarder decides on
+    /// a call and again when the bytes of the call are sent.
     pub fn check_endpoint_accepts_calls(&self, now: Micros, endpoint: EndpointId) -> CheckResult {
         let drain_grace = self.config.rules.drain_grace;
         let leaving_since = self.leaving_since.get(&endpoint);
         if leaving_since.is_some_and(|since| now > since + drain_grace) {
-            return Err("the endpoint drains or has left".into());
+            return Err("the endpoint drains or has left the list".into());
         }
         let route = self.route(self.entries[&endpoint].destination, endpoint);
         let paused_until = self.paused_until.get(&route);
         if paused_until.is_some_and(|until| now < *until) {
-            return Err("in a retry-after pause".into());
+            return Err("a retry-after pause is in force".into());
         }
         Ok(())
     }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -1,5 +1,4 @@
-//! One forwarder in simulated surroundings: a clock, timers, clients, endpoints and the endpoint
-//! list.
+//! A simulated world round one forwarder: clock, timers, clients, endpoints and endpoint list.
 
 mod actions;
 mod clock;
@@ -11,37 +10,39 @@
 use opalpulley::*;
 use std::collections::BTreeSet;
 
-/// When a world begins, in µs.
+/// Simulated time at which a world begins, in µs.
 const START_TIME: Micros = 1_000_000;
 
-/// A forwarder and all that it deals with. Each step is checked by the oracle.
+/// Owns a forwarder and simulates everything that it communicates with. The oracle checks every
+/// step.
 pub struct World {
     pub now: Micros,
     pub config: Config,
     pub forwarder: Forwarder,
     pub messages: MessageTable,
-    /// The actions of this run of the forwarder.
+    /// Actions of the current run of the forwarder.
     pub actions: Vec<Action>,
-    /// The actions of its previous runs.
+    /// Actions of all previous runs of the forwarder.
     pub earlier_actions: Vec<Action>,
-    /// Health checks in flight.
+    /// Endpoints with a health check in flight, in the order of sending.
     pub health_checks_in_flight: Vec<EndpointId>,
-    /// How late the connections of the next attempts come up; 0 if they are up already.
+    /// Delay until the connection of a new attempt is established, in µs; 0 if it is established
+    /// already.
     pub connect_delay: Micros,
     oracle: Oracle,
     timers: BTreeSet<(Micros, TimerToken)>,
     last_message_id: u32,
-    /// Destinations that previous runs restored from summaries.
+    /// Number of destinations that previous runs restored from summaries.
     restored_in_previous_runs: u64,
 }
 
 impl World {
-    /// A forwarder that has just started with this list.
+    /// Creates a world whose forwarder has just started with the given endpoint list.
     pub fn new(config: Config, list: Vec<EndpointEntry>) -> World {
         let mut world = World::without_list(config);
         world
             .report_list(EndpointListUpdate::Cached(list))
-            .expect("the first list breaks no rule");
+            .expect("the first endpoint list must not break a rule");
         world
     }
 
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The process crashes and starts again without a journal: it owes no answers any more.
+    /// Simulates a crash and a start without a journal: the new run owes no final answers.
     pub fn restart_without_journal(&mut self) -> CheckResult {
         let cached_list = EndpointListUpdate::Cached(self.oracle.entries());
         let mut earlier_actions = std::mem::take(&mut self.earlier_actions);
@@ -78,8 +79,8 @@
         self.report_list(cached_list)
     }
 
-    /// The process ends and starts again with its journal: it owes every pending message a final
-    /// answer.
+    /// Simulates the end of the process and a start with its journal: the new run owes every
+    /// pending message a final answer.
     pub fn restart_with_journal(&mut self) -> CheckResult {
         let messages = std::mem::take(&mut self.messages);
         self.restart_without_journal()?;
@@ -91,7 +92,7 @@
         Ok(())
     }
 
-    /// Submits a message of the previous run again, with what its journal says of the attempts.
+    /// Submits a message of the previous run again, with the attempts that its journal holds.
     fn resubmit(&mut self, mut message: TrackedMessage) -> CheckResult {
         if let Some(last_attempt) = message.attempts.last_mut() {
             if last_attempt.is_in_flight() {
@@ -119,28 +120,29 @@
         Ok(())
     }
 
-    /// Destinations that the forwarder has restored from summaries, in all its runs.
+    /// Returns the number of destinations that the forwarder has restored from summaries in all its
+    /// runs.
     pub fn restored_destinations(&self) -> u64 {
         self.restored_in_previous_runs + self.forwarder.state_counts().restored
     }
 
-    /// Discovery reports the endpoint list.
+    /// Reports an update of the endpoint list to the forwarder, as discovery does.
     pub fn report_list(&mut self, update: EndpointListUpdate) -> CheckResult {
         self.oracle.observe_list(self.now, &update);
         self.handle(Event::EndpointListUpdated(update))
     }
 
-    /// Discovery reports a change of one entry.
+    /// Reports a change of one entry of the endpoint list.
     pub fn report_entry_change(&mut self, entry: EndpointEntry) -> CheckResult {
         self.report_list(EndpointListUpdate::Changes(vec![entry]))
     }
 
-    /// A client submits a message with its whole time to live and no order key.
+    /// Submits a message without an order key and with its whole time to live left.
     pub fn submit(&mut self, class: u16, destination: u32) -> CheckResult<MessageId> {
         self.submit_with_time_left(class, destination, TIME_TO_LIVE)
     }
 
-    /// A client submits so many messages.
+    /// Submits `count` messages without an order key.
     pub fn submit_many(&mut self, count: usize, class: u16, destination: u32) -> CheckResult {
         for _ in 0..count {
             self.submit(class, destination)?;
@@ -148,7 +150,7 @@
         Ok(())
     }
 
-    /// A client submits a message without order key.
+    /// Submits a message without an order key and with `time_left` µs to its deadline.
     pub fn submit_with_time_left(
         &mut self,
         class: u16,
@@ -158,7 +160,7 @@
         self.submit_with_key(class, destination, None, time_left)
     }
 
-    /// A client submits a message.
+    /// Submits a message with `time_left` µs to its deadline, and returns its id.
     pub fn submit_with_key(
         &mut self,
         class: u16,
@@ -191,24 +193,26 @@
         Ok(id)
     }
 
-    /// A client withdraws a message.
+    /// Withdraws a message on behalf of its client.
     pub fn withdraw(&mut self, id: MessageId) -> CheckResult {
         self.messages.get_mut(id)?.completed = true;
         self.handle(Event::MessageWithdrawn { id })
     }
 
-    /// The final answer to a message is acknowledged.
+    /// Reports to the forwarder that the final answer to a message was acknowledged.
     pub fn acknowledge(&mut self, id: MessageId) -> CheckResult {
         self.messages.unacknowledged.remove(&id);
         self.handle(Event::FinalAnswerAcknowledged { id })
     }
 
-    /// A gossip message comes from the forwarder with this number.
+    /// Delivers a gossip message from the forwarder with the number `peer`.
     pub fn receive_gossip(&mut self, peer: u16, payload: Vec<u8>) -> CheckResult {
         self.handle(Event::GossipReceived { peer, payload })
     }
 
-    /// The endpoint of a message's attempt asks for a pause ahead of its answer, which comes later.
+    /// Delivers a retry-after that an endpoint sends ahead of the rest of its response. Does
+    /// nothing if the message has no attempt in flight, or if the bytes of the attempt are not sent
+    /// yet.
     pub fn receive_retry_after(&mut self, id: MessageId, retry_after: Micros) -> CheckResult {
         let Some(attempt) = self.messages[id].attempt_in_flight() else {
             return Ok(());
@@ -230,8 +234,9 @@
             .observe_retry_after(self.now, destination, endpoint, retry_after);
     }
 
-    /// Ends the last attempt at a message with this outcome, or as its state requires: an attempt
-    /// that was withdrawn ends so, and an endpoint answers only what it received.
+    /// Ends the last attempt at a message with this outcome, unless the state of the attempt
+    /// requires another one: an attempt that was withdrawn before it was sent ends as withdrawn,
+    /// and an endpoint can respond only to bytes that it received.
     pub fn end_attempt(&mut self, id: MessageId, outcome: Outcome) -> CheckResult {
         let attempt = self.messages.last_attempt(id)?.clone();
         let outcome = match (attempt.stop_outcome, attempt.bytes_due_at) {
@@ -259,7 +264,7 @@
         })
     }
 
-    /// Ends all attempts in flight with this outcome; returns how many there were.
+    /// Ends all attempts in flight with this outcome and returns their number.
     pub fn end_all_attempts(&mut self, outcome: Outcome) -> CheckResult<usize> {
         let in_flight = self.messages.ids_in_flight();
         for id in &in_flight {
@@ -271,7 +276,7 @@
     fn record_outcome(&mut self, id: MessageId, outcome: Outcome) -> CheckResult {
         let message = self.messages.get_mut(id)?;
         if outcome == Outcome::WithdrawnBeforeSend {
-            // A withdrawn attempt does not count.
+            // An attempt that was withdrawn before it was sent does not count.
             message.attempts.pop();
         } else if let Some(last_attempt) = message.attempts.last_mut() {
             last_attempt.outcome = Some(outcome);
@@ -289,7 +294,7 @@
         Ok(())
     }
 
-    /// Ends the health check that was sent last, if one is in flight.
+    /// Ends the health check that was sent last, if any is in flight.
     pub fn end_health_check(&mut self, outcome: Outcome) -> CheckResult {
         match self.health_checks_in_flight.pop() {
             Some(endpoint) => self.handle(Event::HealthCheckEnded {
@@ -302,23 +307,23 @@
         }
     }
 
-    /// When each attempt at a message was sent.
+    /// Returns the times at which the attempts at a message were sent, in µs.
     pub fn attempts_sent_at(&self, id: MessageId) -> Vec<Micros> {
         let attempts = self.messages[id].attempts.iter();
         attempts.map(|attempt| attempt.sent_at).collect()
     }
 
-    /// How many attempts at a message were sent.
+    /// Returns the number of attempts at a message, including one in flight.
     pub fn attempt_count(&self, id: MessageId) -> usize {
         self.messages[id].attempts.len()
     }
 
-    /// Whether the forwarder has failed a message.
+    /// Returns whether the forwarder has failed a message in this run.
     pub fn has_failed(&self, id: MessageId) -> bool {
         self.actions.contains(&Action::Fail { id })
     }
 
-    /// Whether a log line contains these words.
+    /// Returns whether a log line of this run contains this text.
     pub fn has_logged(&self, text: &str) -> bool {
         self.actions.iter().any(|action| match action {
             Action::Log(event) => event.to_string().contains(text),
--- a/tests/common/world/actions.rs
+++ b/tests/common/world/actions.rs
@@ -1,4 +1,4 @@
-//! The forwarder handles events; its actions are checked and carried out.
+//! Passes events to the forwarder, and checks and executes the resulting actions.
 
 use super::super::message_table::Attempt;
 use super::super::CheckResult;
@@ -6,7 +6,8 @@
 use opalpulley::*;
 
 impl World {
-    /// Gives an event to the forwarder. All its actions are checked and carried out.
+    /// Passes an event to the forwarder, and checks and executes all resulting actions. Fails with
+    /// the first rule that an action breaks.
     pub fn handle(&mut self, event: Event) -> CheckResult {
         let mut actions = Vec::new();
         self.forwarder.handle(self.now, event, &mut actions);
@@ -34,7 +35,7 @@
                 Ok(())
             }
             Action::SetTimer { delay, token } => {
-                // A timer fires after the moment at which it was set.
+                // A timer never fires at the time at which it is set.
                 self.timers.insert((self.now + delay.max(&1), *token));
                 Ok(())
             }
@@ -81,7 +82,7 @@
     fn start_health_check(&mut self, endpoint: EndpointId) -> CheckResult {
         self.health_checks_in_flight.push(endpoint);
         if !self.config.may_health_check {
-            return Err("health checks are off".into());
+            return Err("health checks are disabled by the configuration".into());
         }
         self.oracle.check_call(self.now, endpoint)
     }
@@ -92,7 +93,7 @@
         Ok(())
     }
 
-    /// Stops the attempts to an endpoint whose bytes are not sent.
+    /// Marks the attempts to an endpoint whose bytes are not sent yet as withdrawn.
     fn withdraw_unsent(&mut self, endpoint: EndpointId) {
         for attempt in self.messages.last_attempts_mut() {
             let is_unsent = attempt.is_in_flight() && attempt.bytes_due_at.is_some();
--- a/tests/common/world/clock.rs
+++ b/tests/common/world/clock.rs
@@ -1,4 +1,5 @@
-//! Time passes: timers fire, connections come up late, and attempts end by themselves.
+//! Advances the simulated clock: timers fire, delayed connections are established, and attempts end
+//! without a response.
 
 use super::super::message_table::TrackedMessage;
 use super::super::CheckResult;
@@ -6,7 +7,8 @@
 use opalpulley::*;
 
 impl World {
-    /// Lets time pass. Timers fire, attempts time out, and attempts that were stopped end.
+    /// Advances the clock by `duration` µs. Timers fire, attempts time out, and cancelled or
+    /// withdrawn attempts end. Fails if a message misses its final answer.
     pub fn advance(&mut self, duration: Micros) -> CheckResult {
         let end = self.now + duration;
         loop {
@@ -33,7 +35,8 @@
         self.oracle.check_deadlines(self.now, &self.messages)
     }
 
-    /// The attempt in flight that is the next to do something by itself, and when.
+    /// Returns the time and the message of the next attempt that sends its bytes or ends without a
+    /// response.
     fn next_attempt_event(&self) -> Option<(Micros, MessageId)> {
         self.messages
             .all()
@@ -41,7 +44,8 @@
             .min()
     }
 
-    /// When the attempt in flight at a message sends its bytes or ends by itself.
+    /// Returns the time at which the attempt in flight at a message sends its bytes or ends without
+    /// a response. Returns `None` if no attempt is in flight.
     fn attempt_event_at(&self, message: &TrackedMessage) -> Option<Micros> {
         let attempt = message.attempt_in_flight()?;
         let ends_at = match attempt.stop_outcome {
@@ -62,8 +66,8 @@
         self.end_attempt(id, stop_outcome.unwrap_or(Outcome::Timeout))
     }
 
-    /// Sends the bytes of an attempt whose connection has come up; returns whether it has. The
-    /// rules that hold at this moment are checked again.
+    /// Sends the bytes of an attempt if its connection is established by now, and returns whether
+    /// they were sent. The rules that bind at the time of sending are checked again.
     fn send_bytes_if_connected(&mut self, id: MessageId) -> CheckResult<bool> {
         let now = self.now;
         let attempt = self.messages.last_attempt_mut(id)?;
@@ -75,7 +79,7 @@
         let endpoint = attempt.endpoint;
         match self.oracle.check_endpoint_accepts_calls(now, endpoint) {
             Ok(()) => Ok(true),
-            Err(violation) => Err(format!("{id:?} sends its bytes at {now}: {violation}")),
+            Err(violation) => Err(format!("bytes of {id:?} sent at {now}: {violation}")),
         }
     }
 }
--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -1,4 +1,5 @@
-//! Random histories from fixed seeds. The oracle checks the service rules after every step.
+//! Random histories from fixed seeds, in which the oracle checks the service rules after every
+//! step.
 
 mod common;
 
@@ -19,7 +20,8 @@
         .quickcheck(property as fn(u64) -> CheckResult);
 }
 
-/// The actions of all runs of the forwarder in a history. One history in eight has long pauses.
+/// Returns the actions of all runs of the forwarder in a history. For every eighth seed, the time
+/// between two steps is up to 6 s instead of 200 ms.
 fn actions_of_history(seed: u64, full_destinations: Option<u32>) -> CheckResult<Vec<Action>> {
     let max_pause = if seed.is_multiple_of(8) {
         6_000 * MS
@@ -36,14 +38,15 @@
     assert_eq!(
         world.restored_destinations(),
         0,
-        "too few destinations for a summary"
+        "expected no summaries with so few destinations"
     );
     let mut actions = world.earlier_actions;
     actions.extend(world.actions);
     Ok(actions)
 }
 
-/// With summaries off, or on with room for every destination in full, the actions are the same.
+/// Summaries that are enabled but leave room for every destination in full must not change any
+/// action.
 #[test]
 fn produces_same_actions_with_summaries_off_or_not_needed() {
     fn property(seed: u64) -> bool {
--- a/tests/idle/bounds.rs
+++ b/tests/idle/bounds.rs
@@ -1,11 +1,11 @@
-//! What binds the forwarder at an endpoint outlasts the summary: pauses, drains, ejections and
-//! paces.
+//! State that restricts the calls to an endpoint is kept in the summary: retry-after pauses,
+//! drains, ejections and pacing.
 
 use super::common::*;
 use super::*;
 
-/// When the message is sent that is submitted within a pause of a minute, which began before the
-/// destination became idle.
+/// Returns the send time of a message that is submitted during a retry-after pause of 60 s, which
+/// began before the destination became idle.
 fn first_send_time_after_pause(full_destinations: Option<u32>) -> CheckResult<Option<Micros>> {
     let mut world = world_with_one_endpoint(full_destinations);
     submit_and_end_attempt(&mut world, Outcome::Delivered)?;
@@ -25,7 +25,7 @@
     let sent_at = world.attempts_sent_at(id).first().copied();
     assert!(
         sent_at.is_some_and(|at| at >= rejected_at + 60_000 * MS),
-        "sent at {sent_at:?}, rejected at {rejected_at}"
+        "sent at {sent_at:?}, expected at least 60 s after the rejection at {rejected_at}"
     );
     Ok(sent_at)
 }
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-/// When the calls are sent that follow the ejection of the endpoint and half a minute without
+/// Returns the times of the calls that follow an ejection of the endpoint and 30 s without
 /// messages.
 fn call_times_after_ejection(full_destinations: Option<u32>) -> CheckResult<Vec<Micros>> {
     let mut world = world_with_one_endpoint(full_destinations);
@@ -58,8 +58,14 @@
 fn keeps_slow_start_budget_of_ejected_endpoint_while_summarised() -> CheckResult {
     let with_summaries = call_times_after_ejection(HOLD_AS_SUMMARIES)?;
     let in_full = call_times_after_ejection(HOLD_IN_FULL)?;
-    assert!(with_summaries.len() > 100, "it returns: {with_summaries:?}");
-    assert_eq!(with_summaries, in_full, "within the budget, as in full");
+    assert!(
+        with_summaries.len() > 100,
+        "expected the endpoint to return and get over 100 calls: {with_summaries:?}"
+    );
+    assert_eq!(
+        with_summaries, in_full,
+        "expected the same calls with summaries as in full"
+    );
     Ok(())
 }
 
@@ -104,7 +110,7 @@
     assert_eq!(
         world.forwarder.state_counts().summaries,
         2,
-        "the old one is not forgotten at once"
+        "expected the replaced endpoint to be kept at first"
     );
     submit_and_end_attempt(&mut world, Outcome::Delivered)?;
     let last_endpoint = all_attempts(&world).last().map(|attempt| attempt.endpoint);
@@ -115,13 +121,13 @@
     assert_eq!(
         world.forwarder.state_counts().summaries,
         1,
-        "the old one is forgotten now"
+        "expected the replaced endpoint to be forgotten by now"
     );
     Ok(())
 }
 
-/// When calls are sent within ten seconds, from the moment when gossip, if any, reached the idle
-/// destination.
+/// Returns the times of the calls within about ten seconds after the optional gossip reached the
+/// idle destination, in µs since that moment.
 fn call_times_after_gossip(
     full_destinations: Option<u32>,
     gossip: Option<&[u8]>,
@@ -147,8 +153,8 @@
     Ok(sent_at.into_iter().map(|at| at - start).collect())
 }
 
-/// Delivers what is left and one message more. The pace of the calls binds no more in the next
-/// summary.
+/// Delivers the remaining messages and one more, and checks that pacing no longer restricts the
+/// calls in the next summary.
 fn check_pacing_bound_expires(world: &mut World) -> CheckResult {
     for _ in 0..90 {
         world.advance(100 * MS)?;
@@ -162,7 +168,8 @@
     Ok(())
 }
 
-/// Destinations at their limit somewhere in the fleet must not all be held in full here.
+/// If gossip restored the destinations that are at their limit anywhere in the fleet, this
+/// forwarder would hold all of them in full.
 #[test]
 fn slows_calls_without_restoring_idle_destination_on_gossip() -> CheckResult {
     let (about_destination, about_unknown) = ([1, 1, 0, 0], [1, 1, 9, 0]);
@@ -172,7 +179,7 @@
     let without_gossip = call_times_after_gossip(HOLD_AS_SUMMARIES, None)?;
     assert!(
         slowed.len() < without_gossip.len(),
-        "{slowed:?}, without gossip {without_gossip:?}"
+        "expected fewer calls after gossip: {slowed:?}, without gossip {without_gossip:?}"
     );
     assert_eq!(
         call_times_after_gossip(HOLD_IN_FULL, Some(&about_unknown))?,
--- a/tests/idle/histories.rs
+++ b/tests/idle/histories.rs
@@ -1,4 +1,4 @@
-//! Random histories with summaries, compared with the same histories without.
+//! Random histories with summaries, compared with the same histories without summaries.
 
 use super::common::*;
 use super::{HOLD_AS_SUMMARIES, HOLD_IN_FULL};
@@ -22,7 +22,8 @@
     }
 }
 
-/// A history with long pauses, in which a destination is summarised whenever it is idle.
+/// Runs a history with less than 6 s between steps, in which a destination that becomes idle is
+/// summarised unless `full_destinations` prevents it.
 fn run_history_with_idle_times(seed: u64, full_destinations: Option<u32>) -> CheckResult<World> {
     let options = HistoryOptions {
         step_count: 600,
@@ -34,12 +35,14 @@
 }
 
 fn mismatch_error(with_summaries: Option<String>, in_full: Option<String>) -> TestResult {
-    TestResult::error(format!("{with_summaries:?}, in full {in_full:?}"))
+    TestResult::error(format!(
+        "results differ: with summaries {with_summaries:?}, in full {in_full:?}"
+    ))
 }
 
-/// The oracle never forgets an endpoint, and the core forgets one that has been gone for the
-/// warm-up time. A history that breaks a rule by that alone breaks it in full as well, and in the
-/// same words; it is discarded.
+/// The oracle never forgets an endpoint, whereas the core forgets one that has been gone for the
+/// warm-up time. A history that breaks a rule for this reason alone breaks it with all destinations
+/// in full as well, with the same error, and is discarded.
 #[test]
 fn keeps_service_rules_with_summaries_as_in_full() {
     check_property(20_261_203, 60, |seed| {
@@ -48,7 +51,7 @@
             run_history_with_idle_times(seed, HOLD_IN_FULL),
         ) {
             (Ok(world), Ok(_)) if world.restored_destinations() == 0 => {
-                TestResult::error("nothing was summarised")
+                TestResult::error("expected a destination to be restored from a summary")
             }
             (Ok(_), Ok(_)) => TestResult::passed(),
             (Ok(_), Err(_)) => TestResult::discard(),
@@ -60,14 +63,14 @@
     });
 }
 
-/// How the messages of a history ended.
+/// Deliveries, final answers and restored destinations of a history.
 struct HistoryResult {
     delivered: Vec<MessageId>,
     final_answers: Vec<Action>,
     restored: u64,
 }
 
-/// Messages, pauses, drains and returns of endpoints, but no failure.
+/// Runs a history of messages, idle times, drains and returns of endpoints, without any failure.
 fn run_failure_free_history(
     seed: u64,
     full_destinations: Option<u32>,
@@ -130,7 +133,7 @@
         let in_full = run_failure_free_history(seed, HOLD_IN_FULL);
         match (with_summaries, in_full) {
             (Ok(with_summaries), _) if with_summaries.restored == 0 => {
-                TestResult::error("nothing was summarised")
+                TestResult::error("expected a destination to be restored from a summary")
             }
             (Ok(with_summaries), Ok(in_full)) => TestResult::from_bool(
                 with_summaries.delivered == in_full.delivered
--- a/tests/idle/large_lists.rs
+++ b/tests/idle/large_lists.rs
@@ -1,17 +1,17 @@
-//! Lists of more destinations than are held in full.
+//! Endpoint lists with more destinations than are held in full.
 
 use super::common::*;
 use super::config_in_fleet;
 use opalpulley::*;
 
-/// Entries of the list, each an endpoint of a destination of its own.
+/// Number of list entries, each of which is the only endpoint of its destination.
 const ENTRY_COUNT: u32 = 100_000;
 
-/// Destinations held in full before idle ones are summarised.
+/// Number of destinations that are held in full before idle ones are summarised.
 const MAX_HELD_IN_FULL: usize = 1_024;
 
-/// Destinations held in full beyond the setting: what one chunk of a list may restore or create
-/// before it is summarised.
+/// Number of destinations that may be held in full beyond the setting, because one chunk of a list
+/// may restore or create them before they are summarised.
 const MAX_EXCESS_IN_FULL: usize = 2 * 64;
 
 fn forwarder() -> Forwarder {
@@ -35,7 +35,8 @@
     (0..count).map(entry).collect()
 }
 
-/// Handles an event. No more destinations may be held in full than allowed, not even for a moment.
+/// Handles an event and checks that the number of destinations held in full has never exceeded its
+/// bound.
 fn handle(forwarder: &mut Forwarder, now: Micros, event: Event) -> Vec<Action> {
     let mut actions = Vec::new();
     forwarder.handle(now, event, &mut actions);
@@ -57,7 +58,7 @@
     handle(forwarder, now, Event::EndpointListUpdated(update));
 }
 
-/// Submits a message and delivers its attempt, if it is sent at once.
+/// Submits a message and, if an attempt starts at once, delivers it.
 fn deliver(forwarder: &mut Forwarder, now: Micros, id: MessageId, destination: u32) {
     let submission = submission(id, IDEMPOTENT, destination, TIME_TO_LIVE);
     for action in handle(forwarder, now, Event::MessageSubmitted(submission)) {
@@ -76,7 +77,7 @@
     }
 }
 
-/// Destinations beyond 65,536 included.
+/// The destination numbers exceed 65,536.
 #[test]
 fn bounds_destinations_in_full_and_forgets_all_state_of_100_000_entries() {
     let mut forwarder = forwarder();
@@ -117,8 +118,8 @@
     assert_eq!(remaining, [0; 5], "{counts:?}");
 }
 
-/// Removes and returns every second entry, a number of times. Each change restores no more
-/// destinations than it names.
+/// Removes and returns every second entry several times, and checks that each change restores no
+/// more destinations than it names.
 fn flap_half_of_list(forwarder: &mut Forwarder) {
     const ROUND_COUNT: u64 = 4;
     let restored_before = forwarder.state_counts().restored;
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! Single forwarders of a large fleet: what one of them sends must be little beside what all of
-//! them send.
+//! Single forwarders of a large fleet, where the calls of one forwarder must be few compared with
+//! the calls of the whole fleet.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use opalpulley::*;
 use std::collections::BTreeSet;
 
-/// Of the forwarders of the fleet, so many are simulated, each in a world of its own.
+/// Number of forwarders of the fleet that are simulated, each in a world of its own.
 const SIMULATED_FORWARDERS: usize = 40;
 
 fn config_in_fleet(fleet_size: u32) -> Config {
@@ -17,8 +17,9 @@
     }
 }
 
-/// Forty of three hundred forwarders, and a destination with two endpoints of 20 calls per second.
-/// The even share of a forwarder in a rate or in a slow-start budget is next to nothing.
+/// Returns the worlds of 40 of 300 forwarders, with one destination that has two endpoints of 20
+/// calls per second. The even share of one forwarder in the rate or in a slow-start budget is close
+/// to zero.
 fn simulated_forwarders() -> impl Iterator<Item = World> {
     (0..SIMULATED_FORWARDERS as u16).map(|number| {
         let config = Config {
@@ -30,17 +31,17 @@
     })
 }
 
-/// One of three hundred forwarders, and a destination with one endpoint of 100 calls per second.
-/// The even share of a forwarder is a call in three seconds.
+/// Returns the world of one of 300 forwarders, with one destination that has one endpoint of 100
+/// calls per second. The even share of the forwarder is one call in three seconds.
 fn world_in_fleet_of_300() -> World {
     World::new(config_in_fleet(300), vec![listed_endpoint(1, 0, 100.0)])
 }
 
 const REJECTED: Outcome = Outcome::Rejected { retry_after: None };
 
-/// An even share is a call in some seconds. Without a rejection no message may wait for that; but
-/// not all forwarders may send their first messages at once either, which would overload a small
-/// destination.
+/// The even share of a forwarder is one call in several seconds. Before a rejection no message may
+/// wait for it, but the forwarders must not all send their first messages at once either, because
+/// they would overload a small destination.
 #[test]
 fn does_not_wait_for_even_share_without_rejection() -> CheckResult {
     let mut sent_at_once = 0;
@@ -52,14 +53,17 @@
     }
     assert!(
         sent_at_once < 60,
-        "{sent_at_once} of 80 messages of {SIMULATED_FORWARDERS} forwarders were sent at once"
+        "{sent_at_once} of 80 messages of {SIMULATED_FORWARDERS} forwarders were sent at once, \
+         expected fewer than 60"
     );
     Ok(())
 }
 
-/// The gossip message of a forwarder whose call was rejected.
+/// Returns the gossip message of a forwarder whose call was rejected.
 fn gossip_after_rejection() -> CheckResult<Vec<u8>> {
-    let mut world = simulated_forwarders().next().ok_or("a forwarder")?;
+    let mut world = simulated_forwarders()
+        .next()
+        .ok_or("expected a simulated forwarder")?;
     let id = world.submit(IDEMPOTENT, 0)?;
     world.end_attempt(id, REJECTED)?;
     for action in world.actions {
@@ -71,10 +75,11 @@
             return Ok(payload);
         }
     }
-    Err("the rejection is not announced".into())
+    Err("expected gossip about the rejection".into())
 }
 
-/// The calls of all simulated forwarders within 0.2 s, after they received this gossip, if any.
+/// Returns the number of calls that all simulated forwarders send within 0.2 s after the optional
+/// gossip.
 fn call_count_after_gossip(gossip: Option<&[u8]>) -> CheckResult<usize> {
     let mut calls = 0;
     for mut world in simulated_forwarders() {
@@ -86,15 +91,15 @@
         world.submit_many(2, IDEMPOTENT, 0)?;
         world.advance(200 * MS)?;
         calls += world.messages.ids_in_flight().len();
-        // Gossip, however often repeated, only makes messages wait for a pacing interval.
+        // Gossip delays a message by no more than a pacing interval, however often it is repeated.
         world.advance(4_500 * MS)?;
         assert!(world.messages.all().any(|m| !m.attempts.is_empty()));
     }
     Ok(calls)
 }
 
-/// If each of hundreds learned of a limit by a rejection of its own, the rejected calls would use
-/// the limit up.
+/// If each of hundreds of forwarders learned of a limit by a rejection of its own, the rejected
+/// calls would use up the limit.
 #[test]
 fn slows_whole_fleet_after_one_rejection() -> CheckResult {
     let gossip = gossip_after_rejection()?;
@@ -102,13 +107,14 @@
     let with_gossip = call_count_after_gossip(Some(&gossip))?;
     assert!(
         without_gossip >= 40 && with_gossip <= 8,
-        "{without_gossip} calls of {SIMULATED_FORWARDERS} forwarders, {with_gossip} after gossip"
+        "{without_gossip} calls of {SIMULATED_FORWARDERS} forwarders without gossip, expected at \
+         least 40; {with_gossip} after gossip, expected at most 8"
     );
     Ok(())
 }
 
-/// A health check uses a call of the slow-start budget, and the next call comes seconds later. A
-/// message makes better use of it.
+/// A health check uses up a call of the slow-start budget, and the next call follows only seconds
+/// later. A message makes better use of the call.
 #[test]
 fn sends_message_as_health_check_under_small_slow_start_budget() -> CheckResult {
     let mut world = World::new(config_in_fleet(60), vec![listed_endpoint(1, 0, 60.0)]);
@@ -124,17 +130,17 @@
     let is_health_check = |action: &Action| matches!(action, Action::StartHealthCheck { .. });
     assert!(
         !world.actions[actions_before..].iter().any(is_health_check),
-        "a health check was sent"
+        "expected no health check"
     );
     assert_eq!(
         world.messages.ids_in_flight().len(),
         1,
-        "no message was sent"
+        "expected one message in flight"
     );
     Ok(())
 }
 
-/// The endpoint that a forwarder chooses for its second call.
+/// Returns the endpoint that a forwarder chooses for its second call.
 fn second_chosen_endpoint(mut world: World) -> CheckResult<EndpointId> {
     let first = world.submit(IDEMPOTENT, 0)?;
     world.advance(100 * MS)?;
@@ -144,7 +150,7 @@
     Ok(world.messages[second].attempts[0].endpoint)
 }
 
-/// Forwarders that know little of the endpoints must not all choose the first one of the list.
+/// Forwarders with few samples of the endpoints must not all choose the first one of the list.
 #[test]
 fn forwarders_with_few_samples_choose_different_endpoints() -> CheckResult {
     let mut chosen = BTreeSet::new();
@@ -155,7 +161,7 @@
     Ok(())
 }
 
-/// If all forwarders called when the same retry-after pause ends, they would overload the
+/// If all forwarders sent a call at the end of the same retry-after pause, they would overload the
 /// destination.
 #[test]
 fn staggers_calls_of_fleet_after_retry_after_pause() -> CheckResult {
@@ -171,13 +177,14 @@
     }
     assert!(
         early_repeats < 10,
-        "{early_repeats} of {SIMULATED_FORWARDERS} forwarders called within 0.2 s"
+        "{early_repeats} of {SIMULATED_FORWARDERS} forwarders sent a call within 0.2 s of the \
+         pause, expected fewer than 10"
     );
     Ok(())
 }
 
-/// One rejection is enough for a pacing interval on the scale of an even share, not of the time of
-/// one call.
+/// A single rejection must lengthen the pacing interval to the scale of an even share, not of the
+/// duration of one call.
 #[test]
 fn sets_pacing_interval_to_scale_of_even_share_after_rejection() -> CheckResult {
     let mut world = world_in_fleet_of_300();
@@ -191,8 +198,8 @@
     Ok(())
 }
 
-/// A late message leaves the first call that pacing allows to a message in time. It is sent when a
-/// whole pacing interval more has passed.
+/// A late message leaves the next call that pacing allows to a message that can still meet its
+/// latency objective. It is sent after one more whole pacing interval.
 #[test]
 fn sends_late_message_one_pacing_interval_after_next_allowed_call() -> CheckResult {
     let mut world = world_in_fleet_of_300();
@@ -207,8 +214,8 @@
     Ok(())
 }
 
-/// Two rejections mean a destination at its limit, also where the slow-start budget of a forwarder
-/// is scant.
+/// Two rejections mean that the destination is at its limit, even where the slow-start budget of a
+/// forwarder is small.
 #[test]
 fn does_not_eject_endpoint_after_two_rejections() -> CheckResult {
     let mut world = world_in_fleet_of_300();
--- a/tests/rules/admission.rs
+++ b/tests/rules/admission.rs
@@ -1,4 +1,4 @@
-//! Which messages are accepted, and what happens near the capacity.
+//! Admission of messages, and load shedding near the capacity.
 
 use super::common::*;
 use opalpulley::*;
@@ -24,7 +24,7 @@
     Ok(())
 }
 
-/// Every limit at its least.
+/// Returns a configuration with every limit at its minimum.
 fn config_with_minimum_limits() -> Config {
     let mut config = Config {
         concurrency_limit: 1,
@@ -39,7 +39,7 @@
     config
 }
 
-/// No permits, and one delivery class only.
+/// Returns a configuration without permits and with only one delivery class.
 fn config_without_permits() -> Config {
     Config {
         concurrency_limit: 0,
@@ -49,8 +49,8 @@
     }
 }
 
-/// Also with rates that no list should have, and with messages that have no time left or an unknown
-/// destination.
+/// The endpoint list holds rates that are not valid, and some messages have no time left or an
+/// unknown destination.
 #[test]
 fn sends_one_final_answer_per_message_under_extreme_configurations() -> CheckResult {
     let list = vec![
--- a/tests/rules/attempt_timeout.rs
+++ b/tests/rules/attempt_timeout.rs
@@ -1,10 +1,10 @@
-//! How long an attempt may take, and when it is cancelled.
+//! Timeouts and cancellation of attempts.
 
 use super::common::*;
 use super::support::{deliver_for_seconds, world_with_one_endpoint};
 use opalpulley::*;
 
-/// Attempts whose answers are lost would otherwise keep their permits until they time out.
+/// Attempts whose responses are lost would otherwise hold their permits until they time out.
 #[test]
 fn cancels_attempt_overtaken_by_later_calls() -> CheckResult {
     let mut world = world_with_one_endpoint();
@@ -14,12 +14,12 @@
     deliver_for_seconds(&mut world, 3)?;
     assert!(
         world.attempt_count(unanswered) > 1,
-        "cancelled and sent again"
+        "the attempt should be cancelled and the message sent again"
     );
     Ok(())
 }
 
-/// Attempts whose answers are lost would otherwise keep their permits until the deadline.
+/// Attempts whose responses are lost would otherwise hold their permits until the deadline.
 #[test]
 fn cancels_and_fails_at_most_once_message_only_if_overtaken() -> CheckResult {
     for is_overtaken in [false, true] {
@@ -44,7 +44,8 @@
     Ok(())
 }
 
-/// Without an estimate of its own, a slow endpoint would have its first calls cancelled.
+/// A slow endpoint has no estimate of its response time before its first response, and its first
+/// calls must not be cancelled for lack of one.
 #[test]
 fn allows_untried_endpoint_the_response_time_of_other_endpoints() -> CheckResult {
     let list = vec![listed_endpoint(1, 0, 20.0), listed_endpoint(2, 1, 20.0)];
--- a/tests/rules/concurrency.rs
+++ b/tests/rules/concurrency.rs
@@ -1,4 +1,4 @@
-//! How many calls are in flight at once.
+//! Limits on the number of calls in flight.
 
 use super::common::*;
 use opalpulley::*;
@@ -12,19 +12,19 @@
     assert_eq!(
         world.messages.ids_in_flight().len(),
         6,
-        "three quarters of eight while it answers well"
+        "expected three quarters of eight permits while the destination responds well"
     );
     world.end_all_attempts(Outcome::Error)?;
     world.advance(100 * MS)?;
     assert!(
         world.messages.ids_in_flight().len() <= 4,
-        "half of eight while calls fail"
+        "expected at most half of eight permits while calls fail"
     );
     Ok(())
 }
 
-/// Several destinations may stop to answer at once, with the calls in flight that they got while
-/// they answered well. Unless these calls are cancelled in time, no permit is left for the other
+/// Several destinations may stop responding at once while they hold the calls that they got while
+/// they responded well. Unless these calls are cancelled in time, no permit is left for other
 /// destinations.
 #[test]
 fn frees_permits_held_by_unresponsive_destinations() -> CheckResult {
@@ -37,7 +37,7 @@
         }
     }
     let id = world.submit(IDEMPOTENT, 0)?;
-    assert_eq!(world.attempt_count(id), 0, "no permit is left");
+    assert_eq!(world.attempt_count(id), 0, "expected no permit to be left");
     world.advance(4_200 * MS)?;
     assert_ne!(world.attempt_count(id), 0);
     Ok(())
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! The service rules one by one, on a single forwarder.
+//! Tests of the service rules one by one, on a single forwarder.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/rules/ordering.rs
+++ b/tests/rules/ordering.rs
@@ -1,10 +1,10 @@
-//! Messages of one order key.
+//! Ordering of messages with the same order key.
 
 use super::common::*;
 use opalpulley::*;
 
-/// The final answer travels to the platform apart from calls, so the next message of the key must
-/// not overtake it, nor the answer of a previous run.
+/// A final answer reaches the platform on another path than a call does, so the next message of the
+/// key must not overtake it. This holds for a final answer of a previous run as well.
 #[test]
 fn holds_order_key_until_previous_final_answer_is_acknowledged() -> CheckResult {
     let order_key = OrderKey(5);
--- a/tests/rules/outliers.rs
+++ b/tests/rules/outliers.rs
@@ -1,11 +1,11 @@
-//! Ejection of endpoints that fail, health checks, and readmission.
+//! Ejection of failing endpoints, health checks, and readmission.
 
 use super::common::*;
 use super::support::{deliver_for_seconds, fail_until_ejected, world_with_one_endpoint};
 use opalpulley::*;
 
-/// The slow-start budget must not be used up by the calls before the ejection, or the first health
-/// check comes minutes late.
+/// If the calls before the ejection used up the slow-start budget, the first health check would be
+/// sent minutes late.
 #[test]
 fn checks_health_soon_after_ejection_that_follows_busy_period() -> CheckResult {
     let mut world = world_with_one_endpoint();
@@ -16,8 +16,9 @@
     Ok(())
 }
 
-/// A few refused connections between answers are a full connection table. Refused connections
-/// without an answer are an outage, however short, and the endpoint needs a slow start after it.
+/// A few refused connections between responses mean that the connection table of the endpoint is
+/// full. Refused connections without a response in between mean an outage, however short, and the
+/// endpoint needs a slow start after it.
 #[test]
 fn ejects_endpoint_after_short_outage_but_not_for_full_connection_table() -> CheckResult {
     for is_outage in [true, false] {
@@ -35,7 +36,8 @@
             world.end_all_attempts(outcome)?;
         }
         if world.has_ejected() != is_outage {
-            let expectation = "within 0.6 s of the last answer";
+            let expectation =
+                "expected ejection only after an outage, within 0.6 s of the last response";
             return Err(format!("outage: {is_outage}, {expectation}"));
         }
     }
@@ -46,8 +48,8 @@
 fn readmits_ejected_endpoint_after_health_check_and_call_succeed() -> CheckResult {
     let mut world = world_with_one_endpoint();
     fail_until_ejected(&mut world)?;
-    // It stays ejected though it leaves the list and returns, or it would get its full rate without
-    // a slow start.
+    // The endpoint must stay ejected though it leaves the list and returns. Otherwise it would get
+    // its full rate without a slow start.
     let entry = listed_endpoint(1, 0, 20.0);
     world.report_entry_change(with_status(entry.clone(), EndpointStatus::Removed))?;
     world.advance(100 * MS)?;
@@ -55,7 +57,7 @@
     world.advance(3_000 * MS)?;
     assert!(
         world.messages.ids_in_flight().is_empty(),
-        "nothing but health checks while it is ejected"
+        "expected only health checks while the endpoint is ejected"
     );
     world.end_health_check(Outcome::Delivered)?;
     world.advance(2_000 * MS)?;
@@ -65,7 +67,7 @@
     Ok(())
 }
 
-/// Health checks may fail where calls would succeed.
+/// Health checks may fail at an endpoint where calls would succeed.
 #[test]
 fn sends_message_to_ejected_endpoint_despite_unanswered_health_checks() -> CheckResult {
     let mut world = world_with_one_endpoint();
@@ -78,7 +80,7 @@
     world.advance(2_000 * MS)?;
     assert!(
         world.messages.all().any(|m| m.attempts.len() > 1),
-        "no message was sent again"
+        "expected a message to be sent again"
     );
     Ok(())
 }
@@ -96,11 +98,11 @@
         world.advance(50 * MS)?;
         calls += world.end_all_attempts(Outcome::Delivered)?;
     }
-    // Two seconds at 2.0 x 0.2 x 20 calls per second, half of them of this forwarder, and a little
-    // more as it warms up.
+    // Two seconds at 2.0 x 0.2 x 20 calls per second, of which half belong to this forwarder, plus
+    // a few calls as the endpoint warms up.
     assert!(
         (3..=10).contains(&calls),
-        "{calls} calls in the first two seconds"
+        "{calls} calls in the first two seconds, expected 3 to 10"
     );
     Ok(())
 }
@@ -115,7 +117,7 @@
     Ok(())
 }
 
-/// Idle connections of hundreds of forwarders fill the connection table of a small endpoint.
+/// The idle connections of hundreds of forwarders fill the connection table of a small endpoint.
 #[test]
 fn closes_idle_connections_after_refused_connection() -> CheckResult {
     let mut world = world_with_one_endpoint();
--- a/tests/rules/pacing.rs
+++ b/tests/rules/pacing.rs
@@ -1,10 +1,10 @@
-//! The rate of calls to a destination.
+//! Pacing of the calls to a destination.
 
 use super::common::*;
 use opalpulley::*;
 
-/// If each of many forwarders grew its rate by the whole listed rate, a third of all calls would be
-/// rejected.
+/// If each of many forwarders increased its rate by the whole listed rate, a third of all calls
+/// would be rejected.
 #[test]
 fn grows_call_rate_by_even_share_of_forwarder() -> CheckResult {
     let config = Config {
@@ -22,7 +22,7 @@
     }
     assert!(
         (10..30).contains(&calls),
-        "{calls} calls in five seconds at an even share of two calls per second"
+        "{calls} calls in five seconds, expected 10 to 29 at an even share of two calls per second"
     );
     Ok(())
 }
--- a/tests/rules/repeats.rs
+++ b/tests/rules/repeats.rs
@@ -1,4 +1,4 @@
-//! Whether a message that may have taken effect is sent again.
+//! Repeats of messages that may have taken effect.
 
 use super::common::*;
 use super::support::world_with_one_endpoint;
@@ -10,7 +10,7 @@
     let keyed = world.submit(IDEMPOTENCY_KEYED, 0)?;
     world.advance(1_000 * MS)?;
     world.end_attempt(keyed, Outcome::ConnectionReset)?;
-    // The pause lasts beyond the window.
+    // The retry-after pause ends after the deduplication window.
     let rejected = world.submit(IDEMPOTENT, 0)?;
     let outcome = Outcome::Rejected {
         retry_after: Some(4_000 * MS),
--- a/tests/rules/restart.rs
+++ b/tests/rules/restart.rs
@@ -1,10 +1,10 @@
-//! The end of a process, its next run, and a process that was suspended.
+//! Shutdown and restart of the process, and its suspension.
 
 use super::common::*;
 use super::support::world_with_one_endpoint;
 use opalpulley::*;
 
-/// An attempt in flight at the end of a run may have taken effect.
+/// An attempt that is in flight when the process ends may have taken effect.
 #[test]
 fn repeats_only_repeatable_messages_after_restart() -> CheckResult {
     let mut world = world_with_one_endpoint();
@@ -19,11 +19,11 @@
     for id in [idempotent, keyed] {
         assert_eq!(world.attempt_count(id), 2);
     }
-    // The process is down for longer than the window of the keyed message.
+    // The process is down for longer than the deduplication window of the keyed message.
     world.now += 3_000 * MS;
     world.restart_with_journal()?;
     assert!(world.has_failed(keyed) && !world.has_failed(idempotent));
-    // It is down beyond every deadline.
+    // The process is down until after every deadline.
     world.now += 5_000 * MS;
     world.restart_with_journal()?;
     assert!(world.has_failed(idempotent));
@@ -62,8 +62,8 @@
     Ok(())
 }
 
-/// While the process was suspended, endpoints may have drained. The events that wait must be
-/// handled before anything is sent.
+/// Endpoints may have drained while the process was suspended. The waiting events must be handled
+/// before anything is sent.
 #[test]
 fn handles_waiting_events_before_sending_after_suspension() -> CheckResult {
     let list = vec![listed_endpoint(1, 0, 200.0), listed_endpoint(2, 0, 200.0)];
@@ -74,7 +74,7 @@
     assert_eq!(
         world.attempt_count(id),
         0,
-        "sent before the waiting events were handled"
+        "expected no attempt before the waiting events are handled"
     );
     let entry = listed_endpoint(1, 0, 200.0);
     world.report_entry_change(with_status(entry, EndpointStatus::Draining))?;
--- a/tests/rules/retries.rs
+++ b/tests/rules/retries.rs
@@ -1,4 +1,4 @@
-//! When a message is sent again.
+//! Backoff between the attempts at a message.
 
 use super::common::*;
 use opalpulley::*;
@@ -18,12 +18,16 @@
     }
     let sent_at = world.attempts_sent_at(id);
     let backoffs = [100, 200, 400, 800, 1_600].map(|ms| ms * MS);
-    assert!(sent_at.len() > backoffs.len(), "too few attempts");
+    assert!(
+        sent_at.len() > backoffs.len(),
+        "expected an attempt after every backoff"
+    );
     for (index, backoff) in backoffs.into_iter().enumerate() {
         let waited = sent_at[index + 1] - failed_at[index];
         assert!(
             waited >= backoff && waited <= backoff * 3 / 2 + 20 * MS,
-            "waited {waited} µs, at least {backoff} µs"
+            "waited {waited} µs, expected at least {backoff} µs and at most 1.5 times that plus \
+             20 ms"
         );
     }
     Ok(())
--- a/tests/rules/retry_after.rs
+++ b/tests/rules/retry_after.rs
@@ -1,5 +1,4 @@
-//! Retry-after pauses, and what becomes of attempts whose bytes are not sent as a pause or a drain
-//! begins.
+//! Retry-after pauses, and attempts whose bytes are not sent yet when a pause or a drain begins.
 
 use super::common::*;
 use super::support::{
@@ -41,7 +40,7 @@
     assert!(world.messages[second].completed || world.attempt_count(second) > 0);
     let third = world.submit_with_time_left(IDEMPOTENT, 0, 3_000 * MS)?;
     world.advance(50 * MS)?;
-    // It was never sent, so it is rejected and does not fail.
+    // The third message was never sent, so it is rejected and does not fail.
     let is_rejected = world
         .actions
         .iter()
@@ -50,7 +49,8 @@
     Ok(())
 }
 
-/// An answer's head may ask for a pause before the answer ends, or before the connection breaks.
+/// The head of a response may carry a retry-after before the response is complete or the connection
+/// breaks.
 #[test]
 fn honours_retry_after_if_rest_of_response_is_lost() -> CheckResult {
     let mut world = world_with_one_endpoint();
@@ -66,7 +66,8 @@
     Ok(())
 }
 
-/// Two endpoints of destination 0 and one of destination 1, with one attempt a message.
+/// Returns a world with two endpoints of destination 0, one of destination 1, and one attempt per
+/// message.
 fn world_with_three_endpoints(independent_limits: bool) -> World {
     let config = Config {
         endpoint_kinds: vec![endpoint_kind(independent_limits)],
@@ -85,14 +86,14 @@
     })
 }
 
-/// A pause or a drain may begin while the connection of another attempt comes up. Its bytes must
-/// not follow, so the attempt is withdrawn, and the message may be sent again even if it had one
-/// attempt only.
+/// A pause or a drain may begin while the connection of another attempt is being established. The
+/// bytes of that attempt must not be sent then, so the attempt is withdrawn. The message may be
+/// sent again even if its only attempt was the withdrawn one.
 #[test]
 fn withdraws_unsent_attempts_without_counting_them_on_pause_or_drain() -> CheckResult {
     for independent_limits in [false, true] {
         let mut world = world_with_three_endpoints(independent_limits);
-        // Once answer times are known, the calls are spread over the endpoints.
+        // Once response times are known, the calls are spread over the endpoints.
         deliver_for_seconds(&mut world, 1)?;
         let mut by_endpoint = BTreeMap::new();
         for destination in [0, 0, 0, 0, 1] {
@@ -115,8 +116,8 @@
         world.report_entry_change(with_status(entry, EndpointStatus::Draining))?;
         assert!(has_withdrawn_unsent(&world, 3));
 
-        // The only attempt was not sent. It is repeated after the pause, at the latest a pacing
-        // interval later.
+        // The only attempt was not sent. The message is sent again after the pause, at most one
+        // pacing interval later.
         world.end_attempt(withdrawn, Outcome::WithdrawnBeforeSend)?;
         world.advance(if independent_limits { 0 } else { 690 * MS })?;
         assert_eq!(
--- a/tests/rules/selection.rs
+++ b/tests/rules/selection.rs
@@ -1,11 +1,11 @@
-//! Which message is sent next, and which endpoint gets it.
+//! Selection of the next message and of its endpoint.
 
 use super::common::*;
 use super::support::world_with_independent_endpoints;
 use opalpulley::*;
 
-/// The first message may have taken effect in the dearer zone and must be repeated there. The
-/// second one may go to the other zone.
+/// The first message may have taken effect in the zone of the higher cost and must be repeated
+/// there. The second message may be sent to the other zone.
 #[test]
 fn message_bound_to_one_endpoint_does_not_block_queue_for_another() -> CheckResult {
     let mut config = config();
@@ -36,8 +36,8 @@
     Ok(())
 }
 
-/// A message submitted with far less time left than usual is wanted now. It must not count as late
-/// already.
+/// A message that is submitted with far less time left than usual is urgent. It must not be treated
+/// as late.
 #[test]
 fn sends_message_with_little_time_left_first() -> CheckResult {
     let mut config = config();
--- a/tests/rules/steady_state.rs
+++ b/tests/rules/steady_state.rs
@@ -18,7 +18,7 @@
     Ok(())
 }
 
-/// The time to visit every listed endpoint at every tick would grow with the list.
+/// If every tick visited every listed endpoint, the time of a tick would grow with the list.
 #[test]
 fn performs_no_actions_while_idle() -> CheckResult {
     let mut world = world_with_one_endpoint();
--- a/tests/rules/support.rs
+++ b/tests/rules/support.rs
@@ -1,14 +1,15 @@
-//! Worlds and situations that several tests start from.
+//! Worlds and helpers that several tests share.
 
 use super::common::*;
 use opalpulley::*;
 
-/// A destination with one endpoint.
+/// Returns a world with one destination that has one endpoint.
 pub fn world_with_one_endpoint() -> World {
     World::new(config(), vec![listed_endpoint(1, 0, 20.0)])
 }
 
-/// A destination with two endpoints, each in a zone and with a limit of its own.
+/// Returns a world with one destination that has two endpoints with independent limits, each in a
+/// zone of its own.
 pub fn world_with_independent_endpoints(config: Config) -> World {
     let config = Config {
         endpoint_kinds: vec![endpoint_kind(true)],
@@ -18,7 +19,7 @@
     World::new(config, list)
 }
 
-/// Delivers five messages a second for so many seconds.
+/// Submits and delivers five messages a second for this number of seconds.
 pub fn deliver_for_seconds(world: &mut World, seconds: u64) -> CheckResult {
     for _ in 0..seconds * 5 {
         let id = world.submit(IDEMPOTENT, 0)?;
@@ -31,7 +32,8 @@
     Ok(())
 }
 
-/// Submits messages and fails every attempt until the endpoint is ejected.
+/// Submits messages and fails every attempt until the endpoint is ejected. Fails if 40 messages do
+/// not suffice.
 pub fn fail_until_ejected(world: &mut World) -> CheckResult {
     for _ in 0..40 {
         if world.has_ejected() {
@@ -41,5 +43,5 @@
         world.advance(50 * MS)?;
         world.end_all_attempts(Outcome::Error)?;
     }
-    Err("never ejected".into())
+    Err("expected an ejection within 40 failed messages".into())
 }
--- a/tests/slow_start_fleet/budget.rs
+++ b/tests/slow_start_fleet/budget.rs
@@ -1,28 +1,29 @@
-//! What a fleet may send to a destination that warms up.
+//! The limit on the calls of a fleet to a destination that warms up.
 
 use super::common::MS;
 use opalpulley::*;
 use std::collections::VecDeque;
 
-/// A call or a health check.
+/// A call or a health check that was sent.
 struct Call {
     sent_at: Micros,
-    /// The number of its forwarder.
+    /// Index of the forwarder that sent it.
     forwarder: usize,
 }
 
-/// The calls and health checks of the whole fleet, compared with the limit.
+/// Counts the calls and health checks of the whole fleet and compares them with the limit. Owned by
+/// the fleet.
 pub struct FleetBudget {
     rules: ServiceRuleConfig,
-    /// Calls per second that the destination takes when it is warm.
+    /// Capacity of the destination when it is warm, in calls per second.
     capacity: f64,
-    /// When the destination returns.
+    /// Time at which the destination returns, in µs.
     returns_at: Micros,
-    /// Those since the return, within the last overload window.
+    /// Calls since the return, within the last overload window.
     recent_calls: VecDeque<Call>,
-    /// The largest part of the limit that the calls of one window made up.
+    /// Largest ratio of the calls in one overload window to the limit.
     pub max_limit_share: f64,
-    /// The first window beyond the limit, in words.
+    /// Description of the first overload window whose calls exceeded the limit.
     pub first_excess: Option<String>,
 }
 
@@ -38,16 +39,17 @@
         }
     }
 
-    /// When the destination is warm.
+    /// Returns the time at which the destination is warm, in µs.
     pub fn warm_at(&self) -> Micros {
         self.returns_at + self.rules.warm_up_time
     }
 
-    /// Counts a call or a health check, if the destination warms up. `saw_failure` says of each
-    /// forwarder whether it has seen the destination fail.
+    /// Counts a call or a health check if the destination is warming up. `saw_failure` holds for
+    /// each forwarder whether it has seen the destination fail.
     ///
-    /// A window counts only if more than two thirds of its calls come from such forwarders: the
-    /// others can't know that the destination warms up.
+    /// An overload window counts only if more than two thirds of its calls come from forwarders
+    /// that have seen a failure, because the other forwarders cannot know that the destination
+    /// warms up.
     pub fn record_call(&mut self, now: Micros, forwarder: usize, saw_failure: &[bool]) {
         if !(self.returns_at..self.warm_at()).contains(&now) {
             return;
@@ -67,13 +69,14 @@
             return;
         }
         let allowed_calls = self.allowed_calls(now);
-        // Two standard deviations of a Poisson count, and two calls for rounding.
+        // The tolerance is two standard deviations of a Poisson count, plus two calls for rounding.
         let limit = allowed_calls + 2.0 * allowed_calls.sqrt() + 2.0;
         self.max_limit_share = self.max_limit_share.max(calls as f64 / limit);
         if calls as f64 > limit && self.first_excess.is_none() {
             let elapsed_ms = (now - self.returns_at) / MS;
             self.first_excess = Some(format!(
-                "{calls} calls, {allowed_calls:.1} allowed, limit {limit:.1}, {elapsed_ms} ms after the return"
+                "{calls} calls, {allowed_calls:.1} allowed, limit {limit:.1}, {elapsed_ms} ms \
+                 after the return"
             ));
         }
     }
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Calls in one overload window at which the destination does not fall over.
+    /// Returns the number of calls in one overload window that do not overload the destination.
     fn allowed_calls(&self, now: Micros) -> f64 {
         let rules = &self.rules;
         let warm_up_progress = (now - self.returns_at) as f64 / rules.warm_up_time as f64;
--- a/tests/slow_start_fleet/fleet.rs
+++ b/tests/slow_start_fleet/fleet.rs
@@ -1,4 +1,4 @@
-//! Simulated forwarders on one clock, and their destination.
+//! Simulated forwarders with a common clock, and their destination.
 
 use super::budget::FleetBudget;
 use super::common::{config, listed_endpoint, submission, IDEMPOTENT, MS, TIME_TO_LIVE};
@@ -7,20 +7,20 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// As many as the `throng` day of the standing test has.
+/// Number of forwarders, the same as on the `throng` day of the standing test.
 const FORWARDER_COUNT: usize = 30;
 
-/// The destination fails after some calls were answered.
+/// Time at which the destination begins to fail, in µs. Some calls have succeeded by then.
 const FAILS_AT: Micros = 5_000 * MS;
 const RETURNS_AT: Micros = FAILS_AT + 10_000 * MS;
 
-/// What a call takes that is delivered or answered with an error.
+/// Duration of a call that is delivered or gets an error response, in µs.
 const RESPONSE_TIME: Micros = 30 * MS;
 const REFUSAL_TIME: Micros = MS;
 const HEALTH_CHECK_TIME: Micros = 10 * MS;
 const HEALTH_CHECK_TIMEOUT: Micros = 1_500 * MS;
 
-/// How the destination fails.
+/// The way in which the destination fails.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     Errors,
@@ -32,14 +32,14 @@
 pub struct Case {
     pub seed: u64,
     pub may_health_check: bool,
-    /// Calls per second that the destination takes.
+    /// Capacity of the destination when it is warm, in calls per second.
     pub capacity: f32,
     /// Messages per second that are submitted to each forwarder.
     pub submission_rate: f64,
     pub fault: Fault,
 }
 
-/// A call or a health check in flight.
+/// A call or a health check in flight, with the outcome that it will have.
 #[derive(Clone, Copy)]
 struct InFlightCall {
     sent_at: Micros,
@@ -47,7 +47,7 @@
     outcome: Outcome,
 }
 
-/// What happens to a forwarder at its time.
+/// An event that is scheduled for a forwarder.
 enum ScheduledEvent {
     Submission,
     Timer(TimerToken),
@@ -59,10 +59,10 @@
     HealthCheckEnds(InFlightCall),
 }
 
-/// A time, and a number that keeps the order within one moment.
+/// Time of an event in µs, and a sequence number that orders the events of the same time.
 type ScheduleKey = (Micros, u64);
 
-/// The last attempt at a message, in flight or over.
+/// The last attempt at a message, whether it is in flight or has ended.
 struct LastAttempt {
     index: u8,
     end_key: ScheduleKey,
@@ -73,15 +73,15 @@
     now: Micros,
     rng: Pcg64Mcg,
     forwarders: Vec<Forwarder>,
-    /// What happens, each with the number of the forwarder.
+    /// Scheduled events in the order of their time, each with the index of its forwarder.
     scheduled_events: BTreeMap<ScheduleKey, (usize, ScheduledEvent)>,
     last_sequence_number: u64,
     last_message_id: u32,
     last_attempts: BTreeMap<(usize, MessageId), LastAttempt>,
-    /// Whether a forwarder has seen the destination fail.
+    /// Whether a forwarder has seen the destination fail, by the index of the forwarder.
     saw_failure: Vec<bool>,
     pub budget: FleetBudget,
-    /// Messages delivered after the return.
+    /// Number of messages that were delivered after the return of the destination.
     pub delivered_after_return: usize,
 }
 
@@ -97,7 +97,7 @@
 }
 
 impl Fleet {
-    /// The forwarders, each with the endpoint list and its first submission scheduled.
+    /// Creates the forwarders, each with the endpoint list and its first submission scheduled.
     pub fn new(case: Case) -> Fleet {
         let forwarder = |number: usize| {
             let seed = case.seed * 1_000 + number as u64;
@@ -126,7 +126,7 @@
         fleet
     }
 
-    /// Runs until the destination is warm.
+    /// Runs the simulation until the destination is warm.
     pub fn run_until_warm(&mut self) {
         let end = self.budget.warm_at();
         while let Some(((at, _), (forwarder, scheduled_event))) = self.scheduled_events.pop_first()
@@ -152,7 +152,7 @@
         key
     }
 
-    /// Schedules the next submission, after an exponentially distributed time.
+    /// Schedules the next submission after an exponentially distributed time.
     fn schedule_submission(&mut self, forwarder: usize) {
         let seconds = -(1.0 - self.rng.random::<f64>()).ln() / self.case.submission_rate;
         self.schedule(
@@ -162,8 +162,8 @@
         );
     }
 
-    /// How a call or a health check that is sent now ends, and after what time. `answer_time` is
-    /// what an answer takes.
+    /// Returns the outcome and the duration in µs of a call or a health check that is sent now. A
+    /// response takes `response_time` µs.
     fn call_outcome(&self, response_time: Micros, timeout: Micros) -> (Outcome, Micros) {
         if !is_failing_at(self.now) {
             return (Outcome::Delivered, response_time);
@@ -334,7 +334,7 @@
     }
 }
 
-/// Whether the destination fails at this time.
+/// Returns whether the destination fails at this time.
 fn is_failing_at(time: Micros) -> bool {
     (FAILS_AT..RETURNS_AT).contains(&time)
 }
--- a/tests/slow_start_fleet/main.rs
+++ b/tests/slow_start_fleet/main.rs
@@ -1,5 +1,6 @@
-//! Thirty forwarders and one destination that fails for ten seconds and then warms up. All that
-//! they send it together stays within what the service rules allow, with some slack for chance.
+//! Thirty forwarders and one destination that fails for ten seconds and then warms up. All calls
+//! and health checks that they send together must stay within the limit of the service rules, with
+//! a tolerance for chance.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -11,18 +12,18 @@
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
-/// Calls per second that the destination takes.
+/// Capacities of the destination when it is warm, in calls per second.
 const CAPACITIES: [f32; 4] = [3.0, 12.0, 40.0, 150.0];
 
 /// Messages per second that are submitted to each forwarder.
 const SUBMISSION_RATES: [f64; 4] = [0.1, 0.3, 1.0, 6.0];
 
-/// What came of all cases of one seed.
+/// Results of all cases of one seed.
 #[derive(Default)]
 struct SeedReport {
-    /// The largest part of the limit that the calls of one window made up.
+    /// Largest ratio of the calls in one overload window to the limit.
     max_limit_share: f64,
-    /// The cases that exceeded the limit, in words.
+    /// Descriptions of the cases that exceeded the limit.
     exceeding_cases: Vec<String>,
 }
 
@@ -37,7 +38,7 @@
         );
         assert!(
             fleet.delivered_after_return > 0,
-            "{case:?}: nothing is delivered after the return"
+            "{case:?}: expected a delivery after the return of the destination"
         );
         self.max_limit_share = self.max_limit_share.max(budget.max_limit_share);
         if let Some(excess) = &budget.first_excess {
@@ -64,7 +65,8 @@
     report
 }
 
-/// Runs all cases of one fault, each seed on a thread of its own.
+/// Runs all cases of one fault, with a thread for each seed, and checks that none exceeds the
+/// limit.
 fn check_all_cases(fault: Fault) {
     let reports: Vec<SeedReport> = std::thread::scope(|scope| {
         let threads: Vec<_> = SEEDS
@@ -72,18 +74,22 @@
             .collect();
         threads
             .into_iter()
-            .map(|thread| thread.join().expect("all cases run"))
+            .map(|thread| {
+                thread
+                    .join()
+                    .expect("all cases of a seed should run without a panic")
+            })
             .collect()
     });
     for report in reports {
         assert!(
             report.exceeding_cases.is_empty(),
-            "beyond the limit:\n{}",
+            "expected all cases within the limit:\n{}",
             report.exceeding_cases.join("\n")
         );
         assert!(
             report.max_limit_share > 0.3,
-            "the fleet hardly calls: {:.2} of the limit",
+            "expected the fleet to use more than 0.3 of the limit, used {:.2}",
             report.max_limit_share
         );
     }
