--- a/tests/slow_start_fleet/main.rs
+++ b/tests/slow_start_fleet/main.rs
@@ -1,5 +1,6 @@
-//! Thirty forwarders and one destination that fails for ten seconds and then warms up. All that
-//! they send it together stays within what the service rules allow, with some slack for chance.
+//! Thirty forwarders and one destination that fails for ten seconds and then warms up. All calls
+//! and health checks that they send together must stay within the limit of the service rules, with
+//! a tolerance for chance.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -11,37 +12,37 @@
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
-/// Calls per second that the destination takes.
+/// Capacities of the destination when it is warm, in calls per second.
 const CAPACITIES: [f32; 4] = [3.0, 12.0, 40.0, 150.0];
 
 /// Messages per second that are submitted to each forwarder.
 const SUBMISSION_RATES: [f64; 4] = [0.1, 0.3, 1.0, 6.0];
 
-/// What came of all cases of one seed.
+/// Results of all cases of one seed.
 #[derive(Default)]
 struct SeedReport {
-    /// The largest part of the limit that the calls of one window made up.
-    largest_part: f64,
-    /// The cases that exceeded the limit, in words.
-    exceeded: Vec<String>,
+    /// Largest ratio of the calls in one overload window to the limit.
+    max_limit_share: f64,
+    /// Descriptions of the cases that exceeded the limit.
+    exceeding_cases: Vec<String>,
 }
 
 impl SeedReport {
-    fn add(&mut self, case: Case) {
+    fn run_case(&mut self, case: Case) {
         let mut fleet = Fleet::new(case);
-        fleet.run();
+        fleet.run_until_warm();
         let budget = &fleet.budget;
         println!(
             "{case:?}: {:.2} of the limit, {} delivered",
-            budget.largest_part, fleet.delivered
+            budget.max_limit_share, fleet.delivered_after_return
         );
         assert!(
-            fleet.delivered > 0,
-            "{case:?}: nothing is delivered after the return"
+            fleet.delivered_after_return > 0,
+            "{case:?}: expected a delivery after the return of the destination"
         );
-        self.largest_part = self.largest_part.max(budget.largest_part);
+        self.max_limit_share = self.max_limit_share.max(budget.max_limit_share);
         if let Some(excess) = &budget.first_excess {
-            self.exceeded.push(format!("{case:?}: {excess}"));
+            self.exceeding_cases.push(format!("{case:?}: {excess}"));
         }
     }
 }
@@ -51,7 +52,7 @@
     for may_health_check in [true, false] {
         for capacity in CAPACITIES {
             for submission_rate in SUBMISSION_RATES {
-                report.add(Case {
+                report.run_case(Case {
                     seed,
                     may_health_check,
                     capacity,
@@ -64,7 +65,8 @@
     report
 }
 
-/// Runs all cases of one fault, each seed on a thread of its own.
+/// Runs all cases of one fault, with a thread for each seed, and checks that none exceeds the
+/// limit.
 fn check_all_cases(fault: Fault) {
     let reports: Vec<SeedReport> = std::thread::scope(|scope| {
         let threads: Vec<_> = SEEDS
@@ -72,34 +74,38 @@
             .collect();
         threads
             .into_iter()
-            .map(|thread| thread.join().expect("all cases run"))
+            .map(|thread| {
+                thread
+                    .join()
+                    .expect("all cases of a seed should run without a panic")
+            })
             .collect()
     });
     for report in reports {
         assert!(
-            report.exceeded.is_empty(),
-            "beyond the limit:\n{}",
-            report.exceeded.join("\n")
+            report.exceeding_cases.is_empty(),
+            "expected all cases within the limit:\n{}",
+            report.exceeding_cases.join("\n")
         );
         assert!(
-            report.largest_part > 0.3,
-            "the fleet hardly calls: {:.2} of the limit",
-            report.largest_part
+            report.max_limit_share > 0.3,
+            "expected the fleet to use more than 0.3 of the limit, used {:.2}",
+            report.max_limit_share
         );
     }
 }
 
 #[test]
-fn a_destination_that_answered_with_errors_is_not_overloaded_as_it_warms_up() {
+fn fleet_does_not_overload_warming_destination_after_errors() {
     check_all_cases(Fault::Errors);
 }
 
 #[test]
-fn a_destination_that_refused_connections_is_not_overloaded_as_it_warms_up() {
+fn fleet_does_not_overload_warming_destination_after_refused_connections() {
     check_all_cases(Fault::RefusedConnections);
 }
 
 #[test]
-fn a_destination_that_did_not_answer_is_not_overloaded_as_it_warms_up() {
-    check_all_cases(Fault::NoAnswers);
+fn fleet_does_not_overload_warming_destination_after_missing_responses() {
+    check_all_cases(Fault::NoResponses);
 }
