--- a/crates/forwarder/src/dispatcher/attempts.rs
+++ b/crates/forwarder/src/dispatcher/attempts.rs
@@ -31,7 +31,9 @@
         let request = attempt_request(id, attempt, message, timeout, send_by);
         let serial = message.serial;
         let out = OutstandingAttempt { attempt, endpoint };
-        let journalled = self.journal.attempt_started(serial, attempt, now, zone);
+        let journalled = self
+            .journal
+            .record_attempt_start(serial, attempt, now, zone);
         if journalled.is_err() {
             self.log_journal_error(journalled);
             self.queue_not_attempted(id, out);
@@ -41,7 +43,7 @@
             self.attempt_is_out(id, out);
             return;
         }
-        let ended = self.journal.attempt_ended(serial, attempt, false);
+        let ended = self.journal.record_attempt_end(serial, attempt, false);
         self.log_journal_error(ended);
         self.queue_not_attempted(id, out);
     }
@@ -121,14 +123,15 @@
             Ok(())
         } else if message_completed {
             message.ending_decided = true;
-            self.journal.ended(serial)
+            self.journal.record_message_end(serial)
         } else if outcome == Outcome::WithdrawnBeforeSend {
             message.attempts_started = u32::from(attempt_index);
-            self.journal.attempt_withdrawn(serial, attempt_index)
+            self.journal
+                .record_attempt_withdrawal(serial, attempt_index)
         } else {
             let may_have_taken_effect = outcome.may_have_taken_effect();
             self.journal
-                .attempt_ended(serial, attempt_index, may_have_taken_effect)
+                .record_attempt_end(serial, attempt_index, may_have_taken_effect)
         };
         self.log_journal_error(written);
         self.in_flight.remove_if_over(id);
--- a/crates/forwarder/src/dispatcher/completion.rs
+++ b/crates/forwarder/src/dispatcher/completion.rs
@@ -19,7 +19,7 @@
             request_id: message.submitted.request_id.clone(),
             ending,
         };
-        let written = self.journal.report_pending(report.serial, ending);
+        let written = self.journal.record_pending_report(report.serial, ending);
         self.log_journal_error(written);
         self.send_report(report, ordered.then_some(id));
         self.in_flight.remove_if_over(id);
@@ -32,7 +32,7 @@
         };
         message.ending_decided = true;
         let serial = message.serial;
-        let written = self.journal.ended(serial);
+        let written = self.journal.record_message_end(serial);
         self.log_journal_error(written);
         self.in_flight.remove_if_over(id);
     }
@@ -62,7 +62,7 @@
     /// The platform has a completion report: nothing of its message needs to survive any more.
     pub(super) fn report_acknowledged(&mut self, serial: u64) {
         let ordered = self.pending_reports.remove(&serial).flatten();
-        let written = self.journal.ended(serial);
+        let written = self.journal.record_message_end(serial);
         self.log_journal_error(written);
         if let Some(id) = ordered {
             self.handle(Event::FinalAnswerAcknowledged { id });
--- a/crates/forwarder/src/dispatcher/recovery.rs
+++ b/crates/forwarder/src/dispatcher/recovery.rs
@@ -45,14 +45,14 @@
 
     /// The message is over, and the platform has not acknowledged its completion report.
     fn restore_report(&mut self, id: MessageId, stored: StoredMessage, ending: Ending) {
-        if let Some(key) = stored.key {
+        if let Some(key) = stored.order_key {
             self.handle(Event::CompletionReportPending {
                 id,
                 class: DeliveryClassId(stored.class),
                 order_key: OrderKey(key),
             });
         }
-        let ordered = stored.key.map(|_| id);
+        let ordered = stored.order_key.map(|_| id);
         let report = PendingCompletionReport {
             serial: stored.serial,
             request_id: stored.request_id,
@@ -63,7 +63,7 @@
 
     fn restore_message(&mut self, now: Micros, id: MessageId, stored: StoredMessage) {
         let history = AttemptHistory {
-            attempts: stored.attempts,
+            attempts: stored.attempts_started,
             possible_effect: possible_effect(now, &stored),
         };
         let serial = stored.serial;
@@ -156,7 +156,7 @@
         destination: DestinationId(stored.destination),
         time_left: stored.deadline.saturating_sub(now),
         idempotency_key: stored.idempotency_key,
-        order_key: stored.key,
+        order_key: stored.order_key,
         resubmitted: stored.resubmitted,
         from_failed_forwarder: stored.from_failed_forwarder,
         body: stored.body,
--- a/crates/forwarder/src/dispatcher/submissions.rs
+++ b/crates/forwarder/src/dispatcher/submissions.rs
@@ -70,10 +70,10 @@
         let stored = stored_message(&submitted, deadline);
         // The configured capacity is checked before the core is asked, as the simulator does.
         let table_full = self.in_flight.len() >= self.config.max_messages as usize;
-        if table_full || !self.journal.has_room(&stored) {
+        if table_full || !self.journal.has_space_for(&stored) {
             return None;
         }
-        let serial = match self.journal.accept(stored) {
+        let serial = match self.journal.record_message(stored) {
             Ok(serial) => serial,
             Err(problem) => {
                 error!(self.log, "a message could not be journalled"; "problem" => %problem);
@@ -164,10 +164,10 @@
         resubmitted: submitted.resubmitted,
         from_failed_forwarder: submitted.from_failed_forwarder,
         body: submitted.body.clone(),
-        key: submitted.order_key,
-        attempts: 0,
+        order_key: submitted.order_key,
+        attempts_started: 0,
         possible_effect: None,
-        attempts_out: Vec::new(),
+        attempts_in_flight: Vec::new(),
         pending_report: None,
     }
 }
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -305,10 +305,14 @@
             &submitted("out", 0),
             self.dispatcher.clock.now() + 20_000_000,
         );
-        let serial = self.dispatcher.journal.accept(stored).expect("room");
+        let serial = self
+            .dispatcher
+            .journal
+            .record_message(stored)
+            .expect("room");
         self.dispatcher
             .journal
-            .attempt_started(serial, 0, started_at, 0)
+            .record_attempt_start(serial, 0, started_at, 0)
             .expect("room");
         let messages = self.dispatcher.journal.recover_messages();
         self.dispatcher.restore(messages);
@@ -376,7 +380,10 @@
         .iter()
         .find(|message| message.request_id == "at-most-once")
         .expect("it is stored");
-    assert_eq!((message.attempts, message.possible_effect), (1, None));
+    assert_eq!(
+        (message.attempts_started, message.possible_effect),
+        (1, None)
+    );
     fixture.run_for(500).await;
     assert!(
         fixture.pending_reports.try_recv().is_err(),
--- a/crates/forwarder/src/endpoint_list/golden_tests.rs
+++ b/crates/forwarder/src/endpoint_list/golden_tests.rs
@@ -14,22 +14,22 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-const WITHIN: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn names() -> Names {
-    let texts = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
+    let to_strings = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
     Names {
         classes: Vec::new(),
         tenants: Vec::new(),
-        zones: texts(&["a", "b", "other-zone"]),
-        endpoint_kinds: texts(&["m1", "m2", "other-kind"]),
+        zones: to_strings(&["a", "b", "other-zone"]),
+        endpoint_kinds: to_strings(&["m1", "m2", "other-kind"]),
         reports: Vec::new(),
     }
 }
 
 fn render_entry(entry: &EndpointEntry) -> Value {
     let [a, b, c, d] = entry.endpoint.address;
-    let readiness = match entry.status {
+    let status = match entry.status {
         EndpointStatus::Ready => "ready",
         EndpointStatus::Draining => "draining",
         EndpointStatus::Removed => "gone",
@@ -39,22 +39,23 @@
         "holder": entry.endpoint.incarnation,
         "zone": entry.zone.0,
         "up since us": entry.up_since,
-        "readiness": readiness,
+        "readiness": status,
         "rate": entry.rate,
         "destination": entry.destination.0,
         "kind": entry.kind.0,
     })
 }
 
-fn render_event(note: DispatcherCommand) -> Value {
-    let DispatcherCommand::Event(Event::EndpointListUpdated(news)) = note else {
+fn render_event(command: DispatcherCommand) -> Value {
+    let DispatcherCommand::Event(Event::EndpointListUpdated(update)) = command else {
         panic!("another event")
     };
-    let entries = |entries: &[EndpointEntry]| entries.iter().map(render_entry).collect::<Vec<_>>();
-    match news {
-        EndpointListUpdate::Complete(all) => json!({ "complete list": entries(&all) }),
-        EndpointListUpdate::Changes(changes) => json!({ "changes": entries(&changes) }),
-        EndpointListUpdate::Cached(all) => json!({ "cached list": entries(&all) }),
+    let render_entries =
+        |entries: &[EndpointEntry]| entries.iter().map(render_entry).collect::<Vec<_>>();
+    match update {
+        EndpointListUpdate::Complete(all) => json!({ "complete list": render_entries(&all) }),
+        EndpointListUpdate::Changes(changes) => json!({ "changes": render_entries(&changes) }),
+        EndpointListUpdate::Cached(all) => json!({ "cached list": render_entries(&all) }),
         EndpointListUpdate::Failed => json!("failed"),
     }
 }
@@ -64,14 +65,14 @@
 async fn exchange(input: &Value) -> Value {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
-    let (_moves, discovery) = watch::channel(address);
+    let (_address_sender, discovery) = watch::channel(address);
     let (dispatcher, mut events) = mpsc::channel(64);
-    let (commands, mailbox) = mpsc::channel(4);
+    let (commands, command_receiver) = mpsc::channel(4);
     let must_be_polled = input["must be asked"] == true;
     let log = Logger::root(slog::Discard, slog::o!());
     let platform = Platform::new(address);
     let table = EndpointTable::default();
-    let list = EndpointListWatch {
+    let list_watch = EndpointListWatch {
         platform,
         discovery,
         names: names(),
@@ -80,32 +81,33 @@
         dispatcher,
         log,
     };
-    tokio::spawn(list.run(mailbox));
-    let mut calls = Vec::new();
-    let mut rendered = Vec::new();
+    tokio::spawn(list_watch.run(command_receiver));
+    let mut requests = Vec::new();
+    let mut rendered_events = Vec::new();
     let answers = input["answers"].as_array().expect("answers");
     for answer in answers.iter().map(Some).chain([None]) {
-        let (mut stream, _) = tokio::time::timeout(WITHIN, listener.accept())
+        let (mut stream, _) = tokio::time::timeout(TIMEOUT, listener.accept())
             .await
             .expect("in time")
             .expect("a connection");
-        let mut call = Vec::new();
-        while !call.ends_with(b"\r\n\r\n") {
-            let read = tokio::time::timeout(WITHIN, stream.read_buf(&mut call)).await;
+        let mut request = Vec::new();
+        while !request.ends_with(b"\r\n\r\n") {
+            let read = tokio::time::timeout(TIMEOUT, stream.read_buf(&mut request)).await;
             assert_ne!(
                 read.expect("in time").expect("readable"),
                 0,
                 "the call is cut off"
             );
         }
-        let call = String::from_utf8(call).expect("a call is text");
-        calls.push(text(
-            call.replace(&address.to_string(), "127.0.0.1:PORT")
+        let request = String::from_utf8(request).expect("a call is text");
+        requests.push(text(
+            request
+                .replace(&address.to_string(), "127.0.0.1:PORT")
                 .as_bytes(),
         ));
         // A call comes once the answer before it is dealt with.
         while let Ok(event) = events.try_recv() {
-            rendered.push(render_event(event));
+            rendered_events.push(render_event(event));
         }
         let Some(answer) = answer else { break };
         let status = answer["status"].as_str().unwrap_or("200 OK");
@@ -118,21 +120,21 @@
         );
         stream.write_all(answer.as_bytes()).await.expect("answered");
         if must_be_polled {
-            let event = tokio::time::timeout(WITHIN, events.recv())
+            let event = tokio::time::timeout(TIMEOUT, events.recv())
                 .await
                 .expect("in time");
-            rendered.push(render_event(event.expect("an event")));
+            rendered_events.push(render_event(event.expect("an event")));
             commands
                 .send(EndpointListCommand::StartWatch)
                 .await
                 .expect("the actor runs");
         }
     }
-    json!({ "calls": calls, "events": rendered })
+    json!({ "calls": requests, "events": rendered_events })
 }
 
 #[tokio::test]
-async fn the_list_is_asked_for_and_decoded_as_recorded() {
+async fn sends_golden_requests_and_decodes_golden_answers() {
     let mut golden = GoldenCases::read("endpoint-list.json");
     for input in golden.inputs() {
         golden.compare_next(exchange(&input).await);
--- a/crates/forwarder/src/endpoint_list/table.rs
+++ b/crates/forwarder/src/endpoint_list/table.rs
@@ -20,7 +20,7 @@
 }
 
 /// Members as they were before a document, by id; none for one that was not known.
-type MembersBefore = BTreeMap<CompactString, Option<EndpointEntry>>;
+type PreviousMembers = BTreeMap<CompactString, Option<EndpointEntry>>;
 
 impl EndpointTable {
     /// Applies a document and returns what it says in the core's terms: nothing where it is older than the list that is
@@ -36,18 +36,18 @@
         }
         self.revision = Some(document.revision);
         if document.complete {
-            Some(self.replace_members(document.members, names))
+            Some(self.apply_complete_list(document.members, names))
         } else {
-            self.change_members(document.members, names)
+            self.apply_changes(document.members, names)
         }
     }
 
-    fn replace_members(&mut self, members: Vec<Member>, names: &Names) -> EndpointListUpdate {
-        let new_table = MemberTable::with_capacity(members.len());
-        let before = std::mem::replace(&mut self.members, new_table);
+    fn apply_complete_list(&mut self, members: Vec<Member>, names: &Names) -> EndpointListUpdate {
+        let new_members = MemberTable::with_capacity(members.len());
+        let previous = std::mem::replace(&mut self.members, new_members);
         for member in members {
-            let old = before.get(&member.id).cloned();
-            self.apply_member(member, old.as_ref(), names);
+            let previous_entry = previous.get_by_id(&member.id).cloned();
+            self.apply_member(member, previous_entry.as_ref(), names);
         }
         let mut rows: Vec<&MemberRow> = self.members.rows.iter().map(|(_, row)| row).collect();
         rows.sort_unstable_by(|a, b| a.id.cmp(&b.id));
@@ -56,23 +56,21 @@
     }
 
     /// The work is proportional to the changes, not to the list.
-    fn change_members(
-        &mut self,
-        members: Vec<Member>,
-        names: &Names,
-    ) -> Option<EndpointListUpdate> {
-        let mut before = MembersBefore::new();
+    fn apply_changes(&mut self, members: Vec<Member>, names: &Names) -> Option<EndpointListUpdate> {
+        let mut previous = PreviousMembers::new();
         for member in members {
-            let old = before
+            let previous_entry = previous
                 .entry(member.id.clone())
-                .or_insert_with(|| self.members.get(&member.id).cloned())
+                .or_insert_with(|| self.members.get_by_id(&member.id).cloned())
                 .clone();
-            if let Some(displaced) = self.apply_member(member, old.as_ref(), names) {
-                before.entry(displaced.id).or_insert(Some(displaced.entry));
+            if let Some(displaced) = self.apply_member(member, previous_entry.as_ref(), names) {
+                previous
+                    .entry(displaced.id)
+                    .or_insert(Some(displaced.entry));
             }
         }
-        let mut entries = self.removed_endpoints(&before);
-        entries.extend(self.changed_members(&before));
+        let mut entries = self.removed_endpoints(&previous);
+        entries.extend(self.changed_members(&previous));
         if entries.is_empty() {
             None
         } else {
@@ -81,16 +79,19 @@
     }
 
     /// The endpoints that members had before and have no more, in the order of the members' ids.
-    fn removed_endpoints(&self, before: &MembersBefore) -> Vec<EndpointEntry> {
+    fn removed_endpoints(&self, previous: &PreviousMembers) -> Vec<EndpointEntry> {
         let mut removed = Vec::new();
-        for (id, old) in before {
-            let Some(old) = old else { continue };
-            let is_same =
-                |now: &EndpointEntry| now.endpoint.incarnation == old.endpoint.incarnation;
-            if !self.members.get(id).is_some_and(is_same) {
+        for (id, previous_entry) in previous {
+            let Some(previous_entry) = previous_entry else {
+                continue;
+            };
+            let is_same_endpoint = |current: &EndpointEntry| {
+                current.endpoint.incarnation == previous_entry.endpoint.incarnation
+            };
+            if !self.members.get_by_id(id).is_some_and(is_same_endpoint) {
                 removed.push(EndpointEntry {
                     status: EndpointStatus::Removed,
-                    ..old.clone()
+                    ..previous_entry.clone()
                 });
             }
         }
@@ -98,14 +99,14 @@
     }
 
     /// The members that are new or differ from what they were before, in the order of their ids.
-    fn changed_members(&self, before: &MembersBefore) -> Vec<EndpointEntry> {
+    fn changed_members(&self, previous: &PreviousMembers) -> Vec<EndpointEntry> {
         let mut changed = Vec::new();
-        for (id, old) in before {
-            let Some(now) = self.members.get(id) else {
+        for (id, previous_entry) in previous {
+            let Some(current) = self.members.get_by_id(id) else {
                 continue;
             };
-            if old.as_ref() != Some(now) {
-                changed.push(now.clone());
+            if previous_entry.as_ref() != Some(current) {
+                changed.push(current.clone());
             }
         }
         changed
@@ -116,37 +117,38 @@
     fn apply_member(
         &mut self,
         member: Member,
-        old: Option<&EndpointEntry>,
+        previous_entry: Option<&EndpointEntry>,
         names: &Names,
     ) -> Option<MemberRow> {
         if member.phase == Phase::Gone {
-            self.members.remove(&member.id);
+            self.members.remove_by_id(&member.id);
             return None;
         }
         let mut entry = member.to_entry(0, names);
-        let other_id = self
+        let id_at_address = self
             .members
-            .at_address(Address::of(&entry))
+            .get_by_address(Address::of(&entry))
             .filter(|row| row.id != member.id)
             .map(|row| row.id.clone());
         // Another member has the address by now: a late change of one that drains there must not touch it.
-        if other_id.is_some() && member.phase != Phase::Ready {
+        if id_at_address.is_some() && member.phase != Phase::Ready {
             return None;
         }
-        let displaced = other_id.and_then(|id| self.members.remove(&id));
+        let displaced = id_at_address.and_then(|id| self.members.remove_by_id(&id));
         // An endpoint with another address or destination is a new one: nothing learned of the old one applies to it.
-        let same_endpoint = old.filter(|old| has_same_place(old, &entry));
+        let same_endpoint =
+            previous_entry.filter(|previous| has_same_address_and_destination(previous, &entry));
         entry.endpoint.incarnation = match same_endpoint {
-            Some(old) => old.endpoint.incarnation,
-            None => self.new_incarnation(),
+            Some(same) => same.endpoint.incarnation,
+            None => self.next_incarnation(),
         };
-        self.members.remove(&member.id);
+        self.members.remove_by_id(&member.id);
         let id = member.id;
         self.members.insert(MemberRow { id, entry });
         displaced
     }
 
-    fn new_incarnation(&mut self) -> u32 {
+    fn next_incarnation(&mut self) -> u32 {
         self.last_incarnation = self.last_incarnation.wrapping_add(1);
         self.last_incarnation
     }
@@ -160,7 +162,7 @@
     }
 }
 
-fn has_same_place(a: &EndpointEntry, b: &EndpointEntry) -> bool {
+fn has_same_address_and_destination(a: &EndpointEntry, b: &EndpointEntry) -> bool {
     Address::of(a) == Address::of(b) && a.destination == b.destination
 }
 
@@ -200,54 +202,56 @@
 }
 
 impl MemberTable {
-    fn with_capacity(rows: usize) -> MemberTable {
+    fn with_capacity(capacity: usize) -> MemberTable {
         MemberTable {
-            rows: Slab::with_capacity(rows),
-            by_id: HashTable::with_capacity(rows),
-            by_address: HashTable::with_capacity(rows),
+            rows: Slab::with_capacity(capacity),
+            by_id: HashTable::with_capacity(capacity),
+            by_address: HashTable::with_capacity(capacity),
             hasher: RandomState::new(),
         }
     }
 
-    fn get(&self, id: &str) -> Option<&EndpointEntry> {
+    fn get_by_id(&self, id: &str) -> Option<&EndpointEntry> {
         let hash = self.hasher.hash_one(id);
-        let is_it = |key: &u32| self.rows[*key as usize].id == id;
-        let key = self.by_id.find(hash, is_it)?;
-        Some(&self.rows[*key as usize].entry)
+        let has_id = |row_key: &u32| self.rows[*row_key as usize].id == id;
+        let row_key = self.by_id.find(hash, has_id)?;
+        Some(&self.rows[*row_key as usize].entry)
     }
 
-    fn at_address(&self, address: Address) -> Option<&MemberRow> {
+    fn get_by_address(&self, address: Address) -> Option<&MemberRow> {
         let hash = self.hasher.hash_one(address);
-        let is_it = |key: &u32| Address::of(&self.rows[*key as usize].entry) == address;
-        let key = self.by_address.find(hash, is_it)?;
-        Some(&self.rows[*key as usize])
+        let has_address =
+            |row_key: &u32| Address::of(&self.rows[*row_key as usize].entry) == address;
+        let row_key = self.by_address.find(hash, has_address)?;
+        Some(&self.rows[*row_key as usize])
     }
 
     /// Adds a member whose id and address no other has.
     fn insert(&mut self, row: MemberRow) {
         let id_hash = self.hasher.hash_one(row.id.as_str());
         let address_hash = self.hasher.hash_one(Address::of(&row.entry));
-        let key = self.rows.insert(row) as u32;
+        let row_key = self.rows.insert(row) as u32;
         let (rows, hasher) = (&self.rows, &self.hasher);
-        self.by_id.insert_unique(id_hash, key, |key| {
-            hasher.hash_one(rows[*key as usize].id.as_str())
-        });
-        self.by_address.insert_unique(address_hash, key, |key| {
-            hasher.hash_one(Address::of(&rows[*key as usize].entry))
+        self.by_id.insert_unique(id_hash, row_key, |row_key| {
+            hasher.hash_one(rows[*row_key as usize].id.as_str())
         });
+        self.by_address
+            .insert_unique(address_hash, row_key, |row_key| {
+                hasher.hash_one(Address::of(&rows[*row_key as usize].entry))
+            });
     }
 
-    fn remove(&mut self, id: &str) -> Option<MemberRow> {
+    fn remove_by_id(&mut self, id: &str) -> Option<MemberRow> {
         let id_hash = self.hasher.hash_one(id);
-        let is_it = |key: &u32| self.rows[*key as usize].id == id;
-        let (key, _) = self.by_id.find_entry(id_hash, is_it).ok()?.remove();
-        let row = self.rows.remove(key as usize);
+        let has_id = |row_key: &u32| self.rows[*row_key as usize].id == id;
+        let (row_key, _) = self.by_id.find_entry(id_hash, has_id).ok()?.remove();
+        let row = self.rows.remove(row_key as usize);
         let address_hash = self.hasher.hash_one(Address::of(&row.entry));
-        if let Ok(found) = self
+        if let Ok(occupied) = self
             .by_address
-            .find_entry(address_hash, |other| *other == key)
+            .find_entry(address_hash, |other_key| *other_key == row_key)
         {
-            found.remove();
+            occupied.remove();
         }
         Some(row)
     }
--- a/crates/forwarder/src/endpoint_list/table/tests.rs
+++ b/crates/forwarder/src/endpoint_list/table/tests.rs
@@ -1,14 +1,14 @@
 //! The compact table compared with a plain one, and its memory at the expected size.
 
-mod plain;
+mod reference;
 
 use super::*;
-use plain::PlainTable;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
+use reference::ReferenceTable;
 use std::net::SocketAddrV4;
 
 /// Members of a long list: more than the 91,000 that the operators expect.
-const MANY: u32 = 100_000;
+const MEMBER_COUNT: u32 = 100_000;
 
 /// Bytes a member, of the 150 that all tables beside the core may take.
 const MAX_BYTES_PER_MEMBER: usize = 90;
@@ -53,26 +53,29 @@
     else {
         panic!("no entries")
     };
-    let mut statuses: Vec<_> = entries.iter().map(|e| (key(e), e.status)).collect();
+    let mut statuses: Vec<_> = entries
+        .iter()
+        .map(|entry| (key(entry), entry.status))
+        .collect();
     statuses.sort_by(|(a, _), (b, _)| a.cmp(b));
     statuses
 }
 
 fn by_port(update: Option<EndpointListUpdate>) -> Vec<(u16, EndpointStatus)> {
-    statuses_by(|e| e.endpoint.port, update)
+    statuses_by(|entry| entry.endpoint.port, update)
 }
 
 fn by_incarnation(update: Option<EndpointListUpdate>) -> Vec<(u32, EndpointStatus)> {
-    statuses_by(|e| e.endpoint.incarnation, update)
+    statuses_by(|entry| entry.endpoint.incarnation, update)
 }
 
 /// Changes apply to the list that is known. Those of an earlier revision are ignored.
 #[test]
-fn changes_apply_to_the_known_list_and_old_ones_are_ignored() {
+fn applies_changes_and_ignores_those_of_older_revisions() {
     let mut table = EndpointTable::default();
-    let whole = document(5, true, &[("x", 1, Phase::Ready), ("y", 2, Phase::Ready)]);
+    let complete = document(5, true, &[("x", 1, Phase::Ready), ("y", 2, Phase::Ready)]);
     assert_eq!(
-        by_port(table.apply(whole, &names())),
+        by_port(table.apply(complete, &names())),
         [(1, EndpointStatus::Ready), (2, EndpointStatus::Ready)]
     );
     let change = document(6, false, &[("y", 2, Phase::Terminating)]);
@@ -90,7 +93,7 @@
 /// Members that use the same address one after the other are different endpoints: neither status, health nor
 /// destination of the first applies to the second.
 #[test]
-fn each_member_at_an_address_is_an_endpoint_of_its_own() {
+fn treats_reused_address_or_changed_destination_as_new_endpoint() {
     let mut table = EndpointTable::default();
     table.apply(document(1, true, &[("x", 1, Phase::Ready)]), &names());
     let moved = table.apply(document(2, false, &[("x", 2, Phase::Ready)]), &names());
@@ -99,9 +102,9 @@
         [(1, EndpointStatus::Removed), (2, EndpointStatus::Ready)]
     );
     // Another member gets the address: the first endpoint is removed, and the second is a new one.
-    let taken = table.apply(document(3, false, &[("z", 2, Phase::Ready)]), &names());
+    let displaced = table.apply(document(3, false, &[("z", 2, Phase::Ready)]), &names());
     assert_eq!(
-        by_incarnation(taken),
+        by_incarnation(displaced),
         [(2, EndpointStatus::Removed), (3, EndpointStatus::Ready)]
     );
     // Late changes of the first member do not apply to the second.
@@ -120,10 +123,10 @@
         [(3, EndpointStatus::Ready)]
     );
     // The same address for another destination is another endpoint.
-    let mut other = document(7, false, &[("z", 2, Phase::Ready)]);
-    other.members[0].destination = 4;
+    let mut other_destination = document(7, false, &[("z", 2, Phase::Ready)]);
+    other_destination.members[0].destination = 4;
     assert_eq!(
-        by_incarnation(table.apply(other, &names())),
+        by_incarnation(table.apply(other_destination, &names())),
         [(3, EndpointStatus::Removed), (5, EndpointStatus::Ready)]
     );
     // Nothing is kept of removed members.
@@ -133,20 +136,20 @@
 
 /// The work for a change does not grow with the list, nor that for a member of a complete list with its length.
 #[test]
-fn thousands_of_members_and_changes_are_applied_quickly() {
+fn applies_thousands_of_members_and_changes_within_two_seconds() {
     let mut table = EndpointTable::default();
     let ids: Vec<String> = (0..4_096).map(|n| format!("s-{n}")).collect();
-    let whole: Vec<_> = ids
+    let complete: Vec<_> = ids
         .iter()
         .zip(1..)
         .map(|(id, port)| (id.as_str(), port, Phase::Ready))
         .collect();
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     assert_eq!(
-        by_port(table.apply(document(1, true, &whole), &names())).len(),
+        by_port(table.apply(document(1, true, &complete), &names())).len(),
         ids.len()
     );
-    for (id, port, _) in whole {
+    for (id, port, _) in complete {
         let update = table.apply(
             document(2, false, &[(id, port, Phase::Terminating)]),
             &names(),
@@ -155,17 +158,17 @@
     }
     // It would take 25 s if each change looked at all members.
     assert!(
-        begun.elapsed() < std::time::Duration::from_secs(2),
+        started_at.elapsed() < std::time::Duration::from_secs(2),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
     // The last line of a member counts. A member with the address of another displaces it.
-    let twice = [
+    let members = [
         ("s-0", 1, Phase::Gone),
         ("s-0", 1, Phase::Ready),
         ("new", 2, Phase::Ready),
     ];
-    let update = by_incarnation(table.apply(document(3, false, &twice), &names()));
+    let update = by_incarnation(table.apply(document(3, false, &members), &names()));
     assert_eq!(
         update,
         [
@@ -216,9 +219,9 @@
 /// Any documents give the same updates as with the plain table: ids that move, addresses that are used again, members
 /// that are named twice.
 #[test]
-fn any_documents_give_the_updates_of_a_plain_table() {
-    fn equal(documents: Vec<AnyDocument>) -> bool {
-        let (mut table, mut plain) = (EndpointTable::default(), PlainTable::default());
+fn returns_updates_of_reference_table_for_any_documents() {
+    fn updates_are_equal(documents: Vec<AnyDocument>) -> bool {
+        let (mut table, mut reference) = (EndpointTable::default(), ReferenceTable::default());
         documents.into_iter().all(|AnyDocument(document)| {
             let update = table.apply(document.clone(), &names());
             let members = &table.members;
@@ -227,17 +230,21 @@
                 members.by_id.len(),
                 members.by_address.len(),
             ];
-            update == plain.apply(document, &names())
-                && table.revision == plain.revision
-                && sizes == [plain.members.len(); 3]
+            update == reference.apply(document, &names())
+                && table.revision == reference.revision
+                && sizes == [reference.members.len(); 3]
         })
     }
     QuickCheck::new()
         .tests(2_000)
-        .quickcheck(equal as fn(Vec<AnyDocument>) -> bool);
+        .quickcheck(updates_are_equal as fn(Vec<AnyDocument>) -> bool);
 }
 
-fn many(revision: u64, complete: bool, numbers: impl Iterator<Item = u32>) -> EndpointListDocument {
+fn numbered_members(
+    revision: u64,
+    complete: bool,
+    numbers: impl Iterator<Item = u32>,
+) -> EndpointListDocument {
     let member = |n: u32| Member {
         id: format!("member-{n:06}").into(),
         address: SocketAddrV4::new((0x0a00_0000 + n).into(), 8080),
@@ -264,7 +271,7 @@
 
 impl EndpointTable {
     /// The memory of the table. Ids of up to 24 bytes are stored in their rows.
-    fn bytes(&self) -> usize {
+    fn allocated_bytes(&self) -> usize {
         let MemberTable {
             rows,
             by_id,
@@ -279,20 +286,25 @@
 
 /// The memory of the table is bounded at the expected size, also where half of the members come and go.
 #[test]
-fn a_hundred_thousand_members_take_few_bytes_each_however_they_flap() {
+fn memory_stays_bounded_for_100_000_flapping_members() {
     let mut table = EndpointTable::default();
-    let first = complete_list(table.apply(many(1, true, 0..MANY), &names()));
-    assert_eq!(first.len(), MANY as usize);
-    let room = table.bytes();
+    let first = complete_list(table.apply(numbered_members(1, true, 0..MEMBER_COUNT), &names()));
+    assert_eq!(first.len(), MEMBER_COUNT as usize);
+    let initial_bytes = table.allocated_bytes();
     assert!(
-        room <= MANY as usize * MAX_BYTES_PER_MEMBER,
-        "{room} bytes for {MANY} members"
+        initial_bytes <= MEMBER_COUNT as usize * MAX_BYTES_PER_MEMBER,
+        "{initial_bytes} bytes for {MEMBER_COUNT} members"
     );
     for revision in 1..6 {
-        let half =
-            complete_list(table.apply(many(2 * revision, true, (0..MANY).step_by(2)), &names()));
-        assert_eq!(half.len(), MANY as usize / 2);
-        let all = complete_list(table.apply(many(2 * revision + 1, true, 0..MANY), &names()));
+        let every_second = complete_list(table.apply(
+            numbered_members(2 * revision, true, (0..MEMBER_COUNT).step_by(2)),
+            &names(),
+        ));
+        assert_eq!(every_second.len(), MEMBER_COUNT as usize / 2);
+        let all = complete_list(table.apply(
+            numbered_members(2 * revision + 1, true, 0..MEMBER_COUNT),
+            &names(),
+        ));
         // Members that stayed are the same endpoints; those that left and came back are new ones.
         assert!(all.iter().step_by(2).eq(first.iter().step_by(2)));
         assert!(all
@@ -300,11 +312,11 @@
             .zip(&first)
             .skip(1)
             .step_by(2)
-            .all(|(now, then)| now.endpoint != then.endpoint));
-        assert_eq!(table.bytes(), room);
+            .all(|(current, previous)| current.endpoint != previous.endpoint));
+        assert_eq!(table.allocated_bytes(), initial_bytes);
     }
     for revision in 20..30 {
-        let mut change = many(revision, false, (0..MANY).step_by(2));
+        let mut change = numbered_members(revision, false, (0..MEMBER_COUNT).step_by(2));
         if revision % 2 == 0 {
             for member in &mut change.members {
                 member.phase = Phase::Gone;
@@ -313,7 +325,7 @@
         let Some(EndpointListUpdate::Changes(entries)) = table.apply(change, &names()) else {
             panic!("no changes")
         };
-        assert_eq!(entries.len(), MANY as usize / 2);
-        assert_eq!(table.bytes(), room);
+        assert_eq!(entries.len(), MEMBER_COUNT as usize / 2);
+        assert_eq!(table.allocated_bytes(), initial_bytes);
     }
 }
--- a/crates/forwarder/src/endpoint_list/table/tests/plain.rs
+++ b/crates/forwarder/src/endpoint_list/table/tests/reference.rs
@@ -4,7 +4,7 @@
 
 /// The same by two plain maps, with whole ids and members. The compact table must not differ from it.
 #[derive(Default)]
-pub struct PlainTable {
+pub struct ReferenceTable {
     /// The revision of the latest document.
     pub revision: Option<u64>,
     /// The members, by id.
@@ -13,53 +13,54 @@
     last_incarnation: u32,
 }
 
-impl PlainTable {
+impl ReferenceTable {
     /// The same as [`EndpointTable::take`].
     pub fn apply(
         &mut self,
         document: EndpointListDocument,
         names: &Names,
     ) -> Option<EndpointListUpdate> {
-        if !document.complete && self.revision.is_some_and(|r| document.revision < r) {
+        if !document.complete && self.revision.is_some_and(|known| document.revision < known) {
             return None;
         }
         self.revision = Some(document.revision);
-        let mut before: BTreeMap<String, Option<EndpointEntry>> = BTreeMap::new();
+        let mut previous: BTreeMap<String, Option<EndpointEntry>> = BTreeMap::new();
         if document.complete {
             self.ids_by_address.clear();
-            before = std::mem::take(&mut self.members)
+            previous = std::mem::take(&mut self.members)
                 .into_iter()
-                .map(|(id, old)| (id, Some(old)))
+                .map(|(id, previous_entry)| (id, Some(previous_entry)))
                 .collect();
         }
         for member in document.members {
             let id = member.id.to_string();
-            let old = before
+            let previous_entry = previous
                 .entry(id.clone())
                 .or_insert_with(|| self.members.get(&id).cloned())
                 .clone();
-            let other = self
+            let id_at_address = self
                 .ids_by_address
                 .get(&member.address)
-                .filter(|id_there| **id_there != id)
+                .filter(|other_id| **other_id != id)
                 .cloned();
             if member.phase == Phase::Gone {
                 self.remove(&id);
-            } else if other.is_none() || member.phase == Phase::Ready {
+            } else if id_at_address.is_none() || member.phase == Phase::Ready {
                 let mut entry = member.to_entry(0, names);
-                let same = old.filter(|old| {
-                    (Address::of(old), old.destination) == (Address::of(&entry), entry.destination)
+                let same_endpoint = previous_entry.filter(|previous_entry| {
+                    (Address::of(previous_entry), previous_entry.destination)
+                        == (Address::of(&entry), entry.destination)
                 });
-                if let Some(other) = other {
-                    let removed = self.remove(&other);
-                    before.entry(other).or_insert(removed);
+                if let Some(displaced_id) = id_at_address {
+                    let removed = self.remove(&displaced_id);
+                    previous.entry(displaced_id).or_insert(removed);
                 }
-                entry.endpoint.incarnation = same.map_or_else(
+                entry.endpoint.incarnation = same_endpoint.map_or_else(
                     || {
                         self.last_incarnation += 1;
                         self.last_incarnation
                     },
-                    |old| old.endpoint.incarnation,
+                    |previous_entry| previous_entry.endpoint.incarnation,
                 );
                 self.remove(&id);
                 self.ids_by_address.insert(member.address, id.clone());
@@ -71,34 +72,36 @@
                 self.members.values().cloned().collect(),
             ));
         }
-        let was = before
+        let previous_entries = previous
             .iter()
-            .filter_map(|(id, old)| Some((id, old.as_ref()?)));
-        let removed = was.filter(|(id, old)| {
+            .filter_map(|(id, previous_entry)| Some((id, previous_entry.as_ref()?)));
+        let removed = previous_entries.filter(|(id, previous_entry)| {
             self.members
                 .get(*id)
-                .is_none_or(|n| n.endpoint != old.endpoint)
+                .is_none_or(|current| current.endpoint != previous_entry.endpoint)
         });
-        let removed = removed.map(|(_, old)| EndpointEntry {
+        let removed = removed.map(|(_, previous_entry)| EndpointEntry {
             status: EndpointStatus::Removed,
-            ..old.clone()
+            ..previous_entry.clone()
+        });
+        let changed = previous.iter().filter_map(|(id, previous_entry)| {
+            self.members
+                .get(id)
+                .filter(|current| previous_entry.as_ref() != Some(current))
         });
-        let changed = before
-            .iter()
-            .filter_map(|(id, old)| self.members.get(id).filter(|now| old.as_ref() != Some(now)));
         let entries: Vec<EndpointEntry> = removed.chain(changed.cloned()).collect();
         (!entries.is_empty()).then_some(EndpointListUpdate::Changes(entries))
     }
 
     fn remove(&mut self, id: &str) -> Option<EndpointEntry> {
         let removed = self.members.remove(id)?;
-        let at = SocketAddrV4::new(removed.endpoint.address.into(), removed.endpoint.port);
+        let address = SocketAddrV4::new(removed.endpoint.address.into(), removed.endpoint.port);
         if self
             .ids_by_address
-            .get(&at)
-            .is_some_and(|id_there| id_there == id)
+            .get(&address)
+            .is_some_and(|other_id| other_id == id)
         {
-            self.ids_by_address.remove(&at);
+            self.ids_by_address.remove(&address);
         }
         Some(removed)
     }
--- a/crates/forwarder/src/endpoint_list/watch.rs
+++ b/crates/forwarder/src/endpoint_list/watch.rs
@@ -19,24 +19,24 @@
 
 /// How long the agent may wait for a change before it answers a watch. A watch that has fallen silent is noticed soon
 /// after.
-const WATCH_WAIT: Duration = Duration::from_secs(5);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(5);
 
 /// How long an answer may take, beyond the wait that was asked for. The agent is on the same machine.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The same as [`WATCH_WAIT`] where discovery must be polled. The next poll comes later there, so that silence must be
 /// noticed sooner.
-const POLLED_WATCH_WAIT: Duration = Duration::from_secs(2);
+const POLLED_MAX_WATCH_WAIT: Duration = Duration::from_secs(2);
 
 /// The same as [`ANSWER_TIMEOUT`] where discovery must be polled. The core counts on the sum of the wait and this.
 const POLLED_ANSWER_TIMEOUT: Duration =
-    Duration::from_micros(LONGEST_SILENCE).saturating_sub(POLLED_WATCH_WAIT);
+    Duration::from_micros(LONGEST_SILENCE).saturating_sub(POLLED_MAX_WATCH_WAIT);
 
 /// How long a poll that timed out goes on in the background: longer than any poll that is made meanwhile.
 const LATE_POLL_TIMEOUT: Duration = Duration::from_secs(7);
 
 /// The pause after a failed poll, unless it timed out: shorter than the time after which a watch is opened anew.
-const RETRY_INTERVAL: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// The actor that gets the endpoint list.
 pub struct EndpointListWatch {
@@ -88,7 +88,7 @@
     }
 
     /// The answer to the poll that timed out. Never ready where there is none.
-    async fn late_answer(&mut self) -> PollResult {
+    async fn late_result(&mut self) -> PollResult {
         let Some(poll) = &mut self.late_poll else {
             return std::future::pending().await;
         };
@@ -110,13 +110,13 @@
 impl PollRequest {
     /// Whether something else is wanted by now.
     fn is_superseded(&self, state: &WatchState) -> bool {
-        let fetch_instead_of_watch = state.fetch_wanted && self.watch.is_some();
-        fetch_instead_of_watch || !state.poll_wanted()
+        let fetch_replaces_watch = state.fetch_wanted && self.watch.is_some();
+        fetch_replaces_watch || !state.poll_wanted()
     }
 }
 
 /// How a poll ended.
-enum PollEnd {
+enum PollOutcome {
     /// It was answered, has failed or has timed out.
     Finished(PollResult),
     /// Something else is wanted by now, or from another address.
@@ -124,7 +124,7 @@
 }
 
 /// Nobody needs the list any more: the dispatcher has ended.
-struct Stopped;
+struct DispatcherStopped;
 
 impl EndpointListWatch {
     /// Runs until the dispatcher ends.
@@ -137,40 +137,40 @@
             reachability: Reachability::Reachable,
             late_poll: None,
         };
-        while self.step(&mut state, &mut commands).await.is_ok() {}
+        while self.run_once(&mut state, &mut commands).await.is_ok() {}
     }
 
     /// Makes one poll and handles its answer. If no poll is wanted, handles the next command, change of address or late
     /// answer.
-    async fn step(
+    async fn run_once(
         &mut self,
         state: &mut WatchState,
         commands: &mut mpsc::Receiver<EndpointListCommand>,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), DispatcherStopped> {
         if !state.poll_wanted() {
-            return self.wait(state, commands).await;
+            return self.handle_next_input(state, commands).await;
         }
         match self.poll(state, commands).await? {
-            PollEnd::Finished(Ok(document)) => {
+            PollOutcome::Finished(Ok(document)) => {
                 state.fetch_wanted = false;
                 state.late_poll = None;
-                self.apply(state, document).await
+                self.apply_document(state, document).await
             }
-            PollEnd::Finished(Err(problem)) => self.poll_failed(state, problem).await,
-            PollEnd::Superseded => Ok(()),
+            PollOutcome::Finished(Err(error)) => self.handle_poll_failure(state, error).await,
+            PollOutcome::Superseded => Ok(()),
         }
     }
 
     /// Handles one command, change of address or late answer.
-    async fn wait(
+    async fn handle_next_input(
         &mut self,
         state: &mut WatchState,
         commands: &mut mpsc::Receiver<EndpointListCommand>,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), DispatcherStopped> {
         tokio::select! {
-            command = commands.recv() => state.handle_command(command.ok_or(Stopped)?),
-            Ok(()) = self.discovery.changed() => self.address_changed(state),
-            late = state.late_answer() => self.apply_late(state, late).await?,
+            command = commands.recv() => state.handle_command(command.ok_or(DispatcherStopped)?),
+            Ok(()) = self.discovery.changed() => self.handle_address_change(state),
+            result = state.late_result() => self.apply_late_result(state, result).await?,
         }
         Ok(())
     }
@@ -180,7 +180,7 @@
         &mut self,
         state: &mut WatchState,
         commands: &mut mpsc::Receiver<EndpointListCommand>,
-    ) -> Result<PollEnd, Stopped> {
+    ) -> Result<PollOutcome, DispatcherStopped> {
         let request = self.next_request(state);
         let mut poll = self.start_poll(&request);
         let timeout = tokio::time::sleep(request.timeout);
@@ -190,7 +190,7 @@
             tokio::select! {
                 (platform, result) = &mut poll => {
                     self.platform = platform;
-                    return Ok(PollEnd::Finished(result));
+                    return Ok(PollOutcome::Finished(result));
                 }
                 () = &mut timeout => {
                     if self.must_be_polled {
@@ -198,33 +198,37 @@
                     } else {
                         state.late_poll = None;
                     }
-                    return Ok(PollEnd::Finished(Err(PlatformError::Timeout)));
+                    return Ok(PollOutcome::Finished(Err(PlatformError::Timeout)));
                 }
-                command = commands.recv() => state.handle_command(command.ok_or(Stopped)?),
+                command = commands.recv() => state.handle_command(command.ok_or(DispatcherStopped)?),
                 Ok(()) = self.discovery.changed() => {
-                    self.address_changed(state);
-                    return Ok(PollEnd::Superseded);
+                    self.handle_address_change(state);
+                    return Ok(PollOutcome::Superseded);
                 }
-                late = state.late_answer() => self.apply_late(state, late).await?,
+                result = state.late_result() => self.apply_late_result(state, result).await?,
             }
             if request.is_superseded(state) {
-                return Ok(PollEnd::Superseded);
+                return Ok(PollOutcome::Superseded);
             }
         }
     }
 
     fn next_request(&self, state: &WatchState) -> PollRequest {
         // Where discovery must be polled, a fetch may take as long as a watch: giving it up would waste its cost.
-        let (wait, answer_timeout, fetch_timeout) = if self.must_be_polled {
-            let longest = POLLED_WATCH_WAIT + POLLED_ANSWER_TIMEOUT;
-            (POLLED_WATCH_WAIT, POLLED_ANSWER_TIMEOUT, longest)
+        let (max_wait, answer_timeout, fetch_timeout) = if self.must_be_polled {
+            let max_poll_duration = POLLED_MAX_WATCH_WAIT + POLLED_ANSWER_TIMEOUT;
+            (
+                POLLED_MAX_WATCH_WAIT,
+                POLLED_ANSWER_TIMEOUT,
+                max_poll_duration,
+            )
         } else {
-            (WATCH_WAIT, ANSWER_TIMEOUT, ANSWER_TIMEOUT)
+            (MAX_WATCH_WAIT, ANSWER_TIMEOUT, ANSWER_TIMEOUT)
         };
         match self.table.revision {
             Some(revision) if !state.fetch_wanted => PollRequest {
-                watch: Some((revision, wait)),
-                timeout: wait + answer_timeout,
+                watch: Some((revision, max_wait)),
+                timeout: max_wait + answer_timeout,
             },
             _ => PollRequest {
                 watch: None,
@@ -241,83 +245,86 @@
         } else {
             request.timeout
         };
-        let substitute = self.platform.to_same_address();
-        let mut platform = std::mem::replace(&mut self.platform, substitute);
+        let replacement = self.platform.to_same_address();
+        let mut platform = std::mem::replace(&mut self.platform, replacement);
         Box::pin(async move {
             let answer = platform
                 .request(Method::GET, &path, Default::default(), timeout)
                 .await;
-            let result = answer.and_then(decode_list);
+            let result = answer.and_then(decode_document);
             (platform, result)
         })
     }
 
     /// Applies a document to the table, and tells the dispatcher what has changed.
-    async fn apply(
+    async fn apply_document(
         &mut self,
         state: &mut WatchState,
         document: EndpointListDocument,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), DispatcherStopped> {
         if state.reachability.set(Reachability::Reachable) {
             info!(self.log, "endpoint list received again"; "revision" => document.revision);
         }
         match self.table.apply(document, &self.names) {
-            Some(update) => self.send(update).await,
+            Some(update) => self.send_update(update).await,
             None => Ok(()),
         }
     }
 
     /// Applies the answer to a poll that timed out, unless a later revision is known. The watch goes on from its
     /// revision, so that discovery need not answer another poll for it.
-    async fn apply_late(
+    async fn apply_late_result(
         &mut self,
         state: &mut WatchState,
         result: PollResult,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), DispatcherStopped> {
         // The failure was reported when the poll timed out.
         let Ok(document) = result else {
             return Ok(());
         };
-        let is_outdated = self
+        let is_older = self
             .table
             .revision
             .is_some_and(|known| known > document.revision);
-        if is_outdated {
+        if is_older {
             return Ok(());
         }
         state.watch_wanted = true;
-        self.apply(state, document).await
+        self.apply_document(state, document).await
     }
 
     /// Logs the first failure in a row. Where discovery must be polled, the core decides when to poll again.
-    async fn poll_failed(
+    async fn handle_poll_failure(
         &mut self,
         state: &mut WatchState,
-        problem: PlatformError,
-    ) -> Result<(), Stopped> {
+        error: PlatformError,
+    ) -> Result<(), DispatcherStopped> {
         if state.reachability.set(Reachability::Unreachable) {
-            warn!(self.log, "endpoint list poll failed"; "problem" => %problem);
+            warn!(self.log, "endpoint list poll failed"; "problem" => %error);
         }
         if self.must_be_polled {
             state.watch_wanted = false;
             state.fetch_wanted = false;
-            self.send(EndpointListUpdate::Failed).await?;
+            self.send_update(EndpointListUpdate::Failed).await?;
         }
         // After a timeout there is no further pause: it would delay the news that endpoints are draining.
-        if !matches!(problem, PlatformError::Timeout) {
-            tokio::time::sleep(RETRY_INTERVAL).await;
+        if !matches!(error, PlatformError::Timeout) {
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         Ok(())
     }
 
-    async fn send(&self, update: EndpointListUpdate) -> Result<(), Stopped> {
+    async fn send_update(&self, update: EndpointListUpdate) -> Result<(), DispatcherStopped> {
         let event = DispatcherCommand::Event(Event::EndpointListUpdated(update));
-        self.dispatcher.send(event).await.map_err(|_| Stopped)
+        self.dispatcher
+            .send(event)
+            .await
+            .map_err(|_| DispatcherStopped)
     }
 
     /// Goes on at the new address. It counts revisions of its own, so that the complete list is fetched there. Until it
     /// is known, the list from the old address stays.
-    fn address_changed(&mut self, state: &mut WatchState) {
+    fn handle_address_change(&mut self, state: &mut WatchState) {
         let address = *self.discovery.borrow_and_update();
         self.platform.move_to(address);
         self.table.revision = None;
@@ -326,7 +333,7 @@
     }
 }
 
-fn decode_list(answer: PlatformAnswer) -> PollResult {
+fn decode_document(answer: PlatformAnswer) -> PollResult {
     if answer.status != StatusCode::OK {
         return Err(PlatformError::Status(answer.status));
     }
--- a/crates/forwarder/src/endpoint_list/watch/tests.rs
+++ b/crates/forwarder/src/endpoint_list/watch/tests.rs
@@ -24,17 +24,17 @@
 /// Where discovery must be polled and a list is known, the first poll is a watch from its revision, once the core wants
 /// it. The same command again does not repeat it.
 #[tokio::test]
-async fn a_known_list_is_watched_from_its_revision_by_one_poll() {
+async fn watches_known_list_from_its_revision_with_one_poll() {
     let agent = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = agent.local_addr().expect("an address");
-    let (_moves, discovery) = watch::channel(address);
-    let (commands, mailbox) = mpsc::channel(4);
+    let (_address_sender, discovery) = watch::channel(address);
+    let (commands, command_receiver) = mpsc::channel(4);
     let (dispatcher, _events) = mpsc::channel(4);
     let mut table = EndpointTable::default();
     table.apply(known_list(), &names());
     let log = Logger::root(slog::Discard, slog::o!());
     let platform = Platform::new(address);
-    let list = EndpointListWatch {
+    let list_watch = EndpointListWatch {
         platform,
         discovery,
         names: names(),
@@ -43,9 +43,9 @@
         dispatcher,
         log,
     };
-    tokio::spawn(list.run(mailbox));
-    let early = tokio::time::timeout(Duration::from_millis(100), agent.accept()).await;
-    assert!(early.is_err(), "polled before it was wanted");
+    tokio::spawn(list_watch.run(command_receiver));
+    let early_poll = tokio::time::timeout(Duration::from_millis(100), agent.accept()).await;
+    assert!(early_poll.is_err(), "polled before it was wanted");
     commands
         .send(EndpointListCommand::StartWatch)
         .await
@@ -65,45 +65,47 @@
             .is_err(),
         "polled again"
     );
-    let more = tokio::time::timeout(Duration::from_millis(50), stream.read(&mut head)).await;
-    assert!(more.is_err(), "the poll was dropped or made again");
+    let further_read =
+        tokio::time::timeout(Duration::from_millis(50), stream.read(&mut head)).await;
+    assert!(further_read.is_err(), "the poll was dropped or made again");
 }
 
 /// A watch may fall silent as soon as it is opened, or within its answer. The forwarder counts as notified of what it
 /// misses two seconds after the wait that was asked for. The next watch is opened by then.
 #[tokio::test(start_paused = true)]
-async fn a_watch_that_falls_silent_is_opened_again_in_time() {
+async fn reopens_silent_watch_before_notification_deadline() {
     for answer in [
         "",
         "HTTP/1.1 200 OK\r\nContent-",
         "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"revision\":2,",
     ] {
-        check_opened_again(answer).await;
+        assert_silent_watch_is_reopened(answer).await;
     }
 }
 
-async fn check_opened_again(half: &'static str) {
+async fn assert_silent_watch_is_reopened(partial_answer: &'static str) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
-    let (seen, mut watches) = mpsc::channel(8);
+    let (watch_sender, mut watches) = mpsc::channel(8);
     tokio::spawn(async move {
         let mut silent = Vec::new(); // connections that stay open
         loop {
             let (mut stream, _) = listener.accept().await.expect("a connection");
             let mut head = vec![0; 1024];
             loop {
-                let n = stream.read(&mut head).await.expect("a request");
-                let asked = String::from_utf8_lossy(&head[..n]).into_owned();
-                if asked.contains("index=") {
-                    let wait = asked
+                let read = stream.read(&mut head).await.expect("a request");
+                let request = String::from_utf8_lossy(&head[..read]).into_owned();
+                if request.contains("index=") {
+                    let max_wait = request
                         .split("wait=")
                         .nth(1)
-                        .and_then(|w| w.split(' ').next()?.parse().ok());
-                    seen.send((Instant::now(), wait.expect("a wait")))
+                        .and_then(|text| text.split(' ').next()?.parse().ok());
+                    watch_sender
+                        .send((Instant::now(), max_wait.expect("a wait")))
                         .await
                         .expect("it is awaited");
                     stream
-                        .write_all(half.as_bytes())
+                        .write_all(partial_answer.as_bytes())
                         .await
                         .expect("half an answer");
                     break silent.push(stream);
@@ -118,8 +120,8 @@
         }
     });
     let (dispatcher, _events) = mpsc::channel(8);
-    let (_moves, discovery) = watch::channel(address);
-    let list = EndpointListWatch {
+    let (_address_sender, discovery) = watch::channel(address);
+    let list_watch = EndpointListWatch {
         platform: Platform::new(address),
         discovery,
         names: names(),
@@ -128,15 +130,15 @@
         dispatcher,
         log: Logger::root(slog::Discard, slog::o!()),
     };
-    let (_mailbox, commands) = mpsc::channel(1);
-    tokio::spawn(list.run(commands));
-    let (opened, wait) = watches.recv().await.expect("a watch");
-    let (opened_again, _) = watches.recv().await.expect("another");
-    let notified_after = Duration::from_millis(wait) + Duration::from_secs(2);
+    let (_command_sender, commands) = mpsc::channel(1);
+    tokio::spawn(list_watch.run(commands));
+    let (opened_at, max_wait) = watches.recv().await.expect("a watch");
+    let (reopened_at, _) = watches.recv().await.expect("another");
+    let notified_after = Duration::from_millis(max_wait) + Duration::from_secs(2);
     assert!(
-        opened_again - opened < notified_after + Duration::from_millis(50),
-        "{half}: {:?}",
-        opened_again - opened
+        reopened_at - opened_at < notified_after + Duration::from_millis(50),
+        "{partial_answer}: {:?}",
+        reopened_at - opened_at
     );
 }
 
@@ -155,22 +157,25 @@
 
 /// An agent that gives one answer on each connection, whole or cut off after so many bytes, and closes it. After the last
 /// one it answers nothing.
-async fn agent(answers: Vec<(String, Option<usize>)>) -> SocketAddr {
+async fn start_agent(answers: Vec<(String, Option<usize>)>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     tokio::spawn(async move {
         let mut silent = Vec::new(); // connections that stay open
-        for (body, cut) in answers {
+        for (body, cut_at) in answers {
             let (mut stream, _) = listener.accept().await.expect("a connection");
             let mut head = vec![0; 1024];
             assert!(stream.read(&mut head).await.expect("a request") > 0);
-            let head = format!(
+            let response_head = format!(
                 "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
                 body.len()
             );
-            stream.write_all(head.as_bytes()).await.expect("answered");
             stream
-                .write_all(&body.as_bytes()[..cut.unwrap_or(body.len())])
+                .write_all(response_head.as_bytes())
+                .await
+                .expect("answered");
+            stream
+                .write_all(&body.as_bytes()[..cut_at.unwrap_or(body.len())])
                 .await
                 .expect("answered");
         }
@@ -184,26 +189,27 @@
 /// Lists of a hundred thousand members are applied. Lists that are cut off or have an unreadable member change nothing,
 /// and all failures in a row are one line of the log.
 #[tokio::test]
-async fn long_lists_are_applied_and_unreadable_ones_are_logged_once() {
-    const MANY: u32 = 100_000;
-    let line = |n: u32| {
+async fn applies_long_lists_and_logs_unreadable_lists_once() {
+    const MEMBER_COUNT: u32 = 100_000;
+    let member = |n: u32| {
         let [a, b, c, d] = (0x0a00_0000 + n).to_be_bytes();
         format!(
             r#"{{"id":"member-{n:06}","host_port":"{a}.{b}.{c}.{d}:80","locality":"a","flavor":"m","cell":{n},"phase":"Ready"}}"#
         )
     };
-    let list = |lines: Vec<String>| {
+    let list = |members: Vec<String>| {
         format!(
             r#"{{"revision":1,"complete":true,"members":[{}]}}"#,
-            lines.join(",")
+            members.join(",")
         )
     };
-    let all = list((0..MANY).map(line).collect());
-    let half = list((0..MANY).step_by(2).map(line).collect());
-    let unreadable = |from: &str, to: &str| list(vec![line(1), line(2).replace(from, to), line(3)]);
-    let mut answers = vec![(all.clone(), None), (half.clone(), None)];
-    answers.push((all[..all.len() / 2].to_owned(), None));
-    answers.push((all.clone(), Some(all.len() / 2)));
+    let complete_list = list((0..MEMBER_COUNT).map(member).collect());
+    let half_list = list((0..MEMBER_COUNT).step_by(2).map(member).collect());
+    let unreadable =
+        |from: &str, to: &str| list(vec![member(1), member(2).replace(from, to), member(3)]);
+    let mut answers = vec![(complete_list.clone(), None), (half_list.clone(), None)];
+    answers.push((complete_list[..complete_list.len() / 2].to_owned(), None));
+    answers.push((complete_list.clone(), Some(complete_list.len() / 2)));
     answers.extend(
         [
             ("Ready", "Sideways"),
@@ -214,23 +220,28 @@
         ]
         .map(|(from, to)| (unreadable(from, to), None)),
     );
-    answers.extend([(half, None), (all, None)]);
-    let address = agent(answers).await;
-    let lines = std::sync::Arc::default();
+    answers.extend([(half_list, None), (complete_list, None)]);
+    let address = start_agent(answers).await;
+    let line_count = std::sync::Arc::default();
     let (dispatcher, mut events) = mpsc::channel(4);
-    let (_moves, discovery) = watch::channel(address);
-    let list = EndpointListWatch {
+    let (_address_sender, discovery) = watch::channel(address);
+    let list_watch = EndpointListWatch {
         platform: Platform::new(address),
         discovery,
         names: names(),
         table: EndpointTable::default(),
         must_be_polled: false,
         dispatcher,
-        log: Logger::root(LineCounter(std::sync::Arc::clone(&lines)), slog::o!()),
+        log: Logger::root(LineCounter(std::sync::Arc::clone(&line_count)), slog::o!()),
     };
-    let (_mailbox, commands) = mpsc::channel(1);
-    tokio::spawn(list.run(commands));
-    for wanted in [MANY, MANY / 2, MANY / 2, MANY] {
+    let (_command_sender, commands) = mpsc::channel(1);
+    tokio::spawn(list_watch.run(commands));
+    for expected in [
+        MEMBER_COUNT,
+        MEMBER_COUNT / 2,
+        MEMBER_COUNT / 2,
+        MEMBER_COUNT,
+    ] {
         let update = tokio::time::timeout(Duration::from_secs(20), events.recv())
             .await
             .expect("in time");
@@ -240,8 +251,8 @@
         else {
             panic!("no complete list")
         };
-        assert_eq!(entries.len(), wanted as usize);
+        assert_eq!(entries.len(), expected as usize);
     }
     // One line on the failures, and one on the recovery.
-    assert_eq!(lines.load(std::sync::atomic::Ordering::Relaxed), 2);
+    assert_eq!(line_count.load(std::sync::atomic::Ordering::Relaxed), 2);
 }
--- a/crates/forwarder/src/journal/golden_tests.rs
+++ b/crates/forwarder/src/journal/golden_tests.rs
@@ -14,8 +14,8 @@
 use std::fs;
 use tempfile::TempDir;
 
-const LIMIT: u64 = 300_000;
-const FAR: Micros = 4_102_444_800_000_000; // Unix µs, in the year 2100: no message of the folder is past its deadline
+const LIMIT_BYTES: u64 = 300_000;
+const DEADLINE_IN_2100: Micros = 4_102_444_800_000_000; // Unix µs, in the year 2100: no message of the folder is past its deadline
 
 fn render_ending(ending: Ending) -> Value {
     match ending {
@@ -36,16 +36,16 @@
         "repeated by client": message.resubmitted,
         "from a forwarder that died": message.from_failed_forwarder,
         "body": text(&message.body),
-        "order key": message.key,
-        "attempts": message.attempts,
+        "order key": message.order_key,
+        "attempts": message.attempts_started,
         "earliest attempt that may have run (started at us, zone)": message.possible_effect.map(|effect| (effect.started_at, effect.zone)),
-        "attempts without outcome (number, started at us, zone)": message.attempts_out.iter().map(|out| (out.attempt, out.started_at, out.zone)).collect::<Vec<_>>(),
+        "attempts without outcome (number, started at us, zone)": message.attempts_in_flight.iter().map(|attempt| (attempt.attempt_index, attempt.started_at, attempt.zone)).collect::<Vec<_>>(),
         "pending completion report": message.pending_report.map(render_ending),
     })
 }
 
 /// The files of a folder under `tests/golden/`, copied to a folder of its own.
-fn copy_of(folder: &str) -> TempDir {
+fn copy_golden_folder(folder: &str) -> TempDir {
     let copy = TempDir::new().expect("a folder");
     for file in fs::read_dir(crate::golden_cases::path(folder)).expect("the stored folder") {
         let file = file.expect("a file");
@@ -55,7 +55,7 @@
 }
 
 /// Each file's name and bytes.
-fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
+fn read_files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
     let files = fs::read_dir(folder).expect("a folder").map(|file| {
         let file = file.expect("a file");
         let bytes = fs::read(file.path()).expect("its bytes");
@@ -71,107 +71,110 @@
         class: 0,
         tenant: None,
         destination,
-        deadline: FAR,
+        deadline: DEADLINE_IN_2100,
         idempotency_key: Some(format!("key-of-{request_id}")),
         resubmitted: false,
         from_failed_forwarder: false,
         body: Bytes::from(format!("body of {request_id}")),
-        key: None,
-        attempts: 0,
+        order_key: None,
+        attempts_started: 0,
         possible_effect: None,
-        attempts_out: Vec::new(),
+        attempts_in_flight: Vec::new(),
         pending_report: None,
     }
 }
 
 /// The operations that wrote `tests/golden/state-by-operations`, in two runs of which the second begins a segment.
 fn write_stored_messages(folder: &Path) -> Result<(), JournalError> {
-    let (mut journal, _) = Journal::open(folder, LIMIT).map_err(JournalError::Io)?;
-    journal.accept(message("waiting", 7))?;
-    journal.accept(StoredMessage {
+    let (mut journal, _) = Journal::open(folder, LIMIT_BYTES).map_err(JournalError::Io)?;
+    journal.record_message(message("waiting", 7))?;
+    journal.record_message(StoredMessage {
         tenant: Some(2),
         idempotency_key: None,
         resubmitted: true,
         from_failed_forwarder: true,
         ..message("waiting-every-flag", 65_535)
     })?;
-    journal.accept(message("waiting-wide", 70_000))?;
-    journal.accept(StoredMessage {
-        key: Some(0x000b_832b_68ec_333d),
+    journal.record_message(message("waiting-wide", 70_000))?;
+    journal.record_message(StoredMessage {
+        order_key: Some(0x000b_832b_68ec_333d),
         ..message("keyed-first", 7)
     })?;
-    journal.accept(StoredMessage {
-        key: Some(0x000b_832b_68ec_333d),
+    journal.record_message(StoredMessage {
+        order_key: Some(0x000b_832b_68ec_333d),
         ..message("keyed-second", 7)
     })?;
-    journal.accept(StoredMessage {
-        key: Some(1),
+    journal.record_message(StoredMessage {
+        order_key: Some(1),
         ..message("keyed-wide", 4_294_967_295)
     })?;
-    let begun = journal.accept(message("attempt-begun", 7))?;
-    journal.attempt_started(begun, 0, 1_700_000_000_000_000, 0)?;
-    let begun_wide = journal.accept(message("attempt-begun-wide", 70_000))?;
-    journal.attempt_started(begun_wide, 0, 1_700_000_000_100_000, 3)?;
-    let refused = journal.accept(message("attempts-that-never-ran", 7))?;
-    journal.attempt_started(refused, 0, 1_700_000_000_200_000, 0)?;
-    journal.attempt_ended(refused, 0, false)?;
-    journal.attempt_started(refused, 1, 1_700_000_000_300_000, 0)?;
-    journal.attempt_ended(refused, 1, false)?;
-    let ran = journal.accept(message("attempts-that-may-have-run", 7))?;
-    journal.attempt_started(ran, 0, 1_700_000_000_400_000, 1)?;
-    journal.attempt_ended(ran, 0, true)?;
-    journal.attempt_started(ran, 1, 1_700_000_000_500_000, 0)?;
-    journal.attempt_ended(ran, 1, true)?;
-    journal.attempt_started(ran, 2, 1_700_000_000_600_000, 0)?;
-    let withdrawn = journal.accept(message("withdrawn-before-send", 7))?;
-    journal.attempt_started(withdrawn, 0, 1_700_000_000_700_000, 0)?;
-    journal.attempt_ended(withdrawn, 0, true)?;
-    journal.attempt_started(withdrawn, 1, 1_700_000_000_800_000, 0)?;
-    journal.attempt_withdrawn(withdrawn, 1)?;
-    let over = journal.accept(message("over", 7))?;
-    journal.attempt_started(over, 0, 1_700_000_000_900_000, 0)?;
-    journal.attempt_ended(over, 0, true)?;
-    journal.ended(over)?;
-    let over_wide = journal.accept(message("over-wide", 70_000))?;
-    journal.ended(over_wide)?;
+    let in_flight = journal.record_message(message("attempt-begun", 7))?;
+    journal.record_attempt_start(in_flight, 0, 1_700_000_000_000_000, 0)?;
+    let in_flight_wide = journal.record_message(message("attempt-begun-wide", 70_000))?;
+    journal.record_attempt_start(in_flight_wide, 0, 1_700_000_000_100_000, 3)?;
+    let not_attempted = journal.record_message(message("attempts-that-never-ran", 7))?;
+    journal.record_attempt_start(not_attempted, 0, 1_700_000_000_200_000, 0)?;
+    journal.record_attempt_end(not_attempted, 0, false)?;
+    journal.record_attempt_start(not_attempted, 1, 1_700_000_000_300_000, 0)?;
+    journal.record_attempt_end(not_attempted, 1, false)?;
+    let possible_effect = journal.record_message(message("attempts-that-may-have-run", 7))?;
+    journal.record_attempt_start(possible_effect, 0, 1_700_000_000_400_000, 1)?;
+    journal.record_attempt_end(possible_effect, 0, true)?;
+    journal.record_attempt_start(possible_effect, 1, 1_700_000_000_500_000, 0)?;
+    journal.record_attempt_end(possible_effect, 1, true)?;
+    journal.record_attempt_start(possible_effect, 2, 1_700_000_000_600_000, 0)?;
+    let withdrawn = journal.record_message(message("withdrawn-before-send", 7))?;
+    journal.record_attempt_start(withdrawn, 0, 1_700_000_000_700_000, 0)?;
+    journal.record_attempt_end(withdrawn, 0, true)?;
+    journal.record_attempt_start(withdrawn, 1, 1_700_000_000_800_000, 0)?;
+    journal.record_attempt_withdrawal(withdrawn, 1)?;
+    let ended = journal.record_message(message("over", 7))?;
+    journal.record_attempt_start(ended, 0, 1_700_000_000_900_000, 0)?;
+    journal.record_attempt_end(ended, 0, true)?;
+    journal.record_message_end(ended)?;
+    let ended_wide = journal.record_message(message("over-wide", 70_000))?;
+    journal.record_message_end(ended_wide)?;
     drop(journal);
 
-    let (mut journal, _) = Journal::open(folder, LIMIT).map_err(JournalError::Io)?;
-    let failed = journal.accept(message("report-failed", 7))?;
-    journal.report_pending(failed, Ending::Failed)?;
-    let rejected = journal.accept(message("report-rejected", 7))?;
-    journal.report_pending(rejected, Ending::Rejected { retry_after: None })?;
-    let told_when = journal.accept(message("report-rejected-with-retry-after", 70_000))?;
-    journal.report_pending(
-        told_when,
+    let (mut journal, _) = Journal::open(folder, LIMIT_BYTES).map_err(JournalError::Io)?;
+    let failed = journal.record_message(message("report-failed", 7))?;
+    journal.record_pending_report(failed, Ending::Failed)?;
+    let rejected = journal.record_message(message("report-rejected", 7))?;
+    journal.record_pending_report(rejected, Ending::Rejected { retry_after: None })?;
+    let rejected_with_retry_after =
+        journal.record_message(message("report-rejected-with-retry-after", 70_000))?;
+    journal.record_pending_report(
+        rejected_with_retry_after,
         Ending::Rejected {
             retry_after: Some(499_001),
         },
     )?;
-    let keyed = journal.accept(StoredMessage {
-        key: Some(2),
+    let ordered = journal.record_message(StoredMessage {
+        order_key: Some(2),
         ..message("report-keyed", 7)
     })?;
-    journal.attempt_started(keyed, 0, 1_700_000_001_000_000, 0)?;
-    journal.attempt_ended(keyed, 0, true)?;
-    journal.report_pending(keyed, Ending::Failed)?;
-    let acknowledged = journal.accept(message("report-acknowledged", 7))?;
-    journal.report_pending(acknowledged, Ending::Failed)?;
-    journal.ended(acknowledged)?;
-    journal.attempt_started(begun, 1, 1_700_000_001_100_000, 2)
+    journal.record_attempt_start(ordered, 0, 1_700_000_001_000_000, 0)?;
+    journal.record_attempt_end(ordered, 0, true)?;
+    journal.record_pending_report(ordered, Ending::Failed)?;
+    let acknowledged = journal.record_message(message("report-acknowledged", 7))?;
+    journal.record_pending_report(acknowledged, Ending::Failed)?;
+    journal.record_message_end(acknowledged)?;
+    journal.record_attempt_start(in_flight, 1, 1_700_000_001_100_000, 2)
 }
 
 #[test]
-fn stored_messages_attempts_and_pending_reports_are_taken_over() {
+fn recovers_golden_messages_attempts_and_pending_reports() {
     let mut golden = GoldenCases::read("stored-messages.json");
     for input in golden.inputs() {
-        let folder = copy_of(input["folder"].as_str().expect("a folder"));
-        let (journal, messages) = Journal::open(folder.path(), LIMIT).expect("the journal opens");
+        let folder = copy_golden_folder(input["folder"].as_str().expect("a folder"));
+        let (journal, messages) =
+            Journal::open(folder.path(), LIMIT_BYTES).expect("the journal opens");
         golden.compare_next(messages.iter().map(render_message).collect());
         drop(journal);
-        let (_, again) = Journal::open(folder.path(), LIMIT).expect("the journal opens again");
+        let (_, recovered_again) =
+            Journal::open(folder.path(), LIMIT_BYTES).expect("the journal opens again");
         assert_eq!(
-            again, messages,
+            recovered_again, messages,
             "what was taken over is there at the next start"
         );
     }
@@ -179,39 +182,47 @@
 }
 
 #[test]
-fn the_same_operations_write_the_same_bytes() {
+fn writes_golden_bytes_for_same_operations() {
     let folder = TempDir::new().expect("a folder");
     write_stored_messages(folder.path()).expect("written");
     assert_eq!(
-        files(folder.path()),
-        files(&crate::golden_cases::path("state-by-operations"))
+        read_files(folder.path()),
+        read_files(&crate::golden_cases::path("state-by-operations"))
     );
 }
 
 /// Freeing a segment writes the messages that still live in it anew: those copies have the same bytes too.
 #[test]
-fn messages_copied_as_a_segment_is_freed_have_the_same_bytes() {
-    let folder = copy_of("state-by-operations");
-    let (mut journal, messages) = Journal::open(folder.path(), LIMIT).expect("the journal opens");
-    let mut filled = 0;
+fn writes_golden_bytes_when_copying_live_messages_of_freed_segment() {
+    let folder = copy_golden_folder("state-by-operations");
+    let (mut journal, messages) =
+        Journal::open(folder.path(), LIMIT_BYTES).expect("the journal opens");
+    let mut fill_count = 0;
     while path(folder.path(), 0).exists() {
-        assert!(filled < 100, "the oldest segment is freed");
-        filled += 1;
-        let serial = journal.accept(StoredMessage {
+        assert!(fill_count < 100, "the oldest segment is freed");
+        fill_count += 1;
+        let serial = journal.record_message(StoredMessage {
             body: Bytes::from(vec![b'x'; 9_000]),
             ..message("fill", 7)
         });
-        journal.ended(serial.expect("room")).expect("room");
+        journal
+            .record_message_end(serial.expect("room"))
+            .expect("room");
     }
     drop(journal);
-    let (_, after) = Journal::open(folder.path(), LIMIT).expect("the journal opens again");
-    assert_eq!(after, messages);
-    let all: Vec<u8> = files(folder.path()).into_values().flatten().collect();
+    let (_, recovered) =
+        Journal::open(folder.path(), LIMIT_BYTES).expect("the journal opens again");
+    assert_eq!(recovered, messages);
+    let all_bytes: Vec<u8> = read_files(folder.path()).into_values().flatten().collect();
     let recorded =
         fs::read_to_string(crate::golden_cases::path("copied-segment.crc32")).expect("recorded");
     // Messages until the segment was freed, bytes of all segments, their checksum.
     assert_eq!(
-        format!("{filled} {} {:08x}\n", all.len(), crc32fast::hash(&all)),
+        format!(
+            "{fill_count} {} {:08x}\n",
+            all_bytes.len(),
+            crc32fast::hash(&all_bytes)
+        ),
         recorded
     );
 }
--- a/crates/forwarder/src/journal/record.rs
+++ b/crates/forwarder/src/journal/record.rs
@@ -15,7 +15,7 @@
 pub const MAX_DESTINATION_OF_EARLIER_VERSIONS: u32 = 65_535;
 
 /// Bytes beside its texts that a message reserves: more than the largest record of it but the message itself.
-const RESERVED_BYTES_BESIDE_TEXTS: u64 = 256;
+const RESERVED_OVERHEAD_BYTES: u64 = 256;
 
 /// A message as the journal stores it. A destination of 16 bits is written as by earlier versions, byte by byte. For a
 /// larger one see [`LargeDestination`].
@@ -44,13 +44,13 @@
     /// Messages of the same key are delivered in order. Earlier versions stored none, so it is written after the other
     /// fields, in [`Record::OrderedMessage`].
     #[serde(skip)]
-    pub key: Option<u64>,
+    pub order_key: Option<u64>,
     /// How many attempts were started.
-    pub attempts: u32,
+    pub attempts_started: u32,
     /// The earliest attempt that may have taken effect.
     pub possible_effect: Option<StoredEffect>,
     /// The attempts without an outcome.
-    pub attempts_out: Vec<StoredAttempt>,
+    pub attempts_in_flight: Vec<StoredAttempt>,
     /// The final answer, where it is decided and the platform has not acknowledged it.
     pub pending_report: Option<Ending>,
 }
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredAttempt {
     /// Its number, from 0.
-    pub attempt: u8,
+    pub attempt_index: u8,
     /// When it started, in Unix µs.
     pub started_at: Micros,
     /// The zone of its endpoint.
@@ -78,25 +78,25 @@
 impl StoredMessage {
     /// How many bytes of the journal the message needs until it is over.
     pub fn reserved_bytes(&self) -> u64 {
-        let key_bytes = self.idempotency_key.as_ref().map_or(0, String::len);
-        let text_bytes = self.request_id.len() + key_bytes + self.body.len();
-        text_bytes as u64 + RESERVED_BYTES_BESIDE_TEXTS
+        let idempotency_key_bytes = self.idempotency_key.as_ref().map_or(0, String::len);
+        let variable_bytes = self.request_id.len() + idempotency_key_bytes + self.body.len();
+        variable_bytes as u64 + RESERVED_OVERHEAD_BYTES
     }
 
     /// Notes an attempt that may have taken effect. The earliest one counts.
     pub fn add_possible_effect(&mut self, effect: StoredEffect) {
         let is_earliest = self
             .possible_effect
-            .is_none_or(|first| effect.started_at < first.started_at);
+            .is_none_or(|earliest| effect.started_at < earliest.started_at);
         if is_earliest {
             self.possible_effect = Some(effect);
         }
     }
 
     /// Counts the attempts without an outcome as ones that may have taken effect: after a restart no outcome comes.
-    pub fn assume_effect_of_attempts_out(&mut self) {
-        for out in std::mem::take(&mut self.attempts_out) {
-            self.add_possible_effect(out.into());
+    pub fn assume_effect_of_attempts_in_flight(&mut self) {
+        for attempt in std::mem::take(&mut self.attempts_in_flight) {
+            self.add_possible_effect(attempt.into());
         }
     }
 
@@ -104,34 +104,34 @@
     pub fn apply(&mut self, record: &Record) {
         match record {
             Record::AttemptStarted {
-                attempt,
+                attempt_index,
                 started_at,
                 zone,
                 ..
             } => {
-                self.attempts = self.attempts.max(u32::from(*attempt) + 1);
-                self.attempts_out.push(StoredAttempt {
-                    attempt: *attempt,
+                self.attempts_started = self.attempts_started.max(u32::from(*attempt_index) + 1);
+                self.attempts_in_flight.push(StoredAttempt {
+                    attempt_index: *attempt_index,
                     started_at: *started_at,
                     zone: *zone,
                 });
             }
             Record::AttemptEnded {
-                attempt,
+                attempt_index,
                 may_have_taken_effect,
                 ..
-            } => self.end_attempt(*attempt, *may_have_taken_effect),
+            } => self.end_attempt(*attempt_index, *may_have_taken_effect),
             Record::PendingReport { ending, .. } => self.pending_report = Some(*ending),
-            Record::Message(_) | Record::OrderedMessage(..) | Record::Ended { .. } => {}
+            Record::Message(_) | Record::OrderedMessage(..) | Record::MessageEnded { .. } => {}
         }
     }
 
-    fn end_attempt(&mut self, attempt: u8, may_have_taken_effect: bool) {
-        let is_it = |out: &StoredAttempt| out.attempt == attempt;
-        let Some(place) = self.attempts_out.iter().position(is_it) else {
+    fn end_attempt(&mut self, attempt_index: u8, may_have_taken_effect: bool) {
+        let is_ended = |in_flight: &StoredAttempt| in_flight.attempt_index == attempt_index;
+        let Some(position) = self.attempts_in_flight.iter().position(is_ended) else {
             return;
         };
-        let ended = self.attempts_out.remove(place);
+        let ended = self.attempts_in_flight.remove(position);
         if may_have_taken_effect {
             self.add_possible_effect(ended.into());
         }
@@ -157,7 +157,7 @@
         /// The message.
         serial: u64,
         /// The number of the attempt, from 0.
-        attempt: u8,
+        attempt_index: u8,
         /// In Unix µs.
         started_at: Micros,
         /// The zone of its endpoint.
@@ -168,7 +168,7 @@
         /// The message.
         serial: u64,
         /// The number of the attempt, from 0.
-        attempt: u8,
+        attempt_index: u8,
         /// Whether the endpoint may have processed the message.
         may_have_taken_effect: bool,
     },
@@ -180,7 +180,7 @@
         ending: Ending,
     },
     /// The message is over.
-    Ended {
+    MessageEnded {
         /// The message.
         serial: u64,
     },
@@ -191,8 +191,8 @@
 impl Record {
     /// The record of a message as it is now.
     pub fn message(message: StoredMessage) -> Record {
-        match message.key {
-            Some(key) => Record::OrderedMessage(message, key),
+        match message.order_key {
+            Some(order_key) => Record::OrderedMessage(message, order_key),
             None => Record::Message(message),
         }
     }
@@ -204,7 +204,7 @@
             Record::AttemptStarted { serial, .. }
             | Record::AttemptEnded { serial, .. }
             | Record::PendingReport { serial, .. }
-            | Record::Ended { serial } => *serial,
+            | Record::MessageEnded { serial } => *serial,
         }
     }
 }
@@ -215,37 +215,37 @@
 /// gets a final answer, whichever version reads it, and the records behind it stay readable. They skip the bytes after
 /// the record; this version finds the true values there.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct LargeDestination {
+pub struct LargeDestinationTrailer {
     /// The number of the destination.
     pub destination: u32,
     /// The final answer, where it is decided.
     pub pending_report: Option<Ending>,
 }
 
-impl LargeDestination {
+impl LargeDestinationTrailer {
     /// Splits a record into what earlier versions are to read, and what follows it. None where they can read it as it
     /// is.
-    fn split(record: &Record) -> Option<(Record, LargeDestination)> {
+    fn split(record: &Record) -> Option<(Record, LargeDestinationTrailer)> {
         let (Record::Message(message) | Record::OrderedMessage(message, _)) = record else {
             return None;
         };
         if message.destination <= MAX_DESTINATION_OF_EARLIER_VERSIONS {
             return None;
         }
-        let true_values = LargeDestination {
+        let trailer = LargeDestinationTrailer {
             destination: message.destination,
             pending_report: message.pending_report,
         };
-        let values_for_earlier_versions = LargeDestination {
+        let compatible_values = LargeDestinationTrailer {
             destination: MAX_DESTINATION_OF_EARLIER_VERSIONS,
             pending_report: message.pending_report.or(Some(Ending::Failed)),
         };
-        let mut earlier = record.clone();
-        values_for_earlier_versions.put_into(&mut earlier);
-        Some((earlier, true_values))
+        let mut compatible_record = record.clone();
+        compatible_values.apply_to(&mut compatible_record);
+        Some((compatible_record, trailer))
     }
 
-    fn put_into(self, record: &mut Record) {
+    fn apply_to(self, record: &mut Record) {
         if let Record::Message(message) | Record::OrderedMessage(message, _) = record {
             message.destination = self.destination;
             message.pending_report = self.pending_report;
@@ -254,45 +254,45 @@
 }
 
 /// A record with its frame.
-pub fn encode(record: &Record) -> postcard::Result<Vec<u8>> {
-    let body = encode_body(record)?;
-    let mut frame = Vec::with_capacity(FRAME_HEADER_BYTES + body.len());
-    frame.extend((body.len() as u32).to_le_bytes());
-    frame.extend(crc32fast::hash(&body).to_le_bytes());
-    frame.extend(body);
+pub fn encode_frame(record: &Record) -> postcard::Result<Vec<u8>> {
+    let payload = encode_payload(record)?;
+    let mut frame = Vec::with_capacity(FRAME_HEADER_BYTES + payload.len());
+    frame.extend((payload.len() as u32).to_le_bytes());
+    frame.extend(crc32fast::hash(&payload).to_le_bytes());
+    frame.extend(payload);
     Ok(frame)
 }
 
 /// A record without its frame.
-pub fn encode_body(record: &Record) -> postcard::Result<Vec<u8>> {
-    match LargeDestination::split(record) {
-        Some((earlier, true_values)) => {
-            let body = postcard::to_allocvec(&earlier)?;
-            postcard::to_extend(&true_values, body)
+pub fn encode_payload(record: &Record) -> postcard::Result<Vec<u8>> {
+    match LargeDestinationTrailer::split(record) {
+        Some((compatible_record, trailer)) => {
+            let payload = postcard::to_allocvec(&compatible_record)?;
+            postcard::to_extend(&trailer, payload)
         }
         None => postcard::to_allocvec(record),
     }
 }
 
 /// The first record of some bytes and its length with the frame, in bytes. None where it is cut off or damaged.
-pub fn decode(bytes: &[u8]) -> Option<(Record, usize)> {
-    let length = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
+pub fn decode_frame(bytes: &[u8]) -> Option<(Record, usize)> {
+    let payload_len = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     let checksum = u32::from_le_bytes(bytes.get(4..FRAME_HEADER_BYTES)?.try_into().ok()?);
-    let end = FRAME_HEADER_BYTES.checked_add(length)?;
-    let body = bytes.get(FRAME_HEADER_BYTES..end)?;
-    if crc32fast::hash(body) != checksum {
+    let frame_len = FRAME_HEADER_BYTES.checked_add(payload_len)?;
+    let payload = bytes.get(FRAME_HEADER_BYTES..frame_len)?;
+    if crc32fast::hash(payload) != checksum {
         return None;
     }
-    let record = decode_body(body).ok()?;
-    Some((record, end))
+    let record = decode_payload(payload).ok()?;
+    Some((record, frame_len))
 }
 
 /// A record from its bytes without the frame. Bytes that follow it must be a whole [`LargeDestination`].
-pub fn decode_body(body: &[u8]) -> postcard::Result<Record> {
-    let (mut record, rest) = postcard::take_from_bytes::<Record>(body)?;
-    if !rest.is_empty() {
-        let true_values = postcard::from_bytes::<LargeDestination>(rest)?;
-        true_values.put_into(&mut record);
+pub fn decode_payload(payload: &[u8]) -> postcard::Result<Record> {
+    let (mut record, trailer_bytes) = postcard::take_from_bytes::<Record>(payload)?;
+    if !trailer_bytes.is_empty() {
+        let trailer = postcard::from_bytes::<LargeDestinationTrailer>(trailer_bytes)?;
+        trailer.apply_to(&mut record);
     }
     Ok(record)
 }
--- a/crates/forwarder/src/journal/recovery.rs
+++ b/crates/forwarder/src/journal/recovery.rs
@@ -22,18 +22,18 @@
     pub fn read_segment(&mut self, dir: &Path, number: u64) -> io::Result<Segment> {
         let path = segment::path(dir, number);
         let bytes = fs::read(&path)?;
-        let mut read_bytes = 0;
-        while let Some((record, length)) = record::decode(&bytes[read_bytes..]) {
-            read_bytes += length;
+        let mut valid_bytes = 0;
+        while let Some((record, frame_len)) = record::decode_frame(&bytes[valid_bytes..]) {
+            valid_bytes += frame_len;
             self.next_serial = self.next_serial.max(record.serial() + 1);
             self.live.apply(record, number);
         }
-        if read_bytes < bytes.len() {
-            segment::truncate(&path, read_bytes as u64)?;
+        if valid_bytes < bytes.len() {
+            segment::truncate(&path, valid_bytes as u64)?;
         }
         Ok(Segment {
             number,
-            bytes: read_bytes as u64,
+            bytes: valid_bytes as u64,
         })
     }
 }
--- a/crates/forwarder/src/journal/segment.rs
+++ b/crates/forwarder/src/journal/segment.rs
@@ -43,12 +43,12 @@
     }
 
     /// Appends a record. Where that fails, the part that was written is cut off: it would hide all records behind it.
-    pub fn append(&mut self, record: &[u8]) -> io::Result<()> {
-        if let Err(problem) = self.file.write_all(record) {
+    pub fn append(&mut self, frame: &[u8]) -> io::Result<()> {
+        if let Err(error) = self.file.write_all(frame) {
             self.file.set_len(self.segment.bytes)?;
-            return Err(problem);
+            return Err(error);
         }
-        self.segment.bytes += record.len() as u64;
+        self.segment.bytes += frame.len() as u64;
         Ok(())
     }
 }
@@ -59,11 +59,11 @@
 }
 
 /// The numbers of the segments in a directory, ascending. Other files are ignored.
-pub fn numbers(dir: &Path) -> io::Result<Vec<u64>> {
+pub fn list_numbers(dir: &Path) -> io::Result<Vec<u64>> {
     let mut numbers = Vec::new();
     for entry in fs::read_dir(dir)? {
-        let name = entry?.file_name();
-        if let Some(number) = name.to_str().and_then(number_in_name) {
+        let file_name = entry?.file_name();
+        if let Some(number) = file_name.to_str().and_then(parse_segment_number) {
             numbers.push(number);
         }
     }
@@ -71,13 +71,13 @@
     Ok(numbers)
 }
 
-fn number_in_name(name: &str) -> Option<u64> {
-    name.strip_suffix(FILE_SUFFIX)?.parse().ok()
+fn parse_segment_number(file_name: &str) -> Option<u64> {
+    file_name.strip_suffix(FILE_SUFFIX)?.parse().ok()
 }
 
 /// Cuts a segment off after so many bytes.
-pub fn truncate(path: &Path, bytes: u64) -> io::Result<()> {
-    OpenOptions::new().write(true).open(path)?.set_len(bytes)
+pub fn truncate(path: &Path, len: u64) -> io::Result<()> {
+    OpenOptions::new().write(true).open(path)?.set_len(len)
 }
 
 /// Deletes a segment.
--- a/crates/forwarder/src/journal/tests.rs
+++ b/crates/forwarder/src/journal/tests.rs
@@ -8,73 +8,79 @@
 use std::fs;
 use tempfile::TempDir;
 
-const LIMIT: u64 = 300_000; // bytes
+const LIMIT_BYTES: u64 = 300_000; // bytes
 
-fn message(n: u64, body: usize) -> StoredMessage {
+fn message(seed: u64, body_bytes: usize) -> StoredMessage {
     StoredMessage {
         serial: 0,
-        request_id: format!("{n:016x}"),
+        request_id: format!("{seed:016x}"),
         class: 1,
-        tenant: (n % 7 < 3).then_some(n as u32),
-        destination: if n.is_multiple_of(6) { 70_000 } else { 7 },
-        deadline: 1_000_000 + n,
-        idempotency_key: n.is_multiple_of(2).then(|| format!("idempotency_key-{n}")),
-        resubmitted: n.is_multiple_of(3),
-        from_failed_forwarder: n.is_multiple_of(5),
-        body: Bytes::from(vec![n as u8; body]),
-        key: n.is_multiple_of(4).then_some(n),
-        attempts: 0,
+        tenant: (seed % 7 < 3).then_some(seed as u32),
+        destination: if seed.is_multiple_of(6) { 70_000 } else { 7 },
+        deadline: 1_000_000 + seed,
+        idempotency_key: seed
+            .is_multiple_of(2)
+            .then(|| format!("idempotency_key-{seed}")),
+        resubmitted: seed.is_multiple_of(3),
+        from_failed_forwarder: seed.is_multiple_of(5),
+        body: Bytes::from(vec![seed as u8; body_bytes]),
+        order_key: seed.is_multiple_of(4).then_some(seed),
+        attempts_started: 0,
         possible_effect: None,
-        attempts_out: Vec::new(),
+        attempts_in_flight: Vec::new(),
         pending_report: None,
     }
 }
 
-fn on_disk(dir: &TempDir) -> u64 {
+fn bytes_on_disk(dir: &TempDir) -> u64 {
     let files = fs::read_dir(dir.path())
         .expect("the directory")
-        .map(|f| f.expect("a file").metadata());
+        .map(|file| file.expect("a file").metadata());
     files
-        .map(|m| m.expect("its size").len().div_ceil(BLOCK_BYTES) * BLOCK_BYTES)
+        .map(|metadata| metadata.expect("its size").len().div_ceil(BLOCK_BYTES) * BLOCK_BYTES)
         .sum()
 }
 
 fn open(dir: &TempDir) -> (Journal, Vec<StoredMessage>) {
-    open_within(dir, LIMIT)
+    open_with_limit(dir, LIMIT_BYTES)
 }
 
-fn open_within(dir: &TempDir, limit: u64) -> (Journal, Vec<StoredMessage>) {
-    Journal::open(dir.path(), limit).expect("the journal opens")
+fn open_with_limit(dir: &TempDir, limit_bytes: u64) -> (Journal, Vec<StoredMessage>) {
+    Journal::open(dir.path(), limit_bytes).expect("the journal opens")
 }
 
 /// A kill may cut a write at any byte: the records before it are recovered, and writing goes on.
 #[test]
-fn a_journal_cut_at_any_byte_keeps_the_whole_records() {
+fn recovers_whole_records_of_segment_truncated_at_any_byte() {
     let dir = TempDir::new().expect("a directory");
     let (mut journal, _) = open(&dir);
     let file = path(dir.path(), 0);
-    let size = || fs::metadata(&file).expect("the segment").len();
+    let segment_len = || fs::metadata(&file).expect("the segment").len();
     // After each write: the file's length and the messages that a restart there must find.
     let mut stages = vec![(0, Vec::new())];
     let mut add_stage = |journal: &mut Journal| {
         let mut messages = journal.live.messages();
         for message in &mut messages {
-            message.assume_effect_of_attempts_out();
+            message.assume_effect_of_attempts_in_flight();
         }
-        stages.push((size(), messages));
+        stages.push((segment_len(), messages));
     };
-    let first = journal.accept(message(1, 40)).expect("room");
+    let first = journal.record_message(message(1, 40)).expect("room");
     add_stage(&mut journal);
-    journal.attempt_started(first, 0, 500, 1).expect("room");
+    journal
+        .record_attempt_start(first, 0, 500, 1)
+        .expect("room");
     add_stage(&mut journal);
-    let second = journal.accept(message(2, 0)).expect("room");
+    let second = journal.record_message(message(2, 0)).expect("room");
     add_stage(&mut journal);
-    journal.attempt_ended(first, 0, false).expect("room");
+    journal.record_attempt_end(first, 0, false).expect("room");
     add_stage(&mut journal);
-    journal.attempt_started(first, 1, 900, 0).expect("room");
+    journal
+        .record_attempt_start(first, 1, 900, 0)
+        .expect("room");
     add_stage(&mut journal);
     journal
-        .report_pending(
+        .record_pending_report(
             second,
             Ending::Rejected {
                 retry_after: Some(9),
@@ -82,83 +88,85 @@
         )
         .expect("room");
     add_stage(&mut journal);
-    journal.ended(first).expect("room");
+    journal.record_message_end(first).expect("room");
     add_stage(&mut journal);
     drop(journal);
-    let whole = fs::read(&file).expect("the segment");
-    for cut in 0..=whole.len() {
+    let segment_bytes = fs::read(&file).expect("the segment");
+    for cut in 0..=segment_bytes.len() {
         let dir = TempDir::new().expect("a directory");
-        fs::write(path(dir.path(), 0), &whole[..cut]).expect("written");
-        let (mut journal, found) = open(&dir);
-        let (_, wanted) = stages
+        fs::write(path(dir.path(), 0), &segment_bytes[..cut]).expect("written");
+        let (mut journal, recovered) = open(&dir);
+        let (_, expected) = stages
             .iter()
-            .rfind(|(end, _)| *end <= cut as u64)
+            .rfind(|(len, _)| *len <= cut as u64)
             .expect("a stage");
-        assert_eq!(&found, wanted, "cut at {cut}");
-        let serial = journal.accept(message(9, 10)).expect("room");
-        assert!(found.iter().all(|message| message.serial != serial));
+        assert_eq!(&recovered, expected, "cut at {cut}");
+        let serial = journal.record_message(message(9, 10)).expect("room");
+        assert!(recovered.iter().all(|message| message.serial != serial));
         drop(journal);
-        assert_eq!(open(&dir).1.len(), wanted.len() + 1, "cut at {cut}");
+        assert_eq!(open(&dir).1.len(), expected.len() + 1, "cut at {cut}");
     }
 }
 
 /// Attempts out at the end of a run may have taken effect; those that ended without one have not.
 #[test]
-fn attempts_out_at_the_end_of_a_run_may_have_taken_effect() {
+fn recovers_attempts_without_outcome_as_possible_effects() {
     let dir = TempDir::new().expect("a directory");
     let (mut journal, _) = open(&dir);
-    let serial = journal.accept(message(1, 5)).expect("room");
-    for (attempt, at) in [(0, 100), (1, 200), (2, 300)] {
+    let serial = journal.record_message(message(1, 5)).expect("room");
+    for (attempt_index, started_at) in [(0, 100), (1, 200), (2, 300)] {
         journal
-            .attempt_started(serial, attempt, at, attempt.into())
+            .record_attempt_start(serial, attempt_index, started_at, attempt_index.into())
             .expect("room");
-        if attempt != 1 {
-            journal.attempt_ended(serial, attempt, false).expect("room");
+        if attempt_index != 1 {
+            journal
+                .record_attempt_end(serial, attempt_index, false)
+                .expect("room");
         }
     }
     drop(journal);
-    let (_, found) = open(&dir);
+    let (_, recovered) = open(&dir);
     let effect = StoredEffect {
         started_at: 200,
         zone: 1,
     };
-    assert_eq!(found[0].attempts, 3);
-    assert_eq!(found[0].possible_effect, Some(effect));
+    assert_eq!(recovered[0].attempts_started, 3);
+    assert_eq!(recovered[0].possible_effect, Some(effect));
     // A second restart finds the same.
-    assert_eq!(open(&dir).1, found);
+    assert_eq!(open(&dir).1, recovered);
 }
 
 /// A journal with a damaged byte opens, and the messages of its other segments are recovered.
 #[test]
-fn a_damaged_byte_hides_only_what_follows_in_its_segment() {
+fn corrupted_byte_loses_only_records_of_its_segment() {
     let dir = TempDir::new().expect("a directory");
     let (mut journal, _) = open(&dir);
-    journal.accept(message(1, 10)).expect("room");
-    journal.accept(message(2, 10)).expect("room");
+    journal.record_message(message(1, 10)).expect("room");
+    journal.record_message(message(2, 10)).expect("room");
     drop(journal);
     let (mut journal, _) = open(&dir); // each start creates a new segment
-    journal.accept(message(3, 10)).expect("room");
+    journal.record_message(message(3, 10)).expect("room");
     drop(journal);
     let file = path(dir.path(), 0);
-    let whole = fs::read(&file).expect("the segment");
-    for at in 0..whole.len() {
-        let mut damaged = whole.clone();
-        damaged[at] ^= 0x10;
-        fs::write(&file, damaged).expect("written");
-        let (_, found) = open(&dir);
+    let segment_bytes = fs::read(&file).expect("the segment");
+    for index in 0..segment_bytes.len() {
+        let mut corrupted = segment_bytes.clone();
+        corrupted[index] ^= 0x10;
+        fs::write(&file, corrupted).expect("written");
+        let (_, recovered) = open(&dir);
         assert!(
-            found
+            recovered
                 .iter()
                 .any(|message| message.request_id == format!("{:016x}", 3)),
-            "byte {at}"
+            "byte {index}"
         );
         assert!(
-            found.iter().all(|k| *k
+            recovered.iter().all(|recovered_message| *recovered_message
                 == StoredMessage {
-                    serial: k.serial,
-                    ..message(k.serial + 1, 10)
+                    serial: recovered_message.serial,
+                    ..message(recovered_message.serial + 1, 10)
                 }),
-            "byte {at}"
+            "byte {index}"
         );
     }
 }
@@ -186,74 +194,91 @@
 
 /// The files never exceed the limit, and a message that has room at its acceptance is never lost for want of it.
 #[test]
-fn the_disk_limit_holds_and_no_accepted_message_is_lost() {
-    fn run(steps: Vec<Step>, limit: u8) -> Result<(), String> {
-        let limit = [100_000, 300_000, 900_000][usize::from(limit % 3)];
+fn stays_within_disk_limit_and_recovers_every_accepted_message() {
+    fn run(steps: Vec<Step>, limit_choice: u8) -> Result<(), String> {
+        let limit_bytes = [100_000, 300_000, 900_000][usize::from(limit_choice % 3)];
         let dir = TempDir::new().map_err(|e| e.to_string())?;
-        let (mut journal, _) = open_within(&dir, limit);
-        let mut wanted: BTreeMap<u64, StoredMessage> = BTreeMap::new();
-        for (n, step) in steps.into_iter().enumerate() {
-            let pick = |n: u8| wanted.keys().nth(n as usize % wanted.len().max(1)).copied();
+        let (mut journal, _) = open_with_limit(&dir, limit_bytes);
+        let mut expected: BTreeMap<u64, StoredMessage> = BTreeMap::new();
+        for (step_index, step) in steps.into_iter().enumerate() {
+            let pick = |choice: u8| {
+                expected
+                    .keys()
+                    .nth(choice as usize % expected.len().max(1))
+                    .copied()
+            };
             match step {
-                Step::Accept(size) => {
-                    let new = message(n as u64, usize::from(size));
-                    if !journal.has_room(&new) {
+                Step::Accept(body_bytes) => {
+                    let new_message = message(step_index as u64, usize::from(body_bytes));
+                    if !journal.has_space_for(&new_message) {
                         continue;
                     }
                     let serial = journal
-                        .accept(new.clone())
+                        .record_message(new_message.clone())
                         .map_err(|e| format!("accept: {e}"))?;
-                    wanted.insert(serial, StoredMessage { serial, ..new });
+                    expected.insert(
+                        serial,
+                        StoredMessage {
+                            serial,
+                            ..new_message
+                        },
+                    );
                 }
-                Step::Attempt(n) => {
-                    let Some(stored) = pick(n).and_then(|s| wanted.get_mut(&s)) else {
+                Step::Attempt(choice) => {
+                    let Some(stored) = pick(choice).and_then(|serial| expected.get_mut(&serial))
+                    else {
                         continue;
                     };
-                    let attempt = stored.attempts as u8;
+                    let attempt_index = stored.attempts_started as u8;
                     journal
-                        .attempt_started(stored.serial, attempt, n.into(), 0)
+                        .record_attempt_start(stored.serial, attempt_index, choice.into(), 0)
                         .map_err(|e| format!("attempt: {e}"))?;
                     journal
-                        .attempt_ended(stored.serial, attempt, n.is_multiple_of(2))
+                        .record_attempt_end(stored.serial, attempt_index, choice.is_multiple_of(2))
                         .map_err(|e| format!("attempt: {e}"))?;
-                    stored.attempts += 1;
-                    if n.is_multiple_of(2) {
+                    stored.attempts_started += 1;
+                    if choice.is_multiple_of(2) {
                         stored.add_possible_effect(StoredEffect {
-                            started_at: n.into(),
+                            started_at: choice.into(),
                             zone: 0,
                         });
                     }
                 }
-                Step::Report(n) => {
-                    let Some(serial) = pick(n) else { continue };
+                Step::Report(choice) => {
+                    let Some(serial) = pick(choice) else { continue };
                     journal
-                        .report_pending(serial, Ending::Failed)
+                        .record_pending_report(serial, Ending::Failed)
                         .map_err(|e| format!("report: {e}"))?;
-                    wanted
+                    expected
                         .entry(serial)
                         .and_modify(|stored| stored.pending_report = Some(Ending::Failed));
                 }
-                Step::End(n) => {
-                    let Some(serial) = pick(n) else { continue };
-                    journal.ended(serial).map_err(|e| format!("end: {e}"))?;
-                    wanted.remove(&serial);
+                Step::End(choice) => {
+                    let Some(serial) = pick(choice) else { continue };
+                    journal
+                        .record_message_end(serial)
+                        .map_err(|e| format!("end: {e}"))?;
+                    expected.remove(&serial);
                 }
                 Step::Restart => {
                     drop(journal);
-                    let found;
-                    (journal, found) = open_within(&dir, limit);
-                    let all: Vec<StoredMessage> = wanted.values().cloned().collect();
-                    if found != all {
+                    let recovered;
+                    (journal, recovered) = open_with_limit(&dir, limit_bytes);
+                    let all_expected: Vec<StoredMessage> = expected.values().cloned().collect();
+                    if recovered != all_expected {
                         return Err(format!(
                             "{} messages found, {} wanted",
-                            found.len(),
-                            all.len()
+                            recovered.len(),
+                            all_expected.len()
                         ));
                     }
                 }
             }
-            if on_disk(&dir) > limit {
-                return Err(format!("{} bytes on disk after step {n}", on_disk(&dir)));
+            if bytes_on_disk(&dir) > limit_bytes {
+                return Err(format!(
+                    "{} bytes on disk after step {step_index}",
+                    bytes_on_disk(&dir)
+                ));
             }
         }
         Ok(())
@@ -266,12 +291,14 @@
 
 /// After a restart a withdrawn attempt counts neither as an attempt nor as one that may have taken effect.
 #[test]
-fn a_withdrawn_attempt_leaves_no_trace() {
+fn does_not_count_withdrawn_attempt_after_restart() {
     let dir = TempDir::new().expect("a directory");
     let (mut journal, _) = open(&dir);
-    let serial = journal.accept(message(1, 40)).expect("room");
-    journal.attempt_started(serial, 0, 900, 1).expect("room");
-    journal.attempt_withdrawn(serial, 0).expect("room");
+    let serial = journal.record_message(message(1, 40)).expect("room");
+    journal
+        .record_attempt_start(serial, 0, 900, 1)
+        .expect("room");
+    journal.record_attempt_withdrawal(serial, 0).expect("room");
     assert_eq!(
         open(&dir).1,
         [StoredMessage {
@@ -283,7 +310,7 @@
 
 /// The records of earlier versions, whose destinations had 16 bits. Their field names are of no weight: the format has
 /// none.
-mod earlier {
+mod earlier_version {
     use super::*;
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
@@ -293,14 +320,14 @@
         pub class: u16,
         pub tenant: Option<u32>,
         pub destination: u16,
-        pub expires: Micros,
+        pub deadline: Micros,
         pub idempotency_key: Option<String>,
-        pub again: bool,
-        pub orphan: bool,
+        pub resubmitted: bool,
+        pub from_failed_forwarder: bool,
         pub body: Bytes,
-        pub attempts: u32,
-        pub exposed: Option<(Micros, u16)>,
-        pub out: Vec<(u8, Micros, u16)>,
+        pub attempts_started: u32,
+        pub possible_effect: Option<(Micros, u16)>,
+        pub attempts_in_flight: Vec<(u8, Micros, u16)>,
         pub pending_report: Option<Ending>,
     }
 
@@ -309,95 +336,95 @@
         Message(StoredMessage),
         AttemptStarted {
             serial: u64,
-            attempt: u8,
-            at: Micros,
+            attempt_index: u8,
+            started_at: Micros,
             zone: u16,
         },
         AttemptEnded {
             serial: u64,
-            attempt: u8,
+            attempt_index: u8,
             may_have_taken_effect: bool,
         },
-        Owes {
+        PendingReport {
             serial: u64,
             ending: Ending,
         },
-        Ended {
+        MessageEnded {
             serial: u64,
         },
-        Keyed(StoredMessage, u64),
+        OrderedMessage(StoredMessage, u64),
     }
 
-    pub fn of(
+    pub fn record_of(
         stored: &super::StoredMessage,
         destination: u16,
         pending_report: Option<Ending>,
     ) -> Record {
         let stored = stored.clone();
         let effect = stored.possible_effect;
-        let out = stored.attempts_out.iter();
-        let old = StoredMessage {
+        let attempts = stored.attempts_in_flight.iter();
+        let message = StoredMessage {
             serial: stored.serial,
             request_id: stored.request_id,
             class: stored.class,
             tenant: stored.tenant,
             destination,
-            expires: stored.deadline,
+            deadline: stored.deadline,
             idempotency_key: stored.idempotency_key,
-            again: stored.resubmitted,
-            orphan: stored.from_failed_forwarder,
+            resubmitted: stored.resubmitted,
+            from_failed_forwarder: stored.from_failed_forwarder,
             body: stored.body.clone(),
-            attempts: stored.attempts,
-            exposed: effect.map(|effect| (effect.started_at, effect.zone)),
-            out: out
-                .map(|out| (out.attempt, out.started_at, out.zone))
+            attempts_started: stored.attempts_started,
+            possible_effect: effect.map(|effect| (effect.started_at, effect.zone)),
+            attempts_in_flight: attempts
+                .map(|attempt| (attempt.attempt_index, attempt.started_at, attempt.zone))
                 .collect(),
             pending_report,
         };
-        match stored.key {
-            Some(key) => Record::Keyed(old, key),
-            None => Record::Message(old),
+        match stored.order_key {
+            Some(order_key) => Record::OrderedMessage(message, order_key),
+            None => Record::Message(message),
         }
     }
 
-    pub fn read(segment: &[u8]) -> Option<Record> {
-        let length = u32::from_le_bytes(segment[..4].try_into().ok()?) as usize;
-        postcard::from_bytes(&segment[FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + length]).ok()
+    pub fn decode_frame(segment: &[u8]) -> Option<Record> {
+        let payload_len = u32::from_le_bytes(segment[..4].try_into().ok()?) as usize;
+        postcard::from_bytes(&segment[FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + payload_len]).ok()
     }
 
-    pub fn frame(record: &Record) -> Vec<u8> {
-        let body = postcard::to_allocvec(record).expect("it has a form");
+    pub fn encode_frame(record: &Record) -> Vec<u8> {
+        let payload = postcard::to_allocvec(record).expect("it has a form");
         [
-            &(body.len() as u32).to_le_bytes()[..],
-            &crc32fast::hash(&body).to_le_bytes(),
-            &body,
+            &(payload.len() as u32).to_le_bytes()[..],
+            &crc32fast::hash(&payload).to_le_bytes(),
+            &payload,
         ]
         .concat()
     }
 }
 
-fn message_to(destination: u32, n: u64, pending_report: Option<Ending>) -> StoredMessage {
+fn message_to(destination: u32, seed: u64, pending_report: Option<Ending>) -> StoredMessage {
     StoredMessage {
         destination,
         pending_report,
-        attempts: 2,
+        attempts_started: 2,
         possible_effect: Some(StoredEffect {
             started_at: 5,
             zone: 1,
         }),
-        attempts_out: vec![StoredAttempt {
-            attempt: 1,
+        attempts_in_flight: vec![StoredAttempt {
+            attempt_index: 1,
             started_at: 6,
             zone: 0,
         }],
-        ..message(n, 40)
+        ..message(seed, 40)
     }
 }
 
 /// This version and earlier ones write the same bytes for a destination of 16 bits.
 #[test]
-fn destinations_of_16_bits_are_stored_as_by_earlier_versions() {
-    for (destination, n) in [
+fn writes_same_bytes_as_earlier_versions_for_16_bit_destinations() {
+    for (destination, seed) in [
         (0, 1),
         (127, 4),
         (128, 2),
@@ -412,26 +439,30 @@
                 retry_after: Some(9),
             }),
         ] {
-            let stored = message_to(destination, n, pending_report);
-            let bytes = earlier::frame(&earlier::of(&stored, destination as u16, pending_report));
+            let stored = message_to(destination, seed, pending_report);
+            let bytes = earlier_version::encode_frame(&earlier_version::record_of(
+                &stored,
+                destination as u16,
+                pending_report,
+            ));
             assert_eq!(
-                encode(&Record::message(stored.clone())).expect("a form"),
+                encode_frame(&Record::message(stored.clone())).expect("a form"),
                 bytes
             );
             let dir = TempDir::new().expect("a directory");
             fs::write(path(dir.path(), 0), &bytes).expect("written");
-            let mut wanted = stored;
-            wanted.assume_effect_of_attempts_out();
-            assert_eq!(open(&dir).1, [wanted]);
+            let mut expected = stored;
+            expected.assume_effect_of_attempts_in_flight();
+            assert_eq!(open(&dir).1, [expected]);
         }
     }
 }
 
 /// An earlier version that takes the directory over reports a message to a larger destination as failed.
 #[test]
-fn larger_destinations_are_stored_and_earlier_versions_fail_their_messages() {
-    for (destination, n) in [(65_536, 1), (70_000, 2), (70_000, 4), (u32::MAX, 8)] {
-        for (pending_report, theirs) in [
+fn stores_larger_destinations_so_that_earlier_versions_fail_their_messages() {
+    for (destination, seed) in [(65_536, 1), (70_000, 2), (70_000, 4), (u32::MAX, 8)] {
+        for (pending_report, reported_by_earlier) in [
             (None, Ending::Failed),
             (Some(Ending::Failed), Ending::Failed),
             (
@@ -441,26 +472,34 @@
         ] {
             let dir = TempDir::new().expect("a directory");
             let (mut journal, _) = open(&dir);
-            let stored = message_to(destination, n, pending_report);
-            let serial = journal.accept(stored.clone()).expect("room");
+            let stored = message_to(destination, seed, pending_report);
+            let serial = journal.record_message(stored.clone()).expect("room");
             drop(journal);
             let segment = fs::read(path(dir.path(), 0)).expect("the segment");
             assert_eq!(
-                earlier::read(&segment),
-                Some(earlier::of(&stored, u16::MAX, Some(theirs)))
+                earlier_version::decode_frame(&segment),
+                Some(earlier_version::record_of(
+                    &stored,
+                    u16::MAX,
+                    Some(reported_by_earlier)
+                ))
             );
-            let mut wanted = StoredMessage { serial, ..stored };
-            wanted.assume_effect_of_attempts_out();
-            assert_eq!(open(&dir).1, [wanted.clone()]);
+            let mut expected = StoredMessage { serial, ..stored };
+            expected.assume_effect_of_attempts_in_flight();
+            assert_eq!(open(&dir).1, [expected.clone()]);
             // An earlier version that copies the message keeps its pending report.
-            let copied = earlier::frame(&earlier::of(&wanted, u16::MAX, Some(theirs)));
-            fs::write(path(dir.path(), 0), copied).expect("written");
+            let copied_frame = earlier_version::encode_frame(&earlier_version::record_of(
+                &expected,
+                u16::MAX,
+                Some(reported_by_earlier),
+            ));
+            fs::write(path(dir.path(), 0), copied_frame).expect("written");
             assert_eq!(
                 open(&dir).1,
                 [StoredMessage {
                     destination: MAX_DESTINATION_OF_EARLIER_VERSIONS,
-                    pending_report: Some(theirs),
-                    ..wanted
+                    pending_report: Some(reported_by_earlier),
+                    ..expected
                 }]
             );
         }
@@ -469,19 +508,19 @@
 
 /// Bytes after a record that are not whole make it unreadable, as damage does.
 #[test]
-fn the_bytes_after_a_record_are_read_whole_or_not_at_all() {
+fn rejects_record_with_truncated_trailer() {
     let stored = message_to(70_000, 1, None);
-    let body = encode_body(&Record::message(stored.clone())).expect("a form");
-    let behind = postcard::to_allocvec(&LargeDestination {
+    let body = encode_payload(&Record::message(stored.clone())).expect("a form");
+    let trailer = postcard::to_allocvec(&LargeDestinationTrailer {
         destination: 70_000,
         pending_report: None,
     })
     .expect("a form");
-    for cut in 1..behind.len() {
+    for cut in 1..trailer.len() {
         assert!(
-            decode_body(&body[..body.len() - cut]).is_err(),
+            decode_payload(&body[..body.len() - cut]).is_err(),
             "{cut} bytes cut off"
         );
     }
-    assert!(matches!(decode_body(&body), Ok(Record::Message(found)) if found == stored));
+    assert!(matches!(decode_payload(&body), Ok(Record::Message(recovered)) if recovered == stored));
 }
