--- a/crates/forwarder/src/endpoint_list.rs
+++ b/crates/forwarder/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: [`watch`] gets it from the platform's agent, [`table`] has it as it is known.
+//! The endpoint list: [`watch`] gets it from the platform's agent, and [`table`] holds the known list.
 
 mod table;
 mod watch;
--- a/crates/forwarder/src/endpoint_list/golden_tests.rs
+++ b/crates/forwarder/src/endpoint_list/golden_tests.rs
@@ -1,5 +1,5 @@
-//! Proves that the exchange with discovery stays the same: the bytes of the calls for the complete list and for a watch, and
-//! what each recorded answer is decoded to.
+//! Checks that the exchange with discovery stays the same: the bytes of the requests for the complete list and for a
+//! watch, and the events that each recorded answer is decoded to.
 
 use super::*;
 use crate::commands::{DispatcherCommand, EndpointListCommand};
@@ -48,7 +48,7 @@
 
 fn render_event(command: DispatcherCommand) -> Value {
     let DispatcherCommand::Event(Event::EndpointListUpdated(update)) = command else {
-        panic!("another event")
+        panic!("expected an update of the endpoint list")
     };
     let render_entries =
         |entries: &[EndpointEntry]| entries.iter().map(render_entry).collect::<Vec<_>>();
@@ -60,11 +60,13 @@
     }
 }
 
-/// Answers the calls of one list's actor in turn. Gives the bytes of each call, the one after the last answer included,
-/// and the events that they led to.
+/// Answers the requests of one actor in turn. Returns the bytes of each request, including the one after the last
+/// answer, and the events that the answers led to.
 async fn exchange(input: &Value) -> Value {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("the listener is bound");
+    let address = listener.local_addr().expect("the listener has an address");
     let (_address_sender, discovery) = watch::channel(address);
     let (dispatcher, mut events) = mpsc::channel(64);
     let (commands, command_receiver) = mpsc::channel(4);
@@ -84,28 +86,31 @@
     tokio::spawn(list_watch.run(command_receiver));
     let mut requests = Vec::new();
     let mut rendered_events = Vec::new();
-    let answers = input["answers"].as_array().expect("answers");
+    let answers = input["answers"]
+        .as_array()
+        .expect("the input has a list of answers");
     for answer in answers.iter().map(Some).chain([None]) {
         let (mut stream, _) = tokio::time::timeout(TIMEOUT, listener.accept())
             .await
-            .expect("in time")
-            .expect("a connection");
+            .expect("the exchange continues within 10 s")
+            .expect("a connection is accepted");
         let mut request = Vec::new();
         while !request.ends_with(b"\r\n\r\n") {
             let read = tokio::time::timeout(TIMEOUT, stream.read_buf(&mut request)).await;
             assert_ne!(
-                read.expect("in time").expect("readable"),
+                read.expect("the exchange continues within 10 s")
+                    .expect("the connection is readable"),
                 0,
-                "the call is cut off"
+                "expected a complete request head"
             );
         }
-        let request = String::from_utf8(request).expect("a call is text");
+        let request = String::from_utf8(request).expect("the request head is UTF-8");
         requests.push(text(
             request
                 .replace(&address.to_string(), "127.0.0.1:PORT")
                 .as_bytes(),
         ));
-        // A call comes once the answer before it is dealt with.
+        // A request arrives once the answer before it has been handled.
         while let Ok(event) = events.try_recv() {
             rendered_events.push(render_event(event));
         }
@@ -118,16 +123,19 @@
         let answer = format!(
             "HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
         );
-        stream.write_all(answer.as_bytes()).await.expect("answered");
+        stream
+            .write_all(answer.as_bytes())
+            .await
+            .expect("the answer is written");
         if must_be_polled {
             let event = tokio::time::timeout(TIMEOUT, events.recv())
                 .await
-                .expect("in time");
-            rendered_events.push(render_event(event.expect("an event")));
+                .expect("the exchange continues within 10 s");
+            rendered_events.push(render_event(event.expect("the actor sends an event")));
             commands
                 .send(EndpointListCommand::StartWatch)
                 .await
-                .expect("the actor runs");
+                .expect("the actor is running");
         }
     }
     json!({ "calls": requests, "events": rendered_events })
--- a/crates/forwarder/src/endpoint_list/table.rs
+++ b/crates/forwarder/src/endpoint_list/table.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as it is known: each member once, found by its id and by its address.
+//! The known endpoint list. It holds each member once, indexed by id and by address.
 
 use crate::protocol::{EndpointListDocument, Member, Phase};
 use compact_str::CompactString;
@@ -9,22 +9,22 @@
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
 
-/// The endpoint list as it is known.
+/// The known endpoint list, owned by the actor that watches it.
 #[derive(Default)]
 pub struct EndpointTable {
-    /// The revision of the latest document; none before the first.
+    /// Revision of the latest document. `None` before the first one, and after the address of the agent changed.
     pub(super) revision: Option<u64>,
     members: MemberTable,
-    /// The incarnation of the latest endpoint that was new. It wraps after 2³² of them.
+    /// Incarnation that was assigned to the latest new endpoint. It wraps after 2³² new endpoints.
     last_incarnation: u32,
 }
 
-/// Members as they were before a document, by id; none for one that was not known.
+/// The members before a document was applied, by id. `None` for an id that was not known.
 type PreviousMembers = BTreeMap<CompactString, Option<EndpointEntry>>;
 
 impl EndpointTable {
-    /// Applies a document and returns what it says in the core's terms: nothing where it is older than the list that is
-    /// known, or changes nothing.
+    /// Applies a document and returns the update for the core. Returns `None` if the document is older than the known
+    /// list or changes nothing.
     pub fn apply(
         &mut self,
         document: EndpointListDocument,
@@ -55,7 +55,7 @@
         EndpointListUpdate::Complete(entries)
     }
 
-    /// The work is proportional to the changes, not to the list.
+    /// Applies a document of changes. The work is proportional to the number of changes, not to the length of the list.
     fn apply_changes(&mut self, members: Vec<Member>, names: &Names) -> Option<EndpointListUpdate> {
         let mut previous = PreviousMembers::new();
         for member in members {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The endpoints that members had before and have no more, in the order of the members' ids.
+    /// Returns the endpoints that members had before the document and no longer have, in the order of the members' ids.
     fn removed_endpoints(&self, previous: &PreviousMembers) -> Vec<EndpointEntry> {
         let mut removed = Vec::new();
         for (id, previous_entry) in previous {
@@ -98,7 +98,7 @@
         removed
     }
 
-    /// The members that are new or differ from what they were before, in the order of their ids.
+    /// Returns the members that are new or have changed since before the document, in the order of their ids.
     fn changed_members(&self, previous: &PreviousMembers) -> Vec<EndpointEntry> {
         let mut changed = Vec::new();
         for (id, previous_entry) in previous {
@@ -112,8 +112,8 @@
         changed
     }
 
-    /// Applies one line of a document, whose member was `old` before the document. Returns the member that it displaces
-    /// from its address.
+    /// Applies one member of a document. `previous_entry` is the entry that the member had before the document. Returns
+    /// the member that it displaces from its address, if any.
     fn apply_member(
         &mut self,
         member: Member,
@@ -130,12 +130,13 @@
             .get_by_address(Address::of(&entry))
             .filter(|row| row.id != member.id)
             .map(|row| row.id.clone());
-        // Another member has the address by now: a late change of one that drains there must not touch it.
+        // Another member has taken over the address. A late change of a member that drains there must not affect it.
         if id_at_address.is_some() && member.phase != Phase::Ready {
             return None;
         }
         let displaced = id_at_address.and_then(|id| self.members.remove_by_id(&id));
-        // An endpoint with another address or destination is a new one: nothing learned of the old one applies to it.
+        // A member with a new address or destination is a new endpoint: nothing learned about the previous endpoint
+        // applies to it.
         let same_endpoint =
             previous_entry.filter(|previous| has_same_address_and_destination(previous, &entry));
         entry.endpoint.incarnation = match same_endpoint {
@@ -153,7 +154,7 @@
         self.last_incarnation
     }
 
-    /// Whether nothing is kept of any member.
+    /// Returns whether the table and both of its indexes hold no member.
     #[cfg(test)]
     pub(super) fn is_empty(&self) -> bool {
         self.members.rows.is_empty()
@@ -166,10 +167,10 @@
     Address::of(a) == Address::of(b) && a.destination == b.destination
 }
 
-/// Where an endpoint listens.
+/// The address that an endpoint listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Address {
-    /// IPv4, in network order.
+    /// IPv4 address, in network byte order.
     ip: [u8; 4],
     port: u16,
 }
@@ -183,20 +184,20 @@
     }
 }
 
-/// A member with its id in the platform's list.
+/// A member and its id in the platform's list.
 struct MemberRow {
     id: CompactString,
     entry: EndpointEntry,
 }
 
-/// The members, with an index by id and one by address: both are unique. The capacity of the rows is that of the longest
-/// list since the latest complete one.
+/// The members, with one index by id and one by address. Both ids and addresses are unique. The rows keep the capacity
+/// for the longest list since the latest complete one.
 #[derive(Default)]
 struct MemberTable {
     rows: Slab<MemberRow>,
-    /// The keys of the rows in the slab.
+    /// Keys of the rows in the slab, hashed by member id.
     by_id: HashTable<u32>,
-    /// The same.
+    /// Keys of the rows in the slab, hashed by address.
     by_address: HashTable<u32>,
     hasher: RandomState,
 }
@@ -226,7 +227,7 @@
         Some(&self.rows[*row_key as usize])
     }
 
-    /// Adds a member whose id and address no other has.
+    /// Adds a member. No other member may have its id or its address.
     fn insert(&mut self, row: MemberRow) {
         let id_hash = self.hasher.hash_one(row.id.as_str());
         let address_hash = self.hasher.hash_one(Address::of(&row.entry));
--- a/crates/forwarder/src/endpoint_list/table/tests.rs
+++ b/crates/forwarder/src/endpoint_list/table/tests.rs
@@ -1,4 +1,4 @@
-//! The compact table compared with a plain one, and its memory at the expected size.
+//! Tests of the table, which compare it with a simple reference table and bound its memory at the expected size.
 
 mod reference;
 
@@ -7,10 +7,10 @@
 use reference::ReferenceTable;
 use std::net::SocketAddrV4;
 
-/// Members of a long list: more than the 91,000 that the operators expect.
+/// Number of members of a long list: more than the 91,000 that the operators expect.
 const MEMBER_COUNT: u32 = 100_000;
 
-/// Bytes a member, of the 150 that all tables beside the core may take.
+/// Upper bound on the memory per member, in bytes. All tables outside the core may take 150 bytes per member together.
 const MAX_BYTES_PER_MEMBER: usize = 90;
 
 fn names() -> Names {
@@ -27,7 +27,9 @@
 fn document(revision: u64, complete: bool, members: &[(&str, u16, Phase)]) -> EndpointListDocument {
     let member = |(id, port, phase): &(&str, u16, Phase)| Member {
         id: (*id).into(),
-        address: format!("10.0.0.1:{port}").parse().expect("an address"),
+        address: format!("10.0.0.1:{port}")
+            .parse()
+            .expect("the address is valid"),
         zone_name: "a".into(),
         kind_name: "m".into(),
         destination: 3,
@@ -42,16 +44,16 @@
     }
 }
 
-/// The status of each endpoint in an update, by a key and in the order of keys.
+/// Returns the status of each endpoint in an update with its key, in the order of the keys.
 fn statuses_by<K: Ord>(
     key: fn(&EndpointEntry) -> K,
     update: Option<EndpointListUpdate>,
 ) -> Vec<(K, EndpointStatus)> {
     let (EndpointListUpdate::Changes(entries)
     | EndpointListUpdate::Complete(entries)
-    | EndpointListUpdate::Cached(entries)) = update.expect("an update")
+    | EndpointListUpdate::Cached(entries)) = update.expect("the document changes the list")
     else {
-        panic!("no entries")
+        panic!("expected an update with entries")
     };
     let mut statuses: Vec<_> = entries
         .iter()
@@ -69,7 +71,6 @@
     statuses_by(|entry| entry.endpoint.incarnation, update)
 }
 
-/// Changes apply to the list that is known. Those of an earlier revision are ignored.
 #[test]
 fn applies_changes_and_ignores_those_of_older_revisions() {
     let mut table = EndpointTable::default();
@@ -90,8 +91,8 @@
     assert_eq!(table.revision, Some(7));
 }
 
-/// Members that use the same address one after the other are different endpoints: neither status, health nor
-/// destination of the first applies to the second.
+/// Members that use the same address one after the other are different endpoints: neither the status, the health nor
+/// the destination of the first applies to the second.
 #[test]
 fn treats_reused_address_or_changed_destination_as_new_endpoint() {
     let mut table = EndpointTable::default();
@@ -101,7 +102,7 @@
         by_port(moved),
         [(1, EndpointStatus::Removed), (2, EndpointStatus::Ready)]
     );
-    // Another member gets the address: the first endpoint is removed, and the second is a new one.
+    // Another member takes over the address: the first endpoint is removed, and the second is a new one.
     let displaced = table.apply(document(3, false, &[("z", 2, Phase::Ready)]), &names());
     assert_eq!(
         by_incarnation(displaced),
@@ -122,19 +123,20 @@
         by_incarnation(table.apply(document(6, true, both), &names())),
         [(3, EndpointStatus::Ready)]
     );
-    // The same address for another destination is another endpoint.
+    // The same address with another destination is another endpoint.
     let mut other_destination = document(7, false, &[("z", 2, Phase::Ready)]);
     other_destination.members[0].destination = 4;
     assert_eq!(
         by_incarnation(table.apply(other_destination, &names())),
         [(3, EndpointStatus::Removed), (5, EndpointStatus::Ready)]
     );
-    // Nothing is kept of removed members.
+    // The table keeps nothing of removed members.
     table.apply(document(8, false, &[("z", 2, Phase::Gone)]), &names());
     assert!(table.is_empty());
 }
 
-/// The work for a change does not grow with the list, nor that for a member of a complete list with its length.
+/// The work for a change does not grow with the length of the list, and neither does the work for one member of a
+/// complete list.
 #[test]
 fn applies_thousands_of_members_and_changes_within_two_seconds() {
     let mut table = EndpointTable::default();
@@ -156,13 +158,13 @@
         );
         assert_eq!(by_port(update), [(port, EndpointStatus::Draining)]);
     }
-    // It would take 25 s if each change looked at all members.
+    // It takes 25 s if each change looks at all members.
     assert!(
         started_at.elapsed() < std::time::Duration::from_secs(2),
-        "{:?}",
+        "expected less than 2 s, took {:?}",
         started_at.elapsed()
     );
-    // The last line of a member counts. A member with the address of another displaces it.
+    // If a document lists a member twice, the last entry counts. A member with the address of another displaces it.
     let members = [
         ("s-0", 1, Phase::Gone),
         ("s-0", 1, Phase::Ready),
@@ -179,7 +181,7 @@
     );
 }
 
-/// A document of few ids and addresses, so that they collide. Each name may be unknown.
+/// A document with few different ids and addresses, so that they collide. Each name may be unknown.
 #[derive(Clone, Debug)]
 struct AnyDocument(EndpointListDocument);
 
@@ -193,18 +195,30 @@
                     "z",
                     "an-id-that-is-longer-than-what-lies-in-a-row",
                 ])
-                .expect("one");
+                .expect("the choices are not empty");
             Member {
                 id: id.into(),
                 address: SocketAddrV4::new([10, 0, 0, 1].into(), u16::arbitrary(g) % 4),
-                zone_name: (*g.choose(&["a", "b", "unknown-zone", ""]).expect("one")).into(),
-                kind_name: (*g.choose(&["m", "unknown-kind"]).expect("one")).into(),
-                destination: *g.choose(&[0, 1, u32::MAX]).expect("one"),
+                zone_name: (*g
+                    .choose(&["a", "b", "unknown-zone", ""])
+                    .expect("the choices are not empty"))
+                .into(),
+                kind_name: (*g
+                    .choose(&["m", "unknown-kind"])
+                    .expect("the choices are not empty"))
+                .into(),
+                destination: *g
+                    .choose(&[0, 1, u32::MAX])
+                    .expect("the choices are not empty"),
                 phase: *g
                     .choose(&[Phase::Ready, Phase::Ready, Phase::Terminating, Phase::Gone])
-                    .expect("one"),
-                listed_rate: *g.choose(&[0.0, 50.0, -1.0]).expect("one"),
-                up_since_ms: *g.choose(&[0, 7, u64::MAX]).expect("one"),
+                    .expect("the choices are not empty"),
+                listed_rate: *g
+                    .choose(&[0.0, 50.0, -1.0])
+                    .expect("the choices are not empty"),
+                up_since_ms: *g
+                    .choose(&[0, 7, u64::MAX])
+                    .expect("the choices are not empty"),
             }
         };
         let members = (0..usize::arbitrary(g) % 6).map(|_| member(g)).collect();
@@ -216,8 +230,7 @@
     }
 }
 
-/// Any documents give the same updates as with the plain table: ids that move, addresses that are used again, members
-/// that are named twice.
+/// Covers ids that move, addresses that are reused, and members that a document lists twice.
 #[test]
 fn returns_updates_of_reference_table_for_any_documents() {
     fn updates_are_equal(documents: Vec<AnyDocument>) -> bool {
@@ -265,12 +278,12 @@
 fn complete_list(update: Option<EndpointListUpdate>) -> Vec<EndpointEntry> {
     match update {
         Some(EndpointListUpdate::Complete(entries)) => entries,
-        other => panic!("not a complete list: {other:?}"),
+        other => panic!("expected a complete list, got {other:?}"),
     }
 }
 
 impl EndpointTable {
-    /// The memory of the table. Ids of up to 24 bytes are stored in their rows.
+    /// Returns the memory that the table allocates, in bytes. Ids of up to 24 bytes are stored inside their rows.
     fn allocated_bytes(&self) -> usize {
         let MemberTable {
             rows,
@@ -284,7 +297,7 @@
     }
 }
 
-/// The memory of the table is bounded at the expected size, also where half of the members come and go.
+/// The memory of the table is bounded at the expected size, even if half of the members leave and return repeatedly.
 #[test]
 fn memory_stays_bounded_for_100_000_flapping_members() {
     let mut table = EndpointTable::default();
@@ -293,7 +306,7 @@
     let initial_bytes = table.allocated_bytes();
     assert!(
         initial_bytes <= MEMBER_COUNT as usize * MAX_BYTES_PER_MEMBER,
-        "{initial_bytes} bytes for {MEMBER_COUNT} members"
+        "expected at most {MAX_BYTES_PER_MEMBER} bytes per member, got {initial_bytes} bytes for {MEMBER_COUNT} members"
     );
     for revision in 1..6 {
         let every_second = complete_list(table.apply(
@@ -305,7 +318,7 @@
             numbered_members(2 * revision + 1, true, 0..MEMBER_COUNT),
             &names(),
         ));
-        // Members that stayed are the same endpoints; those that left and came back are new ones.
+        // Members that stayed are the same endpoints. Members that left and returned are new endpoints.
         assert!(all.iter().step_by(2).eq(first.iter().step_by(2)));
         assert!(all
             .iter()
@@ -323,7 +336,7 @@
             }
         }
         let Some(EndpointListUpdate::Changes(entries)) = table.apply(change, &names()) else {
-            panic!("no changes")
+            panic!("expected an update with changes")
         };
         assert_eq!(entries.len(), MEMBER_COUNT as usize / 2);
         assert_eq!(table.allocated_bytes(), initial_bytes);
--- a/crates/forwarder/src/endpoint_list/table/tests/reference.rs
+++ b/crates/forwarder/src/endpoint_list/table/tests/reference.rs
@@ -1,11 +1,12 @@
-//! A plain table that the compact one is compared with.
+//! A simple reference table, which the tests compare the compact one with.
 
 use super::*;
 
-/// The same by two plain maps, with whole ids and members. The compact table must not differ from it.
+/// The reference table. It consists of two ordinary maps with whole ids and members, and its updates must equal those
+/// of [`EndpointTable`].
 #[derive(Default)]
 pub struct ReferenceTable {
-    /// The revision of the latest document.
+    /// Revision of the latest document.
     pub revision: Option<u64>,
     /// The members, by id.
     pub members: BTreeMap<String, EndpointEntry>,
@@ -14,7 +15,7 @@
 }
 
 impl ReferenceTable {
-    /// The same as [`EndpointTable::take`].
+    /// Applies a document like [`EndpointTable::apply`].
     pub fn apply(
         &mut self,
         document: EndpointListDocument,
--- a/crates/forwarder/src/endpoint_list/watch.rs
+++ b/crates/forwarder/src/endpoint_list/watch.rs
@@ -1,7 +1,9 @@
-//! The actor that gets the endpoint list: it fetches the complete list once, then watches for changes by long polls.
+//! The actor that gets the endpoint list. It fetches the complete list once and then watches for changes with long
+//! polls.
 //!
-//! Where discovery reports changes by itself, the actor polls at once again after each answer. Where discovery must be
-//! polled, each poll has a cost: the actor polls only when the dispatcher asks for it, and reports each failure.
+//! Where discovery reports changes by itself, the actor polls again right after each answer. Where discovery must be
+//! polled, each poll has a cost, so the actor polls only when the dispatcher requests it, and reports each failure to
+//! the dispatcher.
 
 use super::table::EndpointTable;
 use crate::commands::{DispatcherCommand, EndpointListCommand};
@@ -17,42 +19,46 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// How long the agent may wait for a change before it answers a watch. A watch that has fallen silent is noticed soon
-/// after.
+/// Upper bound on the time that the agent waits for a change before it answers a watch. It bounds how long a watch that
+/// has fallen silent goes unnoticed.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(5);
 
-/// How long an answer may take, beyond the wait that was asked for. The agent is on the same machine.
+/// Upper bound on the duration of a fetch, and on how much longer than the requested wait a watch may take. The agent
+/// runs on the same machine.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The same as [`WATCH_WAIT`] where discovery must be polled. The next poll comes later there, so that silence must be
-/// noticed sooner.
+/// Counterpart of [`MAX_WATCH_WAIT`] where discovery must be polled. The next poll comes later there, so silence must
+/// be noticed sooner.
 const POLLED_MAX_WATCH_WAIT: Duration = Duration::from_secs(2);
 
-/// The same as [`ANSWER_TIMEOUT`] where discovery must be polled. The core counts on the sum of the wait and this.
+/// Counterpart of [`ANSWER_TIMEOUT`] where discovery must be polled. The core relies on the sum of the wait and this
+/// timeout, which is [`LONGEST_SILENCE`].
 const POLLED_ANSWER_TIMEOUT: Duration =
     Duration::from_micros(LONGEST_SILENCE).saturating_sub(POLLED_MAX_WATCH_WAIT);
 
-/// How long a poll that timed out goes on in the background: longer than any poll that is made meanwhile.
+/// Upper bound on the duration of a poll where discovery must be polled, including the time that it continues in the
+/// background after its timeout. It is longer than any poll that is made meanwhile.
 const LATE_POLL_TIMEOUT: Duration = Duration::from_secs(7);
 
-/// The pause after a failed poll, unless it timed out: shorter than the time after which a watch is opened anew.
+/// Delay after a failed poll, unless the poll timed out. It is shorter than the time after which a silent watch is
+/// opened again.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// The actor that gets the endpoint list.
 pub struct EndpointListWatch {
     /// A connection to the platform's agent.
     pub platform: Platform,
-    /// The address of the agent. Each change counts at once.
+    /// The address of the agent. A change takes effect at once, also during a poll.
     pub discovery: watch::Receiver<SocketAddr>,
-    /// The names of zones and kinds in the settings.
+    /// The names of zones and endpoint kinds in the settings.
     pub names: Names,
-    /// The list as it is known.
+    /// The known list.
     pub table: EndpointTable,
     /// Whether discovery must be polled. Otherwise it reports changes by itself.
     pub must_be_polled: bool,
     /// The mailbox of the dispatcher.
     pub dispatcher: mpsc::Sender<DispatcherCommand>,
-    /// Where failures are logged.
+    /// The logger for failed polls and for the recovery from them.
     pub log: Logger,
 }
 
@@ -61,16 +67,17 @@
 /// A poll in flight. It returns the connection that it used.
 type PollInFlight = Pin<Box<dyn Future<Output = (Platform, PollResult)> + Send>>;
 
-/// What is to be polled, and what is in flight.
+/// The polls that are wanted, and the state of earlier ones.
 struct WatchState {
-    /// Whether changes are to be watched.
+    /// Whether to watch for changes.
     watch_wanted: bool,
-    /// Whether the complete list is to be fetched.
+    /// Whether to fetch the complete list.
     fetch_wanted: bool,
-    /// Whether the latest poll succeeded. Only changes are logged.
+    /// Whether the latest poll succeeded. Only a change of this state is logged.
     reachability: Reachability,
-    /// A poll that timed out. It is dropped once a later one succeeds, or times out and takes its place. An overloaded
-    /// discovery answers late. Dropping its answers and polling again would add load without ever getting one in time.
+    /// The latest poll that timed out, which continues in the background. It is dropped once a later poll succeeds, or
+    /// replaced once a later poll times out. An overloaded discovery answers late: dropping its answers and polling
+    /// again would add load without ever getting an answer in time.
     late_poll: Option<PollInFlight>,
 }
 
@@ -87,7 +94,7 @@
         self.watch_wanted || self.fetch_wanted
     }
 
-    /// The answer to the poll that timed out. Never ready where there is none.
+    /// Waits for the result of the poll that timed out. Never completes if there is no such poll.
     async fn late_result(&mut self) -> PollResult {
         let Some(poll) = &mut self.late_poll else {
             return std::future::pending().await;
@@ -98,38 +105,40 @@
     }
 }
 
-/// What one poll asks for.
+/// The request of one poll.
 struct PollRequest {
-    /// The revision after which changes are asked for, and how long the agent may wait for one. None: the complete
-    /// list.
+    /// The revision after which changes are requested, and the maximum time that the agent may wait for one. `None`
+    /// requests the complete list.
     watch: Option<(u64, Duration)>,
-    /// How long the whole answer may take.
+    /// Upper bound on the time until the whole answer is read.
     timeout: Duration,
 }
 
 impl PollRequest {
-    /// Whether something else is wanted by now.
+    /// Returns whether commands since the start of the poll have made it useless: no poll is wanted any more, or a
+    /// fetch is wanted in place of a watch.
     fn is_superseded(&self, state: &WatchState) -> bool {
         let fetch_replaces_watch = state.fetch_wanted && self.watch.is_some();
         fetch_replaces_watch || !state.poll_wanted()
     }
 }
 
-/// How a poll ended.
+/// The way in which a poll ended.
 enum PollOutcome {
-    /// It was answered, has failed or has timed out.
+    /// The poll was answered, failed or timed out.
     Finished(PollResult),
-    /// Something else is wanted by now, or from another address.
+    /// The poll was dropped, because no poll, a fetch in place of a watch, or a poll of another address is wanted.
     Superseded,
 }
 
-/// Nobody needs the list any more: the dispatcher has ended.
+/// The signal to stop the actor: the dispatcher has ended, so nothing needs the list any more.
 struct DispatcherStopped;
 
 impl EndpointListWatch {
-    /// Runs until the dispatcher ends.
+    /// Runs the actor until the dispatcher ends.
     pub async fn run(mut self, mut commands: mpsc::Receiver<EndpointListCommand>) {
-        // Where discovery must be polled, a known list is not fetched again: a watch gets what has changed since.
+        // Where discovery must be polled, a known list is not fetched again, because a watch returns what has changed
+        // since its revision.
         let fetch_wanted = !self.must_be_polled || self.table.revision.is_none();
         let mut state = WatchState {
             watch_wanted: !self.must_be_polled,
@@ -140,8 +149,8 @@
         while self.run_once(&mut state, &mut commands).await.is_ok() {}
     }
 
-    /// Makes one poll and handles its answer. If no poll is wanted, handles the next command, change of address or late
-    /// answer.
+    /// Makes one poll and handles its result. If no poll is wanted, handles the next command, change of address or late
+    /// result instead.
     async fn run_once(
         &mut self,
         state: &mut WatchState,
@@ -161,7 +170,7 @@
         }
     }
 
-    /// Handles one command, change of address or late answer.
+    /// Waits for one command, change of address or late result and handles it.
     async fn handle_next_input(
         &mut self,
         state: &mut WatchState,
@@ -175,7 +184,7 @@
         Ok(())
     }
 
-    /// Makes one poll. Where discovery must be polled, one that times out goes on in the background.
+    /// Makes one poll. Where discovery must be polled, a poll that times out continues in the background.
     async fn poll(
         &mut self,
         state: &mut WatchState,
@@ -185,7 +194,8 @@
         let mut poll = self.start_poll(&request);
         let timeout = tokio::time::sleep(request.timeout);
         tokio::pin!(timeout);
-        // A command that does not supersede the poll leaves it alone: starting it again would cost it twice.
+        // A command that does not supersede the poll leaves it in flight, because starting it again would double its
+        // cost.
         loop {
             tokio::select! {
                 (platform, result) = &mut poll => {
@@ -214,7 +224,8 @@
     }
 
     fn next_request(&self, state: &WatchState) -> PollRequest {
-        // Where discovery must be polled, a fetch may take as long as a watch: giving it up would waste its cost.
+        // Where discovery must be polled, a fetch may take as long as a watch, because giving it up would waste its
+        // cost.
         let (max_wait, answer_timeout, fetch_timeout) = if self.must_be_polled {
             let max_poll_duration = POLLED_MAX_WATCH_WAIT + POLLED_ANSWER_TIMEOUT;
             (
@@ -237,7 +248,8 @@
         }
     }
 
-    /// Starts a poll on the connection. A new one to the same address takes its place, until the poll returns it.
+    /// Starts a poll on the current connection, which the poll returns at its end. Until then a new connection to the
+    /// same address takes its place.
     fn start_poll(&mut self, request: &PollRequest) -> PollInFlight {
         let path = list_path(request.watch);
         let timeout = if self.must_be_polled {
@@ -256,7 +268,7 @@
         })
     }
 
-    /// Applies a document to the table, and tells the dispatcher what has changed.
+    /// Applies a document to the table and sends the resulting update to the dispatcher.
     async fn apply_document(
         &mut self,
         state: &mut WatchState,
@@ -271,14 +283,14 @@
         }
     }
 
-    /// Applies the answer to a poll that timed out, unless a later revision is known. The watch goes on from its
-    /// revision, so that discovery need not answer another poll for it.
+    /// Applies the result of a poll that timed out, unless a later revision is known. The watch continues from the
+    /// revision of that result, so that discovery need not answer another poll for it.
     async fn apply_late_result(
         &mut self,
         state: &mut WatchState,
         result: PollResult,
     ) -> Result<(), DispatcherStopped> {
-        // The failure was reported when the poll timed out.
+        // The failure was already reported when the poll timed out.
         let Ok(document) = result else {
             return Ok(());
         };
@@ -293,7 +305,8 @@
         self.apply_document(state, document).await
     }
 
-    /// Logs the first failure in a row. Where discovery must be polled, the core decides when to poll again.
+    /// Logs the failure if the poll before it did not fail. Where discovery must be polled, reports the failure to the
+    /// core, which decides when to poll again.
     async fn handle_poll_failure(
         &mut self,
         state: &mut WatchState,
@@ -307,7 +320,7 @@
             state.fetch_wanted = false;
             self.send_update(EndpointListUpdate::Failed).await?;
         }
-        // After a timeout there is no further pause: it would delay the news that endpoints are draining.
+        // After a timeout there is no further delay: it would postpone the news that endpoints are draining.
         if !matches!(error, PlatformError::Timeout) {
             tokio::time::sleep(RETRY_DELAY).await;
         }
@@ -322,8 +335,8 @@
             .map_err(|_| DispatcherStopped)
     }
 
-    /// Goes on at the new address. It counts revisions of its own, so that the complete list is fetched there. Until it
-    /// is known, the list from the old address stays.
+    /// Switches to the agent's new address. The agent there counts its own revisions, so the complete list is fetched
+    /// again. The list from the previous address stays in use until then.
     fn handle_address_change(&mut self, state: &mut WatchState) {
         let address = *self.discovery.borrow_and_update();
         self.platform.move_to(address);
--- a/crates/forwarder/src/endpoint_list/watch/tests.rs
+++ b/crates/forwarder/src/endpoint_list/watch/tests.rs
@@ -1,4 +1,4 @@
-//! The actor against agents that fall silent, or send long or unreadable lists.
+//! Tests of the actor with agents that fall silent, or send long or unreadable lists.
 
 use super::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -18,15 +18,17 @@
 fn known_list() -> EndpointListDocument {
     let text = r#"{"revision":7,"complete":true,"members":[
         {"id":"x","host_port":"10.0.0.1:1","locality":"a","flavor":"m","cell":3,"phase":"Ready","size":1.0}]}"#;
-    serde_json::from_str(text).expect("a list")
+    serde_json::from_str(text).expect("the list is valid")
 }
 
-/// Where discovery must be polled and a list is known, the first poll is a watch from its revision, once the core wants
-/// it. The same command again does not repeat it.
+/// Where discovery must be polled and a list is known, the first poll is a watch from its revision, sent once the core
+/// requests it. Repeating the command does not repeat the poll.
 #[tokio::test]
 async fn watches_known_list_from_its_revision_with_one_poll() {
-    let agent = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = agent.local_addr().expect("an address");
+    let agent = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("the listener is bound");
+    let address = agent.local_addr().expect("the listener has an address");
     let (_address_sender, discovery) = watch::channel(address);
     let (commands, command_receiver) = mpsc::channel(4);
     let (dispatcher, _events) = mpsc::channel(4);
@@ -45,33 +47,39 @@
     };
     tokio::spawn(list_watch.run(command_receiver));
     let early_poll = tokio::time::timeout(Duration::from_millis(100), agent.accept()).await;
-    assert!(early_poll.is_err(), "polled before it was wanted");
+    assert!(early_poll.is_err(), "expected no poll before the command");
     commands
         .send(EndpointListCommand::StartWatch)
         .await
-        .expect("the actor runs");
-    let (mut stream, _) = agent.accept().await.expect("a poll");
+        .expect("the actor is running");
+    let (mut stream, _) = agent.accept().await.expect("the actor polls");
     let mut head = vec![0; 4096];
-    let read = stream.read(&mut head).await.expect("a request");
+    let read = stream
+        .read(&mut head)
+        .await
+        .expect("the request is readable");
     assert!(String::from_utf8_lossy(&head[..read]).starts_with("GET /discovery/hosts?index=7&"));
-    // The same command once more while the poll is in flight: the poll goes on.
+    // The same command is sent again while the poll is in flight: the poll continues.
     commands
         .send(EndpointListCommand::StartWatch)
         .await
-        .expect("the actor runs");
+        .expect("the actor is running");
     assert!(
         tokio::time::timeout(Duration::from_millis(100), agent.accept())
             .await
             .is_err(),
-        "polled again"
+        "expected no second poll"
     );
     let further_read =
         tokio::time::timeout(Duration::from_millis(50), stream.read(&mut head)).await;
-    assert!(further_read.is_err(), "the poll was dropped or made again");
+    assert!(
+        further_read.is_err(),
+        "expected the poll to stay in flight unchanged"
+    );
 }
 
-/// A watch may fall silent as soon as it is opened, or within its answer. The forwarder counts as notified of what it
-/// misses two seconds after the wait that was asked for. The next watch is opened by then.
+/// A watch may fall silent right after it was opened, or within its answer. Two seconds after the requested wait, the
+/// forwarder counts as notified of changes that it misses. The next watch must be open by then.
 #[tokio::test(start_paused = true)]
 async fn reopens_silent_watch_before_notification_deadline() {
     for answer in [
@@ -84,16 +92,21 @@
 }
 
 async fn assert_silent_watch_is_reopened(partial_answer: &'static str) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("the listener is bound");
+    let address = listener.local_addr().expect("the listener has an address");
     let (watch_sender, mut watches) = mpsc::channel(8);
     tokio::spawn(async move {
-        let mut silent = Vec::new(); // connections that stay open
+        let mut silent = Vec::new(); // connections that are kept open
         loop {
-            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let (mut stream, _) = listener.accept().await.expect("a connection is accepted");
             let mut head = vec![0; 1024];
             loop {
-                let read = stream.read(&mut head).await.expect("a request");
+                let read = stream
+                    .read(&mut head)
+                    .await
+                    .expect("the request is readable");
                 let request = String::from_utf8_lossy(&head[..read]).into_owned();
                 if request.contains("index=") {
                     let max_wait = request
@@ -101,13 +114,13 @@
                         .nth(1)
                         .and_then(|text| text.split(' ').next()?.parse().ok());
                     watch_sender
-                        .send((Instant::now(), max_wait.expect("a wait")))
+                        .send((Instant::now(), max_wait.expect("the request states a wait")))
                         .await
-                        .expect("it is awaited");
+                        .expect("the test receives the watches");
                     stream
                         .write_all(partial_answer.as_bytes())
                         .await
-                        .expect("half an answer");
+                        .expect("the partial answer is written");
                     break silent.push(stream);
                 }
                 let list = r#"{"revision":1,"complete":true,"members":[]}"#;
@@ -115,7 +128,10 @@
                     "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
                     list.len()
                 );
-                stream.write_all(answer.as_bytes()).await.expect("answered");
+                stream
+                    .write_all(answer.as_bytes())
+                    .await
+                    .expect("the answer is written");
             }
         }
     });
@@ -132,12 +148,15 @@
     };
     let (_command_sender, commands) = mpsc::channel(1);
     tokio::spawn(list_watch.run(commands));
-    let (opened_at, max_wait) = watches.recv().await.expect("a watch");
-    let (reopened_at, _) = watches.recv().await.expect("another");
+    let (opened_at, max_wait) = watches.recv().await.expect("the actor opens a watch");
+    let (reopened_at, _) = watches
+        .recv()
+        .await
+        .expect("the actor opens a second watch");
     let notified_after = Duration::from_millis(max_wait) + Duration::from_secs(2);
     assert!(
         reopened_at - opened_at < notified_after + Duration::from_millis(50),
-        "{partial_answer}: {:?}",
+        "after the answer {partial_answer:?} the watch was reopened after {:?}",
         reopened_at - opened_at
     );
 }
@@ -155,17 +174,25 @@
     }
 }
 
-/// An agent that gives one answer on each connection, whole or cut off after so many bytes, and closes it. After the last
-/// one it answers nothing.
+/// Starts an agent that gives one answer on each connection, whole or cut off after the given number of bytes, and then
+/// closes the connection. After the last answer it accepts connections but does not answer.
 async fn start_agent(answers: Vec<(String, Option<usize>)>) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("the listener is bound");
+    let address = listener.local_addr().expect("the listener has an address");
     tokio::spawn(async move {
-        let mut silent = Vec::new(); // connections that stay open
+        let mut silent = Vec::new(); // connections that are kept open
         for (body, cut_at) in answers {
-            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let (mut stream, _) = listener.accept().await.expect("a connection is accepted");
             let mut head = vec![0; 1024];
-            assert!(stream.read(&mut head).await.expect("a request") > 0);
+            assert!(
+                stream
+                    .read(&mut head)
+                    .await
+                    .expect("the request is readable")
+                    > 0
+            );
             let response_head = format!(
                 "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
                 body.len()
@@ -173,21 +200,21 @@
             stream
                 .write_all(response_head.as_bytes())
                 .await
-                .expect("answered");
+                .expect("the answer is written");
             stream
                 .write_all(&body.as_bytes()[..cut_at.unwrap_or(body.len())])
                 .await
-                .expect("answered");
+                .expect("the answer is written");
         }
         loop {
-            silent.push(listener.accept().await.expect("a connection"));
+            silent.push(listener.accept().await.expect("a connection is accepted"));
         }
     });
     address
 }
 
-/// Lists of a hundred thousand members are applied. Lists that are cut off or have an unreadable member change nothing,
-/// and all failures in a row are one line of the log.
+/// Lists with 100,000 members are applied. Lists that are cut off or have an unreadable member change nothing, and all
+/// failures in a row are logged in one line.
 #[tokio::test]
 async fn applies_long_lists_and_logs_unreadable_lists_once() {
     const MEMBER_COUNT: u32 = 100_000;
@@ -244,15 +271,15 @@
     ] {
         let update = tokio::time::timeout(Duration::from_secs(20), events.recv())
             .await
-            .expect("in time");
+            .expect("the update arrives within 20 s");
         let Some(DispatcherCommand::Event(Event::EndpointListUpdated(
             EndpointListUpdate::Complete(entries),
         ))) = update
         else {
-            panic!("no complete list")
+            panic!("expected a complete list")
         };
         assert_eq!(entries.len(), expected as usize);
     }
-    // One line on the failures, and one on the recovery.
+    // One line for the failures and one for the recovery.
     assert_eq!(line_count.load(std::sync::atomic::Ordering::Relaxed), 2);
 }
--- a/crates/forwarder/src/journal.rs
+++ b/crates/forwarder/src/journal.rs
@@ -1,12 +1,13 @@
-//! The journal: what survives the process. It stores the messages that are not over, with what is known of their
-//! attempts, as a ring of small segment files in the state directory.
+//! The journal stores the unfinished messages and what is known of their attempts, so that they survive the end of the
+//! process. It is a ring of small segment files in the state directory. A message is finished once it needs neither
+//! another attempt nor a completion report.
 //!
-//! Each change is one record, appended to the newest segment. The oldest segment is freed by copying the messages that
-//! still live in it to the newest one and deleting it, so both copies count against the limit. Writes go to the page
-//! cache, which survives the process. So no write is synced.
+//! Each change is appended as one record to the newest segment. The oldest segment is freed by copying the unfinished
+//! messages in it to the newest segment and deleting the file, so both copies count against the size limit for a while.
+//! Writes go to the page cache, which survives the process, so they are not synced.
 //!
-//! [`record`] has the format, [`segment`] the files, [`ring`] the accounting of space, [`live`] the messages in memory,
-//! and [`recovery`] the replay at a start.
+//! [`record`] defines the format, [`segment`] the files, [`ring`] the accounting of space, [`live`] the messages in
+//! memory, and [`recovery`] the replay at startup.
 
 mod live;
 mod record;
@@ -28,23 +29,23 @@
 use std::io;
 use std::path::Path;
 
-/// Why a record was not written.
+/// The reason why a record was not written.
 #[derive(Debug)]
 pub enum JournalError {
-    /// The record can't be encoded.
+    /// The record cannot be encoded.
     Encode(postcard::Error),
-    /// A segment could not be created, written or deleted.
+    /// A segment file cannot be created, written or deleted.
     Io(io::Error),
-    /// The record does not fit the limit, although all is freed that can be.
+    /// The record does not fit within the size limit, even after every segment that can be freed has been freed.
     Full,
 }
 
 impl fmt::Display for JournalError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            JournalError::Encode(error) => write!(f, "{error}"),
-            JournalError::Io(error) => write!(f, "{error}"),
-            JournalError::Full => write!(f, "the journal is full"),
+            JournalError::Encode(error) => write!(f, "cannot encode the record: {error}"),
+            JournalError::Io(error) => write!(f, "cannot access a segment file: {error}"),
+            JournalError::Full => write!(f, "the journal has reached its size limit"),
         }
     }
 }
@@ -71,7 +72,7 @@
     }
 }
 
-/// The journal of one forwarder.
+/// The journal of one forwarder, owned by its dispatcher.
 pub struct Journal {
     ring: SegmentRing,
     live: LiveMessages,
@@ -79,8 +80,8 @@
 }
 
 impl Journal {
-    /// Opens the journal in a directory, with a limit in bytes. Returns the messages that are not over, in the order in
-    /// which they were accepted. Fails where the directory or a segment can't be read or written.
+    /// Opens the journal in `dir`, whose segments may take `limit_bytes` on disk. Returns the unfinished messages in
+    /// the order in which they were accepted. Fails if the directory or a segment cannot be read or written.
     pub fn open(dir: &Path, limit_bytes: u64) -> io::Result<(Journal, Vec<StoredMessage>)> {
         let numbers = segment::list_numbers(dir)?;
         let active_number = numbers.last().map_or(0, |last| last + 1);
@@ -99,20 +100,21 @@
         Ok((journal, messages))
     }
 
-    /// The messages that are not over, in the order in which they were accepted. The outcomes of their attempts are
-    /// lost, so that each attempt out may have taken effect.
+    /// Returns the unfinished messages in the order in which they were accepted. The outcomes of attempts in flight are
+    /// lost, so each of these attempts counts as one that may have taken effect.
     pub fn recover_messages(&mut self) -> Vec<StoredMessage> {
         self.live.assume_effect_of_attempts_in_flight();
         self.live.messages()
     }
 
-    /// Whether a message can be stored until it is over, also while a segment with it is freed.
+    /// Returns whether the journal has space for a message until it is finished, including the space for copying it
+    /// while a segment is freed.
     pub fn has_space_for(&self, message: &StoredMessage) -> bool {
         let limits = self.ring.limits();
         limits.has_space_for(self.live.reserved_bytes(), message.reserved_bytes())
     }
 
-    /// Records that a message is accepted. Returns its serial number.
+    /// Records an accepted message and returns its serial number, which replaces the one in `message`.
     pub fn record_message(&mut self, mut message: StoredMessage) -> Result<u64, JournalError> {
         let serial = self.next_serial;
         self.next_serial += 1;
@@ -121,7 +123,7 @@
         Ok(serial)
     }
 
-    /// Records that an attempt starts at `started_at`, in Unix µs, to an endpoint of that zone.
+    /// Records that an attempt to an endpoint in `zone` starts at `started_at`, in µs since the Unix epoch.
     pub fn record_attempt_start(
         &mut self,
         serial: u64,
@@ -137,7 +139,7 @@
         })
     }
 
-    /// Records that an attempt is over, and whether it may have taken effect.
+    /// Records that an attempt ended, and whether it may have taken effect.
     pub fn record_attempt_end(
         &mut self,
         serial: u64,
@@ -151,8 +153,9 @@
         })
     }
 
-    /// Records that nothing of an attempt was sent: its number is free again. The message is written once more as it
-    /// was before the attempt, because earlier versions that read this journal know no record for that.
+    /// Records that an attempt was withdrawn before any of it was sent, which frees its index. The message is written
+    /// again in its state before the attempt, because earlier versions that read this journal have no record for a
+    /// withdrawal.
     pub fn record_attempt_withdrawal(
         &mut self,
         serial: u64,
@@ -177,7 +180,7 @@
         self.append_record(Record::PendingReport { serial, ending })
     }
 
-    /// Records that a message is over and needs no report any more.
+    /// Records that a message is finished. Does nothing if the journal holds no such message.
     pub fn record_message_end(&mut self, serial: u64) -> Result<(), JournalError> {
         if !self.live.contains(serial) {
             return Ok(());
@@ -197,7 +200,9 @@
         Ok(())
     }
 
-    /// Frees the oldest segments until so many bytes fit and the spare space is free.
+    /// Frees the oldest segments until `record_bytes` fit and leave the spare space free, or until no sealed segment is
+    /// left. Fails if `record_bytes` do not fit within the size limit after the maximum number of segments has been
+    /// freed.
     fn free_space_for(&mut self, record_bytes: u64) -> Result<(), JournalError> {
         let max_freed_segments = 2 * TARGET_SEGMENT_COUNT + self.ring.segment_count();
         for _ in 0..max_freed_segments {
@@ -217,7 +222,7 @@
         }
     }
 
-    /// Writes the messages of a segment once more, so that it can be deleted.
+    /// Copies the unfinished messages of a segment to the active one, so that the segment can be deleted.
     fn copy_live_messages(&mut self, segment_number: u64) -> Result<(), JournalError> {
         for message in self.live.messages_in_segment(segment_number) {
             let record = Record::message(message);
--- a/crates/forwarder/src/journal/golden_tests.rs
+++ b/crates/forwarder/src/journal/golden_tests.rs
@@ -1,9 +1,11 @@
-//! Proves that stored data outlives a change of the program: the folders under `tests/golden/` were written before it. They
-//! are read as the same messages, attempts and pending completion reports, and the same operations write the same bytes.
+//! Checks that stored data can still be read after an update of the program. The folders under `tests/golden/` were
+//! written by an earlier version. The same messages, attempts and pending completion reports must be recovered from them,
+//! and the same operations must write the same bytes.
 //!
-//! `state-by-operations` holds what the operations below write. `state-by-program` was left by the whole program as it was
-//! killed at work: one message was delivered, others were out at endpoints that did not answer, waited behind a 429, for
-//! their key's turn or for a connection to an endpoint that then drained, and one completion report was not acknowledged.
+//! `state-by-operations` holds what the operations below write. `state-by-program` was left by the whole program when it
+//! was killed at work: one message was delivered; others had attempts in flight at endpoints that did not respond, or
+//! waited after a 429, for their turn within an order key, or for a connection to an endpoint that then drained; and one
+//! completion report was not acknowledged.
 
 use super::segment::path;
 use super::*;
@@ -15,7 +17,9 @@
 use tempfile::TempDir;
 
 const LIMIT_BYTES: u64 = 300_000;
-const DEADLINE_IN_2100: Micros = 4_102_444_800_000_000; // Unix µs, in the year 2100: no message of the folder is past its deadline
+/// Deadline of all messages, in µs since the Unix epoch. It lies in the year 2100, so that no message of the golden folders
+/// is past it.
+const DEADLINE_IN_2100: Micros = 4_102_444_800_000_000;
 
 fn render_ending(ending: Ending) -> Value {
     match ending {
@@ -44,23 +48,32 @@
     })
 }
 
-/// The files of a folder under `tests/golden/`, copied to a folder of its own.
+/// Copies a folder under `tests/golden/` to a temporary folder, so that opening the journal does not change it.
 fn copy_golden_folder(folder: &str) -> TempDir {
-    let copy = TempDir::new().expect("a folder");
-    for file in fs::read_dir(crate::golden_cases::path(folder)).expect("the stored folder") {
-        let file = file.expect("a file");
-        fs::copy(file.path(), copy.path().join(file.file_name())).expect("copied");
+    let copy = TempDir::new().expect("a temporary folder is created");
+    for file in
+        fs::read_dir(crate::golden_cases::path(folder)).expect("the golden folder is readable")
+    {
+        let file = file.expect("the directory entry is readable");
+        fs::copy(file.path(), copy.path().join(file.file_name())).expect("the file is copied");
     }
     copy
 }
 
-/// Each file's name and bytes.
+/// Reads all files of a folder. Returns their bytes by file name.
 fn read_files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
-    let files = fs::read_dir(folder).expect("a folder").map(|file| {
-        let file = file.expect("a file");
-        let bytes = fs::read(file.path()).expect("its bytes");
-        (file.file_name().into_string().expect("a name"), bytes)
-    });
+    let files = fs::read_dir(folder)
+        .expect("the folder is readable")
+        .map(|file| {
+            let file = file.expect("the directory entry is readable");
+            let bytes = fs::read(file.path()).expect("the file is readable");
+            (
+                file.file_name()
+                    .into_string()
+                    .expect("the file name is UTF-8"),
+                bytes,
+            )
+        });
     files.collect()
 }
 
@@ -84,7 +97,8 @@
     }
 }
 
-/// The operations that wrote `tests/golden/state-by-operations`, in two runs of which the second begins a segment.
+/// Performs the operations that wrote `tests/golden/state-by-operations`, in two runs. The second run starts a new
+/// segment.
 fn write_stored_messages(folder: &Path) -> Result<(), JournalError> {
     let (mut journal, _) = Journal::open(folder, LIMIT_BYTES).map_err(JournalError::Io)?;
     journal.record_message(message("waiting", 7))?;
@@ -166,7 +180,8 @@
 fn recovers_golden_messages_attempts_and_pending_reports() {
     let mut golden = GoldenCases::read("stored-messages.json");
     for input in golden.inputs() {
-        let folder = copy_golden_folder(input["folder"].as_str().expect("a folder"));
+        let folder =
+            copy_golden_folder(input["folder"].as_str().expect("the input names a folder"));
         let (journal, messages) =
             Journal::open(folder.path(), LIMIT_BYTES).expect("the journal opens");
         golden.compare_next(messages.iter().map(render_message).collect());
@@ -175,7 +190,7 @@
             Journal::open(folder.path(), LIMIT_BYTES).expect("the journal opens again");
         assert_eq!(
             recovered_again, messages,
-            "what was taken over is there at the next start"
+            "expected the next start to recover the same messages"
         );
     }
     golden.finish();
@@ -183,15 +198,16 @@
 
 #[test]
 fn writes_golden_bytes_for_same_operations() {
-    let folder = TempDir::new().expect("a folder");
-    write_stored_messages(folder.path()).expect("written");
+    let folder = TempDir::new().expect("a temporary folder is created");
+    write_stored_messages(folder.path()).expect("the journal has space");
     assert_eq!(
         read_files(folder.path()),
         read_files(&crate::golden_cases::path("state-by-operations"))
     );
 }
 
-/// Freeing a segment writes the messages that still live in it anew: those copies have the same bytes too.
+/// Freeing a segment copies the unfinished messages in it to another segment. The bytes of these copies must not change
+/// either.
 #[test]
 fn writes_golden_bytes_when_copying_live_messages_of_freed_segment() {
     let folder = copy_golden_folder("state-by-operations");
@@ -199,24 +215,27 @@
         Journal::open(folder.path(), LIMIT_BYTES).expect("the journal opens");
     let mut fill_count = 0;
     while path(folder.path(), 0).exists() {
-        assert!(fill_count < 100, "the oldest segment is freed");
+        assert!(
+            fill_count < 100,
+            "expected the oldest segment to be freed within 100 messages"
+        );
         fill_count += 1;
         let serial = journal.record_message(StoredMessage {
             body: Bytes::from(vec![b'x'; 9_000]),
             ..message("fill", 7)
         });
         journal
-            .record_message_end(serial.expect("room"))
-            .expect("room");
+            .record_message_end(serial.expect("the journal has space"))
+            .expect("the journal has space");
     }
     drop(journal);
     let (_, recovered) =
         Journal::open(folder.path(), LIMIT_BYTES).expect("the journal opens again");
     assert_eq!(recovered, messages);
     let all_bytes: Vec<u8> = read_files(folder.path()).into_values().flatten().collect();
-    let recorded =
-        fs::read_to_string(crate::golden_cases::path("copied-segment.crc32")).expect("recorded");
-    // Messages until the segment was freed, bytes of all segments, their checksum.
+    let recorded = fs::read_to_string(crate::golden_cases::path("copied-segment.crc32"))
+        .expect("the golden file is readable");
+    // Number of messages written until the segment was freed, size of all segments in bytes, and their checksum.
     assert_eq!(
         format!(
             "{fill_count} {} {:08x}\n",
--- a/crates/forwarder/src/journal/live.rs
+++ b/crates/forwarder/src/journal/live.rs
@@ -1,16 +1,16 @@
-//! The messages that are not over, in memory.
+//! The unfinished messages in memory.
 
 use super::record::{Record, StoredMessage};
 use std::collections::BTreeMap;
 
-/// A message, and where its latest copy is.
+/// An unfinished message and the place of its latest copy.
 struct LiveMessage {
     message: StoredMessage,
-    /// The number of the segment with its latest copy.
+    /// Number of the segment that holds the latest copy.
     segment_number: u64,
 }
 
-/// The messages that are not over, by serial number.
+/// The unfinished messages, by serial number.
 #[derive(Default)]
 pub struct LiveMessages {
     messages: BTreeMap<u64, LiveMessage>,
@@ -18,28 +18,28 @@
 }
 
 impl LiveMessages {
-    /// The bytes of the journal that they need until they are over.
+    /// Returns the space in the journal that all messages need until they are finished, in bytes.
     pub fn reserved_bytes(&self) -> u64 {
         self.reserved_bytes
     }
 
-    /// Whether the message is not over.
+    /// Returns whether the message is unfinished.
     pub fn contains(&self, serial: u64) -> bool {
         self.messages.contains_key(&serial)
     }
 
-    /// The message with this serial number.
+    /// Returns the message with this serial number, if it is unfinished.
     pub fn get(&self, serial: u64) -> Option<&StoredMessage> {
         self.messages.get(&serial).map(|entry| &entry.message)
     }
 
-    /// All messages, in the order of their serial numbers.
+    /// Returns all messages in the order of their serial numbers.
     pub fn messages(&self) -> Vec<StoredMessage> {
         let messages = self.messages.values();
         messages.map(|entry| entry.message.clone()).collect()
     }
 
-    /// The messages whose latest copy is in a segment, in the order of their serial numbers.
+    /// Returns the messages whose latest copy is in a segment, in the order of their serial numbers.
     pub fn messages_in_segment(&self, segment_number: u64) -> Vec<StoredMessage> {
         let messages = self.messages.values();
         messages
@@ -48,14 +48,14 @@
             .collect()
     }
 
-    /// Counts all attempts without an outcome as ones that may have taken effect.
+    /// Counts all attempts in flight as attempts that may have taken effect.
     pub fn assume_effect_of_attempts_in_flight(&mut self) {
         for entry in self.messages.values_mut() {
             entry.message.assume_effect_of_attempts_in_flight();
         }
     }
 
-    /// Applies a record that was written to this segment, or read from it.
+    /// Applies a record that was written to the given segment or read from it.
     pub fn apply(&mut self, record: Record, segment_number: u64) {
         match record {
             Record::Message(message) => self.insert(message, segment_number),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Adds a message. It replaces an earlier copy of itself.
+    /// Adds a message, which replaces an earlier copy of itself.
     fn insert(&mut self, message: StoredMessage, segment_number: u64) {
         self.remove(message.serial);
         self.reserved_bytes += message.reserved_bytes();
--- a/crates/forwarder/src/journal/record.rs
+++ b/crates/forwarder/src/journal/record.rs
@@ -1,89 +1,90 @@
 //! The format of the journal's records.
 //!
-//! A record is framed by its length and a checksum, both little-endian `u32`, and encoded by postcard. Postcard writes
-//! no names: the order of variants and fields and their types are the stored format, and must stay.
+//! A record is encoded by postcard and framed by its length and a checksum, both little-endian `u32`. Postcard writes
+//! no names: the order of variants and fields and their types are the stored format and must not change.
 
 use crate::protocol::Ending;
 use bytes::Bytes;
 use opalpulley::Micros;
 use serde::{Deserialize, Serialize};
 
-/// The bytes before each record: its length and its checksum.
+/// Size of the header before each record, in bytes: the length and the checksum of the encoded record, 4 bytes each.
 pub const FRAME_HEADER_BYTES: usize = 8;
 
-/// The largest number of a destination in earlier versions, which stored it with 16 bits.
+/// The largest destination that earlier versions can store. They use 16 bits for it.
 pub const MAX_DESTINATION_OF_EARLIER_VERSIONS: u32 = 65_535;
 
-/// Bytes beside its texts that a message reserves: more than the largest record of it but the message itself.
+/// Space that a message reserves beside its request id, idempotency key and body, in bytes. It exceeds the largest
+/// record of a message other than the message itself.
 const RESERVED_OVERHEAD_BYTES: u64 = 256;
 
-/// A message as the journal stores it. A destination of 16 bits is written as by earlier versions, byte by byte. For a
-/// larger one see [`LargeDestination`].
+/// A message as the journal stores it. If the destination fits in 16 bits, the bytes are the same as those that earlier
+/// versions write. For a larger destination see [`LargeDestinationTrailer`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredMessage {
-    /// Its number in this journal, from 0.
+    /// Serial number of the message in this journal, from 0.
     pub serial: u64,
-    /// The id that its client gave it.
+    /// The client's id of the message.
     pub request_id: String,
-    /// The number of its delivery class.
+    /// Index of the delivery class, from 0.
     pub class: u16,
-    /// The number of its tenant, where the deployment has it.
+    /// Number of the tenant. `None` if the deployment has no tenants, or none of the submitted name.
     pub tenant: Option<u32>,
-    /// The number of its destination.
+    /// Number of the destination.
     pub destination: u32,
-    /// After this moment, in Unix µs, it must not be delivered.
+    /// The instant after which the message must not be delivered, in µs since the Unix epoch.
     pub deadline: Micros,
-    /// By which endpoints drop repeats.
+    /// The key by which endpoints drop repeats. `None` where the delivery class needs none.
     pub idempotency_key: Option<String>,
-    /// Whether its client had submitted it before.
+    /// Whether the client had submitted the message before.
     pub resubmitted: bool,
-    /// Whether its client had submitted it to a forwarder that died.
+    /// Whether the client had submitted the message to a forwarder that failed.
     pub from_failed_forwarder: bool,
-    /// Its body.
+    /// The body of the message.
     pub body: Bytes,
-    /// Messages of the same key are delivered in order. Earlier versions stored none, so it is written after the other
-    /// fields, in [`Record::OrderedMessage`].
+    /// Messages with the same order key are delivered in order. Earlier versions stored no order key, so it follows the
+    /// other fields, in [`Record::OrderedMessage`].
     #[serde(skip)]
     pub order_key: Option<u64>,
-    /// How many attempts were started.
+    /// Number of attempts that were started and not withdrawn.
     pub attempts_started: u32,
     /// The earliest attempt that may have taken effect.
     pub possible_effect: Option<StoredEffect>,
-    /// The attempts without an outcome.
+    /// The attempts that have no outcome yet.
     pub attempts_in_flight: Vec<StoredAttempt>,
-    /// The final answer, where it is decided and the platform has not acknowledged it.
+    /// The final answer, if it is decided and the platform has not acknowledged it.
     pub pending_report: Option<Ending>,
 }
 
 /// An attempt that may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredEffect {
-    /// When it started, in Unix µs.
+    /// The instant at which the attempt started, in µs since the Unix epoch.
     pub started_at: Micros,
-    /// The zone of its endpoint.
+    /// The zone of the endpoint.
     pub zone: u16,
 }
 
-/// An attempt without an outcome.
+/// An attempt that has no outcome yet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredAttempt {
-    /// Its number, from 0.
+    /// Index of the attempt among those at the message, from 0.
     pub attempt_index: u8,
-    /// When it started, in Unix µs.
+    /// The instant at which the attempt started, in µs since the Unix epoch.
     pub started_at: Micros,
-    /// The zone of its endpoint.
+    /// The zone of the endpoint.
     pub zone: u16,
 }
 
 impl StoredMessage {
-    /// How many bytes of the journal the message needs until it is over.
+    /// Returns the space in the journal that the message needs until it is finished, in bytes.
     pub fn reserved_bytes(&self) -> u64 {
         let idempotency_key_bytes = self.idempotency_key.as_ref().map_or(0, String::len);
         let variable_bytes = self.request_id.len() + idempotency_key_bytes + self.body.len();
         variable_bytes as u64 + RESERVED_OVERHEAD_BYTES
     }
 
-    /// Notes an attempt that may have taken effect. The earliest one counts.
+    /// Adds an attempt that may have taken effect. Only the earliest one is kept.
     pub fn add_possible_effect(&mut self, effect: StoredEffect) {
         let is_earliest = self
             .possible_effect
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Counts the attempts without an outcome as ones that may have taken effect: after a restart no outcome comes.
+    /// Counts the attempts in flight as attempts that may have taken effect, because their outcomes are lost at a
+    /// restart.
     pub fn assume_effect_of_attempts_in_flight(&mut self) {
         for attempt in std::mem::take(&mut self.attempts_in_flight) {
             self.add_possible_effect(attempt.into());
@@ -147,49 +149,49 @@
     }
 }
 
-/// One change of a message.
+/// A change to one message.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Record {
-    /// A message without an order key, as it is now.
+    /// The current state of a message without an order key.
     Message(StoredMessage),
-    /// An attempt starts.
+    /// An attempt started.
     AttemptStarted {
-        /// The message.
+        /// Serial number of the message.
         serial: u64,
-        /// The number of the attempt, from 0.
+        /// Index of the attempt among those at the message, from 0.
         attempt_index: u8,
-        /// In Unix µs.
+        /// The instant at which the attempt started, in µs since the Unix epoch.
         started_at: Micros,
-        /// The zone of its endpoint.
+        /// The zone of the endpoint.
         zone: u16,
     },
-    /// An attempt is over.
+    /// An attempt ended.
     AttemptEnded {
-        /// The message.
+        /// Serial number of the message.
         serial: u64,
-        /// The number of the attempt, from 0.
+        /// Index of the attempt among those at the message, from 0.
         attempt_index: u8,
         /// Whether the endpoint may have processed the message.
         may_have_taken_effect: bool,
     },
-    /// The final answer is decided; the platform has not acknowledged it.
+    /// The final answer is decided, and the platform has not acknowledged it.
     PendingReport {
-        /// The message.
+        /// Serial number of the message.
         serial: u64,
-        /// The final answer.
+        /// The final answer to the message.
         ending: Ending,
     },
-    /// The message is over.
+    /// The message is finished.
     MessageEnded {
-        /// The message.
+        /// Serial number of the message.
         serial: u64,
     },
-    /// A message with its order key, as it is now.
+    /// The current state of a message with its order key.
     OrderedMessage(StoredMessage, u64),
 }
 
 impl Record {
-    /// The record of a message as it is now.
+    /// Returns the record that stores the current state of a message.
     pub fn message(message: StoredMessage) -> Record {
         match message.order_key {
             Some(order_key) => Record::OrderedMessage(message, order_key),
@@ -197,7 +199,7 @@
         }
     }
 
-    /// The serial number of its message.
+    /// Returns the serial number of the message that the record is about.
     pub fn serial(&self) -> u64 {
         match self {
             Record::Message(message) | Record::OrderedMessage(message, _) => message.serial,
@@ -209,22 +211,23 @@
     }
 }
 
-/// What follows the record of a message whose destination does not fit 16 bits.
+/// The bytes after the record of a message whose destination does not fit in 16 bits.
 ///
-/// Earlier versions read the record as that of a failed message whose completion report is pending. So every message
-/// gets a final answer, whichever version reads it, and the records behind it stay readable. They skip the bytes after
-/// the record; this version finds the true values there.
+/// The record itself holds a destination that earlier versions can read and a pending completion report: the one that
+/// is decided, or else that the message failed. Each message therefore gets a final answer whichever version reads it,
+/// and the records after it stay readable. Earlier versions skip the trailer; this version takes the actual values from
+/// it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LargeDestinationTrailer {
-    /// The number of the destination.
+    /// Number of the destination.
     pub destination: u32,
-    /// The final answer, where it is decided.
+    /// The final answer, if it is decided.
     pub pending_report: Option<Ending>,
 }
 
 impl LargeDestinationTrailer {
-    /// Splits a record into what earlier versions are to read, and what follows it. None where they can read it as it
-    /// is.
+    /// Splits a record into a record for earlier versions and the trailer after it. Returns `None` if earlier versions
+    /// can read the record unchanged.
     fn split(record: &Record) -> Option<(Record, LargeDestinationTrailer)> {
         let (Record::Message(message) | Record::OrderedMessage(message, _)) = record else {
             return None;
@@ -253,7 +256,7 @@
     }
 }
 
-/// A record with its frame.
+/// Encodes a record with its frame header.
 pub fn encode_frame(record: &Record) -> postcard::Result<Vec<u8>> {
     let payload = encode_payload(record)?;
     let mut frame = Vec::with_capacity(FRAME_HEADER_BYTES + payload.len());
@@ -263,7 +266,7 @@
     Ok(frame)
 }
 
-/// A record without its frame.
+/// Encodes a record without its frame header, including a trailer if it needs one.
 pub fn encode_payload(record: &Record) -> postcard::Result<Vec<u8>> {
     match LargeDestinationTrailer::split(record) {
         Some((compatible_record, trailer)) => {
@@ -274,7 +277,8 @@
     }
 }
 
-/// The first record of some bytes and its length with the frame, in bytes. None where it is cut off or damaged.
+/// Decodes the first record of `bytes`. Returns it with its length in bytes, frame header included, or `None` if the
+/// record is cut off or damaged.
 pub fn decode_frame(bytes: &[u8]) -> Option<(Record, usize)> {
     let payload_len = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     let checksum = u32::from_le_bytes(bytes.get(4..FRAME_HEADER_BYTES)?.try_into().ok()?);
@@ -287,7 +291,8 @@
     Some((record, frame_len))
 }
 
-/// A record from its bytes without the frame. Bytes that follow it must be a whole [`LargeDestination`].
+/// Decodes a record from its bytes without the frame header. Fails if bytes follow the record that are not a whole
+/// [`LargeDestinationTrailer`].
 pub fn decode_payload(payload: &[u8]) -> postcard::Result<Record> {
     let (mut record, trailer_bytes) = postcard::take_from_bytes::<Record>(payload)?;
     if !trailer_bytes.is_empty() {
--- a/crates/forwarder/src/journal/recovery.rs
+++ b/crates/forwarder/src/journal/recovery.rs
@@ -1,4 +1,4 @@
-//! The replay of the segments at a start.
+//! The replay of the segments at startup.
 
 use super::live::LiveMessages;
 use super::record;
@@ -7,18 +7,19 @@
 use std::io;
 use std::path::Path;
 
-/// What the segments that were read so far say.
+/// The state after the replay of the segments that have been read so far.
 #[derive(Default)]
 pub struct Replay {
-    /// The messages that are not over.
+    /// The unfinished messages.
     pub live: LiveMessages,
-    /// Higher than any serial number that was read.
+    /// The next serial number, higher than any that was read.
     pub next_serial: u64,
 }
 
 impl Replay {
-    /// Applies the records of the next segment. A record that is cut off or damaged ends it: the rest of the file can't
-    /// be read, and is cut off.
+    /// Applies the records of a segment. Segments must be read in the order of their numbers. Reading stops at the
+    /// first record that is cut off or damaged, because the rest of the file cannot be decoded, and the file is
+    /// truncated there.
     pub fn read_segment(&mut self, dir: &Path, number: u64) -> io::Result<Segment> {
         let path = segment::path(dir, number);
         let bytes = fs::read(&path)?;
--- a/crates/forwarder/src/journal/ring.rs
+++ b/crates/forwarder/src/journal/ring.rs
@@ -5,31 +5,32 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The limit is divided into so many segments: freeing one copies a sixteenth of it at most.
+/// Number of segments that the size limit is divided into. Freeing a segment copies at most a sixteenth of the limit.
 pub const TARGET_SEGMENT_COUNT: u64 = 16;
 
-/// A message takes at most this part of the limit, so that copying one always fits.
+/// Divisor of the size limit that bounds the size of one message, so that there is always space to copy one.
 const MAX_MESSAGE_DIVISOR: u64 = 8;
 
-/// Bytes of the largest message that the protocol admits, rounded up.
+/// Size of the largest message that the protocol admits, in bytes, rounded up.
 const MAX_MESSAGE_BYTES: u64 = 67_000;
 
-/// The share of the usable space that live messages may take. A freed segment is copied by that share on average.
+/// Fraction of the usable space that unfinished messages may reserve. On average, freeing a segment copies this
+/// fraction of it.
 const MAX_LIVE_FRACTION: f64 = 0.75;
 
-/// How the limit of the journal is divided.
+/// The division of the journal's size limit.
 #[derive(Clone, Copy)]
 pub struct SpaceLimits {
     total_bytes: u64,
 }
 
 impl SpaceLimits {
-    /// The division of so many bytes.
+    /// Divides a limit of `total_bytes` on disk.
     pub fn new(total_bytes: u64) -> SpaceLimits {
         SpaceLimits { total_bytes }
     }
 
-    /// The size at which a segment is full.
+    /// Returns the size at which a segment counts as full, in bytes.
     fn max_segment_bytes(self) -> u64 {
         self.total_bytes / TARGET_SEGMENT_COUNT
     }
@@ -38,13 +39,15 @@
         (self.total_bytes / MAX_MESSAGE_DIVISOR).min(MAX_MESSAGE_BYTES)
     }
 
-    /// Kept free: a segment that is being filled, while another one or one large message is copied.
+    /// Returns the space that is kept free, in bytes: for the segment that is being filled, and for the copy of another
+    /// segment or of one large message.
     fn spare_bytes(self) -> u64 {
         let segment_bytes = self.max_segment_bytes();
         segment_bytes + segment_bytes.max(self.max_message_bytes())
     }
 
-    /// Whether a message can be stored until it is over. Both sizes are what [`StoredMessage::reserved_bytes`] says.
+    /// Returns whether a message of `message_bytes` can be stored until it is finished, beside unfinished messages of
+    /// `live_bytes`. Both sizes are those that [`StoredMessage::reserved_bytes`] returns.
     ///
     /// [`StoredMessage::reserved_bytes`]: super::StoredMessage::reserved_bytes
     pub fn has_space_for(self, live_bytes: u64, message_bytes: u64) -> bool {
@@ -55,7 +58,7 @@
     }
 }
 
-/// The segments, from the oldest sealed one to the active one.
+/// The segments on disk, from the oldest sealed segment to the active one.
 pub struct SegmentRing {
     dir: PathBuf,
     limits: SpaceLimits,
@@ -64,7 +67,7 @@
 }
 
 impl SegmentRing {
-    /// The ring of the segments in a directory, the oldest first.
+    /// Creates the ring from the segments in `dir`. The sealed segments must be given oldest first.
     pub fn new(
         dir: &Path,
         limits: SpaceLimits,
@@ -79,27 +82,27 @@
         }
     }
 
-    /// How its space is divided.
+    /// Returns the division of the size limit.
     pub fn limits(&self) -> SpaceLimits {
         self.limits
     }
 
-    /// How many segments there are, the active one included.
+    /// Returns the number of segments, including the active one.
     pub fn segment_count(&self) -> u64 {
         self.sealed.len() as u64 + 1
     }
 
-    /// The number of the oldest segment that is not written any more.
+    /// Returns the number of the oldest segment that is no longer written, if there is one.
     pub fn oldest_sealed_number(&self) -> Option<u64> {
         self.sealed.front().map(|segment| segment.number)
     }
 
-    /// Whether so many bytes fit the limit.
+    /// Returns whether `bytes` more fit within the size limit.
     pub fn fits_within_limit(&self, bytes: u64) -> bool {
         self.used_bytes() + bytes <= self.limits.total_bytes
     }
 
-    /// Whether so many bytes fit and leave the spare space free.
+    /// Returns whether `bytes` more fit within the size limit and leave the spare space free.
     pub fn fits_within_limit_with_spare(&self, bytes: u64) -> bool {
         self.fits_within_limit(bytes + self.limits.spare_bytes())
     }
@@ -109,7 +112,8 @@
         sealed_bytes + self.active.segment.bytes_on_disk()
     }
 
-    /// Appends a record to the active segment, or to a new one where that is full. Returns the number of the segment.
+    /// Appends an encoded record to the active segment, or to a new segment if the active one is full. Returns the
+    /// number of the segment.
     pub fn append(&mut self, frame: &[u8]) -> io::Result<u64> {
         let active = &self.active.segment;
         let bytes_after = active.bytes + frame.len() as u64;
@@ -127,7 +131,7 @@
         Ok(())
     }
 
-    /// Deletes the oldest segment that is not written any more.
+    /// Deletes the oldest segment that is no longer written, if there is one.
     pub fn delete_oldest_sealed(&mut self) -> io::Result<()> {
         match self.sealed.pop_front() {
             Some(oldest) => segment::delete(&self.dir, oldest.number),
--- a/crates/forwarder/src/journal/segment.rs
+++ b/crates/forwarder/src/journal/segment.rs
@@ -1,38 +1,38 @@
-//! The segment files. Each is named by its number; only the newest one is written.
+//! The segment files. Each file is named after its segment number, and only the newest one is written.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The size of a file counts in units of so many bytes, as the platform counts it.
+/// Unit in which the size of a file counts against the limit, in bytes. It matches the platform's accounting.
 pub const BLOCK_BYTES: u64 = 512;
 
 const FILE_SUFFIX: &str = ".journal";
 
 /// The number and size of a segment file.
 pub struct Segment {
-    /// The numbers of later segments are higher.
+    /// Number of the segment. Later segments have higher numbers.
     pub number: u64,
-    /// The bytes of its records.
+    /// Size of the records in the file, in bytes.
     pub bytes: u64,
 }
 
 impl Segment {
-    /// The bytes that it takes on disk.
+    /// Returns the space that the file takes on disk, in bytes.
     pub fn bytes_on_disk(&self) -> u64 {
         self.bytes.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
     }
 }
 
-/// The segment that is written.
+/// The segment that new records are appended to.
 pub struct ActiveSegment {
-    /// Its number and size.
+    /// Number and size of the segment.
     pub segment: Segment,
     file: File,
 }
 
 impl ActiveSegment {
-    /// Creates an empty segment.
+    /// Creates an empty segment file in `dir`.
     pub fn create(dir: &Path, number: u64) -> io::Result<ActiveSegment> {
         let file = OpenOptions::new()
             .create(true)
@@ -42,7 +42,8 @@
         Ok(ActiveSegment { segment, file })
     }
 
-    /// Appends a record. Where that fails, the part that was written is cut off: it would hide all records behind it.
+    /// Appends an encoded record. If the write fails, the part that was written is cut off, because it would hide all
+    /// records after it.
     pub fn append(&mut self, frame: &[u8]) -> io::Result<()> {
         if let Err(error) = self.file.write_all(frame) {
             self.file.set_len(self.segment.bytes)?;
@@ -53,12 +54,12 @@
     }
 }
 
-/// The path of a segment.
+/// Returns the path of a segment file.
 pub fn path(dir: &Path, number: u64) -> PathBuf {
     dir.join(format!("{number:012}{FILE_SUFFIX}"))
 }
 
-/// The numbers of the segments in a directory, ascending. Other files are ignored.
+/// Returns the numbers of the segments in a directory in ascending order. Other files are ignored.
 pub fn list_numbers(dir: &Path) -> io::Result<Vec<u64>> {
     let mut numbers = Vec::new();
     for entry in fs::read_dir(dir)? {
@@ -75,12 +76,12 @@
     file_name.strip_suffix(FILE_SUFFIX)?.parse().ok()
 }
 
-/// Cuts a segment off after so many bytes.
+/// Truncates a segment file to `len` bytes.
 pub fn truncate(path: &Path, len: u64) -> io::Result<()> {
     OpenOptions::new().write(true).open(path)?.set_len(len)
 }
 
-/// Deletes a segment.
+/// Deletes a segment file.
 pub fn delete(dir: &Path, number: u64) -> io::Result<()> {
     fs::remove_file(path(dir, number))
 }
--- a/crates/forwarder/src/journal/tests.rs
+++ b/crates/forwarder/src/journal/tests.rs
@@ -8,7 +8,7 @@
 use std::fs;
 use tempfile::TempDir;
 
-const LIMIT_BYTES: u64 = 300_000; // bytes
+const LIMIT_BYTES: u64 = 300_000;
 
 fn message(seed: u64, body_bytes: usize) -> StoredMessage {
     StoredMessage {
@@ -34,10 +34,16 @@
 
 fn bytes_on_disk(dir: &TempDir) -> u64 {
     let files = fs::read_dir(dir.path())
-        .expect("the directory")
-        .map(|file| file.expect("a file").metadata());
+        .expect("the directory is readable")
+        .map(|file| file.expect("the directory entry is readable").metadata());
     files
-        .map(|metadata| metadata.expect("its size").len().div_ceil(BLOCK_BYTES) * BLOCK_BYTES)
+        .map(|metadata| {
+            metadata
+                .expect("the file has metadata")
+                .len()
+                .div_ceil(BLOCK_BYTES)
+                * BLOCK_BYTES
+        })
         .sum()
 }
 
@@ -49,14 +55,15 @@
     Journal::open(dir.path(), limit_bytes).expect("the journal opens")
 }
 
-/// A kill may cut a write at any byte: the records before it are recovered, and writing goes on.
+/// Guards against the loss of records when the process is killed during a write, which can cut the segment off at any
+/// byte: the whole records before the cut are recovered, and new records can be written.
 #[test]
 fn recovers_whole_records_of_segment_truncated_at_any_byte() {
-    let dir = TempDir::new().expect("a directory");
+    let dir = TempDir::new().expect("a temporary directory is created");
     let (mut journal, _) = open(&dir);
     let file = path(dir.path(), 0);
-    let segment_len = || fs::metadata(&file).expect("the segment").len();
-    // After each write: the file's length and the messages that a restart there must find.
+    let segment_len = || fs::metadata(&file).expect("the segment file exists").len();
+    // For each write: the length of the file after it, and the messages that a restart at this length must recover.
     let mut stages = vec![(0, Vec::new())];
     let mut add_stage = |journal: &mut Journal| {
         let mut messages = journal.live.messages();
@@ -65,19 +72,25 @@
         }
         stages.push((segment_len(), messages));
     };
-    let first = journal.record_message(message(1, 40)).expect("room");
+    let first = journal
+        .record_message(message(1, 40))
+        .expect("the journal has space");
     add_stage(&mut journal);
     journal
         .record_attempt_start(first, 0, 500, 1)
-        .expect("room");
+        .expect("the journal has space");
     add_stage(&mut journal);
-    let second = journal.record_message(message(2, 0)).expect("room");
+    let second = journal
+        .record_message(message(2, 0))
+        .expect("the journal has space");
     add_stage(&mut journal);
-    journal.record_attempt_end(first, 0, false).expect("room");
+    journal
+        .record_attempt_end(first, 0, false)
+        .expect("the journal has space");
     add_stage(&mut journal);
     journal
         .record_attempt_start(first, 1, 900, 0)
-        .expect("room");
+        .expect("the journal has space");
     add_stage(&mut journal);
     journal
         .record_pending_report(
@@ -86,42 +99,53 @@
                 retry_after: Some(9),
             },
         )
-        .expect("room");
+        .expect("the journal has space");
     add_stage(&mut journal);
-    journal.record_message_end(first).expect("room");
+    journal
+        .record_message_end(first)
+        .expect("the journal has space");
     add_stage(&mut journal);
     drop(journal);
-    let segment_bytes = fs::read(&file).expect("the segment");
+    let segment_bytes = fs::read(&file).expect("the segment file exists");
     for cut in 0..=segment_bytes.len() {
-        let dir = TempDir::new().expect("a directory");
-        fs::write(path(dir.path(), 0), &segment_bytes[..cut]).expect("written");
+        let dir = TempDir::new().expect("a temporary directory is created");
+        fs::write(path(dir.path(), 0), &segment_bytes[..cut]).expect("the file is written");
         let (mut journal, recovered) = open(&dir);
         let (_, expected) = stages
             .iter()
             .rfind(|(len, _)| *len <= cut as u64)
-            .expect("a stage");
-        assert_eq!(&recovered, expected, "cut at {cut}");
-        let serial = journal.record_message(message(9, 10)).expect("room");
+            .expect("the first stage has length 0");
+        assert_eq!(&recovered, expected, "segment truncated to {cut} bytes");
+        let serial = journal
+            .record_message(message(9, 10))
+            .expect("the journal has space");
         assert!(recovered.iter().all(|message| message.serial != serial));
         drop(journal);
-        assert_eq!(open(&dir).1.len(), expected.len() + 1, "cut at {cut}");
+        assert_eq!(
+            open(&dir).1.len(),
+            expected.len() + 1,
+            "segment truncated to {cut} bytes"
+        );
     }
 }
 
-/// Attempts out at the end of a run may have taken effect; those that ended without one have not.
+/// Attempts in flight at the end of a run may have taken effect. Attempts that were recorded as ended without effect
+/// have not.
 #[test]
 fn recovers_attempts_without_outcome_as_possible_effects() {
-    let dir = TempDir::new().expect("a directory");
+    let dir = TempDir::new().expect("a temporary directory is created");
     let (mut journal, _) = open(&dir);
-    let serial = journal.record_message(message(1, 5)).expect("room");
+    let serial = journal
+        .record_message(message(1, 5))
+        .expect("the journal has space");
     for (attempt_index, started_at) in [(0, 100), (1, 200), (2, 300)] {
         journal
             .record_attempt_start(serial, attempt_index, started_at, attempt_index.into())
-            .expect("room");
+            .expect("the journal has space");
         if attempt_index != 1 {
             journal
                 .record_attempt_end(serial, attempt_index, false)
-                .expect("room");
+                .expect("the journal has space");
         }
     }
     drop(journal);
@@ -132,33 +156,40 @@
     };
     assert_eq!(recovered[0].attempts_started, 3);
     assert_eq!(recovered[0].possible_effect, Some(effect));
-    // A second restart finds the same.
+    // A second restart recovers the same messages.
     assert_eq!(open(&dir).1, recovered);
 }
 
-/// A journal with a damaged byte opens, and the messages of its other segments are recovered.
+/// A journal with a corrupted byte can be opened. The messages of its other segments are recovered, and no recovered
+/// message differs from the original.
 #[test]
 fn corrupted_byte_loses_only_records_of_its_segment() {
-    let dir = TempDir::new().expect("a directory");
+    let dir = TempDir::new().expect("a temporary directory is created");
     let (mut journal, _) = open(&dir);
-    journal.record_message(message(1, 10)).expect("room");
-    journal.record_message(message(2, 10)).expect("room");
+    journal
+        .record_message(message(1, 10))
+        .expect("the journal has space");
+    journal
+        .record_message(message(2, 10))
+        .expect("the journal has space");
     drop(journal);
-    let (mut journal, _) = open(&dir); // each start creates a new segment
-    journal.record_message(message(3, 10)).expect("room");
+    let (mut journal, _) = open(&dir); // each start creates a segment
+    journal
+        .record_message(message(3, 10))
+        .expect("the journal has space");
     drop(journal);
     let file = path(dir.path(), 0);
-    let segment_bytes = fs::read(&file).expect("the segment");
+    let segment_bytes = fs::read(&file).expect("the segment file exists");
     for index in 0..segment_bytes.len() {
         let mut corrupted = segment_bytes.clone();
         corrupted[index] ^= 0x10;
-        fs::write(&file, corrupted).expect("written");
+        fs::write(&file, corrupted).expect("the file is written");
         let (_, recovered) = open(&dir);
         assert!(
             recovered
                 .iter()
                 .any(|message| message.request_id == format!("{:016x}", 3)),
-            "byte {index}"
+            "byte {index} of the segment corrupted"
         );
         assert!(
             recovered.iter().all(|recovered_message| *recovered_message
@@ -166,7 +197,7 @@
                     serial: recovered_message.serial,
                     ..message(recovered_message.serial + 1, 10)
                 }),
-            "byte {index}"
+            "byte {index} of the segment corrupted"
         );
     }
 }
@@ -192,7 +223,8 @@
     }
 }
 
-/// The files never exceed the limit, and a message that has room at its acceptance is never lost for want of it.
+/// The files never exceed the size limit, and a message that the journal had space for when it was accepted is never
+/// lost for lack of space.
 #[test]
 fn stays_within_disk_limit_and_recovers_every_accepted_message() {
     fn run(steps: Vec<Step>, limit_choice: u8) -> Result<(), String> {
@@ -215,7 +247,7 @@
                     }
                     let serial = journal
                         .record_message(new_message.clone())
-                        .map_err(|e| format!("accept: {e}"))?;
+                        .map_err(|e| format!("cannot record the message: {e}"))?;
                     expected.insert(
                         serial,
                         StoredMessage {
@@ -232,10 +264,10 @@
                     let attempt_index = stored.attempts_started as u8;
                     journal
                         .record_attempt_start(stored.serial, attempt_index, choice.into(), 0)
-                        .map_err(|e| format!("attempt: {e}"))?;
+                        .map_err(|e| format!("cannot record the attempt: {e}"))?;
                     journal
                         .record_attempt_end(stored.serial, attempt_index, choice.is_multiple_of(2))
-                        .map_err(|e| format!("attempt: {e}"))?;
+                        .map_err(|e| format!("cannot record the attempt: {e}"))?;
                     stored.attempts_started += 1;
                     if choice.is_multiple_of(2) {
                         stored.add_possible_effect(StoredEffect {
@@ -248,7 +280,7 @@
                     let Some(serial) = pick(choice) else { continue };
                     journal
                         .record_pending_report(serial, Ending::Failed)
-                        .map_err(|e| format!("report: {e}"))?;
+                        .map_err(|e| format!("cannot record the pending report: {e}"))?;
                     expected
                         .entry(serial)
                         .and_modify(|stored| stored.pending_report = Some(Ending::Failed));
@@ -257,7 +289,7 @@
                     let Some(serial) = pick(choice) else { continue };
                     journal
                         .record_message_end(serial)
-                        .map_err(|e| format!("end: {e}"))?;
+                        .map_err(|e| format!("cannot record the end of the message: {e}"))?;
                     expected.remove(&serial);
                 }
                 Step::Restart => {
@@ -267,7 +299,7 @@
                     let all_expected: Vec<StoredMessage> = expected.values().cloned().collect();
                     if recovered != all_expected {
                         return Err(format!(
-                            "{} messages found, {} wanted",
+                            "recovered {} messages, expected {}",
                             recovered.len(),
                             all_expected.len()
                         ));
@@ -276,7 +308,7 @@
             }
             if bytes_on_disk(&dir) > limit_bytes {
                 return Err(format!(
-                    "{} bytes on disk after step {step_index}",
+                    "{} bytes on disk after step {step_index} exceed the limit",
                     bytes_on_disk(&dir)
                 ));
             }
@@ -289,16 +321,20 @@
         .quickcheck(run as fn(Vec<Step>, u8) -> Result<(), String>);
 }
 
-/// After a restart a withdrawn attempt counts neither as an attempt nor as one that may have taken effect.
+/// After a restart, a withdrawn attempt counts neither as an attempt nor as one that may have taken effect.
 #[test]
 fn does_not_count_withdrawn_attempt_after_restart() {
-    let dir = TempDir::new().expect("a directory");
+    let dir = TempDir::new().expect("a temporary directory is created");
     let (mut journal, _) = open(&dir);
-    let serial = journal.record_message(message(1, 40)).expect("room");
+    let serial = journal
+        .record_message(message(1, 40))
+        .expect("the journal has space");
     journal
         .record_attempt_start(serial, 0, 900, 1)
-        .expect("room");
-    journal.record_attempt_withdrawal(serial, 0).expect("room");
+        .expect("the journal has space");
+    journal
+        .record_attempt_withdrawal(serial, 0)
+        .expect("the journal has space");
     assert_eq!(
         open(&dir).1,
         [StoredMessage {
@@ -308,8 +344,8 @@
     );
 }
 
-/// The records of earlier versions, whose destinations had 16 bits. Their field names are of no weight: the format has
-/// none.
+/// The records of earlier versions, which stored destinations with 16 bits. The names of the fields may differ, because
+/// the format holds no names.
 mod earlier_version {
     use super::*;
 
@@ -393,7 +429,7 @@
     }
 
     pub fn encode_frame(record: &Record) -> Vec<u8> {
-        let payload = postcard::to_allocvec(record).expect("it has a form");
+        let payload = postcard::to_allocvec(record).expect("the record is encoded");
         [
             &(payload.len() as u32).to_le_bytes()[..],
             &crc32fast::hash(&payload).to_le_bytes(),
@@ -421,7 +457,7 @@
     }
 }
 
-/// This version and earlier ones write the same bytes for a destination of 16 bits.
+/// This version and earlier versions write the same bytes for a destination that fits in 16 bits.
 #[test]
 fn writes_same_bytes_as_earlier_versions_for_16_bit_destinations() {
     for (destination, seed) in [
@@ -446,11 +482,11 @@
                 pending_report,
             ));
             assert_eq!(
-                encode_frame(&Record::message(stored.clone())).expect("a form"),
+                encode_frame(&Record::message(stored.clone())).expect("the value is encoded"),
                 bytes
             );
-            let dir = TempDir::new().expect("a directory");
-            fs::write(path(dir.path(), 0), &bytes).expect("written");
+            let dir = TempDir::new().expect("a temporary directory is created");
+            fs::write(path(dir.path(), 0), &bytes).expect("the file is written");
             let mut expected = stored;
             expected.assume_effect_of_attempts_in_flight();
             assert_eq!(open(&dir).1, [expected]);
@@ -458,7 +494,7 @@
     }
 }
 
-/// An earlier version that takes the directory over reports a message to a larger destination as failed.
+/// An earlier version that takes over the directory reports a message to a destination above 16 bits as failed.
 #[test]
 fn stores_larger_destinations_so_that_earlier_versions_fail_their_messages() {
     for (destination, seed) in [(65_536, 1), (70_000, 2), (70_000, 4), (u32::MAX, 8)] {
@@ -470,12 +506,14 @@
                 Ending::Rejected { retry_after: None },
             ),
         ] {
-            let dir = TempDir::new().expect("a directory");
+            let dir = TempDir::new().expect("a temporary directory is created");
             let (mut journal, _) = open(&dir);
             let stored = message_to(destination, seed, pending_report);
-            let serial = journal.record_message(stored.clone()).expect("room");
+            let serial = journal
+                .record_message(stored.clone())
+                .expect("the journal has space");
             drop(journal);
-            let segment = fs::read(path(dir.path(), 0)).expect("the segment");
+            let segment = fs::read(path(dir.path(), 0)).expect("the segment file exists");
             assert_eq!(
                 earlier_version::decode_frame(&segment),
                 Some(earlier_version::record_of(
@@ -493,7 +531,7 @@
                 u16::MAX,
                 Some(reported_by_earlier),
             ));
-            fs::write(path(dir.path(), 0), copied_frame).expect("written");
+            fs::write(path(dir.path(), 0), copied_frame).expect("the file is written");
             assert_eq!(
                 open(&dir).1,
                 [StoredMessage {
@@ -506,20 +544,20 @@
     }
 }
 
-/// Bytes after a record that are not whole make it unreadable, as damage does.
+/// A record whose trailer is cut off is unreadable, as a damaged record is.
 #[test]
 fn rejects_record_with_truncated_trailer() {
     let stored = message_to(70_000, 1, None);
-    let body = encode_payload(&Record::message(stored.clone())).expect("a form");
+    let body = encode_payload(&Record::message(stored.clone())).expect("the value is encoded");
     let trailer = postcard::to_allocvec(&LargeDestinationTrailer {
         destination: 70_000,
         pending_report: None,
     })
-    .expect("a form");
+    .expect("the value is encoded");
     for cut in 1..trailer.len() {
         assert!(
             decode_payload(&body[..body.len() - cut]).is_err(),
-            "{cut} bytes cut off"
+            "{cut} bytes of the trailer cut off"
         );
     }
     assert!(matches!(decode_payload(&body), Ok(Record::Message(recovered)) if recovered == stored));
