--- a/crates/forwarder/src/endpoint_list/golden_tests.rs
+++ b/crates/forwarder/src/endpoint_list/golden_tests.rs
@@ -1,5 +1,5 @@
-//! Proves that the exchange with discovery stays the same: the bytes of the calls for the complete list and for a watch, and
-//! what each recorded answer is decoded to.
+//! Checks that the exchange with discovery stays the same: the bytes of the requests for the complete list and for a
+//! watch, and the events that each recorded answer is decoded to.
 
 use super::*;
 use crate::commands::{DispatcherCommand, EndpointListCommand};
@@ -14,22 +14,22 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-const WITHIN: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn names() -> Names {
-    let texts = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
+    let to_strings = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
     Names {
         classes: Vec::new(),
         tenants: Vec::new(),
-        zones: texts(&["a", "b", "other-zone"]),
-        endpoint_kinds: texts(&["m1", "m2", "other-kind"]),
+        zones: to_strings(&["a", "b", "other-zone"]),
+        endpoint_kinds: to_strings(&["m1", "m2", "other-kind"]),
         reports: Vec::new(),
     }
 }
 
 fn render_entry(entry: &EndpointEntry) -> Value {
     let [a, b, c, d] = entry.endpoint.address;
-    let readiness = match entry.status {
+    let status = match entry.status {
         EndpointStatus::Ready => "ready",
         EndpointStatus::Draining => "draining",
         EndpointStatus::Removed => "gone",
@@ -39,39 +39,42 @@
         "holder": entry.endpoint.incarnation,
         "zone": entry.zone.0,
         "up since us": entry.up_since,
-        "readiness": readiness,
+        "readiness": status,
         "rate": entry.rate,
         "destination": entry.destination.0,
         "kind": entry.kind.0,
     })
 }
 
-fn render_event(note: DispatcherCommand) -> Value {
-    let DispatcherCommand::Event(Event::EndpointListUpdated(news)) = note else {
-        panic!("another event")
+fn render_event(command: DispatcherCommand) -> Value {
+    let DispatcherCommand::Event(Event::EndpointListUpdated(update)) = command else {
+        panic!("expected an update of the endpoint list")
     };
-    let entries = |entries: &[EndpointEntry]| entries.iter().map(render_entry).collect::<Vec<_>>();
-    match news {
-        EndpointListUpdate::Complete(all) => json!({ "complete list": entries(&all) }),
-        EndpointListUpdate::Changes(changes) => json!({ "changes": entries(&changes) }),
-        EndpointListUpdate::Cached(all) => json!({ "cached list": entries(&all) }),
+    let render_entries =
+        |entries: &[EndpointEntry]| entries.iter().map(render_entry).collect::<Vec<_>>();
+    match update {
+        EndpointListUpdate::Complete(all) => json!({ "complete list": render_entries(&all) }),
+        EndpointListUpdate::Changes(changes) => json!({ "changes": render_entries(&changes) }),
+        EndpointListUpdate::Cached(all) => json!({ "cached list": render_entries(&all) }),
         EndpointListUpdate::Failed => json!("failed"),
     }
 }
 
-/// Answers the calls of one list's actor in turn. Gives the bytes of each call, the one after the last answer included,
-/// and the events that they led to.
+/// Answers the requests of one actor in turn. Returns the bytes of each request, including the one after the last
+/// answer, and the events that the answers led to.
 async fn exchange(input: &Value) -> Value {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address");
-    let (_moves, discovery) = watch::channel(address);
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("the listener is bound");
+    let address = listener.local_addr().expect("the listener has an address");
+    let (_address_sender, discovery) = watch::channel(address);
     let (dispatcher, mut events) = mpsc::channel(64);
-    let (commands, mailbox) = mpsc::channel(4);
+    let (commands, command_receiver) = mpsc::channel(4);
     let must_be_polled = input["must be asked"] == true;
     let log = Logger::root(slog::Discard, slog::o!());
     let platform = Platform::new(address);
     let table = EndpointTable::default();
-    let list = EndpointListWatch {
+    let list_watch = EndpointListWatch {
         platform,
         discovery,
         names: names(),
@@ -80,32 +83,36 @@
         dispatcher,
         log,
     };
-    tokio::spawn(list.run(mailbox));
-    let mut calls = Vec::new();
-    let mut rendered = Vec::new();
-    let answers = input["answers"].as_array().expect("answers");
+    tokio::spawn(list_watch.run(command_receiver));
+    let mut requests = Vec::new();
+    let mut rendered_events = Vec::new();
+    let answers = input["answers"]
+        .as_array()
+        .expect("the input has a list of answers");
     for answer in answers.iter().map(Some).chain([None]) {
-        let (mut stream, _) = tokio::time::timeout(WITHIN, listener.accept())
+        let (mut stream, _) = tokio::time::timeout(TIMEOUT, listener.accept())
             .await
-            .expect("in time")
-            .expect("a connection");
-        let mut call = Vec::new();
-        while !call.ends_with(b"\r\n\r\n") {
-            let read = tokio::time::timeout(WITHIN, stream.read_buf(&mut call)).await;
+            .expect("the exchange continues within 10 s")
+            .expect("a connection is accepted");
+        let mut request = Vec::new();
+        while !request.ends_with(b"\r\n\r\n") {
+            let read = tokio::time::timeout(TIMEOUT, stream.read_buf(&mut request)).await;
             assert_ne!(
-                read.expect("in time").expect("readable"),
+                read.expect("the exchange continues within 10 s")
+                    .expect("the connection is readable"),
                 0,
-                "the call is cut off"
+                "expected a complete request head"
             );
         }
-        let call = String::from_utf8(call).expect("a call is text");
-        calls.push(text(
-            call.replace(&address.to_string(), "127.0.0.1:PORT")
+        let request = String::from_utf8(request).expect("the request head is UTF-8");
+        requests.push(text(
+            request
+                .replace(&address.to_string(), "127.0.0.1:PORT")
                 .as_bytes(),
         ));
-        // A call comes once the answer before it is dealt with.
+        // A request arrives once the answer before it has been handled.
         while let Ok(event) = events.try_recv() {
-            rendered.push(render_event(event));
+            rendered_events.push(render_event(event));
         }
         let Some(answer) = answer else { break };
         let status = answer["status"].as_str().unwrap_or("200 OK");
@@ -116,23 +123,26 @@
         let answer = format!(
             "HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
         );
-        stream.write_all(answer.as_bytes()).await.expect("answered");
+        stream
+            .write_all(answer.as_bytes())
+            .await
+            .expect("the answer is written");
         if must_be_polled {
-            let event = tokio::time::timeout(WITHIN, events.recv())
+            let event = tokio::time::timeout(TIMEOUT, events.recv())
                 .await
-                .expect("in time");
-            rendered.push(render_event(event.expect("an event")));
+                .expect("the exchange continues within 10 s");
+            rendered_events.push(render_event(event.expect("the actor sends an event")));
             commands
                 .send(EndpointListCommand::StartWatch)
                 .await
-                .expect("the actor runs");
+                .expect("the actor is running");
         }
     }
-    json!({ "calls": calls, "events": rendered })
+    json!({ "calls": requests, "events": rendered_events })
 }
 
 #[tokio::test]
-async fn the_list_is_asked_for_and_decoded_as_recorded() {
+async fn sends_golden_requests_and_decodes_golden_answers() {
     let mut golden = GoldenCases::read("endpoint-list.json");
     for input in golden.inputs() {
         golden.compare_next(exchange(&input).await);
--- a/crates/forwarder/src/endpoint_list/table.rs
+++ b/crates/forwarder/src/endpoint_list/table.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as it is known: each member once, found by its id and by its address.
+//! The known endpoint list. It holds each member once, indexed by id and by address.
 
 use crate::protocol::{EndpointListDocument, Member, Phase};
 use compact_str::CompactString;
@@ -9,22 +9,22 @@
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
 
-/// The endpoint list as it is known.
+/// The known endpoint list, owned by the actor that watches it.
 #[derive(Default)]
 pub struct EndpointTable {
-    /// The revision of the latest document; none before the first.
+    /// Revision of the latest document. `None` before the first one, and after the address of the agent changed.
     pub(super) revision: Option<u64>,
     members: MemberTable,
-    /// The incarnation of the latest endpoint that was new. It wraps after 2³² of them.
+    /// Incarnation that was assigned to the latest new endpoint. It wraps after 2³² new endpoints.
     last_incarnation: u32,
 }
 
-/// Members as they were before a document, by id; none for one that was not known.
-type MembersBefore = BTreeMap<CompactString, Option<EndpointEntry>>;
+/// The members before a document was applied, by id. `None` for an id that was not known.
+type PreviousMembers = BTreeMap<CompactString, Option<EndpointEntry>>;
 
 impl EndpointTable {
-    /// Applies a document and returns what it says in the core's terms: nothing where it is older than the list that is
-    /// known, or changes nothing.
+    /// Applies a document and returns the update for the core. Returns `None` if the document is older than the known
+    /// list or changes nothing.
     pub fn apply(
         &mut self,
         document: EndpointListDocument,
@@ -36,18 +36,18 @@
         }
         self.revision = Some(document.revision);
         if document.complete {
-            Some(self.replace_members(document.members, names))
+            Some(self.apply_complete_list(document.members, names))
         } else {
-            self.change_members(document.members, names)
+            self.apply_changes(document.members, names)
         }
     }
 
-    fn replace_members(&mut self, members: Vec<Member>, names: &Names) -> EndpointListUpdate {
-        let new_table = MemberTable::with_capacity(members.len());
-        let before = std::mem::replace(&mut self.members, new_table);
+    fn apply_complete_list(&mut self, members: Vec<Member>, names: &Names) -> EndpointListUpdate {
+        let new_members = MemberTable::with_capacity(members.len());
+        let previous = std::mem::replace(&mut self.members, new_members);
         for member in members {
-            let old = before.get(&member.id).cloned();
-            self.apply_member(member, old.as_ref(), names);
+            let previous_entry = previous.get_by_id(&member.id).cloned();
+            self.apply_member(member, previous_entry.as_ref(), names);
         }
         let mut rows: Vec<&MemberRow> = self.members.rows.iter().map(|(_, row)| row).collect();
         rows.sort_unstable_by(|a, b| a.id.cmp(&b.id));
@@ -55,24 +55,22 @@
         EndpointListUpdate::Complete(entries)
     }
 
-    /// The work is proportional to the changes, not to the list.
-    fn change_members(
-        &mut self,
-        members: Vec<Member>,
-        names: &Names,
-    ) -> Option<EndpointListUpdate> {
-        let mut before = MembersBefore::new();
+    /// Applies a document of changes. The work is proportional to the number of changes, not to the length of the list.
+    fn apply_changes(&mut self, members: Vec<Member>, names: &Names) -> Option<EndpointListUpdate> {
+        let mut previous = PreviousMembers::new();
         for member in members {
-            let old = before
+            let previous_entry = previous
                 .entry(member.id.clone())
-                .or_insert_with(|| self.members.get(&member.id).cloned())
+                .or_insert_with(|| self.members.get_by_id(&member.id).cloned())
                 .clone();
-            if let Some(displaced) = self.apply_member(member, old.as_ref(), names) {
-                before.entry(displaced.id).or_insert(Some(displaced.entry));
+            if let Some(displaced) = self.apply_member(member, previous_entry.as_ref(), names) {
+                previous
+                    .entry(displaced.id)
+                    .or_insert(Some(displaced.entry));
             }
         }
-        let mut entries = self.removed_endpoints(&before);
-        entries.extend(self.changed_members(&before));
+        let mut entries = self.removed_endpoints(&previous);
+        entries.extend(self.changed_members(&previous));
         if entries.is_empty() {
             None
         } else {
@@ -80,78 +78,83 @@
         }
     }
 
-    /// The endpoints that members had before and have no more, in the order of the members' ids.
-    fn removed_endpoints(&self, before: &MembersBefore) -> Vec<EndpointEntry> {
+    /// Returns the endpoints that members had before the document and no longer have, in the order of the members' ids.
+    fn removed_endpoints(&self, previous: &PreviousMembers) -> Vec<EndpointEntry> {
         let mut removed = Vec::new();
-        for (id, old) in before {
-            let Some(old) = old else { continue };
-            let is_same =
-                |now: &EndpointEntry| now.endpoint.incarnation == old.endpoint.incarnation;
-            if !self.members.get(id).is_some_and(is_same) {
+        for (id, previous_entry) in previous {
+            let Some(previous_entry) = previous_entry else {
+                continue;
+            };
+            let is_same_endpoint = |current: &EndpointEntry| {
+                current.endpoint.incarnation == previous_entry.endpoint.incarnation
+            };
+            if !self.members.get_by_id(id).is_some_and(is_same_endpoint) {
                 removed.push(EndpointEntry {
                     status: EndpointStatus::Removed,
-                    ..old.clone()
+                    ..previous_entry.clone()
                 });
             }
         }
         removed
     }
 
-    /// The members that are new or differ from what they were before, in the order of their ids.
-    fn changed_members(&self, before: &MembersBefore) -> Vec<EndpointEntry> {
+    /// Returns the members that are new or have changed since before the document, in the order of their ids.
+    fn changed_members(&self, previous: &PreviousMembers) -> Vec<EndpointEntry> {
         let mut changed = Vec::new();
-        for (id, old) in before {
-            let Some(now) = self.members.get(id) else {
+        for (id, previous_entry) in previous {
+            let Some(current) = self.members.get_by_id(id) else {
                 continue;
             };
-            if old.as_ref() != Some(now) {
-                changed.push(now.clone());
+            if previous_entry.as_ref() != Some(current) {
+                changed.push(current.clone());
             }
         }
         changed
     }
 
-    /// Applies one line of a document, whose member was `old` before the document. Returns the member that it displaces
-    /// from its address.
+    /// Applies one member of a document. `previous_entry` is the entry that the member had before the document. Returns
+    /// the member that it displaces from its address, if any.
     fn apply_member(
         &mut self,
         member: Member,
-        old: Option<&EndpointEntry>,
+        previous_entry: Option<&EndpointEntry>,
         names: &Names,
     ) -> Option<MemberRow> {
         if member.phase == Phase::Gone {
-            self.members.remove(&member.id);
+            self.members.remove_by_id(&member.id);
             return None;
         }
         let mut entry = member.to_entry(0, names);
-        let other_id = self
+        let id_at_address = self
             .members
-            .at_address(Address::of(&entry))
+            .get_by_address(Address::of(&entry))
             .filter(|row| row.id != member.id)
             .map(|row| row.id.clone());
-        // Another member has the address by now: a late change of one that drains there must not touch it.
-        if other_id.is_some() && member.phase != Phase::Ready {
+        // Another member has taken over the address. A late change of a member that drains there must not affect it.
+        if id_at_address.is_some() && member.phase != Phase::Ready {
             return None;
         }
-        let displaced = other_id.and_then(|id| self.members.remove(&id));
-        // An endpoint with another address or destination is a new one: nothing learned of the old one applies to it.
-        let same_endpoint = old.filter(|old| has_same_place(old, &entry));
+        let displaced = id_at_address.and_then(|id| self.members.remove_by_id(&id));
+        // A member with a new address or destination is a new endpoint: nothing learned about the previous endpoint
+        // applies to it.
+        let same_endpoint =
+            previous_entry.filter(|previous| has_same_address_and_destination(previous, &entry));
         entry.endpoint.incarnation = match same_endpoint {
-            Some(old) => old.endpoint.incarnation,
-            None => self.new_incarnation(),
+            Some(same) => same.endpoint.incarnation,
+            None => self.next_incarnation(),
         };
-        self.members.remove(&member.id);
+        self.members.remove_by_id(&member.id);
         let id = member.id;
         self.members.insert(MemberRow { id, entry });
         displaced
     }
 
-    fn new_incarnation(&mut self) -> u32 {
+    fn next_incarnation(&mut self) -> u32 {
         self.last_incarnation = self.last_incarnation.wrapping_add(1);
         self.last_incarnation
     }
 
-    /// Whether nothing is kept of any member.
+    /// Returns whether the table and both of its indexes hold no member.
     #[cfg(test)]
     pub(super) fn is_empty(&self) -> bool {
         self.members.rows.is_empty()
@@ -160,14 +163,14 @@
     }
 }
 
-fn has_same_place(a: &EndpointEntry, b: &EndpointEntry) -> bool {
+fn has_same_address_and_destination(a: &EndpointEntry, b: &EndpointEntry) -> bool {
     Address::of(a) == Address::of(b) && a.destination == b.destination
 }
 
-/// Where an endpoint listens.
+/// The address that an endpoint listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Address {
-    /// IPv4, in network order.
+    /// IPv4 address, in network byte order.
     ip: [u8; 4],
     port: u16,
 }
@@ -181,73 +184,75 @@
     }
 }
 
-/// A member with its id in the platform's list.
+/// A member and its id in the platform's list.
 struct MemberRow {
     id: CompactString,
     entry: EndpointEntry,
 }
 
-/// The members, with an index by id and one by address: both are unique. The capacity of the rows is that of the longest
-/// list since the latest complete one.
+/// The members, with one index by id and one by address. Both ids and addresses are unique. The rows keep the capacity
+/// for the longest list since the latest complete one.
 #[derive(Default)]
 struct MemberTable {
     rows: Slab<MemberRow>,
-    /// The keys of the rows in the slab.
+    /// Keys of the rows in the slab, hashed by member id.
     by_id: HashTable<u32>,
-    /// The same.
+    /// Keys of the rows in the slab, hashed by address.
     by_address: HashTable<u32>,
     hasher: RandomState,
 }
 
 impl MemberTable {
-    fn with_capacity(rows: usize) -> MemberTable {
+    fn with_capacity(capacity: usize) -> MemberTable {
         MemberTable {
-            rows: Slab::with_capacity(rows),
-            by_id: HashTable::with_capacity(rows),
-            by_address: HashTable::with_capacity(rows),
+            rows: Slab::with_capacity(capacity),
+            by_id: HashTable::with_capacity(capacity),
+            by_address: HashTable::with_capacity(capacity),
             hasher: RandomState::new(),
         }
     }
 
-    fn get(&self, id: &str) -> Option<&EndpointEntry> {
+    fn get_by_id(&self, id: &str) -> Option<&EndpointEntry> {
         let hash = self.hasher.hash_one(id);
-        let is_it = |key: &u32| self.rows[*key as usize].id == id;
-        let key = self.by_id.find(hash, is_it)?;
-        Some(&self.rows[*key as usize].entry)
+        let has_id = |row_key: &u32| self.rows[*row_key as usize].id == id;
+        let row_key = self.by_id.find(hash, has_id)?;
+        Some(&self.rows[*row_key as usize].entry)
     }
 
-    fn at_address(&self, address: Address) -> Option<&MemberRow> {
+    fn get_by_address(&self, address: Address) -> Option<&MemberRow> {
         let hash = self.hasher.hash_one(address);
-        let is_it = |key: &u32| Address::of(&self.rows[*key as usize].entry) == address;
-        let key = self.by_address.find(hash, is_it)?;
-        Some(&self.rows[*key as usize])
+        let has_address =
+            |row_key: &u32| Address::of(&self.rows[*row_key as usize].entry) == address;
+        let row_key = self.by_address.find(hash, has_address)?;
+        Some(&self.rows[*row_key as usize])
     }
 
-    /// Adds a member whose id and address no other has.
+    /// Adds a member. No other member may have its id or its address.
     fn insert(&mut self, row: MemberRow) {
         let id_hash = self.hasher.hash_one(row.id.as_str());
         let address_hash = self.hasher.hash_one(Address::of(&row.entry));
-        let key = self.rows.insert(row) as u32;
+        let row_key = self.rows.insert(row) as u32;
         let (rows, hasher) = (&self.rows, &self.hasher);
-        self.by_id.insert_unique(id_hash, key, |key| {
-            hasher.hash_one(rows[*key as usize].id.as_str())
-        });
-        self.by_address.insert_unique(address_hash, key, |key| {
-            hasher.hash_one(Address::of(&rows[*key as usize].entry))
+        self.by_id.insert_unique(id_hash, row_key, |row_key| {
+            hasher.hash_one(rows[*row_key as usize].id.as_str())
         });
+        self.by_address
+            .insert_unique(address_hash, row_key, |row_key| {
+                hasher.hash_one(Address::of(&rows[*row_key as usize].entry))
+            });
     }
 
-    fn remove(&mut self, id: &str) -> Option<MemberRow> {
+    fn remove_by_id(&mut self, id: &str) -> Option<MemberRow> {
         let id_hash = self.hasher.hash_one(id);
-        let is_it = |key: &u32| self.rows[*key as usize].id == id;
-        let (key, _) = self.by_id.find_entry(id_hash, is_it).ok()?.remove();
-        let row = self.rows.remove(key as usize);
+        let has_id = |row_key: &u32| self.rows[*row_key as usize].id == id;
+        let (row_key, _) = self.by_id.find_entry(id_hash, has_id).ok()?.remove();
+        let row = self.rows.remove(row_key as usize);
         let address_hash = self.hasher.hash_one(Address::of(&row.entry));
-        if let Ok(found) = self
+        if let Ok(occupied) = self
             .by_address
-            .find_entry(address_hash, |other| *other == key)
+            .find_entry(address_hash, |other_key| *other_key == row_key)
         {
-            found.remove();
+            occupied.remove();
         }
         Some(row)
     }
--- a/crates/forwarder/src/endpoint_list/watch.rs
+++ b/crates/forwarder/src/endpoint_list/watch.rs
@@ -1,7 +1,9 @@
-//! The actor that gets the endpoint list: it fetches the complete list once, then watches for changes by long polls.
+//! The actor that gets the endpoint list. It fetches the complete list once and then watches for changes with long
+//! polls.
 //!
-//! Where discovery reports changes by itself, the actor polls at once again after each answer. Where discovery must be
-//! polled, each poll has a cost: the actor polls only when the dispatcher asks for it, and reports each failure.
+//! Where discovery reports changes by itself, the actor polls again right after each answer. Where discovery must be
+//! polled, each poll has a cost, so the actor polls only when the dispatcher requests it, and reports each failure to
+//! the dispatcher.
 
 use super::table::EndpointTable;
 use crate::commands::{DispatcherCommand, EndpointListCommand};
@@ -17,42 +19,46 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// How long the agent may wait for a change before it answers a watch. A watch that has fallen silent is noticed soon
-/// after.
-const WATCH_WAIT: Duration = Duration::from_secs(5);
+/// Upper bound on the time that the agent waits for a change before it answers a watch. It bounds how long a watch that
+/// has fallen silent goes unnoticed.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(5);
 
-/// How long an answer may take, beyond the wait that was asked for. The agent is on the same machine.
+/// Upper bound on the duration of a fetch, and on how much longer than the requested wait a watch may take. The agent
+/// runs on the same machine.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The same as [`WATCH_WAIT`] where discovery must be polled. The next poll comes later there, so that silence must be
-/// noticed sooner.
-const POLLED_WATCH_WAIT: Duration = Duration::from_secs(2);
+/// Counterpart of [`MAX_WATCH_WAIT`] where discovery must be polled. The next poll comes later there, so silence must
+/// be noticed sooner.
+const POLLED_MAX_WATCH_WAIT: Duration = Duration::from_secs(2);
 
-/// The same as [`ANSWER_TIMEOUT`] where discovery must be polled. The core counts on the sum of the wait and this.
+/// Counterpart of [`ANSWER_TIMEOUT`] where discovery must be polled. The core relies on the sum of the wait and this
+/// timeout, which is [`MAX_POLL_SILENCE`].
 const POLLED_ANSWER_TIMEOUT: Duration =
-    Duration::from_micros(MAX_POLL_SILENCE).saturating_sub(POLLED_WATCH_WAIT);
+    Duration::from_micros(MAX_POLL_SILENCE).saturating_sub(POLLED_MAX_WATCH_WAIT);
 
-/// How long a poll that timed out goes on in the background: longer than any poll that is made meanwhile.
+/// Upper bound on the duration of a poll where discovery must be polled, including the time that it continues in the
+/// background after its timeout. It is longer than any poll that is made meanwhile.
 const LATE_POLL_TIMEOUT: Duration = Duration::from_secs(7);
 
-/// The pause after a failed poll, unless it timed out: shorter than the time after which a watch is opened anew.
-const RETRY_INTERVAL: Duration = Duration::from_millis(150);
+/// Delay after a failed poll, unless the poll timed out. It is shorter than the time after which a silent watch is
+/// opened again.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// The actor that gets the endpoint list.
 pub struct EndpointListWatch {
     /// A connection to the platform's agent.
     pub platform: Platform,
-    /// The address of the agent. Each change counts at once.
+    /// The address of the agent. A change takes effect at once, also during a poll.
     pub discovery: watch::Receiver<SocketAddr>,
-    /// The names of zones and kinds in the settings.
+    /// The names of zones and endpoint kinds in the settings.
     pub names: Names,
-    /// The list as it is known.
+    /// The known list.
     pub table: EndpointTable,
     /// Whether discovery must be polled. Otherwise it reports changes by itself.
     pub must_be_polled: bool,
     /// The mailbox of the dispatcher.
     pub dispatcher: mpsc::Sender<DispatcherCommand>,
-    /// Where failures are logged.
+    /// The logger for failed polls and for the recovery from them.
     pub log: Logger,
 }
 
@@ -61,16 +67,17 @@
 /// A poll in flight. It returns the connection that it used.
 type PollInFlight = Pin<Box<dyn Future<Output = (Platform, PollResult)> + Send>>;
 
-/// What is to be polled, and what is in flight.
+/// The polls that are wanted, and the state of earlier ones.
 struct WatchState {
-    /// Whether changes are to be watched.
+    /// Whether to watch for changes.
     watch_wanted: bool,
-    /// Whether the complete list is to be fetched.
+    /// Whether to fetch the complete list.
     fetch_wanted: bool,
-    /// Whether the latest poll succeeded. Only changes are logged.
+    /// Whether the latest poll succeeded. Only a change of this state is logged.
     reachability: Reachability,
-    /// A poll that timed out. It is dropped once a later one succeeds, or times out and takes its place. An overloaded
-    /// discovery answers late. Dropping its answers and polling again would add load without ever getting one in time.
+    /// The latest poll that timed out, which continues in the background. It is dropped once a later poll succeeds, or
+    /// replaced once a later poll times out. An overloaded discovery answers late: dropping its answers and polling
+    /// again would add load without ever getting an answer in time.
     late_poll: Option<PollInFlight>,
 }
 
@@ -87,8 +94,8 @@
         self.watch_wanted || self.fetch_wanted
     }
 
-    /// The answer to the poll that timed out. Never ready where there is none.
-    async fn late_answer(&mut self) -> PollResult {
+    /// Waits for the result of the poll that timed out. Never completes if there is no such poll.
+    async fn late_result(&mut self) -> PollResult {
         let Some(poll) = &mut self.late_poll else {
             return std::future::pending().await;
         };
@@ -98,38 +105,40 @@
     }
 }
 
-/// What one poll asks for.
+/// The request of one poll.
 struct PollRequest {
-    /// The revision after which changes are asked for, and how long the agent may wait for one. None: the complete
-    /// list.
+    /// The revision after which changes are requested, and the maximum time that the agent may wait for one. `None`
+    /// requests the complete list.
     watch: Option<(u64, Duration)>,
-    /// How long the whole answer may take.
+    /// Upper bound on the time until the whole answer is read.
     timeout: Duration,
 }
 
 impl PollRequest {
-    /// Whether something else is wanted by now.
+    /// Returns whether commands since the start of the poll have made it useless: no poll is wanted any more, or a
+    /// fetch is wanted in place of a watch.
     fn is_superseded(&self, state: &WatchState) -> bool {
-        let fetch_instead_of_watch = state.fetch_wanted && self.watch.is_some();
-        fetch_instead_of_watch || !state.poll_wanted()
+        let fetch_replaces_watch = state.fetch_wanted && self.watch.is_some();
+        fetch_replaces_watch || !state.poll_wanted()
     }
 }
 
-/// How a poll ended.
-enum PollEnd {
-    /// It was answered, has failed or has timed out.
+/// The way in which a poll ended.
+enum PollOutcome {
+    /// The poll was answered, failed or timed out.
     Finished(PollResult),
-    /// Something else is wanted by now, or from another address.
+    /// The poll was dropped, because no poll, a fetch in place of a watch, or a poll of another address is wanted.
     Superseded,
 }
 
-/// Nobody needs the list any more: the dispatcher has ended.
-struct Stopped;
+/// The signal to stop the actor: the dispatcher has ended, so nothing needs the list any more.
+struct DispatcherStopped;
 
 impl EndpointListWatch {
-    /// Runs until the dispatcher ends.
+    /// Runs the actor until the dispatcher ends.
     pub async fn run(mut self, mut commands: mpsc::Receiver<EndpointListCommand>) {
-        // Where discovery must be polled, a known list is not fetched again: a watch gets what has changed since.
+        // Where discovery must be polled, a known list is not fetched again, because a watch returns what has changed
+        // since its revision.
         let fetch_wanted = !self.must_be_polled || self.table.revision.is_none();
         let mut state = WatchState {
             watch_wanted: !self.must_be_polled,
@@ -137,60 +146,61 @@
             reachability: Reachability::Reachable,
             late_poll: None,
         };
-        while self.step(&mut state, &mut commands).await.is_ok() {}
+        while self.run_once(&mut state, &mut commands).await.is_ok() {}
     }
 
-    /// Makes one poll and handles its answer. If no poll is wanted, handles the next command, change of address or late
-    /// answer.
-    async fn step(
+    /// Makes one poll and handles its result. If no poll is wanted, handles the next command, change of address or late
+    /// result instead.
+    async fn run_once(
         &mut self,
         state: &mut WatchState,
         commands: &mut mpsc::Receiver<EndpointListCommand>,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), DispatcherStopped> {
         if !state.poll_wanted() {
-            return self.wait(state, commands).await;
+            return self.handle_next_input(state, commands).await;
         }
         match self.poll(state, commands).await? {
-            PollEnd::Finished(Ok(document)) => {
+            PollOutcome::Finished(Ok(document)) => {
                 state.fetch_wanted = false;
                 state.late_poll = None;
-                self.apply(state, document).await
+                self.apply_document(state, document).await
             }
-            PollEnd::Finished(Err(problem)) => self.poll_failed(state, problem).await,
-            PollEnd::Superseded => Ok(()),
+            PollOutcome::Finished(Err(error)) => self.handle_poll_failure(state, error).await,
+            PollOutcome::Superseded => Ok(()),
         }
     }
 
-    /// Handles one command, change of address or late answer.
-    async fn wait(
+    /// Waits for one command, change of address or late result and handles it.
+    async fn handle_next_input(
         &mut self,
         state: &mut WatchState,
         commands: &mut mpsc::Receiver<EndpointListCommand>,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), DispatcherStopped> {
         tokio::select! {
-            command = commands.recv() => state.handle_command(command.ok_or(Stopped)?),
-            Ok(()) = self.discovery.changed() => self.address_changed(state),
-            late = state.late_answer() => self.apply_late(state, late).await?,
+            command = commands.recv() => state.handle_command(command.ok_or(DispatcherStopped)?),
+            Ok(()) = self.discovery.changed() => self.handle_address_change(state),
+            result = state.late_result() => self.apply_late_result(state, result).await?,
         }
         Ok(())
     }
 
-    /// Makes one poll. Where discovery must be polled, one that times out goes on in the background.
+    /// Makes one poll. Where discovery must be polled, a poll that times out continues in the background.
     async fn poll(
         &mut self,
         state: &mut WatchState,
         commands: &mut mpsc::Receiver<EndpointListCommand>,
-    ) -> Result<PollEnd, Stopped> {
+    ) -> Result<PollOutcome, DispatcherStopped> {
         let request = self.next_request(state);
         let mut poll = self.start_poll(&request);
         let timeout = tokio::time::sleep(request.timeout);
         tokio::pin!(timeout);
-        // A command that does not supersede the poll leaves it alone: starting it again would cost it twice.
+        // A command that does not supersede the poll leaves it in flight, because starting it again would double its
+        // cost.
         loop {
             tokio::select! {
                 (platform, result) = &mut poll => {
                     self.platform = platform;
-                    return Ok(PollEnd::Finished(result));
+                    return Ok(PollOutcome::Finished(result));
                 }
                 () = &mut timeout => {
                     if self.must_be_polled {
@@ -198,33 +208,38 @@
                     } else {
                         state.late_poll = None;
                     }
-                    return Ok(PollEnd::Finished(Err(PlatformError::Timeout)));
+                    return Ok(PollOutcome::Finished(Err(PlatformError::Timeout)));
                 }
-                command = commands.recv() => state.handle_command(command.ok_or(Stopped)?),
+                command = commands.recv() => state.handle_command(command.ok_or(DispatcherStopped)?),
                 Ok(()) = self.discovery.changed() => {
-                    self.address_changed(state);
-                    return Ok(PollEnd::Superseded);
+                    self.handle_address_change(state);
+                    return Ok(PollOutcome::Superseded);
                 }
-                late = state.late_answer() => self.apply_late(state, late).await?,
+                result = state.late_result() => self.apply_late_result(state, result).await?,
             }
             if request.is_superseded(state) {
-                return Ok(PollEnd::Superseded);
+                return Ok(PollOutcome::Superseded);
             }
         }
     }
 
     fn next_request(&self, state: &WatchState) -> PollRequest {
-        // Where discovery must be polled, a fetch may take as long as a watch: giving it up would waste its cost.
-        let (wait, answer_timeout, fetch_timeout) = if self.must_be_polled {
-            let longest = POLLED_WATCH_WAIT + POLLED_ANSWER_TIMEOUT;
-            (POLLED_WATCH_WAIT, POLLED_ANSWER_TIMEOUT, longest)
+        // Where discovery must be polled, a fetch may take as long as a watch, because giving it up would waste its
+        // cost.
+        let (max_wait, answer_timeout, fetch_timeout) = if self.must_be_polled {
+            let max_poll_duration = POLLED_MAX_WATCH_WAIT + POLLED_ANSWER_TIMEOUT;
+            (
+                POLLED_MAX_WATCH_WAIT,
+                POLLED_ANSWER_TIMEOUT,
+                max_poll_duration,
+            )
         } else {
-            (WATCH_WAIT, ANSWER_TIMEOUT, ANSWER_TIMEOUT)
+            (MAX_WATCH_WAIT, ANSWER_TIMEOUT, ANSWER_TIMEOUT)
         };
         match self.table.revision {
             Some(revision) if !state.fetch_wanted => PollRequest {
-                watch: Some((revision, wait)),
-                timeout: wait + answer_timeout,
+                watch: Some((revision, max_wait)),
+                timeout: max_wait + answer_timeout,
             },
             _ => PollRequest {
                 watch: None,
@@ -233,7 +248,8 @@
         }
     }
 
-    /// Starts a poll on the connection. A new one to the same address takes its place, until the poll returns it.
+    /// Starts a poll on the current connection, which the poll returns at its end. Until then a new connection to the
+    /// same address takes its place.
     fn start_poll(&mut self, request: &PollRequest) -> PollInFlight {
         let path = list_path(request.watch);
         let timeout = if self.must_be_polled {
@@ -241,83 +257,87 @@
         } else {
             request.timeout
         };
-        let substitute = self.platform.to_same_address();
-        let mut platform = std::mem::replace(&mut self.platform, substitute);
+        let replacement = self.platform.to_same_address();
+        let mut platform = std::mem::replace(&mut self.platform, replacement);
         Box::pin(async move {
             let answer = platform
                 .request(Method::GET, &path, Default::default(), timeout)
                 .await;
-            let result = answer.and_then(decode_list);
+            let result = answer.and_then(decode_document);
             (platform, result)
         })
     }
 
-    /// Applies a document to the table, and tells the dispatcher what has changed.
-    async fn apply(
+    /// Applies a document to the table and sends the resulting update to the dispatcher.
+    async fn apply_document(
         &mut self,
         state: &mut WatchState,
         document: EndpointListDocument,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), DispatcherStopped> {
         if state.reachability.set(Reachability::Reachable) {
             info!(self.log, "endpoint list received again"; "revision" => document.revision);
         }
         match self.table.apply(document, &self.names) {
-            Some(update) => self.send(update).await,
+            Some(update) => self.send_update(update).await,
             None => Ok(()),
         }
     }
 
-    /// Applies the answer to a poll that timed out, unless a later revision is known. The watch goes on from its
-    /// revision, so that discovery need not answer another poll for it.
-    async fn apply_late(
+    /// Applies the result of a poll that timed out, unless a later revision is known. The watch continues from the
+    /// revision of that result, so that discovery need not answer another poll for it.
+    async fn apply_late_result(
         &mut self,
         state: &mut WatchState,
         result: PollResult,
-    ) -> Result<(), Stopped> {
-        // The failure was reported when the poll timed out.
+    ) -> Result<(), DispatcherStopped> {
+        // The failure was already reported when the poll timed out.
         let Ok(document) = result else {
             return Ok(());
         };
-        let is_outdated = self
+        let is_older = self
             .table
             .revision
             .is_some_and(|known| known > document.revision);
-        if is_outdated {
+        if is_older {
             return Ok(());
         }
         state.watch_wanted = true;
-        self.apply(state, document).await
+        self.apply_document(state, document).await
     }
 
-    /// Logs the first failure in a row. Where discovery must be polled, the core decides when to poll again.
-    async fn poll_failed(
+    /// Logs the failure if the poll before it did not fail. Where discovery must be polled, reports the failure to the
+    /// core, which decides when to poll again.
+    async fn handle_poll_failure(
         &mut self,
         state: &mut WatchState,
-        problem: PlatformError,
-    ) -> Result<(), Stopped> {
+        error: PlatformError,
+    ) -> Result<(), DispatcherStopped> {
         if state.reachability.set(Reachability::Unreachable) {
-            warn!(self.log, "endpoint list poll failed"; "problem" => %problem);
+            warn!(self.log, "endpoint list poll failed"; "problem" => %error);
         }
         if self.must_be_polled {
             state.watch_wanted = false;
             state.fetch_wanted = false;
-            self.send(EndpointListUpdate::Failed).await?;
+            self.send_update(EndpointListUpdate::Failed).await?;
         }
-        // After a timeout there is no further pause: it would delay the news that endpoints are draining.
-        if !matches!(problem, PlatformError::Timeout) {
-            tokio::time::sleep(RETRY_INTERVAL).await;
+        // After a timeout there is no further delay: it would postpone the news that endpoints are draining.
+        if !matches!(error, PlatformError::Timeout) {
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         Ok(())
     }
 
-    async fn send(&self, update: EndpointListUpdate) -> Result<(), Stopped> {
+    async fn send_update(&self, update: EndpointListUpdate) -> Result<(), DispatcherStopped> {
         let event = DispatcherCommand::Event(Event::EndpointListUpdated(update));
-        self.dispatcher.send(event).await.map_err(|_| Stopped)
+        self.dispatcher
+            .send(event)
+            .await
+            .map_err(|_| DispatcherStopped)
     }
 
-    /// Goes on at the new address. It counts revisions of its own, so that the complete list is fetched there. Until it
-    /// is known, the list from the old address stays.
-    fn address_changed(&mut self, state: &mut WatchState) {
+    /// Switches to the agent's new address. The agent there counts its own revisions, so the complete list is fetched
+    /// again. The list from the previous address stays in use until then.
+    fn handle_address_change(&mut self, state: &mut WatchState) {
         let address = *self.discovery.borrow_and_update();
         self.platform.move_to(address);
         self.table.revision = None;
@@ -326,7 +346,7 @@
     }
 }
 
-fn decode_list(answer: PlatformAnswer) -> PollResult {
+fn decode_document(answer: PlatformAnswer) -> PollResult {
     if answer.status != StatusCode::OK {
         return Err(PlatformError::Status(answer.status));
     }
