--- a/crates/forwarder/src/completion_reports/golden_tests.rs
+++ b/crates/forwarder/src/completion_reports/golden_tests.rs
@@ -8,9 +8,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const WITHIN: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn completion(serial: usize, input: &Value) -> PendingCompletionReport {
+fn pending_report(serial: usize, input: &Value) -> PendingCompletionReport {
     let ending = match input["ending"].as_str() {
         Some("failed") => Ending::Failed,
         Some("rejected") => Ending::Rejected {
@@ -40,7 +40,7 @@
                 return request;
             }
         }
-        let read = tokio::time::timeout(WITHIN, stream.read_buf(&mut bytes)).await;
+        let read = tokio::time::timeout(REQUEST_TIMEOUT, stream.read_buf(&mut bytes)).await;
         assert_ne!(
             read.expect("in time").expect("readable"),
             0,
@@ -50,25 +50,27 @@
 }
 
 /// The bytes of the completion report, and the serial numbers that count as acknowledged after the platform's answer.
-async fn reported(input: &Value) -> Value {
+async fn exchange(input: &Value) -> Value {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
-    let (_moves, discovery) = watch::channel(address);
-    let (dispatcher, mut acknowledged) = mpsc::channel(4);
-    let (mailbox, completions) = mpsc::unbounded_channel();
-    for (serial, end) in input["ends"].as_array().expect("ends").iter().enumerate() {
-        mailbox.send(completion(serial, end)).expect("it is open");
+    let (_address_sender, agent_address) = watch::channel(address);
+    let (dispatcher, mut commands) = mpsc::channel(4);
+    let (mailbox, pending_reports) = mpsc::unbounded_channel();
+    for (serial, report) in input["ends"].as_array().expect("ends").iter().enumerate() {
+        mailbox
+            .send(pending_report(serial, report))
+            .expect("it is open");
     }
-    let platform = Platform::new(address);
+    let platform = PlatformClient::new(address);
     let log = Logger::root(slog::Discard, slog::o!());
     tokio::spawn(
-        CompletionReports {
+        CompletionReporter {
             platform,
-            discovery,
+            agent_address,
             dispatcher,
             log,
         }
-        .run(completions),
+        .run(pending_reports),
     );
     let mut requests = Vec::new();
     for answer in input["answers"].as_array().expect("answers") {
@@ -87,19 +89,19 @@
         stream.write_all(answer.as_bytes()).await.expect("answered");
     }
     let mut serials = Vec::new();
-    while let Ok(Some(DispatcherCommand::CompletionReportsAcknowledged(some))) =
-        tokio::time::timeout(Duration::from_millis(100), acknowledged.recv()).await
+    while let Ok(Some(DispatcherCommand::CompletionReportsAcknowledged(acknowledged_serials))) =
+        tokio::time::timeout(Duration::from_millis(100), commands.recv()).await
     {
-        serials.extend(some);
+        serials.extend(acknowledged_serials);
     }
     json!({ "requests": requests, "acknowledged": serials })
 }
 
 #[tokio::test]
-async fn completion_reports_go_out_as_recorded() {
+async fn sends_completion_reports_as_recorded() {
     let mut golden = GoldenCases::read("completion-reports.json");
     for input in golden.inputs() {
-        golden.compare_next(reported(&input).await);
+        golden.compare_next(exchange(&input).await);
     }
     golden.finish();
 }
--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -39,7 +39,7 @@
 use tokio::time::Instant;
 
 /// How long after the start the messages of a previous run wait for an endpoint list, where none is known.
-const LIST_WAIT: Duration = Duration::from_millis(1000);
+const RECOVERY_LIST_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// The actor around the decision core.
 pub struct Dispatcher {
@@ -49,24 +49,24 @@
     forwarder: Forwarder,
     core_state: CoreState,
     /// How often the core was replaced in this process. Panics while it is being replaced don't count.
-    core_panics: u64,
+    core_replacements: u64,
     journal: Journal,
-    list: mpsc::Sender<EndpointListCommand>,
+    list_watch: mpsc::Sender<EndpointListCommand>,
     completion_reports: mpsc::UnboundedSender<PendingCompletionReport>,
     gossip: mpsc::Sender<GossipDatagram>,
     log: Logger,
-    /// Whether clients may submit. See [`DispatcherHandles::ready`].
+    /// Whether clients may submit. See [`ActorHandles::ready`].
     ready: Arc<AtomicBool>,
     in_flight: InFlightMessages,
     /// The destinations that any endpoint list has named. Its size is bounded by the number of destinations.
     known_destinations: BTreeSet<DestinationId>,
     /// The endpoints of the latest list, and removed ones that still have an attempt out.
-    listed: BTreeMap<EndpointId, ListedEndpoint>,
+    listed_endpoints: BTreeMap<EndpointId, ListedEndpoint>,
     endpoint_actors: EndpointActors,
     timers: Timers,
     /// Events that arose while actions were carried out. Empty between two commands.
     queued_events: VecDeque<Event>,
-    /// The messages of a previous run, until an endpoint list is known or [`LIST_WAIT`] is over.
+    /// The messages of a previous run, until an endpoint list is known or [`RECOVERY_LIST_TIMEOUT`] is over.
     recovered_messages: Option<Vec<StoredMessage>>,
     /// The completion reports that the platform has not acknowledged, by serial number. The value is the id of the
     /// message where its key is ordered: the core then waits for the acknowledgement.
@@ -90,11 +90,11 @@
 }
 
 /// The other actors that the dispatcher sends to.
-pub struct DispatcherHandles {
+pub struct ActorHandles {
     /// What all endpoint actors share.
     pub context: Arc<EndpointContext>,
     /// The mailbox of the endpoint-list watch.
-    pub list: mpsc::Sender<EndpointListCommand>,
+    pub list_watch: mpsc::Sender<EndpointListCommand>,
     /// The mailbox of the completion reports.
     pub completion_reports: mpsc::UnboundedSender<PendingCompletionReport>,
     /// The mailbox of the gossip socket.
@@ -111,7 +111,7 @@
         seed: u64,
         clock: Clock,
         journal: Journal,
-        handles: DispatcherHandles,
+        handles: ActorHandles,
         log: Logger,
     ) -> Dispatcher {
         Dispatcher {
@@ -121,16 +121,16 @@
             config,
             seed,
             core_state: CoreState::Running,
-            core_panics: 0,
+            core_replacements: 0,
             journal,
-            list: handles.list,
+            list_watch: handles.list_watch,
             completion_reports: handles.completion_reports,
             gossip: handles.gossip,
             log,
             ready: handles.ready,
             in_flight: InFlightMessages::default(),
             known_destinations: BTreeSet::new(),
-            listed: BTreeMap::new(),
+            listed_endpoints: BTreeMap::new(),
             timers: Timers::default(),
             queued_events: VecDeque::new(),
             recovered_messages: None,
@@ -148,14 +148,14 @@
     ) {
         tokio::pin!(exit);
         let mut shutting_down = false;
-        let list_wait_over = Instant::now() + LIST_WAIT;
+        let recovery_list_deadline = Instant::now() + RECOVERY_LIST_TIMEOUT;
         loop {
             if shutting_down && self.has_nothing_in_flight() {
                 return;
             }
-            let next_timer = self.timers.next().map(|at| self.clock.at(at));
-            let next_idle_check = self.endpoint_actors.next_idle_check();
-            let next_idle_check = next_idle_check.map(|at| self.clock.at(at));
+            let next_timer_at = self.timers.next_at().map(|at| self.clock.at(at));
+            let next_idle_check_at = self.endpoint_actors.next_idle_check_at();
+            let next_idle_check_at = next_idle_check_at.map(|at| self.clock.at(at));
             tokio::select! {
                 biased;
                 () = &mut exit => return,
@@ -163,21 +163,21 @@
                     shutting_down |= matches!(command, DispatcherCommand::Event(Event::ShuttingDown));
                     self.handle_command(command);
                 }
-                () = sleep_until(next_timer) => self.fire_timers(),
-                () = sleep_until(next_idle_check) => {
+                () = sleep_until(next_timer_at) => self.fire_timers(),
+                () = sleep_until(next_idle_check_at) => {
                     self.endpoint_actors.stop_idle(self.clock.now());
                 }
-                () = tokio::time::sleep_until(list_wait_over), if self.recovered_messages.is_some() => {
+                () = tokio::time::sleep_until(recovery_list_deadline), if self.recovered_messages.is_some() => {
                     self.submit_recovered_messages();
                 }
-                Some(submission) = submissions.recv() => self.submit(submission),
+                Some(submission) = submissions.recv() => self.handle_submission(submission),
             }
         }
     }
 
     /// Whether neither an attempt nor a completion report is in flight.
     fn has_nothing_in_flight(&self) -> bool {
-        !self.in_flight.has_attempts_out() && self.pending_reports.is_empty()
+        !self.in_flight.has_outstanding_attempts() && self.pending_reports.is_empty()
     }
 
     /// Handles one message of another actor.
@@ -188,11 +188,11 @@
             }
             DispatcherCommand::Event(mut event) => {
                 self.record_attempt_end(&mut event);
-                self.handle(event);
+                self.handle_event(event);
             }
             DispatcherCommand::CompletionReportsAcknowledged(serials) => {
                 for serial in serials {
-                    self.report_acknowledged(serial);
+                    self.handle_report_acknowledgement(serial);
                 }
             }
         }
@@ -202,53 +202,53 @@
     fn fire_timers(&mut self) {
         let now = self.clock.now();
         while let Some(token) = self.timers.pop_due(now) {
-            self.handle(Event::TimerFired { token });
+            self.handle_event(Event::TimerFired { token });
         }
     }
 
     /// Gives the core an event, and then those that carrying out its actions has queued.
-    fn handle(&mut self, event: Event) {
-        self.decide(event);
+    fn handle_event(&mut self, event: Event) {
+        self.process_event(event);
         self.handle_queued_events();
     }
 
     fn handle_queued_events(&mut self) {
         while let Some(event) = self.queued_events.pop_front() {
-            self.decide(event);
+            self.process_event(event);
         }
     }
 
     /// Gives the core one event and carries out its actions.
-    fn decide(&mut self, event: Event) {
-        let Decision { now, actions } = self.ask_core(event);
+    fn process_event(&mut self, event: Event) {
+        let Decision { now, actions } = self.call_core(event);
         for action in actions {
-            self.carry_out(now, action);
+            self.execute_action(now, action);
         }
     }
 
     /// Gives the core one event. There are no actions where the core panicked.
-    fn ask_core(&mut self, event: Event) -> Decision {
+    fn call_core(&mut self, event: Event) -> Decision {
         let now = self.clock.now();
-        let submitted = match &event {
+        let submitted_id = match &event {
             Event::MessageSubmitted(submission) => Some(submission.id),
             _ => None,
         };
         let mut actions = Vec::new();
         let forwarder = &mut self.forwarder;
-        let handled = catch_unwind(AssertUnwindSafe(|| {
+        let result = catch_unwind(AssertUnwindSafe(|| {
             forwarder.handle(now, event, &mut actions);
         }));
-        if handled.is_err() {
+        if result.is_err() {
             actions = Vec::new();
-            self.core_panicked(submitted);
+            self.handle_core_panic(submitted_id);
         }
         Decision { now, actions }
     }
 
     /// The dispatcher goes on after a failed write. Stopping would lose the messages that are already accepted.
     fn log_journal_error(&self, result: Result<(), JournalError>) {
-        if let Err(problem) = result {
-            error!(self.log, "journal write failed"; "problem" => %problem);
+        if let Err(error) = result {
+            error!(self.log, "journal write failed"; "problem" => %error);
         }
     }
 }
--- a/crates/forwarder/src/dispatcher/actions.rs
+++ b/crates/forwarder/src/dispatcher/actions.rs
@@ -8,7 +8,7 @@
 
 impl Dispatcher {
     /// Carries out one action that the core decided on at `now`.
-    pub(super) fn carry_out(&mut self, now: Micros, action: Action) {
+    pub(super) fn execute_action(&mut self, now: Micros, action: Action) {
         match action {
             Action::StartAttempt {
                 id,
@@ -16,18 +16,21 @@
                 timeout,
                 send_by,
             } => self.start_attempt(now, id, endpoint, timeout, send_by),
-            Action::Fail { id } => self.finish_with_report(id, Ending::Failed),
+            Action::Fail { id } => self.end_with_report(id, Ending::Failed),
             Action::Reject { id, retry_after } => {
-                self.finish_with_report(id, Ending::Rejected { retry_after });
+                self.end_with_report(id, Ending::Rejected { retry_after });
             }
             Action::SetTimer { delay, token } => self.timers.set(now + delay, token),
             Action::StartHealthCheck { endpoint } => self.start_health_check(endpoint),
             Action::CancelAttempt { id, attempt_index } => self.cancel_attempt(id, attempt_index),
             Action::WithdrawUnsent { endpoint } => {
-                self.post_if_running(endpoint, EndpointCommand::WithdrawUnsent);
+                self.send_endpoint_command_if_running(endpoint, EndpointCommand::WithdrawUnsent);
             }
             Action::CloseIdleConnections { endpoint } => {
-                self.post_if_running(endpoint, EndpointCommand::CloseIdleConnections);
+                self.send_endpoint_command_if_running(
+                    endpoint,
+                    EndpointCommand::CloseIdleConnections,
+                );
             }
             Action::WatchEndpointList { enabled } => {
                 self.send_list_command(if enabled {
@@ -41,12 +44,12 @@
                 self.send_gossip(GossipDatagram { peer, payload });
             }
             Action::Log(event) => log_events::write(&self.log, &event),
-            Action::LogError(text) => error!(self.log, "{}", text),
+            Action::LogError(message) => error!(self.log, "{}", message),
         }
     }
 
     fn start_health_check(&mut self, endpoint: EndpointId) {
-        if self.post(endpoint, EndpointCommand::StartHealthCheck) {
+        if self.send_endpoint_command(endpoint, EndpointCommand::StartHealthCheck) {
             return;
         }
         self.queued_events.push_back(Event::HealthCheckEnded {
@@ -59,7 +62,7 @@
 
     /// A full mailbox counts as a failed poll: the core polls again later. An ended receiver gives the same result.
     fn send_list_command(&mut self, command: EndpointListCommand) {
-        if self.list.try_send(command).is_err() {
+        if self.list_watch.try_send(command).is_err() {
             let failed = Event::EndpointListUpdated(EndpointListUpdate::Failed);
             self.queued_events.push_back(failed);
         }
@@ -74,18 +77,22 @@
 
     /// Sends a command to an endpoint's actor, which is started if none runs. False where the endpoint is not listed
     /// or its mailbox is full.
-    pub(super) fn post(&mut self, endpoint: EndpointId, command: EndpointCommand) -> bool {
-        if !self.listed.contains_key(&endpoint) {
+    pub(super) fn send_endpoint_command(
+        &mut self,
+        endpoint: EndpointId,
+        command: EndpointCommand,
+    ) -> bool {
+        if !self.listed_endpoints.contains_key(&endpoint) {
             return false;
         }
         let now = self.clock.now();
-        self.endpoint_actors.post(now, endpoint, command)
+        self.endpoint_actors.send_command(now, endpoint, command)
     }
 
     /// Sends a command only to an actor that runs: an endpoint without one has neither attempts nor connections.
-    fn post_if_running(&mut self, endpoint: EndpointId, command: EndpointCommand) {
+    fn send_endpoint_command_if_running(&mut self, endpoint: EndpointId, command: EndpointCommand) {
         if self.endpoint_actors.is_running(endpoint) {
-            self.post(endpoint, command);
+            self.send_endpoint_command(endpoint, command);
         }
     }
 }
--- a/crates/forwarder/src/dispatcher/attempts.rs
+++ b/crates/forwarder/src/dispatcher/attempts.rs
@@ -19,7 +19,10 @@
         timeout: Option<Micros>,
         send_by: Micros,
     ) {
-        let zone = self.listed.get(&endpoint).map_or(0, |listed| listed.zone.0);
+        let zone = self
+            .listed_endpoints
+            .get(&endpoint)
+            .map_or(0, |listed| listed.zone.0);
         let send_by = self.clock.at(send_by);
         let Some(message) = self.in_flight.get_undecided(id) else {
             error!(self.log, "the core sent a message that is over"; "message" => id.0);
@@ -27,29 +30,34 @@
         };
         let time_left = message.deadline.saturating_sub(now);
         let timeout = timeout.map_or(time_left, |timeout| timeout.min(time_left));
-        let attempt = message.count_attempt();
-        let request = attempt_request(id, attempt, message, timeout, send_by);
+        let attempt_index = message.take_attempt_index();
+        let request = attempt_request(id, attempt_index, message, timeout, send_by);
         let serial = message.serial;
-        let out = OutstandingAttempt { attempt, endpoint };
-        let journalled = self.journal.attempt_started(serial, attempt, now, zone);
-        if journalled.is_err() {
-            self.log_journal_error(journalled);
-            self.queue_not_attempted(id, out);
+        let outstanding = OutstandingAttempt {
+            attempt_index,
+            endpoint,
+        };
+        let start_written = self
+            .journal
+            .attempt_started(serial, attempt_index, now, zone);
+        if start_written.is_err() {
+            self.log_journal_error(start_written);
+            self.queue_not_attempted(id, outstanding);
             return;
         }
-        if self.post(endpoint, EndpointCommand::StartAttempt(Box::new(request))) {
-            self.attempt_is_out(id, out);
+        if self.send_endpoint_command(endpoint, EndpointCommand::StartAttempt(Box::new(request))) {
+            self.record_attempt_start(id, outstanding);
             return;
         }
-        let ended = self.journal.attempt_ended(serial, attempt, false);
-        self.log_journal_error(ended);
-        self.queue_not_attempted(id, out);
+        let end_written = self.journal.attempt_ended(serial, attempt_index, false);
+        self.log_journal_error(end_written);
+        self.queue_not_attempted(id, outstanding);
     }
 
-    fn attempt_is_out(&mut self, id: MessageId, attempt: OutstandingAttempt) {
+    fn record_attempt_start(&mut self, id: MessageId, attempt: OutstandingAttempt) {
         self.endpoint_actors.attempt_started(attempt.endpoint);
         if let Some(message) = self.in_flight.get_mut(id) {
-            message.attempts_out.push(attempt);
+            message.outstanding_attempts.push(attempt);
         }
     }
 
@@ -57,7 +65,7 @@
     fn queue_not_attempted(&mut self, id: MessageId, attempt: OutstandingAttempt) {
         self.queued_events.push_back(Event::AttemptEnded {
             id,
-            attempt_index: attempt.attempt,
+            attempt_index: attempt.attempt_index,
             endpoint: attempt.endpoint,
             outcome: Outcome::NotAttempted { no_permit: false },
             elapsed: 0,
@@ -68,8 +76,8 @@
 
     /// Asks the endpoint's actor to end an attempt, if it is out.
     pub(super) fn cancel_attempt(&mut self, id: MessageId, attempt_index: u8) {
-        if let Some(endpoint) = self.in_flight.endpoint_of(id, attempt_index) {
-            self.post(
+        if let Some(endpoint) = self.in_flight.endpoint_of_attempt(id, attempt_index) {
+            self.send_endpoint_command(
                 endpoint,
                 EndpointCommand::CancelAttempt { id, attempt_index },
             );
@@ -90,16 +98,16 @@
         else {
             return;
         };
-        let late = self
+        let is_late = self
             .in_flight
             .get(*id)
             .is_some_and(|message| self.clock.now() >= message.deadline);
-        if late && *outcome == Outcome::Delivered {
+        if is_late && *outcome == Outcome::Delivered {
             *message_completed = false;
         }
         let now = self.clock.now();
         self.endpoint_actors.attempt_ended(now, *endpoint);
-        self.forget_if_removed(*endpoint);
+        self.purge_if_removed(*endpoint);
         self.journal_attempt_end(*id, *attempt_index, *outcome, *message_completed);
     }
 
@@ -114,10 +122,10 @@
             return;
         };
         message
-            .attempts_out
-            .retain(|out| out.attempt != attempt_index);
+            .outstanding_attempts
+            .retain(|attempt| attempt.attempt_index != attempt_index);
         let serial = message.serial;
-        let written = if message.ending_decided {
+        let end_written = if message.ending_decided {
             Ok(())
         } else if message_completed {
             message.ending_decided = true;
@@ -130,8 +138,8 @@
             self.journal
                 .attempt_ended(serial, attempt_index, may_have_taken_effect)
         };
-        self.log_journal_error(written);
-        self.in_flight.remove_if_over(id);
+        self.log_journal_error(end_written);
+        self.in_flight.remove_if_finished(id);
     }
 }
 
--- a/crates/forwarder/src/dispatcher/endpoint_list.rs
+++ b/crates/forwarder/src/dispatcher/endpoint_list.rs
@@ -52,56 +52,56 @@
     pub(super) fn update_endpoint_list(&mut self, update: EndpointListUpdate) {
         match &update {
             EndpointListUpdate::Complete(entries) | EndpointListUpdate::Cached(entries) => {
-                self.replace_endpoint_list(entries);
+                self.replace_list(entries);
             }
-            EndpointListUpdate::Changes(entries) => self.change_endpoint_list(entries),
+            EndpointListUpdate::Changes(entries) => self.apply_list_changes(entries),
             EndpointListUpdate::Failed => {}
         }
-        self.handle(Event::EndpointListUpdated(update));
+        self.handle_event(Event::EndpointListUpdated(update));
         self.submit_recovered_messages();
     }
 
     /// Both tables are built from the complete sorted list, which fills their nodes. Inserting one entry at a time
     /// would take twice the memory.
-    fn replace_endpoint_list(&mut self, entries: &[EndpointEntry]) {
+    fn replace_list(&mut self, entries: &[EndpointEntry]) {
         let mut destinations = entries.iter().map(|entry| entry.destination).collect();
         self.known_destinations.append(&mut destinations);
-        let now_listed = entries
+        let current = entries
             .iter()
             .map(|entry| (entry.endpoint, ListedEndpoint::from(entry)))
             .collect();
-        let listed_before = std::mem::replace(&mut self.listed, now_listed);
-        for (endpoint, listed) in listed_before {
-            if let Entry::Vacant(missing) = self.listed.entry(endpoint) {
-                missing.insert(ListedEndpoint {
+        let previous = std::mem::replace(&mut self.listed_endpoints, current);
+        for (endpoint, listed) in previous {
+            if let Entry::Vacant(vacant) = self.listed_endpoints.entry(endpoint) {
+                vacant.insert(ListedEndpoint {
                     status: EndpointStatus::Removed,
                     ..listed
                 });
-                self.forget_if_removed(endpoint);
+                self.purge_if_removed(endpoint);
             }
         }
         for entry in entries {
-            self.forget_if_removed(entry.endpoint);
+            self.purge_if_removed(entry.endpoint);
         }
     }
 
     /// The work is proportional to the changes, not to the list.
-    fn change_endpoint_list(&mut self, entries: &[EndpointEntry]) {
+    fn apply_list_changes(&mut self, entries: &[EndpointEntry]) {
         for entry in entries {
             self.known_destinations.insert(entry.destination);
-            self.listed.insert(entry.endpoint, entry.into());
-            self.forget_if_removed(entry.endpoint);
+            self.listed_endpoints.insert(entry.endpoint, entry.into());
+            self.purge_if_removed(entry.endpoint);
         }
     }
 
     /// Forgets an endpoint that has left the list, once no attempt is out to it.
-    pub(super) fn forget_if_removed(&mut self, endpoint: EndpointId) {
+    pub(super) fn purge_if_removed(&mut self, endpoint: EndpointId) {
         let removed = self
-            .listed
+            .listed_endpoints
             .get(&endpoint)
             .is_some_and(|listed| listed.status == EndpointStatus::Removed);
-        if removed && self.endpoint_actors.attempts_out(endpoint) == 0 {
-            self.listed.remove(&endpoint);
+        if removed && self.endpoint_actors.outstanding_attempts(endpoint) == 0 {
+            self.listed_endpoints.remove(&endpoint);
             self.endpoint_actors.stop(endpoint);
         }
     }
--- a/crates/forwarder/src/dispatcher/endpoints.rs
+++ b/crates/forwarder/src/dispatcher/endpoints.rs
@@ -17,7 +17,7 @@
 
 /// Commands in an actor's mailbox beyond those: health checks, closing of connections, withdrawals after a change of
 /// the endpoint list.
-const OTHER_COMMANDS: usize = 64;
+const COMMANDS_WITHOUT_PERMIT: usize = 64;
 
 /// How long a health check may take, in connect timeouts: `HEALTH_CHECK_TIMEOUT_FACTOR` of the endpoint's actor (1.5),
 /// rounded up.
@@ -25,9 +25,9 @@
 
 struct RunningActor {
     mailbox: mpsc::Sender<EndpointCommand>,
-    attempts_out: usize,
+    outstanding_attempts: usize,
     /// When the latest command was sent there, or the latest attempt ended, in µs.
-    last_used: Micros,
+    last_used_at: Micros,
     /// When it is next checked for being idle, in µs.
     idle_check_at: Micros,
 }
@@ -46,14 +46,15 @@
 impl EndpointActors {
     /// No actors. `concurrency_limit` is the number of attempts that may be out at once.
     pub fn new(context: Arc<EndpointContext>, concurrency_limit: u32) -> EndpointActors {
-        let mailbox_capacity = COMMANDS_PER_PERMIT * concurrency_limit as usize + OTHER_COMMANDS;
+        let mailbox_capacity =
+            COMMANDS_PER_PERMIT * concurrency_limit as usize + COMMANDS_WITHOUT_PERMIT;
         // By then every idle connection is retired and every health check is over.
-        let connections = &context.config;
-        let health_check =
-            HEALTH_CHECK_CONNECT_TIMEOUTS.saturating_mul(connections.connect_timeout);
-        let idle_timeout = connections
+        let config = &context.config;
+        let health_check_timeout =
+            HEALTH_CHECK_CONNECT_TIMEOUTS.saturating_mul(config.connect_timeout);
+        let idle_timeout = config
             .connection_idle_timeout
-            .saturating_add(health_check);
+            .saturating_add(health_check_timeout);
         EndpointActors {
             context,
             mailbox_capacity,
@@ -64,19 +65,24 @@
     }
 
     /// Sends a command to the endpoint's actor, which is started if none runs. False where its mailbox is full.
-    pub fn post(&mut self, now: Micros, endpoint: EndpointId, command: EndpointCommand) -> bool {
+    pub fn send_command(
+        &mut self,
+        now: Micros,
+        endpoint: EndpointId,
+        command: EndpointCommand,
+    ) -> bool {
         let (context, capacity) = (&self.context, self.mailbox_capacity);
         let idle_check_at = now.saturating_add(self.idle_timeout);
         let actor = self.running.entry(endpoint).or_insert_with(|| {
             self.idle_checks.insert((idle_check_at, endpoint));
             RunningActor {
                 mailbox: start_actor(endpoint, context, capacity),
-                attempts_out: 0,
-                last_used: now,
+                outstanding_attempts: 0,
+                last_used_at: now,
                 idle_check_at,
             }
         });
-        actor.last_used = now;
+        actor.last_used_at = now;
         let sent = match actor.mailbox.try_send(command) {
             // The actor has ended without reading the command: a new one gets it.
             Err(TrySendError::Closed(command)) => {
@@ -85,9 +91,9 @@
             }
             sent => sent,
         };
-        if let Err(problem) = &sent {
+        if let Err(error) = &sent {
             error!(context.log, "endpoint command dropped";
-                "endpoint" => %address(endpoint), "problem" => %problem);
+                "endpoint" => %address(endpoint), "problem" => %error);
         }
         sent.is_ok()
     }
@@ -100,23 +106,23 @@
     /// Counts an attempt that was sent to the endpoint's actor.
     pub fn attempt_started(&mut self, endpoint: EndpointId) {
         if let Some(actor) = self.running.get_mut(&endpoint) {
-            actor.attempts_out += 1;
+            actor.outstanding_attempts += 1;
         }
     }
 
     /// Counts an attempt whose outcome the endpoint's actor has reported.
     pub fn attempt_ended(&mut self, now: Micros, endpoint: EndpointId) {
         if let Some(actor) = self.running.get_mut(&endpoint) {
-            actor.attempts_out = actor.attempts_out.saturating_sub(1);
-            actor.last_used = now;
+            actor.outstanding_attempts = actor.outstanding_attempts.saturating_sub(1);
+            actor.last_used_at = now;
         }
     }
 
     /// How many attempts are out to the endpoint.
-    pub fn attempts_out(&self, endpoint: EndpointId) -> usize {
+    pub fn outstanding_attempts(&self, endpoint: EndpointId) -> usize {
         self.running
             .get(&endpoint)
-            .map_or(0, |actor| actor.attempts_out)
+            .map_or(0, |actor| actor.outstanding_attempts)
     }
 
     /// Stops the endpoint's actor. It finishes the commands that it has.
@@ -127,38 +133,38 @@
     }
 
     /// When [`EndpointActors::stop_idle`] is due next, in µs.
-    pub fn next_idle_check(&self) -> Option<Micros> {
-        self.idle_checks.first().map(|(at, _)| *at)
+    pub fn next_idle_check_at(&self) -> Option<Micros> {
+        self.idle_checks.first().map(|(due_at, _)| *due_at)
     }
 
     /// Stops the actors that were not used for the idle timeout.
     pub fn stop_idle(&mut self, now: Micros) {
-        while let Some(endpoint) = self.pop_due_check(now) {
+        while let Some(endpoint) = self.pop_due_idle_check(now) {
             let Some(actor) = self.running.get_mut(&endpoint) else {
                 continue;
             };
-            let idle_since = if actor.attempts_out > 0 {
+            let idle_since = if actor.outstanding_attempts > 0 {
                 now
             } else {
-                actor.last_used
+                actor.last_used_at
             };
-            let idle_until = idle_since.saturating_add(self.idle_timeout);
-            if idle_until <= now {
+            let idle_timeout_at = idle_since.saturating_add(self.idle_timeout);
+            if idle_timeout_at <= now {
                 self.running.remove(&endpoint);
             } else {
-                actor.idle_check_at = idle_until;
-                self.idle_checks.insert((idle_until, endpoint));
+                actor.idle_check_at = idle_timeout_at;
+                self.idle_checks.insert((idle_timeout_at, endpoint));
             }
         }
     }
 
     /// Removes the earliest idle check, if it is due at `now`.
-    fn pop_due_check(&mut self, now: Micros) -> Option<EndpointId> {
-        let (at, endpoint) = self.idle_checks.first().copied()?;
-        if at > now {
+    fn pop_due_idle_check(&mut self, now: Micros) -> Option<EndpointId> {
+        let (due_at, endpoint) = self.idle_checks.first().copied()?;
+        if due_at > now {
             return None;
         }
-        self.idle_checks.remove(&(at, endpoint));
+        self.idle_checks.remove(&(due_at, endpoint));
         Some(endpoint)
     }
 }
--- a/crates/forwarder/src/dispatcher/endpoints/tests.rs
+++ b/crates/forwarder/src/dispatcher/endpoints/tests.rs
@@ -9,9 +9,10 @@
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 
-const IDLE_CLOSED_AFTER: Micros = 5_000_000;
-const CONNECT_WITHIN: Micros = 1_000_000;
-const IDLE_TIMEOUT: Micros = IDLE_CLOSED_AFTER + HEALTH_CHECK_CONNECT_TIMEOUTS * CONNECT_WITHIN;
+const CONNECTION_IDLE_TIMEOUT: Micros = 5_000_000;
+const CONNECT_TIMEOUT: Micros = 1_000_000;
+const IDLE_TIMEOUT: Micros =
+    CONNECTION_IDLE_TIMEOUT + HEALTH_CHECK_CONNECT_TIMEOUTS * CONNECT_TIMEOUT;
 const CONCURRENCY_LIMIT: u32 = 8;
 
 fn actors() -> (EndpointActors, mpsc::Receiver<DispatcherCommand>) {
@@ -19,8 +20,8 @@
     let (classes, tenants, zones, kinds, reports) = Default::default();
     let context = EndpointContext {
         config: ConnectionConfig {
-            connection_idle_timeout: IDLE_CLOSED_AFTER,
-            connect_timeout: CONNECT_WITHIN,
+            connection_idle_timeout: CONNECTION_IDLE_TIMEOUT,
+            connect_timeout: CONNECT_TIMEOUT,
         },
         names: Names {
             classes,
@@ -39,11 +40,11 @@
     )
 }
 
-fn endpoint(number: u32) -> EndpointId {
+fn endpoint(incarnation: u32) -> EndpointId {
     EndpointId {
         address: [127, 0, 0, 1],
         port: 9,
-        incarnation: number,
+        incarnation,
     }
 }
 
@@ -59,69 +60,75 @@
     }))
 }
 
-fn running_tasks() -> usize {
+fn running_task_count() -> usize {
     tokio::runtime::Handle::current()
         .metrics()
         .num_alive_tasks()
 }
 
 /// Lets the actors run until so many tasks are left.
-async fn run_until_tasks(wanted: usize) {
+async fn run_until_task_count(expected: usize) {
     for _ in 0..1_000 {
-        if running_tasks() == wanted {
+        if running_task_count() == expected {
             return;
         }
         tokio::task::yield_now().await;
     }
-    panic!("{} tasks instead of {wanted}", running_tasks());
+    panic!("{} tasks instead of {expected}", running_task_count());
 }
 
 /// Of 91,000 endpoints, each used once in 455 s, no more actors run than endpoints were used in one idle timeout.
 #[tokio::test]
-async fn actors_follow_the_endpoints_in_use_and_not_those_ever_used() {
+async fn stops_actors_of_endpoints_unused_for_idle_timeout() {
     const USES: u32 = 91_000;
     const USE_INTERVAL: Micros = 5_000; // µs
     let (mut actors, _commands) = actors();
-    let most = (IDLE_TIMEOUT / USE_INTERVAL) as usize;
-    for used in 0..USES {
-        let now = Micros::from(used) * USE_INTERVAL;
+    let max_running = (IDLE_TIMEOUT / USE_INTERVAL) as usize;
+    for use_index in 0..USES {
+        let now = Micros::from(use_index) * USE_INTERVAL;
         actors.stop_idle(now);
-        assert!(actors.post(now, endpoint(used), EndpointCommand::CloseIdleConnections));
-        assert!(actors.running.len() <= most && actors.idle_checks.len() == actors.running.len());
-        if used % 1_000 == 0 {
-            run_until_tasks(actors.running.len()).await;
+        assert!(actors.send_command(
+            now,
+            endpoint(use_index),
+            EndpointCommand::CloseIdleConnections
+        ));
+        assert!(
+            actors.running.len() <= max_running && actors.idle_checks.len() == actors.running.len()
+        );
+        if use_index % 1_000 == 0 {
+            run_until_task_count(actors.running.len()).await;
         }
     }
-    assert_eq!(actors.running.len(), most);
+    assert_eq!(actors.running.len(), max_running);
     actors.stop_idle(Micros::from(USES) * USE_INTERVAL + IDLE_TIMEOUT);
     assert!(actors.running.is_empty() && actors.idle_checks.is_empty());
-    run_until_tasks(0).await;
+    run_until_task_count(0).await;
 }
 
 /// An actor with an attempt out runs on, however long that takes. Its idle timeout counts from the end of the attempt.
 #[tokio::test]
-async fn an_actor_with_an_attempt_out_runs_on() {
+async fn keeps_actor_with_outstanding_attempt_running() {
     let (mut actors, _commands) = actors();
-    assert!(actors.post(0, endpoint(1), EndpointCommand::CloseIdleConnections));
+    assert!(actors.send_command(0, endpoint(1), EndpointCommand::CloseIdleConnections));
     actors.attempt_started(endpoint(1));
     actors.stop_idle(10 * IDLE_TIMEOUT);
     assert!(actors.is_running(endpoint(1)));
-    let ended = 10 * IDLE_TIMEOUT + 1;
-    actors.attempt_ended(ended, endpoint(1));
-    actors.stop_idle(ended + IDLE_TIMEOUT - 1);
+    let ended_at = 10 * IDLE_TIMEOUT + 1;
+    actors.attempt_ended(ended_at, endpoint(1));
+    actors.stop_idle(ended_at + IDLE_TIMEOUT - 1);
     assert!(actors.is_running(endpoint(1)));
-    actors.stop_idle(actors.next_idle_check().expect("one is due"));
+    actors.stop_idle(actors.next_idle_check_at().expect("one is due"));
     assert!(!actors.is_running(endpoint(1)));
-    assert_eq!(actors.next_idle_check(), None);
+    assert_eq!(actors.next_idle_check_at(), None);
     // Nothing is left of an actor whose endpoint was removed.
-    assert!(actors.post(0, endpoint(2), EndpointCommand::CloseIdleConnections));
+    assert!(actors.send_command(0, endpoint(2), EndpointCommand::CloseIdleConnections));
     actors.stop(endpoint(2));
     assert!(actors.running.is_empty() && actors.idle_checks.is_empty());
 }
 
 /// An attempt that is posted as the actor stops is sent exactly once, whichever comes first.
 #[tokio::test]
-async fn an_attempt_posted_as_the_actor_stops_is_sent_once() {
+async fn sends_attempt_once_when_actor_stops() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let port = listener.local_addr().expect("its address").port();
     tokio::spawn(async move {
@@ -130,26 +137,26 @@
             tokio::spawn(async move {
                 let mut bytes = [0; 4096];
                 while stream.read(&mut bytes).await.is_ok_and(|n| n > 0) {
-                    let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-                    stream.write_all(answer).await.expect("answered");
+                    let response = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
+                    stream.write_all(response).await.expect("answered");
                 }
             });
         }
     });
     let (mut actors, mut commands) = actors();
-    let there = EndpointId {
+    let listening = EndpointId {
         port,
         ..endpoint(1)
     };
     // The first is in the mailbox as that is dropped; the second comes after.
-    assert!(actors.post(0, there, start_attempt(0)));
+    assert!(actors.send_command(0, listening, start_attempt(0)));
     actors.stop_idle(IDLE_TIMEOUT);
-    assert!(!actors.is_running(there));
-    assert!(actors.post(IDLE_TIMEOUT, there, start_attempt(1)));
+    assert!(!actors.is_running(listening));
+    assert!(actors.send_command(IDLE_TIMEOUT, listening, start_attempt(1)));
     // The third finds a mailbox whose actor has ended.
-    let (closed, _) = mpsc::channel(1);
-    actors.running.get_mut(&there).expect("it runs").mailbox = closed;
-    assert!(actors.post(IDLE_TIMEOUT, there, start_attempt(2)));
+    let (closed_mailbox, _) = mpsc::channel(1);
+    actors.running.get_mut(&listening).expect("it runs").mailbox = closed_mailbox;
+    assert!(actors.send_command(IDLE_TIMEOUT, listening, start_attempt(2)));
     let mut delivered = Vec::new();
     while delivered.len() < 3 {
         let command = tokio::time::timeout(Duration::from_secs(5), commands.recv())
@@ -177,7 +184,7 @@
 
 /// A mailbox allocates its commands in blocks of 32, so that a large command would make each used endpoint costly.
 #[test]
-fn a_command_takes_few_bytes_in_a_mailbox() {
+fn endpoint_command_fits_in_16_bytes() {
     assert!(
         std::mem::size_of::<EndpointCommand>() <= 16,
         "{} bytes",
--- a/crates/forwarder/src/dispatcher/in_flight.rs
+++ b/crates/forwarder/src/dispatcher/in_flight.rs
@@ -15,7 +15,7 @@
     /// How many attempts were started, those of previous runs included. It is the number of the next attempt.
     pub attempts_started: u32,
     /// The attempts whose outcome is not known.
-    pub attempts_out: Vec<OutstandingAttempt>,
+    pub outstanding_attempts: Vec<OutstandingAttempt>,
     /// Whether it is decided how the message ends. Attempts may still be out.
     pub ending_decided: bool,
 }
@@ -33,20 +33,20 @@
             submitted,
             deadline,
             attempts_started,
-            attempts_out: Vec::new(),
+            outstanding_attempts: Vec::new(),
             ending_decided: false,
         }
     }
 
     /// Counts one more attempt and gives its number. Numbers stay at 255 from there on.
-    pub fn count_attempt(&mut self) -> u8 {
-        let attempt = self.attempts_started.min(u32::from(u8::MAX)) as u8;
+    pub fn take_attempt_index(&mut self) -> u8 {
+        let attempt_index = self.attempts_started.min(u32::from(u8::MAX)) as u8;
         self.attempts_started += 1;
-        attempt
+        attempt_index
     }
 
-    fn is_over(&self) -> bool {
-        self.ending_decided && self.attempts_out.is_empty()
+    fn is_finished(&self) -> bool {
+        self.ending_decided && self.outstanding_attempts.is_empty()
     }
 }
 
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy)]
 pub struct OutstandingAttempt {
     /// Its number, from 0.
-    pub attempt: u8,
+    pub attempt_index: u8,
     /// Where it was sent.
     pub endpoint: EndpointId,
 }
@@ -64,7 +64,7 @@
 pub struct InFlightMessages {
     messages: BTreeMap<MessageId, InFlightMessage>,
     /// The core's id of each message, by the request id that its client gave it.
-    request_ids: BTreeMap<String, MessageId>,
+    ids_by_request_id: BTreeMap<String, MessageId>,
     last_id: u32,
 }
 
@@ -92,30 +92,30 @@
     }
 
     /// The message that a client gave this request id.
-    pub fn by_request_id(&self, request_id: &str) -> Option<&InFlightMessage> {
-        let id = self.request_ids.get(request_id)?;
+    pub fn get_by_request_id(&self, request_id: &str) -> Option<&InFlightMessage> {
+        let id = self.ids_by_request_id.get(request_id)?;
         self.messages.get(id)
     }
 
     /// The endpoint that an attempt is out to.
-    pub fn endpoint_of(&self, id: MessageId, attempt: u8) -> Option<EndpointId> {
+    pub fn endpoint_of_attempt(&self, id: MessageId, attempt_index: u8) -> Option<EndpointId> {
         let message = self.messages.get(&id)?;
-        let out = message
-            .attempts_out
+        let outstanding = message
+            .outstanding_attempts
             .iter()
-            .find(|out| out.attempt == attempt)?;
-        Some(out.endpoint)
+            .find(|outstanding| outstanding.attempt_index == attempt_index)?;
+        Some(outstanding.endpoint)
     }
 
     /// Whether any message has an attempt out.
-    pub fn has_attempts_out(&self) -> bool {
+    pub fn has_outstanding_attempts(&self) -> bool {
         self.messages
             .values()
-            .any(|message| !message.attempts_out.is_empty())
+            .any(|message| !message.outstanding_attempts.is_empty())
     }
 
     /// An id that no message in flight has. Ids are used again once their messages are over.
-    pub fn new_id(&mut self) -> MessageId {
+    pub fn unused_id(&mut self) -> MessageId {
         loop {
             self.last_id = self.last_id.wrapping_add(1);
             let id = MessageId(self.last_id);
@@ -128,23 +128,23 @@
     /// Adds a message.
     pub fn insert(&mut self, id: MessageId, message: InFlightMessage) {
         let request_id = message.submitted.request_id.clone();
-        self.request_ids.insert(request_id, id);
+        self.ids_by_request_id.insert(request_id, id);
         self.messages.insert(id, message);
     }
 
     /// Removes a message, if it is over.
-    pub fn remove_if_over(&mut self, id: MessageId) {
-        if !self.get(id).is_some_and(InFlightMessage::is_over) {
+    pub fn remove_if_finished(&mut self, id: MessageId) {
+        if !self.get(id).is_some_and(InFlightMessage::is_finished) {
             return;
         }
         if let Some(message) = self.messages.remove(&id) {
-            self.request_ids.remove(&message.submitted.request_id);
+            self.ids_by_request_id.remove(&message.submitted.request_id);
         }
     }
 
     /// Removes all messages and gives them, in the order of their ids.
     pub fn take_all(&mut self) -> BTreeMap<MessageId, InFlightMessage> {
-        self.request_ids.clear();
+        self.ids_by_request_id.clear();
         std::mem::take(&mut self.messages)
     }
 }
@@ -158,6 +158,6 @@
 
     /// Whether nothing is kept of any message.
     pub fn is_empty(&self) -> bool {
-        self.messages.is_empty() && self.request_ids.is_empty()
+        self.messages.is_empty() && self.ids_by_request_id.is_empty()
     }
 }
--- a/crates/forwarder/src/dispatcher/recovery.rs
+++ b/crates/forwarder/src/dispatcher/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery: a new core gets the messages of the journal, after a restart of the process or a panic of the core.
 
 use super::in_flight::InFlightMessage;
-use super::submissions::submission;
+use super::submissions::core_submission;
 use super::{CoreState, Dispatcher};
 use crate::commands::{EndpointCommand, PendingCompletionReport};
 use crate::journal::StoredMessage;
@@ -16,9 +16,9 @@
 impl Dispatcher {
     /// Takes over the messages of a previous run. They wait for an endpoint list: without one the core could send
     /// them nowhere.
-    pub fn take_over(&mut self, messages: Vec<StoredMessage>) {
+    pub fn restore_previous_run(&mut self, messages: Vec<StoredMessage>) {
         self.recovered_messages = Some(messages);
-        if !self.listed.is_empty() {
+        if !self.listed_endpoints.is_empty() {
             self.submit_recovered_messages();
         }
     }
@@ -26,39 +26,39 @@
     /// Gives the core the messages of a previous run, if it has not got them yet. From then on clients may submit.
     pub(super) fn submit_recovered_messages(&mut self) {
         if let Some(messages) = self.recovered_messages.take() {
-            self.restore(messages);
+            self.restore_messages(messages);
             self.ready.store(true, Ordering::Relaxed);
         }
     }
 
     /// Gives the core messages of the journal, with what is known of their attempts.
-    pub(super) fn restore(&mut self, messages: Vec<StoredMessage>) {
+    pub(super) fn restore_messages(&mut self, messages: Vec<StoredMessage>) {
         let now = self.clock.now();
         for stored in messages {
-            let id = self.in_flight.new_id();
+            let id = self.in_flight.unused_id();
             match stored.pending_report {
-                Some(ending) => self.restore_report(id, stored, ending),
+                Some(ending) => self.restore_pending_report(id, stored, ending),
                 None => self.restore_message(now, id, stored),
             }
         }
     }
 
     /// The message is over, and the platform has not acknowledged its completion report.
-    fn restore_report(&mut self, id: MessageId, stored: StoredMessage, ending: Ending) {
+    fn restore_pending_report(&mut self, id: MessageId, stored: StoredMessage, ending: Ending) {
         if let Some(key) = stored.key {
-            self.handle(Event::CompletionReportPending {
+            self.handle_event(Event::CompletionReportPending {
                 id,
                 class: DeliveryClassId(stored.class),
                 order_key: OrderKey(key),
             });
         }
-        let ordered = stored.key.map(|_| id);
+        let ordered_message = stored.key.map(|_| id);
         let report = PendingCompletionReport {
             serial: stored.serial,
             request_id: stored.request_id,
             ending,
         };
-        self.send_report(report, ordered);
+        self.send_report(report, ordered_message);
     }
 
     fn restore_message(&mut self, now: Micros, id: MessageId, stored: StoredMessage) {
@@ -71,21 +71,21 @@
         let submitted = submitted_message(now, stored);
         let submission = Submission {
             resubmitted: true,
-            ..submission(id, &submitted, history)
+            ..core_submission(id, &submitted, history)
         };
         let message = InFlightMessage::new(serial, submitted, deadline, history.attempts);
         self.in_flight.insert(id, message);
-        self.handle(Event::MessageSubmitted(submission));
+        self.handle_event(Event::MessageSubmitted(submission));
     }
 
     /// Handles a panic of the core. `submitted` is the message whose submission it panicked on.
-    pub(super) fn core_panicked(&mut self, submitted: Option<MessageId>) {
+    pub(super) fn handle_core_panic(&mut self, submitted_id: Option<MessageId>) {
         match self.core_state {
             CoreState::Running => self.replace_core(),
             // A second replacement would panic on the same message again. So the message fails.
             CoreState::Replacing => {
-                if let Some(id) = submitted {
-                    self.finish_with_report(id, Ending::Failed);
+                if let Some(id) = submitted_id {
+                    self.end_with_report(id, Ending::Failed);
                 }
             }
         }
@@ -94,9 +94,9 @@
     /// Replaces a core that panicked. The new one gets the endpoint list and the messages of the journal, as after a
     /// restart of the process.
     pub(super) fn replace_core(&mut self) {
-        self.core_panics += 1;
-        crit!(self.log, "the core panicked and is replaced"; "panics" => self.core_panics);
-        let seed = self.seed.wrapping_add(self.core_panics);
+        self.core_replacements += 1;
+        crit!(self.log, "the core panicked and is replaced"; "panics" => self.core_replacements);
+        let seed = self.seed.wrapping_add(self.core_replacements);
         self.forwarder = Forwarder::new(self.config.clone(), seed);
         self.timers.clear();
         self.queued_events.clear();
@@ -107,25 +107,25 @@
         self.cancel_all_attempts();
         self.core_state = CoreState::Replacing;
         let entries = self
-            .listed
+            .listed_endpoints
             .iter()
             .map(|(endpoint, listed)| listed.to_entry(*endpoint))
             .collect();
-        self.decide(Event::EndpointListUpdated(EndpointListUpdate::Cached(
+        self.process_event(Event::EndpointListUpdated(EndpointListUpdate::Cached(
             entries,
         )));
         let messages = self.journal.recover_messages();
-        self.restore(messages);
+        self.restore_messages(messages);
         self.core_state = CoreState::Running;
     }
 
     /// Removes all messages in flight and cancels their attempts.
     fn cancel_all_attempts(&mut self) {
         for (id, message) in self.in_flight.take_all() {
-            for out in message.attempts_out {
-                let attempt_index = out.attempt;
-                self.post(
-                    out.endpoint,
+            for attempt in message.outstanding_attempts {
+                let attempt_index = attempt.attempt_index;
+                self.send_endpoint_command(
+                    attempt.endpoint,
                     EndpointCommand::CancelAttempt { id, attempt_index },
                 );
             }
--- a/crates/forwarder/src/dispatcher/submissions.rs
+++ b/crates/forwarder/src/dispatcher/submissions.rs
@@ -17,7 +17,7 @@
 
 impl Dispatcher {
     /// Accepts or rejects one submission and answers its client. The message is journalled before the answer.
-    pub(super) fn submit(&mut self, request: SubmissionRequest) {
+    pub(super) fn handle_submission(&mut self, request: SubmissionRequest) {
         let SubmissionRequest {
             mut submitted,
             received_at,
@@ -27,22 +27,22 @@
         if answer_sender.is_closed() {
             return;
         }
-        if let Some(reply) = self.answer_without_acceptance(&submitted) {
-            send_answer(answer_sender, reply);
+        if let Some(answer) = self.answer_without_acceptance(&submitted) {
+            send_answer(answer_sender, answer);
             return;
         }
         // The time left is counted from the last byte of the request, not from its turn in the mailbox.
         submitted.time_left = submitted
             .time_left
             .saturating_sub(micros(received_at.elapsed()));
-        let Some(submission) = self.accept(submitted) else {
+        let Some(submission) = self.accept_message(submitted) else {
             send_answer(answer_sender, SubmissionAnswer::ResourceExhausted);
             return;
         };
         let id = submission.id;
-        let ordered = submission.order_key.is_some();
-        match self.decide_submission(submission) {
-            Some(rejection) => self.reject_submission(id, ordered, rejection, answer_sender),
+        let is_ordered = submission.order_key.is_some();
+        match self.process_submission(submission) {
+            Some(rejection) => self.reject_submission(id, is_ordered, rejection, answer_sender),
             None => self.confirm_submission(id, answer_sender),
         }
         self.handle_queued_events();
@@ -51,8 +51,8 @@
     /// The answer to a submission that needs no place in the journal: the repeat of a message in flight, which a
     /// client sends where the first answer was lost, or one to an unknown destination.
     fn answer_without_acceptance(&self, submitted: &SubmittedMessage) -> Option<SubmissionAnswer> {
-        if let Some(first) = self.in_flight.by_request_id(&submitted.request_id) {
-            return Some(if has_same_content(&first.submitted, submitted) {
+        if let Some(in_flight) = self.in_flight.get_by_request_id(&submitted.request_id) {
+            return Some(if has_same_content(&in_flight.submitted, submitted) {
                 SubmissionAnswer::Accepted
             } else {
                 SubmissionAnswer::ConflictingContent
@@ -65,23 +65,23 @@
     }
 
     /// Journals a message and adds it to those in flight. None where there is no capacity for it.
-    fn accept(&mut self, submitted: SubmittedMessage) -> Option<Submission> {
+    fn accept_message(&mut self, submitted: SubmittedMessage) -> Option<Submission> {
         let deadline = self.clock.now() + submitted.time_left;
         let stored = stored_message(&submitted, deadline);
         // The configured capacity is checked before the core is asked, as the simulator does.
-        let table_full = self.in_flight.len() >= self.config.max_messages as usize;
-        if table_full || !self.journal.has_room(&stored) {
+        let is_full = self.in_flight.len() >= self.config.max_messages as usize;
+        if is_full || !self.journal.has_room(&stored) {
             return None;
         }
         let serial = match self.journal.accept(stored) {
             Ok(serial) => serial,
-            Err(problem) => {
-                error!(self.log, "a message could not be journalled"; "problem" => %problem);
+            Err(error) => {
+                error!(self.log, "a message could not be journalled"; "problem" => %error);
                 return None;
             }
         };
-        let id = self.in_flight.new_id();
-        let submission = submission(id, &submitted, AttemptHistory::default());
+        let id = self.in_flight.unused_id();
+        let submission = core_submission(id, &submitted, AttemptHistory::default());
         let message = InFlightMessage::new(serial, submitted, deadline, 0);
         self.in_flight.insert(id, message);
         Some(submission)
@@ -89,19 +89,19 @@
 
     /// Gives the core a submission and carries out its actions. The action that ends this message at once is returned
     /// as the answer to its client instead.
-    fn decide_submission(&mut self, submission: Submission) -> Option<SubmissionAnswer> {
-        let submitted = submission.id;
-        let Decision { now, actions } = self.ask_core(Event::MessageSubmitted(submission));
+    fn process_submission(&mut self, submission: Submission) -> Option<SubmissionAnswer> {
+        let submitted_id = submission.id;
+        let Decision { now, actions } = self.call_core(Event::MessageSubmitted(submission));
         let mut rejection = None;
         for action in actions {
             match action {
-                Action::Fail { id } if id == submitted => {
+                Action::Fail { id } if id == submitted_id => {
                     rejection = Some(SubmissionAnswer::Failed);
                 }
-                Action::Reject { id, retry_after } if id == submitted => {
+                Action::Reject { id, retry_after } if id == submitted_id => {
                     rejection = Some(SubmissionAnswer::Rejected { retry_after });
                 }
-                other => self.carry_out(now, other),
+                other => self.execute_action(now, other),
             }
         }
         rejection
@@ -111,12 +111,12 @@
     fn reject_submission(
         &mut self,
         id: MessageId,
-        ordered: bool,
+        is_ordered: bool,
         rejection: SubmissionAnswer,
         answer_sender: oneshot::Sender<SubmissionAnswer>,
     ) {
-        self.finish_without_report(id);
-        if ordered {
+        self.end_without_report(id);
+        if is_ordered {
             let acknowledged = Event::FinalAnswerAcknowledged { id };
             self.queued_events.push_back(acknowledged);
         }
@@ -131,15 +131,15 @@
     ) {
         if answer_sender.send(SubmissionAnswer::Accepted).is_err() {
             debug!(self.log, "a client left before its answer"; "message" => id.0);
-            self.finish_without_report(id);
-            self.handle(Event::MessageWithdrawn { id });
+            self.end_without_report(id);
+            self.handle_event(Event::MessageWithdrawn { id });
         }
     }
 }
 
 /// An answer to a client that has left is dropped: nothing was accepted from it.
-fn send_answer(answer_sender: oneshot::Sender<SubmissionAnswer>, reply: SubmissionAnswer) {
-    let _ = answer_sender.send(reply);
+fn send_answer(answer_sender: oneshot::Sender<SubmissionAnswer>, answer: SubmissionAnswer) {
+    let _ = answer_sender.send(answer);
 }
 
 /// Whether two submissions with the same request id are the same message.
@@ -173,7 +173,7 @@
 }
 
 /// A message as the core gets it.
-pub(super) fn submission(
+pub(super) fn core_submission(
     id: MessageId,
     submitted: &SubmittedMessage,
     history: AttemptHistory,
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -1,4 +1,4 @@
-use super::submissions::{stored_message, submission};
+use super::submissions::{core_submission, stored_message};
 use super::*;
 use crate::clock::micros;
 use crate::commands::{EndpointCommand, SubmissionAnswer};
@@ -13,11 +13,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::{oneshot, Semaphore};
 
-fn config(window: Micros) -> (Config, opalpulley_config::Names, ConnectionConfig) {
+fn dispatcher_config(dedup_window: Micros) -> (Config, opalpulley_config::Names, ConnectionConfig) {
     let text = include_str!("../../../../examples/papers.json");
     let startup: serde_json::Value = serde_json::from_str(text).expect("the example");
     let mut settings = startup["settings"].clone();
-    settings["Profiles"][0]["DedupWindowUs"] = window.into();
+    settings["Profiles"][0]["DedupWindowUs"] = dedup_window.into();
     for effect in ["free", "single_shot"] {
         let mut class = settings["Profiles"][0].clone();
         class["Effect"] = effect.into();
@@ -26,9 +26,9 @@
             .expect("profiles")
             .push(class);
     }
-    let start =
+    let startup =
         opalpulley_config::read(settings.to_string().as_bytes()).expect("a good configuration");
-    (start.config, start.names, start.connections)
+    (startup.config, startup.names, startup.connections)
 }
 
 struct Fixture {
@@ -41,18 +41,18 @@
 
 /// A dispatcher with one endpoint that accepts connections and answers nothing.
 async fn fixture() -> Fixture {
-    fixture_with_window(15_000_000).await
+    fixture_with_dedup_window(15_000_000).await
 }
 
 /// The same with another deduplication window, in µs.
-async fn fixture_with_window(window: Micros) -> Fixture {
-    let (config, names, connections) = config(window);
+async fn fixture_with_dedup_window(dedup_window: Micros) -> Fixture {
+    let (config, names, connections) = dispatcher_config(dedup_window);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let dir = TempDir::new().expect("a folder");
     let (journal, _) = Journal::open(dir.path(), 1_000_000).expect("a journal");
     let log = Logger::root(slog::Discard, slog::o!());
     let (dispatcher, commands) = mpsc::channel(64);
-    let (list, _) = mpsc::channel(1);
+    let (list_watch, _) = mpsc::channel(1);
     let (gossip, _) = mpsc::channel(1);
     let (completion_reports, pending_reports) = mpsc::unbounded_channel();
     let idle = Arc::new(Semaphore::new(4));
@@ -63,9 +63,9 @@
         dispatcher,
         log: log.clone(),
     });
-    let handles = DispatcherHandles {
+    let handles = ActorHandles {
         context,
-        list,
+        list_watch,
         completion_reports,
         gossip,
         ready: Arc::default(),
@@ -88,7 +88,7 @@
     dispatcher.handle_command(DispatcherCommand::Event(Event::EndpointListUpdated(
         EndpointListUpdate::Cached(vec![entry]),
     )));
-    dispatcher.take_over(Vec::new());
+    dispatcher.restore_previous_run(Vec::new());
     Fixture {
         dispatcher,
         pending_reports,
@@ -102,7 +102,7 @@
     fn submit(&mut self, id: &str, class: u16) -> oneshot::Receiver<SubmissionAnswer> {
         let (answer_sender, answered) = oneshot::channel();
         let received_at = tokio::time::Instant::now();
-        self.dispatcher.submit(SubmissionRequest {
+        self.dispatcher.handle_submission(SubmissionRequest {
             submitted: submitted(id, class),
             received_at,
             answer_sender,
@@ -111,9 +111,9 @@
     }
 
     /// Runs the dispatcher and its endpoints for some milliseconds.
-    async fn run_for(&mut self, ms: u64) {
-        let until = tokio::time::Instant::now() + Duration::from_millis(ms);
-        while tokio::time::Instant::now() < until {
+    async fn run_for(&mut self, duration_ms: u64) {
+        let deadline = tokio::time::Instant::now() + Duration::from_millis(duration_ms);
+        while tokio::time::Instant::now() < deadline {
             self.dispatcher.fire_timers();
             while let Ok(command) = self.commands.try_recv() {
                 self.dispatcher.handle_command(command);
@@ -123,7 +123,7 @@
     }
 
     /// How many new connections the endpoint has got. Each carries one attempt.
-    async fn attempts(&self) -> usize {
+    async fn count_attempts(&self) -> usize {
         let mut attempts = 0;
         while tokio::time::timeout(Duration::from_millis(20), self.listener.accept())
             .await
@@ -153,7 +153,7 @@
 /// After a panic of the core the new one gets each message in flight, with the attempts that may have taken effect: an
 /// at-most-once message is not sent again and fails.
 #[tokio::test]
-async fn a_replaced_core_gets_the_messages_in_flight() {
+async fn replacement_core_retries_messages_in_flight_except_at_most_once() {
     let mut fixture = fixture().await;
     for (id, class) in [("keyed", 0), ("idempotent", 1), ("at-most-once", 2)] {
         assert_eq!(
@@ -162,10 +162,10 @@
         );
     }
     fixture.run_for(100).await;
-    assert_eq!(fixture.attempts().await, 3);
+    assert_eq!(fixture.count_attempts().await, 3);
     fixture.dispatcher.replace_core();
     fixture.run_for(300).await;
-    assert_eq!(fixture.attempts().await, 2); // not the at-most-once message
+    assert_eq!(fixture.count_attempts().await, 2); // not the at-most-once message
     let pending_report = fixture.pending_reports.try_recv().expect("an end");
     assert_eq!(
         (pending_report.request_id.as_str(), pending_report.ending),
@@ -183,7 +183,7 @@
 
 /// A core that panics before an endpoint list is known is replaced, and clients may submit from then on.
 #[tokio::test]
-async fn a_panic_before_the_first_list_makes_the_process_ready() {
+async fn sets_ready_when_core_panics_before_first_endpoint_list() {
     let mut fixture = fixture().await;
     fixture.dispatcher.ready.store(false, Ordering::Relaxed);
     fixture.dispatcher.recovered_messages = Some(Vec::new());
@@ -193,12 +193,12 @@
 
 /// A message is not accepted where its client has left before its turn.
 #[tokio::test]
-async fn a_client_that_has_left_submits_nothing() {
+async fn ignores_submission_whose_client_has_disconnected() {
     let mut fixture = fixture().await;
     drop(fixture.submit("early", 1)); // its answer was sent before it time_left: accepted
     let (answer_sender, answered) = oneshot::channel();
     drop(answered);
-    fixture.dispatcher.submit(SubmissionRequest {
+    fixture.dispatcher.handle_submission(SubmissionRequest {
         submitted: submitted("late", 1),
         received_at: tokio::time::Instant::now(),
         answer_sender,
@@ -217,7 +217,7 @@
 
 /// A delivered message leaves the tables and the journal. A second outcome of its attempt changes nothing.
 #[tokio::test]
-async fn nothing_is_kept_of_messages_that_are_over() {
+async fn removes_delivered_message_and_ignores_second_outcome() {
     let mut fixture = fixture().await;
     assert_eq!(
         fixture.submit("short", 1).await,
@@ -227,7 +227,7 @@
     let (id, _) = fixture.dispatcher.in_flight.iter().next().expect("one");
     let endpoint = *fixture
         .dispatcher
-        .listed
+        .listed_endpoints
         .keys()
         .next()
         .expect("an endpoint");
@@ -254,7 +254,7 @@
 
 /// Messages beyond the configured capacity are rejected. The tenant reaches the core and the journal.
 #[tokio::test]
-async fn messages_beyond_the_configured_capacity_are_rejected() {
+async fn rejects_submission_over_configured_capacity() {
     let mut fixture = fixture().await;
     fixture.dispatcher.config.max_messages = 2;
     for (id, answer) in [
@@ -264,43 +264,43 @@
     ] {
         assert_eq!(fixture.submit(id, 1).await, Ok(answer));
     }
-    let tenant = SubmittedMessage {
+    let with_tenant = SubmittedMessage {
         tenant: Some(TenantId(1)),
         time_left: 5,
         ..submitted("x", 1)
     };
-    let submission = submission(MessageId(9), &tenant, AttemptHistory::default());
+    let submission = core_submission(MessageId(9), &with_tenant, AttemptHistory::default());
     assert_eq!((submission.tenant, submission.time_left), (TenantId(1), 5));
-    assert_eq!(stored_message(&tenant, 7).tenant, Some(1));
+    assert_eq!(stored_message(&with_tenant, 7).tenant, Some(1));
 }
 
 /// The deadline is counted from the last byte of the request, however long it waited in the mailbox.
 #[tokio::test]
-async fn a_deadline_counts_from_the_last_byte_of_the_request() {
+async fn counts_deadline_from_receipt_of_request() {
     let mut fixture = fixture().await;
-    let waited = Duration::from_millis(150);
+    let waiting_time = Duration::from_millis(150);
     let (answer_sender, _answered) = oneshot::channel();
-    let received_at = tokio::time::Instant::now() - waited;
-    fixture.dispatcher.submit(SubmissionRequest {
+    let received_at = tokio::time::Instant::now() - waiting_time;
+    fixture.dispatcher.handle_submission(SubmissionRequest {
         submitted: submitted("queued", 1),
         received_at,
         answer_sender,
     });
-    let left = fixture
+    let times_left = fixture
         .dispatcher
         .in_flight
         .iter()
         .map(|(_, message)| message.deadline - fixture.dispatcher.clock.now())
         .collect::<Vec<_>>();
     assert!(
-        left.len() == 1 && left[0] <= 20_000_000 - micros(waited),
-        "{left:?}"
+        times_left.len() == 1 && times_left[0] <= 20_000_000 - micros(waiting_time),
+        "{times_left:?}"
     );
 }
 
 impl Fixture {
     /// Restores an idempotency-keyed message as a restart finds it: with one attempt out that started then.
-    fn restore_with_attempt_out(&mut self, started_at: Micros) {
+    fn restore_with_outstanding_attempt(&mut self, started_at: Micros) {
         let stored = stored_message(
             &submitted("out", 0),
             self.dispatcher.clock.now() + 20_000_000,
@@ -311,23 +311,23 @@
             .attempt_started(serial, 0, started_at, 0)
             .expect("room");
         let messages = self.dispatcher.journal.recover_messages();
-        self.dispatcher.restore(messages);
+        self.dispatcher.restore_messages(messages);
     }
 }
 
 /// A repeat that was decided inside the deduplication window is not sent outside it, however long the process blocks
 /// before the endpoint's actor runs.
 #[tokio::test]
-async fn a_repeat_whose_endpoint_actor_runs_late_is_not_sent_outside_the_window() {
-    for (blocked_ms, attempts) in [(0, 1), (200, 0)] {
-        let mut fixture = fixture_with_window(1_000_000).await;
-        fixture.restore_with_attempt_out(fixture.dispatcher.clock.now() - 900_000);
-        std::thread::sleep(Duration::from_millis(blocked_ms)); // blocks all actors
+async fn does_not_retry_outside_deduplication_window_when_actor_runs_late() {
+    for (blocking_ms, expected_attempts) in [(0, 1), (200, 0)] {
+        let mut fixture = fixture_with_dedup_window(1_000_000).await;
+        fixture.restore_with_outstanding_attempt(fixture.dispatcher.clock.now() - 900_000);
+        std::thread::sleep(Duration::from_millis(blocking_ms)); // blocks all actors
         fixture.run_for(200).await;
         assert_eq!(
-            fixture.attempts().await,
-            attempts,
-            "blocked for {blocked_ms} ms"
+            fixture.count_attempts().await,
+            expected_attempts,
+            "blocked for {blocking_ms} ms"
         );
     }
 }
@@ -335,11 +335,11 @@
 /// A start in the future means that the clock was set back between two runs. How long ago the attempt began is not
 /// known then, so nothing proves that a repeat is inside the deduplication window.
 #[tokio::test]
-async fn an_attempt_that_started_in_the_future_is_not_repeated() {
-    let mut fixture = fixture_with_window(1_000_000).await;
-    fixture.restore_with_attempt_out(fixture.dispatcher.clock.now() + 5_000_000);
+async fn does_not_retry_attempt_that_started_in_future() {
+    let mut fixture = fixture_with_dedup_window(1_000_000).await;
+    fixture.restore_with_outstanding_attempt(fixture.dispatcher.clock.now() + 5_000_000);
     fixture.run_for(200).await;
-    assert_eq!(fixture.attempts().await, 0);
+    assert_eq!(fixture.count_attempts().await, 0);
     let pending_report = fixture.pending_reports.try_recv().expect("an end");
     assert_eq!(
         (pending_report.request_id.as_str(), pending_report.ending),
@@ -350,7 +350,7 @@
 /// An attempt that finds the mailbox of its endpoint full has not taken effect, although its start is journalled. The
 /// message is sent once there is room.
 #[tokio::test]
-async fn an_attempt_that_finds_the_mailbox_full_has_no_effect_and_is_repeated() {
+async fn retries_attempt_after_full_mailbox() {
     let mut fixture = fixture().await;
     assert_eq!(
         fixture.submit("first", 1).await,
@@ -358,14 +358,14 @@
     );
     let endpoint = *fixture
         .dispatcher
-        .listed
+        .listed_endpoints
         .keys()
         .next()
         .expect("an endpoint");
     // The actor does not run meanwhile.
     while fixture
         .dispatcher
-        .post(endpoint, EndpointCommand::CloseIdleConnections)
+        .send_endpoint_command(endpoint, EndpointCommand::CloseIdleConnections)
     {}
     assert_eq!(
         fixture.submit("at-most-once", 2).await,
@@ -382,5 +382,5 @@
         fixture.pending_reports.try_recv().is_err(),
         "a report of its end"
     );
-    assert_eq!(fixture.attempts().await, 2);
+    assert_eq!(fixture.count_attempts().await, 2);
 }
--- a/crates/forwarder/src/dispatcher/timers.rs
+++ b/crates/forwarder/src/dispatcher/timers.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     /// When it fires, in µs.
-    at: Micros,
+    fires_at: Micros,
     /// Counts the timers of this process.
-    number: u64,
+    sequence_number: u64,
     token: TimerToken,
 }
 
@@ -17,29 +17,29 @@
 #[derive(Default)]
 pub struct Timers {
     pending: BTreeSet<Timer>,
-    last_number: u64,
+    last_sequence_number: u64,
 }
 
 impl Timers {
     /// Sets a timer that fires at `at`, in µs.
-    pub fn set(&mut self, at: Micros, token: TimerToken) {
-        self.last_number += 1;
+    pub fn set(&mut self, fires_at: Micros, token: TimerToken) {
+        self.last_sequence_number += 1;
         self.pending.insert(Timer {
-            at,
-            number: self.last_number,
+            fires_at,
+            sequence_number: self.last_sequence_number,
             token,
         });
     }
 
     /// When the earliest timer fires, in µs.
-    pub fn next(&self) -> Option<Micros> {
-        self.pending.first().map(|timer| timer.at)
+    pub fn next_at(&self) -> Option<Micros> {
+        self.pending.first().map(|timer| timer.fires_at)
     }
 
     /// Removes the earliest timer, if it is due at `now`.
     pub fn pop_due(&mut self, now: Micros) -> Option<TimerToken> {
         let timer = self.pending.first().copied()?;
-        if timer.at > now {
+        if timer.fires_at > now {
             return None;
         }
         self.pending.remove(&timer);
--- a/crates/forwarder/src/endpoint_list/golden_tests.rs
+++ b/crates/forwarder/src/endpoint_list/golden_tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::commands::{DispatcherCommand, EndpointListCommand};
 use crate::golden_cases::{text, GoldenCases};
-use crate::platform::Platform;
+use crate::platform::PlatformClient;
 use opalpulley::{EndpointEntry, EndpointListUpdate, EndpointStatus, Event};
 use opalpulley_config::Names;
 use serde_json::{json, Value};
@@ -69,7 +69,7 @@
     let (commands, mailbox) = mpsc::channel(4);
     let must_be_polled = input["must be asked"] == true;
     let log = Logger::root(slog::Discard, slog::o!());
-    let platform = Platform::new(address);
+    let platform = PlatformClient::new(address);
     let table = EndpointTable::default();
     let list = EndpointListWatch {
         platform,
--- a/crates/forwarder/src/endpoint_list/watch.rs
+++ b/crates/forwarder/src/endpoint_list/watch.rs
@@ -5,7 +5,7 @@
 
 use super::table::EndpointTable;
 use crate::commands::{DispatcherCommand, EndpointListCommand};
-use crate::platform::{Platform, PlatformAnswer, PlatformError, Reachability};
+use crate::platform::{PlatformClient, PlatformError, PlatformResponse, Reachability};
 use crate::protocol::{list_path, EndpointListDocument};
 use hyper::{Method, StatusCode};
 use opalpulley::{EndpointListUpdate, Event, LONGEST_SILENCE};
@@ -41,7 +41,7 @@
 /// The actor that gets the endpoint list.
 pub struct EndpointListWatch {
     /// A connection to the platform's agent.
-    pub platform: Platform,
+    pub platform: PlatformClient,
     /// The address of the agent. Each change counts at once.
     pub discovery: watch::Receiver<SocketAddr>,
     /// The names of zones and kinds in the settings.
@@ -59,7 +59,7 @@
 type PollResult = Result<EndpointListDocument, PlatformError>;
 
 /// A poll in flight. It returns the connection that it used.
-type PollInFlight = Pin<Box<dyn Future<Output = (Platform, PollResult)> + Send>>;
+type PollInFlight = Pin<Box<dyn Future<Output = (PlatformClient, PollResult)> + Send>>;
 
 /// What is to be polled, and what is in flight.
 struct WatchState {
@@ -241,7 +241,7 @@
         } else {
             request.timeout
         };
-        let substitute = self.platform.to_same_address();
+        let substitute = self.platform.clone_without_connection();
         let mut platform = std::mem::replace(&mut self.platform, substitute);
         Box::pin(async move {
             let answer = platform
@@ -258,7 +258,7 @@
         state: &mut WatchState,
         document: EndpointListDocument,
     ) -> Result<(), Stopped> {
-        if state.reachability.set(Reachability::Reachable) {
+        if state.reachability.update(Reachability::Reachable) {
             info!(self.log, "endpoint list received again"; "revision" => document.revision);
         }
         match self.table.apply(document, &self.names) {
@@ -295,7 +295,7 @@
         state: &mut WatchState,
         problem: PlatformError,
     ) -> Result<(), Stopped> {
-        if state.reachability.set(Reachability::Unreachable) {
+        if state.reachability.update(Reachability::Unreachable) {
             warn!(self.log, "endpoint list poll failed"; "problem" => %problem);
         }
         if self.must_be_polled {
@@ -319,14 +319,14 @@
     /// is known, the list from the old address stays.
     fn address_changed(&mut self, state: &mut WatchState) {
         let address = *self.discovery.borrow_and_update();
-        self.platform.move_to(address);
+        self.platform.set_address(address);
         self.table.revision = None;
         state.fetch_wanted = true;
         state.late_poll = None;
     }
 }
 
-fn decode_list(answer: PlatformAnswer) -> PollResult {
+fn decode_list(answer: PlatformResponse) -> PollResult {
     if answer.status != StatusCode::OK {
         return Err(PlatformError::Status(answer.status));
     }
--- a/crates/forwarder/src/endpoint_list/watch/tests.rs
+++ b/crates/forwarder/src/endpoint_list/watch/tests.rs
@@ -33,7 +33,7 @@
     let mut table = EndpointTable::default();
     table.apply(known_list(), &names());
     let log = Logger::root(slog::Discard, slog::o!());
-    let platform = Platform::new(address);
+    let platform = PlatformClient::new(address);
     let list = EndpointListWatch {
         platform,
         discovery,
@@ -120,7 +120,7 @@
     let (dispatcher, _events) = mpsc::channel(8);
     let (_moves, discovery) = watch::channel(address);
     let list = EndpointListWatch {
-        platform: Platform::new(address),
+        platform: PlatformClient::new(address),
         discovery,
         names: names(),
         table: EndpointTable::default(),
@@ -220,7 +220,7 @@
     let (dispatcher, mut events) = mpsc::channel(4);
     let (_moves, discovery) = watch::channel(address);
     let list = EndpointListWatch {
-        platform: Platform::new(address),
+        platform: PlatformClient::new(address),
         discovery,
         names: names(),
         table: EndpointTable::default(),
--- a/crates/forwarder/src/endpoints/connection.rs
+++ b/crates/forwarder/src/endpoints/connection.rs
@@ -43,7 +43,7 @@
         let (stream, stream_state) = EndpointStream::new(socket);
         let mut settings = Builder::new();
         settings.max_buf_size(READ_BUFFER_BYTES);
-        let http = HttpConnection::over(stream, &settings).await.ok()?;
+        let http = HttpConnection::handshake(stream, &settings).await.ok()?;
         Some(EndpointConnection { http, stream_state })
     }
 
@@ -62,7 +62,7 @@
 
     /// Waits until the connection can take a request. Returns false where it has ended.
     pub async fn usable(&mut self) -> bool {
-        self.http.usable().await
+        self.http.ready().await
     }
 
     /// Whether the connection is known to have ended.
@@ -77,7 +77,7 @@
 
     /// Returns the connection once it can take another request, nothing where it has ended.
     pub async fn reuse(mut self) -> Option<EndpointConnection> {
-        if self.http.usable().await {
+        if self.http.ready().await {
             Some(self)
         } else {
             None
--- a/crates/forwarder/src/golden_cases.rs
+++ b/crates/forwarder/src/golden_cases.rs
@@ -15,7 +15,7 @@
 pub struct GoldenCases {
     file: &'static str,
     cases: Vec<Value>,
-    compared: usize,
+    compared_count: usize,
     differences: Vec<String>,
 }
 
@@ -27,7 +27,7 @@
         GoldenCases {
             file,
             cases,
-            compared: 0,
+            compared_count: 0,
             differences: Vec::new(),
         }
     }
@@ -42,8 +42,8 @@
 
     /// Compares the value for the next input with the recorded one.
     pub fn compare_next(&mut self, actual: Value) {
-        let case = &self.cases[self.compared];
-        self.compared += 1;
+        let case = &self.cases[self.compared_count];
+        self.compared_count += 1;
         if case["expected"] != actual {
             self.differences.push(format!(
                 "{}\nexpected {}\nactual   {actual}",
@@ -55,12 +55,12 @@
     /// Fails where a value differs from the recorded one, or where a case was not compared.
     pub fn finish(self) {
         assert_eq!(
-            self.compared,
+            self.compared_count,
             self.cases.len(),
             "{}: each case is compared",
             self.file
         );
-        assert!(self.compared > 0, "{}: there are cases", self.file);
+        assert!(self.compared_count > 0, "{}: there are cases", self.file);
         assert!(
             self.differences.is_empty(),
             "{}:\n{}",
--- a/crates/forwarder/src/http_connection.rs
+++ b/crates/forwarder/src/http_connection.rs
@@ -22,18 +22,18 @@
 
 impl HttpConnection {
     /// Starts HTTP/1.1 over a stream. Nothing is written before the first request.
-    pub async fn over<S>(stream: S, http: &Builder) -> hyper::Result<HttpConnection>
+    pub async fn handshake<S>(stream: S, settings: &Builder) -> hyper::Result<HttpConnection>
     where
         S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
     {
-        let (sender, connection) = http.handshake(TokioIo::new(stream)).await?;
+        let (sender, connection) = settings.handshake(TokioIo::new(stream)).await?;
         // An error on the connection reaches the request that is in flight.
         let driver = tokio::spawn(async move { drop(connection.await) });
         Ok(HttpConnection { sender, driver })
     }
 
     /// Waits until it can take a request. Returns false where it has ended.
-    pub async fn usable(&mut self) -> bool {
+    pub async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 }
--- a/crates/forwarder/src/platform.rs
+++ b/crates/forwarder/src/platform.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 
 /// The longest answer that is read: more than any endpoint list that fits the memory limit.
-const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Why an exchange with the platform failed.
 #[derive(Debug)]
@@ -35,11 +35,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PlatformError::Connect(e) => write!(f, "no connection: {e}"),
-            PlatformError::Send(e) => write!(f, "no answer: {e}"),
-            PlatformError::ReadBody(e) => write!(f, "the answer broke off: {e}"),
-            PlatformError::Timeout => write!(f, "no answer in time"),
+            PlatformError::Send(e) => write!(f, "no response: {e}"),
+            PlatformError::ReadBody(e) => write!(f, "the response broke off: {e}"),
+            PlatformError::Timeout => write!(f, "no response in time"),
             PlatformError::Status(status) => write!(f, "answered {status}"),
-            PlatformError::Decode(e) => write!(f, "the answer is not understood: {e}"),
+            PlatformError::Decode(e) => write!(f, "the response is not understood: {e}"),
         }
     }
 }
@@ -57,14 +57,14 @@
 
 impl Reachability {
     /// Sets the state after an exchange. Returns whether it has changed.
-    pub fn set(&mut self, now: Reachability) -> bool {
-        let before = std::mem::replace(self, now);
-        before != now
+    pub fn update(&mut self, current: Reachability) -> bool {
+        let previous = std::mem::replace(self, current);
+        previous != current
     }
 }
 
 /// An answer of the platform.
-pub struct PlatformAnswer {
+pub struct PlatformResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its whole body.
@@ -72,28 +72,28 @@
 }
 
 /// A connection to the platform's agent.
-pub struct Platform {
+pub struct PlatformClient {
     address: SocketAddr,
     /// None before the first exchange and after each failure.
     connection: Option<HttpConnection>,
 }
 
-impl Platform {
+impl PlatformClient {
     /// The agent at an address. The connection is opened with the first exchange.
-    pub fn new(address: SocketAddr) -> Platform {
-        Platform {
+    pub fn new(address: SocketAddr) -> PlatformClient {
+        PlatformClient {
             address,
             connection: None,
         }
     }
 
     /// The same agent, with a connection of its own.
-    pub fn to_same_address(&self) -> Platform {
-        Platform::new(self.address)
+    pub fn clone_without_connection(&self) -> PlatformClient {
+        PlatformClient::new(self.address)
     }
 
     /// Goes on with the agent at another address.
-    pub fn move_to(&mut self, address: SocketAddr) {
+    pub fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
         self.connection = None;
     }
@@ -105,30 +105,30 @@
         method: Method,
         path: &str,
         body: Bytes,
-        within: Duration,
-    ) -> Result<PlatformAnswer, PlatformError> {
+        timeout: Duration,
+    ) -> Result<PlatformResponse, PlatformError> {
         let previous = self.connection.take();
         let address = self.address;
         let exchange = async {
-            let mut connection = connect(address, previous).await?;
-            let answer = exchange(&mut connection, address, method, path, body).await?;
-            Ok((answer, connection))
+            let mut connection = reuse_or_connect(address, previous).await?;
+            let response = exchange(&mut connection, address, method, path, body).await?;
+            Ok((response, connection))
         };
-        let (answer, connection) = tokio::time::timeout(within, exchange)
+        let (response, connection) = tokio::time::timeout(timeout, exchange)
             .await
             .map_err(|_| PlatformError::Timeout)??;
         self.connection = Some(connection);
-        Ok(answer)
+        Ok(response)
     }
 }
 
 /// The previous connection, where it can take a request; else a new one.
-async fn connect(
+async fn reuse_or_connect(
     address: SocketAddr,
     previous: Option<HttpConnection>,
 ) -> Result<HttpConnection, PlatformError> {
     if let Some(mut connection) = previous {
-        if connection.usable().await {
+        if connection.ready().await {
             return Ok(connection);
         }
     }
@@ -137,7 +137,7 @@
         .map_err(PlatformError::Connect)?;
     // Bytes that the kernel delays would be lost with a close. A connection that refuses the option works all the same.
     let _ = stream.set_nodelay(true);
-    HttpConnection::over(stream, &Builder::new())
+    HttpConnection::handshake(stream, &Builder::new())
         .await
         .map_err(PlatformError::Send)
 }
@@ -149,23 +149,23 @@
     method: Method,
     path: &str,
     body: Bytes,
-) -> Result<PlatformAnswer, PlatformError> {
+) -> Result<PlatformResponse, PlatformError> {
     let request = Request::builder()
         .method(method)
         .uri(path)
         .header("host", address.to_string())
         .body(Full::new(body))
         .map_err(|e| PlatformError::Connect(io::Error::other(e)))?;
-    let answer = connection
+    let response = connection
         .sender
         .send_request(request)
         .await
         .map_err(PlatformError::Send)?;
-    let status = answer.status();
-    let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES)
+    let status = response.status();
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
         .collect()
         .await
         .map_err(PlatformError::ReadBody)?
         .to_bytes();
-    Ok(PlatformAnswer { status, body })
+    Ok(PlatformResponse { status, body })
 }
--- a/crates/forwarder/src/startup.rs
+++ b/crates/forwarder/src/startup.rs
@@ -6,13 +6,13 @@
     DispatcherCommand, EndpointListCommand, GossipDatagram, PendingCompletionReport,
     SubmissionRequest,
 };
-use crate::completion_reports::CompletionReports;
-use crate::dispatcher::{Dispatcher, DispatcherHandles};
+use crate::completion_reports::CompletionReporter;
+use crate::dispatcher::{ActorHandles, Dispatcher};
 use crate::endpoint_list::{EndpointListWatch, EndpointTable};
 use crate::endpoints::EndpointContext;
 use crate::gossip_socket;
 use crate::journal::Journal;
-use crate::platform::Platform;
+use crate::platform::PlatformClient;
 use crate::protocol::EndpointListDocument;
 use crate::reload::{self, ReadConfig};
 use crate::shutdown::{self, ShutdownStage};
@@ -112,16 +112,16 @@
 
     let (journal, messages) = Journal::open(&startup.state_dir, startup.journal_bytes)?;
     starter.log_start(messages.len());
-    let handles = DispatcherHandles {
+    let handles = ActorHandles {
         context: starter.endpoint_context(),
-        list: senders.endpoint_list,
+        list_watch: senders.endpoint_list,
         completion_reports: senders.completion_reports,
         gossip: senders.gossip,
         ready: submission_service.ready.clone(),
     };
     let mut dispatcher = starter.create_dispatcher(clock, journal, handles);
     let endpoints = starter.restore_cached_list(cached_list, &mut dispatcher);
-    dispatcher.take_over(messages);
+    dispatcher.restore_previous_run(messages);
 
     let discovery = starter.start_reload(control.reload, control.read_config);
     starter.start_list_watch(endpoints, discovery.clone(), receivers.endpoint_list);
@@ -164,8 +164,8 @@
         self.startup.settings.names.clone()
     }
 
-    fn platform(&self) -> Platform {
-        Platform::new(self.startup.discovery)
+    fn platform(&self) -> PlatformClient {
+        PlatformClient::new(self.startup.discovery)
     }
 
     fn endpoint_context(&self) -> Arc<EndpointContext> {
@@ -210,7 +210,7 @@
         &self,
         clock: Clock,
         journal: Journal,
-        handles: DispatcherHandles,
+        handles: ActorHandles,
     ) -> Dispatcher {
         let config = self.config.clone();
         let log = self.log.clone();
@@ -283,9 +283,9 @@
         discovery: watch::Receiver<SocketAddr>,
         reports: mpsc::UnboundedReceiver<PendingCompletionReport>,
     ) {
-        let completion_reports = CompletionReports {
+        let completion_reports = CompletionReporter {
             platform: self.platform(),
-            discovery,
+            agent_address: discovery,
             dispatcher: self.dispatcher.clone(),
             log: self.log.clone(),
         };
