--- a/crates/forwarder/src/commands.rs
+++ b/crates/forwarder/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands that the actors send each other: plain data that depends on no actor.
+//! The commands that the actors send to each other: plain data that depends on no actor.
 
 use crate::protocol::{Ending, SubmittedMessage};
 use bytes::Bytes;
@@ -32,9 +32,9 @@
 pub struct SubmissionRequest {
     /// The message as the client sent it.
     pub submitted: SubmittedMessage,
-    /// Time at which the last byte of the request was read. The time left of the message counts from here.
+    /// Time at which the last byte of the request was read. The message's time left is counted from this instant.
     pub received_at: Instant,
-    /// Takes the answer. It is closed if the client has left.
+    /// Takes the answer. It is closed if the client has disconnected.
     pub answer_sender: oneshot::Sender<SubmissionAnswer>,
 }
 
@@ -77,7 +77,7 @@
 
 /// A command for the actor of an endpoint.
 pub enum EndpointCommand {
-    /// Starts an attempt. Boxed, because a mailbox allocates space for some dozens of commands at once.
+    /// Starts an attempt. Boxed, because a mailbox allocates its commands in blocks of 32.
     StartAttempt(Box<AttemptRequest>),
     /// Sends a health check to the endpoint.
     StartHealthCheck,
@@ -94,7 +94,7 @@
     CloseIdleConnections,
 }
 
-/// An attempt at a message, with all that its encoder needs.
+/// An attempt to deliver a message, with all data that the encoder of the request needs.
 pub struct AttemptRequest {
     /// The message to deliver.
     pub id: MessageId,
@@ -102,12 +102,12 @@
     pub attempt_index: u8,
     /// The client's id of the message.
     pub request_id: String,
-    /// The key by which endpoints drop repeats. `None` where the delivery class needs none.
+    /// The key by which endpoints discard duplicates. `None` where the delivery class needs none.
     pub idempotency_key: Option<String>,
     /// The body of the message.
     pub body: Bytes,
     /// Upper bound on the duration of the attempt.
     pub timeout: Duration,
-    /// The instant by which the first byte must be written. Otherwise the attempt ends without writing any.
+    /// Latest time at which the first byte may be written. After it the attempt ends without writing a byte.
     pub send_by: Instant,
 }
--- a/crates/forwarder/src/completion_reports.rs
+++ b/crates/forwarder/src/completion_reports.rs
@@ -1,4 +1,4 @@
-//! The actor that sends completion reports to the platform, again and again until they are acknowledged.
+//! The actor that sends completion reports to the platform, and retries until the platform acknowledges them.
 
 use crate::commands::{DispatcherCommand, PendingCompletionReport};
 use crate::platform::{PlatformClient, PlatformError, PlatformResponse, Reachability};
@@ -11,40 +11,43 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Messages in one request at most: some 20 KB, less than a third of the limit of a message.
+/// Upper bound on the reports in one request. 200 reports take some 20 KB, less than a third of the size limit of a
+/// message.
 const MAX_BATCH_REPORTS: usize = 200;
 
-/// How long an answer may take at first. The agent answers at once, and a report may be 300 ms late.
+/// Timeout of a request that follows no timeout. The agent responds at once, and a report may be 300 ms late.
 const INITIAL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The longest timeout after repeated timeouts: the answer of a slow agent must arrive at some time.
+/// Upper bound on the timeout of a request after repeated timeouts. The timeout grows so that the response of a slow
+/// agent can arrive.
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The pause after a failed request, unless it timed out.
+/// Delay before the next request after a failed one. There is no delay after a timeout.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The actor that sends completion reports.
+/// The actor that sends completion reports. It owns its connection to the platform's agent.
 pub struct CompletionReporter {
-    /// A connection to the platform's agent.
+    /// The client of the platform's agent.
     pub platform: PlatformClient,
-    /// The address of the agent. Each change counts at once.
+    /// The address of the agent. A change cancels the request in flight.
     pub agent_address: watch::Receiver<SocketAddr>,
     /// The mailbox of the dispatcher.
     pub dispatcher: mpsc::Sender<DispatcherCommand>,
-    /// Where failures are logged.
+    /// The logger for failures and recoveries of the exchange with the platform.
     pub log: Logger,
 }
 
-/// Nobody needs the reports any more: the dispatcher has ended.
+/// The dispatcher has ended, so that no report needs to be sent any more.
 struct DispatcherEnded;
 
-/// The reports that are not acknowledged, and how they are sent.
+/// The reports that the platform has not acknowledged, and the state of sending them.
 struct ReportQueue {
-    /// The oldest first.
+    /// The reports in the order in which the dispatcher sent them, the oldest first.
     unacknowledged: VecDeque<PendingCompletionReport>,
-    /// Messages in the next request at most.
+    /// Upper bound on the reports in the next request. 1 after the platform has rejected a batch, until it acknowledges
+    /// a report.
     max_batch_reports: usize,
-    /// How long the next answer may take.
+    /// Timeout of the next request.
     response_timeout: Duration,
     /// Whether the latest request succeeded. Only changes are logged.
     reachability: Reachability,
@@ -60,7 +63,7 @@
         }
     }
 
-    /// Takes all reports from the mailbox, and waits for one where none is waiting.
+    /// Moves all reports from the mailbox to the queue. Waits for a report if the queue is empty.
     async fn receive(
         &mut self,
         mailbox: &mut mpsc::UnboundedReceiver<PendingCompletionReport>,
@@ -80,8 +83,8 @@
         encode_completion_reports(reports.map(|report| (report.request_id.as_str(), report.ending)))
     }
 
-    /// A timeout doubles the next one: the agent may only be slow. Any answer resets it, so that a connection that falls
-    /// silent is noticed soon.
+    /// Sets the timeout of the next request. A timeout doubles it, because the agent may only be slow. Any other result
+    /// resets it, so that a connection that no longer responds is detected early.
     fn adapt_timeout(&mut self, response: &Result<PlatformResponse, PlatformError>) {
         self.response_timeout = match response {
             Err(PlatformError::Timeout) => MAX_RESPONSE_TIMEOUT.min(2 * self.response_timeout),
@@ -91,8 +94,8 @@
 }
 
 impl CompletionReporter {
-    /// Runs until the dispatcher ends. The mailbox has no bound of its own: each report is of a message that takes room
-    /// in the journal until the report is acknowledged.
+    /// Runs until the dispatcher ends. The mailbox is not bounded itself. The journal bounds the number of reports: the
+    /// message of each report takes space in it until the report is acknowledged.
     pub async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<PendingCompletionReport>) {
         let mut queue = ReportQueue::new();
         while queue.receive(&mut mailbox).await.is_ok() {
@@ -102,13 +105,13 @@
         }
     }
 
-    /// Sends the oldest reports once and handles the answer.
+    /// Sends the oldest reports once and handles the response.
     async fn send_batch(&mut self, queue: &mut ReportQueue) -> Result<(), DispatcherEnded> {
         let batch_len = queue.unacknowledged.len().min(queue.max_batch_reports);
         let body = queue.encode(batch_len);
         let response = tokio::select! {
             response = self.platform.request(Method::POST, COMPLETION_REPORTS_PATH, body, queue.response_timeout) => response,
-            // Reports that the old address has not acknowledged are sent to the new one.
+            // The reports stay in the queue: those that the old address did not acknowledge are sent to the new address.
             Ok(()) = self.agent_address.changed() => {
                 let address = *self.agent_address.borrow_and_update();
                 self.platform.set_address(address);
@@ -118,7 +121,7 @@
         queue.adapt_timeout(&response);
         match response.map(|response| response.status) {
             Ok(StatusCode::NO_CONTENT) => self.handle_acknowledgement(queue, batch_len).await,
-            // One line that the platform can't read must not hold up the others: they are sent one by one.
+            // A report that the platform can't read must not block the other reports, so they are sent one by one.
             Ok(StatusCode::BAD_REQUEST) if batch_len > 1 => {
                 queue.max_batch_reports = 1;
                 Ok(())
@@ -143,33 +146,35 @@
     ) -> Result<(), DispatcherEnded> {
         queue.max_batch_reports = MAX_BATCH_REPORTS;
         if queue.reachability.update(Reachability::Reachable) {
-            info!(self.log, "completion reports acknowledged again");
+            info!(self.log, "platform acknowledged completion reports again");
         }
         let acknowledged = queue.unacknowledged.drain(..batch_len);
         let serials = acknowledged.map(|report| report.serial).collect();
         self.notify_acknowledged(serials).await
     }
 
-    /// Gives up a report that the platform can't read. Sending it again would not help.
+    /// Drops a report that the platform can't read: it would reject a retry too.
     async fn drop_rejected_report(&self, queue: &mut ReportQueue) -> Result<(), DispatcherEnded> {
         let Some(report) = queue.unacknowledged.pop_front() else {
             return Ok(());
         };
-        error!(self.log, "completion report rejected as unreadable"; "id" => report.request_id);
+        error!(self.log, "completion report dropped: the platform rejected it as unreadable"; "id" => report.request_id);
         self.notify_acknowledged(vec![report.serial]).await
     }
 
-    /// Logs the first failure in a row, and pauses. A request that timed out has waited already.
+    /// Logs the first of consecutive failures, and waits for the retry delay. After a timeout there is no delay, because
+    /// the request has waited already.
     async fn handle_failure(&self, queue: &mut ReportQueue, error: PlatformError) {
         if queue.reachability.update(Reachability::Unreachable) {
-            warn!(self.log, "completion reports not acknowledged"; "problem" => %error);
+            warn!(self.log, "platform did not acknowledge completion reports"; "problem" => %error);
         }
         if !matches!(error, PlatformError::Timeout) {
             tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Tells the dispatcher that these reports need not be sent any more.
+    /// Reports to the dispatcher that the reports with these serial numbers need not be sent any more. Fails if the
+    /// dispatcher has ended.
     async fn notify_acknowledged(&self, serials: Vec<u64>) -> Result<(), DispatcherEnded> {
         let acknowledged = DispatcherCommand::CompletionReportsAcknowledged(serials);
         self.dispatcher
--- a/crates/forwarder/src/completion_reports/golden_tests.rs
+++ b/crates/forwarder/src/completion_reports/golden_tests.rs
@@ -1,5 +1,5 @@
-//! Proves that completion reports go to the platform with the same bytes: each recorded batch of ends is given to the actor,
-//! and the bytes that come over a real connection are compared with the recorded ones.
+//! Checks that the bytes of the completion reports do not change: each recorded batch is sent to the actor, and the
+//! bytes that a server receives on a TCP connection are compared with the recorded bytes.
 
 use super::*;
 use crate::golden_cases::{text, GoldenCases};
@@ -16,9 +16,12 @@
         Some("rejected") => Ending::Rejected {
             retry_after: input["retry-after us"].as_u64(),
         },
-        _ => panic!("no ending"),
+        _ => panic!("the case has no known ending"),
     };
-    let request_id = input["request id"].as_str().expect("an id").to_owned();
+    let request_id = input["request id"]
+        .as_str()
+        .expect("the case has a request id")
+        .to_owned();
     PendingCompletionReport {
         serial: serial as u64,
         request_id,
@@ -26,7 +29,7 @@
     }
 }
 
-/// The request that comes, to the last byte of the body that its head announces.
+/// Reads one request, up to the last byte of the body that its head announces.
 async fn read_request(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     loop {
@@ -35,31 +38,40 @@
             let length = request[..head]
                 .lines()
                 .find_map(|line| line.strip_prefix("content-length: "));
-            let length: usize = length.map_or(0, |length| length.parse().expect("a length"));
+            let length: usize = length.map_or(0, |length| {
+                length.parse().expect("the content length is a number")
+            });
             if bytes.len() >= head + 4 + length {
                 return request;
             }
         }
         let read = tokio::time::timeout(REQUEST_TIMEOUT, stream.read_buf(&mut bytes)).await;
         assert_ne!(
-            read.expect("in time").expect("readable"),
+            read.expect("the request arrives in time")
+                .expect("the stream is readable"),
             0,
-            "the request is cut off"
+            "the connection ended before the request was complete"
         );
     }
 }
 
-/// The bytes of the completion report, and the serial numbers that count as acknowledged after the platform's answer.
+/// Sends the reports of a case to the actor and gives it the recorded responses. Returns the bytes of its requests, and
+/// the serial numbers that it reports to the dispatcher as acknowledged.
 async fn exchange(input: &Value) -> Value {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("the listener has an address");
     let (_address_sender, agent_address) = watch::channel(address);
     let (dispatcher, mut commands) = mpsc::channel(4);
     let (mailbox, pending_reports) = mpsc::unbounded_channel();
-    for (serial, report) in input["ends"].as_array().expect("ends").iter().enumerate() {
+    for (serial, report) in input["ends"]
+        .as_array()
+        .expect("the case has reports")
+        .iter()
+        .enumerate()
+    {
         mailbox
             .send(pending_report(serial, report))
-            .expect("it is open");
+            .expect("the mailbox is open");
     }
     let platform = PlatformClient::new(address);
     let log = Logger::root(slog::Discard, slog::o!());
@@ -73,9 +85,9 @@
         .run(pending_reports),
     );
     let mut requests = Vec::new();
-    for answer in input["answers"].as_array().expect("answers") {
-        // Each answer ends its connection.
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+    for answer in input["answers"].as_array().expect("the case has responses") {
+        // Each response closes its connection.
+        let (mut stream, _) = listener.accept().await.expect("the actor connects");
         let request = read_request(&mut stream).await;
         requests.push(text(
             request
@@ -84,9 +96,12 @@
         ));
         let answer = format!(
             "HTTP/1.1 {}\r\nConnection: close\r\n\r\n",
-            answer.as_str().expect("a status")
+            answer.as_str().expect("the response is a status")
         );
-        stream.write_all(answer.as_bytes()).await.expect("answered");
+        stream
+            .write_all(answer.as_bytes())
+            .await
+            .expect("the response is written");
     }
     let mut serials = Vec::new();
     while let Ok(Some(DispatcherCommand::CompletionReportsAcknowledged(acknowledged_serials))) =
--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -1,9 +1,10 @@
-//! The dispatcher: the one actor that owns the decision core, the journal and the messages in flight.
+//! The dispatcher: the actor that owns the decision core, the journal and the messages in flight.
 //!
-//! It turns the reports of the other actors into the core's events and carries out the core's actions in order.
-//! What must survive the process is journalled before it takes effect: a message before its client is answered, an
-//! attempt before its bytes are sent. It refuses submissions that it can't
-//! hold or route, and a delivery after the deadline does not complete a message; all other decisions are the core's.
+//! The dispatcher passes the events that the other actors report to the core, and executes the core's actions in order.
+//! State that must survive the process is written to the journal before it takes effect: a message before its client
+//! is answered, an attempt before its bytes are sent. The dispatcher itself rejects submissions for which there is no
+//! capacity or whose destination is unknown, and does not count a delivery after the deadline as the completion of its
+//! message. All other decisions are made by the core.
 
 mod actions;
 mod attempts;
@@ -38,74 +39,78 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How long after the start the messages of a previous run wait for an endpoint list, where none is known.
+/// Time after the start for which the messages of a previous run wait for an endpoint list. They are submitted to the
+/// core afterwards even if no list is known.
 const RECOVERY_LIST_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// The actor around the decision core.
+/// The actor that owns the decision core. It runs as one task, and the other actors reach it through its mailboxes.
 pub struct Dispatcher {
     clock: Clock,
     config: Config,
     seed: u64,
     forwarder: Forwarder,
     core_state: CoreState,
-    /// How often the core was replaced in this process. Panics while it is being replaced don't count.
+    /// Number of times that the core was replaced since the start of the process. A panic during a replacement is not
+    /// counted.
     core_replacements: u64,
     journal: Journal,
     list_watch: mpsc::Sender<EndpointListCommand>,
     completion_reports: mpsc::UnboundedSender<PendingCompletionReport>,
     gossip: mpsc::Sender<GossipDatagram>,
     log: Logger,
-    /// Whether clients may submit. See [`ActorHandles::ready`].
+    /// Whether clients may submit messages. See [`ActorHandles::ready`].
     ready: Arc<AtomicBool>,
     in_flight: InFlightMessages,
-    /// The destinations that any endpoint list has named. Its size is bounded by the number of destinations.
+    /// The destinations of all endpoint lists since the start. None is removed: the size is bounded by the number of
+    /// destinations.
     known_destinations: BTreeSet<DestinationId>,
-    /// The endpoints of the latest list, and removed ones that still have an attempt out.
+    /// The endpoints of the latest list, and removed endpoints that still have an outstanding attempt.
     listed_endpoints: BTreeMap<EndpointId, ListedEndpoint>,
     endpoint_actors: EndpointActors,
     timers: Timers,
-    /// Events that arose while actions were carried out. Empty between two commands.
+    /// Events caused by the execution of actions, in the order in which the core gets them. Empty between two commands.
     queued_events: VecDeque<Event>,
-    /// The messages of a previous run, until an endpoint list is known or [`RECOVERY_LIST_TIMEOUT`] is over.
+    /// The messages of a previous run, until an endpoint list is known or [`RECOVERY_LIST_TIMEOUT`] has passed.
     recovered_messages: Option<Vec<StoredMessage>>,
-    /// The completion reports that the platform has not acknowledged, by serial number. The value is the id of the
-    /// message where its key is ordered: the core then waits for the acknowledgement.
+    /// The completion reports that the platform has not acknowledged, by the serial number of the message. The value is
+    /// the id of the message if it has an order key: the core then waits for the acknowledgement.
     pending_reports: BTreeMap<u64, Option<MessageId>>,
 }
 
-/// Whether a panic of the core may replace it.
+/// What happens when the core panics.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CoreState {
-    /// A panic replaces the core by a new one.
+    /// The core is replaced by a new one.
     Running,
-    /// A new core is being given the messages of the journal. A message that makes it panic fails instead.
+    /// A new core is getting the messages of the journal. A message on which it panics fails, and the core stays.
     Replacing,
 }
 
-/// What the core decided on one event.
+/// The core's actions on one event.
 struct Decision {
-    /// When the event was handled, in µs.
+    /// Time at which the core handled the event, in µs.
     now: Micros,
     actions: Vec<Action>,
 }
 
-/// The other actors that the dispatcher sends to.
+/// The mailboxes and shared state through which the dispatcher reaches the other actors.
 pub struct ActorHandles {
-    /// What all endpoint actors share.
+    /// The configuration and resources that all endpoint actors share.
     pub context: Arc<EndpointContext>,
     /// The mailbox of the endpoint-list watch.
     pub list_watch: mpsc::Sender<EndpointListCommand>,
-    /// The mailbox of the completion reports.
+    /// The mailbox of the actor that sends completion reports.
     pub completion_reports: mpsc::UnboundedSender<PendingCompletionReport>,
     /// The mailbox of the gossip socket.
     pub gossip: mpsc::Sender<GossipDatagram>,
-    /// Whether clients may submit. Set once the messages of a previous run are submitted again (an endpoint list is known,
-    /// or 1 s after the start, or at once where a panic replaces the core). Never cleared, also not at shutdown.
+    /// Whether clients may submit messages. Set once the messages of a previous run have been submitted to the core: as
+    /// soon as an endpoint list is known, 1 s after the start at the latest, or when the core is replaced after a panic.
+    /// Never cleared, not even at shutdown.
     pub ready: Arc<AtomicBool>,
 }
 
 impl Dispatcher {
-    /// A dispatcher without messages. `seed` is that of the core's random numbers.
+    /// Creates a dispatcher without messages. `seed` initialises the core's random number generator.
     pub fn new(
         config: Config,
         seed: u64,
@@ -138,8 +143,8 @@
         }
     }
 
-    /// Runs until the shutdown has begun and neither attempts nor completion reports are in flight, or until `exit` is
-    /// ready.
+    /// Runs until `exit` is ready, or until the shutdown has begun and neither an attempt nor a completion report is in
+    /// flight.
     pub async fn run(
         mut self,
         mut commands: mpsc::Receiver<DispatcherCommand>,
@@ -180,7 +185,7 @@
         !self.in_flight.has_outstanding_attempts() && self.pending_reports.is_empty()
     }
 
-    /// Handles one message of another actor.
+    /// Handles one command from another actor.
     pub fn handle_command(&mut self, command: DispatcherCommand) {
         match command {
             DispatcherCommand::Event(Event::EndpointListUpdated(update)) => {
@@ -198,7 +203,7 @@
         }
     }
 
-    /// Handles the timers that are due, the earliest first.
+    /// Passes the timers that are due to the core, the earliest first.
     fn fire_timers(&mut self) {
         let now = self.clock.now();
         while let Some(token) = self.timers.pop_due(now) {
@@ -206,7 +211,7 @@
         }
     }
 
-    /// Gives the core an event, and then those that carrying out its actions has queued.
+    /// Passes an event to the core and executes its actions, then does the same for each event that the actions queued.
     fn handle_event(&mut self, event: Event) {
         self.process_event(event);
         self.handle_queued_events();
@@ -218,7 +223,7 @@
         }
     }
 
-    /// Gives the core one event and carries out its actions.
+    /// Passes one event to the core and executes its actions. Events that the actions queue stay in the queue.
     fn process_event(&mut self, event: Event) {
         let Decision { now, actions } = self.call_core(event);
         for action in actions {
@@ -226,7 +231,8 @@
         }
     }
 
-    /// Gives the core one event. There are no actions where the core panicked.
+    /// Passes one event to the core and returns its actions. A panic of the core is handled here; no action is returned
+    /// then.
     fn call_core(&mut self, event: Event) -> Decision {
         let now = self.clock.now();
         let submitted_id = match &event {
@@ -245,7 +251,8 @@
         Decision { now, actions }
     }
 
-    /// The dispatcher goes on after a failed write. Stopping would lose the messages that are already accepted.
+    /// Logs a failed write to the journal. The dispatcher continues, because stopping would lose the messages that are
+    /// already accepted.
     fn log_journal_error(&self, result: Result<(), JournalError>) {
         if let Err(error) = result {
             error!(self.log, "journal write failed"; "problem" => %error);
@@ -253,7 +260,7 @@
     }
 }
 
-/// Sleeps until a deadline; for ever where there is none.
+/// Sleeps until the deadline. Never returns if there is none.
 async fn sleep_until(deadline: Option<Instant>) {
     match deadline {
         Some(deadline) => tokio::time::sleep_until(deadline).await,
--- a/crates/forwarder/src/dispatcher/actions.rs
+++ b/crates/forwarder/src/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! Carrying out the core's actions.
+//! Executes the core's actions.
 
 use super::{log_events, Dispatcher};
 use crate::commands::{EndpointCommand, EndpointListCommand, GossipDatagram};
@@ -7,7 +7,7 @@
 use slog::{error, warn};
 
 impl Dispatcher {
-    /// Carries out one action that the core decided on at `now`.
+    /// Executes one action. `now` is the time at which the core decided on it, in µs.
     pub(super) fn execute_action(&mut self, now: Micros, action: Action) {
         match action {
             Action::StartAttempt {
@@ -60,7 +60,8 @@
         });
     }
 
-    /// A full mailbox counts as a failed poll: the core polls again later. An ended receiver gives the same result.
+    /// Sends a command to the actor that watches the endpoint list. A full or closed mailbox is reported to the core as a
+    /// failed poll, so that the core polls again later.
     fn send_list_command(&mut self, command: EndpointListCommand) {
         if self.list_watch.try_send(command).is_err() {
             let failed = Event::EndpointListUpdated(EndpointListUpdate::Failed);
@@ -68,15 +69,18 @@
         }
     }
 
-    /// An ended receiver gives the same result, and the same log line, as a full mailbox.
+    /// Sends a datagram to the gossip socket. It is dropped if the mailbox is full or closed.
     fn send_gossip(&self, datagram: GossipDatagram) {
         if self.gossip.try_send(datagram).is_err() {
-            warn!(self.log, "gossip datagram dropped: the mailbox is full");
+            warn!(
+                self.log,
+                "gossip datagram dropped: the mailbox of the gossip socket is full or closed"
+            );
         }
     }
 
-    /// Sends a command to an endpoint's actor, which is started if none runs. False where the endpoint is not listed
-    /// or its mailbox is full.
+    /// Sends a command to the actor of an endpoint, and starts the actor if it isn't running. Returns false if the
+    /// endpoint is not listed or the actor's mailbox is full.
     pub(super) fn send_endpoint_command(
         &mut self,
         endpoint: EndpointId,
@@ -89,7 +93,8 @@
         self.endpoint_actors.send_command(now, endpoint, command)
     }
 
-    /// Sends a command only to an actor that runs: an endpoint without one has neither attempts nor connections.
+    /// Sends a command to the actor of an endpoint if the actor is running. An endpoint without an actor has neither
+    /// attempts nor connections.
     fn send_endpoint_command_if_running(&mut self, endpoint: EndpointId, command: EndpointCommand) {
         if self.endpoint_actors.is_running(endpoint) {
             self.send_endpoint_command(endpoint, command);
--- a/crates/forwarder/src/dispatcher/attempts.rs
+++ b/crates/forwarder/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: journalled before they are sent, and journalled again once their outcome is known.
+//! Starts, cancels and records attempts. An attempt is journalled before it is sent, and again once its outcome is known.
 
 use super::in_flight::{InFlightMessage, OutstandingAttempt};
 use super::Dispatcher;
@@ -9,8 +9,11 @@
 use tokio::time::Instant;
 
 impl Dispatcher {
-    /// Journals the next attempt at a message and sends it to the endpoint's actor. Where either fails, the core gets
-    /// the outcome [`Outcome::NotAttempted`]. Times are in µs.
+    /// Journals the next attempt at a message and sends it to the endpoint's actor. If either fails, the core gets the
+    /// outcome [`Outcome::NotAttempted`].
+    ///
+    /// Times are in µs. `timeout` is cut to the message's time left; `None` stands for the time left itself. The attempt
+    /// must begin by `send_by`.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -25,7 +28,7 @@
             .map_or(0, |listed| listed.zone.0);
         let send_by = self.clock.at(send_by);
         let Some(message) = self.in_flight.get_undecided(id) else {
-            error!(self.log, "the core sent a message that is over"; "message" => id.0);
+            error!(self.log, "attempt ignored: its message is unknown or has ended"; "message" => id.0);
             return;
         };
         let time_left = message.deadline.saturating_sub(now);
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Queues the end of an attempt of which nothing was sent.
+    /// Queues the event that ends an attempt of which no byte was sent.
     fn queue_not_attempted(&mut self, id: MessageId, attempt: OutstandingAttempt) {
         self.queued_events.push_back(Event::AttemptEnded {
             id,
@@ -74,7 +77,7 @@
         });
     }
 
-    /// Asks the endpoint's actor to end an attempt, if it is out.
+    /// Tells the endpoint's actor to cancel an attempt. Does nothing if the attempt is not outstanding.
     pub(super) fn cancel_attempt(&mut self, id: MessageId, attempt_index: u8) {
         if let Some(endpoint) = self.in_flight.endpoint_of_attempt(id, attempt_index) {
             self.send_endpoint_command(
@@ -84,8 +87,8 @@
         }
     }
 
-    /// Where the event is the end of an attempt, records it before the core gets it. A delivery that comes after the
-    /// message's deadline does not complete it: the message still needs its final answer.
+    /// Records the end of an attempt before the core gets the event; does nothing for other events. A delivery after the
+    /// message's deadline does not complete the message: the message still needs its final answer.
     pub(super) fn record_attempt_end(&mut self, event: &mut Event) {
         let Event::AttemptEnded {
             id,
--- a/crates/forwarder/src/dispatcher/completion.rs
+++ b/crates/forwarder/src/dispatcher/completion.rs
@@ -1,4 +1,4 @@
-//! The final answers to messages, and the completion reports that tell the platform of them.
+//! Ends messages, and keeps track of the completion reports that pass final answers to the platform.
 
 use super::Dispatcher;
 use crate::commands::PendingCompletionReport;
@@ -7,7 +7,8 @@
 use slog::error;
 
 impl Dispatcher {
-    /// Ends a message without delivery. The platform gets a completion report.
+    /// Ends a message that was not delivered, and sends its completion report to the platform. Does nothing if the
+    /// ending is already decided.
     pub(super) fn end_with_report(&mut self, id: MessageId, ending: Ending) {
         let Some(message) = self.in_flight.get_undecided(id) else {
             return;
@@ -25,7 +26,8 @@
         self.in_flight.remove_if_finished(id);
     }
 
-    /// Ends a message whose client needs no completion report: it gets the answer itself, or has left.
+    /// Ends a message without a completion report, because its client gets the answer itself or has disconnected. Does
+    /// nothing if the ending is already decided.
     pub(super) fn end_without_report(&mut self, id: MessageId) {
         let Some(message) = self.in_flight.get_undecided(id) else {
             return;
@@ -37,8 +39,8 @@
         self.in_flight.remove_if_finished(id);
     }
 
-    /// Sends a completion report until the platform acknowledges it. `ordered` is the message's id where the core
-    /// waits for the acknowledgement.
+    /// Hands a completion report to the actor that sends it until the platform acknowledges it. `ordered_message` is the
+    /// id of the message if the core waits for the acknowledgement. Does nothing if the report is already pending.
     pub(super) fn send_report(
         &mut self,
         report: PendingCompletionReport,
@@ -54,12 +56,13 @@
         if self.completion_reports.send(report).is_err() {
             error!(
                 self.log,
-                "completion report delayed until the next start: the reporting actor has ended"
+                "completion report deferred to the next start: the actor that sends reports has ended"
             );
         }
     }
 
-    /// The platform has a completion report: nothing of its message needs to survive any more.
+    /// Handles the platform's acknowledgement of a completion report. The journal no longer needs to keep the message,
+    /// and the core is notified if it waits for the acknowledgement.
     pub(super) fn handle_report_acknowledgement(&mut self, serial: u64) {
         let ordered_message = self.pending_reports.remove(&serial).flatten();
         let written = self.journal.ended(serial);
--- a/crates/forwarder/src/dispatcher/endpoint_list.rs
+++ b/crates/forwarder/src/dispatcher/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoints of the latest list, as far as the dispatcher needs them.
+//! The dispatcher's table of the endpoints in the latest list.
 
 use super::Dispatcher;
 use opalpulley::{
@@ -7,9 +7,10 @@
 };
 use std::collections::btree_map::Entry;
 
-/// What the latest list says of an endpoint, without its id: the table has one for each listed endpoint.
+/// The entry of an endpoint in the latest list without the endpoint's id, which is the key in the dispatcher's table. The
+/// table holds one for each listed endpoint, so its size matters.
 pub struct ListedEndpoint {
-    /// Where it runs.
+    /// Zone in which the endpoint runs.
     pub zone: ZoneId,
     kind: EndpointKindId,
     status: EndpointStatus,
@@ -19,7 +20,7 @@
 }
 
 impl ListedEndpoint {
-    /// The entry of the list that this was made from.
+    /// Returns the entry of the list from which this value was created.
     pub fn to_entry(&self, endpoint: EndpointId) -> EndpointEntry {
         EndpointEntry {
             endpoint,
@@ -47,8 +48,8 @@
 }
 
 impl Dispatcher {
-    /// Applies a report of discovery to the table of endpoints, then gives it to the core. The messages of a previous
-    /// run wait no longer.
+    /// Applies an update from discovery to the table of endpoints and passes it to the core. Then submits the messages of
+    /// a previous run, if they still wait for a list.
     pub(super) fn update_endpoint_list(&mut self, update: EndpointListUpdate) {
         match &update {
             EndpointListUpdate::Complete(entries) | EndpointListUpdate::Cached(entries) => {
@@ -61,8 +62,11 @@
         self.submit_recovered_messages();
     }
 
-    /// Both tables are built from the complete sorted list, which fills their nodes. Inserting one entry at a time
-    /// would take twice the memory.
+    /// Replaces the table by a complete list. Endpoints that are no longer listed stay as removed endpoints while they
+    /// have outstanding attempts.
+    ///
+    /// Both maps are built from the complete sorted list, which fills their nodes. Inserting one entry at a time would
+    /// take twice the memory.
     fn replace_list(&mut self, entries: &[EndpointEntry]) {
         let mut destinations = entries.iter().map(|entry| entry.destination).collect();
         self.known_destinations.append(&mut destinations);
@@ -85,7 +89,7 @@
         }
     }
 
-    /// The work is proportional to the changes, not to the list.
+    /// Applies changed entries to the table. The work is proportional to the changes, not to the list.
     fn apply_list_changes(&mut self, entries: &[EndpointEntry]) {
         for entry in entries {
             self.known_destinations.insert(entry.destination);
@@ -94,7 +98,7 @@
         }
     }
 
-    /// Forgets an endpoint that has left the list, once no attempt is out to it.
+    /// Drops an endpoint and its actor if the endpoint was removed from the list and has no outstanding attempt.
     pub(super) fn purge_if_removed(&mut self, endpoint: EndpointId) {
         let removed = self
             .listed_endpoints
--- a/crates/forwarder/src/dispatcher/endpoints.rs
+++ b/crates/forwarder/src/dispatcher/endpoints.rs
@@ -1,5 +1,5 @@
-//! The actors of the endpoints in use. An actor starts with the first command to its endpoint. It stops once the
-//! endpoint has been idle for so long that none of its connections could serve again.
+//! The actors of the endpoints in use. An actor is started by the first command to its endpoint, and is stopped once the
+//! endpoint has been idle for so long that none of its connections can be reused.
 
 use crate::commands::EndpointCommand;
 use crate::endpoints::{Endpoint, EndpointContext};
@@ -11,44 +11,46 @@
 use tokio::sync::mpsc;
 use tokio::sync::mpsc::error::TrySendError;
 
-/// Commands in an actor's mailbox for each concurrency permit: an attempt, its cancellation, and the withdrawal that
-/// a retry-after of its answer causes.
+/// Capacity of an actor's mailbox for each concurrency permit, in commands: an attempt, its cancellation, and the
+/// withdrawal that a retry-after in its response causes.
 const COMMANDS_PER_PERMIT: usize = 3;
 
-/// Commands in an actor's mailbox beyond those: health checks, closing of connections, withdrawals after a change of
-/// the endpoint list.
+/// Capacity of an actor's mailbox for commands that belong to no permit: health checks, closing of connections, and
+/// withdrawals after a change of the endpoint list.
 const COMMANDS_WITHOUT_PERMIT: usize = 64;
 
-/// How long a health check may take, in connect timeouts: `HEALTH_CHECK_TIMEOUT_FACTOR` of the endpoint's actor (1.5),
-/// rounded up.
+/// Upper bound on the duration of a health check, in connect timeouts: `HEALTH_CHECK_TIMEOUT_FACTOR` of the endpoint's
+/// actor (1.5), rounded up.
 const HEALTH_CHECK_CONNECT_TIMEOUTS: Micros = 2;
 
+/// An actor that has been started and not stopped, as [`EndpointActors`] sees it.
 struct RunningActor {
     mailbox: mpsc::Sender<EndpointCommand>,
     outstanding_attempts: usize,
-    /// When the latest command was sent there, or the latest attempt ended, in µs.
+    /// Time at which the latest command was sent to the actor or its latest attempt ended, in µs.
     last_used_at: Micros,
-    /// When it is next checked for being idle, in µs.
+    /// Time of the next check whether the actor is idle, in µs.
     idle_check_at: Micros,
 }
 
-/// The actors that run.
+/// The running actors, with the time of their next idle check. Owned by the dispatcher.
 pub struct EndpointActors {
     context: Arc<EndpointContext>,
     mailbox_capacity: usize,
-    /// An actor that was not used for so long stops, in µs.
+    /// Time without use after which an actor is stopped, in µs.
     idle_timeout: Micros,
     running: BTreeMap<EndpointId, RunningActor>,
-    /// The next idle check of each actor that runs, the earliest first.
+    /// The next idle check of each running actor, the earliest first. Times are in µs.
     idle_checks: BTreeSet<(Micros, EndpointId)>,
 }
 
 impl EndpointActors {
-    /// No actors. `concurrency_limit` is the number of attempts that may be out at once.
+    /// Creates an empty set of actors. `concurrency_limit` is the upper bound on the outstanding attempts of the
+    /// forwarder.
     pub fn new(context: Arc<EndpointContext>, concurrency_limit: u32) -> EndpointActors {
         let mailbox_capacity =
             COMMANDS_PER_PERMIT * concurrency_limit as usize + COMMANDS_WITHOUT_PERMIT;
-        // By then every idle connection is retired and every health check is over.
+        // After this time every idle connection is closed and every health check has ended.
         let config = &context.config;
         let health_check_timeout =
             HEALTH_CHECK_CONNECT_TIMEOUTS.saturating_mul(config.connect_timeout);
@@ -64,7 +66,8 @@
         }
     }
 
-    /// Sends a command to the endpoint's actor, which is started if none runs. False where its mailbox is full.
+    /// Sends a command to the actor of an endpoint, and starts the actor if it isn't running. Returns false if the
+    /// actor's mailbox is full.
     pub fn send_command(
         &mut self,
         now: Micros,
@@ -84,7 +87,7 @@
         });
         actor.last_used_at = now;
         let sent = match actor.mailbox.try_send(command) {
-            // The actor has ended without reading the command: a new one gets it.
+            // The actor ended before it could read the command, so a new actor gets it.
             Err(TrySendError::Closed(command)) => {
                 actor.mailbox = start_actor(endpoint, context, capacity);
                 actor.mailbox.try_send(command)
@@ -98,19 +101,19 @@
         sent.is_ok()
     }
 
-    /// Whether an actor of the endpoint runs.
+    /// Returns whether the actor of the endpoint is running.
     pub fn is_running(&self, endpoint: EndpointId) -> bool {
         self.running.contains_key(&endpoint)
     }
 
-    /// Counts an attempt that was sent to the endpoint's actor.
+    /// Counts an attempt as outstanding. The caller has sent it to the actor of the endpoint.
     pub fn attempt_started(&mut self, endpoint: EndpointId) {
         if let Some(actor) = self.running.get_mut(&endpoint) {
             actor.outstanding_attempts += 1;
         }
     }
 
-    /// Counts an attempt whose outcome the endpoint's actor has reported.
+    /// Counts an attempt as ended, once the actor of the endpoint has reported its outcome.
     pub fn attempt_ended(&mut self, now: Micros, endpoint: EndpointId) {
         if let Some(actor) = self.running.get_mut(&endpoint) {
             actor.outstanding_attempts = actor.outstanding_attempts.saturating_sub(1);
@@ -118,26 +121,26 @@
         }
     }
 
-    /// How many attempts are out to the endpoint.
+    /// Returns the number of outstanding attempts at the endpoint.
     pub fn outstanding_attempts(&self, endpoint: EndpointId) -> usize {
         self.running
             .get(&endpoint)
             .map_or(0, |actor| actor.outstanding_attempts)
     }
 
-    /// Stops the endpoint's actor. It finishes the commands that it has.
+    /// Stops the actor of the endpoint. The actor still finishes the commands in its mailbox.
     pub fn stop(&mut self, endpoint: EndpointId) {
         if let Some(actor) = self.running.remove(&endpoint) {
             self.idle_checks.remove(&(actor.idle_check_at, endpoint));
         }
     }
 
-    /// When [`EndpointActors::stop_idle`] is due next, in µs.
+    /// Returns the time at which [`EndpointActors::stop_idle`] is due next, in µs. `None` if no actor is running.
     pub fn next_idle_check_at(&self) -> Option<Micros> {
         self.idle_checks.first().map(|(due_at, _)| *due_at)
     }
 
-    /// Stops the actors that were not used for the idle timeout.
+    /// Stops the actors that have been idle for the idle timeout. An actor with an outstanding attempt is not idle.
     pub fn stop_idle(&mut self, now: Micros) {
         while let Some(endpoint) = self.pop_due_idle_check(now) {
             let Some(actor) = self.running.get_mut(&endpoint) else {
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Removes the earliest idle check, if it is due at `now`.
+    /// Removes the earliest idle check if it is due at `now`, and returns its endpoint.
     fn pop_due_idle_check(&mut self, now: Micros) -> Option<EndpointId> {
         let (due_at, endpoint) = self.idle_checks.first().copied()?;
         if due_at > now {
@@ -169,8 +172,8 @@
     }
 }
 
-/// Starts an actor. Dropping its mailbox stops it: it reads what is left there, waits for the attempts and health
-/// checks in flight, and closes its connections.
+/// Starts an actor and returns its mailbox. Dropping the mailbox stops the actor: it reads the commands that are left,
+/// waits for the attempts and health checks in flight, and closes its connections.
 fn start_actor(
     endpoint: EndpointId,
     context: &Arc<EndpointContext>,
--- a/crates/forwarder/src/dispatcher/endpoints/tests.rs
+++ b/crates/forwarder/src/dispatcher/endpoints/tests.rs
@@ -1,4 +1,4 @@
-//! Actors run while their endpoints are in use, and no command is lost between two actors of one endpoint.
+//! Tests that actors run while their endpoints are in use, and that no command is lost when an actor is replaced.
 
 use super::*;
 use crate::commands::{AttemptRequest, DispatcherCommand};
@@ -66,7 +66,7 @@
         .num_alive_tasks()
 }
 
-/// Lets the actors run until so many tasks are left.
+/// Lets the actors run until the expected number of tasks is left.
 async fn run_until_task_count(expected: usize) {
     for _ in 0..1_000 {
         if running_task_count() == expected {
@@ -74,14 +74,16 @@
         }
         tokio::task::yield_now().await;
     }
-    panic!("{} tasks instead of {expected}", running_task_count());
+    panic!("expected {expected} tasks, got {}", running_task_count());
 }
 
-/// Of 91,000 endpoints, each used once in 455 s, no more actors run than endpoints were used in one idle timeout.
+/// If each of 91,000 endpoints is used once within 455 s, no more actors run than endpoints were used within one idle
+/// timeout.
 #[tokio::test]
 async fn stops_actors_of_endpoints_unused_for_idle_timeout() {
     const USES: u32 = 91_000;
-    const USE_INTERVAL: Micros = 5_000; // µs
+    /// Time between two uses, in µs.
+    const USE_INTERVAL: Micros = 5_000;
     let (mut actors, _commands) = actors();
     let max_running = (IDLE_TIMEOUT / USE_INTERVAL) as usize;
     for use_index in 0..USES {
@@ -105,7 +107,8 @@
     run_until_task_count(0).await;
 }
 
-/// An actor with an attempt out runs on, however long that takes. Its idle timeout counts from the end of the attempt.
+/// An actor with an outstanding attempt is not stopped, however long the attempt takes. The actor's idle timeout starts
+/// with the end of the attempt.
 #[tokio::test]
 async fn keeps_actor_with_outstanding_attempt_running() {
     let (mut actors, _commands) = actors();
@@ -117,28 +120,34 @@
     actors.attempt_ended(ended_at, endpoint(1));
     actors.stop_idle(ended_at + IDLE_TIMEOUT - 1);
     assert!(actors.is_running(endpoint(1)));
-    actors.stop_idle(actors.next_idle_check_at().expect("one is due"));
+    actors.stop_idle(actors.next_idle_check_at().expect("an idle check is due"));
     assert!(!actors.is_running(endpoint(1)));
     assert_eq!(actors.next_idle_check_at(), None);
-    // Nothing is left of an actor whose endpoint was removed.
+    // No entry is left of an actor whose endpoint was removed.
     assert!(actors.send_command(0, endpoint(2), EndpointCommand::CloseIdleConnections));
     actors.stop(endpoint(2));
     assert!(actors.running.is_empty() && actors.idle_checks.is_empty());
 }
 
-/// An attempt that is posted as the actor stops is sent exactly once, whichever comes first.
+/// An attempt is sent exactly once, whether it gets into the mailbox before its actor is stopped or after it.
 #[tokio::test]
 async fn sends_attempt_once_when_actor_stops() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let port = listener.local_addr().expect("its address").port();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let port = listener
+        .local_addr()
+        .expect("the listener has an address")
+        .port();
     tokio::spawn(async move {
         loop {
-            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let (mut stream, _) = listener.accept().await.expect("an actor connects");
             tokio::spawn(async move {
                 let mut bytes = [0; 4096];
                 while stream.read(&mut bytes).await.is_ok_and(|n| n > 0) {
                     let response = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-                    stream.write_all(response).await.expect("answered");
+                    stream
+                        .write_all(response)
+                        .await
+                        .expect("the response is written");
                 }
             });
         }
@@ -148,27 +157,31 @@
         port,
         ..endpoint(1)
     };
-    // The first is in the mailbox as that is dropped; the second comes after.
+    // The first attempt is in the mailbox when the mailbox is dropped; the second attempt is sent afterwards.
     assert!(actors.send_command(0, listening, start_attempt(0)));
     actors.stop_idle(IDLE_TIMEOUT);
     assert!(!actors.is_running(listening));
     assert!(actors.send_command(IDLE_TIMEOUT, listening, start_attempt(1)));
-    // The third finds a mailbox whose actor has ended.
+    // The third attempt is sent to a mailbox whose actor has ended.
     let (closed_mailbox, _) = mpsc::channel(1);
-    actors.running.get_mut(&listening).expect("it runs").mailbox = closed_mailbox;
+    actors
+        .running
+        .get_mut(&listening)
+        .expect("the actor is running")
+        .mailbox = closed_mailbox;
     assert!(actors.send_command(IDLE_TIMEOUT, listening, start_attempt(2)));
     let mut delivered = Vec::new();
     while delivered.len() < 3 {
         let command = tokio::time::timeout(Duration::from_secs(5), commands.recv())
             .await
-            .expect("in time");
+            .expect("the outcome arrives in time");
         let Some(DispatcherCommand::Event(Event::AttemptEnded {
             attempt_index,
             outcome: Outcome::Delivered,
             ..
         })) = command
         else {
-            panic!("not delivered")
+            panic!("expected a delivered attempt")
         };
         delivered.push(attempt_index);
     }
@@ -178,16 +191,16 @@
         tokio::time::timeout(Duration::from_millis(200), commands.recv())
             .await
             .is_err(),
-        "an attempt was sent twice"
+        "each attempt must be sent once"
     );
 }
 
-/// A mailbox allocates its commands in blocks of 32, so that a large command would make each used endpoint costly.
+/// A mailbox allocates its commands in blocks of 32, so that a large command would cost memory for each endpoint in use.
 #[test]
 fn endpoint_command_fits_in_16_bytes() {
     assert!(
         std::mem::size_of::<EndpointCommand>() <= 16,
-        "{} bytes",
+        "a command must take at most 16 bytes, got {}",
         std::mem::size_of::<EndpointCommand>()
     );
 }
--- a/crates/forwarder/src/dispatcher/in_flight.rs
+++ b/crates/forwarder/src/dispatcher/in_flight.rs
@@ -1,27 +1,28 @@
-//! The messages in flight: accepted, and not yet over.
+//! The messages in flight: accepted, and not yet finished.
 
 use crate::protocol::SubmittedMessage;
 use opalpulley::{EndpointId, MessageId, Micros};
 use std::collections::BTreeMap;
 
-/// A message that is not over. It is over once its ending is decided and none of its attempts is out.
+/// A message that is not finished. It is finished once its ending is decided and none of its attempts is outstanding.
 pub struct InFlightMessage {
-    /// Its serial number in the journal.
+    /// Serial number of the message in the journal.
     pub serial: u64,
-    /// What the client submitted.
+    /// The message as the client submitted it.
     pub submitted: SubmittedMessage,
-    /// After this moment, in µs, it must not be delivered.
+    /// Deadline in µs: after it the message must not be delivered.
     pub deadline: Micros,
-    /// How many attempts were started, those of previous runs included. It is the number of the next attempt.
+    /// Number of attempts started, including those of previous runs, without attempts withdrawn before they were sent. It
+    /// is also the index of the next attempt.
     pub attempts_started: u32,
-    /// The attempts whose outcome is not known.
+    /// The attempts whose outcome is not known yet.
     pub outstanding_attempts: Vec<OutstandingAttempt>,
-    /// Whether it is decided how the message ends. Attempts may still be out.
+    /// Whether it is decided how the message ends. Attempts may still be outstanding.
     pub ending_decided: bool,
 }
 
 impl InFlightMessage {
-    /// A message without an attempt out.
+    /// Creates a message without an outstanding attempt.
     pub fn new(
         serial: u64,
         submitted: SubmittedMessage,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Counts one more attempt and gives its number. Numbers stay at 255 from there on.
+    /// Counts the next attempt and returns its index. All attempts from the 256th on have the index 255.
     pub fn take_attempt_index(&mut self) -> u8 {
         let attempt_index = self.attempts_started.min(u32::from(u8::MAX)) as u8;
         self.attempts_started += 1;
@@ -50,54 +51,54 @@
     }
 }
 
-/// An attempt whose outcome is not known.
+/// An attempt whose outcome is not known yet.
 #[derive(Clone, Copy)]
 pub struct OutstandingAttempt {
-    /// Its number, from 0.
+    /// Index of the attempt among those at the message, from 0.
     pub attempt_index: u8,
-    /// Where it was sent.
+    /// The endpoint to which the attempt was sent.
     pub endpoint: EndpointId,
 }
 
-/// The messages in flight, found by the core's id and by the client's.
+/// The messages in flight, by the core's id and by the client's request id. Owned by the dispatcher.
 #[derive(Default)]
 pub struct InFlightMessages {
     messages: BTreeMap<MessageId, InFlightMessage>,
-    /// The core's id of each message, by the request id that its client gave it.
+    /// The core's id of each message, by the client's request id.
     ids_by_request_id: BTreeMap<String, MessageId>,
     last_id: u32,
 }
 
 impl InFlightMessages {
-    /// How many messages are in flight.
+    /// Returns the number of messages in flight.
     pub fn len(&self) -> usize {
         self.messages.len()
     }
 
-    /// The message with this id.
+    /// Returns the message with this id.
     pub fn get(&self, id: MessageId) -> Option<&InFlightMessage> {
         self.messages.get(&id)
     }
 
-    /// The message with this id.
+    /// Returns the message with this id, for changes.
     pub fn get_mut(&mut self, id: MessageId) -> Option<&mut InFlightMessage> {
         self.messages.get_mut(&id)
     }
 
-    /// The message with this id, if its ending is not decided.
+    /// Returns the message with this id if its ending is not decided.
     pub fn get_undecided(&mut self, id: MessageId) -> Option<&mut InFlightMessage> {
         self.messages
             .get_mut(&id)
             .filter(|message| !message.ending_decided)
     }
 
-    /// The message that a client gave this request id.
+    /// Returns the message with this request id.
     pub fn get_by_request_id(&self, request_id: &str) -> Option<&InFlightMessage> {
         let id = self.ids_by_request_id.get(request_id)?;
         self.messages.get(id)
     }
 
-    /// The endpoint that an attempt is out to.
+    /// Returns the endpoint of an outstanding attempt.
     pub fn endpoint_of_attempt(&self, id: MessageId, attempt_index: u8) -> Option<EndpointId> {
         let message = self.messages.get(&id)?;
         let outstanding = message
@@ -107,14 +108,14 @@
         Some(outstanding.endpoint)
     }
 
-    /// Whether any message has an attempt out.
+    /// Returns whether any message has an outstanding attempt.
     pub fn has_outstanding_attempts(&self) -> bool {
         self.messages
             .values()
             .any(|message| !message.outstanding_attempts.is_empty())
     }
 
-    /// An id that no message in flight has. Ids are used again once their messages are over.
+    /// Returns an id that no message in flight has. An id may be reused once its message is finished.
     pub fn unused_id(&mut self) -> MessageId {
         loop {
             self.last_id = self.last_id.wrapping_add(1);
@@ -125,14 +126,14 @@
         }
     }
 
-    /// Adds a message.
+    /// Adds a message. Its id must be unused.
     pub fn insert(&mut self, id: MessageId, message: InFlightMessage) {
         let request_id = message.submitted.request_id.clone();
         self.ids_by_request_id.insert(request_id, id);
         self.messages.insert(id, message);
     }
 
-    /// Removes a message, if it is over.
+    /// Removes a message if it is finished.
     pub fn remove_if_finished(&mut self, id: MessageId) {
         if !self.get(id).is_some_and(InFlightMessage::is_finished) {
             return;
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Removes all messages and gives them, in the order of their ids.
+    /// Removes and returns all messages, in the order of their ids.
     pub fn take_all(&mut self) -> BTreeMap<MessageId, InFlightMessage> {
         self.ids_by_request_id.clear();
         std::mem::take(&mut self.messages)
@@ -151,12 +152,12 @@
 
 #[cfg(test)]
 impl InFlightMessages {
-    /// All messages, in the order of their ids.
+    /// Returns all messages, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (MessageId, &InFlightMessage)> {
         self.messages.iter().map(|(id, message)| (*id, message))
     }
 
-    /// Whether nothing is kept of any message.
+    /// Returns whether neither a message nor a request id is left.
     pub fn is_empty(&self) -> bool {
         self.messages.is_empty() && self.ids_by_request_id.is_empty()
     }
--- a/crates/forwarder/src/dispatcher/log_events.rs
+++ b/crates/forwarder/src/dispatcher/log_events.rs
@@ -4,7 +4,7 @@
 use opalpulley::LogEvent;
 use slog::{info, warn, Logger};
 
-/// Writes one line for one event.
+/// Writes one log line for one event.
 pub fn write(log: &Logger, event: &LogEvent) {
     match event {
         LogEvent::EndpointEjected {
--- a/crates/forwarder/src/dispatcher/recovery.rs
+++ b/crates/forwarder/src/dispatcher/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: a new core gets the messages of the journal, after a restart of the process or a panic of the core.
+//! Recovery: passes the messages of the journal to a new core, after a restart of the process or a panic of the core.
 
 use super::in_flight::InFlightMessage;
 use super::submissions::core_submission;
@@ -14,8 +14,8 @@
 use std::sync::atomic::Ordering;
 
 impl Dispatcher {
-    /// Takes over the messages of a previous run. They wait for an endpoint list: without one the core could send
-    /// them nowhere.
+    /// Restores the messages of a previous run. They wait until an endpoint list is known, because the core could not
+    /// send them to any endpoint without one.
     pub fn restore_previous_run(&mut self, messages: Vec<StoredMessage>) {
         self.recovered_messages = Some(messages);
         if !self.listed_endpoints.is_empty() {
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Gives the core the messages of a previous run, if it has not got them yet. From then on clients may submit.
+    /// Passes the messages of a previous run to the core, unless that is already done. From then on clients may submit
+    /// messages.
     pub(super) fn submit_recovered_messages(&mut self) {
         if let Some(messages) = self.recovered_messages.take() {
             self.restore_messages(messages);
@@ -31,7 +32,8 @@
         }
     }
 
-    /// Gives the core messages of the journal, with what is known of their attempts.
+    /// Passes messages of the journal to the core, with the recorded history of their attempts. For a message that has
+    /// ended, only the completion report is sent again.
     pub(super) fn restore_messages(&mut self, messages: Vec<StoredMessage>) {
         let now = self.clock.now();
         for stored in messages {
@@ -43,7 +45,7 @@
         }
     }
 
-    /// The message is over, and the platform has not acknowledged its completion report.
+    /// Restores a message that has ended and whose completion report the platform has not acknowledged.
     fn restore_pending_report(&mut self, id: MessageId, stored: StoredMessage, ending: Ending) {
         if let Some(key) = stored.key {
             self.handle_event(Event::CompletionReportPending {
@@ -78,11 +80,12 @@
         self.handle_event(Event::MessageSubmitted(submission));
     }
 
-    /// Handles a panic of the core. `submitted` is the message whose submission it panicked on.
+    /// Handles a panic of the core. `submitted_id` is the message whose submission caused the panic, if it was a
+    /// submission.
     pub(super) fn handle_core_panic(&mut self, submitted_id: Option<MessageId>) {
         match self.core_state {
             CoreState::Running => self.replace_core(),
-            // A second replacement would panic on the same message again. So the message fails.
+            // Another replacement would panic on the same message again, so the message fails.
             CoreState::Replacing => {
                 if let Some(id) = submitted_id {
                     self.end_with_report(id, Ending::Failed);
@@ -91,16 +94,17 @@
         }
     }
 
-    /// Replaces a core that panicked. The new one gets the endpoint list and the messages of the journal, as after a
+    /// Replaces a core that panicked. The new core gets the endpoint list and the messages of the journal, as after a
     /// restart of the process.
     pub(super) fn replace_core(&mut self) {
         self.core_replacements += 1;
-        crit!(self.log, "the core panicked and is replaced"; "panics" => self.core_replacements);
+        crit!(self.log, "decision core replaced after a panic"; "panics" => self.core_replacements);
         let seed = self.seed.wrapping_add(self.core_replacements);
         self.forwarder = Forwarder::new(self.config.clone(), seed);
         self.timers.clear();
         self.queued_events.clear();
-        // The journal has the messages of a previous run too. Once they are restored from it, clients may submit.
+        // The journal also holds the messages of a previous run. They are restored from it below, so clients may submit
+        // messages.
         if self.recovered_messages.take().is_some() {
             self.ready.store(true, Ordering::Relaxed);
         }
@@ -133,8 +137,10 @@
     }
 }
 
-/// The earliest attempt that may have taken effect. A start in the future means that the clock was set back: how long
-/// ago the attempt began is not known then. 0 makes it older than any deduplication window, so that it is not repeated.
+/// Returns the earliest attempt that may have taken effect.
+///
+/// A start in the future means that the clock was set back, so that the age of the attempt is not known. The start is
+/// then set to 0: the attempt is older than any deduplication window, so that it is not repeated.
 fn possible_effect(now: Micros, stored: &StoredMessage) -> Option<PossibleEffect> {
     let effect = stored.possible_effect?;
     let started_in_future = effect.started_at > now;
--- a/crates/forwarder/src/dispatcher/submissions.rs
+++ b/crates/forwarder/src/dispatcher/submissions.rs
@@ -1,4 +1,4 @@
-//! Accepting the messages that clients submit.
+//! Accepts or rejects the messages that clients submit.
 
 use super::in_flight::InFlightMessage;
 use super::{Decision, Dispatcher};
@@ -12,18 +12,19 @@
 use slog::{debug, error};
 use tokio::sync::oneshot;
 
-/// A tenant that no deployment has: the core finds no quota for it.
+/// The tenant of messages without one. No deployment configures this id, so that the core finds no quota for it.
 const NO_TENANT: TenantId = TenantId(u32::MAX);
 
 impl Dispatcher {
-    /// Accepts or rejects one submission and answers its client. The message is journalled before the answer.
+    /// Accepts or rejects one submission and answers its client. An accepted message is journalled before the answer is
+    /// sent.
     pub(super) fn handle_submission(&mut self, request: SubmissionRequest) {
         let SubmissionRequest {
             mut submitted,
             received_at,
             answer_sender,
         } = request;
-        // The client has left, and nothing was accepted yet: there is nothing to do.
+        // The client has disconnected and the message is not accepted yet, so it can be dropped.
         if answer_sender.is_closed() {
             return;
         }
@@ -31,7 +32,7 @@
             send_answer(answer_sender, answer);
             return;
         }
-        // The time left is counted from the last byte of the request, not from its turn in the mailbox.
+        // The time left is counted from the last byte of the request, which includes the wait in the mailbox.
         submitted.time_left = submitted
             .time_left
             .saturating_sub(micros(received_at.elapsed()));
@@ -48,8 +49,8 @@
         self.handle_queued_events();
     }
 
-    /// The answer to a submission that needs no place in the journal: the repeat of a message in flight, which a
-    /// client sends where the first answer was lost, or one to an unknown destination.
+    /// Returns the answer to a submission that needs no space in the journal: a submission to an unknown destination, or
+    /// the repeat of a message in flight, which a client sends if the first answer was lost.
     fn answer_without_acceptance(&self, submitted: &SubmittedMessage) -> Option<SubmissionAnswer> {
         if let Some(in_flight) = self.in_flight.get_by_request_id(&submitted.request_id) {
             return Some(if has_same_content(&in_flight.submitted, submitted) {
@@ -64,11 +65,12 @@
         None
     }
 
-    /// Journals a message and adds it to those in flight. None where there is no capacity for it.
+    /// Journals a message and adds it to the messages in flight. Returns `None` if there is no capacity for it or the
+    /// journal fails.
     fn accept_message(&mut self, submitted: SubmittedMessage) -> Option<Submission> {
         let deadline = self.clock.now() + submitted.time_left;
         let stored = stored_message(&submitted, deadline);
-        // The configured capacity is checked before the core is asked, as the simulator does.
+        // The configured capacity is checked before the core gets the submission, as in the simulator.
         let is_full = self.in_flight.len() >= self.config.max_messages as usize;
         if is_full || !self.journal.has_room(&stored) {
             return None;
@@ -76,7 +78,7 @@
         let serial = match self.journal.accept(stored) {
             Ok(serial) => serial,
             Err(error) => {
-                error!(self.log, "a message could not be journalled"; "problem" => %error);
+                error!(self.log, "submission rejected: the message could not be written to the journal"; "problem" => %error);
                 return None;
             }
         };
@@ -87,8 +89,8 @@
         Some(submission)
     }
 
-    /// Gives the core a submission and carries out its actions. The action that ends this message at once is returned
-    /// as the answer to its client instead.
+    /// Passes a submission to the core and executes the core's actions. An action that ends this message at once is not
+    /// executed: it is returned as the answer to the client.
     fn process_submission(&mut self, submission: Submission) -> Option<SubmissionAnswer> {
         let submitted_id = submission.id;
         let Decision { now, actions } = self.call_core(Event::MessageSubmitted(submission));
@@ -107,7 +109,9 @@
         rejection
     }
 
-    /// The client's own answer ends the message: the platform gets no completion report.
+    /// Ends a message that the core rejected at once, and sends the rejection to its client. The platform gets no
+    /// completion report, because the client's answer is final. `is_ordered`: the message has an order key, so that the
+    /// core waits for the acknowledgement of the final answer.
     fn reject_submission(
         &mut self,
         id: MessageId,
@@ -123,26 +127,26 @@
         send_answer(answer_sender, rejection);
     }
 
-    /// Tells the client that its message is accepted. The message is withdrawn where the client has left meanwhile.
+    /// Answers the client that its message is accepted. Withdraws the message if the client has disconnected.
     fn confirm_submission(
         &mut self,
         id: MessageId,
         answer_sender: oneshot::Sender<SubmissionAnswer>,
     ) {
         if answer_sender.send(SubmissionAnswer::Accepted).is_err() {
-            debug!(self.log, "a client left before its answer"; "message" => id.0);
+            debug!(self.log, "message withdrawn: the client disconnected before the answer"; "message" => id.0);
             self.end_without_report(id);
             self.handle_event(Event::MessageWithdrawn { id });
         }
     }
 }
 
-/// An answer to a client that has left is dropped: nothing was accepted from it.
+/// Sends an answer to a client. The answer is dropped if the client has disconnected, because no message was accepted.
 fn send_answer(answer_sender: oneshot::Sender<SubmissionAnswer>, answer: SubmissionAnswer) {
     let _ = answer_sender.send(answer);
 }
 
-/// Whether two submissions with the same request id are the same message.
+/// Returns whether two submissions with the same request id are the same message.
 fn has_same_content(first: &SubmittedMessage, second: &SubmittedMessage) -> bool {
     first.class == second.class
         && first.destination == second.destination
@@ -151,7 +155,8 @@
         && first.body == second.body
 }
 
-/// A message as the journal stores it, before its first attempt. `deadline` is in µs.
+/// Returns a message as the journal stores it before the first attempt. `deadline` is in µs. The journal assigns the
+/// serial number.
 pub(super) fn stored_message(submitted: &SubmittedMessage, deadline: Micros) -> StoredMessage {
     StoredMessage {
         serial: 0,
@@ -172,7 +177,7 @@
     }
 }
 
-/// A message as the core gets it.
+/// Returns a message as the core gets it. `history` holds the attempts of previous runs.
 pub(super) fn core_submission(
     id: MessageId,
     submitted: &SubmittedMessage,
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the dispatcher with a real journal and endpoint actors, against a listener that never responds.
+
 use super::submissions::{core_submission, stored_message};
 use super::*;
 use crate::clock::micros;
@@ -15,7 +17,7 @@
 
 fn dispatcher_config(dedup_window: Micros) -> (Config, opalpulley_config::Names, ConnectionConfig) {
     let text = include_str!("../../../../examples/papers.json");
-    let startup: serde_json::Value = serde_json::from_str(text).expect("the example");
+    let startup: serde_json::Value = serde_json::from_str(text).expect("the example is JSON");
     let mut settings = startup["settings"].clone();
     settings["Profiles"][0]["DedupWindowUs"] = dedup_window.into();
     for effect in ["free", "single_shot"] {
@@ -23,14 +25,15 @@
         class["Effect"] = effect.into();
         settings["Profiles"]
             .as_array_mut()
-            .expect("profiles")
+            .expect("the example has profiles")
             .push(class);
     }
-    let startup =
-        opalpulley_config::read(settings.to_string().as_bytes()).expect("a good configuration");
+    let startup = opalpulley_config::read(settings.to_string().as_bytes())
+        .expect("the configuration is valid");
     (startup.config, startup.names, startup.connections)
 }
 
+/// A dispatcher, the receivers of what it sends, and the endpoint that it sends to.
 struct Fixture {
     dispatcher: Dispatcher,
     pending_reports: mpsc::UnboundedReceiver<PendingCompletionReport>,
@@ -39,17 +42,17 @@
     _dir: TempDir,
 }
 
-/// A dispatcher with one endpoint that accepts connections and answers nothing.
+/// Creates a dispatcher with one endpoint that accepts connections and sends no response.
 async fn fixture() -> Fixture {
     fixture_with_dedup_window(15_000_000).await
 }
 
-/// The same with another deduplication window, in µs.
+/// Creates the same fixture with another deduplication window, in µs.
 async fn fixture_with_dedup_window(dedup_window: Micros) -> Fixture {
     let (config, names, connections) = dispatcher_config(dedup_window);
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let dir = TempDir::new().expect("a folder");
-    let (journal, _) = Journal::open(dir.path(), 1_000_000).expect("a journal");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let dir = TempDir::new().expect("a temporary folder");
+    let (journal, _) = Journal::open(dir.path(), 1_000_000).expect("the journal opens");
     let log = Logger::root(slog::Discard, slog::o!());
     let (dispatcher, commands) = mpsc::channel(64);
     let (list_watch, _) = mpsc::channel(1);
@@ -71,7 +74,10 @@
         ready: Arc::default(),
     };
     let mut dispatcher = Dispatcher::new(config, 1, Clock::start(), journal, handles, log);
-    let port = listener.local_addr().expect("its address").port();
+    let port = listener
+        .local_addr()
+        .expect("the listener has an address")
+        .port();
     let entry = EndpointEntry {
         endpoint: EndpointId {
             address: [127, 0, 0, 1],
@@ -110,7 +116,7 @@
         answered
     }
 
-    /// Runs the dispatcher and its endpoints for some milliseconds.
+    /// Runs the dispatcher and its endpoint actors for a duration in ms.
     async fn run_for(&mut self, duration_ms: u64) {
         let deadline = tokio::time::Instant::now() + Duration::from_millis(duration_ms);
         while tokio::time::Instant::now() < deadline {
@@ -122,7 +128,7 @@
         }
     }
 
-    /// How many new connections the endpoint has got. Each carries one attempt.
+    /// Accepts the endpoint's new connections and returns their number. Each carries one attempt.
     async fn count_attempts(&self) -> usize {
         let mut attempts = 0;
         while tokio::time::timeout(Duration::from_millis(20), self.listener.accept())
@@ -150,8 +156,8 @@
     }
 }
 
-/// After a panic of the core the new one gets each message in flight, with the attempts that may have taken effect: an
-/// at-most-once message is not sent again and fails.
+/// After a panic of the core, the new core gets each message in flight with the attempts that may have taken effect, so
+/// that an at-most-once message is not sent again and fails.
 #[tokio::test]
 async fn replacement_core_retries_messages_in_flight_except_at_most_once() {
     let mut fixture = fixture().await;
@@ -165,8 +171,12 @@
     assert_eq!(fixture.count_attempts().await, 3);
     fixture.dispatcher.replace_core();
     fixture.run_for(300).await;
-    assert_eq!(fixture.count_attempts().await, 2); // not the at-most-once message
-    let pending_report = fixture.pending_reports.try_recv().expect("an end");
+    // The at-most-once message is not sent again.
+    assert_eq!(fixture.count_attempts().await, 2);
+    let pending_report = fixture
+        .pending_reports
+        .try_recv()
+        .expect("a completion report");
     assert_eq!(
         (pending_report.request_id.as_str(), pending_report.ending),
         ("at-most-once", Ending::Failed)
@@ -181,21 +191,25 @@
     assert_eq!(fixture.dispatcher.journal.recover_messages().len(), 2);
 }
 
-/// A core that panics before an endpoint list is known is replaced, and clients may submit from then on.
+/// A core that panics before an endpoint list is known is replaced, and clients may submit messages from then on.
 #[tokio::test]
 async fn sets_ready_when_core_panics_before_first_endpoint_list() {
     let mut fixture = fixture().await;
     fixture.dispatcher.ready.store(false, Ordering::Relaxed);
     fixture.dispatcher.recovered_messages = Some(Vec::new());
     fixture.dispatcher.replace_core();
-    assert!(fixture.dispatcher.ready.load(Ordering::Relaxed));
+    assert!(
+        fixture.dispatcher.ready.load(Ordering::Relaxed),
+        "clients may submit messages"
+    );
 }
 
-/// A message is not accepted where its client has left before its turn.
+/// A message is not accepted if its client disconnects while the submission waits in the mailbox.
 #[tokio::test]
 async fn ignores_submission_whose_client_has_disconnected() {
     let mut fixture = fixture().await;
-    drop(fixture.submit("early", 1)); // its answer was sent before it time_left: accepted
+    // This client disconnects after its answer was sent, so its message is accepted.
+    drop(fixture.submit("early", 1));
     let (answer_sender, answered) = oneshot::channel();
     drop(answered);
     fixture.dispatcher.handle_submission(SubmissionRequest {
@@ -215,7 +229,7 @@
     assert_eq!(fixture.dispatcher.journal.recover_messages().len(), 1);
 }
 
-/// A delivered message leaves the tables and the journal. A second outcome of its attempt changes nothing.
+/// A delivered message is removed from the tables and the journal. A second outcome of its attempt has no effect.
 #[tokio::test]
 async fn removes_delivered_message_and_ignores_second_outcome() {
     let mut fixture = fixture().await;
@@ -224,13 +238,18 @@
         Ok(SubmissionAnswer::Accepted)
     );
     fixture.run_for(100).await;
-    let (id, _) = fixture.dispatcher.in_flight.iter().next().expect("one");
+    let (id, _) = fixture
+        .dispatcher
+        .in_flight
+        .iter()
+        .next()
+        .expect("a message is in flight");
     let endpoint = *fixture
         .dispatcher
         .listed_endpoints
         .keys()
         .next()
-        .expect("an endpoint");
+        .expect("an endpoint is listed");
     let ended = |outcome| Event::AttemptEnded {
         id,
         attempt_index: 0,
@@ -252,7 +271,7 @@
     assert!(fixture.dispatcher.pending_reports.is_empty());
 }
 
-/// Messages beyond the configured capacity are rejected. The tenant reaches the core and the journal.
+/// Messages beyond the configured capacity are rejected. The tenant is passed to the core and to the journal.
 #[tokio::test]
 async fn rejects_submission_over_configured_capacity() {
     let mut fixture = fixture().await;
@@ -274,7 +293,7 @@
     assert_eq!(stored_message(&with_tenant, 7).tenant, Some(1));
 }
 
-/// The deadline is counted from the last byte of the request, however long it waited in the mailbox.
+/// The deadline is counted from the last byte of the request, however long the submission waits in the mailbox.
 #[tokio::test]
 async fn counts_deadline_from_receipt_of_request() {
     let mut fixture = fixture().await;
@@ -299,56 +318,65 @@
 }
 
 impl Fixture {
-    /// Restores an idempotency-keyed message as a restart finds it: with one attempt out that started then.
+    /// Restores an idempotency-keyed message as after a restart, with one outstanding attempt that started at
+    /// `started_at`, in µs.
     fn restore_with_outstanding_attempt(&mut self, started_at: Micros) {
         let stored = stored_message(
             &submitted("out", 0),
             self.dispatcher.clock.now() + 20_000_000,
         );
-        let serial = self.dispatcher.journal.accept(stored).expect("room");
+        let serial = self
+            .dispatcher
+            .journal
+            .accept(stored)
+            .expect("the journal has space");
         self.dispatcher
             .journal
             .attempt_started(serial, 0, started_at, 0)
-            .expect("room");
+            .expect("the journal has space");
         let messages = self.dispatcher.journal.recover_messages();
         self.dispatcher.restore_messages(messages);
     }
 }
 
-/// A repeat that was decided inside the deduplication window is not sent outside it, however long the process blocks
+/// A retry that was decided inside the deduplication window is not sent outside it, however long the process blocks
 /// before the endpoint's actor runs.
 #[tokio::test]
 async fn does_not_retry_outside_deduplication_window_when_actor_runs_late() {
     for (blocking_ms, expected_attempts) in [(0, 1), (200, 0)] {
         let mut fixture = fixture_with_dedup_window(1_000_000).await;
         fixture.restore_with_outstanding_attempt(fixture.dispatcher.clock.now() - 900_000);
-        std::thread::sleep(Duration::from_millis(blocking_ms)); // blocks all actors
+        // Blocks all actors, because the runtime of the test has one thread.
+        std::thread::sleep(Duration::from_millis(blocking_ms));
         fixture.run_for(200).await;
         assert_eq!(
             fixture.count_attempts().await,
             expected_attempts,
-            "blocked for {blocking_ms} ms"
+            "number of attempts after {blocking_ms} ms in which no actor ran"
         );
     }
 }
 
-/// A start in the future means that the clock was set back between two runs. How long ago the attempt began is not
-/// known then, so nothing proves that a repeat is inside the deduplication window.
+/// A start in the future means that the clock was set back between two runs. The age of the attempt is not known then, so
+/// nothing proves that a retry is inside the deduplication window.
 #[tokio::test]
 async fn does_not_retry_attempt_that_started_in_future() {
     let mut fixture = fixture_with_dedup_window(1_000_000).await;
     fixture.restore_with_outstanding_attempt(fixture.dispatcher.clock.now() + 5_000_000);
     fixture.run_for(200).await;
     assert_eq!(fixture.count_attempts().await, 0);
-    let pending_report = fixture.pending_reports.try_recv().expect("an end");
+    let pending_report = fixture
+        .pending_reports
+        .try_recv()
+        .expect("a completion report");
     assert_eq!(
         (pending_report.request_id.as_str(), pending_report.ending),
         ("out", Ending::Failed)
     );
 }
 
-/// An attempt that finds the mailbox of its endpoint full has not taken effect, although its start is journalled. The
-/// message is sent once there is room.
+/// An attempt that is dropped because the mailbox of the endpoint's actor is full has not taken effect, although its
+/// start is journalled. The message is sent once the mailbox has space.
 #[tokio::test]
 async fn retries_attempt_after_full_mailbox() {
     let mut fixture = fixture().await;
@@ -361,8 +389,8 @@
         .listed_endpoints
         .keys()
         .next()
-        .expect("an endpoint");
-    // The actor does not run meanwhile.
+        .expect("an endpoint is listed");
+    // The actor does not run during this loop, which does not yield.
     while fixture
         .dispatcher
         .send_endpoint_command(endpoint, EndpointCommand::CloseIdleConnections)
@@ -375,12 +403,12 @@
     let message = stored
         .iter()
         .find(|message| message.request_id == "at-most-once")
-        .expect("it is stored");
+        .expect("the message is in the journal");
     assert_eq!((message.attempts, message.possible_effect), (1, None));
     fixture.run_for(500).await;
     assert!(
         fixture.pending_reports.try_recv().is_err(),
-        "a report of its end"
+        "no message has ended, so there must be no completion report"
     );
     assert_eq!(fixture.count_attempts().await, 2);
 }
--- a/crates/forwarder/src/golden_cases.rs
+++ b/crates/forwarder/src/golden_cases.rs
@@ -1,17 +1,17 @@
-//! Golden cases: inputs and the values that the program gives for them, recorded before a change that must not be seen.
-//! A file is a JSON list of objects, each with a `name`, an `input` and the `expected` value.
+//! Golden cases: inputs with the values that the program produced for them, recorded before a change that must not alter
+//! them. A file is a JSON list of objects, each with a `name`, an `input` and the `expected` value.
 
 use serde_json::Value;
 use std::path::PathBuf;
 
-/// The path of a file or folder of recorded data.
+/// Returns the path of a file or folder of recorded data.
 pub fn path(file: &str) -> PathBuf {
     [env!("CARGO_MANIFEST_DIR"), "tests", "golden", file]
         .iter()
         .collect()
 }
 
-/// Recorded cases: inputs, and what each gave.
+/// The recorded cases of one file, and the differences found so far. Owned by one test.
 pub struct GoldenCases {
     file: &'static str,
     cases: Vec<Value>,
@@ -20,7 +20,7 @@
 }
 
 impl GoldenCases {
-    /// Reads the cases of a file.
+    /// Reads the cases of a file. Panics if the file is missing or not a list.
     pub fn read(file: &'static str) -> GoldenCases {
         let text = std::fs::read(path(file)).expect("the golden file is readable");
         let cases = serde_json::from_slice(&text).expect("the golden file is a list of cases");
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The inputs, in the order of the file.
+    /// Returns the inputs, in the order of the file.
     pub fn inputs(&self) -> Vec<Value> {
         self.cases
             .iter()
@@ -40,7 +40,7 @@
             .collect()
     }
 
-    /// Compares the value for the next input with the recorded one.
+    /// Compares the value for the next input with the recorded value. The caller must go through the inputs in order.
     pub fn compare_next(&mut self, actual: Value) {
         let case = &self.cases[self.compared_count];
         self.compared_count += 1;
@@ -52,25 +52,29 @@
         }
     }
 
-    /// Fails where a value differs from the recorded one, or where a case was not compared.
+    /// Panics if a value differs from the recorded value, if a case was not compared, or if there are no cases.
     pub fn finish(self) {
         assert_eq!(
             self.compared_count,
             self.cases.len(),
-            "{}: each case is compared",
+            "{}: each case must be compared",
+            self.file
+        );
+        assert!(
+            self.compared_count > 0,
+            "{}: the file must hold at least one case",
             self.file
         );
-        assert!(self.compared_count > 0, "{}: there are cases", self.file);
         assert!(
             self.differences.is_empty(),
-            "{}:\n{}",
+            "{}: values differ from the recorded ones:\n{}",
             self.file,
             self.differences.join("\n\n")
         );
     }
 }
 
-/// The text of some bytes, as a JSON value. All recorded bytes of the HTTP protocols are text.
+/// Returns bytes as a JSON string. All recorded bytes of the HTTP protocols are valid UTF-8.
 pub fn text(bytes: &[u8]) -> Value {
-    Value::from(std::str::from_utf8(bytes).expect("the recorded bytes are text"))
+    Value::from(std::str::from_utf8(bytes).expect("the bytes are valid UTF-8"))
 }
--- a/crates/forwarder/src/http_connection.rs
+++ b/crates/forwarder/src/http_connection.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 connection that this program opened, to an endpoint or to the platform's agent.
+//! A client's HTTP/1.1 connection, to an endpoint or to the platform's agent.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::task::JoinHandle;
 
-/// A connection and the task that drives it. Dropping it closes the connection, whatever request is in flight.
+/// A connection and the task that drives it. Dropping this value closes the connection, even if a request is in flight.
 pub struct HttpConnection {
     /// Sends requests, one at a time.
     pub sender: SendRequest<Full<Bytes>>,
@@ -21,18 +21,18 @@
 }
 
 impl HttpConnection {
-    /// Starts HTTP/1.1 over a stream. Nothing is written before the first request.
+    /// Starts HTTP/1.1 on a stream and spawns the driver task. Nothing is written before the first request.
     pub async fn handshake<S>(stream: S, settings: &Builder) -> hyper::Result<HttpConnection>
     where
         S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
     {
         let (sender, connection) = settings.handshake(TokioIo::new(stream)).await?;
-        // An error on the connection reaches the request that is in flight.
+        // The driver's error can be dropped: the request in flight returns it.
         let driver = tokio::spawn(async move { drop(connection.await) });
         Ok(HttpConnection { sender, driver })
     }
 
-    /// Waits until it can take a request. Returns false where it has ended.
+    /// Waits until the connection can take a request. Returns false if the connection has ended.
     pub async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
--- a/crates/forwarder/src/platform.rs
+++ b/crates/forwarder/src/platform.rs
@@ -1,4 +1,4 @@
-//! The connection to the platform's agent on this machine. It is opened again after each failure.
+//! The HTTP client of the platform's agent on this machine. It reconnects after each failure.
 
 use crate::http_connection::HttpConnection;
 use bytes::Bytes;
@@ -11,35 +11,39 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The longest answer that is read: more than any endpoint list that fits the memory limit.
+/// Upper bound on the body of a response, in bytes. It is larger than any endpoint list that fits the memory limit.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Why an exchange with the platform failed.
 #[derive(Debug)]
 pub enum PlatformError {
-    /// No connection came up.
+    /// The connection could not be opened, or the request could not be built.
     Connect(io::Error),
-    /// No head of an answer came.
+    /// The request could not be sent, or the connection ended before the head of the response.
     Send(hyper::Error),
-    /// The body of the answer broke off or was too long.
+    /// The body of the response was cut off or was longer than the limit.
     ReadBody(Box<dyn std::error::Error + Send + Sync>),
-    /// The answer was not complete in time.
+    /// The response was not complete within the timeout.
     Timeout,
-    /// The status of the answer says that it is not what was asked for.
+    /// The response has another status than the caller expects.
     Status(StatusCode),
-    /// The body of the answer can't be decoded.
+    /// The body of the response can't be decoded.
     Decode(serde_json::Error),
 }
 
 impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PlatformError::Connect(e) => write!(f, "no connection: {e}"),
-            PlatformError::Send(e) => write!(f, "no response: {e}"),
-            PlatformError::ReadBody(e) => write!(f, "the response broke off: {e}"),
-            PlatformError::Timeout => write!(f, "no response in time"),
-            PlatformError::Status(status) => write!(f, "answered {status}"),
-            PlatformError::Decode(e) => write!(f, "the response is not understood: {e}"),
+            PlatformError::Connect(e) => write!(f, "no connection to the platform's agent: {e}"),
+            PlatformError::Send(e) => write!(f, "no response from the platform's agent: {e}"),
+            PlatformError::ReadBody(e) => {
+                write!(f, "the body of the response could not be read: {e}")
+            }
+            PlatformError::Timeout => write!(f, "no complete response within the timeout"),
+            PlatformError::Status(status) => write!(f, "unexpected status {status}"),
+            PlatformError::Decode(e) => {
+                write!(f, "the body of the response could not be decoded: {e}")
+            }
         }
     }
 }
@@ -49,37 +53,37 @@
 /// Whether the latest exchange of an actor with the platform succeeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// It did, or there was none yet.
+    /// The latest exchange succeeded, or there was none yet.
     Reachable,
-    /// It failed.
+    /// The latest exchange failed.
     Unreachable,
 }
 
 impl Reachability {
-    /// Sets the state after an exchange. Returns whether it has changed.
+    /// Sets the state after an exchange. Returns whether the state has changed, which is when callers log it.
     pub fn update(&mut self, current: Reachability) -> bool {
         let previous = std::mem::replace(self, current);
         previous != current
     }
 }
 
-/// An answer of the platform.
+/// A complete response of the platform.
 pub struct PlatformResponse {
-    /// Its status.
+    /// The status code.
     pub status: StatusCode,
-    /// Its whole body.
+    /// The whole body.
     pub body: Bytes,
 }
 
-/// A connection to the platform's agent.
+/// A client of the platform's agent, with at most one connection. Each actor that talks to the platform owns one.
 pub struct PlatformClient {
     address: SocketAddr,
-    /// None before the first exchange and after each failure.
+    /// `None` before the first exchange, during an exchange and after a failed one.
     connection: Option<HttpConnection>,
 }
 
 impl PlatformClient {
-    /// The agent at an address. The connection is opened with the first exchange.
+    /// Creates a client of the agent at an address. The connection is opened by the first request.
     pub fn new(address: SocketAddr) -> PlatformClient {
         PlatformClient {
             address,
@@ -87,19 +91,19 @@
         }
     }
 
-    /// The same agent, with a connection of its own.
+    /// Creates a client of the agent at the same address that does not share this connection.
     pub fn clone_without_connection(&self) -> PlatformClient {
         PlatformClient::new(self.address)
     }
 
-    /// Goes on with the agent at another address.
+    /// Sets the address of the agent. The connection to the old address is closed.
     pub fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
         self.connection = None;
     }
 
-    /// Sends one request and reads its answer, which may take `within`. Dropping the future closes the connection: no half answer is read
-    /// as that to a later request.
+    /// Sends one request and reads the whole response. Fails if that takes longer than `timeout`. Dropping the future
+    /// closes the connection, so that the rest of a response is never read as the response to a later request.
     pub async fn request(
         &mut self,
         method: Method,
@@ -122,7 +126,7 @@
     }
 }
 
-/// The previous connection, where it can take a request; else a new one.
+/// Returns the previous connection if it can take a request, and otherwise opens a new one.
 async fn reuse_or_connect(
     address: SocketAddr,
     previous: Option<HttpConnection>,
@@ -135,14 +139,15 @@
     let stream = TcpStream::connect(address)
         .await
         .map_err(PlatformError::Connect)?;
-    // Bytes that the kernel delays would be lost with a close. A connection that refuses the option works all the same.
+    // Bytes that the kernel delays would be lost when the connection is closed. An error is ignored, because the
+    // connection works without the option too.
     let _ = stream.set_nodelay(true);
     HttpConnection::handshake(stream, &Builder::new())
         .await
         .map_err(PlatformError::Send)
 }
 
-/// Sends one request and reads the whole answer.
+/// Sends one request and reads the whole response.
 async fn exchange(
     connection: &mut HttpConnection,
     address: SocketAddr,
