--- a/crates/forwarder/src/dispatcher/endpoint_list.rs
+++ b/crates/forwarder/src/dispatcher/endpoint_list.rs
@@ -104,7 +104,7 @@
             .listed_endpoints
             .get(&endpoint)
             .is_some_and(|listed| listed.status == EndpointStatus::Removed);
-        if removed && self.endpoint_actors.outstanding_attempts(endpoint) == 0 {
+        if removed && self.endpoint_actors.outstanding_attempt_count(endpoint) == 0 {
             self.listed_endpoints.remove(&endpoint);
             self.endpoint_actors.stop(endpoint);
         }
--- a/crates/forwarder/src/dispatcher/endpoints.rs
+++ b/crates/forwarder/src/dispatcher/endpoints.rs
@@ -26,7 +26,7 @@
 /// An actor that has been started and not stopped, as [`EndpointActors`] sees it.
 struct RunningActor {
     mailbox: mpsc::Sender<EndpointCommand>,
-    outstanding_attempts: usize,
+    outstanding_attempt_count: usize,
     /// Time at which the latest command was sent to the actor or its latest attempt ended, in µs.
     last_used_at: Micros,
     /// Time of the next check whether the actor is idle, in µs.
@@ -80,7 +80,7 @@
             self.idle_checks.insert((idle_check_at, endpoint));
             RunningActor {
                 mailbox: start_actor(endpoint, context, capacity),
-                outstanding_attempts: 0,
+                outstanding_attempt_count: 0,
                 last_used_at: now,
                 idle_check_at,
             }
@@ -109,23 +109,23 @@
     /// Counts an attempt as outstanding. The caller has sent it to the actor of the endpoint.
     pub fn attempt_started(&mut self, endpoint: EndpointId) {
         if let Some(actor) = self.running.get_mut(&endpoint) {
-            actor.outstanding_attempts += 1;
+            actor.outstanding_attempt_count += 1;
         }
     }
 
     /// Counts an attempt as ended, once the actor of the endpoint has reported its outcome.
     pub fn attempt_ended(&mut self, now: Micros, endpoint: EndpointId) {
         if let Some(actor) = self.running.get_mut(&endpoint) {
-            actor.outstanding_attempts = actor.outstanding_attempts.saturating_sub(1);
+            actor.outstanding_attempt_count = actor.outstanding_attempt_count.saturating_sub(1);
             actor.last_used_at = now;
         }
     }
 
     /// Returns the number of outstanding attempts at the endpoint.
-    pub fn outstanding_attempts(&self, endpoint: EndpointId) -> usize {
+    pub fn outstanding_attempt_count(&self, endpoint: EndpointId) -> usize {
         self.running
             .get(&endpoint)
-            .map_or(0, |actor| actor.outstanding_attempts)
+            .map_or(0, |actor| actor.outstanding_attempt_count)
     }
 
     /// Stops the actor of the endpoint. The actor still finishes the commands in its mailbox.
@@ -146,7 +146,7 @@
             let Some(actor) = self.running.get_mut(&endpoint) else {
                 continue;
             };
-            let idle_since = if actor.outstanding_attempts > 0 {
+            let idle_since = if actor.outstanding_attempt_count > 0 {
                 now
             } else {
                 actor.last_used_at
