--- a/crates/forwarder/src/completion_reports.rs
+++ b/crates/forwarder/src/completion_reports.rs
@@ -40,7 +40,7 @@
 /// The dispatcher has ended, so that no report needs to be sent any more.
 struct DispatcherEnded;
 
-/// The reports that the platform has not acknowledged, and the state of sending them.
+/// The reports that the platform has not acknowledged, and the state of sending them. Owned by the task of the reporter.
 struct ReportQueue {
     /// The reports in the order in which the dispatcher sent them, the oldest first.
     unacknowledged: VecDeque<PendingCompletionReport>,
--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -1,7 +1,7 @@
 //! The dispatcher: the actor that owns the decision core, the journal and the messages in flight.
 //!
-//! The dispatcher passes the events that the other actors report to the core, and executes the core's actions in order.
-//! State that must survive the process is written to the journal before it takes effect: a message before its client
+//! The dispatcher passes the events from the other actors to the core, and executes the core's actions in order. State
+//! that must survive the process is written to the journal before it takes effect: a message before its client
 //! is answered, an attempt before its bytes are sent. The dispatcher itself rejects submissions for which there is no
 //! capacity or whose destination is unknown, and does not count a delivery after the deadline as the completion of its
 //! message. All other decisions are made by the core.
--- a/crates/forwarder/src/dispatcher/attempts.rs
+++ b/crates/forwarder/src/dispatcher/attempts.rs
@@ -28,7 +28,8 @@
             .map_or(0, |listed| listed.zone.0);
         let send_by = self.clock.at(send_by);
         let Some(message) = self.in_flight.get_undecided(id) else {
-            error!(self.log, "attempt ignored: its message is unknown or has ended"; "message" => id.0);
+            error!(self.log, "attempt from the core ignored: its message is unknown or has ended";
+                "message" => id.0);
             return;
         };
         let time_left = message.deadline.saturating_sub(now);
--- a/crates/forwarder/src/dispatcher/endpoint_list.rs
+++ b/crates/forwarder/src/dispatcher/endpoint_list.rs
@@ -49,7 +49,7 @@
 
 impl Dispatcher {
     /// Applies an update from discovery to the table of endpoints and passes it to the core. Then submits the messages of
-    /// a previous run, if they still wait for a list.
+    /// a previous run if they still wait for a list; a failed update ends the wait too.
     pub(super) fn update_endpoint_list(&mut self, update: EndpointListUpdate) {
         match &update {
             EndpointListUpdate::Complete(entries) | EndpointListUpdate::Cached(entries) => {
--- a/crates/forwarder/src/dispatcher/submissions.rs
+++ b/crates/forwarder/src/dispatcher/submissions.rs
@@ -78,7 +78,8 @@
         let serial = match self.journal.accept(stored) {
             Ok(serial) => serial,
             Err(error) => {
-                error!(self.log, "submission rejected: the message could not be written to the journal"; "problem" => %error);
+                error!(self.log, "submission rejected: the message could not be written to the journal";
+                    "problem" => %error);
                 return None;
             }
         };
