--- a/examples/resident.rs
+++ b/examples/resident.rs
@@ -1,13 +1,13 @@
-//! Measures the resident memory of the core alone.
+//! Measures the resident memory of the decision core alone.
 //!
 //!     cargo run --release --example resident -- DESTINATIONS [FULL]
 //!
 //! DESTINATIONS is the number of destinations, each with one endpoint. FULL is the number of
-//! destinations held in full before idle ones are summarised; without it all are held in full. The
-//! forwarder is one of a fleet of 400.
+//! destinations that are held in full before idle ones are summarised; without it, all destinations
+//! are held in full. The forwarder belongs to a fleet of 400.
 //!
-//! Prints the growth of resident memory after the complete list, after the same list again, and
-//! after 10 s with 200 messages a second to random destinations. The time that each step took is
+//! Prints the growth of the resident memory after the complete list, after the same list again, and
+//! after 10 s with 200 messages a second to random destinations. The duration of each step is
 //! printed for comparison.
 
 use opalpulley::*;
@@ -17,19 +17,20 @@
 
 const FLEET_SIZE: u32 = 400;
 
-const MESSAGES: u32 = 2_000;
+const MESSAGE_COUNT: u32 = 2_000;
 
-/// µs between two messages: 200 messages a second.
+/// Time between two messages in µs, which gives 200 messages a second.
 const MESSAGE_INTERVAL: Micros = 5_000;
 
-/// µs until a message is delivered.
-const ANSWER_TIME: Micros = 30_000;
+/// Time from the start of an attempt to its delivery, in µs.
+const RESPONSE_TIME: Micros = 30_000;
 
-/// µs from the submission of a message to its deadline.
+/// Time from the submission of a message to its deadline, in µs.
 const TIME_TO_LIVE: Micros = 30_000_000;
 
-/// Entries of the list that are reported at a time, so that the list itself is not measured.
-const LIST_CHUNK: u32 = 4_096;
+/// Number of list entries that are reported at a time. The list is reported in chunks so that the
+/// memory of the list itself is not measured.
+const LIST_CHUNK_LEN: u32 = 4_096;
 
 fn config(full_destinations: Option<u32>) -> Config {
     let class = DeliveryClassConfig {
@@ -71,8 +72,8 @@
     }
 }
 
-/// The list entry of the only endpoint of a destination.
-fn entry(destination: u32) -> EndpointEntry {
+/// Returns the list entry of the only endpoint of a destination.
+fn endpoint_entry(destination: u32) -> EndpointEntry {
     let [_, a, b, c] = destination.to_be_bytes();
     EndpointEntry {
         endpoint: EndpointId {
@@ -89,7 +90,8 @@
     }
 }
 
-/// Resident memory of this process, in bytes.
+/// Returns the resident memory of this process in bytes. Fails if `/proc/self/status` can't be read
+/// or holds no `VmRSS`.
 fn resident_bytes() -> Result<u64, std::io::Error> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status
@@ -104,28 +106,28 @@
     Ok(kilobytes * 1_024)
 }
 
-/// An attempt that is delivered at its time.
-struct InFlight {
+/// An attempt in flight that will be delivered at `delivered_at`, in µs.
+struct AttemptInFlight {
     delivered_at: Micros,
     id: MessageId,
     endpoint: EndpointId,
 }
 
-/// A forwarder, and the attempts that it has sent.
+/// Drives a forwarder and owns its attempts in flight.
 struct Measurement {
     forwarder: Forwarder,
     destinations: u32,
-    in_flight: Vec<InFlight>,
+    in_flight: Vec<AttemptInFlight>,
     /// Resident memory before the first list, in bytes.
     bytes_before: u64,
-    step_started: Instant,
+    step_started_at: Instant,
 }
 
 impl Measurement {
     fn report_list(&mut self, now: Micros) {
-        for first in (0..self.destinations).step_by(LIST_CHUNK as usize) {
-            let end = self.destinations.min(first + LIST_CHUNK);
-            let entries = (first..end).map(entry).collect();
+        for first in (0..self.destinations).step_by(LIST_CHUNK_LEN as usize) {
+            let end = self.destinations.min(first + LIST_CHUNK_LEN);
+            let entries = (first..end).map(endpoint_entry).collect();
             let update = EndpointListUpdate::Changes(entries);
             self.handle(now, Event::EndpointListUpdated(update));
         }
@@ -133,7 +135,7 @@
 
     fn send_messages(&mut self, start: Micros) {
         let mut rng = Pcg64Mcg::seed_from_u64(1);
-        for number in 0..MESSAGES {
+        for number in 0..MESSAGE_COUNT {
             let now = start + MESSAGE_INTERVAL * Micros::from(number);
             let submission = Submission {
                 id: MessageId(number),
@@ -152,17 +154,17 @@
         }
     }
 
-    /// Ends the attempts whose answer is in.
+    /// Ends the attempts that are delivered by now.
     fn deliver_due(&mut self, now: Micros) {
-        let is_due = |attempt: &mut InFlight| attempt.delivered_at <= now;
-        let due: Vec<InFlight> = self.in_flight.extract_if(.., is_due).collect();
-        for InFlight { id, endpoint, .. } in due {
+        let is_due = |attempt: &mut AttemptInFlight| attempt.delivered_at <= now;
+        let due: Vec<AttemptInFlight> = self.in_flight.extract_if(.., is_due).collect();
+        for AttemptInFlight { id, endpoint, .. } in due {
             let delivered = Event::AttemptEnded {
                 id,
                 attempt_index: 0,
                 endpoint,
                 outcome: Outcome::Delivered,
-                elapsed: ANSWER_TIME,
+                elapsed: RESPONSE_TIME,
                 message_completed: true,
                 load_metrics: Vec::new(),
             };
@@ -170,14 +172,14 @@
         }
     }
 
-    /// Handles an event and keeps the attempts that are sent.
+    /// Handles an event and records the attempts that it starts.
     fn handle(&mut self, now: Micros, event: Event) {
         let mut actions = Vec::new();
         self.forwarder.handle(now, event, &mut actions);
         for action in actions {
             if let Action::StartAttempt { id, endpoint, .. } = action {
-                self.in_flight.push(InFlight {
-                    delivered_at: now + ANSWER_TIME,
+                self.in_flight.push(AttemptInFlight {
+                    delivered_at: now + RESPONSE_TIME,
                     id,
                     endpoint,
                 });
@@ -185,34 +187,40 @@
         }
     }
 
-    /// Prints the memory since the start and the time since the last report.
-    fn report(&mut self, step: &str) -> Result<(), std::io::Error> {
+    /// Prints the growth of the resident memory since the start and the duration of the step.
+    fn print_step(&mut self, step: &str) -> Result<(), std::io::Error> {
         let bytes = resident_bytes()?.saturating_sub(self.bytes_before);
-        let took = self.step_started.elapsed();
+        let step_elapsed = self.step_started_at.elapsed();
         let counts = self.forwarder.state_counts();
-        let each = bytes as f64 / f64::from(self.destinations);
-        println!("{step}: {bytes} bytes, {each:.0} a destination, {took:.1?}; {counts:?}");
-        self.step_started = Instant::now();
+        let bytes_per_destination = bytes as f64 / f64::from(self.destinations);
+        println!(
+            "{step}: {bytes} bytes, {bytes_per_destination:.0} a destination, \
+             {step_elapsed:.1?}; {counts:?}"
+        );
+        self.step_started_at = Instant::now();
         Ok(())
     }
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let mut arguments = std::env::args().skip(1);
-    let destinations = arguments.next().ok_or("how many destinations?")?.parse()?;
+    let destinations = arguments
+        .next()
+        .ok_or("missing argument: DESTINATIONS")?
+        .parse()?;
     let full_destinations = arguments.next().map(|full| full.parse()).transpose()?;
     let mut measurement = Measurement {
         forwarder: Forwarder::new(config(full_destinations), 1),
         destinations,
         in_flight: Vec::new(),
         bytes_before: resident_bytes()?,
-        step_started: Instant::now(),
+        step_started_at: Instant::now(),
     };
     measurement.report_list(1_000_000);
-    measurement.report("complete list")?;
+    measurement.print_step("complete list")?;
     measurement.report_list(2_000_000);
-    measurement.report("the same list again")?;
+    measurement.print_step("the same list again")?;
     measurement.send_messages(10_000_000);
-    measurement.report("after the messages")?;
+    measurement.print_step("after the messages")?;
     Ok(())
 }
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,7 +1,7 @@
-//! The state of one endpoint: its calls, its health, and what is known of its latency.
+//! The state of one endpoint: its calls, its health and its latency.
 //!
-//! [`Endpoint`] calls the rules in [`crate::policy`] and holds no threshold of its own. Whenever
-//! something changes it sends its destination an [`EndpointSnapshot`].
+//! [`Endpoint`] calls the rules in [`crate::policy`] and defines no thresholds itself. It sends an
+//! [`EndpointSnapshot`] to its destination whenever its state changes.
 
 mod snapshot;
 
@@ -16,62 +16,64 @@
 };
 use crate::policy::attempt_timeout;
 use crate::policy::health_check::{self, Trial};
-use crate::policy::outlier::{self, Circumstances, FailureAccrual, Verdict};
+use crate::policy::outlier::{self, FailureAccrual, OutcomeContext, Verdict};
 use crate::policy::selection;
 use crate::policy::slow_start::{self, ForwarderShare, SlowStartBudget};
 use rand::Rng;
 
-/// What an endpoint may get.
+/// The health of an endpoint, which decides what may be sent to it.
 #[derive(Clone, Copy, PartialEq, Default)]
 pub(crate) enum Health {
-    /// All that its limits allow.
+    /// Calls are bound by the limits alone.
     #[default]
     Healthy,
-    /// Nothing but health checks.
+    /// The endpoint is ejected: only health checks are sent.
     Ejected,
-    /// Single calls: it is ejected, and a message may try it.
+    /// The endpoint is ejected, and single calls may be sent as a trial.
     HalfOpen,
-    /// A growing part of its capacity: it was readmitted then.
+    /// The endpoint was readmitted at `since` (µs) and gets a growing share of its capacity.
     WarmingUp { since: Micros },
 }
 
-/// A call that is out.
+/// A call in flight: one or more attempts that started at the same instant.
 struct Call {
     sent_at: Micros,
-    /// Messages in it without an outcome.
-    messages: usize,
-    /// Whether one of its outcomes has been judged: the others say the same.
-    is_judged: bool,
+    /// Number of messages in the call that have no outcome yet.
+    pending_messages: usize,
+    /// Whether an outcome of the call was recorded. Only the first one is, because the messages of
+    /// a call share its outcome.
+    is_outcome_recorded: bool,
 }
 
-/// One endpoint.
+/// The state of one endpoint, owned by the forwarder.
 #[derive(Default)]
 pub(crate) struct Endpoint {
     pub id: EndpointId,
     pub destination: DestinationId,
-    /// Messages in one call at most.
+    /// Upper bound on the number of messages in a call.
     pub batch_size: usize,
     pub status: EndpointStatus,
     pub snapshot: EndpointSnapshot,
-    /// Each leaves with its last outcome.
+    /// Calls in flight. A call is removed with the outcome of its last message.
     calls: Vec<Call>,
     pub failures: FailureAccrual,
     pub health: Health,
-    /// Calls per second that it takes from the whole fleet.
+    /// Calls per second that the endpoint accepts from the whole fleet.
     pub capacity: f64,
-    /// What it may get while it is not healthy.
+    /// Number of calls that may be sent while the endpoint is not healthy.
     pub budget: SlowStartBudget,
     pub latency: LatencyEstimator,
-    /// When the next health check may go. While one is out: [`HEALTH_CHECK_OUT`]. Once the
-    /// endpoint has left the list: when it may be forgotten.
-    pub next_check_at: Micros,
+    /// The instant in µs from which the next health check may start, or [`HEALTH_CHECK_IN_FLIGHT`]
+    /// while one is running. Once the endpoint has left the list: the instant from which it may be
+    /// discarded.
+    pub next_check_or_discard_at: Micros,
 }
 
-/// Stands for [`Endpoint::next_check_at`] while a health check is out.
-pub(crate) const HEALTH_CHECK_OUT: Micros = Micros::MAX;
+/// Value of [`Endpoint::next_check_or_discard_at`] while a health check is in flight.
+pub(crate) const HEALTH_CHECK_IN_FLIGHT: Micros = Micros::MAX;
 
 impl Endpoint {
-    /// A healthy endpoint of which nothing is known.
+    /// Creates a healthy endpoint without calls and latency samples.
     pub fn new(id: EndpointId, destination: DestinationId, batch_size: usize) -> Endpoint {
         Endpoint {
             id,
@@ -81,25 +83,25 @@
         }
     }
 
-    /// Handles one message of its mailbox.
+    /// Handles one event from the mailbox of the endpoint.
     pub fn handle(&mut self, event: EndpointEvent, context: &mut DecisionContext) {
-        let before = self.snapshot;
+        let previous_snapshot = self.snapshot;
         match event {
             EndpointEvent::Listed { zone, status, cost } => {
-                self.apply_entry(zone, status, cost, context);
+                self.apply_list_entry(zone, status, cost, context);
             }
-            EndpointEvent::AttemptStarted => self.count_message(context),
+            EndpointEvent::AttemptStarted => self.record_attempt_start(context),
             EndpointEvent::AttemptEnded {
                 sent_at,
                 outcome,
                 elapsed,
             } => {
-                if !self.end_attempt(sent_at, outcome, elapsed, context) {
+                if !self.record_attempt_end(sent_at, outcome, elapsed, context) {
                     return;
                 }
             }
             EndpointEvent::HealthCheckEnded { outcome } => {
-                self.end_health_check(outcome, context.now);
+                self.record_health_check_end(outcome, context.now);
             }
             EndpointEvent::Paused { is_long_pause } => {
                 self.withdraw_unsent(context);
@@ -110,7 +112,7 @@
             EndpointEvent::TimerTick(tick) => self.tick(tick, context),
         }
         self.update_snapshot(context);
-        if self.snapshot != before {
+        if self.snapshot != previous_snapshot {
             let event = DestinationEvent::SnapshotUpdated {
                 endpoint: self.id,
                 snapshot: self.snapshot,
@@ -121,24 +123,25 @@
         }
     }
 
-    /// Whether it has no calls out.
-    pub fn is_idle(&self) -> bool {
+    pub fn has_no_calls_in_flight(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Whether a health check is out.
-    pub fn has_health_check_out(&self) -> bool {
-        self.next_check_at == HEALTH_CHECK_OUT
+    pub fn has_health_check_in_flight(&self) -> bool {
+        self.next_check_or_discard_at == HEALTH_CHECK_IN_FLIGHT
     }
 
-    /// Whether it left the list, and long enough ago to be forgotten.
-    pub fn is_forgettable(&self, now: Micros) -> bool {
-        self.status == EndpointStatus::Removed && self.is_idle() && now >= self.next_check_at
+    /// Returns whether the endpoint has left the list, has no calls in flight and was retained for
+    /// long enough.
+    pub fn is_discardable(&self, now: Micros) -> bool {
+        self.status == EndpointStatus::Removed
+            && self.has_no_calls_in_flight()
+            && now >= self.next_check_or_discard_at
     }
 
-    /// Applies its entry of the endpoint list. One that has left is remembered for the warm-up
-    /// time: if it comes back before, it may still be cold.
-    fn apply_entry(
+    /// Applies an entry of the endpoint list. An endpoint that has left the list is retained for
+    /// the warm-up time, because it may still be cold if it returns earlier.
+    fn apply_list_entry(
         &mut self,
         zone: ZoneId,
         status: EndpointStatus,
@@ -148,31 +151,32 @@
         if status != EndpointStatus::Ready {
             self.withdraw_unsent(context);
         }
-        let remembered_for = if status == EndpointStatus::Removed {
+        let retention_time = if status == EndpointStatus::Removed {
             context.config.rules.warm_up_time
         } else {
             0
         };
-        self.next_check_at = context.now.saturating_add(remembered_for);
+        self.next_check_or_discard_at = context.now.saturating_add(retention_time);
         self.status = status;
         self.snapshot.zone = zone.0;
         self.snapshot.cost = cost;
-        self.snapshot.tie_breaker = selection::tie_breaker(context.rng);
+        self.snapshot.tie_breaker = selection::draw_tie_breaker(context.rng);
     }
 
-    /// A message goes there: in the call that begins now, or in one of its own.
-    fn count_message(&mut self, context: &DecisionContext) {
+    /// Adds a message to the call that starts now, or starts a new call if there is none or its
+    /// batch is full.
+    fn record_attempt_start(&mut self, context: &DecisionContext) {
         if let Some(call) = self.calls.last_mut() {
-            if call.sent_at == context.now && call.messages < self.batch_size {
-                call.messages += 1;
+            if call.sent_at == context.now && call.pending_messages < self.batch_size {
+                call.pending_messages += 1;
                 self.budget.spend_batched_message();
                 return;
             }
         }
         self.calls.push(Call {
             sent_at: context.now,
-            messages: 1,
-            is_judged: false,
+            pending_messages: 1,
+            is_outcome_recorded: false,
         });
         self.budget.spend_call();
         if self.health == Health::HalfOpen && context.config.may_health_check {
@@ -180,59 +184,66 @@
         }
     }
 
-    /// Whether the attempt belonged to a call that is out.
-    fn end_attempt(
+    /// Records the outcome of an attempt. Returns whether the attempt was part of a call in flight.
+    fn record_attempt_end(
         &mut self,
         sent_at: Micros,
         outcome: Outcome,
         elapsed: Micros,
         context: &mut DecisionContext,
     ) -> bool {
-        let Some(place) = self.calls.iter().position(|call| call.sent_at == sent_at) else {
+        let Some(index) = self.calls.iter().position(|call| call.sent_at == sent_at) else {
             return false;
         };
-        let call = &mut self.calls[place];
-        call.messages -= 1;
-        let is_first = !std::mem::replace(&mut call.is_judged, true);
-        if call.messages == 0 {
-            self.calls.remove(place);
+        let call = &mut self.calls[index];
+        call.pending_messages -= 1;
+        let is_first_outcome = !std::mem::replace(&mut call.is_outcome_recorded, true);
+        if call.pending_messages == 0 {
+            self.calls.remove(index);
         }
         if self.calls.is_empty() && context.are_connections_scarce {
             context
                 .mailboxes
                 .emit_action(Action::CloseIdleConnections { endpoint: self.id });
         }
-        if is_first {
-            self.judge(outcome, elapsed, context);
+        if is_first_outcome {
+            self.record_call_outcome(outcome, elapsed, context);
         }
         true
     }
 
-    fn end_health_check(&mut self, outcome: Outcome, now: Micros) {
+    fn record_health_check_end(&mut self, outcome: Outcome, now: Micros) {
         if self.status != EndpointStatus::Removed {
-            self.next_check_at = now;
+            self.next_check_or_discard_at = now;
         }
         if self.health == Health::Ejected && outcome == Outcome::Delivered {
             self.health = Health::HalfOpen;
         }
     }
 
-    /// Withdraws calls and health checks that have not gone whole: what binds from now on binds
-    /// them too.
+    /// Withdraws calls and health checks that are not yet sent completely, because a new pause or
+    /// status applies to them as well.
     fn withdraw_unsent(&self, context: &mut DecisionContext) {
-        if !self.calls.is_empty() || self.has_health_check_out() {
+        if !self.calls.is_empty() || self.has_health_check_in_flight() {
             context
                 .mailboxes
                 .emit_action(Action::WithdrawUnsent { endpoint: self.id });
         }
     }
 
-    /// Draws from the outcome of a call what it says of the endpoint.
-    fn judge(&mut self, outcome: Outcome, elapsed: Micros, context: &mut DecisionContext) {
-        let circumstances = Circumstances {
+    /// Updates latency, failures and health with the outcome of a call.
+    fn record_call_outcome(
+        &mut self,
+        outcome: Outcome,
+        elapsed: Micros,
+        context: &mut DecisionContext,
+    ) {
+        let circumstances = OutcomeContext {
             now: context.now,
             overload_window: context.config.rules.overload_window,
-            is_budget_scant: self.forwarder_share(context.now, context.config).is_scant,
+            is_budget_negligible: self
+                .forwarder_share(context.now, context.config)
+                .is_negligible,
         };
         if outcome == Outcome::WithdrawnBeforeSend {
             self.budget.refund_call();
@@ -278,12 +289,13 @@
         self.failures.window.clear();
     }
 
-    /// Whether it is ejected, also while a message may try it.
+    /// Returns whether the endpoint is ejected, including while a trial call is allowed.
     fn is_ejected(&self) -> bool {
         matches!(self.health, Health::Ejected | Health::HalfOpen)
     }
 
-    /// The part of its capacity that it may get from the whole fleet while it is not healthy.
+    /// Returns the load that the whole fleet may send while the endpoint is not healthy, as a
+    /// multiple of its capacity.
     fn allowed_load(&self, now: Micros, config: &Config) -> f64 {
         let warming_since = match self.health {
             Health::WarmingUp { since } => Some(since),
@@ -292,7 +304,7 @@
         slow_start::allowed_load(now, warming_since, &config.rules)
     }
 
-    /// What it may get from this forwarder while it is not healthy.
+    /// Returns this forwarder's share of the allowed load.
     fn forwarder_share(&self, now: Micros, config: &Config) -> ForwarderShare {
         slow_start::forwarder_share(self.allowed_load(now, config), self.capacity, config)
     }
@@ -305,14 +317,15 @@
             self.budget
                 .refill(context.now, share, tick.arrivals, allowed_load);
         }
-        // Without this, the forwarders that a pause holds back would all call as it ends.
+        // The budget is drawn at random during a pause. Otherwise all forwarders that the pause
+        // holds back would call as soon as it ends.
         if tick.is_paused && self.budget.has_call() {
             self.budget.randomise(context.rng.random());
         }
         self.finish_warm_up(context.now, context.config);
         let latency_bound = self.snapshot.latency_bound;
         let unanswered = self.unanswered_calls(context.now, latency_bound);
-        if self.health == Health::Healthy && outlier::is_silent(unanswered) {
+        if self.health == Health::Healthy && outlier::is_unresponsive(unanswered) {
             self.eject(EjectionReason::Unresponsive, context);
         }
         if !tick.is_paused {
@@ -328,21 +341,21 @@
         }
     }
 
-    /// Starts a trial of an ejected endpoint once its budget holds a call.
+    /// Starts a trial of an ejected endpoint once the budget allows a call.
     fn start_trial_if_due(&mut self, share: ForwarderShare, context: &mut DecisionContext) {
-        let is_due = context.config.may_health_check
+        let is_trial_due = context.config.may_health_check
             && self.status == EndpointStatus::Ready
             && self.health == Health::Ejected
-            && context.now >= self.next_check_at
+            && context.now >= self.next_check_or_discard_at
             && self.budget.has_call();
-        if !is_due {
+        if !is_trial_due {
             return;
         }
         match health_check::choose_trial(share, context.config, context.rng) {
             Trial::Message => self.health = Health::HalfOpen,
             Trial::HealthCheck => {
                 self.budget.spend_call();
-                self.next_check_at = HEALTH_CHECK_OUT;
+                self.next_check_or_discard_at = HEALTH_CHECK_IN_FLIGHT;
                 context
                     .mailboxes
                     .emit_action(Action::StartHealthCheck { endpoint: self.id });
@@ -350,10 +363,12 @@
         }
     }
 
-    /// Calls sent since the last answer that have been out for longer than `time` (µs).
-    fn unanswered_calls(&self, now: Micros, time: f64) -> usize {
+    /// Counts the calls that were sent since the last response and have been in flight for longer
+    /// than `min_elapsed` µs.
+    fn unanswered_calls(&self, now: Micros, min_elapsed: f64) -> usize {
         let is_unanswered = |call: &&Call| {
-            call.sent_at >= self.failures.answered_at && (now - call.sent_at) as f64 > time
+            call.sent_at >= self.failures.last_response_at
+                && (now - call.sent_at) as f64 > min_elapsed
         };
         self.calls.iter().filter(is_unanswered).count()
     }
--- a/src/forwarder/events.rs
+++ b/src/forwarder/events.rs
@@ -1,4 +1,4 @@
-//! Applies an event, and the messages of destinations to the forwarder.
+//! Applies the events of the caller, and the events that the parts send to the forwarder.
 
 use super::mailbox::{DestinationEvent, EndedAttempt, EndpointEvent, ForwarderEvent};
 use super::{Forwarder, TICK_TIMER};
@@ -11,10 +11,11 @@
 use crate::policy::ordering::QueuedMessage;
 
 impl Forwarder {
-    /// Applies one event; messages to the parts carry the rest. Long, for it has an arm an event.
-    pub(super) fn apply(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+    /// Applies one event of the caller. What concerns a destination or an endpoint is sent to its
+    /// mailbox.
+    pub(super) fn apply_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointListUpdated(update) => self.apply_list(now, update, actions),
+            Event::EndpointListUpdated(update) => self.apply_list_update(now, update, actions),
             Event::MessageSubmitted(submission) => self.submit(now, submission),
             Event::AttemptEnded {
                 id,
@@ -49,14 +50,14 @@
                 self.mailboxes.send_to_endpoint(endpoint, event);
             }
             Event::FinalAnswerAcknowledged { id } => {
-                let key = self.ordered_queues.acknowledge(id);
-                self.release_order(now, id, key);
+                let order_key = self.ordered_queues.acknowledge(id);
+                self.release_order(now, id, order_key);
             }
             Event::CompletionReportPending {
                 id,
                 class,
                 order_key,
-            } => self.await_report(id, class, order_key),
+            } => self.await_completion_report(id, class, order_key),
             Event::TimerFired { token: TICK_TIMER } => self.tick(now),
             Event::ShuttingDown => self.config.concurrency_limit = 0,
             Event::GossipReceived { peer, payload } => {
@@ -68,7 +69,7 @@
 
     fn end_attempt(&mut self, now: Micros, ended: EndedAttempt, actions: &mut Vec<Action>) {
         if ended.outcome == Outcome::Delivered {
-            attempt_timeout::observe(&mut self.latency, ended.elapsed);
+            attempt_timeout::observe(&mut self.overall_latency, ended.elapsed);
         }
         self.connection_scarcity.observe(ended.outcome);
         if matches!(ended.outcome, Outcome::Rejected { .. }) {
@@ -93,8 +94,14 @@
         }
     }
 
-    /// A completion report of an earlier run: messages of its key wait until it is acknowledged.
-    fn await_report(&mut self, id: MessageId, class: DeliveryClassId, order_key: OrderKey) {
+    /// Holds the messages of an order key back until the completion report of an earlier run of the
+    /// process is acknowledged.
+    fn await_completion_report(
+        &mut self,
+        id: MessageId,
+        class: DeliveryClassId,
+        order_key: OrderKey,
+    ) {
         let class = self.config.classes.get(class.0 as usize);
         if class.is_some_and(|class| class.ordered) {
             let message = QueuedMessage {
@@ -113,7 +120,7 @@
         payload: &[u8],
         actions: &mut Vec<Action>,
     ) {
-        let is_known = |id| self.destinations.contains_key(&id) || self.idle.holds(id);
+        let is_known = |id| self.destinations.contains_key(&id) || self.idle.contains(id);
         let Some(id) = self.gossip.receive(now, peer, payload, is_known, actions) else {
             return;
         };
@@ -130,7 +137,7 @@
         }
     }
 
-    /// Looks at all timers.
+    /// Sends a tick to each active destination and updates the order keys.
     fn tick(&mut self, now: Micros) {
         self.next_tick_at = None;
         let is_exhausted = self.calls_in_flight().total >= self.config.concurrency_limit as usize;
@@ -143,15 +150,15 @@
             let event = DestinationEvent::TimerTick { permits };
             self.mailboxes.send_to_destination(*id, event);
         }
-        self.ordered_queues.forget_unused(now);
-        for key in self.ordered_queues.keys() {
-            self.grant_order(now, key);
+        self.ordered_queues.remove_unused_keys(now);
+        for order_key in self.ordered_queues.keys() {
+            self.grant_order(now, order_key);
         }
     }
 
-    /// Tells the message whose turn it is, if there is one.
-    pub(super) fn grant_order(&mut self, now: Micros, key: OrderKey) {
-        if let Some(message) = self.ordered_queues.granted(now, key) {
+    /// Notifies the message whose turn it is, if there is one.
+    pub(super) fn grant_order(&mut self, now: Micros, order_key: OrderKey) {
+        if let Some(message) = self.ordered_queues.next_message(now, order_key) {
             self.mailboxes.send_to_destination(
                 message.destination,
                 DestinationEvent::OrderGranted(message.id),
@@ -159,16 +166,17 @@
         }
     }
 
-    /// A message leaves the queue of its key, if it has one: the next has its turn.
-    fn release_order(&mut self, now: Micros, id: MessageId, key: Option<OrderKey>) {
-        if let Some(key) = key {
-            self.ordered_queues.remove(key, id);
-            self.grant_order(now, key);
+    /// Removes a message from the queue of its order key, if it has one, and grants the next
+    /// message its turn.
+    fn release_order(&mut self, now: Micros, id: MessageId, order_key: Option<OrderKey>) {
+        if let Some(order_key) = order_key {
+            self.ordered_queues.remove(order_key, id);
+            self.grant_order(now, order_key);
         }
     }
 
-    /// Handles a message of a destination.
-    pub(super) fn handle_event(
+    /// Handles an event that a destination or an endpoint sent to the forwarder.
+    pub(super) fn handle_forwarder_event(
         &mut self,
         now: Micros,
         event: ForwarderEvent,
@@ -192,38 +200,43 @@
                 activity: Some(activity),
             } => {
                 self.activities.insert(destination, activity);
-                self.leave_idle_queue(destination);
+                self.cancel_scheduled_summary(destination);
             }
             ForwarderEvent::ActivityUpdated {
                 destination,
                 activity: None,
             } => {
-                self.release_destination(now, destination);
+                self.deactivate_destination(now, destination);
             }
         }
     }
 
-    /// A message has its final answer. Where a call could overtake the answer, the next message of
-    /// its key waits until the answer is acknowledged.
+    /// Removes a message that has its final answer. If the configuration releases an order key on
+    /// acknowledgement, the next message of the key waits until the answer of the core is
+    /// acknowledged, because its call could otherwise overtake the answer.
     fn end_message(&mut self, now: Micros, id: MessageId, is_answered_by_core: bool) {
-        let key = self.messages.remove(&id).and_then(|location| location.key);
+        let order_key = self
+            .messages
+            .remove(&id)
+            .and_then(|location| location.order_key);
         let on_acknowledgement = self.config.order_release == OrderRelease::OnAcknowledgement;
-        match key {
-            Some(key) if is_answered_by_core && on_acknowledgement => {
-                self.ordered_queues.await_acknowledgement(key, id);
+        match order_key {
+            Some(order_key) if is_answered_by_core && on_acknowledgement => {
+                self.ordered_queues.await_acknowledgement(order_key, id);
             }
-            _ => self.release_order(now, id, key),
+            _ => self.release_order(now, id, order_key),
         }
     }
 
-    /// Nothing is under way at a destination: it may be forgotten or summarised.
-    fn release_destination(&mut self, now: Micros, id: DestinationId) {
+    /// Removes a destination that has no messages, calls and timers from the active ones. It is
+    /// dropped if it has no endpoints, and scheduled for a summary otherwise.
+    fn deactivate_destination(&mut self, now: Micros, id: DestinationId) {
         self.activities.remove(&id);
         let is_empty = |d: &Destination| d.endpoints.is_empty() && d.messages.is_empty();
         if self.destinations.get(&id).is_some_and(is_empty) {
-            self.leave_idle_queue(id);
+            self.cancel_scheduled_summary(id);
             self.destinations.remove(&id);
         }
-        self.join_idle_queue(now, id);
+        self.schedule_summary(now, id);
     }
 }
--- a/src/idle/binding_state.rs
+++ b/src/idle/binding_state.rs
@@ -1,23 +1,24 @@
-//! What binds an idle endpoint, kept exactly.
+//! The state of an idle endpoint that restricts calls, kept exactly.
 
 use crate::endpoint::{Endpoint, Health};
 use crate::model::{EndpointStatus, Micros};
 use crate::policy::pacing::Pacer;
 use crate::policy::slow_start::SlowStartBudget;
 
-/// What binds an idle endpoint, exactly as it was; absent where nothing does.
+/// State of an idle endpoint that restricts calls. The idle table owns it, and holds none for an
+/// endpoint without restrictions.
 #[derive(Default)]
 pub(crate) struct BindingState {
-    /// Until when a retry-after binds.
+    /// The instant in µs until which a retry-after pauses calls.
     pub paused_until: Micros,
-    /// When the next call may go.
+    /// The earliest instant in µs of the next call.
     pub next_call_at: Micros,
-    /// From when on `next_call_at` changes nothing.
+    /// The instant in µs from which `next_call_at` has no effect.
     pub pace_settled_at: Micros,
-    /// When the failures in a row began.
-    pub run_started_at: Micros,
-    /// Of an endpoint that left the list: until when it is not forgotten.
-    pub remembered_until: Micros,
+    /// The instant in µs of the first of the consecutive failures.
+    pub failure_run_started_at: Micros,
+    /// The instant in µs until which an endpoint that left the list is retained, otherwise 0.
+    pub retained_until: Micros,
     pub health: Health,
     pub budget: SlowStartBudget,
     pub consecutive_failures: u32,
@@ -25,7 +26,8 @@
 }
 
 impl BindingState {
-    /// What binds this endpoint now, if anything does.
+    /// Returns the state that restricts calls to the endpoint at `now`. Returns `None` if nothing
+    /// does.
     pub fn of(
         endpoint: &Endpoint,
         pacer: &Pacer,
@@ -36,9 +38,9 @@
             paused_until: pacer.paused_until,
             next_call_at: pacer.next_call_at,
             pace_settled_at: pacer.settled_at(),
-            run_started_at: endpoint.failures.run_started_at,
-            remembered_until: match endpoint.status {
-                EndpointStatus::Removed => endpoint.next_check_at,
+            failure_run_started_at: endpoint.failures.run_started_at,
+            retained_until: match endpoint.status {
+                EndpointStatus::Removed => endpoint.next_check_or_discard_at,
                 _ => 0,
             },
             health: endpoint.health,
@@ -46,30 +48,31 @@
             consecutive_failures: endpoint.failures.consecutive_failures,
             refused_connections: endpoint.failures.refused_connections,
         };
-        state.binds(now, warm_up_time).then_some(state)
+        state.is_binding(now, warm_up_time).then_some(state)
     }
 
-    /// Whether anything of it still matters.
-    pub fn binds(&self, now: Micros, warm_up_time: Micros) -> bool {
-        let may_be_cold = match self.health {
+    /// Returns whether the state still has an effect at `now`.
+    pub fn is_binding(&self, now: Micros, warm_up_time: Micros) -> bool {
+        let is_not_healthy = match self.health {
             Health::Healthy => false,
             Health::Ejected | Health::HalfOpen => true,
             Health::WarmingUp { since } => now < since.saturating_add(warm_up_time),
         };
         let has_failures = self.consecutive_failures + self.refused_connections > 0;
-        let last_timer = self
+        let last_timer_at = self
             .paused_until
             .max(self.pace_settled_at)
-            .max(self.remembered_until);
-        may_be_cold || has_failures || now < last_timer
+            .max(self.retained_until);
+        is_not_healthy || has_failures || now < last_timer_at
     }
 
-    /// Gives an endpoint back what binds it.
-    pub fn restore(self, endpoint: &mut Endpoint) {
-        endpoint.next_check_at = self.remembered_until;
+    /// Copies the state to a restored endpoint. The pause and the next call belong to the pacer,
+    /// which [`super::EndpointSummary::to_pacer`] restores.
+    pub fn restore_to(self, endpoint: &mut Endpoint) {
+        endpoint.next_check_or_discard_at = self.retained_until;
         endpoint.health = self.health;
         endpoint.budget = self.budget;
-        endpoint.failures.run_started_at = self.run_started_at;
+        endpoint.failures.run_started_at = self.failure_run_started_at;
         endpoint.failures.consecutive_failures = self.consecutive_failures;
         endpoint.failures.refused_connections = self.refused_connections;
     }
--- a/src/idle/table.rs
+++ b/src/idle/table.rs
@@ -1,22 +1,23 @@
-//! The table of idle endpoints. It holds summaries and decides nothing.
+//! The table of idle endpoints. It holds summaries and makes no decisions.
 
-use super::{BindingState, StateCounts, Summary};
+use super::{BindingState, EndpointSummary, StateCounts};
 use crate::model::{DestinationId, EndpointId, EndpointStatus, Micros, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Bound, RangeInclusive};
 
-/// Removed endpoints forgotten with each list, beyond one an entry: a table that outgrew a list
-/// shrinks again.
-const FORGOTTEN_PER_LIST: usize = 1_024;
-/// Binding states looked at after each event: more than one event can add.
-const SWEPT_PER_EVENT: usize = 2;
+/// Number of removed endpoints that a list may discard beyond one per entry. A table that has grown
+/// larger than the list thereby shrinks again.
+const MAX_EXTRA_DISCARDS_PER_LIST: usize = 1_024;
+/// Number of binding states that are checked after each event. It exceeds the number that one event
+/// can add.
+const BINDING_STATES_SWEPT_PER_EVENT: usize = 2;
 
-const FIRST_ENDPOINT: EndpointId = EndpointId {
+const MIN_ENDPOINT_ID: EndpointId = EndpointId {
     address: [0; 4],
     port: 0,
     incarnation: 0,
 };
-const LAST_ENDPOINT: EndpointId = EndpointId {
+const MAX_ENDPOINT_ID: EndpointId = EndpointId {
     address: [u8::MAX; 4],
     port: u16::MAX,
     incarnation: u32::MAX,
@@ -29,72 +30,81 @@
     pub destination: DestinationId,
 }
 
-/// All idle endpoints, and the queue of destinations that may become idle.
+/// All idle endpoints, and the queue of destinations to summarise. The forwarder owns the table.
 #[derive(Default)]
 pub(crate) struct IdleTable {
-    summaries: BTreeMap<(DestinationId, EndpointId), Summary>,
-    destinations: BTreeMap<EndpointId, DestinationId>,
-    binding: BTreeMap<EndpointId, BindingState>,
-    /// Endpoints that left the list, by when each is forgotten.
+    summaries: BTreeMap<(DestinationId, EndpointId), EndpointSummary>,
+    destination_by_endpoint: BTreeMap<EndpointId, DestinationId>,
+    binding_states: BTreeMap<EndpointId, BindingState>,
+    /// Endpoints that left the list, by the instant in µs from which each may be discarded.
     removed: BTreeSet<(Micros, EndpointId)>,
-    /// Full destinations that may be summarised, by when.
-    queue: BTreeSet<(Micros, DestinationId)>,
-    /// The last endpoint whose binding state was looked at.
-    swept: Option<EndpointId>,
+    /// Destinations held in full, by the instant in µs from which each may be summarised.
+    summary_queue: BTreeSet<(Micros, DestinationId)>,
+    /// The endpoint whose binding state was checked last. `None` at the start of a sweep.
+    last_swept: Option<EndpointId>,
     most_full: usize,
     restored: u64,
     summarised: u64,
 }
 
-fn endpoints_of(id: DestinationId) -> RangeInclusive<(DestinationId, EndpointId)> {
-    (id, FIRST_ENDPOINT)..=(id, LAST_ENDPOINT)
+fn summary_keys_of(id: DestinationId) -> RangeInclusive<(DestinationId, EndpointId)> {
+    (id, MIN_ENDPOINT_ID)..=(id, MAX_ENDPOINT_ID)
 }
 
 impl IdleTable {
-    /// Whether the destination is idle.
-    pub fn holds(&self, id: DestinationId) -> bool {
-        self.summaries.range(endpoints_of(id)).next().is_some()
+    /// Returns whether the destination is idle.
+    pub fn contains(&self, id: DestinationId) -> bool {
+        self.summaries.range(summary_keys_of(id)).next().is_some()
     }
 
-    /// The endpoints of an idle destination.
+    /// Returns the endpoints of an idle destination, or none if it is not idle.
     pub fn endpoints_of(&self, id: DestinationId) -> Vec<EndpointId> {
-        let summaries = self.summaries.range(endpoints_of(id));
+        let summaries = self.summaries.range(summary_keys_of(id));
         summaries.map(|((_, endpoint), _)| *endpoint).collect()
     }
 
-    /// The destination of an idle endpoint.
+    /// Returns the destination of an idle endpoint.
     pub fn destination_of(&self, endpoint: EndpointId) -> Option<DestinationId> {
-        self.destinations.get(&endpoint).copied()
+        self.destination_by_endpoint.get(&endpoint).copied()
     }
 
-    /// The summary of an endpoint.
-    pub fn summary(&self, id: DestinationId, endpoint: EndpointId) -> Option<&Summary> {
+    /// Returns the summary of an idle endpoint.
+    pub fn summary(&self, id: DestinationId, endpoint: EndpointId) -> Option<&EndpointSummary> {
         self.summaries.get(&(id, endpoint))
     }
 
-    /// The same, to be changed.
-    pub fn summary_mut(&mut self, id: DestinationId, endpoint: EndpointId) -> Option<&mut Summary> {
+    /// Returns the summary of an idle endpoint for modification.
+    pub fn summary_mut(
+        &mut self,
+        id: DestinationId,
+        endpoint: EndpointId,
+    ) -> Option<&mut EndpointSummary> {
         self.summaries.get_mut(&(id, endpoint))
     }
 
-    /// What binds an endpoint.
-    pub fn binding(&self, endpoint: EndpointId) -> Option<&BindingState> {
-        self.binding.get(&endpoint)
+    /// Returns the binding state of an idle endpoint, if it has any.
+    pub fn binding_state(&self, endpoint: EndpointId) -> Option<&BindingState> {
+        self.binding_states.get(&endpoint)
     }
 
-    /// The same, to be changed; begins with nothing that binds.
-    pub fn binding_mut(&mut self, endpoint: EndpointId) -> &mut BindingState {
-        self.binding.entry(endpoint).or_default()
+    /// Returns the binding state of an idle endpoint for modification. Creates one without
+    /// restrictions if there is none.
+    pub fn binding_state_mut(&mut self, endpoint: EndpointId) -> &mut BindingState {
+        self.binding_states.entry(endpoint).or_default()
     }
 
-    /// The summary of a destination's only endpoint, unless it has more.
-    pub fn only_summary_mut(&mut self, id: DestinationId) -> Option<(EndpointId, &mut Summary)> {
-        let mut summaries = self.summaries.range_mut(endpoints_of(id));
+    /// Returns the only endpoint of an idle destination, with its summary. Returns `None` if the
+    /// destination has several endpoints or is not idle.
+    pub fn single_summary_mut(
+        &mut self,
+        id: DestinationId,
+    ) -> Option<(EndpointId, &mut EndpointSummary)> {
+        let mut summaries = self.summaries.range_mut(summary_keys_of(id));
         let ((_, endpoint), summary) = summaries.next()?;
         summaries.next().is_none().then_some((*endpoint, summary))
     }
 
-    /// All idle endpoints that have not left the list.
+    /// Returns all idle endpoints that have not left the list.
     pub fn listed(&self) -> impl Iterator<Item = IdleEndpoint> + '_ {
         self.summaries
             .iter()
@@ -106,54 +116,59 @@
             })
     }
 
-    /// Takes an endpoint in.
+    /// Adds an endpoint. Its destination must not be held in full any more.
     pub fn insert(
         &mut self,
         id: DestinationId,
         endpoint: EndpointId,
-        summary: Summary,
-        binding: Option<BindingState>,
+        summary: EndpointSummary,
+        binding_state: Option<BindingState>,
     ) {
         if summary.status == EndpointStatus::Removed {
-            let remembered_until = binding.as_ref().map_or(0, |b| b.remembered_until);
-            self.removed.insert((remembered_until, endpoint));
+            let retained_until = binding_state
+                .as_ref()
+                .map_or(0, |state| state.retained_until);
+            self.removed.insert((retained_until, endpoint));
         }
-        self.destinations.insert(endpoint, id);
+        self.destination_by_endpoint.insert(endpoint, id);
         self.summaries.insert((id, endpoint), summary);
-        if let Some(binding) = binding {
-            self.binding.insert(endpoint, binding);
+        if let Some(binding_state) = binding_state {
+            self.binding_states.insert(endpoint, binding_state);
         }
     }
 
-    /// Gives an endpoint away.
+    /// Removes an endpoint and returns its summary and binding state. Returns `None` if the
+    /// endpoint is not idle.
     pub fn remove(
         &mut self,
         id: DestinationId,
         endpoint: EndpointId,
-    ) -> Option<(Summary, Option<BindingState>)> {
+    ) -> Option<(EndpointSummary, Option<BindingState>)> {
         let summary = self.summaries.remove(&(id, endpoint))?;
-        self.destinations.remove(&endpoint);
-        let binding = self.binding.remove(&endpoint);
-        let remembered_until = binding.as_ref().map_or(0, |b| b.remembered_until);
-        self.removed.remove(&(remembered_until, endpoint));
-        Some((summary, binding))
-    }
-
-    /// Forgets endpoints that left the list long enough ago. A paused one is kept until its pause
-    /// is over.
-    pub fn forget_removed(&mut self, now: Micros, entries: usize) {
-        for _ in 0..entries + FORGOTTEN_PER_LIST {
-            let Some((at, endpoint)) = self.removed.first().copied() else {
+        self.destination_by_endpoint.remove(&endpoint);
+        let binding_state = self.binding_states.remove(&endpoint);
+        let retained_until = binding_state
+            .as_ref()
+            .map_or(0, |state| state.retained_until);
+        self.removed.remove(&(retained_until, endpoint));
+        Some((summary, binding_state))
+    }
+
+    /// Discards the endpoints whose retention has ended. A paused endpoint is retained until its
+    /// pause ends. `entry_count` is the number of entries of the list that is applied.
+    pub fn discard_removed(&mut self, now: Micros, entry_count: usize) {
+        for _ in 0..entry_count + MAX_EXTRA_DISCARDS_PER_LIST {
+            let Some((due_at, endpoint)) = self.removed.first().copied() else {
                 return;
             };
-            if at > now {
+            if due_at > now {
                 return;
             }
-            self.removed.remove(&(at, endpoint));
-            match self.binding.get_mut(&endpoint) {
-                Some(binding) if binding.paused_until > now => {
-                    binding.remembered_until = binding.paused_until;
-                    self.removed.insert((binding.paused_until, endpoint));
+            self.removed.remove(&(due_at, endpoint));
+            match self.binding_states.get_mut(&endpoint) {
+                Some(binding_state) if binding_state.paused_until > now => {
+                    binding_state.retained_until = binding_state.paused_until;
+                    self.removed.insert((binding_state.paused_until, endpoint));
                 }
                 _ => {
                     let id = self.destination_of(endpoint).unwrap_or_default();
@@ -163,65 +178,66 @@
         }
     }
 
-    /// Looks at the next few binding states and drops those that bind no more.
+    /// Checks the next binding states and removes those that have no effect any more.
     pub fn sweep(&mut self, now: Micros, warm_up_time: Micros) {
-        for _ in 0..SWEPT_PER_EVENT {
-            let from = self.swept.map_or(Bound::Unbounded, Bound::Excluded);
-            let next = self.binding.range((from, Bound::Unbounded)).next();
-            let Some((endpoint, binding)) = next else {
-                self.swept = None;
+        for _ in 0..BINDING_STATES_SWEPT_PER_EVENT {
+            let from = self.last_swept.map_or(Bound::Unbounded, Bound::Excluded);
+            let next = self.binding_states.range((from, Bound::Unbounded)).next();
+            let Some((endpoint, binding_state)) = next else {
+                self.last_swept = None;
                 return;
             };
             let endpoint = *endpoint;
-            let is_remembered = self.removed.contains(&(binding.remembered_until, endpoint));
-            let is_needed = binding.binds(now, warm_up_time) || is_remembered;
-            self.swept = Some(endpoint);
+            let is_retained = self
+                .removed
+                .contains(&(binding_state.retained_until, endpoint));
+            let is_needed = binding_state.is_binding(now, warm_up_time) || is_retained;
+            self.last_swept = Some(endpoint);
             if !is_needed {
-                self.binding.remove(&endpoint);
+                self.binding_states.remove(&endpoint);
             }
         }
     }
 
-    /// A full destination may be summarised from then on.
-    pub fn enqueue(&mut self, at: Micros, id: DestinationId) {
-        self.queue.insert((at, id));
+    /// Adds a destination that may be summarised from `due_at` on.
+    pub fn enqueue(&mut self, due_at: Micros, id: DestinationId) {
+        self.summary_queue.insert((due_at, id));
     }
 
-    /// A full destination that was queued for then is in use, or gone.
-    pub fn dequeue(&mut self, at: Micros, id: DestinationId) {
-        self.queue.remove(&(at, id));
+    /// Removes a destination that was added with `due_at`.
+    pub fn dequeue(&mut self, due_at: Micros, id: DestinationId) {
+        self.summary_queue.remove(&(due_at, id));
     }
 
-    /// The full destination that may be summarised and waits longest.
+    /// Returns the destination that has been due for longest.
     pub fn next_due(&self, now: Micros) -> Option<DestinationId> {
-        let (at, id) = self.queue.first().copied()?;
-        (at <= now).then_some(id)
+        let (due_at, id) = self.summary_queue.first().copied()?;
+        (due_at <= now).then_some(id)
     }
 
-    /// Counts a destination that was restored.
     pub fn count_restored(&mut self) {
         self.restored += 1;
     }
 
-    /// Counts a destination that was summarised.
     pub fn count_summarised(&mut self) {
         self.summarised += 1;
     }
 
-    /// Counts the destinations that are held in full.
-    pub fn count_full(&mut self, full: usize) {
-        self.most_full = self.most_full.max(full);
+    /// Updates the maximum of the destinations held in full.
+    pub fn count_full(&mut self, full_destinations: usize) {
+        self.most_full = self.most_full.max(full_destinations);
     }
 
-    /// How much is held, beside so many full destinations.
-    pub fn counts(&self, full: usize) -> StateCounts {
+    /// Returns the counts of the table. `full_destinations` is the number of destinations held in
+    /// full.
+    pub fn counts(&self, full_destinations: usize) -> StateCounts {
         StateCounts {
-            full,
+            full: full_destinations,
             most_full: self.most_full,
             summaries: self.summaries.len(),
-            bounds: self.binding.len(),
+            bounds: self.binding_states.len(),
             gone: self.removed.len(),
-            queued: self.queue.len(),
+            queued: self.summary_queue.len(),
             restored: self.restored,
             summarised: self.summarised,
         }
--- a/src/policy/list_polling/tests/discovery.rs
+++ b/src/policy/list_polling/tests/discovery.rs
@@ -2,30 +2,31 @@
 
 use super::*;
 
-/// Discovery that answers one poll after the other. It also works off the polls that nobody waits
-/// for any more.
+/// A discovery service that processes one poll after another, including polls whose senders no
+/// longer wait for the answer.
 pub struct Discovery {
-    /// µs to work off one poll.
+    /// Time to process one poll, in µs.
     pub poll_cost: Micros,
-    /// A poll that would wait for longer is rejected at once, in µs.
-    pub longest_wait: Micros,
-    /// When the polls accepted so far are worked off.
+    /// Upper bound on the time until a poll is answered, in µs. A poll that would take longer is
+    /// rejected at once.
+    pub max_wait: Micros,
+    /// Time at which all accepted polls will have been processed, in µs.
     busy_until: Micros,
 }
 
 impl Discovery {
-    pub fn new(poll_cost: Micros, longest_wait: Micros) -> Discovery {
+    pub fn new(poll_cost: Micros, max_wait: Micros) -> Discovery {
         Discovery {
             poll_cost,
-            longest_wait,
+            max_wait,
             busy_until: 0,
         }
     }
 
-    /// When a poll that is sent now is answered; none if it is rejected.
+    /// Returns the time at which a poll that is sent now is answered, or `None` if it is rejected.
     pub fn accept(&mut self, now: Micros) -> Option<Micros> {
         let answered_at = self.busy_until.max(now) + self.poll_cost;
-        if answered_at - now > self.longest_wait {
+        if answered_at - now > self.max_wait {
             return None;
         }
         self.busy_until = answered_at;
--- a/src/policy/list_polling/tests/outage.rs
+++ b/src/policy/list_polling/tests/outage.rs
@@ -1,79 +1,81 @@
-//! A fleet whose watches all fall silent as discovery goes down, and discovery's recovery.
+//! Tests of a fleet whose watches all receive no more answers because discovery is down, and of its
+//! recovery when discovery returns.
 
 use super::discovery::Discovery;
 use super::*;
 
-/// When the watches fall silent.
-const SILENT_FROM: Micros = 2 * POLL_INTERVAL;
+/// Time from which the watches receive no answers, in µs.
+const SILENT_SINCE: Micros = 2 * POLL_INTERVAL;
 
-/// The simulation ends this long after discovery's return.
+/// Time between discovery's return and the end of the simulation, in µs.
 const RECOVERY_TIME: Micros = 30_000 * MS;
 
 /// An outage of discovery.
 #[derive(Clone, Copy)]
 struct Outage {
     fleet_size: u32,
-    /// µs of discovery's time that a poll takes.
+    /// Time in which discovery processes one poll, in µs.
     poll_cost: Micros,
-    /// Discovery rejects a poll that would wait for longer.
-    longest_wait: Micros,
-    /// How long discovery is down.
+    /// Discovery rejects a poll that would be answered only after a longer time, in µs.
+    max_wait: Micros,
+    /// Time for which discovery is down, in µs.
     duration: Micros,
-    notified_within: Option<Micros>,
-    /// A poll without an answer fails after this time.
-    silence: Micros,
-    /// An answer to a poll that failed counts all the same, up to this time after the poll.
+    notification_delay: Option<Micros>,
+    /// Time after which a poll without an answer fails, in µs.
+    poll_timeout: Micros,
+    /// Time after a poll up to which its answer is accepted even if the poll has failed, in µs.
     late_answer_limit: Micros,
 }
 
 const OUTAGE: Outage = Outage {
     fleet_size: 350,
     poll_cost: 16 * MS,
-    longest_wait: 3 * POLL_TIMEOUT,
+    max_wait: 3 * POLL_TIMEOUT,
     duration: 8_000 * MS,
-    notified_within: Some(NOTIFIED_WITHIN),
-    silence: LONGEST_SILENCE,
+    notification_delay: Some(NOTIFICATION_DELAY),
+    poll_timeout: MAX_POLL_SILENCE,
     late_answer_limit: 7_000 * MS,
 };
 
-/// How the fleet recovered. Times are in µs from discovery's return; `Micros::MAX` or near it is
-/// never.
+/// The recovery of the fleet. Times are in µs since discovery's return; a value near `Micros::MAX`
+/// means never.
 #[derive(Debug)]
 struct Recovery {
-    /// The first poll of each forwarder.
+    /// Time of the first poll of each forwarder.
     first_polls: Vec<Micros>,
-    /// The answer to each forwarder.
+    /// Time of the answer to each forwarder.
     answers: Vec<Micros>,
-    /// Polls in the busiest second.
-    most_polls_per_second: usize,
-    all_polls: usize,
+    /// Number of polls in the busiest second.
+    max_polls_per_second: usize,
+    poll_count: usize,
 }
 
 impl Recovery {
-    /// Forwarders answered within so many seconds.
+    /// Returns the number of forwarders answered within `seconds` of discovery's return.
     fn answered_within(&self, seconds: Micros) -> usize {
         let in_time = |at: &&Micros| **at <= seconds * 1_000 * MS;
         self.answers.iter().filter(in_time).count()
     }
 }
 
-/// A forwarder and its polls.
+/// A simulated forwarder and the state of its polls.
 struct SimulatedForwarder {
     polling: PollingForwarder,
-    /// When the poll in flight is answered.
+    /// Time at which the poll in flight is answered.
     answer_at: Option<Micros>,
-    /// When the last poll that failed and was accepted is answered.
+    /// Time at which the latest poll that discovery accepted, but that has since failed, is
+    /// answered.
     late_answer_at: Option<Micros>,
     fails_at: Option<Micros>,
-    /// The first poll after discovery's return.
+    /// Time of the first poll after discovery's return.
     first_poll_at: Option<Micros>,
     answered_at: Option<Micros>,
 }
 
 impl SimulatedForwarder {
-    /// A forwarder whose watch falls silent, which it notices at `fails_at`.
+    /// Creates a forwarder that detects at `fails_at` that its watch receives no answers.
     fn new(mut polling: PollingForwarder, outage: &Outage, fails_at: Micros) -> SimulatedForwarder {
-        polling.config.list_notification_delay = outage.notified_within;
+        polling.config.list_notification_delay = outage.notification_delay;
         polling.timer = None;
         polling.list_poller.next_poll_at = None;
         SimulatedForwarder {
@@ -86,31 +88,31 @@
         }
     }
 
-    /// Notes an answer that is in. Where both the last poll and one that failed are answered, the
-    /// last poll counts, even if its answer is the later one.
+    /// Records an answer that has arrived. If both the last poll and a failed poll are answered,
+    /// the answer to the last poll counts, even if it is the later one.
     fn check_answers(&mut self, now: Micros) {
         let is_in = |at: &Micros| *at <= now;
         let late_answer = self.late_answer_at.filter(is_in);
         self.answered_at = self.answer_at.filter(is_in).or(late_answer);
     }
 
-    /// Sends a poll to discovery, which is back.
+    /// Sends a poll to discovery, which must have returned.
     fn poll(&mut self, now: Micros, outage: &Outage, discovery: &mut Discovery) {
         self.first_poll_at.get_or_insert(now);
         let Some(answer_at) = discovery.accept(now) else {
             self.fails_at = Some(now + REJECTION_TIME);
             return;
         };
-        let takes = answer_at - now;
-        let counts = takes <= outage.silence.max(outage.late_answer_limit);
-        let fails = takes > outage.silence;
-        self.answer_at = counts.then_some(answer_at);
-        self.fails_at = fails.then_some(now + outage.silence);
+        let response_time = answer_at - now;
+        let is_accepted = response_time <= outage.poll_timeout.max(outage.late_answer_limit);
+        let times_out = response_time > outage.poll_timeout;
+        self.answer_at = is_accepted.then_some(answer_at);
+        self.fails_at = times_out.then_some(now + outage.poll_timeout);
     }
 
     fn check_failure(&mut self, now: Micros) {
         if self.fails_at.take_if(|at| *at <= now).is_some() {
-            // Only the last accepted poll is still answered; a rejected one leaves it in place.
+            // Only the latest accepted poll is still answered. A rejected poll does not replace it.
             if let Some(answer_at) = self.answer_at.take() {
                 self.late_answer_at = Some(answer_at);
             }
@@ -119,51 +121,54 @@
     }
 }
 
-/// Simulates the outage and half a minute from discovery's return.
+/// Simulates the outage and the half minute after discovery's return.
 fn recover(outage: Outage, seed: u64) -> Recovery {
-    let returns_at = SILENT_FROM + outage.duration;
-    let mut discovery = Discovery::new(outage.poll_cost, outage.longest_wait);
+    let discovery_returns_at = SILENT_SINCE + outage.duration;
+    let mut discovery = Discovery::new(outage.poll_cost, outage.max_wait);
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut fleet = Vec::new();
     for polling in PollingForwarder::fleet(outage.fleet_size, seed) {
-        let fails_at = SILENT_FROM + rng.random_range(MS..=outage.silence);
+        let fails_at = SILENT_SINCE + rng.random_range(MS..=outage.poll_timeout);
         fleet.push(SimulatedForwarder::new(polling, &outage, fails_at));
     }
-    let mut polls_at = Vec::new();
-    for now in (SILENT_FROM..returns_at + RECOVERY_TIME).step_by(MS as usize) {
+    let mut poll_times = Vec::new();
+    for now in (SILENT_SINCE..discovery_returns_at + RECOVERY_TIME).step_by(MS as usize) {
         for forwarder in &mut fleet {
             forwarder.check_answers(now);
             if forwarder.answered_at.is_some() {
                 continue;
             }
             if forwarder.polling.fire_timer(now) {
-                if now < returns_at {
-                    forwarder.fails_at = Some(now + outage.silence);
+                if now < discovery_returns_at {
+                    forwarder.fails_at = Some(now + outage.poll_timeout);
                 } else {
-                    polls_at.push(now);
+                    poll_times.push(now);
                     forwarder.poll(now, &outage, &mut discovery);
                 }
             }
             forwarder.check_failure(now);
         }
     }
-    let since_return = |at: Option<Micros>| at.unwrap_or(Micros::MAX).saturating_sub(returns_at);
+    let since_discovery_return = |at: Option<Micros>| {
+        at.unwrap_or(Micros::MAX)
+            .saturating_sub(discovery_returns_at)
+    };
     Recovery {
         first_polls: fleet
             .iter()
-            .map(|forwarder| since_return(forwarder.first_poll_at))
+            .map(|forwarder| since_discovery_return(forwarder.first_poll_at))
             .collect(),
         answers: fleet
             .iter()
-            .map(|forwarder| since_return(forwarder.answered_at))
+            .map(|forwarder| since_discovery_return(forwarder.answered_at))
             .collect(),
-        most_polls_per_second: most_within_a_second(&polls_at),
-        all_polls: polls_at.len(),
+        max_polls_per_second: max_within_a_second(&poll_times),
+        poll_count: poll_times.len(),
     }
 }
 
-/// The most of these times that lie within one second from one of them.
-fn most_within_a_second(times: &[Micros]) -> usize {
+/// Returns the largest number of `times` within one second that starts at one of them.
+fn max_within_a_second(times: &[Micros]) -> usize {
     let within_a_second_from = |from: &Micros| {
         let second = *from..from + 1_000 * MS;
         times.iter().filter(|at| second.contains(at)).count()
@@ -171,9 +176,10 @@
     times.iter().map(within_a_second_from).max().unwrap_or(0)
 }
 
-/// Where discovery can work off the polls of all within the time of notification.
+/// Covers a discovery service that can process the polls of all forwarders within the notification
+/// delay.
 #[test]
-fn a_fleet_gets_its_list_by_the_time_of_notification_after_an_outage() {
+fn fleet_gets_list_within_notification_delay_after_outage() {
     for poll_cost in [1, 8, 14].map(|ms| ms * MS) {
         for seed in 0..5 {
             let recovery = recover(
@@ -183,30 +189,35 @@
                 },
                 seed,
             );
-            let last = recovery.answers.iter().max().expect("a fleet");
+            let last = recovery
+                .answers
+                .iter()
+                .max()
+                .expect("the fleet must not be empty");
             assert!(
-                *last <= NOTIFIED_WITHIN,
-                "{poll_cost} µs a poll, seed {seed}: the last answer after {last} µs"
+                *last <= NOTIFICATION_DELAY,
+                "{poll_cost} µs per poll, seed {seed}: the last answer arrived after {last} µs"
             );
             assert!(
-                recovery.most_polls_per_second <= 175,
-                "{} polls in a second",
-                recovery.most_polls_per_second
+                recovery.max_polls_per_second <= 175,
+                "{} polls in a second, expected at most 175",
+                recovery.max_polls_per_second
             );
         }
     }
 }
 
-/// The window exists for this: repeated polls do not keep an overloaded discovery down. At least a
-/// third of what it can work off reaches the fleet, late answers included.
+/// Guards against repeated polls that keep discovery overloaded, which the delay window prevents.
+/// At least a third of the polls that discovery can process must reach the fleet as answers,
+/// including late ones.
 #[test]
-fn a_discovery_slower_than_the_fleet_polls_still_answers_it() {
+fn overloaded_discovery_answers_a_third_of_possible_polls() {
     for poll_cost in [80, 40, 25].map(|ms| ms * MS) {
-        for longest_wait in [1_500, 6_000].map(|ms| ms * MS) {
+        for max_wait in [1_500, 6_000].map(|ms| ms * MS) {
             for seed in 0..5 {
                 let outage = Outage {
                     poll_cost,
-                    longest_wait,
+                    max_wait,
                     ..OUTAGE
                 };
                 let recovery = recover(outage, seed);
@@ -215,8 +226,8 @@
                     let possible = (seconds * 1_000 * MS / poll_cost).min(350);
                     assert!(
                         3 * answered >= possible,
-                        "{poll_cost} µs a poll, longest wait {longest_wait} µs: \
-                         {answered} of {possible} answered in {seconds} s"
+                        "{poll_cost} µs per poll, longest wait {max_wait} µs: \
+                         {answered} of {possible} answered in {seconds} s, expected a third"
                     );
                 }
             }
@@ -229,10 +240,10 @@
 ///     cargo test --lib trade -- --ignored --nocapture
 #[test]
 #[ignore = "prints a table"]
-fn trade_off_of_the_longest_delay() {
+fn prints_trade_off_of_longest_delay() {
     let unbounded = Outage {
-        notified_within: None,
-        silence: 7_000 * MS,
+        notification_delay: None,
+        poll_timeout: 7_000 * MS,
         late_answer_limit: 0,
         ..OUTAGE
     };
@@ -257,14 +268,14 @@
     }
 }
 
-/// Prints the means of five seeds, but for the first polls and the busiest second, which are the
-/// most of all.
+/// Prints the means over five seeds; for the first polls and the busiest second, the maximum over
+/// all seeds.
 fn print_row(name: &str, outage: Outage) {
     let runs: Vec<Recovery> = (0..5).map(|seed| recover(outage, seed)).collect();
     let first_polls = runs.iter().flat_map(|run| &run.first_polls);
-    let last_first_poll = first_polls.max().expect("polls") / MS;
-    let busiest = runs.iter().map(|run| run.most_polls_per_second).max();
-    let polls = runs.iter().map(|run| run.all_polls).sum::<usize>() / runs.len();
+    let last_first_poll = first_polls.max().expect("each run must have polls") / MS;
+    let busiest = runs.iter().map(|run| run.max_polls_per_second).max();
+    let polls = runs.iter().map(|run| run.poll_count).sum::<usize>() / runs.len();
     let answered = |seconds: Micros| {
         let answered = runs.iter().map(|run| run.answered_within(seconds));
         answered.sum::<usize>() / runs.len()
@@ -275,6 +286,6 @@
         answered(6),
         answered(15),
         answered(30),
-        busiest.expect("runs"),
+        busiest.expect("there must be runs"),
     );
 }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,125 +1,135 @@
-//! When an endpoint is ejected, and when it counts as degraded.
+//! Outlier detection: when an endpoint is ejected, and when it counts as degraded.
 //!
-//! An endpoint is ejected after several failures in a row, once most of its latest attempts
-//! failed, when it answers none of several calls, or when it asks for a wait that is longer than
-//! an overload lasts. The first delivered message readmits it; a successful health check only
-//! lets a message try it ([`super::health_check`]). Failed connections alone prove nothing while other calls get through:
-//! a connection table may be full.
-//! Inputs are outcomes of attempts, times in µs. The rule is ours (`docs/design.md`).
+//! An endpoint is ejected after several consecutive failures, if most of its latest attempts
+//! failed, if it responds to none of several calls, or if it sends a retry-after that is longer
+//! than an overload lasts. The first delivered message readmits the endpoint. A successful health
+//! check only allows a trial with a message ([`super::health_check`]). Failed connections alone are
+//! no evidence of an outage while other calls succeed, because the endpoint's connection table may
+//! be full.
+//!
+//! The inputs are outcomes of attempts, and times in µs. See `docs/design.md`.
 
 use super::attempt_timeout::SILENCE_THRESHOLD;
 use crate::model::{Micros, Outcome};
 use std::collections::VecDeque;
 
-/// Latest outcomes that judge an endpoint: at a call per second a verdict turns within seconds.
-pub const WINDOW: usize = 8;
-/// Fewer successes than this in a full window eject: most attempts failed.
+/// Number of latest outcomes by which an endpoint is judged. At one call per second, the verdict
+/// changes within seconds.
+pub const OUTCOME_WINDOW_SIZE: usize = 8;
+/// An endpoint with fewer successes than this in a full window is ejected: most attempts failed.
 const EJECT_BELOW_SUCCESSES: usize = 4;
-/// Failures or rejections in a row from which an endpoint is ejected: chance seldom makes three.
+/// Number of consecutive failures or rejections from which an endpoint is ejected. Three are seldom
+/// a coincidence.
 const EJECT_AFTER_FAILURES: u32 = 3;
-/// The same where a cold endpoint would get next to nothing: the retries of a large fleet add up.
-const EJECT_AFTER_FAILURES_SCANT: u32 = 2;
-/// Failed connections in a row that are excused while other calls get through.
-const EXCUSED_CONNECTION_FAILURES: u32 = 4;
-/// Failures in the window that make an endpoint degraded: one may be chance.
+/// Number of consecutive failures from which an endpoint is ejected if this forwarder's share of it
+/// is negligible, or would be if the endpoint were cold. The retries of a large fleet add up.
+const EJECT_AFTER_FAILURES_NEGLIGIBLE_BUDGET: u32 = 2;
+/// Upper bound on the consecutive failed connections that are excused while other calls succeed.
+const MAX_EXCUSED_CONNECTION_FAILURES: u32 = 4;
+/// Number of failures in the window from which an endpoint is degraded. One may be a coincidence.
 const DEGRADED_FAILURES: usize = 2;
-/// Unanswered calls beyond the latency bound that eject.
-const EJECT_AFTER_SILENT_CALLS: usize = 2;
+/// Number of calls without a response beyond the latency bound from which an endpoint is ejected.
+const EJECT_AFTER_UNANSWERED_CALLS: usize = 2;
 
-/// After an answer, failed connections prove nothing for this time.
+/// Time after a response during which failed connections are excused, in µs.
 pub const CONNECTION_GRACE: Micros = 2 * SILENCE_THRESHOLD;
 
-/// The latest outcomes of an endpoint, the newest first, [`WINDOW`] at most.
+/// Holds the latest outcomes of an endpoint: at most [`OUTCOME_WINDOW_SIZE`].
 #[derive(Clone, Debug, Default)]
 pub struct OutcomeWindow {
+    /// Whether each attempt was successful, the newest first.
     successes: VecDeque<bool>,
 }
 
 impl OutcomeWindow {
-    /// Takes an outcome in.
+    /// Adds an outcome. The oldest outcome is dropped if the window is full.
     pub fn record(&mut self, success: bool) {
         self.successes.push_front(success);
-        self.successes.truncate(WINDOW);
+        self.successes.truncate(OUTCOME_WINDOW_SIZE);
     }
 
-    /// Forgets all outcomes.
+    /// Removes all outcomes.
     pub fn clear(&mut self) {
         self.successes.clear();
     }
 
-    /// Outcomes in the window.
+    /// Returns the number of outcomes in the window.
     pub fn len(&self) -> usize {
         self.successes.len()
     }
 
-    /// Failures in the window.
+    /// Returns the number of failures in the window.
     pub fn failures(&self) -> usize {
         self.successes.iter().filter(|success| !**success).count()
     }
 
+    /// Returns whether the window is full and most of its outcomes are failures.
     fn has_mostly_failures(&self) -> bool {
-        self.len() == WINDOW && self.len() - self.failures() < EJECT_BELOW_SUCCESSES
+        self.len() == OUTCOME_WINDOW_SIZE && self.len() - self.failures() < EJECT_BELOW_SUCCESSES
     }
 
-    /// One bit an outcome, the newest in the lowest, 1 for a success.
+    /// Encodes each outcome as one bit: 1 for a success, the newest outcome in the lowest bit.
     pub fn to_bits(&self) -> u8 {
         self.successes
             .iter()
             .enumerate()
-            .fold(0, |bits, (place, success)| {
-                bits | u8::from(*success) << place
+            .fold(0, |bits, (index, success)| {
+                bits | u8::from(*success) << index
             })
     }
 
-    /// Reads what [`OutcomeWindow::to_bits`] wrote of `len` outcomes.
+    /// Decodes `len` outcomes from the bits that [`OutcomeWindow::to_bits`] returned. `len` must be
+    /// at most [`OUTCOME_WINDOW_SIZE`].
     pub fn from_bits(bits: u8, len: u8) -> OutcomeWindow {
         OutcomeWindow {
-            successes: (0..len).map(|place| bits >> place & 1 == 1).collect(),
+            successes: (0..len).map(|index| bits >> index & 1 == 1).collect(),
         }
     }
 }
 
-/// What an outcome comes to.
+/// The consequence of an outcome for an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The endpoint stays as it is.
+    /// The endpoint keeps its health state.
     Keep,
-    /// The endpoint is to be ejected.
+    /// The caller must eject the endpoint.
     Eject,
 }
 
-/// Under what conditions an outcome is judged.
+/// The conditions under which an outcome is judged.
 #[derive(Clone, Copy, Debug)]
-pub struct Circumstances {
-    /// Now.
+pub struct OutcomeContext {
+    /// The current time, in µs.
     pub now: Micros,
-    /// How long a destination is overloaded before it falls over: rejections over a shorter time
-    /// come from a limit, not from an outage.
+    /// Time for which a destination must be overloaded to fail, in µs. Rejections over a shorter
+    /// time come from a rate limit and not from an outage.
     pub overload_window: Micros,
-    /// Whether this forwarder's share of the endpoint is next to nothing. For a healthy endpoint:
-    /// whether it would be, if the endpoint were cold.
-    pub is_budget_scant: bool,
+    /// Whether this forwarder's share of the endpoint is negligible. For a healthy endpoint:
+    /// whether the share would be negligible if the endpoint were cold.
+    pub is_budget_negligible: bool,
 }
 
-/// What the outcomes of attempts say of an endpoint.
+/// Accumulates the outcomes of the attempts at one endpoint, which owns it.
 #[derive(Clone, Debug, Default)]
 pub struct FailureAccrual {
-    /// The latest outcomes.
+    /// The latest outcomes that count as a success or a failure.
     pub window: OutcomeWindow,
-    /// Failures and rejections since the last success. Excused connection failures don't count.
+    /// Number of failures and rejections since the last success. Excused connection failures are
+    /// not counted.
     pub consecutive_failures: u32,
-    /// Failed connections since the last answer, while other calls got through.
+    /// Number of excused connection failures since the last response.
     pub refused_connections: u32,
-    /// When the failures in a row began; while there are none, the time of the last outcome.
+    /// Time of the first of the consecutive failures; without one, the time of the last outcome.
     pub run_started_at: Micros,
-    /// When the endpoint answered last.
-    pub answered_at: Micros,
+    /// Time of the last response that accepted or rejected a request, in µs. For a new endpoint,
+    /// the owner sets the time from which the grace for failed connections counts.
+    pub last_response_at: Micros,
 }
 
 impl FailureAccrual {
-    /// Takes the outcome of an attempt in.
-    pub fn record(&mut self, outcome: Outcome, circumstances: Circumstances) -> Verdict {
-        let now = circumstances.now;
+    /// Records the outcome of an attempt, and returns whether the endpoint must be ejected.
+    pub fn record(&mut self, outcome: Outcome, context: OutcomeContext) -> Verdict {
+        let now = context.now;
         if self.consecutive_failures == 0 {
             self.run_started_at = now;
         }
@@ -127,18 +137,18 @@
             self.refused_connections = 0;
         }
         match outcome {
-            Outcome::NoConnection if self.do_others_get_through(now) => {
+            Outcome::NoConnection if self.excuses_connection_failure(now) => {
                 self.refused_connections += 1;
                 return Verdict::Keep;
             }
             Outcome::WithdrawnBeforeSend | Outcome::NotAttempted { .. } => return Verdict::Keep,
-            Outcome::Cancelled if !circumstances.is_budget_scant => return Verdict::Keep,
+            Outcome::Cancelled if !context.is_budget_negligible => return Verdict::Keep,
             Outcome::Delivered => {
-                self.answered_at = now;
+                self.last_response_at = now;
                 self.consecutive_failures = 0;
             }
             Outcome::Rejected { .. } => {
-                self.answered_at = now;
+                self.last_response_at = now;
                 self.consecutive_failures += 1;
             }
             _ => self.consecutive_failures += 1,
@@ -147,46 +157,51 @@
         if !is_rejection {
             self.window.record(outcome == Outcome::Delivered);
         }
-        self.judge(is_rejection, circumstances)
+        self.judge(is_rejection, context)
     }
 
-    fn do_others_get_through(&self, now: Micros) -> bool {
-        now < self.answered_at + CONNECTION_GRACE
-            && self.refused_connections < EXCUSED_CONNECTION_FAILURES
+    /// Returns whether a failed connection is excused because other calls have succeeded recently.
+    fn excuses_connection_failure(&self, now: Micros) -> bool {
+        now < self.last_response_at + CONNECTION_GRACE
+            && self.refused_connections < MAX_EXCUSED_CONNECTION_FAILURES
     }
 
-    fn judge(&self, is_rejection: bool, circumstances: Circumstances) -> Verdict {
-        let min_run = if is_rejection {
-            circumstances.overload_window
+    /// Judges the outcomes so far. `is_rejection` describes the outcome that was recorded last.
+    fn judge(&self, is_rejection: bool, context: OutcomeContext) -> Verdict {
+        let min_run_duration = if is_rejection {
+            context.overload_window
         } else {
             0
         };
-        let run = self.consecutive_failures.max(self.refused_connections);
-        let is_long_run =
-            run >= EJECT_AFTER_FAILURES && circumstances.now >= self.run_started_at + min_run;
-        let is_scant_run = !is_rejection
-            && circumstances.is_budget_scant
-            && self.consecutive_failures >= EJECT_AFTER_FAILURES_SCANT;
-        if is_long_run || is_scant_run || self.window.has_mostly_failures() {
+        let run_length = self.consecutive_failures.max(self.refused_connections);
+        let is_long_run = run_length >= EJECT_AFTER_FAILURES
+            && context.now >= self.run_started_at + min_run_duration;
+        let is_run_on_negligible_budget = !is_rejection
+            && context.is_budget_negligible
+            && self.consecutive_failures >= EJECT_AFTER_FAILURES_NEGLIGIBLE_BUDGET;
+        if is_long_run || is_run_on_negligible_budget || self.window.has_mostly_failures() {
             Verdict::Eject
         } else {
             Verdict::Keep
         }
     }
 
-    /// Whether the outcomes make the endpoint degraded.
+    /// Returns whether the endpoint is degraded.
     pub fn is_degraded(&self) -> bool {
         self.window.failures() >= DEGRADED_FAILURES
     }
 }
 
-/// Whether so many calls, sent since the last answer and unanswered beyond the latency bound,
-/// eject an endpoint. Only a healthy one is judged by it.
-pub fn is_silent(unanswered_calls: usize) -> bool {
-    unanswered_calls >= EJECT_AFTER_SILENT_CALLS
+/// Returns whether an endpoint must be ejected because of calls without a response.
+///
+/// `unanswered_calls` is the number of calls that were sent since the last response and have
+/// exceeded the latency bound. The caller must apply this only to a healthy endpoint.
+pub fn is_unresponsive(unanswered_calls: usize) -> bool {
+    unanswered_calls >= EJECT_AFTER_UNANSWERED_CALLS
 }
 
-/// Whether a retry-after is too long for an overload: the destination is taken for shut.
+/// Returns whether a retry-after is longer than an overload lasts. The destination is then treated
+/// as unavailable.
 pub fn is_long_retry_after(retry_after: Micros, overload_window: Micros) -> bool {
     retry_after > overload_window
 }
--- a/tests/common/oracle/endpoint_record.rs
+++ b/tests/common/oracle/endpoint_record.rs
@@ -1,34 +1,34 @@
-//! The health of one endpoint as the rules see it, and the rule on calls to an endpoint that
-//! returns from an outage.
+//! The health of one endpoint as the service rules define it, and the rule on calls to an endpoint
+//! that returns from an outage.
 
-use super::super::Checked;
+use super::super::CheckResult;
 use opalpulley::*;
 use std::collections::BTreeSet;
 
-/// Failures in a row from which an endpoint counts as failing.
-const FAILURES_OF_AN_OUTAGE: u32 = 3;
+/// Number of consecutive failed calls at which an endpoint counts as failing.
+const OUTAGE_FAILURE_THRESHOLD: u32 = 3;
 
-/// Calls beyond the budget that are allowed: what chance and rounding may add.
+/// Calls beyond the slow-start budget that are tolerated, because chance and rounding may add them.
 const SLACK_CALLS: f64 = 2.0;
 
-/// What happened at one endpoint.
+/// Tracks the calls to one endpoint and its health. Owned by the oracle.
 #[derive(Default)]
 pub struct EndpointRecord {
-    /// Calls that failed in a row.
+    /// Number of consecutive failed calls.
     consecutive_failures: u32,
-    /// When the calls were sent whose outcome was counted.
-    counted: BTreeSet<Micros>,
+    /// Times in µs at which the calls were sent whose outcome was counted.
+    counted_calls_sent_at: BTreeSet<Micros>,
     is_failing: bool,
-    /// Since when the forwarder knows whether the endpoint fails.
-    known_since: Micros,
-    /// The first answer after an outage.
+    /// Time in µs since which the forwarder knows whether the endpoint fails.
+    state_known_since: Micros,
+    /// Time in µs of the first response after an outage.
     returned_at: Option<Micros>,
-    /// When calls and health checks were sent, within the last overload window.
-    sent_at: Vec<Micros>,
+    /// Times in µs at which calls and health checks were sent within the last overload window.
+    calls_sent_at: Vec<Micros>,
 }
 
 impl EndpointRecord {
-    /// Counts the outcome of a call. Messages sent together in a batch count once.
+    /// Counts the outcome of a call. Messages that were sent together in a batch count once.
     pub fn observe_outcome(
         &mut self,
         now: Micros,
@@ -36,7 +36,7 @@
         outcome: Outcome,
         has_batches: bool,
     ) {
-        let is_first_of_call = self.counted.insert(sent_at);
+        let is_first_of_call = self.counted_calls_sent_at.insert(sent_at);
         if has_batches && !is_first_of_call {
             return;
         }
@@ -45,7 +45,7 @@
                 if self.is_failing {
                     self.is_failing = false;
                     self.returned_at = Some(now);
-                    self.known_since = now;
+                    self.state_known_since = now;
                 }
                 self.consecutive_failures = 0;
             }
@@ -54,54 +54,56 @@
             }
             _ => {}
         }
-        if self.consecutive_failures >= FAILURES_OF_AN_OUTAGE && !self.is_failing {
+        if self.consecutive_failures >= OUTAGE_FAILURE_THRESHOLD && !self.is_failing {
             self.is_failing = true;
-            self.known_since = now;
+            self.state_known_since = now;
         }
     }
 
-    /// Counts a call or a health check that is sent now.
+    /// Counts a call or a health check that is sent now, and checks the slow-start budget.
     ///
     /// Rule: to an endpoint that fails or warms up, the forwarder sends no more than its part of
-    /// the fleet's slow-start budget, plus the calls in flight before the outage was known. `rate`
-    /// is in calls per second.
+    /// the fleet's slow-start budget. Calls do not count if they were sent before the forwarder
+    /// knew that the endpoint fails or has returned. `rate` is in calls per second.
     pub fn check_slow_start(
         &mut self,
         now: Micros,
         rate: f32,
         has_batches: bool,
         config: &Config,
-    ) -> Checked {
+    ) -> CheckResult {
         let rules = &config.rules;
-        self.sent_at
+        self.calls_sent_at
             .retain(|sent_at| sent_at + rules.overload_window > now);
-        if !has_batches || self.sent_at.last() != Some(&now) {
-            self.sent_at.push(now);
+        if !has_batches || self.calls_sent_at.last() != Some(&now) {
+            self.calls_sent_at.push(now);
         }
-        let Some(warmth) = self.warmth(now, rules) else {
+        let Some(warm_up_progress) = self.warm_up_progress(now, rules) else {
             return Ok(());
         };
-        let share = rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warmth;
-        let window = rules.overload_window as f64 / 1e6;
-        let budget = rules.overload_multiple * share * f64::from(rate) * window;
+        let capacity_share =
+            rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warm_up_progress;
+        let window_seconds = rules.overload_window as f64 / 1e6;
+        let budget = rules.overload_multiple * capacity_share * f64::from(rate) * window_seconds;
         let limit = budget / f64::from(config.fleet_size) + SLACK_CALLS;
-        let since_known = |sent_at: &&Micros| **sent_at >= self.known_since;
-        let calls = self.sent_at.iter().filter(since_known).count();
+        let is_since_known = |sent_at: &&Micros| **sent_at >= self.state_known_since;
+        let calls = self.calls_sent_at.iter().filter(is_since_known).count();
         if calls as f64 > limit {
             return Err(format!(
-                "{calls} calls to an endpoint that warms up, at most {limit}"
+                "{calls} calls to an endpoint that fails or warms up, expected at most {limit}"
             ));
         }
         Ok(())
     }
 
-    /// How far an endpoint that fails or warms up has come, from 0 to 1. None if it is warm.
-    fn warmth(&self, now: Micros, rules: &ServiceRuleConfig) -> Option<f64> {
+    /// Returns the progress of the warm-up from 0 to 1, which is 0 while the endpoint fails, or
+    /// `None` if the endpoint is warm.
+    fn warm_up_progress(&self, now: Micros, rules: &ServiceRuleConfig) -> Option<f64> {
         if self.is_failing {
             return Some(0.0);
         }
         let since_return = now - self.returned_at?;
-        let warmth = since_return as f64 / rules.warm_up_time as f64;
-        (warmth > 0.0 && warmth < 1.0).then_some(warmth)
+        let warm_up_progress = since_return as f64 / rules.warm_up_time as f64;
+        (warm_up_progress > 0.0 && warm_up_progress < 1.0).then_some(warm_up_progress)
     }
 }
--- a/tests/rules/pacing.rs
+++ b/tests/rules/pacing.rs
@@ -1,12 +1,12 @@
-//! The rate of calls to a destination.
+//! Pacing of the calls to a destination.
 
 use super::common::*;
 use opalpulley::*;
 
-/// If each of many forwarders grew its rate by the whole listed rate, a third of all calls would be
-/// rejected.
+/// If each of many forwarders increased its rate by the whole listed rate, a third of all calls
+/// would be rejected.
 #[test]
-fn the_rate_of_calls_grows_by_the_even_share_of_a_forwarder() -> Checked {
+fn grows_call_rate_by_even_share_of_forwarder() -> CheckResult {
     let config = Config {
         fleet_size: 10,
         concurrency_limit: 100,
@@ -22,7 +22,7 @@
     }
     assert!(
         (10..30).contains(&calls),
-        "{calls} calls in five seconds at an even share of two calls per second"
+        "{calls} calls in five seconds, expected 10 to 29 at an even share of two calls per second"
     );
     Ok(())
 }
