--- a/crates/forwarder/src/completion_reports.rs
+++ b/crates/forwarder/src/completion_reports.rs
@@ -1,7 +1,7 @@
-//! The actor that sends completion reports to the platform, again and again until they are acknowledged.
+//! The actor that sends completion reports to the platform, and retries until the platform acknowledges them.
 
 use crate::commands::{DispatcherCommand, PendingCompletionReport};
-use crate::platform::{Platform, PlatformAnswer, PlatformError, Reachability};
+use crate::platform::{PlatformClient, PlatformError, PlatformResponse, Reachability};
 use crate::protocol::{encode_completion_reports, COMPLETION_REPORTS_PATH};
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
@@ -11,41 +11,44 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Messages in one request at most: some 20 KB, less than a third of the limit of a message.
-const MAX_LINES: usize = 200;
+/// Upper bound on the reports in one request. 200 reports take some 20 KB, less than a third of the size limit of a
+/// message.
+const MAX_BATCH_REPORTS: usize = 200;
 
-/// How long an answer may take at first. The agent answers at once, and a report may be 300 ms late.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
+/// Timeout of a request that follows no timeout. The agent responds at once, and a report may be 300 ms late.
+const INITIAL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The longest timeout after repeated timeouts: the answer of a slow agent must arrive at some time.
-const MAX_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Upper bound on the timeout of a request after repeated timeouts. The timeout grows so that the response of a slow
+/// agent can arrive.
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The pause after a failed request, unless it timed out.
-const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Delay before the next request after a failed one. There is no delay after a timeout.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The actor that sends completion reports.
-pub struct CompletionReports {
-    /// A connection to the platform's agent.
-    pub platform: Platform,
-    /// The address of the agent. Each change counts at once.
-    pub discovery: watch::Receiver<SocketAddr>,
+/// The actor that sends completion reports. It owns its connection to the platform's agent.
+pub struct CompletionReporter {
+    /// The client of the platform's agent.
+    pub platform: PlatformClient,
+    /// The address of the agent. A change cancels the request in flight.
+    pub agent_address: watch::Receiver<SocketAddr>,
     /// The mailbox of the dispatcher.
     pub dispatcher: mpsc::Sender<DispatcherCommand>,
-    /// Where failures are logged.
+    /// The logger for failures and recoveries of the exchange with the platform.
     pub log: Logger,
 }
 
-/// Nobody needs the reports any more: the dispatcher has ended.
-struct Stopped;
+/// The dispatcher has ended, so that no report needs to be sent any more.
+struct DispatcherEnded;
 
-/// The reports that are not acknowledged, and how they are sent.
+/// The reports that the platform has not acknowledged, and the state of sending them. Owned by the task of the reporter.
 struct ReportQueue {
-    /// The oldest first.
-    waiting: VecDeque<PendingCompletionReport>,
-    /// Messages in the next request at most.
-    max_lines: usize,
-    /// How long the next answer may take.
-    answer_timeout: Duration,
+    /// The reports in the order in which the dispatcher sent them, the oldest first.
+    unacknowledged: VecDeque<PendingCompletionReport>,
+    /// Upper bound on the reports in the next request. 1 after the platform has rejected a batch, until it acknowledges
+    /// a report.
+    max_batch_reports: usize,
+    /// Timeout of the next request.
+    response_timeout: Duration,
     /// Whether the latest request succeeded. Only changes are logged.
     reachability: Reachability,
 }
@@ -53,46 +56,46 @@
 impl ReportQueue {
     fn new() -> ReportQueue {
         ReportQueue {
-            waiting: VecDeque::new(),
-            max_lines: MAX_LINES,
-            answer_timeout: ANSWER_TIMEOUT,
+            unacknowledged: VecDeque::new(),
+            max_batch_reports: MAX_BATCH_REPORTS,
+            response_timeout: INITIAL_RESPONSE_TIMEOUT,
             reachability: Reachability::Reachable,
         }
     }
 
-    /// Takes all reports from the mailbox, and waits for one where none is waiting.
+    /// Moves all reports from the mailbox to the queue. Waits for a report if the queue is empty.
     async fn receive(
         &mut self,
         mailbox: &mut mpsc::UnboundedReceiver<PendingCompletionReport>,
-    ) -> Result<(), Stopped> {
-        if self.waiting.is_empty() {
-            let report = mailbox.recv().await.ok_or(Stopped)?;
-            self.waiting.push_back(report);
+    ) -> Result<(), DispatcherEnded> {
+        if self.unacknowledged.is_empty() {
+            let report = mailbox.recv().await.ok_or(DispatcherEnded)?;
+            self.unacknowledged.push_back(report);
         }
         while let Ok(report) = mailbox.try_recv() {
-            self.waiting.push_back(report);
+            self.unacknowledged.push_back(report);
         }
         Ok(())
     }
 
-    fn encode(&self, lines: usize) -> Bytes {
-        let reports = self.waiting.iter().take(lines);
+    fn encode(&self, batch_len: usize) -> Bytes {
+        let reports = self.unacknowledged.iter().take(batch_len);
         encode_completion_reports(reports.map(|report| (report.request_id.as_str(), report.ending)))
     }
 
-    /// A timeout doubles the next one: the agent may only be slow. Any answer resets it, so that a connection that falls
-    /// silent is noticed soon.
-    fn adapt_timeout(&mut self, answer: &Result<PlatformAnswer, PlatformError>) {
-        self.answer_timeout = match answer {
-            Err(PlatformError::Timeout) => MAX_ANSWER_TIMEOUT.min(2 * self.answer_timeout),
-            _ => ANSWER_TIMEOUT,
+    /// Sets the timeout of the next request. A timeout doubles it, because the agent may only be slow. Any other result
+    /// resets it, so that a connection that no longer responds is detected early.
+    fn adapt_timeout(&mut self, response: &Result<PlatformResponse, PlatformError>) {
+        self.response_timeout = match response {
+            Err(PlatformError::Timeout) => MAX_RESPONSE_TIMEOUT.min(2 * self.response_timeout),
+            _ => INITIAL_RESPONSE_TIMEOUT,
         };
     }
 }
 
-impl CompletionReports {
-    /// Runs until the dispatcher ends. The mailbox has no bound of its own: each report is of a message that takes room
-    /// in the journal until the report is acknowledged.
+impl CompletionReporter {
+    /// Runs until the dispatcher ends. The mailbox is not bounded itself. The journal bounds the number of reports: the
+    /// message of each report takes space in it until the report is acknowledged.
     pub async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<PendingCompletionReport>) {
         let mut queue = ReportQueue::new();
         while queue.receive(&mut mailbox).await.is_ok() {
@@ -102,80 +105,82 @@
         }
     }
 
-    /// Sends the oldest reports once and handles the answer.
-    async fn send_batch(&mut self, queue: &mut ReportQueue) -> Result<(), Stopped> {
-        let lines = queue.waiting.len().min(queue.max_lines);
-        let body = queue.encode(lines);
-        let answer = tokio::select! {
-            answer = self.platform.request(Method::POST, COMPLETION_REPORTS_PATH, body, queue.answer_timeout) => answer,
-            // Reports that the old address has not acknowledged are sent to the new one.
-            Ok(()) = self.discovery.changed() => {
-                let address = *self.discovery.borrow_and_update();
-                self.platform.move_to(address);
+    /// Sends the oldest reports once and handles the response.
+    async fn send_batch(&mut self, queue: &mut ReportQueue) -> Result<(), DispatcherEnded> {
+        let batch_len = queue.unacknowledged.len().min(queue.max_batch_reports);
+        let body = queue.encode(batch_len);
+        let response = tokio::select! {
+            response = self.platform.request(Method::POST, COMPLETION_REPORTS_PATH, body, queue.response_timeout) => response,
+            // The reports stay in the queue: those that the old address did not acknowledge are sent to the new address.
+            Ok(()) = self.agent_address.changed() => {
+                let address = *self.agent_address.borrow_and_update();
+                self.platform.set_address(address);
                 return Ok(());
             }
         };
-        queue.adapt_timeout(&answer);
-        match answer.map(|answer| answer.status) {
-            Ok(StatusCode::NO_CONTENT) => self.batch_acknowledged(queue, lines).await,
-            // One line that the platform can't read must not hold up the others: they are sent one by one.
-            Ok(StatusCode::BAD_REQUEST) if lines > 1 => {
-                queue.max_lines = 1;
+        queue.adapt_timeout(&response);
+        match response.map(|response| response.status) {
+            Ok(StatusCode::NO_CONTENT) => self.handle_acknowledgement(queue, batch_len).await,
+            // A report that the platform can't read must not block the other reports, so they are sent one by one.
+            Ok(StatusCode::BAD_REQUEST) if batch_len > 1 => {
+                queue.max_batch_reports = 1;
                 Ok(())
             }
-            Ok(StatusCode::BAD_REQUEST) => self.drop_unreadable_report(queue).await,
+            Ok(StatusCode::BAD_REQUEST) => self.drop_rejected_report(queue).await,
             Ok(status) => {
-                self.batch_failed(queue, PlatformError::Status(status))
+                self.handle_failure(queue, PlatformError::Status(status))
                     .await;
                 Ok(())
             }
-            Err(problem) => {
-                self.batch_failed(queue, problem).await;
+            Err(error) => {
+                self.handle_failure(queue, error).await;
                 Ok(())
             }
         }
     }
 
-    async fn batch_acknowledged(
+    async fn handle_acknowledgement(
         &self,
         queue: &mut ReportQueue,
-        lines: usize,
-    ) -> Result<(), Stopped> {
-        queue.max_lines = MAX_LINES;
-        if queue.reachability.set(Reachability::Reachable) {
-            info!(self.log, "completion reports acknowledged again");
+        batch_len: usize,
+    ) -> Result<(), DispatcherEnded> {
+        queue.max_batch_reports = MAX_BATCH_REPORTS;
+        if queue.reachability.update(Reachability::Reachable) {
+            info!(self.log, "platform acknowledged completion reports again");
         }
-        let acknowledged = queue.waiting.drain(..lines);
+        let acknowledged = queue.unacknowledged.drain(..batch_len);
         let serials = acknowledged.map(|report| report.serial).collect();
-        self.confirm(serials).await
+        self.notify_acknowledged(serials).await
     }
 
-    /// Gives up a report that the platform can't read. Sending it again would not help.
-    async fn drop_unreadable_report(&self, queue: &mut ReportQueue) -> Result<(), Stopped> {
-        let Some(report) = queue.waiting.pop_front() else {
+    /// Drops a report that the platform can't read: it would reject a retry too.
+    async fn drop_rejected_report(&self, queue: &mut ReportQueue) -> Result<(), DispatcherEnded> {
+        let Some(report) = queue.unacknowledged.pop_front() else {
             return Ok(());
         };
-        error!(self.log, "completion report rejected as unreadable"; "id" => report.request_id);
-        self.confirm(vec![report.serial]).await
+        error!(self.log, "completion report dropped: the platform rejected it as unreadable"; "id" => report.request_id);
+        self.notify_acknowledged(vec![report.serial]).await
     }
 
-    /// Logs the first failure in a row, and pauses. A request that timed out has waited already.
-    async fn batch_failed(&self, queue: &mut ReportQueue, problem: PlatformError) {
-        if queue.reachability.set(Reachability::Unreachable) {
-            warn!(self.log, "completion reports not acknowledged"; "problem" => %problem);
+    /// Logs the first of consecutive failures, and waits for the retry delay. After a timeout there is no delay, because
+    /// the request has waited already.
+    async fn handle_failure(&self, queue: &mut ReportQueue, error: PlatformError) {
+        if queue.reachability.update(Reachability::Unreachable) {
+            warn!(self.log, "platform did not acknowledge completion reports"; "problem" => %error);
         }
-        if !matches!(problem, PlatformError::Timeout) {
-            tokio::time::sleep(RETRY_INTERVAL).await;
+        if !matches!(error, PlatformError::Timeout) {
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Tells the dispatcher that these reports need not be sent any more.
-    async fn confirm(&self, serials: Vec<u64>) -> Result<(), Stopped> {
+    /// Reports to the dispatcher that the reports with these serial numbers need not be sent any more. Fails if the
+    /// dispatcher has ended.
+    async fn notify_acknowledged(&self, serials: Vec<u64>) -> Result<(), DispatcherEnded> {
         let acknowledged = DispatcherCommand::CompletionReportsAcknowledged(serials);
         self.dispatcher
             .send(acknowledged)
             .await
-            .map_err(|_| Stopped)
+            .map_err(|_| DispatcherEnded)
     }
 }
 
