--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -7,7 +7,7 @@
 mod settings;
 mod start_object;
 
-pub use settings::{read, ConnectionConfig, ForwarderSettings, Names, SettingsError};
+pub use settings::{parse_settings, ConnectionConfig, ForwarderSettings, Names, SettingsError};
 pub use start_object::StartObject;
 
 /// Microseconds in a millisecond. The core counts in microseconds; several wire fields are in milliseconds.
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,7 +1,8 @@
 //! The settings as programs use them: checked, with defaults, in the core's terms.
 
 use crate::start_object::{
-    EndpointListMode, ListedRatesMode, PriorityDecayMode, Profile, Scope, Semantics, StartObject,
+    DeduplicationScopeMode, DeliverySemanticsMode, EndpointListMode, ListedRatesMode,
+    PriorityDecayMode, Profile, StartObject,
 };
 use opalpulley::{
     Config, DeduplicationScope, DeliveryClassConfig, DeliverySemantics, EndpointKindConfig,
@@ -15,7 +16,7 @@
 const DEFAULT_CONNECT_TIMEOUT: Micros = 1_000_000;
 /// The number of destinations whose whole state the core keeps at once. No deployment of today has as many, so that the
 /// limit changes nothing there. The whole state of a destination takes about 3 kB, and that of all these about 3 MB.
-const FULL_DESTINATIONS: u32 = 1_024;
+const MAX_FULL_DESTINATIONS: u32 = 1_024;
 /// Messages in one call to an endpoint, for an endpoint kind whose batch size the settings do not name.
 const DEFAULT_BATCH_SIZE: u32 = 1;
 
@@ -42,7 +43,7 @@
     /// Kinds of endpoints.
     pub endpoint_kinds: Vec<String>,
     /// The figures of a load report.
-    pub reports: Vec<String>,
+    pub load_metrics: Vec<String>,
 }
 
 /// Time limits of connections to endpoints.
@@ -62,7 +63,7 @@
         /// The path of the key.
         path: String,
         /// What is wrong there.
-        problem: serde_json::Error,
+        error: serde_json::Error,
     },
     /// A figure is 0, or a list empty, with which no deployment can work.
     NotPositive {
@@ -74,8 +75,8 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SettingsError::Invalid { path, problem } => {
-                write!(f, "the start object is not valid at {path}: {problem}")
+            SettingsError::Invalid { path, error } => {
+                write!(f, "the start object is not valid at {path}: {error}")
             }
             SettingsError::NotPositive { key } => write!(f, "{key}: must be above 0"),
         }
@@ -85,37 +86,40 @@
 impl std::error::Error for SettingsError {}
 
 /// Parses and checks the text of the settings.
-pub fn read(text: &[u8]) -> Result<ForwarderSettings, SettingsError> {
-    let text = &mut serde_json::Deserializer::from_slice(text);
-    let start: StartObject =
-        serde_path_to_error::deserialize(text).map_err(|e| SettingsError::Invalid {
+pub fn parse_settings(json: &[u8]) -> Result<ForwarderSettings, SettingsError> {
+    let deserializer = &mut serde_json::Deserializer::from_slice(json);
+    let start_object: StartObject =
+        serde_path_to_error::deserialize(deserializer).map_err(|e| SettingsError::Invalid {
             path: e.path().to_string(),
-            problem: e.into_inner(),
+            error: e.into_inner(),
         })?;
-    ForwarderSettings::try_from(start)
+    ForwarderSettings::try_from(start_object)
 }
 
 impl TryFrom<StartObject> for ForwarderSettings {
     type Error = SettingsError;
 
-    fn try_from(start: StartObject) -> Result<ForwarderSettings, SettingsError> {
-        check(&start)?;
+    fn try_from(start_object: StartObject) -> Result<ForwarderSettings, SettingsError> {
+        validate(&start_object)?;
         Ok(ForwarderSettings {
-            names: names(&start),
-            connections: connection_config(&start),
-            config: core_config(start),
+            names: collect_names(&start_object),
+            connections: connection_config(&start_object),
+            config: core_config(start_object),
         })
     }
 }
 
 /// Finds figures with which no deployment can work.
-fn check(start: &StartObject) -> Result<(), SettingsError> {
-    let classes = &start.classes;
-    let checks = [
-        ("Balancers", start.fleet_size > 0),
-        ("Domain.Workers", start.destinations.concurrency_limit > 0),
-        ("Limits.MaxAttempts", start.limits.max_attempts > 0),
-        ("Limits.MaxOpen", start.limits.message_capacity > 0),
+fn validate(start_object: &StartObject) -> Result<(), SettingsError> {
+    let classes = &start_object.classes;
+    let requirements = [
+        ("Balancers", start_object.fleet_size > 0),
+        (
+            "Domain.Workers",
+            start_object.destination_settings.concurrency_limit > 0,
+        ),
+        ("Limits.MaxAttempts", start_object.limits.max_attempts > 0),
+        ("Limits.MaxOpen", start_object.limits.max_messages > 0),
         ("Profiles", !classes.is_empty()),
         (
             "Profiles[].HardLimitUs",
@@ -126,28 +130,31 @@
             classes.iter().all(|class| class.latency_objective > 0),
         ),
     ];
-    for (key, positive) in checks {
-        if !positive {
+    for (key, is_positive) in requirements {
+        if !is_positive {
             return Err(SettingsError::NotPositive { key });
         }
     }
     Ok(())
 }
 
-fn names(start: &StartObject) -> Names {
-    let classes = start.classes.iter().map(|class| class.name.clone());
-    let tenants = start.tenants.iter().map(|tenant| tenant.name.clone());
+fn collect_names(start_object: &StartObject) -> Names {
+    let classes = start_object.classes.iter().map(|class| class.name.clone());
+    let tenants = start_object
+        .tenants
+        .iter()
+        .map(|tenant| tenant.name.clone());
     Names {
         classes: classes.collect(),
         tenants: tenants.collect(),
-        zones: start.zones.clone(),
-        endpoint_kinds: start.endpoint_kinds.clone(),
-        reports: start.load_report.names.clone(),
+        zones: start_object.zones.clone(),
+        endpoint_kinds: start_object.endpoint_kinds.clone(),
+        load_metrics: start_object.load_report.metric_names.clone(),
     }
 }
 
-fn connection_config(start: &StartObject) -> ConnectionConfig {
-    let limits = &start.limits;
+fn connection_config(start_object: &StartObject) -> ConnectionConfig {
+    let limits = &start_object.limits;
     ConnectionConfig {
         connection_idle_timeout: limits
             .connection_idle_timeout
@@ -156,36 +163,40 @@
     }
 }
 
-fn core_config(start: StartObject) -> Config {
+fn core_config(start_object: StartObject) -> Config {
     Config {
-        forwarder_id: start.forwarder,
-        fleet_size: start.fleet_size,
-        concurrency_limit: start.destinations.concurrency_limit,
-        max_messages: start.limits.message_capacity,
-        max_attempts: start.limits.max_attempts,
+        forwarder_id: start_object.forwarder_id,
+        fleet_size: start_object.fleet_size,
+        concurrency_limit: start_object.destination_settings.concurrency_limit,
+        max_messages: start_object.limits.max_messages,
+        max_attempts: start_object.limits.max_attempts,
         order_release: OrderRelease::default(),
-        may_health_check: start.limits.may_health_check,
-        may_cancel: start.limits.may_cancel,
-        may_send_retry_after: start.limits.may_send_retry_after,
-        may_gossip: start.limits.may_gossip,
-        max_retry_after: start.limits.max_retry_after,
-        listed_rate_accuracy: listed_rates(&start.listed_rates),
-        priority_decay: priority_decay(&start.destinations.priority_decay),
-        over_quota_weight_share: start.over_quota_weight,
-        tenants: tenant_configs(&start),
-        endpoint_kinds: endpoint_kind_configs(&start),
-        list_poll_interval: poll_interval(&start),
+        may_health_check: start_object.limits.may_health_check,
+        may_cancel: start_object.limits.may_cancel,
+        may_send_retry_after: start_object.limits.may_send_retry_after,
+        may_gossip: start_object.limits.may_gossip,
+        max_retry_after: start_object.limits.max_retry_after,
+        listed_rate_accuracy: listed_rate_accuracy(&start_object.listed_rates_mode),
+        priority_decay: priority_decay(&start_object.destination_settings.priority_decay),
+        over_quota_weight_share: start_object.over_quota_weight_share,
+        tenants: tenant_configs(&start_object),
+        endpoint_kinds: endpoint_kind_configs(&start_object),
+        list_poll_interval: list_poll_interval(&start_object),
         // The settings do not name it. The protocol of the program that carries out the actions does.
         list_notification_delay: None,
-        rules: rule_config(&start),
-        min_tick_interval: start.scheduling_interval,
-        full_destinations: Some(FULL_DESTINATIONS),
-        classes: start.classes.iter().map(delivery_class_config).collect(),
-        zone_costs: start.destinations.zone_costs,
+        rules: rule_config(&start_object),
+        min_tick_interval: start_object.min_tick_interval,
+        full_destinations: Some(MAX_FULL_DESTINATIONS),
+        classes: start_object
+            .classes
+            .iter()
+            .map(delivery_class_config)
+            .collect(),
+        zone_costs: start_object.destination_settings.zone_costs,
     }
 }
 
-fn listed_rates(mode: &ListedRatesMode) -> ListedRateAccuracy {
+fn listed_rate_accuracy(mode: &ListedRatesMode) -> ListedRateAccuracy {
     match mode {
         ListedRatesMode::Off => ListedRateAccuracy::Unlisted,
         // The core has no mode for live rates and treats them as nominal.
@@ -201,15 +212,15 @@
     }
 }
 
-fn poll_interval(start: &StartObject) -> Option<Micros> {
-    match start.endpoint_list_mode {
+fn list_poll_interval(start_object: &StartObject) -> Option<Micros> {
+    match start_object.endpoint_list_mode {
         EndpointListMode::Pushed => None,
-        EndpointListMode::Polled => Some(start.rules.poll_interval),
+        EndpointListMode::Polled => Some(start_object.rules.list_poll_interval),
     }
 }
 
-fn tenant_configs(start: &StartObject) -> Vec<TenantConfig> {
-    let tenants = start.tenants.iter();
+fn tenant_configs(start_object: &StartObject) -> Vec<TenantConfig> {
+    let tenants = start_object.tenants.iter();
     tenants
         .map(|tenant| TenantConfig {
             quota: tenant.quota,
@@ -217,18 +228,18 @@
         .collect()
 }
 
-fn endpoint_kind_configs(start: &StartObject) -> Vec<EndpointKindConfig> {
-    let destinations = &start.destinations;
-    let kinds = 0..start.endpoint_kinds.len();
+fn endpoint_kind_configs(start_object: &StartObject) -> Vec<EndpointKindConfig> {
+    let destination_settings = &start_object.destination_settings;
+    let kinds = 0..start_object.endpoint_kinds.len();
     kinds
         .map(|kind| EndpointKindConfig {
-            has_independent_limits: destinations
-                .independent_limits
+            has_independent_limits: destination_settings
+                .has_independent_limits
                 .get(kind)
                 .copied()
                 .unwrap_or(false),
-            max_batch_size: destinations
-                .batch_sizes
+            max_batch_size: destination_settings
+                .max_batch_sizes
                 .get(kind)
                 .copied()
                 .unwrap_or(DEFAULT_BATCH_SIZE),
@@ -236,8 +247,8 @@
         .collect()
 }
 
-fn rule_config(start: &StartObject) -> ServiceRuleConfig {
-    let rules = &start.rules;
+fn rule_config(start_object: &StartObject) -> ServiceRuleConfig {
+    let rules = &start_object.rules;
     ServiceRuleConfig {
         answer_slack: rules.answer_slack,
         drain_grace: rules.drain_grace,
@@ -251,18 +262,18 @@
 
 fn delivery_class_config(class: &Profile) -> DeliveryClassConfig {
     let scope = match class.deduplication_scope {
-        Scope::AllEndpoints => DeduplicationScope::AllEndpoints,
-        Scope::Zone => DeduplicationScope::Zone,
-        Scope::Destination => DeduplicationScope::Destination,
+        DeduplicationScopeMode::AllEndpoints => DeduplicationScope::AllEndpoints,
+        DeduplicationScopeMode::Zone => DeduplicationScope::Zone,
+        DeduplicationScopeMode::Destination => DeduplicationScope::Destination,
     };
     DeliveryClassConfig {
         semantics: match class.semantics {
-            Semantics::Idempotent => DeliverySemantics::Idempotent,
-            Semantics::IdempotencyKeyed => DeliverySemantics::IdempotencyKeyed {
+            DeliverySemanticsMode::Idempotent => DeliverySemantics::Idempotent,
+            DeliverySemanticsMode::IdempotencyKeyed => DeliverySemantics::IdempotencyKeyed {
                 scope,
                 window: class.deduplication_window,
             },
-            Semantics::AtMostOnce => DeliverySemantics::AtMostOnce,
+            DeliverySemanticsMode::AtMostOnce => DeliverySemantics::AtMostOnce,
         },
         latency_objective: class.latency_objective,
         time_to_live: class.time_to_live,
--- a/crates/config/src/start_object.rs
+++ b/crates/config/src/start_object.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 
 /// The poll interval where the settings have no `AskWithinUs`, µs. The first deployments have this value.
-const DEFAULT_POLL_INTERVAL: Micros = 10_000_000;
+const DEFAULT_LIST_POLL_INTERVAL: Micros = 10_000_000;
 
 /// The operators' settings as they are written: the top level of the JSON.
 #[derive(Deserialize)]
@@ -18,7 +18,7 @@
     #[serde(rename = "Balancers")]
     pub(crate) fleet_size: u32,
     #[serde(rename = "Domain")]
-    pub(crate) destinations: Domain,
+    pub(crate) destination_settings: Domain,
     #[serde(rename = "HostTypes")]
     pub(crate) endpoint_kinds: Vec<String>,
     #[serde(rename = "Limits")]
@@ -27,20 +27,20 @@
     pub(crate) load_report: LoadReport,
     /// The number of this forwarder in the fleet.
     #[serde(rename = "Me")]
-    pub(crate) forwarder: u16,
+    pub(crate) forwarder_id: u16,
     #[serde(rename = "MembershipMode", default)]
     pub(crate) endpoint_list_mode: EndpointListMode,
     /// The weight of messages over their tenant's quota.
     #[serde(rename = "OverShareWorth", default)]
-    pub(crate) over_quota_weight: f64,
+    pub(crate) over_quota_weight_share: f64,
     #[serde(rename = "Profiles")]
     pub(crate) classes: Vec<Profile>,
     #[serde(rename = "QuantumUs")]
-    pub(crate) scheduling_interval: Micros,
+    pub(crate) min_tick_interval: Micros,
     #[serde(rename = "Rules")]
     pub(crate) rules: Rules,
     #[serde(rename = "Weights")]
-    pub(crate) listed_rates: ListedRatesMode,
+    pub(crate) listed_rates_mode: ListedRatesMode,
 }
 
 /// One tenant.
@@ -60,10 +60,10 @@
     pub priority_decay: PriorityDecayMode,
     /// Messages in one call, for each kind.
     #[serde(rename = "PerCall", default)]
-    pub batch_sizes: Vec<u32>,
+    pub max_batch_sizes: Vec<u32>,
     /// Whether each endpoint has a limit of its own, for each kind.
     #[serde(rename = "RoutesApart", default)]
-    pub independent_limits: Vec<bool>,
+    pub has_independent_limits: Vec<bool>,
     #[serde(rename = "Workers")]
     pub concurrency_limit: u32,
     /// The cost of a call to each zone.
@@ -92,7 +92,7 @@
     #[serde(rename = "MaxAttempts")]
     pub max_attempts: u32,
     #[serde(rename = "MaxOpen")]
-    pub message_capacity: u32,
+    pub max_messages: u32,
     #[serde(rename = "MaxRetryAfterUs", default)]
     pub max_retry_after: Micros,
     #[serde(rename = "Probing", default)]
@@ -107,7 +107,7 @@
 #[derive(Deserialize, Default)]
 pub(crate) struct LoadReport {
     #[serde(rename = "Names", default)]
-    pub names: Vec<String>,
+    pub metric_names: Vec<String>,
 }
 
 /// How the forwarder gets the endpoint list.
@@ -139,9 +139,9 @@
 #[derive(Deserialize)]
 pub(crate) struct Profile {
     #[serde(rename = "Effect")]
-    pub semantics: Semantics,
+    pub semantics: DeliverySemanticsMode,
     #[serde(rename = "Group", default)]
-    pub deduplication_scope: Scope,
+    pub deduplication_scope: DeduplicationScopeMode,
     #[serde(rename = "DedupWindowUs", default)]
     pub deduplication_window: Micros,
     #[serde(rename = "GoalTimeUs")]
@@ -161,7 +161,7 @@
 
 /// Whether an attempt may be repeated.
 #[derive(Deserialize)]
-pub(crate) enum Semantics {
+pub(crate) enum DeliverySemanticsMode {
     #[serde(rename = "free")]
     Idempotent,
     #[serde(rename = "guarded")]
@@ -172,7 +172,7 @@
 
 /// Which endpoints recognize each other's messages as repeats.
 #[derive(Deserialize, Default)]
-pub(crate) enum Scope {
+pub(crate) enum DeduplicationScopeMode {
     #[default]
     #[serde(rename = "all")]
     AllEndpoints,
@@ -187,8 +187,8 @@
 pub(crate) struct Rules {
     #[serde(rename = "AnswerSlackUs")]
     pub answer_slack: Micros,
-    #[serde(rename = "AskWithinUs", default = "default_poll_interval")]
-    pub poll_interval: Micros,
+    #[serde(rename = "AskWithinUs", default = "default_list_poll_interval")]
+    pub list_poll_interval: Micros,
     #[serde(rename = "ColdFrom")]
     pub cold_capacity_share: f64,
     #[serde(rename = "DrainGraceUs")]
@@ -203,6 +203,6 @@
     pub order_settle_time: Micros,
 }
 
-fn default_poll_interval() -> Micros {
-    DEFAULT_POLL_INTERVAL
+fn default_list_poll_interval() -> Micros {
+    DEFAULT_LIST_POLL_INTERVAL
 }
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -1,6 +1,6 @@
 //! The one line that says why settings can't be used: it names the operators' key, and is the same in each version.
 
-use opalpulley_config::read;
+use opalpulley_config::parse_settings;
 
 const SETTINGS: &str = r#"{"Balancers": 2, "Domain": {"Fades": "halving", "Workers": 3}, "HostTypes": ["any"],
 "Limits": {"MaxAttempts": 6, "MaxOpen": 9}, "Me": 3,
@@ -8,20 +8,20 @@
 "QuantumUs": 5000, "Rules": {"AnswerSlackUs": 20000, "ColdFrom": 0.2, "DrainGraceUs": 500000, "FallMultiple": 2.0,
 "OverloadForUs": 2000000, "WarmAfterUs": 9000000}, "Weights": "nominal"}"#;
 
-fn error_after(replaced: &str, replacement: &str) -> String {
-    assert!(SETTINGS.contains(replaced), "{replaced}");
-    let text = SETTINGS.replace(replaced, replacement);
-    let problem = read(text.as_bytes()).expect_err(replacement);
-    problem.to_string()
+fn error_after_replacing(original: &str, replacement: &str) -> String {
+    assert!(SETTINGS.contains(original), "{original}");
+    let text = SETTINGS.replace(original, replacement);
+    let error = parse_settings(text.as_bytes()).expect_err(replacement);
+    error.to_string()
 }
 
 #[test]
-fn the_settings_of_these_tests_are_valid() {
-    assert!(read(SETTINGS.as_bytes()).is_ok());
+fn accepts_settings_of_these_tests() {
+    assert!(parse_settings(SETTINGS.as_bytes()).is_ok());
 }
 
 #[test]
-fn a_value_of_a_wrong_type_is_named_with_its_path() {
+fn error_names_path_and_position_of_invalid_value() {
     let cases = [
         (
             r#"{"Fades": "halving", "Workers": 3}"#,
@@ -44,16 +44,16 @@
             "at Profiles[0]: missing field `Effect`",
         ),
     ];
-    for (replaced, replacement, error) in cases {
-        let line = error_after(replaced, replacement);
-        let (text, position) = line.rsplit_once(" at line ").expect("a position");
-        assert_eq!(text, format!("the start object is not valid {error}"));
-        assert!(position.contains(" column "), "{line}");
+    for (original, replacement, expected) in cases {
+        let message = error_after_replacing(original, replacement);
+        let (cause, position) = message.rsplit_once(" at line ").expect("a position");
+        assert_eq!(cause, format!("the start object is not valid {expected}"));
+        assert!(position.contains(" column "), "{message}");
     }
 }
 
 #[test]
-fn a_figure_of_0_is_named_with_its_key() {
+fn rejects_zero_and_names_its_key() {
     let cases = [
         (r#""Balancers": 2"#, r#""Balancers": 0"#, "Balancers"),
         (r#""Workers": 3"#, r#""Workers": 0"#, "Domain.Workers"),
@@ -74,8 +74,8 @@
             "Profiles[].GoalTimeUs",
         ),
     ];
-    for (replaced, replacement, key) in cases {
+    for (original, replacement, key) in cases {
         let expected = format!("{key}: must be above 0");
-        assert_eq!(error_after(replaced, replacement), expected);
+        assert_eq!(error_after_replacing(original, replacement), expected);
     }
 }
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use std::path::PathBuf;
 
-fn golden_file() -> PathBuf {
+fn golden_path() -> PathBuf {
     [
         env!("CARGO_MANIFEST_DIR"),
         "tests",
@@ -21,23 +21,23 @@
 }
 
 fn render_class(class: &DeliveryClassConfig) -> Value {
-    let repeats = match class.semantics {
+    let semantics = match class.semantics {
         DeliverySemantics::Idempotent => json!("idempotent"),
         DeliverySemantics::AtMostOnce => json!("at most once"),
         DeliverySemantics::IdempotencyKeyed {
-            scope: group,
+            scope: deduplication_scope,
             window,
         } => {
-            let group = match group {
+            let deduplication_scope = match deduplication_scope {
                 DeduplicationScope::AllEndpoints => "all endpoints",
                 DeduplicationScope::Zone => "one zone",
                 DeduplicationScope::Destination => "one destination",
             };
-            json!({ "idempotency keyed, known to": group, "for us": window })
+            json!({ "idempotency keyed, known to": deduplication_scope, "for us": window })
         }
     };
     json!({
-        "repeats": repeats,
+        "repeats": semantics,
         "latency objective us": class.latency_objective,
         "deadline us": class.time_to_live,
         "priority weight": class.priority_weight,
@@ -46,10 +46,10 @@
     })
 }
 
-fn render(start: &ForwarderSettings) -> Value {
-    let config = &start.config;
+fn render_settings(settings: &ForwarderSettings) -> Value {
+    let config = &settings.config;
     let rules = &config.rules;
-    let ends = match config.order_release {
+    let order_release = match config.order_release {
         OrderRelease::OnFinalAnswer => "at once",
         OrderRelease::OnAcknowledgement => "when acknowledged",
     };
@@ -58,7 +58,7 @@
         ListedRateAccuracy::Nominal => "nominal",
         ListedRateAccuracy::Approximate => "rough",
     };
-    let fading = match config.priority_decay {
+    let priority_decay = match config.priority_decay {
         PriorityDecay::Linear => "evenly",
         PriorityDecay::Exponential => "by half",
     };
@@ -72,14 +72,14 @@
         "concurrency permits": config.concurrency_limit,
         "messages held": config.max_messages,
         "attempts": config.max_attempts,
-        "ends count": ends,
+        "ends count": order_release,
         "may check health": config.may_health_check,
         "may cancel": config.may_cancel,
         "may say retry-after": config.may_send_retry_after,
         "may gossip": config.may_gossip,
         "longest retry-after us": config.max_retry_after,
         "rates of the list": listed_rates,
-        "worth falls": fading,
+        "worth falls": priority_decay,
         "priority weight over the share": config.over_quota_weight_share,
         "classes": config.classes.iter().map(render_class).collect::<Vec<_>>(),
         "quotas of tenants": config.tenants.iter().map(|tenant| tenant.quota).collect::<Vec<_>>(),
@@ -96,31 +96,31 @@
         "order pause us": rules.order_settle_time,
         "shortest round us": config.min_tick_interval,
         "destinations in full": config.full_destinations,
-        "names of classes": start.names.classes,
-        "names of tenants": start.names.tenants,
-        "names of zones": start.names.zones,
-        "names of kinds": start.names.endpoint_kinds,
-        "names of report values": start.names.reports,
-        "idle connections closed after us": start.connections.connection_idle_timeout,
-        "connections up within us": start.connections.connect_timeout,
+        "names of classes": settings.names.classes,
+        "names of tenants": settings.names.tenants,
+        "names of zones": settings.names.zones,
+        "names of kinds": settings.names.endpoint_kinds,
+        "names of report values": settings.names.load_metrics,
+        "idle connections closed after us": settings.connections.connection_idle_timeout,
+        "connections up within us": settings.connections.connect_timeout,
     })
 }
 
-fn read(text: &str) -> Value {
-    match opalpulley_config::read(text.as_bytes()) {
-        Ok(start) => render(&start),
-        Err(problem) => json!({ "wrong": problem.to_string() }),
+fn parse_and_render(json: &str) -> Value {
+    match opalpulley_config::parse_settings(json.as_bytes()) {
+        Ok(settings) => render_settings(&settings),
+        Err(error) => json!({ "wrong": error.to_string() }),
     }
 }
 
 #[test]
-fn start_objects_are_read_as_recorded() {
-    let text = std::fs::read(golden_file()).expect("the golden file is readable");
+fn parses_start_objects_as_recorded() {
+    let text = std::fs::read(golden_path()).expect("the golden file is readable");
     let cases: Vec<Value> =
         serde_json::from_slice(&text).expect("the golden file is a list of cases");
     let mut differences = Vec::new();
     for case in &cases {
-        let actual = read(case["input"].as_str().expect("a text"));
+        let actual = parse_and_render(case["input"].as_str().expect("a text"));
         if case["expected"] != actual {
             differences.push(format!(
                 "{}\nexpected {}\nactual   {actual}",
--- a/crates/forwarder/src/clients/golden_tests.rs
+++ b/crates/forwarder/src/clients/golden_tests.rs
@@ -26,7 +26,7 @@
         tenants: texts(&["plain", "campus"]),
         zones: texts(&["a", "b"]),
         endpoint_kinds: texts(&["m1", "m2"]),
-        reports: texts(&["x0", "x1"]),
+        load_metrics: texts(&["x0", "x1"]),
     };
     let record = DeliveryClassConfig {
         semantics: DeliverySemantics::Idempotent,
--- a/crates/forwarder/src/clients/tests.rs
+++ b/crates/forwarder/src/clients/tests.rs
@@ -40,7 +40,7 @@
             tenants: Vec::new(),
             zones: Vec::new(),
             endpoint_kinds: Vec::new(),
-            reports: Vec::new(),
+            load_metrics: Vec::new(),
         };
         let class = DeliveryClassConfig {
             semantics: DeliverySemantics::Idempotent,
--- a/crates/forwarder/src/dispatcher/endpoints/tests.rs
+++ b/crates/forwarder/src/dispatcher/endpoints/tests.rs
@@ -16,7 +16,7 @@
 
 fn actors() -> (EndpointActors, mpsc::Receiver<DispatcherCommand>) {
     let (dispatcher, commands) = mpsc::channel(64);
-    let (classes, tenants, zones, kinds, reports) = Default::default();
+    let (classes, tenants, zones, kinds, load_metrics) = Default::default();
     let context = EndpointContext {
         config: ConnectionConfig {
             connection_idle_timeout: IDLE_CLOSED_AFTER,
@@ -27,7 +27,7 @@
             tenants,
             zones,
             endpoint_kinds: kinds,
-            reports,
+            load_metrics,
         },
         idle: Arc::new(Semaphore::new(64)),
         dispatcher,
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -26,8 +26,8 @@
             .expect("profiles")
             .push(class);
     }
-    let start =
-        opalpulley_config::read(settings.to_string().as_bytes()).expect("a good configuration");
+    let start = opalpulley_config::parse_settings(settings.to_string().as_bytes())
+        .expect("a good configuration");
     (start.config, start.names, start.connections)
 }
 
--- a/crates/forwarder/src/endpoint_list/golden_tests.rs
+++ b/crates/forwarder/src/endpoint_list/golden_tests.rs
@@ -23,7 +23,7 @@
         tenants: Vec::new(),
         zones: to_strings(&["a", "b", "other-zone"]),
         endpoint_kinds: to_strings(&["m1", "m2", "other-kind"]),
-        reports: Vec::new(),
+        load_metrics: Vec::new(),
     }
 }
 
--- a/crates/forwarder/src/endpoint_list/table/tests.rs
+++ b/crates/forwarder/src/endpoint_list/table/tests.rs
@@ -20,7 +20,7 @@
         tenants: Vec::new(),
         zones,
         endpoint_kinds: kinds,
-        reports: Vec::new(),
+        load_metrics: Vec::new(),
     }
 }
 
--- a/crates/forwarder/src/endpoint_list/watch/tests.rs
+++ b/crates/forwarder/src/endpoint_list/watch/tests.rs
@@ -11,7 +11,7 @@
         tenants: Vec::new(),
         zones: vec!["a".into()],
         endpoint_kinds: vec!["m".into()],
-        reports: Vec::new(),
+        load_metrics: Vec::new(),
     }
 }
 
--- a/crates/forwarder/src/endpoints/golden_tests.rs
+++ b/crates/forwarder/src/endpoints/golden_tests.rs
@@ -31,7 +31,7 @@
         tenants: Vec::new(),
         zones: Vec::new(),
         endpoint_kinds: Vec::new(),
-        reports: vec!["x0".into(), "x1".into()],
+        load_metrics: vec!["x0".into(), "x1".into()],
     };
     let context = EndpointContext {
         config: ConnectionConfig {
--- a/crates/forwarder/src/endpoints/tests.rs
+++ b/crates/forwarder/src/endpoints/tests.rs
@@ -50,7 +50,7 @@
                 tenants: Vec::new(),
                 zones: Vec::new(),
                 endpoint_kinds: Vec::new(),
-                reports: vec!["x0".into()],
+                load_metrics: vec!["x0".into()],
             },
             idle: Arc::new(Semaphore::new(4)),
             dispatcher,
--- a/crates/forwarder/src/protocol/attempt.rs
+++ b/crates/forwarder/src/protocol/attempt.rs
@@ -162,7 +162,7 @@
     };
     let figures: BTreeMap<String, f32> =
         serde_json::from_slice(report.as_bytes()).unwrap_or_default();
-    let in_order = names.reports.iter().map(|name| {
+    let in_order = names.load_metrics.iter().map(|name| {
         let figure = figures.get(name).copied();
         figure.filter(|value| value.is_finite())
     });
--- a/crates/forwarder/src/protocol/tests.rs
+++ b/crates/forwarder/src/protocol/tests.rs
@@ -21,7 +21,7 @@
         tenants: text(&["plain", "campus"]),
         zones: text(&["a", "b"]),
         endpoint_kinds: text(&["m1", "m2"]),
-        reports: text(&["x0", "x1"]),
+        load_metrics: text(&["x0", "x1"]),
     }
 }
 
--- a/crates/simhost/src/error.rs
+++ b/crates/simhost/src/error.rs
@@ -10,13 +10,13 @@
     /// Standard input or output failed.
     Io(io::Error),
     /// The input ends within a frame.
-    CutOff {
+    Truncated {
         /// What is cut off.
-        what: &'static str,
+        part: &'static str,
         /// Its length, bytes.
-        wanted: usize,
+        expected_bytes: usize,
         /// The bytes that are there.
-        got: usize,
+        actual_bytes: usize,
     },
     /// A record can't be decoded, carried out or encoded.
     Record {
@@ -25,41 +25,41 @@
         /// Where it begins in its batch, bytes. 0 in a reply.
         offset: usize,
         /// What is wrong with it.
-        problem: RecordProblem,
+        kind: RecordErrorKind,
     },
 }
 
 /// What is wrong with a record.
 #[derive(Debug)]
-pub enum RecordProblem {
+pub enum RecordErrorKind {
     /// It ends within a field.
     TooShort {
         /// The length of the field, bytes.
-        wanted: usize,
+        field_bytes: usize,
         /// Where the field begins in the record, bytes.
-        at: usize,
+        position: usize,
         /// The bytes that are left there.
-        left: usize,
+        remaining_bytes: usize,
     },
     /// Bytes follow the last record of a batch.
     TrailingBytes(usize),
     /// A list has more entries than its record has bytes for.
     TooManyEntries {
         /// How many it announces.
-        announced: usize,
+        announced_entries: usize,
         /// The bytes that are left for them.
-        bytes_left: usize,
+        remaining_bytes: usize,
     },
     /// The code of an outcome is unknown.
     UnknownOutcome(u16),
     /// The status of an endpoint is unknown.
     UnknownEndpointStatus(u8),
     /// The kind of a list update is unknown.
-    UnknownListKind(u8),
+    UnknownListUpdateKind(u8),
     /// A destination is no whole number in range.
     InvalidDestination(f32),
     /// The number of a list is out of range.
-    NoSuchList(u32),
+    ListNumberOutOfRange(u32),
     /// An event names a list that was not registered.
     UnregisteredList(u32),
     /// A record is for an instance that does not run.
@@ -75,52 +75,68 @@
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::Io(e) => write!(f, "cannot read or write the wire: {e}"),
-            WireError::CutOff { what, wanted, got } => write!(
+            WireError::Io(error) => write!(f, "cannot read or write the wire: {error}"),
+            WireError::Truncated {
+                part,
+                expected_bytes,
+                actual_bytes,
+            } => write!(
                 f,
-                "input ends inside a {what}: {wanted} bytes wanted, {got} there"
+                "input ends inside a {part}: {expected_bytes} bytes wanted, {actual_bytes} there"
             ),
             // A record of a reply has the offset 0: its text names the batch too.
             WireError::Record {
                 record,
                 offset,
-                problem,
-            } => write!(f, "{record} at byte {offset} of the batch: {problem}"),
+                kind,
+            } => write!(f, "{record} at byte {offset} of the batch: {kind}"),
         }
     }
 }
 
-impl fmt::Display for RecordProblem {
+impl fmt::Display for RecordErrorKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RecordProblem::TooShort { wanted, at, left } => {
-                write!(f, "{wanted} bytes wanted at its byte {at}, {left} there")
+            RecordErrorKind::TooShort {
+                field_bytes,
+                position,
+                remaining_bytes,
+            } => {
+                write!(
+                    f,
+                    "{field_bytes} bytes wanted at its byte {position}, {remaining_bytes} there"
+                )
             }
-            RecordProblem::TrailingBytes(count) => {
+            RecordErrorKind::TrailingBytes(count) => {
                 write!(f, "{count} bytes follow the last record")
             }
-            RecordProblem::TooManyEntries {
-                announced,
-                bytes_left,
-            } => write!(f, "{announced} entries announced, {bytes_left} bytes left"),
-            RecordProblem::UnknownOutcome(code) => write!(f, "no outcome has the code {code}"),
-            RecordProblem::UnknownEndpointStatus(value) => {
+            RecordErrorKind::TooManyEntries {
+                announced_entries,
+                remaining_bytes,
+            } => write!(
+                f,
+                "{announced_entries} entries announced, {remaining_bytes} bytes left"
+            ),
+            RecordErrorKind::UnknownOutcome(code) => write!(f, "no outcome has the code {code}"),
+            RecordErrorKind::UnknownEndpointStatus(value) => {
                 write!(f, "no readiness has the value {value}")
             }
-            RecordProblem::UnknownListKind(kind) => write!(f, "no list has the kind {kind}"),
-            RecordProblem::InvalidDestination(value) => {
+            RecordErrorKind::UnknownListUpdateKind(kind) => {
+                write!(f, "no list has the kind {kind}")
+            }
+            RecordErrorKind::InvalidDestination(value) => {
                 write!(f, "{value} is no number of a destination")
             }
-            RecordProblem::NoSuchList(number) => write!(f, "there is no list {number}"),
-            RecordProblem::UnregisteredList(number) => {
+            RecordErrorKind::ListNumberOutOfRange(number) => write!(f, "there is no list {number}"),
+            RecordErrorKind::UnregisteredList(number) => {
                 write!(f, "list {number} was never registered")
             }
-            RecordProblem::UnknownInstance(number) => {
+            RecordErrorKind::UnknownInstance(number) => {
                 write!(f, "instance {number} was never started")
             }
-            RecordProblem::Settings(problem) => write!(f, "{problem}"),
-            RecordProblem::NumberTooLarge(value) => write!(f, "{value} does not fit the wire"),
-            RecordProblem::TextTooLong(length) => {
+            RecordErrorKind::Settings(error) => write!(f, "{error}"),
+            RecordErrorKind::NumberTooLarge(value) => write!(f, "{value} does not fit the wire"),
+            RecordErrorKind::TextTooLong(length) => {
                 write!(f, "{length} bytes do not fit one record")
             }
         }
@@ -130,7 +146,7 @@
 impl std::error::Error for WireError {}
 
 impl From<io::Error> for WireError {
-    fn from(e: io::Error) -> Self {
-        WireError::Io(e)
+    fn from(error: io::Error) -> Self {
+        WireError::Io(error)
     }
 }
--- a/crates/simhost/src/field_reader.rs
+++ b/crates/simhost/src/field_reader.rs
@@ -1,11 +1,11 @@
 //! Reads the fields of a record one after the other. All numbers are little-endian.
 
-use crate::error::{RecordProblem, WireError};
+use crate::error::{RecordErrorKind, WireError};
 use opalpulley::EndpointId;
 
 /// The bytes of one record, or of a part of a frame, and how far they are read.
 pub struct FieldReader<'a> {
-    record: &'static str,
+    record_name: &'static str,
     offset: usize,
     bytes: &'a [u8],
     position: usize,
@@ -13,9 +13,9 @@
 
 impl<'a> FieldReader<'a> {
     /// A reader at the first field. `record` and `offset` name the record in errors.
-    pub fn new(record: &'static str, offset: usize, bytes: &'a [u8]) -> Self {
+    pub fn new(record_name: &'static str, offset: usize, bytes: &'a [u8]) -> Self {
         FieldReader {
-            record,
+            record_name,
             offset,
             bytes,
             position: 0,
@@ -23,11 +23,11 @@
     }
 
     /// An error of this record.
-    pub fn error(&self, problem: RecordProblem) -> WireError {
+    pub fn error(&self, kind: RecordErrorKind) -> WireError {
         WireError::Record {
-            record: self.record,
+            record: self.record_name,
             offset: self.offset,
-            problem,
+            kind,
         }
     }
 
@@ -37,7 +37,7 @@
     }
 
     /// How many bytes are left.
-    pub fn bytes_left(&self) -> usize {
+    pub fn remaining_bytes(&self) -> usize {
         self.bytes.len() - self.position
     }
 
@@ -47,22 +47,22 @@
     }
 
     /// The next bytes.
-    pub fn take(&mut self, length: usize) -> Result<&'a [u8], WireError> {
-        let left = &self.bytes[self.position..];
-        if left.len() < length {
-            return Err(self.error(RecordProblem::TooShort {
-                wanted: length,
-                at: self.position,
-                left: left.len(),
+    pub fn bytes(&mut self, length: usize) -> Result<&'a [u8], WireError> {
+        let remaining = &self.bytes[self.position..];
+        if remaining.len() < length {
+            return Err(self.error(RecordErrorKind::TooShort {
+                field_bytes: length,
+                position: self.position,
+                remaining_bytes: remaining.len(),
             }));
         }
         self.position += length;
-        Ok(&left[..length])
+        Ok(&remaining[..length])
     }
 
     fn array<const N: usize>(&mut self) -> Result<[u8; N], WireError> {
         let mut bytes = [0; N];
-        bytes.copy_from_slice(self.take(N)?);
+        bytes.copy_from_slice(self.bytes(N)?);
         Ok(bytes)
     }
 
--- a/crates/simhost/src/frame.rs
+++ b/crates/simhost/src/frame.rs
@@ -1,6 +1,6 @@
 //! The simulator's frames: a batch of records in, a reply of records out.
 
-use crate::error::{RecordProblem, WireError};
+use crate::error::{RecordErrorKind, WireError};
 use crate::field_reader::FieldReader;
 use opalpulley::Micros;
 use std::io::{self, Read};
@@ -10,15 +10,15 @@
 
 /// The header of a batch.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
-pub struct BatchHead {
+pub struct BatchHeader {
     /// How many records it has.
     pub record_count: u32,
     /// How many bytes they have together.
     pub body_bytes: u32,
     /// The simulator's time, µs.
-    pub clock: Micros,
+    pub now: Micros,
     /// The number of the batch. Its reply has the same.
-    pub number: u32,
+    pub batch_number: u32,
 }
 
 /// A record before its fields are decoded.
@@ -35,55 +35,63 @@
 pub fn read_batch(
     input: &mut impl Read,
     body: &mut Vec<u8>,
-) -> Result<Option<BatchHead>, WireError> {
-    let got = read_up_to(input, BATCH_HEADER_BYTES, body)?;
-    if got == 0 {
+) -> Result<Option<BatchHeader>, WireError> {
+    let actual_bytes = read_up_to(input, BATCH_HEADER_BYTES, body)?;
+    if actual_bytes == 0 {
         return Ok(None);
     }
-    check_length("batch header", BATCH_HEADER_BYTES, got)?;
+    check_length("batch header", BATCH_HEADER_BYTES, actual_bytes)?;
     let mut fields = FieldReader::new("batch header", 0, body);
-    let head = BatchHead {
+    let header = BatchHeader {
         record_count: fields.u32()?,
         body_bytes: fields.u32()?,
-        clock: fields.u64()?,
-        number: fields.u32()?,
+        now: fields.u64()?,
+        batch_number: fields.u32()?,
     };
-    let wanted = head.body_bytes as usize;
-    let got = read_up_to(input, wanted, body)?;
-    check_length("batch", wanted, got)?;
-    Ok(Some(head))
+    let expected_bytes = header.body_bytes as usize;
+    let actual_bytes = read_up_to(input, expected_bytes, body)?;
+    check_length("batch", expected_bytes, actual_bytes)?;
+    Ok(Some(header))
 }
 
-fn read_up_to(input: &mut impl Read, limit: usize, into: &mut Vec<u8>) -> io::Result<usize> {
-    into.clear();
-    input.by_ref().take(limit as u64).read_to_end(into)
+fn read_up_to(input: &mut impl Read, max_bytes: usize, buffer: &mut Vec<u8>) -> io::Result<usize> {
+    buffer.clear();
+    input.by_ref().take(max_bytes as u64).read_to_end(buffer)
 }
 
-fn check_length(what: &'static str, wanted: usize, got: usize) -> Result<(), WireError> {
-    if got < wanted {
-        return Err(WireError::CutOff { what, wanted, got });
+fn check_length(
+    part: &'static str,
+    expected_bytes: usize,
+    actual_bytes: usize,
+) -> Result<(), WireError> {
+    if actual_bytes < expected_bytes {
+        return Err(WireError::Truncated {
+            part,
+            expected_bytes,
+            actual_bytes,
+        });
     }
     Ok(())
 }
 
 /// Splits the body of a batch into its records, in order.
-pub fn split_records(head: BatchHead, body: &[u8]) -> Result<Vec<RawRecord<'_>>, WireError> {
+pub fn split_records(header: BatchHeader, body: &[u8]) -> Result<Vec<RawRecord<'_>>, WireError> {
     let mut records = Vec::new();
     let mut reader = FieldReader::new("record", 0, body);
-    for _ in 0..head.record_count {
+    for _ in 0..header.record_count {
         let offset = reader.position();
         reader.set_offset(offset);
         let code = reader.u16()?;
-        let length = reader.u32()? as usize;
-        let fields = reader.take(length)?;
+        let byte_count = reader.u32()? as usize;
+        let fields = reader.bytes(byte_count)?;
         records.push(RawRecord {
             code,
             offset,
             fields,
         });
     }
-    if reader.bytes_left() > 0 {
-        return Err(reader.error(RecordProblem::TrailingBytes(reader.bytes_left())));
+    if reader.remaining_bytes() > 0 {
+        return Err(reader.error(RecordErrorKind::TrailingBytes(reader.remaining_bytes())));
     }
     Ok(records)
 }
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,36 +1,36 @@
 //! The instances of the decision core in this process, and the records that reach them.
 
-use crate::error::{RecordProblem, WireError};
+use crate::error::{RecordErrorKind, WireError};
 use crate::field_reader::FieldReader;
-use crate::frame::{split_records, BatchHead, RawRecord};
+use crate::frame::{split_records, BatchHeader, RawRecord};
 use crate::record::{self, EventKind, ListUpdate, ListUpdateKind, RecordKind};
 use crate::reply::Reply;
 use opalpulley::{Action, EndpointEntry, EndpointListUpdate, Event, Forwarder, Micros};
 use std::collections::BTreeMap;
 
 /// How many lists may be registered.
-const MAX_LISTS: u32 = 16;
+const MAX_REGISTERED_LISTS: u32 = 16;
 
 /// All instances, and the lists that their records refer to.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Forwarder>,
-    lists: BTreeMap<u32, Vec<EndpointEntry>>,
+    registered_lists: BTreeMap<u32, Vec<EndpointEntry>>,
     actions: Vec<Action>,
     reply: Reply,
 }
 
 impl Host {
     /// Applies one batch. Returns the frame that answers it.
-    pub fn answer(&mut self, head: BatchHead, body: &[u8]) -> Result<Vec<u8>, WireError> {
+    pub fn handle_batch(&mut self, header: BatchHeader, body: &[u8]) -> Result<Vec<u8>, WireError> {
         self.reply.clear();
-        for raw in split_records(head, body)? {
+        for raw in split_records(header, body)? {
             // The wire may grow: unknown records are skipped.
             if let Some(kind) = RecordKind::from_code(raw.code) {
-                self.apply_record(head.clock, kind, &raw)?;
+                self.apply_record(header.now, kind, &raw)?;
             }
         }
-        self.reply.frame(head.number)
+        self.reply.encode(header.batch_number)
     }
 
     fn apply_record(
@@ -49,29 +49,29 @@
     }
 
     fn register_list(&mut self, fields: &mut FieldReader) -> Result<(), WireError> {
-        let number = fields.u32()?;
-        if number >= MAX_LISTS {
-            return Err(fields.error(RecordProblem::NoSuchList(number)));
+        let list_number = fields.u32()?;
+        if list_number >= MAX_REGISTERED_LISTS {
+            return Err(fields.error(RecordErrorKind::ListNumberOutOfRange(list_number)));
         }
         let entries = record::decode_endpoint_list(fields)?;
-        self.lists.insert(number, entries);
+        self.registered_lists.insert(list_number, entries);
         Ok(())
     }
 
     fn start_instance(&mut self, fields: &mut FieldReader) -> Result<(), WireError> {
-        let instance = fields.u16()?;
-        let start = record::decode_instance_start(fields)?;
-        let settings = opalpulley_config::read(start.settings)
-            .map_err(|problem| fields.error(RecordProblem::Settings(problem)))?;
-        let forwarder = Forwarder::new(settings.config, start.seed);
-        self.instances.insert(instance, forwarder);
+        let instance_number = fields.u16()?;
+        let instance_start = record::decode_instance_start(fields)?;
+        let settings = opalpulley_config::parse_settings(instance_start.settings)
+            .map_err(|error| fields.error(RecordErrorKind::Settings(error)))?;
+        let forwarder = Forwarder::new(settings.config, instance_start.seed);
+        self.instances.insert(instance_number, forwarder);
         Ok(())
     }
 
     fn end_instance(&mut self, fields: &mut FieldReader) -> Result<(), WireError> {
-        let instance = fields.u16()?;
-        if self.instances.remove(&instance).is_none() {
-            return Err(fields.error(RecordProblem::UnknownInstance(instance)));
+        let instance_number = fields.u16()?;
+        if self.instances.remove(&instance_number).is_none() {
+            return Err(fields.error(RecordErrorKind::UnknownInstance(instance_number)));
         }
         Ok(())
     }
@@ -83,14 +83,14 @@
         kind: EventKind,
         fields: &mut FieldReader,
     ) -> Result<(), WireError> {
-        let instance = fields.u16()?;
-        let Some(forwarder) = self.instances.get_mut(&instance) else {
-            return Err(fields.error(RecordProblem::UnknownInstance(instance)));
+        let instance_number = fields.u16()?;
+        let Some(forwarder) = self.instances.get_mut(&instance_number) else {
+            return Err(fields.error(RecordErrorKind::UnknownInstance(instance_number)));
         };
-        let event = decode_event(kind, fields, &self.lists)?;
+        let event = decode_event(kind, fields, &self.registered_lists)?;
         forwarder.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            self.reply.push(instance, &action)?;
+            self.reply.push_action(instance_number, &action)?;
         }
         Ok(())
     }
@@ -99,34 +99,36 @@
 fn decode_event(
     kind: EventKind,
     fields: &mut FieldReader,
-    lists: &BTreeMap<u32, Vec<EndpointEntry>>,
+    registered_lists: &BTreeMap<u32, Vec<EndpointEntry>>,
 ) -> Result<Event, WireError> {
     match kind {
-        EventKind::EndpointListUpdate => {
-            let update = record::decode_list_update(fields)?;
-            resolve_list_update(&update, fields, lists)
+        EventKind::EndpointListUpdated => {
+            let list_update = record::decode_list_update(fields)?;
+            resolve_list_update(&list_update, fields, registered_lists)
         }
         EventKind::HealthCheckEnded => record::decode_health_check_ended(fields),
         EventKind::TimerFired => record::decode_timer_fired(fields),
         EventKind::AttemptEnded => record::decode_attempt_ended(fields),
-        EventKind::Gossip => record::decode_gossip(fields),
-        EventKind::AnswerStarted => record::decode_answer_started(fields),
-        EventKind::Withdrawn => record::decode_withdrawn(fields),
-        EventKind::Submitted => record::decode_submission(fields).map(Event::MessageSubmitted),
+        EventKind::GossipReceived => record::decode_gossip_received(fields),
+        EventKind::ResponseStarted => record::decode_response_started(fields),
+        EventKind::MessageWithdrawn => record::decode_message_withdrawn(fields),
+        EventKind::MessageSubmitted => {
+            record::decode_submission(fields).map(Event::MessageSubmitted)
+        }
     }
 }
 
 /// The update with the entries of its registered list. A failed one needs none.
 fn resolve_list_update(
-    update: &ListUpdate,
+    list_update: &ListUpdate,
     fields: &FieldReader,
-    lists: &BTreeMap<u32, Vec<EndpointEntry>>,
+    registered_lists: &BTreeMap<u32, Vec<EndpointEntry>>,
 ) -> Result<Event, WireError> {
     let entries = || {
-        let list = lists.get(&update.list).cloned();
-        list.ok_or_else(|| fields.error(RecordProblem::UnregisteredList(update.list)))
+        let list = registered_lists.get(&list_update.list_number).cloned();
+        list.ok_or_else(|| fields.error(RecordErrorKind::UnregisteredList(list_update.list_number)))
     };
-    let update = match update.kind {
+    let update = match list_update.kind {
         ListUpdateKind::Failed => EndpointListUpdate::Failed,
         ListUpdateKind::Cached => EndpointListUpdate::Cached(entries()?),
         ListUpdateKind::Complete => EndpointListUpdate::Complete(entries()?),
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -12,13 +12,13 @@
 use std::process::ExitCode;
 
 /// Answers batches until the input ends.
-fn run() -> Result<(), WireError> {
+fn serve() -> Result<(), WireError> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut host = host::Host::default();
     let mut body = Vec::new();
-    while let Some(head) = frame::read_batch(&mut input, &mut body)? {
-        let reply = host.answer(head, &body)?;
+    while let Some(header) = frame::read_batch(&mut input, &mut body)? {
+        let reply = host.handle_batch(header, &body)?;
         output.write_all(&reply)?;
         output.flush()?;
     }
@@ -26,10 +26,10 @@
 }
 
 fn main() -> ExitCode {
-    match run() {
+    match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("opalpulley-simhost: {problem}");
+        Err(error) => {
+            eprintln!("opalpulley-simhost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simhost/src/record.rs
+++ b/crates/simhost/src/record.rs
@@ -1,6 +1,6 @@
 //! The records of a batch: their codes, and a decoder for each.
 
-use crate::error::{RecordProblem, WireError};
+use crate::error::{RecordErrorKind, WireError};
 use crate::field_reader::FieldReader;
 use opalpulley::{
     AttemptHistory, DeliveryClassId, DestinationId, EndpointEntry, EndpointKindId, EndpointStatus,
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
     /// An update of the endpoint list.
-    EndpointListUpdate,
+    EndpointListUpdated,
     /// The end of a health check.
     HealthCheckEnded,
     /// A timer has fired.
@@ -41,28 +41,28 @@
     /// The end of an attempt.
     AttemptEnded,
     /// Gossip of another forwarder.
-    Gossip,
+    GossipReceived,
     /// The endpoint's answer to an attempt has begun: `Accepted` on the wire.
-    AnswerStarted,
+    ResponseStarted,
     /// The client has withdrawn a message.
-    Withdrawn,
+    MessageWithdrawn,
     /// A client submits a message.
-    Submitted,
+    MessageSubmitted,
 }
 
 impl RecordKind {
     /// The kind with a code on the wire.
     pub fn from_code(code: u16) -> Option<RecordKind> {
         match code {
-            1 => Some(RecordKind::Event(EventKind::EndpointListUpdate)),
+            1 => Some(RecordKind::Event(EventKind::EndpointListUpdated)),
             2 => Some(RecordKind::Event(EventKind::HealthCheckEnded)),
             3 => Some(RecordKind::Event(EventKind::TimerFired)),
             4 => Some(RecordKind::Event(EventKind::AttemptEnded)),
             5 => Some(RecordKind::InstanceEnded),
-            6 => Some(RecordKind::Event(EventKind::Gossip)),
-            7 => Some(RecordKind::Event(EventKind::AnswerStarted)),
-            8 => Some(RecordKind::Event(EventKind::Withdrawn)),
-            9 => Some(RecordKind::Event(EventKind::Submitted)),
+            6 => Some(RecordKind::Event(EventKind::GossipReceived)),
+            7 => Some(RecordKind::Event(EventKind::ResponseStarted)),
+            8 => Some(RecordKind::Event(EventKind::MessageWithdrawn)),
+            9 => Some(RecordKind::Event(EventKind::MessageSubmitted)),
             10 => Some(RecordKind::InstanceStarted),
             11 => Some(RecordKind::ListRegistered),
             _ => None,
@@ -75,14 +75,14 @@
             RecordKind::ListRegistered => "Register",
             RecordKind::InstanceStarted => "Start",
             RecordKind::InstanceEnded => "Teardown",
-            RecordKind::Event(EventKind::EndpointListUpdate) => "Targets",
+            RecordKind::Event(EventKind::EndpointListUpdated) => "Targets",
             RecordKind::Event(EventKind::HealthCheckEnded) => "Echo",
             RecordKind::Event(EventKind::TimerFired) => "Due",
             RecordKind::Event(EventKind::AttemptEnded) => "Result",
-            RecordKind::Event(EventKind::Gossip) => "NeighbourSays",
-            RecordKind::Event(EventKind::AnswerStarted) => "Accepted",
-            RecordKind::Event(EventKind::Withdrawn) => "Vanished",
-            RecordKind::Event(EventKind::Submitted) => "Incoming",
+            RecordKind::Event(EventKind::GossipReceived) => "NeighbourSays",
+            RecordKind::Event(EventKind::ResponseStarted) => "Accepted",
+            RecordKind::Event(EventKind::MessageWithdrawn) => "Vanished",
+            RecordKind::Event(EventKind::MessageSubmitted) => "Incoming",
         }
     }
 }
@@ -111,7 +111,7 @@
 /// An update of an instance's endpoint list. The entries are those of a registered list.
 pub struct ListUpdate {
     /// The number of the registered list.
-    pub list: u32,
+    pub list_number: u32,
     /// What it means.
     pub kind: ListUpdateKind,
 }
@@ -121,26 +121,26 @@
     fields: &mut FieldReader<'a>,
 ) -> Result<InstanceStart<'a>, WireError> {
     let seed = fields.u64()?;
-    let length = fields.u32()? as usize;
-    let settings = fields.take(length)?;
+    let byte_count = fields.u32()? as usize;
+    let settings = fields.bytes(byte_count)?;
     Ok(InstanceStart { seed, settings })
 }
 
 /// Decodes an update of an endpoint list.
 pub fn decode_list_update(fields: &mut FieldReader) -> Result<ListUpdate, WireError> {
-    let list = fields.u32()?;
+    let list_number = fields.u32()?;
     let kind = match fields.u8()? {
         1 => ListUpdateKind::Failed,
         2 => ListUpdateKind::Cached,
         3 => ListUpdateKind::Complete,
         4 => ListUpdateKind::Changes,
-        other => return Err(fields.error(RecordProblem::UnknownListKind(other))),
+        other => return Err(fields.error(RecordErrorKind::UnknownListUpdateKind(other))),
     };
-    Ok(ListUpdate { list, kind })
+    Ok(ListUpdate { list_number, kind })
 }
 
 /// Decodes the start of an endpoint's answer to an attempt: `Accepted` on the wire.
-pub fn decode_answer_started(fields: &mut FieldReader) -> Result<Event, WireError> {
+pub fn decode_response_started(fields: &mut FieldReader) -> Result<Event, WireError> {
     Ok(Event::ResponseStarted {
         id: MessageId(fields.u32()?),
         attempt_index: fields.u8()?,
@@ -158,7 +158,7 @@
     let elapsed = fields.u32()?.into();
     let message_completed = fields.u8()? != 0;
     let detail = fields.u32()?;
-    let outcome = outcome_of_code(outcome_code, detail, fields)?;
+    let outcome = decode_outcome(outcome_code, detail, fields)?;
     Ok(Event::AttemptEnded {
         id,
         attempt_index,
@@ -166,7 +166,7 @@
         outcome,
         elapsed,
         message_completed,
-        load_metrics: decode_load_report(fields)?,
+        load_metrics: decode_load_metrics(fields)?,
     })
 }
 
@@ -176,14 +176,14 @@
     let outcome_code = fields.u16()?;
     Ok(Event::HealthCheckEnded {
         endpoint,
-        outcome: outcome_of_code(outcome_code, 0, fields)?,
+        outcome: decode_outcome(outcome_code, 0, fields)?,
         elapsed: fields.u32()?.into(),
-        load_metrics: decode_load_report(fields)?,
+        load_metrics: decode_load_metrics(fields)?,
     })
 }
 
 /// Decodes the withdrawal of a message.
-pub fn decode_withdrawn(fields: &mut FieldReader) -> Result<Event, WireError> {
+pub fn decode_message_withdrawn(fields: &mut FieldReader) -> Result<Event, WireError> {
     Ok(Event::MessageWithdrawn {
         id: MessageId(fields.u32()?),
     })
@@ -197,10 +197,10 @@
 }
 
 /// Decodes gossip of another forwarder.
-pub fn decode_gossip(fields: &mut FieldReader) -> Result<Event, WireError> {
+pub fn decode_gossip_received(fields: &mut FieldReader) -> Result<Event, WireError> {
     let peer = fields.u16()?;
-    let length = fields.u16()?;
-    let payload = fields.take(length.into())?.to_vec();
+    let byte_count = fields.u16()?;
+    let payload = fields.bytes(byte_count.into())?.to_vec();
     Ok(Event::GossipReceived { peer, payload })
 }
 
@@ -212,7 +212,7 @@
     let order_key = fields.u64()?;
     let time_left = Micros::from(fields.u32()?);
     // A guess of the call's cost in time. The core does not use it.
-    let _hint = fields.u32()?;
+    let _duration_hint = fields.u32()?;
     let destination = decode_destination(fields)?;
     let flags = fields.u8()?;
     Ok(Submission {
@@ -232,13 +232,13 @@
     let number = fields.f32()?;
     let in_range = (0.0..=f32::from(u16::MAX)).contains(&number);
     if number.fract() != 0.0 || !in_range {
-        return Err(fields.error(RecordProblem::InvalidDestination(number)));
+        return Err(fields.error(RecordErrorKind::InvalidDestination(number)));
     }
     Ok(DestinationId(number as u32))
 }
 
 /// `detail` is the retry-after of a rejection, ms, or says why an attempt was not tried.
-fn outcome_of_code(code: u16, detail: u32, fields: &FieldReader) -> Result<Outcome, WireError> {
+fn decode_outcome(code: u16, detail: u32, fields: &FieldReader) -> Result<Outcome, WireError> {
     match code {
         200 => Ok(Outcome::Delivered),
         502 => Ok(Outcome::Error),
@@ -252,26 +252,28 @@
         409 => Ok(Outcome::NotAttempted {
             no_permit: detail == DETAIL_NO_PERMIT,
         }),
-        other => Err(fields.error(RecordProblem::UnknownOutcome(other))),
+        other => Err(fields.error(RecordErrorKind::UnknownOutcome(other))),
     }
 }
 
-fn decode_load_report(fields: &mut FieldReader) -> Result<Vec<f32>, WireError> {
-    let count = fields.u8()?;
-    (0..count).map(|_| fields.f32()).collect()
+fn decode_load_metrics(fields: &mut FieldReader) -> Result<Vec<f32>, WireError> {
+    let metric_count = fields.u8()?;
+    (0..metric_count).map(|_| fields.f32()).collect()
 }
 
 /// Decodes the entries of a registered list. Fails if the record is too short for the number of entries that it announces,
 /// before any entry is decoded.
 pub fn decode_endpoint_list(fields: &mut FieldReader) -> Result<Vec<EndpointEntry>, WireError> {
-    let count = fields.u32()? as usize;
-    if count > fields.bytes_left() / LIST_ENTRY_BYTES {
-        return Err(fields.error(RecordProblem::TooManyEntries {
-            announced: count,
-            bytes_left: fields.bytes_left(),
+    let entry_count = fields.u32()? as usize;
+    if entry_count > fields.remaining_bytes() / LIST_ENTRY_BYTES {
+        return Err(fields.error(RecordErrorKind::TooManyEntries {
+            announced_entries: entry_count,
+            remaining_bytes: fields.remaining_bytes(),
         }));
     }
-    (0..count).map(|_| decode_list_entry(fields)).collect()
+    (0..entry_count)
+        .map(|_| decode_list_entry(fields))
+        .collect()
 }
 
 fn decode_list_entry(fields: &mut FieldReader) -> Result<EndpointEntry, WireError> {
@@ -292,6 +294,6 @@
         0 => Ok(EndpointStatus::Ready),
         1 => Ok(EndpointStatus::Draining),
         3 => Ok(EndpointStatus::Removed),
-        other => Err(fields.error(RecordProblem::UnknownEndpointStatus(other))),
+        other => Err(fields.error(RecordErrorKind::UnknownEndpointStatus(other))),
     }
 }
--- a/crates/simhost/src/reply.rs
+++ b/crates/simhost/src/reply.rs
@@ -1,6 +1,6 @@
 //! The reply to a batch: the actions of the instances, as records.
 
-use crate::error::{RecordProblem, WireError};
+use crate::error::{RecordErrorKind, WireError};
 use opalpulley::{Action, EndpointId, MessageId, Micros, TimerToken};
 
 /// Bytes of the header of a reply.
@@ -8,10 +8,10 @@
 /// The number of a peer that stands for all peers.
 const ALL_PEERS: u32 = u32::MAX;
 
-const CODE_GOSSIP: u16 = 65;
-const CODE_SEND: u16 = 66;
+const CODE_SEND_GOSSIP: u16 = 65;
+const CODE_START_ATTEMPT: u16 = 66;
 const CODE_WATCH_ENDPOINT_LIST: u16 = 67;
-const CODE_CANCEL: u16 = 68;
+const CODE_CANCEL_ATTEMPT: u16 = 68;
 const CODE_CLOSE_IDLE_CONNECTIONS: u16 = 69;
 const CODE_LOG: u16 = 70;
 const CODE_LOG_ERROR: u16 = 71;
@@ -19,7 +19,7 @@
 const CODE_SET_TIMER: u16 = 73;
 const CODE_FETCH_ENDPOINT_LIST: u16 = 74;
 const CODE_REJECT: u16 = 75;
-const CODE_HEALTH_CHECK: u16 = 76;
+const CODE_START_HEALTH_CHECK: u16 = 76;
 
 /// A reply being built.
 #[derive(Default)]
@@ -36,8 +36,8 @@
     }
 
     /// The frame of the reply to the batch with this number.
-    pub fn frame(&self, batch_number: u32) -> Result<Vec<u8>, WireError> {
-        let body_bytes = narrow("reply", self.body.len() as u64)?;
+    pub fn encode(&self, batch_number: u32) -> Result<Vec<u8>, WireError> {
+        let body_bytes = checked_u32("reply", self.body.len() as u64)?;
         let mut frame = Vec::with_capacity(REPLY_HEADER_BYTES + self.body.len());
         frame.extend(body_bytes.to_le_bytes());
         frame.extend(self.record_count.to_le_bytes());
@@ -47,42 +47,46 @@
     }
 
     /// Adds an action of an instance.
-    pub fn push(&mut self, instance: u16, action: &Action) -> Result<(), WireError> {
-        let mut record = ActionRecord::new(instance);
+    pub fn push_action(&mut self, instance_number: u16, action: &Action) -> Result<(), WireError> {
+        let mut record = ActionRecord::new(instance_number);
         let code = match action {
             Action::StartAttempt {
                 id,
                 endpoint,
                 timeout,
                 ..
-            } => record.put_send(*id, *endpoint, *timeout)?,
+            } => record.put_start_attempt(*id, *endpoint, *timeout)?,
             Action::Fail { id } => record.put_fail(*id),
             Action::Reject { id, retry_after } => record.put_reject(*id, *retry_after)?,
             Action::SetTimer { delay, token } => record.put_set_timer(*delay, *token)?,
-            Action::StartHealthCheck { endpoint } => record.put_health_check(*endpoint),
-            Action::CancelAttempt { id, attempt_index } => record.put_cancel(*id, *attempt_index),
+            Action::StartHealthCheck { endpoint } => record.put_start_health_check(*endpoint),
+            Action::CancelAttempt { id, attempt_index } => {
+                record.put_cancel_attempt(*id, *attempt_index)
+            }
             // On this wire an attempt is written whole in the moment in which it is sent.
             Action::WithdrawUnsent { .. } => return Ok(()),
-            Action::CloseIdleConnections { endpoint } => record.put_close_idle(*endpoint),
+            Action::CloseIdleConnections { endpoint } => {
+                record.put_close_idle_connections(*endpoint)
+            }
             Action::WatchEndpointList { enabled } => record.put_watch_endpoint_list(*enabled),
             Action::FetchEndpointList => CODE_FETCH_ENDPOINT_LIST,
-            Action::SendGossip { peer, payload } => record.put_gossip(*peer, payload)?,
-            Action::LogError(text) => record.put_error(text)?,
-            Action::Log(event) => return self.push_log_line(instance, &event.to_string()),
+            Action::SendGossip { peer, payload } => record.put_send_gossip(*peer, payload)?,
+            Action::LogError(text) => record.put_log_error(text)?,
+            Action::Log(event) => return self.push_log_line(instance_number, &event.to_string()),
         };
         self.push_record(code, &record)
     }
 
     /// Adds a line for the simulator's log.
-    pub fn push_log_line(&mut self, instance: u16, line: &str) -> Result<(), WireError> {
-        let mut record = ActionRecord::new(instance);
+    pub fn push_log_line(&mut self, instance_number: u16, line: &str) -> Result<(), WireError> {
+        let mut record = ActionRecord::new(instance_number);
         record.put_bytes("Log", line.as_bytes())?;
         self.push_record(CODE_LOG, &record)
     }
 
     fn push_record(&mut self, code: u16, record: &ActionRecord) -> Result<(), WireError> {
         self.body.extend(code.to_le_bytes());
-        let length = narrow("action", record.fields.len() as u64)?;
+        let length = checked_u32("action", record.fields.len() as u64)?;
         self.body.extend(length.to_le_bytes());
         self.body.extend(&record.fields);
         self.record_count += 1;
@@ -97,33 +101,33 @@
 
 impl ActionRecord {
     /// The first field of each action is its instance.
-    fn new(instance: u16) -> ActionRecord {
+    fn new(instance_number: u16) -> ActionRecord {
         ActionRecord {
-            fields: instance.to_le_bytes().to_vec(),
+            fields: instance_number.to_le_bytes().to_vec(),
         }
     }
 
     /// A timeout of 0 on the wire means none: until the client gives up.
-    fn put_send(
+    fn put_start_attempt(
         &mut self,
         id: MessageId,
         endpoint: EndpointId,
         timeout: Option<Micros>,
     ) -> Result<u16, WireError> {
-        self.put_message(id);
+        self.put_message_id(id);
         self.put_endpoint(endpoint);
         self.put_micros("Relay", timeout.unwrap_or(0))?;
-        Ok(CODE_SEND)
+        Ok(CODE_START_ATTEMPT)
     }
 
     fn put_fail(&mut self, id: MessageId) -> u16 {
-        self.put_message(id);
+        self.put_message_id(id);
         CODE_FAIL
     }
 
     /// A retry-after of 0 on the wire means none.
     fn put_reject(&mut self, id: MessageId, retry_after: Option<Micros>) -> Result<u16, WireError> {
-        self.put_message(id);
+        self.put_message_id(id);
         self.put_micros("Reject", retry_after.unwrap_or(0))?;
         Ok(CODE_REJECT)
     }
@@ -134,18 +138,18 @@
         Ok(CODE_SET_TIMER)
     }
 
-    fn put_health_check(&mut self, endpoint: EndpointId) -> u16 {
+    fn put_start_health_check(&mut self, endpoint: EndpointId) -> u16 {
         self.put_endpoint(endpoint);
-        CODE_HEALTH_CHECK
+        CODE_START_HEALTH_CHECK
     }
 
-    fn put_cancel(&mut self, id: MessageId, attempt_index: u8) -> u16 {
-        self.put_message(id);
+    fn put_cancel_attempt(&mut self, id: MessageId, attempt_index: u8) -> u16 {
+        self.put_message_id(id);
         self.put_u8(attempt_index);
-        CODE_CANCEL
+        CODE_CANCEL_ATTEMPT
     }
 
-    fn put_close_idle(&mut self, endpoint: EndpointId) -> u16 {
+    fn put_close_idle_connections(&mut self, endpoint: EndpointId) -> u16 {
         self.put_endpoint(endpoint);
         CODE_CLOSE_IDLE_CONNECTIONS
     }
@@ -155,15 +159,15 @@
         CODE_WATCH_ENDPOINT_LIST
     }
 
-    fn put_error(&mut self, text: &str) -> Result<u16, WireError> {
+    fn put_log_error(&mut self, text: &str) -> Result<u16, WireError> {
         self.put_bytes("Fatal", text.as_bytes())?;
         Ok(CODE_LOG_ERROR)
     }
 
-    fn put_gossip(&mut self, peer: Option<u16>, payload: &[u8]) -> Result<u16, WireError> {
+    fn put_send_gossip(&mut self, peer: Option<u16>, payload: &[u8]) -> Result<u16, WireError> {
         self.put_u32(peer.map_or(ALL_PEERS, u32::from));
         self.put_bytes("Notify", payload)?;
-        Ok(CODE_GOSSIP)
+        Ok(CODE_SEND_GOSSIP)
     }
 
     fn put_u8(&mut self, value: u8) {
@@ -174,7 +178,7 @@
         self.fields.extend(value.to_le_bytes());
     }
 
-    fn put_message(&mut self, id: MessageId) {
+    fn put_message_id(&mut self, id: MessageId) {
         self.put_u32(id.0);
     }
 
@@ -184,28 +188,28 @@
     }
 
     fn put_micros(&mut self, record: &'static str, value: Micros) -> Result<(), WireError> {
-        self.put_u32(narrow(record, value)?);
+        self.put_u32(checked_u32(record, value)?);
         Ok(())
     }
 
     /// A length and so many bytes.
     fn put_bytes(&mut self, record: &'static str, bytes: &[u8]) -> Result<(), WireError> {
         let length = u16::try_from(bytes.len())
-            .map_err(|_| encode_error(record, RecordProblem::TextTooLong(bytes.len())))?;
+            .map_err(|_| encode_error(record, RecordErrorKind::TextTooLong(bytes.len())))?;
         self.fields.extend(length.to_le_bytes());
         self.fields.extend(bytes);
         Ok(())
     }
 }
 
-fn narrow(record: &'static str, value: u64) -> Result<u32, WireError> {
-    u32::try_from(value).map_err(|_| encode_error(record, RecordProblem::NumberTooLarge(value)))
+fn checked_u32(record: &'static str, value: u64) -> Result<u32, WireError> {
+    u32::try_from(value).map_err(|_| encode_error(record, RecordErrorKind::NumberTooLarge(value)))
 }
 
-fn encode_error(record: &'static str, problem: RecordProblem) -> WireError {
+fn encode_error(record: &'static str, kind: RecordErrorKind) -> WireError {
     WireError::Record {
         record,
         offset: 0,
-        problem,
+        kind,
     }
 }
