--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings as programs use them: checked, with defaults, in the core's terms.
+//! The settings as programs use them: validated, with defaults applied, in the types of the core.
 
 use crate::start_object::{
     DeduplicationScopeMode, DeliverySemanticsMode, EndpointListMode, ListedRatesMode,
@@ -10,64 +10,65 @@
 };
 use std::fmt;
 
-/// The idle timeout of connections where the settings name none, µs. The first deployments have this value.
+/// Idle timeout of connections in µs if the settings contain no `ConnIdleUs`. The first deployments use this value.
 const DEFAULT_CONNECTION_IDLE_TIMEOUT: Micros = 5_000_000;
-/// The connect timeout where the settings name none, µs. The first deployments have this value.
+/// Connect timeout in µs if the settings contain no `ConnectTimeoutUs`. The first deployments use this value.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 1_000_000;
-/// The number of destinations whose whole state the core keeps at once. No deployment of today has as many, so that the
-/// limit changes nothing there. The whole state of a destination takes about 3 kB, and that of all these about 3 MB.
+/// Upper bound on the number of destinations whose state the core holds in full. The full state of a destination takes
+/// about 3 kB, so that the bound limits all full states to about 3 MB. Every current deployment has fewer destinations
+/// and never reaches the bound.
 const MAX_FULL_DESTINATIONS: u32 = 1_024;
-/// Messages in one call to an endpoint, for an endpoint kind whose batch size the settings do not name.
+/// Upper bound on the number of messages in one call, for an endpoint kind that has no entry in `Domain.PerCall`.
 const DEFAULT_BATCH_SIZE: u32 = 1;
 
-/// The operators' settings of one forwarder, in the parts in which programs use them.
+/// The operators' settings of one forwarder, validated and with defaults applied.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwarderSettings {
-    /// The configuration of the core.
+    /// Configuration of the decision core.
     pub config: Config,
-    /// The names that the codecs translate to the core's numbers and back.
+    /// Names that the codecs translate to the indices of the core and back.
     pub names: Names,
-    /// The time limits of its connections to endpoints.
+    /// Timeouts of the forwarder's connections to endpoints.
     pub connections: ConnectionConfig,
 }
 
-/// Names in the order of the numbers that the core uses.
+/// Names from the settings. The position of a name in its list is the index that the core uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Names {
-    /// Delivery classes.
+    /// Names of the delivery classes. A class without a name has an empty one.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// Names of the tenants. A tenant without a name has an empty one.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Kinds of endpoints.
+    /// Names of the endpoint kinds.
     pub endpoint_kinds: Vec<String>,
-    /// The figures of a load report.
+    /// Names of the load metrics that endpoints report.
     pub load_metrics: Vec<String>,
 }
 
-/// Time limits of connections to endpoints.
+/// Timeouts of connections to endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConnectionConfig {
-    /// An endpoint closes a connection that has been idle for so long, µs.
+    /// Time in µs after which an endpoint closes an idle connection.
     pub connection_idle_timeout: Micros,
-    /// An attempt to open a connection fails after this time, µs.
+    /// Upper bound on the time to establish a connection, in µs. Beyond it the connection attempt fails.
     pub connect_timeout: Micros,
 }
 
-/// Why settings can't be used.
+/// The reason why settings are rejected.
 #[derive(Debug)]
 pub enum SettingsError {
-    /// The text is no JSON, or a key is missing or has another type.
+    /// The text is not valid JSON, a key is missing, or a value has the wrong type.
     Invalid {
-        /// The path of the key.
+        /// Path of the key that the error occurred at.
         path: String,
-        /// What is wrong there.
+        /// The error of the JSON deserializer, with its line and column.
         error: serde_json::Error,
     },
-    /// A figure is 0, or a list empty, with which no deployment can work.
+    /// A number that must be positive is 0, or a list that must have entries is empty.
     NotPositive {
-        /// The path of the key.
+        /// Path of the key. `[]` stands for the index of any entry of a list.
         key: &'static str,
     },
 }
@@ -85,7 +86,8 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Parses and checks the text of the settings.
+/// Parses the JSON text of the settings, validates it and applies the defaults. Fails if the text is not valid JSON, a
+/// value has the wrong type, a required key is missing, or a value must be positive and is not.
 pub fn parse_settings(json: &[u8]) -> Result<ForwarderSettings, SettingsError> {
     let deserializer = &mut serde_json::Deserializer::from_slice(json);
     let start_object: StartObject =
@@ -109,7 +111,8 @@
     }
 }
 
-/// Finds figures with which no deployment can work.
+/// Returns an error for the first value that must be positive, or list that must have entries, and is not. The order of
+/// the requirements decides which error a start object with several faults gets.
 fn validate(start_object: &StartObject) -> Result<(), SettingsError> {
     let classes = &start_object.classes;
     let requirements = [
@@ -182,7 +185,7 @@
         tenants: tenant_configs(&start_object),
         endpoint_kinds: endpoint_kind_configs(&start_object),
         list_poll_interval: list_poll_interval(&start_object),
-        // The settings do not name it. The protocol of the program that carries out the actions does.
+        // The settings contain no such key: the protocol of the program that carries out the actions sets the delay.
         list_notification_delay: None,
         rules: rule_config(&start_object),
         min_tick_interval: start_object.min_tick_interval,
@@ -199,7 +202,7 @@
 fn listed_rate_accuracy(mode: &ListedRatesMode) -> ListedRateAccuracy {
     match mode {
         ListedRatesMode::Off => ListedRateAccuracy::Unlisted,
-        // The core has no mode for live rates and treats them as nominal.
+        // The core has no accuracy for live rates and treats them as nominal.
         ListedRatesMode::Nominal | ListedRatesMode::Live => ListedRateAccuracy::Nominal,
         ListedRatesMode::Approximate => ListedRateAccuracy::Approximate,
     }
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -1,4 +1,5 @@
-//! The one line that says why settings can't be used: it names the operators' key, and is the same in each version.
+//! Tests the error message for invalid settings. It is one line that names the operators' key, and its text must
+//! not change between versions.
 
 use opalpulley_config::parse_settings;
 
@@ -9,7 +10,10 @@
 "OverloadForUs": 2000000, "WarmAfterUs": 9000000}, "Weights": "nominal"}"#;
 
 fn error_after_replacing(original: &str, replacement: &str) -> String {
-    assert!(SETTINGS.contains(original), "{original}");
+    assert!(
+        SETTINGS.contains(original),
+        "the settings of these tests must contain {original}"
+    );
     let text = SETTINGS.replace(original, replacement);
     let error = parse_settings(text.as_bytes()).expect_err(replacement);
     error.to_string()
@@ -17,7 +21,10 @@
 
 #[test]
 fn accepts_settings_of_these_tests() {
-    assert!(parse_settings(SETTINGS.as_bytes()).is_ok());
+    assert!(
+        parse_settings(SETTINGS.as_bytes()).is_ok(),
+        "the settings of these tests must be valid"
+    );
 }
 
 #[test]
@@ -46,9 +53,14 @@
     ];
     for (original, replacement, expected) in cases {
         let message = error_after_replacing(original, replacement);
-        let (cause, position) = message.rsplit_once(" at line ").expect("a position");
+        let (cause, position) = message
+            .rsplit_once(" at line ")
+            .expect("the error names the line");
         assert_eq!(cause, format!("the start object is not valid {expected}"));
-        assert!(position.contains(" column "), "{message}");
+        assert!(
+            position.contains(" column "),
+            "the error must name the column: {message}"
+        );
     }
 }
 
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Proves that start objects are read as before: each recorded text gives the same configuration, field by field, or the
-//! same words about what is wrong.
+//! Tests that parsing the settings does not change between versions: each recorded JSON text must give the recorded
+//! configuration, field by field, or the recorded error message.
 
 use opalpulley::{
     DeduplicationScope, DeliveryClassConfig, DeliverySemantics, ListedRateAccuracy, OrderRelease,
@@ -120,7 +120,7 @@
         serde_json::from_slice(&text).expect("the golden file is a list of cases");
     let mut differences = Vec::new();
     for case in &cases {
-        let actual = parse_and_render(case["input"].as_str().expect("a text"));
+        let actual = parse_and_render(case["input"].as_str().expect("`input` is a string"));
         if case["expected"] != actual {
             differences.push(format!(
                 "{}\nexpected {}\nactual   {actual}",
@@ -128,6 +128,6 @@
             ));
         }
     }
-    assert!(!cases.is_empty(), "there are cases");
+    assert!(!cases.is_empty(), "the golden file must contain cases");
     assert!(differences.is_empty(), "{}", differences.join("\n\n"));
 }
--- a/crates/simhost/src/error.rs
+++ b/crates/simhost/src/error.rs
@@ -1,81 +1,81 @@
-//! What can be wrong with the simulator's input, and with a reply.
+//! Errors in the simulator's input, in the encoding of a reply, and in standard input and output.
 
 use opalpulley_config::SettingsError;
 use std::fmt;
 use std::io;
 
-/// Why the program ends.
+/// An error that ends the program.
 #[derive(Debug)]
 pub enum WireError {
-    /// Standard input or output failed.
+    /// Reading from standard input or writing to standard output failed.
     Io(io::Error),
-    /// The input ends within a frame.
+    /// The input ended inside a frame.
     Truncated {
-        /// What is cut off.
+        /// The incomplete part of the frame.
         part: &'static str,
-        /// Its length, bytes.
+        /// Length of the whole part, in bytes.
         expected_bytes: usize,
-        /// The bytes that are there.
+        /// Number of bytes that were read of the part.
         actual_bytes: usize,
     },
-    /// A record can't be decoded, carried out or encoded.
+    /// A record can't be decoded, applied or encoded.
     Record {
-        /// The name of the record on the wire.
+        /// Name of the record in the simulator's protocol.
         record: &'static str,
-        /// Where it begins in its batch, bytes. 0 in a reply.
+        /// Offset of the record in the body of its batch, in bytes; 0 for a record of a reply.
         offset: usize,
-        /// What is wrong with it.
+        /// The cause of the error.
         kind: RecordErrorKind,
     },
 }
 
-/// What is wrong with a record.
+/// The cause of an error in a record.
 #[derive(Debug)]
 pub enum RecordErrorKind {
-    /// It ends within a field.
+    /// The record ends inside a field.
     TooShort {
-        /// The length of the field, bytes.
+        /// Length of the field, in bytes.
         field_bytes: usize,
-        /// Where the field begins in the record, bytes.
+        /// Offset of the field in the record, in bytes.
         position: usize,
-        /// The bytes that are left there.
+        /// Number of bytes from the start of the field to the end of the record.
         remaining_bytes: usize,
     },
-    /// Bytes follow the last record of a batch.
+    /// Bytes follow the last record of a batch. Contains their number.
     TrailingBytes(usize),
-    /// A list has more entries than its record has bytes for.
+    /// A list announces more entries than its record can contain.
     TooManyEntries {
-        /// How many it announces.
+        /// Number of entries that the list announces.
         announced_entries: usize,
-        /// The bytes that are left for them.
+        /// Number of bytes that the record has for entries.
         remaining_bytes: usize,
     },
-    /// The code of an outcome is unknown.
+    /// The code of an outcome is unknown. Contains the code.
     UnknownOutcome(u16),
-    /// The status of an endpoint is unknown.
+    /// The status of an endpoint is unknown. Contains the number of the status.
     UnknownEndpointStatus(u8),
-    /// The kind of a list update is unknown.
+    /// The kind of a list update is unknown. Contains the number of the kind.
     UnknownListUpdateKind(u8),
-    /// A destination is no whole number in range.
+    /// The number of a destination is not a whole number from 0 to 65535.
     InvalidDestination(f32),
-    /// The number of a list is out of range.
+    /// The number of a list to register is too high. Contains the number.
     ListNumberOutOfRange(u32),
-    /// An event names a list that was not registered.
+    /// An update refers to a list that is not registered. Contains the number of the list.
     UnregisteredList(u32),
-    /// A record is for an instance that does not run.
+    /// A record refers to an instance that is not running. Contains the number of the instance.
     UnknownInstance(u16),
-    /// The settings of an instance can't be used.
+    /// The settings of an instance are invalid.
     Settings(SettingsError),
-    /// A number does not fit its field.
+    /// A number in a reply exceeds 32 bits.
     NumberTooLarge(u64),
-    /// A text does not fit its field. Its length, bytes.
+    /// A text or payload in a reply exceeds 65535 bytes. Contains its length in bytes.
     TextTooLong(usize),
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::Io(error) => write!(f, "cannot read or write the wire: {error}"),
+            WireError::Io(error) => write!(f, "failed to read a batch or write a reply: {error}"),
             WireError::Truncated {
                 part,
                 expected_bytes,
@@ -84,7 +84,7 @@
                 f,
                 "input ends inside a {part}: {expected_bytes} bytes wanted, {actual_bytes} there"
             ),
-            // A record of a reply has the offset 0: its text names the batch too.
+            // An error in a record of a reply has the same text, with the offset 0.
             WireError::Record {
                 record,
                 offset,
--- a/crates/simhost/src/frame.rs
+++ b/crates/simhost/src/frame.rs
@@ -1,37 +1,38 @@
-//! The simulator's frames: a batch of records in, a reply of records out.
+//! Reads the simulator's frames. A frame of input is a batch: a header and a body of records.
 
 use crate::error::{RecordErrorKind, WireError};
 use crate::field_reader::FieldReader;
 use opalpulley::Micros;
 use std::io::{self, Read};
 
-/// Bytes of the header of a batch.
+/// Size of the header of a batch, in bytes.
 const BATCH_HEADER_BYTES: usize = 20;
 
 /// The header of a batch.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
 pub struct BatchHeader {
-    /// How many records it has.
+    /// Number of records in the batch.
     pub record_count: u32,
-    /// How many bytes they have together.
+    /// Size of the body, in bytes.
     pub body_bytes: u32,
-    /// The simulator's time, µs.
+    /// Time of the simulated clock, in µs.
     pub now: Micros,
-    /// The number of the batch. Its reply has the same.
+    /// Number of the batch. The reply repeats it.
     pub batch_number: u32,
 }
 
 /// A record before its fields are decoded.
 pub struct RawRecord<'a> {
-    /// What record it is.
+    /// Code of the record's kind.
     pub code: u16,
-    /// Where it begins in the body of its batch, bytes.
+    /// Offset of the record in the body of its batch, in bytes.
     pub offset: usize,
-    /// Its fields.
+    /// The encoded fields.
     pub fields: &'a [u8],
 }
 
-/// Reads one batch, its body into `body`. Returns nothing at a clean end of the input.
+/// Reads the next batch. Replaces the content of `body` by the body of the batch and returns the header, or `None` if
+/// the input ended after a whole batch. Fails if the input ends inside a batch.
 pub fn read_batch(
     input: &mut impl Read,
     body: &mut Vec<u8>,
@@ -54,6 +55,8 @@
     Ok(Some(header))
 }
 
+/// Replaces the content of `buffer` by the next `max_bytes` bytes of the input, or by fewer if the input ends before.
+/// Returns their number.
 fn read_up_to(input: &mut impl Read, max_bytes: usize, buffer: &mut Vec<u8>) -> io::Result<usize> {
     buffer.clear();
     input.by_ref().take(max_bytes as u64).read_to_end(buffer)
@@ -74,7 +77,8 @@
     Ok(())
 }
 
-/// Splits the body of a batch into its records, in order.
+/// Splits the body of a batch into its records, in order. Fails if a record exceeds the body or bytes follow the last
+/// record.
 pub fn split_records(header: BatchHeader, body: &[u8]) -> Result<Vec<RawRecord<'_>>, WireError> {
     let mut records = Vec::new();
     let mut reader = FieldReader::new("record", 0, body);
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of the decision core in this process, and the records that reach them.
+//! The instances of the decision core in this process. Each record of a batch is decoded and applied to its instance.
 
 use crate::error::{RecordErrorKind, WireError};
 use crate::field_reader::FieldReader;
@@ -8,10 +8,10 @@
 use opalpulley::{Action, EndpointEntry, EndpointListUpdate, Event, Forwarder, Micros};
 use std::collections::BTreeMap;
 
-/// How many lists may be registered.
+/// Upper bound on the number of registered lists. The valid list numbers are those below it.
 const MAX_REGISTERED_LISTS: u32 = 16;
 
-/// All instances, and the lists that their records refer to.
+/// Owns the instances of the decision core, and the registered endpoint lists that their records refer to.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Forwarder>,
@@ -21,11 +21,12 @@
 }
 
 impl Host {
-    /// Applies one batch. Returns the frame that answers it.
+    /// Applies the records of a batch in order and returns the encoded reply. Stops at the first record that can't be
+    /// decoded or applied and returns its error; the records before it stay applied.
     pub fn handle_batch(&mut self, header: BatchHeader, body: &[u8]) -> Result<Vec<u8>, WireError> {
         self.reply.clear();
         for raw in split_records(header, body)? {
-            // The wire may grow: unknown records are skipped.
+            // The protocol may gain records, so those with an unknown code are skipped.
             if let Some(kind) = RecordKind::from_code(raw.code) {
                 self.apply_record(header.now, kind, &raw)?;
             }
@@ -76,7 +77,8 @@
         Ok(())
     }
 
-    /// Gives an event to its instance, and adds the actions of the instance to the reply.
+    /// Passes an event to its instance and adds the resulting actions to the reply. Fails if the instance is not
+    /// running.
     fn apply_event(
         &mut self,
         now: Micros,
@@ -118,7 +120,8 @@
     }
 }
 
-/// The update with the entries of its registered list. A failed one needs none.
+/// Converts a list update to an event with the entries of its registered list. Fails if the list is not registered; a
+/// failed update needs no list.
 fn resolve_list_update(
     list_update: &ListUpdate,
     fields: &FieldReader,
--- a/crates/simhost/src/host/golden_tests.rs
+++ b/crates/simhost/src/host/golden_tests.rs
@@ -1,5 +1,5 @@
-//! Proves that each action is written with the same bytes, also those that a run of the program brings about rarely or
-//! never.
+//! Tests that the encoding of each action does not change between versions. The cases include actions that a run of the
+//! program causes rarely or never.
 
 use super::*;
 use opalpulley::{EndpointId, MessageId, TimerToken};
@@ -11,13 +11,13 @@
     incarnation: 9,
 };
 
-/// What a reply can hold.
+/// The input of a case: a record to add to the reply.
 enum ReplyRecord {
     Action(Action),
     LogLine(String),
 }
 
-/// Each action under the name that the simulator's page gives it.
+/// Returns each action with the name of its case in the golden file.
 fn recorded_cases() -> Vec<(&'static str, ReplyRecord)> {
     let id = MessageId(0x5d3a_91c4);
     let start_attempt = |timeout| Action::StartAttempt {
@@ -112,7 +112,7 @@
     ]
 }
 
-/// The bytes of a reply to batch 12 that holds this action alone, or the words about why there are none.
+/// Returns the reply to batch 12 with this record alone, in hexadecimal, or the error message if it can't be encoded.
 fn render_reply(record: &ReplyRecord) -> String {
     let mut reply = Reply::default();
     let push_result = match record {
@@ -132,5 +132,8 @@
         .iter()
         .map(|(name, record)| format!("{name}: {}\n", render_reply(record)))
         .collect::<String>();
-    assert_eq!(rendered, GOLDEN);
+    assert_eq!(
+        rendered, GOLDEN,
+        "the encoded actions must be those of the golden file"
+    );
 }
--- a/crates/simhost/src/host/tests.rs
+++ b/crates/simhost/src/host/tests.rs
@@ -1,4 +1,4 @@
-//! Frames as the wire document has them, and bad input.
+//! Tests the examples of the simulator's protocol document, and the errors for bad input.
 
 use super::*;
 use crate::frame::read_batch;
@@ -46,20 +46,20 @@
 
 fn handle_frame(host: &mut Host, frame: &[u8]) -> Result<Vec<u8>, WireError> {
     let mut body = Vec::new();
-    let header = read_batch(&mut &frame[..], &mut body)?.expect("a frame");
+    let header = read_batch(&mut &frame[..], &mut body)?.expect("the input contains a frame");
     host.handle_batch(header, &body)
 }
 
 fn error_message(frame: &[u8]) -> String {
     handle_frame(&mut Host::default(), frame)
-        .expect_err("bad input")
+        .expect_err("the frame must be rejected")
         .to_string()
 }
 
 #[test]
 fn replies_to_empty_batch_with_empty_frame() {
-    let reply =
-        handle_frame(&mut Host::default(), &decode_hex(EMPTY_BATCH)).expect("an empty batch");
+    let reply = handle_frame(&mut Host::default(), &decode_hex(EMPTY_BATCH))
+        .expect("an empty batch is valid");
     assert_eq!(reply, decode_hex("00000000 00000000 01000000"));
 }
 
@@ -93,8 +93,8 @@
             withdrawn,
         ]),
     )
-    .expect("all good");
-    // An attempt at message 0x5d3a91c4 at one of the two endpoints of destination 57.
+    .expect("all records are valid");
+    // The reply must contain an attempt at message 0x5d3a91c4 at one of the two endpoints of destination 57.
     let start_attempt = decode_hex("4200 10000000 0300 c4913a5d");
     let endpoints = [decode_hex("0a124a07 931f"), decode_hex("0a9011f2 bc1f")];
     let is_start_attempt = |window: &[u8]| {
@@ -103,7 +103,7 @@
     };
     assert!(
         reply.windows(start_attempt.len() + 6).any(is_start_attempt),
-        "{reply:02x?}"
+        "the reply contains no attempt at an endpoint of the destination: {reply:02x?}"
     );
     let attempt_ended = decode_hex("0300 c4913a5d 00 0a124a07 931f c800 44480000 01 00000000 00");
     let restart = [
@@ -112,7 +112,8 @@
         encode_instance_start(),
         encode_record(3, &decode_hex("0300 01000000")),
     ];
-    handle_frame(&mut host, &encode_batch(&restart)).expect("an end and a start in one batch");
+    handle_frame(&mut host, &encode_batch(&restart))
+        .expect("an instance may end and start again in one batch");
 }
 
 #[test]
@@ -134,7 +135,7 @@
                 send_by: 90_000,
             },
         )
-        .expect("fits");
+        .expect("all values fit their fields");
     reply
         .push_action(
             3,
@@ -143,13 +144,18 @@
                 token: TimerToken(0x4d),
             },
         )
-        .expect("fits");
-    reply.push_log_line(5, "two servers known").expect("fits");
+        .expect("all values fit their fields");
+    reply
+        .push_log_line(5, "two servers known")
+        .expect("all values fit their fields");
     let expected = "41000000 03000000 0c000000
         4200 10000000 0300 c4913a5d 0a124a07 931f 80380100
         4900 0a000000 0300 20a10700 4d000000
         4600 15000000 0500 1100 74776f2073657276657273206b6e6f776e";
-    assert_eq!(reply.encode(12).expect("fits"), decode_hex(expected));
+    assert_eq!(
+        reply.encode(12).expect("all values fit their fields"),
+        decode_hex(expected)
+    );
     assert!(reply
         .push_action(
             3,
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of opalpulley's decision core on the simulator's wire, over standard input and output.
+//! Runs instances of opalpulley's decision core for the simulator. It reads batches of records from standard input and
+//! writes a reply to each batch to standard output.
 
 mod error;
 mod field_reader;
@@ -11,7 +12,8 @@
 use std::io::{self, Write};
 use std::process::ExitCode;
 
-/// Answers batches until the input ends.
+/// Replies to batches until the input ends after a whole batch. Fails at the first error of a batch, a reply, the input
+/// or the output.
 fn serve() -> Result<(), WireError> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
--- a/crates/simhost/src/record.rs
+++ b/crates/simhost/src/record.rs
@@ -1,4 +1,4 @@
-//! The records of a batch: their codes, and a decoder for each.
+//! The records of a batch: their codes on the wire, their names and their decoders.
 
 use crate::error::{RecordErrorKind, WireError};
 use crate::field_reader::FieldReader;
@@ -8,50 +8,50 @@
 };
 use opalpulley_config::MICROS_PER_MILLI;
 
-/// Bytes of one entry of an endpoint list.
+/// Size of an encoded entry of an endpoint list, in bytes.
 const LIST_ENTRY_BYTES: usize = 25;
 
-/// The flag of a submission that the client has made before.
+/// Flag of a message that the client submitted before.
 const FLAG_RESUBMITTED: u8 = 2;
-/// The detail of an attempt that the endpoint did not try because it had no concurrency permit.
+/// Detail of an attempt that the endpoint did not make for want of a concurrency permit.
 const DETAIL_NO_PERMIT: u32 = 1;
 
-/// The records that are understood. Others are skipped.
+/// The kind of a record. Records of other kinds are skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordKind {
-    /// An endpoint list that updates refer to.
+    /// Registers an endpoint list, which list updates refer to by its number.
     ListRegistered,
-    /// An instance starts, with its settings.
+    /// Starts an instance with the settings in the record.
     InstanceStarted,
-    /// An instance has ended.
+    /// Ends an instance.
     InstanceEnded,
-    /// Something happened that an instance is told.
+    /// Passes an event to an instance.
     Event(EventKind),
 }
 
-/// The records that are events of an instance.
+/// The kind of a record that passes an event to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// An update of the endpoint list.
+    /// Discovery sent an update of the endpoint list, or failed to.
     EndpointListUpdated,
-    /// The end of a health check.
+    /// A health check ended.
     HealthCheckEnded,
-    /// A timer has fired.
+    /// A timer expired.
     TimerFired,
-    /// The end of an attempt.
+    /// An attempt ended.
     AttemptEnded,
-    /// Gossip of another forwarder.
+    /// Gossip arrived from another forwarder.
     GossipReceived,
-    /// The endpoint's answer to an attempt has begun: `Accepted` on the wire.
+    /// The first part of the response to an attempt arrived: `Accepted` in the simulator's protocol.
     ResponseStarted,
-    /// The client has withdrawn a message.
+    /// The client withdrew a message.
     MessageWithdrawn,
-    /// A client submits a message.
+    /// A client submitted a message.
     MessageSubmitted,
 }
 
 impl RecordKind {
-    /// The kind with a code on the wire.
+    /// Returns the kind with the given code on the wire, or `None` if the code is unknown.
     pub fn from_code(code: u16) -> Option<RecordKind> {
         match code {
             1 => Some(RecordKind::Event(EventKind::EndpointListUpdated)),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The name that the wire document gives it. Errors use it.
+    /// Returns the name of the record in the simulator's protocol, for error messages.
     pub fn wire_name(self) -> &'static str {
         match self {
             RecordKind::ListRegistered => "Register",
@@ -87,36 +87,36 @@
     }
 }
 
-/// The start of an instance.
+/// The fields of a record that starts an instance, behind the instance number.
 pub struct InstanceStart<'a> {
-    /// The seed of its random numbers.
+    /// Seed of the instance's random numbers.
     pub seed: u64,
-    /// The JSON of its settings.
+    /// Settings of the instance, as JSON text.
     pub settings: &'a [u8],
 }
 
-/// What an update says of an instance's endpoint list.
+/// The kind of an endpoint list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdateKind {
-    /// The list could not be had.
+    /// Discovery sent no list.
     Failed,
-    /// The list of an earlier time.
+    /// All endpoints from the last list that was stored; they may be outdated.
     Cached,
-    /// The complete list.
+    /// All endpoints. An endpoint that is missing from the update has left the list.
     Complete,
-    /// The entries that have changed.
+    /// The entries that changed since the last update.
     Changes,
 }
 
-/// An update of an instance's endpoint list. The entries are those of a registered list.
+/// An update of an instance's endpoint list. It refers to a registered list instead of containing entries.
 pub struct ListUpdate {
-    /// The number of the registered list.
+    /// Number of the registered list that contains the entries. A failed update does not use it.
     pub list_number: u32,
-    /// What it means.
+    /// Whether the entries are complete, partial or outdated, or the request failed.
     pub kind: ListUpdateKind,
 }
 
-/// Decodes the start of an instance.
+/// Decodes the fields of a record that starts an instance. Does not validate the settings.
 pub fn decode_instance_start<'a>(
     fields: &mut FieldReader<'a>,
 ) -> Result<InstanceStart<'a>, WireError> {
@@ -126,7 +126,7 @@
     Ok(InstanceStart { seed, settings })
 }
 
-/// Decodes an update of an endpoint list.
+/// Decodes an update of an endpoint list. Fails if the kind of the update is unknown.
 pub fn decode_list_update(fields: &mut FieldReader) -> Result<ListUpdate, WireError> {
     let list_number = fields.u32()?;
     let kind = match fields.u8()? {
@@ -139,7 +139,7 @@
     Ok(ListUpdate { list_number, kind })
 }
 
-/// Decodes the start of an endpoint's answer to an attempt: `Accepted` on the wire.
+/// Decodes the start of the response to an attempt: `Accepted` in the simulator's protocol.
 pub fn decode_response_started(fields: &mut FieldReader) -> Result<Event, WireError> {
     Ok(Event::ResponseStarted {
         id: MessageId(fields.u32()?),
@@ -149,7 +149,7 @@
     })
 }
 
-/// Decodes the end of an attempt.
+/// Decodes the end of an attempt. Fails if the code of the outcome is unknown.
 pub fn decode_attempt_ended(fields: &mut FieldReader) -> Result<Event, WireError> {
     let id = MessageId(fields.u32()?);
     let attempt_index = fields.u8()?;
@@ -170,7 +170,7 @@
     })
 }
 
-/// Decodes the end of a health check.
+/// Decodes the end of a health check. Fails if the code of the outcome is unknown.
 pub fn decode_health_check_ended(fields: &mut FieldReader) -> Result<Event, WireError> {
     let endpoint = fields.endpoint()?;
     let outcome_code = fields.u16()?;
@@ -189,14 +189,14 @@
     })
 }
 
-/// Decodes the firing of a timer.
+/// Decodes the expiry of a timer.
 pub fn decode_timer_fired(fields: &mut FieldReader) -> Result<Event, WireError> {
     Ok(Event::TimerFired {
         token: TimerToken(fields.u32()?),
     })
 }
 
-/// Decodes gossip of another forwarder.
+/// Decodes gossip from another forwarder. The payload is decoded by the core.
 pub fn decode_gossip_received(fields: &mut FieldReader) -> Result<Event, WireError> {
     let peer = fields.u16()?;
     let byte_count = fields.u16()?;
@@ -204,14 +204,14 @@
     Ok(Event::GossipReceived { peer, payload })
 }
 
-/// Decodes a client's submission.
+/// Decodes the submission of a message. Fails if the destination is not a whole number from 0 to 65535.
 pub fn decode_submission(fields: &mut FieldReader) -> Result<Submission, WireError> {
     let id = MessageId(fields.u32()?);
     let class = DeliveryClassId(fields.u16()?);
     let tenant = TenantId(fields.u32()?);
     let order_key = fields.u64()?;
     let time_left = Micros::from(fields.u32()?);
-    // A guess of the call's cost in time. The core does not use it.
+    // The field holds an estimate of the duration of the call. The core does not use it.
     let _duration_hint = fields.u32()?;
     let destination = decode_destination(fields)?;
     let flags = fields.u8()?;
@@ -227,7 +227,7 @@
     })
 }
 
-/// The wire has the number of a destination as a float.
+/// Decodes the number of a destination, which the protocol encodes as a floating-point number.
 fn decode_destination(fields: &mut FieldReader) -> Result<DestinationId, WireError> {
     let number = fields.f32()?;
     let in_range = (0.0..=f32::from(u16::MAX)).contains(&number);
@@ -237,7 +237,8 @@
     Ok(DestinationId(number as u32))
 }
 
-/// `detail` is the retry-after of a rejection, ms, or says why an attempt was not tried.
+/// Converts the code of an outcome. `detail` is the retry-after of a rejection in ms, 0 for none; for an attempt that
+/// was not made, it is the cause.
 fn decode_outcome(code: u16, detail: u32, fields: &FieldReader) -> Result<Outcome, WireError> {
     match code {
         200 => Ok(Outcome::Delivered),
@@ -256,13 +257,14 @@
     }
 }
 
+/// Decodes load metrics: their number in 8 bits, then the values.
 fn decode_load_metrics(fields: &mut FieldReader) -> Result<Vec<f32>, WireError> {
     let metric_count = fields.u8()?;
     (0..metric_count).map(|_| fields.f32()).collect()
 }
 
-/// Decodes the entries of a registered list. Fails if the record is too short for the number of entries that it announces,
-/// before any entry is decoded.
+/// Decodes the entries of a registered list. Fails before decoding any entry if the record is too short for the number
+/// of entries that it announces.
 pub fn decode_endpoint_list(fields: &mut FieldReader) -> Result<Vec<EndpointEntry>, WireError> {
     let entry_count = fields.u32()? as usize;
     if entry_count > fields.remaining_bytes() / LIST_ENTRY_BYTES {
@@ -288,7 +290,7 @@
     })
 }
 
-/// The wire has no status with the number 2.
+/// Decodes the status of an endpoint. The protocol defines no status with the number 2.
 fn decode_endpoint_status(fields: &mut FieldReader) -> Result<EndpointStatus, WireError> {
     match fields.u8()? {
         0 => Ok(EndpointStatus::Ready),
--- a/crates/simhost/src/reply.rs
+++ b/crates/simhost/src/reply.rs
@@ -1,11 +1,11 @@
-//! The reply to a batch: the actions of the instances, as records.
+//! Encodes the reply to a batch: the actions of the instances, as records.
 
 use crate::error::{RecordErrorKind, WireError};
 use opalpulley::{Action, EndpointId, MessageId, Micros, TimerToken};
 
-/// Bytes of the header of a reply.
+/// Size of the header of a reply, in bytes.
 const REPLY_HEADER_BYTES: usize = 12;
-/// The number of a peer that stands for all peers.
+/// Peer number that stands for all peers.
 const ALL_PEERS: u32 = u32::MAX;
 
 const CODE_SEND_GOSSIP: u16 = 65;
@@ -21,7 +21,7 @@
 const CODE_REJECT: u16 = 75;
 const CODE_START_HEALTH_CHECK: u16 = 76;
 
-/// A reply being built.
+/// The records of the reply to the current batch. It is reused for each batch.
 #[derive(Default)]
 pub struct Reply {
     body: Vec<u8>,
@@ -29,13 +29,14 @@
 }
 
 impl Reply {
-    /// Starts a new reply.
+    /// Removes all records. The caller does so at the start of each batch.
     pub fn clear(&mut self) {
         self.body.clear();
         self.record_count = 0;
     }
 
-    /// The frame of the reply to the batch with this number.
+    /// Returns the frame of the reply, header first. `batch_number` is that of the batch to which it replies. Fails if
+    /// the records have more than 4294967295 bytes together.
     pub fn encode(&self, batch_number: u32) -> Result<Vec<u8>, WireError> {
         let body_bytes = checked_u32("reply", self.body.len() as u64)?;
         let mut frame = Vec::with_capacity(REPLY_HEADER_BYTES + self.body.len());
@@ -46,7 +47,7 @@
         Ok(frame)
     }
 
-    /// Adds an action of an instance.
+    /// Adds the record of an action of an instance. Fails if a value does not fit its field.
     pub fn push_action(&mut self, instance_number: u16, action: &Action) -> Result<(), WireError> {
         let mut record = ActionRecord::new(instance_number);
         let code = match action {
@@ -63,7 +64,7 @@
             Action::CancelAttempt { id, attempt_index } => {
                 record.put_cancel_attempt(*id, *attempt_index)
             }
-            // On this wire an attempt is written whole in the moment in which it is sent.
+            // In the simulator an attempt is written completely at the moment it is sent, so none is left to withdraw.
             Action::WithdrawUnsent { .. } => return Ok(()),
             Action::CloseIdleConnections { endpoint } => {
                 record.put_close_idle_connections(*endpoint)
@@ -77,7 +78,7 @@
         self.push_record(code, &record)
     }
 
-    /// Adds a line for the simulator's log.
+    /// Adds a line to the simulator's log. Fails if the line exceeds 65535 bytes.
     pub fn push_log_line(&mut self, instance_number: u16, line: &str) -> Result<(), WireError> {
         let mut record = ActionRecord::new(instance_number);
         record.put_bytes("Log", line.as_bytes())?;
@@ -94,20 +95,21 @@
     }
 }
 
-/// The fields of one action. All numbers are little-endian. The encoder of an action returns the code of its record.
+/// The encoded fields of one record. All numbers are little-endian. The method that encodes an action returns the code
+/// of the record.
 struct ActionRecord {
     fields: Vec<u8>,
 }
 
 impl ActionRecord {
-    /// The first field of each action is its instance.
+    /// Creates a record with its first field, the instance number.
     fn new(instance_number: u16) -> ActionRecord {
         ActionRecord {
             fields: instance_number.to_le_bytes().to_vec(),
         }
     }
 
-    /// A timeout of 0 on the wire means none: until the client gives up.
+    /// Encodes an attempt. A timeout of 0 on the wire means none: the attempt may last until the client gives up.
     fn put_start_attempt(
         &mut self,
         id: MessageId,
@@ -125,7 +127,7 @@
         CODE_FAIL
     }
 
-    /// A retry-after of 0 on the wire means none.
+    /// Encodes a rejection. A retry-after of 0 on the wire means none.
     fn put_reject(&mut self, id: MessageId, retry_after: Option<Micros>) -> Result<u16, WireError> {
         self.put_message_id(id);
         self.put_micros("Reject", retry_after.unwrap_or(0))?;
@@ -192,7 +194,7 @@
         Ok(())
     }
 
-    /// A length and so many bytes.
+    /// Appends the length of `bytes` in 16 bits, then `bytes`. Fails if they exceed 65535 bytes.
     fn put_bytes(&mut self, record: &'static str, bytes: &[u8]) -> Result<(), WireError> {
         let length = u16::try_from(bytes.len())
             .map_err(|_| encode_error(record, RecordErrorKind::TextTooLong(bytes.len())))?;
--- a/crates/simhost/tests/golden.rs
+++ b/crates/simhost/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Proves that the program answers the simulator's wire as before: recorded bytes go to its standard input, the bytes of its
-//! standard output and its words on bad input are compared with the recorded ones.
+//! Tests that the program's replies do not change between versions. Recorded batches go to its standard input; the
+//! bytes of its standard output, and its error message for bad input, are compared with the recorded ones.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_opalpulley-simhost");
 
-/// One run of the program: what goes in and what must come out.
+/// One run of the program: its input and its expected output.
 #[derive(Default)]
 struct Case {
     name: String,
@@ -26,11 +26,13 @@
     let digits: Vec<char> = hex.chars().filter(|digit| !digit.is_whitespace()).collect();
     let pairs = digits.chunks(2).map(|pair| pair.iter().collect::<String>());
     pairs
-        .map(|pair| u8::from_str_radix(&pair, 16).expect("hexadecimal digits"))
+        .map(|pair| {
+            u8::from_str_radix(&pair, 16).expect("the text contains hexadecimal digits only")
+        })
         .collect()
 }
 
-/// The cases of a file. Lines that begin with `#` are remarks.
+/// Reads the cases of a golden file. Lines that begin with `#` are comments.
 fn read_cases(file: &str) -> Vec<Case> {
     let text = std::fs::read_to_string(golden_path(file)).expect("the golden file is readable");
     let mut cases: Vec<Case> = Vec::new();
@@ -46,21 +48,26 @@
             });
             continue;
         }
-        let case = cases.last_mut().expect("a case before its lines");
+        let case = cases
+            .last_mut()
+            .expect("a `case` line comes before the other lines");
         match key {
             "input" => case.input.extend(decode_hex(value)),
             "input-text" => case.input.extend(value.as_bytes()),
             "reply" => case.expected_replies.extend(decode_hex(value)),
             "words" => case.expected_stderr = format!("{value}\n"),
-            other => panic!("{other} is no key of a case"),
+            other => panic!(
+                "unknown key {other}; expected `case`, `input`, `input-text`, `reply` or `words`"
+            ),
         }
     }
-    assert!(!cases.is_empty(), "{file}: there are cases");
+    assert!(!cases.is_empty(), "{file} must contain cases");
     cases
 }
 
-/// The code of a record with a line for the simulator's log.
+/// Code of a record that adds a line to the simulator's log.
 const CODE_LOG: u16 = 70;
+/// Size of the header of a reply, in bytes.
 const FRAME_HEADER_BYTES: usize = 12;
 
 fn u16_at(bytes: &[u8], offset: usize) -> u16 {
@@ -68,32 +75,43 @@
 }
 
 fn u32_at(bytes: &[u8], offset: usize) -> usize {
-    u32::from_le_bytes(bytes[offset..offset + 4].try_into().expect("four bytes")) as usize
+    u32::from_le_bytes(
+        bytes[offset..offset + 4]
+            .try_into()
+            .expect("the slice has four bytes"),
+    ) as usize
 }
 
-/// The recorded words of a log line that the program writes in other words now. The simulator's
-/// page leaves these words to the program; each line has to say the same of the same endpoint.
+/// Converts a log line to the wording of the recording, which an earlier version wrote. The simulator's protocol leaves
+/// the wording to the program, so it may change, but each line must name the same event and the same endpoint or
+/// forwarder.
 fn recorded_log_line(line: &str) -> String {
     if let Some(gossip) = line.strip_prefix("gossip message ignored: from forwarder ") {
-        let (forwarder, error) = gossip.split_once(", ").expect("a problem");
+        let (forwarder, error) = gossip
+            .split_once(", ")
+            .expect("the line names the decoding error");
         return format!("a note of forwarder {forwarder} is passed over: {error}");
     }
-    let (event, rest) = line.split_once(": destination ").expect("a known event");
-    let (destination, rest) = rest.split_once(", endpoint ").expect("an endpoint");
+    let (event, rest) = line
+        .split_once(": destination ")
+        .expect("the line names an event and a destination");
+    let (destination, rest) = rest
+        .split_once(", endpoint ")
+        .expect("the line names an endpoint");
     let (address, reason) = rest.split_once(", ").unwrap_or((rest, ""));
-    let (address, port) = address.split_once(':').expect("a port");
-    port.parse::<u16>().expect("a port is a number");
+    let (address, port) = address.split_once(':').expect("the endpoint has a port");
+    port.parse::<u16>().expect("the port is a 16-bit number");
     let recorded_event = match (event, reason) {
         ("endpoint ejected", "too many failures") => "set aside: most calls fail",
         ("endpoint ejected", "attempts stay unanswered") => "set aside: it keeps silent",
         ("endpoint ejected", "asked for a long retry-after") => "set aside: it is shut",
         ("endpoint readmitted", "") => "taken back: it answers",
-        other => panic!("{other:?} was not recorded"),
+        other => panic!("no recorded wording for the event {other:?}"),
     };
     format!("destination {destination} target {address} {recorded_event}")
 }
 
-/// A frame's records, those of log lines in the recorded words.
+/// Returns the records of a frame with the log lines converted to the wording of the recording.
 fn with_recorded_log_lines(mut records: &[u8]) -> Vec<u8> {
     let mut rewritten = Vec::new();
     while !records.is_empty() {
@@ -105,8 +123,12 @@
             continue;
         }
         let text_length = usize::from(u16_at(record, 8));
-        assert_eq!(length, 4 + text_length, "an instance and a text");
-        let line = std::str::from_utf8(&record[10..]).expect("a log line is text");
+        assert_eq!(
+            length,
+            4 + text_length,
+            "a log record contains an instance number and a text"
+        );
+        let line = std::str::from_utf8(&record[10..]).expect("a log line is UTF-8");
         let recorded_line = recorded_log_line(line);
         rewritten.extend(CODE_LOG.to_le_bytes());
         rewritten.extend((4 + recorded_line.len() as u32).to_le_bytes());
@@ -117,7 +139,7 @@
     rewritten
 }
 
-/// The program's output, its log lines in the recorded words.
+/// Returns the program's output with the log lines converted to the wording of the recording.
 fn output_with_recorded_log_lines(mut output: &[u8]) -> Vec<u8> {
     let mut rewritten = Vec::new();
     while output.len() >= FRAME_HEADER_BYTES {
@@ -140,22 +162,22 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program starts");
-    let mut input = program.stdin.take().expect("its input");
+    let mut input = program.stdin.take().expect("standard input is piped");
     let input_bytes = case.input.clone();
-    // The program ends at bad input: what follows may not be taken any more.
+    // The program exits at bad input and may not read the rest, so a failed write is ignored.
     let writer = std::thread::spawn(move || drop(input.write_all(&input_bytes)));
-    let exit_output = program.wait_with_output().expect("it ends");
-    writer.join().expect("the input is written");
+    let exit_output = program.wait_with_output().expect("the program exits");
+    writer.join().expect("the writer does not panic");
     let name = &case.name;
     assert_eq!(
         String::from_utf8_lossy(&exit_output.stderr),
         case.expected_stderr,
-        "{name}: words"
+        "{name}: standard error must be as recorded"
     );
     assert_eq!(
         exit_output.status.success(),
         case.expected_stderr.is_empty(),
-        "{name}: exit status"
+        "{name}: the program must fail exactly if an error message is recorded"
     );
     let replies = output_with_recorded_log_lines(&exit_output.stdout);
     let matching_bytes = replies
@@ -165,7 +187,7 @@
     assert_eq!(
         (matching_bytes.count(), replies.len()),
         (case.expected_replies.len(), case.expected_replies.len()),
-        "{name}: replies"
+        "{name}: standard output must be as recorded (bytes that match, length)"
     );
 }
 
