--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -28,7 +28,7 @@
             .expect("the example has profiles")
             .push(class);
     }
-    let startup = opalpulley_config::read(settings.to_string().as_bytes())
+    let startup = opalpulley_config::parse_settings(settings.to_string().as_bytes())
         .expect("the configuration is valid");
     (startup.config, startup.names, startup.connections)
 }
