--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -8,9 +8,9 @@
 mod load;
 mod options;
 mod output;
-mod play;
 mod report;
 mod run;
+mod run_scenario;
 mod stand_ins;
 mod sweep;
 
--- a/crates/lab/src/commands/bids.rs
+++ b/crates/lab/src/commands/bids.rs
@@ -2,7 +2,7 @@
 
 use super::CommandResult;
 use clap::Args;
-use opalpulley_lab::experiments::bids::cost;
+use opalpulley_lab::experiments::core_cost::measure;
 use std::process::ExitCode;
 
 /// Options of `bids`.
@@ -21,8 +21,11 @@
         "waiting", "arrival ns", "end and bid ns"
     );
     for waiting in &options.waiting {
-        let cost = cost(*waiting, options.rounds);
-        println!("{waiting:>10}{:>16.0}{:>16.0}", cost.arrival, cost.end);
+        let cost = measure(*waiting, options.rounds);
+        println!(
+            "{waiting:>10}{:>16.0}{:>16.0}",
+            cost.submission_ns, cost.attempt_end_ns
+        );
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/lab/src/commands/catalogue.rs
+++ b/crates/lab/src/commands/catalogue.rs
@@ -1,9 +1,9 @@
 //! `catalogue`: plays every scenario of a folder.
 
 use super::error::CommandError;
-use super::options::{ClockOptions, WorldOptions};
-use super::output::{create_folder, write_file};
-use super::play::{exit_code, play};
+use super::options::{ClockOptions, RunOptions};
+use super::output::{create_dir, write_file};
+use super::run_scenario::{exit_code, run_scenario};
 use super::CommandResult;
 use clap::Args;
 use opalpulley_lab::report;
@@ -18,7 +18,7 @@
     #[command(flatten)]
     clocks: ClockOptions,
     #[command(flatten)]
-    world: WorldOptions,
+    run: RunOptions,
     /// Writes a page for each scenario
     #[arg(long)]
     reports: Option<PathBuf>,
@@ -30,30 +30,30 @@
 /// Plays the folder's scenarios in the order of their names and prints a line for each run.
 pub fn execute(options: &Options) -> CommandResult {
     let files = scenario_files(&options.folder)?;
-    if let Some(reports) = &options.reports {
-        create_folder(reports)?;
+    if let Some(reports_dir) = &options.reports {
+        create_dir(reports_dir)?;
     }
-    let mut all = Vec::new();
+    let mut all_outcomes = Vec::new();
     for file in files {
-        let scenario = options.world.load_scenario(&file)?;
-        let longest = options.shorter_than.unwrap_or(f64::INFINITY);
-        if scenario.lasts.seconds() > longest {
+        let scenario = options.run.load_scenario(&file)?;
+        let max_duration_s = options.shorter_than.unwrap_or(f64::INFINITY);
+        if scenario.lasts.seconds() > max_duration_s {
             continue;
         }
-        let outcomes = play(&scenario, &options.clocks, &options.world)?;
-        outcomes.iter().for_each(print_line);
-        if let Some(reports) = &options.reports {
-            let page = reports.join(format!("{}.html", scenario.name));
-            write_file(&page, &report::html(&outcomes)?)?;
+        let outcomes = run_scenario(&scenario, &options.clocks, &options.run)?;
+        outcomes.iter().for_each(print_outcome);
+        if let Some(reports_dir) = &options.reports {
+            let page_path = reports_dir.join(format!("{}.html", scenario.name));
+            write_file(&page_path, &report::html(&outcomes)?)?;
         }
-        all.extend(outcomes);
+        all_outcomes.extend(outcomes);
     }
-    Ok(exit_code(&all))
+    Ok(exit_code(&all_outcomes))
 }
 
 /// The TOML files of a folder, by name.
-fn scenario_files(folder: &Path) -> Result<Vec<PathBuf>, CommandError> {
-    let entries = std::fs::read_dir(folder).map_err(CommandError::file(folder))?;
+fn scenario_files(dir: &Path) -> Result<Vec<PathBuf>, CommandError> {
+    let entries = std::fs::read_dir(dir).map_err(CommandError::file(dir))?;
     let mut files: Vec<PathBuf> = entries.flatten().map(|entry| entry.path()).collect();
     files.retain(|file| {
         file.extension()
@@ -63,17 +63,17 @@
     Ok(files)
 }
 
-fn print_line(outcome: &Outcome) {
+fn print_outcome(outcome: &Outcome) {
     let misses = outcome.misses();
-    let judgement = if misses.is_empty() {
+    let verdict = if misses.is_empty() {
         "as expected".to_owned()
     } else {
         misses.join("; ")
     };
     let p99_ms = outcome.latency.p99 as f64 / 1e3;
-    let served = outcome.served_share();
+    let served_share = outcome.served_share();
     println!(
-        "{:<24}{:<11}served {served:.4}  p99 {p99_ms:>9.1} ms  {judgement}",
+        "{:<24}{:<11}served {served_share:.4}  p99 {p99_ms:>9.1} ms  {verdict}",
         outcome.scenario,
         format!("{:?}", outcome.clock)
     );
--- a/crates/lab/src/commands/compare.rs
+++ b/crates/lab/src/commands/compare.rs
@@ -3,11 +3,11 @@
 use super::error::CommandError;
 use super::options::load_scenario;
 use super::output::write_json;
-use super::play::runtime;
+use super::run_scenario::build_runtime;
 use super::CommandResult;
 use clap::Args;
 use opalpulley_lab::experiments::compare::{compare, Verdict};
-use opalpulley_lab::experiments::{in_parallel, simulate, threads};
+use opalpulley_lab::experiments::{parallelism, run_in_parallel, simulate};
 use opalpulley_lab::scenario::Scenario;
 use opalpulley_lab::sockets::run::{program_beside, run, SocketRunOptions};
 use opalpulley_lab::subject::ForwarderVariant;
@@ -55,20 +55,20 @@
 /// Plays both sides with each seed, prints the comparison and its verdict.
 pub fn execute(options: Options) -> CommandResult {
     let seeds: Vec<u64> = (1..=options.seeds).collect();
-    let (on_sockets, json) = (options.sockets, options.json.clone());
+    let (use_sockets, json_path) = (options.sockets, options.json.clone());
     let (side_a, side_b) = options.into_sides()?;
-    let (outcomes_a, outcomes_b) = if on_sockets {
-        play_in_turn_on_sockets(&side_a, &side_b, &seeds)?
+    let (outcomes_a, outcomes_b) = if use_sockets {
+        run_alternately_on_sockets(&side_a, &side_b, &seeds)?
     } else {
         (side_a.simulate_all(&seeds)?, side_b.simulate_all(&seeds)?)
     };
-    let mut both = outcomes_a.iter().chain(&outcomes_b);
-    if let Some(reason) = both.find_map(|outcome| outcome.void.clone()) {
+    let mut all_outcomes = outcomes_a.iter().chain(&outcomes_b);
+    if let Some(reason) = all_outcomes.find_map(|outcome| outcome.void.clone()) {
         return Err(CommandError::VoidRun { reason });
     }
     let comparison = compare(&outcomes_a, &outcomes_b);
     println!("{comparison}");
-    if let Some(path) = json {
+    if let Some(path) = json_path {
         write_json(&path, &comparison)?;
     }
     Ok(match comparison.verdict {
@@ -78,19 +78,19 @@
 }
 
 impl Options {
-    fn into_sides(self) -> Result<(Side, Side), CommandError> {
-        let side_a = Side {
+    fn into_sides(self) -> Result<(ComparedSide, ComparedSide), CommandError> {
+        let side_a = ComparedSide {
             scenario: load_scenario(&self.a, &self.set_a)?,
-            file: self.a,
-            set: self.set_a,
+            scenario_file: self.a,
+            assignments: self.set_a,
             build: self.build_a,
             variant: self.variant_a,
             forwarder: self.forwarder_a,
         };
-        let side_b = Side {
+        let side_b = ComparedSide {
             scenario: load_scenario(&self.b, &self.set_b)?,
-            file: self.b,
-            set: self.set_b,
+            scenario_file: self.b,
+            assignments: self.set_b,
             build: self.build_b,
             variant: self.variant_b,
             forwarder: self.forwarder_b,
@@ -100,76 +100,77 @@
 }
 
 /// Plays A and B in turn with each seed, so that the load of this machine strikes both alike.
-fn play_in_turn_on_sockets(
-    side_a: &Side,
-    side_b: &Side,
+fn run_alternately_on_sockets(
+    side_a: &ComparedSide,
+    side_b: &ComparedSide,
     seeds: &[u64],
 ) -> Result<(Vec<Outcome>, Vec<Outcome>), CommandError> {
     let mut outcomes_a = Vec::new();
     let mut outcomes_b = Vec::new();
     for seed in seeds {
-        outcomes_a.push(side_a.play_on_sockets(*seed)?);
-        outcomes_b.push(side_b.play_on_sockets(*seed)?);
+        outcomes_a.push(side_a.run_on_sockets(*seed)?);
+        outcomes_b.push(side_b.run_on_sockets(*seed)?);
     }
     Ok((outcomes_a, outcomes_b))
 }
 
 /// One side of a comparison.
-struct Side {
-    file: PathBuf,
-    set: Vec<String>,
+struct ComparedSide {
+    scenario_file: PathBuf,
+    assignments: Vec<String>,
     scenario: Scenario,
     build: Option<PathBuf>,
     variant: ForwarderVariant,
     forwarder: Option<PathBuf>,
 }
 
-impl Side {
+impl ComparedSide {
     fn simulate_all(&self, seeds: &[u64]) -> Result<Vec<Outcome>, CommandError> {
-        let results = in_parallel(seeds, threads(), |seed| self.simulate(*seed));
+        let results = run_in_parallel(seeds, parallelism(), |seed| self.simulate(*seed));
         results.into_iter().collect()
     }
 
     fn simulate(&self, seed: u64) -> Result<Outcome, CommandError> {
         match &self.build {
-            Some(build) => self.simulate_by_build(build, seed),
+            Some(build) => self.simulate_with_build(build, seed),
             None => Ok(simulate(&self.scenario, seed, self.variant)?),
         }
     }
 
     /// Runs another build of this program and reads the outcome that it writes.
-    fn simulate_by_build(&self, build: &Path, seed: u64) -> Result<Outcome, CommandError> {
-        let unusable = |source| CommandError::OtherBuild {
+    fn simulate_with_build(&self, build: &Path, seed: u64) -> Result<Outcome, CommandError> {
+        let build_error = |source| CommandError::OtherBuild {
             build: build.to_owned(),
             source,
         };
-        let output = tempfile::NamedTempFile::new().map_err(unusable)?;
+        let outcome_file = tempfile::NamedTempFile::new().map_err(build_error)?;
         let mut command = process::Command::new(build);
         command
             .arg("run")
-            .arg(&self.file)
+            .arg(&self.scenario_file)
             .args(["--simulated", "--seed", &seed.to_string(), "--json"])
-            .arg(output.path());
-        for value in &self.set {
-            command.args(["--set", value]);
+            .arg(outcome_file.path());
+        for assignment in &self.assignments {
+            command.args(["--set", assignment]);
         }
-        let ended = command.output().map_err(unusable)?;
-        let text = std::fs::read_to_string(output.path()).map_err(unusable)?;
+        let process_output = command.output().map_err(build_error)?;
+        let text = std::fs::read_to_string(outcome_file.path()).map_err(build_error)?;
         serde_json::from_str(&text).map_err(|source| CommandError::OtherBuildOutcome {
             build: build.to_owned(),
             source,
-            stderr: String::from_utf8_lossy(&ended.stderr).into_owned(),
+            stderr: String::from_utf8_lossy(&process_output.stderr).into_owned(),
         })
     }
 
-    fn play_on_sockets(&self, seed: u64) -> Result<Outcome, CommandError> {
-        let means = SocketRunOptions {
+    fn run_on_sockets(&self, seed: u64) -> Result<Outcome, CommandError> {
+        let socket_options = SocketRunOptions {
             program: self.forwarder.clone().unwrap_or_else(program_beside),
             logs: None,
             pin: None,
         };
-        let played = runtime()?.block_on(run(&self.scenario, seed, &means, |_, _| {}));
-        let (outcome, _usage) = played?;
+        let result =
+            build_runtime()?.block_on(run(&self.scenario, seed, &socket_options, |_, _| {}));
+        let (outcome, _usage) = result?;
         Ok(outcome)
     }
 }
--- a/crates/lab/src/commands/hunt.rs
+++ b/crates/lab/src/commands/hunt.rs
@@ -2,10 +2,10 @@
 
 use super::error::CommandError;
 use super::options::load_scenario;
-use super::output::{create_folder, progress_bar, write_file};
+use super::output::{create_dir, progress_bar, write_file};
 use super::CommandResult;
 use clap::Args;
-use opalpulley_lab::experiments::hunt::{hunt, Catch};
+use opalpulley_lab::experiments::worst_case::{find_worst_case, WorstCase};
 use opalpulley_lab::report;
 use opalpulley_lab::subject::ForwarderVariant;
 use std::path::{Path, PathBuf};
@@ -31,18 +31,24 @@
 pub fn execute(options: &Options) -> CommandResult {
     let scenario = load_scenario(&options.scenario, &[])?;
     let bar = progress_bar("worlds");
-    let worlds = options.worlds;
-    let worst = hunt(&scenario, options.seed, worlds, options.variant, |played| {
-        bar.set_length(worlds as u64);
-        bar.set_position(played as u64);
-    })?;
+    let scenario_count = options.worlds;
+    let worst = find_worst_case(
+        &scenario,
+        options.seed,
+        scenario_count,
+        options.variant,
+        |finished| {
+            bar.set_length(scenario_count as u64);
+            bar.set_position(finished as u64);
+        },
+    )?;
     bar.finish_and_clear();
     println!(
         "the worst of {} worlds, seed {}, after {} runs of shrinking:",
-        worst.drawn, worst.seed, worst.shrinking
+        worst.generated_scenarios, worst.seed, worst.shrink_runs
     );
     print!("{}", report::text(&worst.outcome));
-    let path = save(&worst, &options.save)?;
+    let path = save_scenario(&worst, &options.save)?;
     println!("saved as {}", path.display());
     Ok(match worst.outcome.broken.is_empty() {
         true => ExitCode::SUCCESS,
@@ -51,11 +57,11 @@
 }
 
 /// Writes the world as a scenario file with its seed; returns the file's path.
-fn save(worst: &Catch, folder: &Path) -> Result<PathBuf, CommandError> {
-    create_folder(folder)?;
+fn save_scenario(worst: &WorstCase, dir: &Path) -> Result<PathBuf, CommandError> {
+    create_dir(dir)?;
     let mut scenario = worst.scenario.clone();
     scenario.seed = worst.seed;
-    let path = folder.join(format!("{}.toml", scenario.name));
+    let path = dir.join(format!("{}.toml", scenario.name));
     write_file(&path, &toml::to_string(&scenario)?)?;
     Ok(path)
 }
--- a/crates/lab/src/commands/load.rs
+++ b/crates/lab/src/commands/load.rs
@@ -1,8 +1,8 @@
 //! `load`: the load tool alone, at forwarders that run already.
 
-use super::options::WorldOptions;
-use super::output::{progress_bar, progress_of};
-use super::play::runtime;
+use super::options::RunOptions;
+use super::output::{progress_bar, progress_callback};
+use super::run_scenario::build_runtime;
 use super::{CommandResult, EXIT_VOID};
 use clap::Args;
 use opalpulley_lab::sockets::without_forwarders::load_only;
@@ -19,16 +19,16 @@
     #[arg(long, required = true, value_delimiter = ',')]
     to: Vec<SocketAddr>,
     #[command(flatten)]
-    world: WorldOptions,
+    run: RunOptions,
 }
 
 /// Submits the scenario's load to the forwarders and prints what they answered.
 pub fn execute(options: &Options) -> CommandResult {
-    let scenario = options.world.load_scenario(&options.scenario)?;
+    let scenario = options.run.load_scenario(&options.scenario)?;
     let bar = progress_bar(&scenario.name);
-    let seed = options.world.seed_for(&scenario);
-    let load = load_only(&scenario, seed, &options.to, progress_of(&bar));
-    let outcome = runtime()?.block_on(load)?;
+    let seed = options.run.seed_for(&scenario);
+    let load = load_only(&scenario, seed, &options.to, progress_callback(&bar));
+    let outcome = build_runtime()?.block_on(load)?;
     bar.finish_and_clear();
     print_counts(&outcome);
     Ok(match outcome.void {
--- a/crates/lab/src/commands/options.rs
+++ b/crates/lab/src/commands/options.rs
@@ -2,7 +2,7 @@
 
 use super::error::CommandError;
 use clap::Args;
-use opalpulley_lab::experiments::with_values;
+use opalpulley_lab::experiments::with_assignments;
 use opalpulley_lab::scenario::Scenario;
 use opalpulley_lab::subject::ForwarderVariant;
 use std::path::{Path, PathBuf};
@@ -29,7 +29,7 @@
 
 /// The seed, the changed values and the forwarder variant of a run.
 #[derive(Args, Clone)]
-pub struct WorldOptions {
+pub struct RunOptions {
     /// The scenario's own if not named
     #[arg(long)]
     pub seed: Option<u64>,
@@ -41,7 +41,7 @@
     pub variant: ForwarderVariant,
 }
 
-impl WorldOptions {
+impl RunOptions {
     /// Reads a scenario file with the values that were set.
     pub fn load_scenario(&self, path: &Path) -> Result<Scenario, CommandError> {
         load_scenario(path, &self.set)
@@ -54,10 +54,10 @@
 }
 
 /// Reads a scenario file; `set` holds values to change, as KEY=VALUE.
-pub fn load_scenario(path: &Path, set: &[String]) -> Result<Scenario, CommandError> {
+pub fn load_scenario(path: &Path, assignments: &[String]) -> Result<Scenario, CommandError> {
     let scenario = Scenario::load(path)?;
-    if set.is_empty() {
+    if assignments.is_empty() {
         return Ok(scenario);
     }
-    Ok(with_values(&scenario, set)?)
+    Ok(with_assignments(&scenario, assignments)?)
 }
--- a/crates/lab/src/commands/output.rs
+++ b/crates/lab/src/commands/output.rs
@@ -5,7 +5,7 @@
 use std::io::IsTerminal;
 use std::path::Path;
 
-const MICROS_A_SECOND: u64 = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
 /// Writes a text file.
 pub fn write_file(path: &Path, text: &str) -> Result<(), CommandError> {
@@ -19,7 +19,7 @@
 }
 
 /// Creates a folder and those above it.
-pub fn create_folder(path: &Path) -> Result<(), CommandError> {
+pub fn create_dir(path: &Path) -> Result<(), CommandError> {
     std::fs::create_dir_all(path).map_err(CommandError::file(path))
 }
 
@@ -35,9 +35,9 @@
 }
 
 /// A callback that moves the bar: time passed and length of the run, both in µs.
-pub fn progress_of(bar: &ProgressBar) -> impl FnMut(u64, u64) + '_ {
-    |passed, length| {
-        bar.set_length(length / MICROS_A_SECOND);
-        bar.set_position(passed / MICROS_A_SECOND);
+pub fn progress_callback(bar: &ProgressBar) -> impl FnMut(u64, u64) + '_ {
+    |elapsed, run_duration| {
+        bar.set_length(run_duration / MICROS_PER_SECOND);
+        bar.set_position(elapsed / MICROS_PER_SECOND);
     }
 }
--- a/crates/lab/src/commands/report.rs
+++ b/crates/lab/src/commands/report.rs
@@ -32,12 +32,12 @@
 /// Reads a file that holds one outcome or a list of them.
 fn read_outcomes(path: &Path) -> Result<Vec<Outcome>, CommandError> {
     let text = std::fs::read_to_string(path).map_err(CommandError::file(path))?;
-    if let Ok(several) = serde_json::from_str::<Vec<Outcome>>(&text) {
-        return Ok(several);
+    if let Ok(outcomes) = serde_json::from_str::<Vec<Outcome>>(&text) {
+        return Ok(outcomes);
     }
-    let one = serde_json::from_str(&text).map_err(|source| CommandError::Outcome {
+    let outcome = serde_json::from_str(&text).map_err(|source| CommandError::Outcome {
         path: path.to_owned(),
         source,
     })?;
-    Ok(vec![one])
+    Ok(vec![outcome])
 }
--- a/crates/lab/src/commands/run.rs
+++ b/crates/lab/src/commands/run.rs
@@ -1,8 +1,8 @@
 //! `run`: plays one scenario and judges it.
 
-use super::options::{ClockOptions, WorldOptions};
+use super::options::{ClockOptions, RunOptions};
 use super::output::{write_file, write_json};
-use super::play::{exit_code, play};
+use super::run_scenario::{exit_code, run_scenario};
 use super::CommandResult;
 use clap::Args;
 use opalpulley_lab::report;
@@ -16,7 +16,7 @@
     #[command(flatten)]
     clocks: ClockOptions,
     #[command(flatten)]
-    world: WorldOptions,
+    run: RunOptions,
     /// Writes the outcome as JSON; with both clocks, both
     #[arg(long)]
     json: Option<PathBuf>,
@@ -35,8 +35,8 @@
 
 /// Plays the scenario, prints its figures and writes the files that were asked for.
 pub fn execute(options: &Options) -> CommandResult {
-    let scenario = options.world.load_scenario(&options.scenario)?;
-    let outcomes = play(&scenario, &options.clocks, &options.world)?;
+    let scenario = options.run.load_scenario(&options.scenario)?;
+    let outcomes = run_scenario(&scenario, &options.clocks, &options.run)?;
     for outcome in &outcomes {
         print!("{}", report::text(outcome));
     }
@@ -53,6 +53,6 @@
 fn write_outcomes(path: &Path, outcomes: &[Outcome]) -> Result<(), super::CommandError> {
     match outcomes {
         [outcome] => write_json(path, outcome),
-        several => write_json(path, &several),
+        outcomes => write_json(path, &outcomes),
     }
 }
--- a/crates/lab/src/commands/play.rs
+++ b/crates/lab/src/commands/run_scenario.rs
@@ -1,8 +1,8 @@
 //! Plays one scenario on the clocks that were asked for, and judges its outcomes.
 
 use super::error::CommandError;
-use super::options::{ClockOptions, WorldOptions};
-use super::output::{create_folder, progress_bar, progress_of};
+use super::options::{ClockOptions, RunOptions};
+use super::output::{create_dir, progress_bar, progress_callback};
 use super::EXIT_VOID;
 use opalpulley_lab::scenario::Scenario;
 use opalpulley_lab::sim::Sim;
@@ -12,43 +12,43 @@
 use std::time::Instant;
 
 /// Plays a scenario on each clock that was asked for; the simulated one where none was.
-pub fn play(
+pub fn run_scenario(
     scenario: &Scenario,
     clocks: &ClockOptions,
-    world: &WorldOptions,
+    options: &RunOptions,
 ) -> Result<Vec<Outcome>, CommandError> {
-    let seed = world.seed_for(scenario);
+    let seed = options.seed_for(scenario);
     let mut outcomes = Vec::new();
     if clocks.simulated || !clocks.sockets {
-        outcomes.push(play_simulated(scenario, seed, world)?);
+        outcomes.push(run_simulated(scenario, seed, options)?);
     }
     if clocks.sockets {
-        outcomes.push(play_on_sockets(scenario, seed, clocks)?);
+        outcomes.push(run_on_sockets(scenario, seed, clocks)?);
     }
     Ok(outcomes)
 }
 
-fn play_simulated(
+fn run_simulated(
     scenario: &Scenario,
     seed: u64,
-    world: &WorldOptions,
+    options: &RunOptions,
 ) -> Result<Outcome, CommandError> {
     let bar = progress_bar(&scenario.name);
-    let started = Instant::now();
-    let sim = Sim::new(scenario, seed, world.variant)?;
-    let (outcome, work) = sim.run_until(u64::MAX, progress_of(&bar));
+    let started_at = Instant::now();
+    let sim = Sim::new(scenario, seed, options.variant)?;
+    let (outcome, work) = sim.run_until(u64::MAX, progress_callback(&bar));
     bar.finish_and_clear();
-    let seconds = started.elapsed().as_secs_f64();
+    let elapsed_s = started_at.elapsed().as_secs_f64();
     eprintln!(
-        "simulated in {seconds:.2} s: {} happenings, {} events of the core ({:.0} a second)",
+        "simulated in {elapsed_s:.2} s: {} happenings, {} events of the core ({:.0} a second)",
         work.events,
         work.core_events,
-        work.core_events as f64 / seconds
+        work.core_events as f64 / elapsed_s
     );
     Ok(outcome)
 }
 
-fn play_on_sockets(
+fn run_on_sockets(
     scenario: &Scenario,
     seed: u64,
     clocks: &ClockOptions,
@@ -58,15 +58,20 @@
         return Err(CommandError::NoForwarderProgram { program });
     }
     if let Some(logs) = &clocks.logs {
-        create_folder(logs)?;
+        create_dir(logs)?;
     }
-    let means = SocketRunOptions {
+    let socket_options = SocketRunOptions {
         program,
         logs: clocks.logs.clone(),
         pin: clocks.pin,
     };
     let bar = progress_bar(&scenario.name);
-    let (outcome, usage) = runtime()?.block_on(run(scenario, seed, &means, progress_of(&bar)))?;
+    let (outcome, usage) = build_runtime()?.block_on(run(
+        scenario,
+        seed,
+        &socket_options,
+        progress_callback(&bar),
+    ))?;
     bar.finish_and_clear();
     eprintln!(
         "forwarders used {:.1} us of CPU a message, {:.2} of a core, {:.1} MB the largest",
@@ -78,7 +83,7 @@
 }
 
 /// The runtime for what runs on sockets.
-pub fn runtime() -> Result<tokio::runtime::Runtime, CommandError> {
+pub fn build_runtime() -> Result<tokio::runtime::Runtime, CommandError> {
     tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
--- a/crates/lab/src/commands/stand_ins.rs
+++ b/crates/lab/src/commands/stand_ins.rs
@@ -1,9 +1,9 @@
 //! `stand-ins`: receivers and discovery of a scenario, to try a forwarder by hand.
 
 use super::error::CommandError;
-use super::options::WorldOptions;
+use super::options::RunOptions;
 use super::output::write_json;
-use super::play::runtime;
+use super::run_scenario::build_runtime;
 use super::CommandResult;
 use clap::Args;
 use opalpulley_lab::scenario::Scenario;
@@ -17,7 +17,7 @@
 pub struct Options {
     scenario: PathBuf,
     #[command(flatten)]
-    world: WorldOptions,
+    run: RunOptions,
     /// The port of discovery on loopback
     #[arg(long, default_value_t = 8500)]
     discovery_port: u16,
@@ -31,9 +31,9 @@
 
 /// Starts the stand-ins, prints their addresses and goes on until Ctrl-C.
 pub fn execute(options: &Options) -> CommandResult {
-    let scenario = options.world.load_scenario(&options.scenario)?;
-    let seed = options.world.seed_for(&scenario);
-    runtime()?.block_on(serve(&scenario, seed, options))
+    let scenario = options.run.load_scenario(&options.scenario)?;
+    let seed = options.run.seed_for(&scenario);
+    build_runtime()?.block_on(serve(&scenario, seed, options))
 }
 
 async fn serve(scenario: &Scenario, seed: u64, options: &Options) -> CommandResult {
--- a/crates/lab/src/experiments.rs
+++ b/crates/lab/src/experiments.rs
@@ -1,10 +1,10 @@
 //! Experiments over simulated runs: variants of one scenario, paired by seed; sweeps; hunts for the worst.
 
-pub mod bids;
 pub mod compare;
+pub mod core_cost;
 mod error;
-pub mod hunt;
 pub mod sweep;
+pub mod worst_case;
 
 pub use error::ExperimentError;
 
@@ -17,21 +17,27 @@
 use std::sync::Mutex;
 
 /// The scenario with values set by their keys, as in `forwarders.concurrency_limit=16` or `destinations[0].rate=50.0`.
-pub fn with_values(scenario: &Scenario, sets: &[String]) -> Result<Scenario, ExperimentError> {
+pub fn with_assignments(
+    scenario: &Scenario,
+    assignments: &[String],
+) -> Result<Scenario, ExperimentError> {
     let mut value = toml::Value::try_from(scenario)?;
-    for set in sets {
-        let (key, text) = set
-            .split_once('=')
-            .ok_or_else(|| ExperimentError::NotKeyAndValue { set: set.clone() })?;
-        set_value(&mut value, key.trim(), read_value(text.trim()))?;
+    for assignment in assignments {
+        let (key, text) =
+            assignment
+                .split_once('=')
+                .ok_or_else(|| ExperimentError::NotKeyAndValue {
+                    assignment: assignment.clone(),
+                })?;
+        set_value(&mut value, key.trim(), parse_value(text.trim()))?;
     }
     let text = toml::to_string(&value)?;
-    let name = format!("{} with {}", scenario.name, sets.join(", "));
+    let name = format!("{} with {}", scenario.name, assignments.join(", "));
     Ok(Scenario::read(&text, &name)?)
 }
 
 /// Reads a value as the file would; a bare word is a string.
-fn read_value(text: &str) -> toml::Value {
+fn parse_value(text: &str) -> toml::Value {
     toml::from_str::<toml::Table>(&format!("v = {text}"))
         .ok()
         .and_then(|table| table.get("v").cloned())
@@ -39,75 +45,82 @@
 }
 
 /// Sets the value at a key such as `destinations[0].rate`; tables on the way are made where they are missing.
-fn set_value(root: &mut toml::Value, key: &str, new: toml::Value) -> Result<(), ExperimentError> {
-    let mut place = root;
+fn set_value(
+    root: &mut toml::Value,
+    key: &str,
+    new_value: toml::Value,
+) -> Result<(), ExperimentError> {
+    let mut current = root;
     for part in key.split('.') {
         let (name, index) = match part.split_once('[') {
             Some((name, "")) => (name, None),
             Some((name, index)) => (name, Some(index.trim_end_matches(']'))),
             None => (part, None),
         };
-        let table = place
+        let table = current
             .as_table_mut()
             .ok_or_else(|| ExperimentError::NotInTable {
                 key: key.into(),
                 name: name.into(),
             })?;
-        place = table
+        current = table
             .entry(name)
             .or_insert_with(|| toml::Value::Table(toml::Table::new()));
         if let Some(index) = index {
-            place = element_of(place, key, index)?;
+            current = list_element(current, key, index)?;
         }
     }
     // A whole number may be given where the file holds a float.
-    *place = match (&*place, new) {
-        (toml::Value::Float(_), toml::Value::Integer(number)) => toml::Value::Float(number as f64),
-        (_, new) => new,
+    *current = match (&*current, new_value) {
+        (toml::Value::Float(_), toml::Value::Integer(integer)) => {
+            toml::Value::Float(integer as f64)
+        }
+        (_, new_value) => new_value,
     };
     Ok(())
 }
 
 /// The element of a list that a key names by its index.
-fn element_of<'a>(
+fn list_element<'a>(
     list: &'a mut toml::Value,
     key: &str,
     index: &str,
 ) -> Result<&'a mut toml::Value, ExperimentError> {
-    let index: usize = index.parse().map_err(|_| ExperimentError::BadIndex {
+    let index: usize = index.parse().map_err(|_| ExperimentError::InvalidIndex {
         key: key.into(),
         index: index.into(),
     })?;
     list.get_mut(index)
-        .ok_or_else(|| ExperimentError::NoSuchIndex {
+        .ok_or_else(|| ExperimentError::IndexOutOfRange {
             key: key.into(),
             index,
         })
 }
 
 /// Runs jobs on so many threads, and gives what they came to in the order of the jobs.
-pub fn in_parallel<J: Sync, R: Send>(
+pub fn run_in_parallel<J: Sync, R: Send>(
     jobs: &[J],
-    threads: usize,
+    thread_count: usize,
     run: impl Fn(&J) -> R + Sync,
 ) -> Vec<R> {
-    let next = AtomicUsize::new(0);
+    let next_index = AtomicUsize::new(0);
     let results = Mutex::new((0..jobs.len()).map(|_| None).collect::<Vec<Option<R>>>());
     std::thread::scope(|scope| {
-        for _ in 0..threads.clamp(1, jobs.len().max(1)) {
+        for _ in 0..thread_count.clamp(1, jobs.len().max(1)) {
             scope.spawn(|| loop {
-                let n = next.fetch_add(1, Ordering::Relaxed);
-                let Some(job) = jobs.get(n) else { return };
+                let index = next_index.fetch_add(1, Ordering::Relaxed);
+                let Some(job) = jobs.get(index) else { return };
                 let result = run(job);
                 if let Ok(mut results) = results.lock() {
-                    results[n] = Some(result);
+                    results[index] = Some(result);
                 }
             });
         }
     });
-    results
-        .into_inner()
-        .map_or_else(|_| Vec::new(), |r| r.into_iter().flatten().collect())
+    results.into_inner().map_or_else(
+        |_| Vec::new(),
+        |results| results.into_iter().flatten().collect(),
+    )
 }
 
 /// One simulated run.
@@ -120,8 +133,8 @@
 }
 
 /// How many runs are played at once: one for each processor core.
-pub fn threads() -> usize {
-    std::thread::available_parallelism().map_or(1, |n| n.get())
+pub fn parallelism() -> usize {
+    std::thread::available_parallelism().map_or(1, |count| count.get())
 }
 
 #[cfg(test)]
--- a/crates/lab/src/experiments/compare.rs
+++ b/crates/lab/src/experiments/compare.rs
@@ -7,9 +7,9 @@
 use std::fmt;
 
 /// Resamples of the pairs for an interval.
-const RESAMPLES: usize = 4000;
+const BOOTSTRAP_RESAMPLES: usize = 4000;
 /// Of the figure, a difference that nobody would see: the same to four places.
-const UNSEEN: f64 = 1e-4;
+const MIN_RELATIVE_DIFFERENCE: f64 = 1e-4;
 
 /// How B stands against A.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -58,75 +58,75 @@
     pub verdict: Verdict,
 }
 
-struct Measure {
+struct Metric {
     name: &'static str,
-    of: fn(&Outcome) -> f64,
+    value_of: fn(&Outcome) -> f64,
     more_is_better: bool,
 }
 
-const MEASURES: [Measure; 6] = [
-    Measure {
+const METRICS: [Metric; 6] = [
+    Metric {
         name: "service",
-        of: |o| o.service,
+        value_of: |outcome| outcome.service,
         more_is_better: true,
     },
-    Measure {
+    Metric {
         name: "served",
-        of: Outcome::served_share,
+        value_of: Outcome::served_share,
         more_is_better: true,
     },
-    Measure {
+    Metric {
         name: "p50 ms",
-        of: |o| o.latency.p50 as f64 / 1e3,
+        value_of: |outcome| outcome.latency.p50 as f64 / 1e3,
         more_is_better: false,
     },
-    Measure {
+    Metric {
         name: "p99 ms",
-        of: |o| o.latency.p99 as f64 / 1e3,
+        value_of: |outcome| outcome.latency.p99 as f64 / 1e3,
         more_is_better: false,
     },
-    Measure {
+    Metric {
         name: "calls a packet",
-        of: Outcome::calls_per_message,
+        value_of: Outcome::calls_per_message,
         more_is_better: false,
     },
-    Measure {
+    Metric {
         name: "falls",
-        of: |o| o.falls as f64,
+        value_of: |outcome| outcome.falls as f64,
         more_is_better: false,
     },
 ];
 
 /// The 95 % interval of the mean of the differences, by resampling the pairs.
-pub fn interval(differences: &[f64], seed: u64) -> (f64, f64) {
+pub fn confidence_interval(differences: &[f64], seed: u64) -> (f64, f64) {
     if differences.is_empty() {
         return (0.0, 0.0);
     }
     let mut rng = stream(seed, "bootstrap", 0);
-    let n = differences.len();
+    let pair_count = differences.len();
     let mut resampled_mean = || {
-        let drawn = (0..n).map(|_| differences[rng.random_range(0..n)]);
-        drawn.sum::<f64>() / n as f64
+        let resample = (0..pair_count).map(|_| differences[rng.random_range(0..pair_count)]);
+        resample.sum::<f64>() / pair_count as f64
     };
-    let mut means: Vec<f64> = (0..RESAMPLES).map(|_| resampled_mean()).collect();
+    let mut means: Vec<f64> = (0..BOOTSTRAP_RESAMPLES).map(|_| resampled_mean()).collect();
     means.sort_by(f64::total_cmp);
     (
-        means[RESAMPLES * 25 / 1000],
-        means[RESAMPLES * 975 / 1000 - 1],
+        means[BOOTSTRAP_RESAMPLES * 25 / 1000],
+        means[BOOTSTRAP_RESAMPLES * 975 / 1000 - 1],
     )
 }
 
 /// Compares runs of A and of B, paired by their places.
 pub fn compare(a: &[Outcome], b: &[Outcome]) -> Comparison {
     let pairs = a.len().min(b.len());
-    let figures: Vec<Figure> = MEASURES
+    let figures: Vec<Figure> = METRICS
         .iter()
-        .map(|measure| measure.compare(&a[..pairs], &b[..pairs]))
+        .map(|metric| metric.compare(&a[..pairs], &b[..pairs]))
         .collect();
-    let broken = [a, b].map(count_broken);
+    let broken = [a, b].map(count_broken_rules);
     let verdict = match broken {
-        [0, in_b] if in_b > 0 => Verdict::Worse,
-        [in_a, 0] if in_a > 0 => Verdict::Better,
+        [0, broken_by_b] if broken_by_b > 0 => Verdict::Worse,
+        [broken_by_a, 0] if broken_by_a > 0 => Verdict::Better,
         _ => figures[0].verdict,
     };
     Comparison {
@@ -137,7 +137,7 @@
     }
 }
 
-fn count_broken(outcomes: &[Outcome]) -> u64 {
+fn count_broken_rules(outcomes: &[Outcome]) -> u64 {
     let counts = outcomes.iter().flat_map(|outcome| outcome.broken.values());
     counts.sum()
 }
@@ -146,17 +146,17 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-impl Measure {
+impl Metric {
     /// Compares this figure of paired runs.
     fn compare(&self, a: &[Outcome], b: &[Outcome]) -> Figure {
-        let a: Vec<f64> = a.iter().map(self.of).collect();
-        let b: Vec<f64> = b.iter().map(self.of).collect();
+        let a: Vec<f64> = a.iter().map(self.value_of).collect();
+        let b: Vec<f64> = b.iter().map(self.value_of).collect();
         let differences: Vec<f64> = a.iter().zip(&b).map(|(a, b)| b - a).collect();
         let difference = mean(&differences);
-        let (low, high) = interval(&differences, 1);
-        let unseen = difference.abs() < UNSEEN * mean(&a).abs();
+        let (low, high) = confidence_interval(&differences, 1);
+        let negligible = difference.abs() < MIN_RELATIVE_DIFFERENCE * mean(&a).abs();
         // One pair shows no spread: nothing is told by it.
-        let verdict = match a.len() < 2 || unseen {
+        let verdict = match a.len() < 2 || negligible {
             true => Verdict::CantTell,
             false => self.verdict(low, high),
         };
@@ -192,13 +192,13 @@
             "{:<16}{:>12}{:>12}{:>12}   {:<26}B is",
             "", "A", "B", "B - A", "95 % interval"
         )?;
-        for x in &self.figures {
-            let interval = format!("{:+.4} to {:+.4}", x.low, x.high);
-            let verdict = x.verdict;
+        for figure in &self.figures {
+            let interval = format!("{:+.4} to {:+.4}", figure.low, figure.high);
+            let verdict = figure.verdict;
             writeln!(
                 f,
                 "{:<16}{:>12.4}{:>12.4}{:>+12.4}   {interval:<26}{verdict}",
-                x.name, x.a, x.b, x.difference
+                figure.name, figure.a, figure.b, figure.difference
             )?;
         }
         writeln!(
--- a/crates/lab/src/experiments/bids.rs
+++ b/crates/lab/src/experiments/core_cost.rs
@@ -11,11 +11,11 @@
 use std::time::Instant;
 
 /// Simulated time between events, µs.
-const STEP: Micros = 100;
+const EVENT_INTERVAL: Micros = 100;
 /// When the first event happens, µs.
-const START: Micros = 1_000_000;
+const START_TIME: Micros = 1_000_000;
 /// Calls a second that the endpoint takes: more than the core sends.
-const RATE: f32 = 1e6;
+const ENDPOINT_RATE: f32 = 1e6;
 const ENDPOINT: EndpointId = EndpointId {
     address: [10, 0, 0, 1],
     port: 80,
@@ -45,79 +45,81 @@
 
 /// What the core's work costs with so many messages waiting.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Cost {
+pub struct CoreCost {
     /// Messages that wait.
     pub waiting: u32,
     /// A submission with what follows from it, ns.
-    pub arrival: f64,
+    #[serde(rename = "arrival")]
+    pub submission_ns: f64,
     /// An attempt's end with what follows from it, ns.
-    pub end: f64,
+    #[serde(rename = "end")]
+    pub attempt_end_ns: f64,
 }
 
 /// Lets `waiting` messages wait behind the one in flight; then `rounds` times the one in flight ends and another is submitted.
-pub fn cost(waiting: u32, rounds: u32) -> Cost {
-    let mut bench = Bench::new();
+pub fn measure(waiting: u32, rounds: u32) -> CoreCost {
+    let mut benchmark = CoreBenchmark::new();
     for _ in 0..=waiting {
-        bench.now += STEP;
-        bench.submit();
+        benchmark.now += EVENT_INTERVAL;
+        benchmark.submit();
     }
-    let (mut ends, mut submissions) = (0.0, 0.0);
+    let (mut attempt_ends_ns, mut submissions_ns) = (0.0, 0.0);
     for _ in 0..rounds {
-        let Some(id) = bench.in_flight() else {
+        let Some(id) = benchmark.message_in_flight() else {
             break;
         };
-        bench.actions.clear();
-        bench.now += STEP;
-        ends += nanoseconds(|| bench.end_attempt(id));
-        submissions += nanoseconds(|| bench.submit());
+        benchmark.actions.clear();
+        benchmark.now += EVENT_INTERVAL;
+        attempt_ends_ns += measure_ns(|| benchmark.end_attempt(id));
+        submissions_ns += measure_ns(|| benchmark.submit());
     }
     let rounds = f64::from(rounds.max(1));
-    Cost {
+    CoreCost {
         waiting,
-        arrival: submissions / rounds,
-        end: ends / rounds,
+        submission_ns: submissions_ns / rounds,
+        attempt_end_ns: attempt_ends_ns / rounds,
     }
 }
 
-fn nanoseconds(work: impl FnOnce()) -> f64 {
-    let started = Instant::now();
+fn measure_ns(work: impl FnOnce()) -> f64 {
+    let started_at = Instant::now();
     work();
-    started.elapsed().as_nanos() as f64
+    started_at.elapsed().as_nanos() as f64
 }
 
 /// A core with one endpoint, and what it has been told.
-struct Bench {
+struct CoreBenchmark {
     core: Forwarder,
     time_to_live: Micros,
     now: Micros,
     actions: Vec<Action>,
     /// Messages submitted so far.
-    submitted: u32,
+    submitted_count: u32,
 }
 
-impl Bench {
-    fn new() -> Bench {
+impl CoreBenchmark {
+    fn new() -> CoreBenchmark {
         let scenario = Scenario::read(SCENARIO, "bids")
             .unwrap_or_else(|error| unreachable!("a fixed scenario: {error}"));
-        let mut bench = Bench {
+        let mut benchmark = CoreBenchmark {
             core: Forwarder::new(scenario.config(0), 1),
             time_to_live: scenario.longest_time_to_live(),
-            now: START,
+            now: START_TIME,
             actions: Vec::new(),
-            submitted: 0,
+            submitted_count: 0,
         };
         let entry = EndpointEntry {
             endpoint: ENDPOINT,
             zone: ZoneId(0),
             up_since: 0,
             status: EndpointStatus::Ready,
-            rate: RATE,
+            rate: ENDPOINT_RATE,
             destination: DestinationId(0),
             kind: EndpointKindId(0),
         };
         let list = EndpointListUpdate::Cached(vec![entry]);
-        bench.handle(Event::EndpointListUpdated(list));
-        bench
+        benchmark.handle(Event::EndpointListUpdated(list));
+        benchmark
     }
 
     fn handle(&mut self, event: Event) {
@@ -125,9 +127,9 @@
     }
 
     fn submit(&mut self) {
-        self.submitted += 1;
+        self.submitted_count += 1;
         self.handle(Event::MessageSubmitted(Submission {
-            id: MessageId(self.submitted),
+            id: MessageId(self.submitted_count),
             class: DeliveryClassId(0),
             tenant: TenantId(u32::MAX),
             order_key: None,
@@ -144,14 +146,14 @@
             attempt_index: 0,
             endpoint: ENDPOINT,
             outcome: Outcome::Delivered,
-            elapsed: STEP,
+            elapsed: EVENT_INTERVAL,
             message_completed: true,
             load_metrics: Vec::new(),
         });
     }
 
     /// The message that was sent last.
-    fn in_flight(&self) -> Option<MessageId> {
+    fn message_in_flight(&self) -> Option<MessageId> {
         let mut actions = self.actions.iter().rev();
         actions.find_map(|action| match action {
             Action::StartAttempt { id, .. } => Some(*id),
--- a/crates/lab/src/experiments/sweep.rs
+++ b/crates/lab/src/experiments/sweep.rs
@@ -1,6 +1,6 @@
 //! One value over a range.
 
-use super::{in_parallel, simulate, threads, with_values, ExperimentError};
+use super::{parallelism, run_in_parallel, simulate, with_assignments, ExperimentError};
 use crate::scenario::Scenario;
 use crate::subject::ForwarderVariant;
 use crate::tally::Outcome;
@@ -48,17 +48,17 @@
 ) -> Result<Sweep, ExperimentError> {
     let scenarios: Vec<Scenario> = values
         .iter()
-        .map(|v| with_values(scenario, &[format!("{key}={v}")]))
+        .map(|value| with_assignments(scenario, &[format!("{key}={value}")]))
         .collect::<Result<_, _>>()?;
     let jobs: Vec<(usize, u64)> = (0..values.len())
-        .flat_map(|v| (1..=seeds).map(move |s| (v, s)))
+        .flat_map(|value_index| (1..=seeds).map(move |seed| (value_index, seed)))
         .collect();
-    let outcomes = in_parallel(&jobs, threads(), |(v, seed)| {
-        simulate(&scenarios[*v], *seed, variant)
+    let outcomes = run_in_parallel(&jobs, parallelism(), |(value_index, seed)| {
+        simulate(&scenarios[*value_index], *seed, variant)
     });
     let outcomes: Vec<_> = outcomes.into_iter().collect::<Result<_, _>>()?;
-    let runs_of_values = outcomes.chunks(seeds.max(1) as usize);
-    let rows = values.iter().zip(runs_of_values);
+    let runs_by_value = outcomes.chunks(seeds.max(1) as usize);
+    let rows = values.iter().zip(runs_by_value);
     Ok(Sweep {
         key: key.into(),
         seeds,
@@ -68,7 +68,9 @@
 
 impl Row {
     fn new(value: &str, runs: &[Outcome]) -> Row {
-        let mean = |of: fn(&Outcome) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
+        let mean = |value_of: fn(&Outcome) -> f64| {
+            runs.iter().map(value_of).sum::<f64>() / runs.len() as f64
+        };
         Row {
             value: value.to_owned(),
             service: mean(|run| run.service),
@@ -83,16 +85,18 @@
 
 impl fmt::Display for Sweep {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let heads = ["service", "served", "p50 ms", "p99 ms", "calls", "broken"];
+        let headings = ["service", "served", "p50 ms", "p99 ms", "calls", "broken"];
         write!(f, "{:<24}", self.key)?;
-        heads.iter().try_for_each(|h| write!(f, "{h:>11}"))?;
-        for r in &self.rows {
+        headings
+            .iter()
+            .try_for_each(|heading| write!(f, "{heading:>11}"))?;
+        for row in &self.rows {
             write!(
                 f,
                 "\n{:<24}{:>11.4}{:>11.4}{:>11.1}{:>11.1}",
-                r.value, r.service, r.served, r.p50, r.p99
+                row.value, row.service, row.served, row.p50, row.p99
             )?;
-            write!(f, "{:>11.3}{:>11}", r.calls_per_message, r.broken)?;
+            write!(f, "{:>11.3}{:>11}", row.calls_per_message, row.broken)?;
         }
         Ok(())
     }
--- a/crates/lab/src/experiments/tests.rs
+++ b/crates/lab/src/experiments/tests.rs
@@ -1,51 +1,55 @@
 use super::compare::{compare, Verdict};
-use super::hunt::{draw, hunt};
+use super::worst_case::{find_worst_case, random_scenario};
 use super::*;
 
-fn scenario(more: &str) -> Scenario {
+fn scenario(extra_toml: &str) -> Scenario {
     let text = format!(
         "version = 1\nname = \"e\"\nshows = \"e\"\nlasts = \"20s\"\n[forwarders]\ncount = 2\nslots = 16\n\
          [[profiles]]\nname = \"b\"\neffect = \"binding\"\ncontract_time = \"1s\"\nexpiry = \"8s\"\n\
          [[destinations]]\nname = \"d\"\ncount = 3\nrate = 30.0\nwait = \"300ms\"\nerrors = 0.05\n\
-         service = {{ kind = \"exponential\", mean = \"40ms\" }}\n[[loads]]\nrate = 40.0\n{more}"
+         service = {{ kind = \"exponential\", mean = \"40ms\" }}\n[[loads]]\nrate = 40.0\n{extra_toml}"
     );
     Scenario::read(&text, "e").expect("it is right")
 }
 
 #[test]
-fn values_are_set_by_their_keys_and_bad_ones_are_told() {
+fn sets_values_by_key_and_rejects_invalid_assignments() {
     let base = scenario("");
-    let sets = ["forwarders.slots=7", "destinations[0].rate=12", "lasts=5s"].map(String::from);
-    let set = with_values(&base, &sets).expect("they fit");
+    let assignments =
+        ["forwarders.slots=7", "destinations[0].rate=12", "lasts=5s"].map(String::from);
+    let changed = with_assignments(&base, &assignments).expect("they fit");
     assert_eq!(
         (
-            set.forwarders.concurrency_limit,
-            set.destinations[0].rate,
-            set.lasts.0
+            changed.forwarders.concurrency_limit,
+            changed.destinations[0].rate,
+            changed.lasts.0
         ),
         (7, 12.0, 5_000_000)
     );
-    for bad in [
+    for invalid in [
         "slots",
         "forwarders.slits=7",
         "destinations[9].rate=1",
         "forwarders.slots=0",
     ] {
-        assert!(with_values(&base, &[bad.into()]).is_err(), "{bad}");
+        assert!(
+            with_assignments(&base, &[invalid.into()]).is_err(),
+            "{invalid}"
+        );
     }
 }
 
 #[test]
-fn a_worse_variant_is_told_from_a_better_and_a_same_one_from_neither() {
+fn verdict_is_worse_better_or_inconclusive_for_narrow_wide_or_equal_sides() {
     // More than one slot a forwarder carries (2 / 40 ms = 50 a second), and well under the limits.
-    let base = with_values(&scenario(""), &["loads[0].rate=65".into()]).expect("it fits");
+    let base = with_assignments(&scenario(""), &["loads[0].rate=65".into()]).expect("it fits");
     let seeds: Vec<u64> = (1..=6).collect();
     let runs = |scenario: &Scenario, variant| {
-        in_parallel(&seeds, 4, |s| {
-            simulate(scenario, *s, variant).expect("it runs")
+        run_in_parallel(&seeds, 4, |seed| {
+            simulate(scenario, *seed, variant).expect("it runs")
         })
     };
-    let narrow = with_values(&base, &["forwarders.slots=1".into()]).expect("it fits");
+    let narrow = with_assignments(&base, &["forwarders.slots=1".into()]).expect("it fits");
     let (wide, narrow) = (
         runs(&base, ForwarderVariant::True),
         runs(&narrow, ForwarderVariant::True),
@@ -61,48 +65,53 @@
 }
 
 #[test]
-fn the_interval_of_a_mean_holds_its_mean_most_of_the_time() {
+fn confidence_interval_covers_the_true_mean_in_85_to_99_percent_of_samples() {
     let mut rng = crate::chance::stream(3, "interval", 0);
-    let held = (0..200).filter(|n| {
+    let covered = (0..200).filter(|seed| {
         let sample: Vec<f64> = (0..20)
             .map(|_| crate::chance::exponential(&mut rng))
             .collect();
-        let (low, high) = compare::interval(&sample, *n);
+        let (low, high) = compare::confidence_interval(&sample, *seed);
         low < 1.0 && high > 1.0
     });
-    let held = held.count();
-    assert!((170..=198).contains(&held), "{held} of 200");
+    let covered = covered.count();
+    assert!((170..=198).contains(&covered), "{covered} of 200");
 }
 
 #[test]
-fn a_hunt_finds_what_is_broken_and_shrinks_it() {
+fn search_finds_a_broken_rule_and_shrinks_its_scenario() {
     let base = scenario("");
-    let catch = hunt(&base, 1, 12, ForwarderVariant::ResendsAtMostOnce, |_| {}).expect("it runs");
+    let worst_case = find_worst_case(&base, 1, 12, ForwarderVariant::ResendsAtMostOnce, |_| {})
+        .expect("it runs");
     assert!(
-        catch.outcome.broken.contains_key("effect-twice"),
+        worst_case.outcome.broken.contains_key("effect-twice"),
         "{:?}",
-        catch.outcome.broken
+        worst_case.outcome.broken
     );
-    let drawn = draw(&base, catch.seed);
-    let weight = |s: &Scenario| s.faults.len() as f64 + s.loads[0].rate;
-    assert!(weight(&catch.scenario) < weight(&drawn) && catch.shrinking > 0);
+    let unshrunk = random_scenario(&base, worst_case.seed);
+    let size = |scenario: &Scenario| scenario.faults.len() as f64 + scenario.loads[0].rate;
+    assert!(size(&worst_case.scenario) < size(&unshrunk) && worst_case.shrink_runs > 0);
     // What is saved shows the same again.
-    let text = toml::to_string(&catch.scenario).expect("it can be written");
-    let resubmitted = simulate(
+    let text = toml::to_string(&worst_case.scenario).expect("it can be written");
+    let rerun_outcome = simulate(
         &Scenario::read(&text, "again").expect("it reads"),
-        catch.seed,
+        worst_case.seed,
         ForwarderVariant::ResendsAtMostOnce,
     );
-    assert_eq!(resubmitted.expect("it runs").broken, catch.outcome.broken);
+    assert_eq!(
+        rerun_outcome.expect("it runs").broken,
+        worst_case.outcome.broken
+    );
 }
 
 #[test]
-fn a_hunt_for_the_true_one_breaks_no_rule() {
-    let catch = hunt(&scenario(""), 100, 40, ForwarderVariant::True, |_| {}).expect("it runs");
+fn search_over_the_unmodified_forwarder_finds_no_broken_rule() {
+    let worst_case =
+        find_worst_case(&scenario(""), 100, 40, ForwarderVariant::True, |_| {}).expect("it runs");
     assert!(
-        catch.outcome.broken.is_empty(),
+        worst_case.outcome.broken.is_empty(),
         "seed {}: {:?}",
-        catch.seed,
-        catch.outcome.breaks
+        worst_case.seed,
+        worst_case.outcome.breaks
     );
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -9,24 +9,24 @@
 pub use plots::PlotError;
 
 use crate::tally::Outcome;
-use rows::ROWS;
+use rows::FIGURES;
 
 /// Broken rules that are told with what happened, in a terminal.
-const MAX_BREAKS: usize = 5;
+const MAX_PRINTED_BREAKS: usize = 5;
 
 /// The figures of an outcome in words, for a terminal.
 pub fn text(outcome: &Outcome) -> String {
     let mut text = format!("{}: {}\n", outcome.scenario, outcome.shows);
-    for (name, figure) in ROWS {
-        text += &format!("  {name:<38}{}\n", figure(outcome));
+    for (label, format_figure) in FIGURES {
+        text += &format!("  {label:<38}{}\n", format_figure(outcome));
     }
     for miss in outcome.misses() {
         text += &format!("  MISSED: {miss}\n");
     }
-    for broken in outcome.breaks.iter().take(MAX_BREAKS) {
-        let seconds = broken.at as f64 / 1e6;
-        let (rule, what) = (broken.rule, &broken.what);
-        text += &format!("  {rule} at {seconds:.3} s: {what}\n");
+    for broken in outcome.breaks.iter().take(MAX_PRINTED_BREAKS) {
+        let broken_at_s = broken.at as f64 / 1e6;
+        let (rule, description) = (broken.rule, &broken.what);
+        text += &format!("  {rule} at {broken_at_s:.3} s: {description}\n");
     }
     text
 }
--- a/crates/lab/src/report/page.rs
+++ b/crates/lab/src/report/page.rs
@@ -1,7 +1,7 @@
 //! The HTML page of a report. It holds everything itself.
 
 use super::plots::{plots, PlotError};
-use super::rows::ROWS;
+use super::rows::FIGURES;
 use crate::oracle::Break;
 use crate::tally::{Clock, FaultPeriod, Outcome};
 
@@ -14,23 +14,23 @@
     let title = outcomes
         .first()
         .map_or("nothing", |outcome| outcome.scenario.as_str());
-    let title = escaped(title);
+    let title = escape_html(title);
     let mut page = format!(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>{title}</title>\
          <style>{STYLE}</style></head><body><h1>{title}</h1>\n"
     );
     if let Some(first) = outcomes.first() {
-        page += &format!("<p>{}</p>\n", escaped(&first.shows));
+        page += &format!("<p>{}</p>\n", escape_html(&first.shows));
     }
-    page += &figures(outcomes);
+    page += &figure_table(outcomes);
     for outcome in outcomes {
-        page += &section(outcome)?;
+        page += &outcome_section(outcome)?;
     }
     page += "</body></html>\n";
     Ok(page)
 }
 
-fn escaped(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
         .replace('>', "&gt;")
@@ -38,46 +38,46 @@
 }
 
 /// The table of figures, a column an outcome.
-fn figures(outcomes: &[Outcome]) -> String {
+fn figure_table(outcomes: &[Outcome]) -> String {
     let mut table = String::from("<table>\n");
-    for (name, figure) in ROWS {
+    for (label, format_figure) in FIGURES {
         let cells: String = outcomes
             .iter()
-            .map(|outcome| format!("<td>{}</td>", escaped(&figure(outcome))))
+            .map(|outcome| format!("<td>{}</td>", escape_html(&format_figure(outcome))))
             .collect();
-        table += &format!("<tr><th>{name}</th>{cells}</tr>\n");
+        table += &format!("<tr><th>{label}</th>{cells}</tr>\n");
     }
     table + "</table>\n"
 }
 
 /// What one outcome misses, its plots, its faults and the rules that it broke.
-fn section(outcome: &Outcome) -> Result<String, PlotError> {
+fn outcome_section(outcome: &Outcome) -> Result<String, PlotError> {
     let clock = match outcome.clock {
         Clock::Simulated => "Simulated",
         Clock::Sockets => "On sockets",
     };
-    let subject = escaped(&outcome.subject);
+    let subject = escape_html(&outcome.subject);
     let mut section = format!("<h2>{clock}, seed {}, {subject}</h2>\n", outcome.seed);
-    section += &misses(outcome);
+    section += &missed_expectations(outcome);
     section += &plots(outcome)?;
-    section += &faults(&outcome.spells);
-    section += &breaks(&outcome.breaks);
+    section += &fault_table(&outcome.spells);
+    section += &break_table(&outcome.breaks);
     Ok(section)
 }
 
-fn misses(outcome: &Outcome) -> String {
+fn missed_expectations(outcome: &Outcome) -> String {
     let misses = outcome.misses();
     if misses.is_empty() {
         return String::new();
     }
     let items: String = misses
         .iter()
-        .map(|miss| format!("<li>{}</li>", escaped(miss)))
+        .map(|miss| format!("<li>{}</li>", escape_html(miss)))
         .collect();
     format!("<ul class=\"bad\">{items}</ul>\n")
 }
 
-fn faults(periods: &[FaultPeriod]) -> String {
+fn fault_table(periods: &[FaultPeriod]) -> String {
     if periods.is_empty() {
         return String::new();
     }
@@ -85,23 +85,25 @@
         "<table><tr><th>went wrong (shaded)</th><th>from s</th><th>until s</th></tr>\n",
     );
     for period in periods {
-        let (from, until) = (period.from as f64 / 1e6, period.until as f64 / 1e6);
-        let what = escaped(&period.what);
-        table += &format!("<tr><td>{what}</td><td>{from:.1}</td><td>{until:.1}</td></tr>\n");
+        let (from_s, until_s) = (period.from as f64 / 1e6, period.until as f64 / 1e6);
+        let fault_name = escape_html(&period.what);
+        table +=
+            &format!("<tr><td>{fault_name}</td><td>{from_s:.1}</td><td>{until_s:.1}</td></tr>\n");
     }
     table + "</table>\n"
 }
 
-fn breaks(breaks: &[Break]) -> String {
+fn break_table(breaks: &[Break]) -> String {
     if breaks.is_empty() {
         return String::new();
     }
     let mut table =
         String::from("<table class=\"bad\"><tr><th>rule</th><th>at s</th><th>what</th></tr>\n");
     for broken in breaks {
-        let at = broken.at as f64 / 1e6;
-        let (rule, what) = (broken.rule, escaped(&broken.what));
-        table += &format!("<tr><td>{rule}</td><td>{at:.3}</td><td>{what}</td></tr>\n");
+        let broken_at_s = broken.at as f64 / 1e6;
+        let (rule, description) = (broken.rule, escape_html(&broken.what));
+        table +=
+            &format!("<tr><td>{rule}</td><td>{broken_at_s:.3}</td><td>{description}</td></tr>\n");
     }
     table + "</table>\n"
 }
--- a/crates/lab/src/report/plots.rs
+++ b/crates/lab/src/report/plots.rs
@@ -10,17 +10,17 @@
 pub type PlotError = DrawingAreaErrorKind<std::io::Error>;
 
 /// Width and height of a plot, pixels.
-const SIZE: (u32, u32) = (900, 240);
-const COLOURS: [RGBColor; 4] = [
+const PLOT_SIZE: (u32, u32) = (900, 240);
+const SERIES_COLOURS: [RGBColor; 4] = [
     RGBColor(31, 119, 180),
     RGBColor(44, 160, 44),
     RGBColor(214, 39, 40),
     RGBColor(255, 127, 14),
 ];
 /// Behind the time of a fault.
-const SHADE: RGBColor = RGBColor(150, 120, 60);
+const FAULT_SHADE: RGBColor = RGBColor(150, 120, 60);
 /// The lowest value of a logarithmic axis.
-const LOG_LOW: f64 = 0.1;
+const LOG_AXIS_MIN: f64 = 0.1;
 
 /// One line of a plot: its name and its value in a time bucket.
 type Series<'a> = (&'a str, Box<dyn Fn(&TimeBucket) -> f64 + 'a>);
@@ -31,14 +31,16 @@
     title: &'a str,
     unit: &'a str,
     /// The values stand on a logarithmic axis.
-    log: bool,
+    is_logarithmic: bool,
     series: &'a [Series<'a>],
 }
 
 /// All plots of an outcome.
 pub(super) fn plots(outcome: &Outcome) -> Result<String, PlotError> {
-    let buckets_a_second = 1e6 / outcome.bucket_width as f64;
-    let rate = |of: fn(&TimeBucket) -> u64| move |b: &TimeBucket| of(b) as f64 * buckets_a_second;
+    let buckets_per_second = 1e6 / outcome.bucket_width as f64;
+    let rate = |count_of: fn(&TimeBucket) -> u64| {
+        move |bucket: &TimeBucket| count_of(bucket) as f64 * buckets_per_second
+    };
     let traffic: [Series; 3] = [
         ("due", Box::new(rate(|bucket| bucket.due))),
         ("served", Box::new(rate(|bucket| bucket.served))),
@@ -58,11 +60,11 @@
             Box::new(rate(|bucket| bucket.rejected + bucket.failed_messages)),
         ),
     ];
-    let plot = |title, unit, log, series| Plot {
+    let plot = |title, unit, is_logarithmic, series| Plot {
         outcome,
         title,
         unit,
-        log,
+        is_logarithmic,
         series,
     };
     Ok([
@@ -77,13 +79,13 @@
 impl Plot<'_> {
     fn svg(&self) -> Result<String, PlotError> {
         let mut svg = String::new();
-        self.draw(SVGBackend::with_string(&mut svg, SIZE).into_drawing_area())?;
+        self.draw(SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area())?;
         Ok(svg)
     }
 
     fn draw(&self, area: DrawingArea<SVGBackend, Shift>) -> Result<(), PlotError> {
         area.fill(&WHITE)?;
-        let (ends, high) = (self.ends(), self.high());
+        let (time_axis_end_s, value_axis_max) = (self.time_axis_end_s(), self.value_axis_max());
         let caption = format!("{} ({})", self.title, self.unit);
         let mut builder = ChartBuilder::on(&area);
         builder
@@ -91,39 +93,45 @@
             .margin(6)
             .x_label_area_size(26)
             .y_label_area_size(62);
-        if self.log {
-            let values = (LOG_LOW..high).log_scale();
-            self.draw_chart(builder.build_cartesian_2d(0.0..ends, values)?, LOG_LOW)?;
+        if self.is_logarithmic {
+            let values = (LOG_AXIS_MIN..value_axis_max).log_scale();
+            self.draw_chart(
+                builder.build_cartesian_2d(0.0..time_axis_end_s, values)?,
+                LOG_AXIS_MIN,
+            )?;
         } else {
-            self.draw_chart(builder.build_cartesian_2d(0.0..ends, 0.0..high)?, 0.0)?;
+            self.draw_chart(
+                builder.build_cartesian_2d(0.0..time_axis_end_s, 0.0..value_axis_max)?,
+                0.0,
+            )?;
         }
         area.present()
     }
 
     /// When a time bucket begins, s.
-    fn seconds(&self, bucket: usize) -> f64 {
+    fn bucket_start_s(&self, bucket: usize) -> f64 {
         bucket as f64 * self.outcome.bucket_width as f64 / 1e6
     }
 
     /// The end of the time axis, s.
-    fn ends(&self) -> f64 {
-        self.seconds(self.outcome.buckets.len()).max(1.0)
+    fn time_axis_end_s(&self) -> f64 {
+        self.bucket_start_s(self.outcome.buckets.len()).max(1.0)
     }
 
     /// The top of the axis of values.
-    fn high(&self) -> f64 {
+    fn value_axis_max(&self) -> f64 {
         let buckets = &self.outcome.buckets;
         let series = self.series.iter();
         let values = series.flat_map(|(_, value)| buckets.iter().map(value));
-        let least = if self.log { 10.0 } else { 1.0 };
-        values.fold(0.0, f64::max).max(least) * 1.1
+        let min_axis_max = if self.is_logarithmic { 10.0 } else { 1.0 };
+        values.fold(0.0, f64::max).max(min_axis_max) * 1.1
     }
 
     /// Draws mesh, faults, lines and names; `low` is the lowest value that the axis shows.
     fn draw_chart<'c, 'b: 'c, Y>(
         &self,
         mut chart: ChartContext<'c, SVGBackend<'b>, Cartesian2d<RangedCoordf64, Y>>,
-        low: f64,
+        value_axis_min: f64,
     ) -> Result<(), PlotError>
     where
         Y: Ranged<ValueType = f64> + ValueFormatter<f64>,
@@ -136,16 +144,20 @@
             .light_line_style(WHITE)
             .draw()?;
         for period in &self.outcome.spells {
-            let from = period.from as f64 / 1e6;
-            let until = (period.until as f64 / 1e6).min(self.ends());
-            let corners = [(from, low), (until, self.high())];
-            let shade = Rectangle::new(corners, SHADE.mix(0.10).filled());
-            chart.draw_series(std::iter::once(shade))?;
+            let from_s = period.from as f64 / 1e6;
+            let until_s = (period.until as f64 / 1e6).min(self.time_axis_end_s());
+            let corners = [(from_s, value_axis_min), (until_s, self.value_axis_max())];
+            let rectangle = Rectangle::new(corners, FAULT_SHADE.mix(0.10).filled());
+            chart.draw_series(std::iter::once(rectangle))?;
         }
-        for ((name, value), colour) in self.series.iter().zip(COLOURS) {
+        for ((name, value), colour) in self.series.iter().zip(SERIES_COLOURS) {
             let buckets = self.outcome.buckets.iter().enumerate();
-            let points =
-                buckets.map(|(number, bucket)| (self.seconds(number), value(bucket).max(low)));
+            let points = buckets.map(|(index, bucket)| {
+                (
+                    self.bucket_start_s(index),
+                    value(bucket).max(value_axis_min),
+                )
+            });
             chart
                 .draw_series(LineSeries::new(points, colour.stroke_width(1)))?
                 .label(*name)
--- a/crates/lab/src/report/rows.rs
+++ b/crates/lab/src/report/rows.rs
@@ -3,73 +3,83 @@
 use crate::tally::{Clock, Outcome};
 
 /// What a table row shows of an outcome.
-pub(super) type Row = (&'static str, fn(&Outcome) -> String);
+pub(super) type Figure = (&'static str, fn(&Outcome) -> String);
 
-pub(super) const ROWS: [Row; 20] = [
-    ("clock", |o| {
-        if o.clock == Clock::Simulated {
+pub(super) const FIGURES: [Figure; 20] = [
+    ("clock", |outcome| {
+        if outcome.clock == Clock::Simulated {
             "simulated".into()
         } else {
             "sockets".into()
         }
     }),
-    ("seed", |o| o.seed.to_string()),
-    ("forwarder", |o| o.subject.clone()),
-    ("messages due", |o| o.counts.due.to_string()),
-    ("served", |o| format!("{:.4}", o.served_share())),
-    ("service (share of the weight)", |o| {
-        format!("{:.4}", o.service)
+    ("seed", |outcome| outcome.seed.to_string()),
+    ("forwarder", |outcome| outcome.subject.clone()),
+    ("messages due", |outcome| outcome.counts.due.to_string()),
+    ("served", |outcome| format!("{:.4}", outcome.served_share())),
+    ("service (share of the weight)", |outcome| {
+        format!("{:.4}", outcome.service)
     }),
-    ("served by the first attempt", |o| {
-        format!("{:.4}", o.first_attempt_share())
+    ("served by the first attempt", |outcome| {
+        format!("{:.4}", outcome.first_attempt_share())
     }),
-    ("calls a message", |o| {
-        format!("{:.3}", o.calls_per_message())
+    ("calls a message", |outcome| {
+        format!("{:.3}", outcome.calls_per_message())
     }),
-    ("p50, p99, p99.9 ms", |o| {
-        let ms = |v: u64| v as f64 / 1e3;
+    ("p50, p99, p99.9 ms", |outcome| {
+        let ms = |micros: u64| micros as f64 / 1e3;
         format!(
             "{:.1}, {:.1}, {:.1}",
-            ms(o.latency.p50),
-            ms(o.latency.p99),
-            ms(o.latency.p999)
+            ms(outcome.latency.p50),
+            ms(outcome.latency.p99),
+            ms(outcome.latency.p999)
         )
     }),
-    ("failed", |o| o.counts.failed.to_string()),
-    ("deferrals", |o| o.counts.rejections.to_string()),
-    ("given up by clients", |o| o.counts.given_up.to_string()),
-    ("gone with a folder", |o| o.counts.gone.to_string()),
-    ("open at the end", |o| o.counts.open.to_string()),
-    ("calls, probes", |o| {
-        format!("{}, {}", o.counts.calls, o.counts.health_checks)
+    ("failed", |outcome| outcome.counts.failed.to_string()),
+    ("deferrals", |outcome| outcome.counts.rejections.to_string()),
+    ("given up by clients", |outcome| {
+        outcome.counts.given_up.to_string()
     }),
-    ("outcomes of calls", |o| {
-        o.counts
+    ("gone with a folder", |outcome| {
+        outcome.counts.gone.to_string()
+    }),
+    ("open at the end", |outcome| outcome.counts.open.to_string()),
+    ("calls, probes", |outcome| {
+        format!("{}, {}", outcome.counts.calls, outcome.counts.health_checks)
+    }),
+    ("outcomes of calls", |outcome| {
+        outcome
+            .counts
             .outcomes
             .iter()
-            .map(|(n, c)| format!("{n} {c}"))
+            .map(|(name, count)| format!("{name} {count}"))
             .collect::<Vec<_>>()
             .join(", ")
     }),
-    ("targets pushed over, blamed or not", |o| {
-        o.falls.to_string()
+    ("targets pushed over, blamed or not", |outcome| {
+        outcome.falls.to_string()
     }),
-    ("rules broken", |o| match o.broken.is_empty() {
+    ("rules broken", |outcome| match outcome.broken.is_empty() {
         true => "none".into(),
-        false => o
+        false => outcome
             .broken
             .iter()
-            .map(|(r, n)| format!("{r} {n}"))
+            .map(|(rule, count)| format!("{rule} {count}"))
             .collect::<Vec<_>>()
             .join(", "),
     }),
-    ("load tool, receivers late at p99, us", |o| match o.clock {
-        Clock::Simulated => "-".into(),
-        Clock::Sockets => format!("{}, {}", o.load_late, o.receivers_late),
-    }),
-    ("verdict", |o| match (o.misses().is_empty(), &o.void) {
-        (_, Some(_)) => "void".into(),
-        (true, _) => "as expected".into(),
-        _ => "misses what is expected".into(),
+    (
+        "load tool, receivers late at p99, us",
+        |outcome| match outcome.clock {
+            Clock::Simulated => "-".into(),
+            Clock::Sockets => format!("{}, {}", outcome.load_late, outcome.receivers_late),
+        },
+    ),
+    ("verdict", |outcome| {
+        match (outcome.misses().is_empty(), &outcome.void) {
+            (_, Some(_)) => "void".into(),
+            (true, _) => "as expected".into(),
+            _ => "misses what is expected".into(),
+        }
     }),
 ];
--- a/crates/lab/tests/tool.rs
+++ b/crates/lab/tests/tool.rs
@@ -9,62 +9,70 @@
 /// Runs of a world on sockets until one must not be void.
 const MAX_VOID_RUNS: usize = 3;
 
-fn lab(args: &[&str]) -> Output {
+fn run_lab(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_opalpulley-lab"))
         .args(args)
         .output()
         .expect("it runs")
 }
 
-fn scenario(name: &str) -> String {
+fn scenario_path(name: &str) -> String {
     format!(
         "{}/../../lab/scenarios/{name}.toml",
         env!("CARGO_MANIFEST_DIR")
     )
 }
 
-fn text(bytes: &[u8]) -> String {
+fn to_text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-fn run(scenario: &str, seed: &str, to: &Path) -> Vec<u8> {
-    let to = to.to_str().expect("a name");
-    let ended = lab(&["run", scenario, "--simulated", "--seed", seed, "--json", to]);
-    assert!(ended.status.success(), "{}", text(&ended.stdout));
-    std::fs::read(to).expect("it was written")
+fn simulate(scenario: &str, seed: &str, json_file: &Path) -> Vec<u8> {
+    let json_path = json_file.to_str().expect("a name");
+    let output = run_lab(&[
+        "run",
+        scenario,
+        "--simulated",
+        "--seed",
+        seed,
+        "--json",
+        json_path,
+    ]);
+    assert!(output.status.success(), "{}", to_text(&output.stdout));
+    std::fs::read(json_path).expect("it was written")
 }
 
 #[test]
-fn two_processes_write_the_same_bytes_for_the_same_scenario_and_seed() {
+fn writes_identical_outcomes_for_equal_scenario_and_seed_in_two_processes() {
     let dir = tempfile::tempdir().expect("a folder");
     for name in ["hostile", "day", "herd"] {
         let [a, b, c] = [("a", "5"), ("b", "5"), ("c", "6")]
-            .map(|(file, seed)| run(&scenario(name), seed, &dir.path().join(file)));
+            .map(|(file, seed)| simulate(&scenario_path(name), seed, &dir.path().join(file)));
         assert!(a == b, "{name}: the same seed");
         assert!(a != c, "{name}: another seed");
     }
 }
 
 #[test]
-fn the_short_scenarios_of_the_catalogue_are_as_expected() {
+fn catalogue_exits_with_0_when_every_scenario_meets_its_expectations() {
     let folder = format!("{}/../../lab/scenarios", env!("CARGO_MANIFEST_DIR"));
-    let ended = lab(&["catalogue", &folder]);
-    let told = text(&ended.stdout);
-    assert_eq!(ended.status.code(), Some(0), "{told}");
-    assert!(told.lines().count() >= 16, "{told}");
+    let output = run_lab(&["catalogue", &folder]);
+    let stdout = to_text(&output.stdout);
+    assert_eq!(output.status.code(), Some(0), "{stdout}");
+    assert!(stdout.lines().count() >= 16, "{stdout}");
 }
 
 #[test]
-fn a_broken_forwarder_and_bad_input_end_with_their_codes_and_their_words() {
-    let hostile = scenario("hostile");
-    let broken = lab(&["run", &hostile, "--make", "second-answer"]);
-    assert_eq!(broken.status.code(), Some(1));
-    assert!(text(&broken.stdout).contains("second-final-answer"));
+fn exits_with_1_for_a_broken_rule_and_with_2_for_unusable_input() {
+    let hostile = scenario_path("hostile");
+    let broken_rule = run_lab(&["run", &hostile, "--make", "second-answer"]);
+    assert_eq!(broken_rule.status.code(), Some(1));
+    assert!(to_text(&broken_rule.stdout).contains("second-final-answer"));
     let dir = tempfile::tempdir().expect("a folder");
     let file = dir.path().join("bad.toml");
     let good = std::fs::read_to_string(&hostile).expect("it is there");
     std::fs::write(&file, good.replacen("slots = 24", "slits = 24", 1)).expect("written");
-    for (args, word) in [
+    for (args, expected) in [
         (vec!["run", "nowhere.toml"], "nowhere.toml"),
         (vec!["run", file.to_str().expect("a name")], "slits"),
         (
@@ -93,24 +101,24 @@
             "slits",
         ),
     ] {
-        let ended = lab(&args);
-        let words = text(&ended.stderr);
-        assert_eq!(ended.status.code(), Some(2), "{args:?}: {words}");
+        let output = run_lab(&args);
+        let stderr = to_text(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{args:?}: {stderr}");
         assert!(
-            words.contains(word) && words.lines().count() == 1,
-            "{args:?}: {words}"
+            stderr.contains(expected) && stderr.lines().count() == 1,
+            "{args:?}: {stderr}"
         );
     }
 }
 
 #[test]
-fn comparisons_sweeps_and_reports_are_written() {
+fn compare_sweep_and_report_write_their_files() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = |name: &str| -> (PathBuf, String) {
         let path = dir.path().join(name);
         (path.clone(), path.to_str().expect("a name").into())
     };
-    let first = scenario("first");
+    let first = scenario_path("first");
     let (file, to) = path("compare.json");
     let args = [
         "compare",
@@ -123,16 +131,16 @@
         "--json",
         &to,
     ];
-    assert_eq!(lab(&args).status.code(), Some(1), "one slot is worse");
-    let told: serde_json::Value =
+    assert_eq!(run_lab(&args).status.code(), Some(1), "one slot is worse");
+    let comparison: serde_json::Value =
         serde_json::from_slice(&std::fs::read(file).expect("written")).expect("JSON");
     assert_eq!(
-        (&told["verdict"], &told["pairs"]),
+        (&comparison["verdict"], &comparison["pairs"]),
         (&"worse".into(), &4.into())
     );
     // Another build of the program is asked by its path; this one against itself can't be told apart.
     let build = env!("CARGO_BIN_EXE_opalpulley-lab");
-    let same = lab(&[
+    let same_build = run_lab(&[
         "compare",
         &first,
         &first,
@@ -142,9 +150,9 @@
         "3",
     ]);
     assert!(
-        text(&same.stdout).contains("neither better nor worse"),
+        to_text(&same_build.stdout).contains("neither better nor worse"),
         "{}",
-        text(&same.stdout)
+        to_text(&same_build.stdout)
     );
     let (file, to) = path("sweep.json");
     let args = [
@@ -159,16 +167,16 @@
         "--json",
         &to,
     ];
-    assert!(lab(&args).status.success());
-    let told: serde_json::Value =
+    assert!(run_lab(&args).status.success());
+    let sweep: serde_json::Value =
         serde_json::from_slice(&std::fs::read(file).expect("written")).expect("JSON");
-    let service = |n: usize| told["rows"][n]["service"].as_f64().expect("a figure");
-    assert!(service(0) < service(2), "{told}");
+    let service = |row: usize| sweep["rows"][row]["service"].as_f64().expect("a figure");
+    assert!(service(0) < service(2), "{sweep}");
     let (outcome, _) = path("outcome.json");
-    run(&first, "1", &outcome);
+    simulate(&first, "1", &outcome);
     let (page, to) = path("page.html");
     assert!(
-        lab(&["report", outcome.to_str().expect("a name"), "--to", &to])
+        run_lab(&["report", outcome.to_str().expect("a name"), "--to", &to])
             .status
             .success()
     );
@@ -179,13 +187,13 @@
 
 /// The oracle on sockets can fail, too: a bare relay neither tries again nor gives anyone a final answer.
 #[test]
-fn on_sockets_a_bare_relay_is_caught_losing_packets() {
+fn run_on_sockets_reports_lost_messages_of_a_relay_without_retries() {
     let dir = tempfile::tempdir().expect("a folder");
     let file = dir.path().join("relay.toml");
-    let world = "version = 1\nname = \"relay\"\nshows = \"s\"\nlasts = \"2s\"\n[[profiles]]\nname = \"p\"\neffect = \"retriable\"\n\
+    let toml = "version = 1\nname = \"relay\"\nshows = \"s\"\nlasts = \"2s\"\n[[profiles]]\nname = \"p\"\neffect = \"retriable\"\n\
                  contract_time = \"500ms\"\nexpiry = \"2s\"\n[[destinations]]\nname = \"d\"\nrate = 100.0\nlimited = false\n\
                  errors = 0.3\nservice = { kind = \"constant\", time = \"5ms\" }\n[[loads]]\nrate = 40.0\n";
-    std::fs::write(&file, world).expect("written");
+    std::fs::write(&file, toml).expect("written");
     let relay = env!("CARGO_BIN_EXE_opalpulley-relay");
     let arguments = [
         "run",
@@ -195,17 +203,17 @@
         relay,
     ];
     // A void run shows nothing: the machine was too slow for the load tool.
-    let is_void = |ended: &Output| ended.status.code() == Some(EXIT_VOID);
-    let ended = (0..MAX_VOID_RUNS)
-        .map(|_| lab(&arguments))
-        .find(|ended| !is_void(ended))
+    let is_void = |output: &Output| output.status.code() == Some(EXIT_VOID);
+    let output = (0..MAX_VOID_RUNS)
+        .map(|_| run_lab(&arguments))
+        .find(|output| !is_void(output))
         .expect("a run that is not void");
-    let told = text(&ended.stdout);
+    let stdout = to_text(&output.stdout);
     assert_eq!(
-        ended.status.code(),
+        output.status.code(),
         Some(1),
-        "{told}{}",
-        text(&ended.stderr)
+        "{stdout}{}",
+        to_text(&output.stderr)
     );
-    assert!(told.contains("rule broken: lost"), "{told}");
+    assert!(stdout.contains("rule broken: lost"), "{stdout}");
 }
