--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands: a module each, with its options and the function that carries it out.
+//! The subcommands. Each has a module with its options and its `execute` function.
 
 mod bids;
 mod catalogue;
@@ -19,40 +19,42 @@
 use opalpulley_lab::capacity;
 use std::process::ExitCode;
 
-/// How a subcommand ended: the program's exit code, or why it could not be carried out.
+/// The exit code of a subcommand that ran, or the reason why it could not run.
 type CommandResult = Result<ExitCode, CommandError>;
 
-/// A run that shows nothing: the machine or the load tool was too slow, or a forwarder crashed.
+/// Exit code for a void run: the machine or the load tool was too slow, or a forwarder crashed, so the run shows nothing.
 const EXIT_VOID: u8 = 3;
 
-/// One subcommand with its options.
+/// A subcommand with its options.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Plays a scenario, simulated or on sockets, and judges it
+    /// Runs a scenario on the simulated clock or on sockets and checks its outcome
     Run(run::Options),
-    /// The load tool alone, at forwarders that run already
+    /// Submits the load of a scenario to forwarders that are already running
     Load(load::Options),
-    /// Only the world: receivers and discovery, to try a forwarder by hand
+    /// Serves the receivers and the discovery of a scenario, to try a forwarder by hand
     StandIns(stand_ins::Options),
-    /// Two variants of a scenario, or two builds, paired by seed
+    /// Compares two variants of a scenario, or two builds, in runs that are paired by seed
     Compare(compare::Options),
-    /// One value over a range
+    /// Runs a scenario with each of several values of one key
     Sweep(sweep::Options),
-    /// Draws worlds round a scenario until a rule breaks or the loss is greatest, and shrinks the worst
+    /// Runs random variants of a scenario, and shrinks the one that breaks a rule or loses the most
     Hunt(hunt::Options),
-    /// One page from outcomes that were written as JSON
+    /// Writes an HTML report of outcomes that were written as JSON
     Report(report::Options),
-    /// What the core's own work costs while so many messages wait in one queue
+    /// Measures the CPU cost of core events while a given number of messages waits in one queue
     Bids(bids::Options),
-    /// What the core and the program hold and use at several sizes, with the slope of each figure
+    /// Measures the memory and CPU use of the core and the program at several sizes, with the slope of each figure
     #[command(subcommand)]
     Capacity(capacity::command::Command),
-    /// Plays every scenario of a folder
+    /// Runs every scenario in a directory
     Catalogue(catalogue::Options),
 }
 
 impl Command {
-    /// Carries out the subcommand; returns the program's exit code.
+    /// Executes the subcommand and returns the exit code of the program.
+    ///
+    /// Fails if an input is unusable, if a file can't be read or written, or if a compared run is void.
     pub fn execute(self) -> CommandResult {
         match self {
             Command::Run(options) => run::execute(&options),
--- a/crates/lab/src/commands/catalogue.rs
+++ b/crates/lab/src/commands/catalogue.rs
@@ -1,4 +1,4 @@
-//! `catalogue`: plays every scenario of a folder.
+//! The subcommand `catalogue`, which runs every scenario in a directory.
 
 use super::error::CommandError;
 use super::options::{ClockOptions, RunOptions};
@@ -10,24 +10,25 @@
 use opalpulley_lab::tally::Outcome;
 use std::path::{Path, PathBuf};
 
-/// Options of `catalogue`.
+/// Options of the subcommand `catalogue`.
 #[derive(Args)]
 pub struct Options {
+    /// The directory of the scenario files (TOML)
     #[arg(default_value = "lab/scenarios")]
     folder: PathBuf,
     #[command(flatten)]
     clocks: ClockOptions,
     #[command(flatten)]
     run: RunOptions,
-    /// Writes a page for each scenario
+    /// Writes an HTML report for each scenario into this directory
     #[arg(long)]
     reports: Option<PathBuf>,
-    /// Only those that last no longer, s
+    /// Skips scenarios whose load lasts longer than this, in seconds
     #[arg(long)]
     shorter_than: Option<f64>,
 }
 
-/// Plays the folder's scenarios in the order of their names and prints a line for each run.
+/// Runs the scenarios of the directory in the order of their file names and prints one line for each run.
 pub fn execute(options: &Options) -> CommandResult {
     let files = scenario_files(&options.folder)?;
     if let Some(reports_dir) = &options.reports {
@@ -51,7 +52,7 @@
     Ok(exit_code(&all_outcomes))
 }
 
-/// The TOML files of a folder, by name.
+/// Lists the TOML files in a directory, sorted by name.
 fn scenario_files(dir: &Path) -> Result<Vec<PathBuf>, CommandError> {
     let entries = std::fs::read_dir(dir).map_err(CommandError::file(dir))?;
     let mut files: Vec<PathBuf> = entries.flatten().map(|entry| entry.path()).collect();
--- a/crates/lab/src/commands/compare.rs
+++ b/crates/lab/src/commands/compare.rs
@@ -1,4 +1,4 @@
-//! `compare`: two variants of a scenario, or two builds, paired by seed.
+//! The subcommand `compare`, which compares two variants of a scenario, or two builds, in runs paired by seed.
 
 use super::error::CommandError;
 use super::options::load_scenario;
@@ -15,44 +15,49 @@
 use std::path::{Path, PathBuf};
 use std::process::{self, ExitCode};
 
-/// Options of `compare`.
+/// Options of the subcommand `compare`.
 #[derive(Args)]
 pub struct Options {
-    /// A: a scenario file
+    /// The scenario file of side A
     a: PathBuf,
-    /// B: another one, or the same
+    /// The scenario file of side B; may be the file of side A
     b: PathBuf,
-    /// Sets values in A, as KEY=VALUE
+    /// Sets a value in the scenario of side A, as KEY=VALUE; may be given several times
     #[arg(long)]
     set_a: Vec<String>,
-    /// Sets values in B
+    /// Sets a value in the scenario of side B, as KEY=VALUE; may be given several times
     #[arg(long)]
     set_b: Vec<String>,
-    /// A is played by another build of this program
+    /// Simulates side A with another build of this program
     #[arg(long)]
     build_a: Option<PathBuf>,
-    /// B is played by another build of this program
+    /// Simulates side B with another build of this program
     #[arg(long)]
     build_b: Option<PathBuf>,
+    /// The forwarder variant of side A in runs that this program simulates
     #[arg(long = "make-a", default_value_t = ForwarderVariant::True)]
     variant_a: ForwarderVariant,
+    /// The forwarder variant of side B in runs that this program simulates
     #[arg(long = "make-b", default_value_t = ForwarderVariant::True)]
     variant_b: ForwarderVariant,
-    /// On sockets, with these forwarders for A and B; needs --sockets
+    /// The forwarder program of side A with --sockets; by default the one beside this program
     #[arg(long)]
     forwarder_a: Option<PathBuf>,
+    /// The forwarder program of side B with --sockets; by default the one beside this program
     #[arg(long)]
     forwarder_b: Option<PathBuf>,
+    /// Runs both sides on sockets in real time
     #[arg(long)]
     sockets: bool,
-    /// Pairs
+    /// Number of pairs of runs; the seeds count from 1
     #[arg(long, default_value_t = 20)]
     seeds: u64,
+    /// Writes the comparison as JSON into this file
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Plays both sides with each seed, prints the comparison and its verdict.
+/// Runs both sides with each seed, then prints the comparison and its verdict. Fails if a run is void.
 pub fn execute(options: Options) -> CommandResult {
     let seeds: Vec<u64> = (1..=options.seeds).collect();
     let (use_sockets, json_path) = (options.sockets, options.json.clone());
@@ -99,7 +104,7 @@
     }
 }
 
-/// Plays A and B in turn with each seed, so that the load of this machine strikes both alike.
+/// Runs A and B alternately, seed by seed, so that other load on this machine affects both sides alike.
 fn run_alternately_on_sockets(
     side_a: &ComparedSide,
     side_b: &ComparedSide,
@@ -114,13 +119,18 @@
     Ok((outcomes_a, outcomes_b))
 }
 
-/// One side of a comparison.
+/// One side of a comparison, as the options describe it.
 struct ComparedSide {
     scenario_file: PathBuf,
+    /// Values that are set in the scenario, each as KEY=VALUE.
     assignments: Vec<String>,
+    /// The scenario with the assignments applied.
     scenario: Scenario,
+    /// Another build of this program that simulates this side, if one is named.
     build: Option<PathBuf>,
+    /// Ignored if another build simulates this side.
     variant: ForwarderVariant,
+    /// The forwarder program on sockets; the one beside this program if none is named.
     forwarder: Option<PathBuf>,
 }
 
@@ -137,7 +147,9 @@
         }
     }
 
-    /// Runs another build of this program and reads the outcome that it writes.
+    /// Runs another build of this program and returns the outcome that it writes.
+    ///
+    /// Fails if the build can't be started or writes no outcome; its exit code is not checked.
     fn simulate_with_build(&self, build: &Path, seed: u64) -> Result<Outcome, CommandError> {
         let build_error = |source| CommandError::OtherBuild {
             build: build.to_owned(),
--- a/crates/lab/src/commands/error.rs
+++ b/crates/lab/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a subcommand could not be carried out.
+//! The errors of the subcommands.
 
 use super::EXIT_VOID;
 use opalpulley_lab::capacity::error::CapacityError;
@@ -11,68 +11,68 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// An input, a file or a program that can't be used.
+/// Exit code for an input, a file or a program that can't be used.
 const EXIT_UNUSABLE_INPUT: u8 = 2;
 
-/// Why a subcommand could not be carried out; its text is the one line that the program prints.
+/// Why a subcommand could not be executed. The program prints its text on one line.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// A scenario file is wrong.
+    /// A scenario file can't be read or is invalid.
     #[error(transparent)]
     Scenario(#[from] BadScenario),
-    /// An experiment could not be carried out.
+    /// An experiment failed.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
-    /// The load can't be replayed from its file.
+    /// The submission times of a load can't be read from their file.
     #[error(transparent)]
     Replay(#[from] ReplayError),
-    /// A run on sockets could not be carried out.
+    /// A run on sockets failed.
     #[error(transparent)]
     Sockets(#[from] SocketsError),
-    /// A plot of the report could not be drawn.
+    /// A plot of a report could not be drawn.
     #[error(transparent)]
     Plot(#[from] PlotError),
-    /// A capacity measurement could not be carried out.
+    /// A capacity measurement failed.
     #[error(transparent)]
     Capacity(#[from] CapacityError),
-    /// A file or folder can't be read or written.
+    /// A file or directory can't be read or written.
     #[error("{}: {source}", path.display())]
     File { path: PathBuf, source: io::Error },
-    /// A file does not hold an outcome as JSON.
-    #[error("{}: {source}", path.display())]
+    /// A file does not contain an outcome as JSON.
+    #[error("{}: not an outcome as JSON: {source}", path.display())]
     Outcome {
         path: PathBuf,
         source: serde_json::Error,
     },
-    /// Another build of this program can't be run.
-    #[error("{}: {source}", build.display())]
+    /// Another build of this program can't be run, or the temporary file for its outcome can't be used.
+    #[error("{}: can't run this build: {source}", build.display())]
     OtherBuild { build: PathBuf, source: io::Error },
-    /// Another build of this program wrote no outcome.
-    #[error("{}: {source}; it said {stderr}", build.display())]
+    /// Another build of this program wrote no readable outcome.
+    #[error("{}: this build wrote no readable outcome: {source}; its stderr: {stderr}", build.display())]
     OtherBuildOutcome {
         build: PathBuf,
         source: serde_json::Error,
         stderr: String,
     },
-    /// The forwarder's program is not there.
+    /// The forwarder program does not exist.
     #[error("{}: no such program; build it, or name one with --forwarder", program.display())]
     NoForwarderProgram { program: PathBuf },
-    /// Figures can't be written as JSON.
+    /// A value can't be serialized as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A scenario can't be written as TOML.
+    /// A scenario can't be serialized as TOML.
     #[error(transparent)]
     Toml(#[from] toml::ser::Error),
-    /// The runtime for sockets can't be started.
+    /// The asynchronous runtime for sockets can't be started.
     #[error(transparent)]
     Runtime(io::Error),
-    /// One of the runs that are compared shows nothing.
-    #[error("a run is void: {reason}")]
+    /// A run of a comparison is void, so the comparison shows nothing.
+    #[error("a compared run is void: {reason}")]
     VoidRun { reason: String },
 }
 
 impl CommandError {
-    /// For a file or folder that can't be read or written; an argument for `map_err`.
+    /// Returns an argument for `map_err` that adds the path of the file or directory to the error.
     pub fn file(path: &Path) -> impl FnOnce(io::Error) -> CommandError + '_ {
         |source| CommandError::File {
             path: path.to_owned(),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The exit code of the program that ends with this error.
+    /// Returns the exit code of a program that fails with this error.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             CommandError::VoidRun { .. } => EXIT_VOID,
--- a/crates/lab/src/commands/hunt.rs
+++ b/crates/lab/src/commands/hunt.rs
@@ -1,4 +1,4 @@
-//! `hunt`: draws worlds round a scenario and saves the worst, shrunk.
+//! The subcommand `hunt`, which runs random variants of a scenario and saves the worst one after shrinking it.
 
 use super::error::CommandError;
 use super::options::load_scenario;
@@ -11,26 +11,29 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Options of `hunt`.
+/// Options of the subcommand `hunt`.
 #[derive(Args)]
 pub struct Options {
+    /// The scenario file that the variants are generated from
     scenario: PathBuf,
+    /// Number of random variants to run; at least one is run
     #[arg(long, default_value_t = 200)]
     worlds: usize,
-    /// The first seed; worlds take those after it
+    /// The seed of the first variant; each further variant takes the next one
     #[arg(long, default_value_t = 1)]
     seed: u64,
+    /// The forwarder variant to simulate
     #[arg(long = "make", default_value_t = ForwarderVariant::True)]
     variant: ForwarderVariant,
-    /// Where what was found is saved
+    /// The directory for the scenario that was found
     #[arg(long, default_value = "found")]
     save: PathBuf,
 }
 
-/// Hunts, prints the worst world's figures and saves it as a scenario.
+/// Searches for the worst variant, prints its figures and saves it as a scenario file.
 pub fn execute(options: &Options) -> CommandResult {
     let scenario = load_scenario(&options.scenario, &[])?;
-    let bar = progress_bar("worlds");
+    let bar = progress_bar("scenarios");
     let scenario_count = options.worlds;
     let worst = find_worst_case(
         &scenario,
@@ -44,7 +47,7 @@
     )?;
     bar.finish_and_clear();
     println!(
-        "the worst of {} worlds, seed {}, after {} runs of shrinking:",
+        "worst of {} scenarios: seed {}, shrunk in {} runs",
         worst.generated_scenarios, worst.seed, worst.shrink_runs
     );
     print!("{}", report::text(&worst.outcome));
@@ -56,7 +59,7 @@
     })
 }
 
-/// Writes the world as a scenario file with its seed; returns the file's path.
+/// Writes the scenario with its seed into a file and returns the path of the file.
 fn save_scenario(worst: &WorstCase, dir: &Path) -> Result<PathBuf, CommandError> {
     create_dir(dir)?;
     let mut scenario = worst.scenario.clone();
--- a/crates/lab/src/commands/load.rs
+++ b/crates/lab/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! `load`: the load tool alone, at forwarders that run already.
+//! The subcommand `load`, which submits the load of a scenario to forwarders that are already running.
 
 use super::options::RunOptions;
 use super::output::{progress_bar, progress_callback};
@@ -11,18 +11,19 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Options of `load`.
+/// Options of the subcommand `load`.
 #[derive(Args)]
 pub struct Options {
+    /// The scenario file
     scenario: PathBuf,
-    /// Where they listen
+    /// The addresses on which the forwarders listen
     #[arg(long, required = true, value_delimiter = ',')]
     to: Vec<SocketAddr>,
     #[command(flatten)]
     run: RunOptions,
 }
 
-/// Submits the scenario's load to the forwarders and prints what they answered.
+/// Submits the load of the scenario to the forwarders and prints the counts of their answers.
 pub fn execute(options: &Options) -> CommandResult {
     let scenario = options.run.load_scenario(&options.scenario)?;
     let bar = progress_bar(&scenario.name);
@@ -40,11 +41,14 @@
 fn print_counts(outcome: &Outcome) {
     let counts = &outcome.counts;
     println!(
-        "due {}, submitted {}, rejected {}, turned away {}",
+        "due {}, submitted {}, rejected {}, without an available forwarder {}",
         counts.due, counts.submissions, counts.rejections, counts.turned_away
     );
     for (name, count) in &counts.outcomes {
         println!("{name}: {count}");
     }
-    println!("the load tool was {} us late at p99", outcome.load_late);
+    println!(
+        "the load tool submitted {} us late at p99",
+        outcome.load_late
+    );
 }
--- a/crates/lab/src/commands/options.rs
+++ b/crates/lab/src/commands/options.rs
@@ -7,53 +7,53 @@
 use opalpulley_lab::subject::ForwarderVariant;
 use std::path::{Path, PathBuf};
 
-/// On which clock a scenario is played, and with which forwarder program on sockets.
+/// The clocks on which a scenario is run, and the forwarder processes of a run on sockets.
 #[derive(Args, Clone)]
 pub struct ClockOptions {
-    /// On the simulated clock; so also if no clock is named
+    /// Runs on the simulated clock; the default if no clock is named
     #[arg(long)]
     pub simulated: bool,
-    /// On sockets, in real time
+    /// Runs on sockets in real time
     #[arg(long)]
     pub sockets: bool,
-    /// The forwarder's program; beside this one if not named
+    /// The forwarder program for sockets; by default the one beside this program
     #[arg(long)]
     pub forwarder: Option<PathBuf>,
-    /// A folder for the forwarders' logs
+    /// The directory for the logs of the forwarders; no logs are kept by default
     #[arg(long)]
     pub logs: Option<PathBuf>,
-    /// Binds the forwarders to this core
+    /// Binds the forwarders to the CPU core with this number
     #[arg(long)]
     pub pin: Option<usize>,
 }
 
-/// The seed, the changed values and the forwarder variant of a run.
+/// The seed, the changed scenario values and the forwarder variant of a run.
 #[derive(Args, Clone)]
 pub struct RunOptions {
-    /// The scenario's own if not named
+    /// The seed of the run; by default the one in the scenario file
     #[arg(long)]
     pub seed: Option<u64>,
-    /// Sets a value, as KEY=VALUE
+    /// Sets a value in the scenario, as KEY=VALUE; may be given several times
     #[arg(long)]
     pub set: Vec<String>,
-    /// Which forwarder is simulated
+    /// The forwarder variant to simulate
     #[arg(long = "make", default_value_t = ForwarderVariant::True)]
     pub variant: ForwarderVariant,
 }
 
 impl RunOptions {
-    /// Reads a scenario file with the values that were set.
+    /// Reads a scenario file and applies the values that `--set` gives.
     pub fn load_scenario(&self, path: &Path) -> Result<Scenario, CommandError> {
         load_scenario(path, &self.set)
     }
 
-    /// The seed that was named, else the scenario's own.
+    /// Returns the seed of the command line, or the one of the scenario if none is named.
     pub fn seed_for(&self, scenario: &Scenario) -> u64 {
         self.seed.unwrap_or(scenario.seed)
     }
 }
 
-/// Reads a scenario file; `set` holds values to change, as KEY=VALUE.
+/// Reads a scenario file and applies the assignments, each written as KEY=VALUE.
 pub fn load_scenario(path: &Path, assignments: &[String]) -> Result<Scenario, CommandError> {
     let scenario = Scenario::load(path)?;
     if assignments.is_empty() {
--- a/crates/lab/src/commands/report.rs
+++ b/crates/lab/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! `report`: one page from outcomes that were written as JSON.
+//! The subcommand `report`, which writes an HTML report of outcomes that were written as JSON.
 
 use super::error::CommandError;
 use super::output::write_file;
@@ -9,16 +9,18 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Options of `report`.
+/// Options of the subcommand `report`.
 #[derive(Args)]
 pub struct Options {
+    /// JSON files, each with one outcome or a list of outcomes
     #[arg(required = true)]
     outcomes: Vec<PathBuf>,
+    /// The file for the report
     #[arg(long, default_value = "report.html")]
     to: PathBuf,
 }
 
-/// Reads the outcomes and writes their page.
+/// Reads the outcomes, writes their report and prints its path.
 pub fn execute(options: &Options) -> CommandResult {
     let mut outcomes = Vec::new();
     for path in &options.outcomes {
@@ -29,7 +31,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Reads a file that holds one outcome or a list of them.
+/// Reads a JSON file that contains one outcome or a list of outcomes.
 fn read_outcomes(path: &Path) -> Result<Vec<Outcome>, CommandError> {
     let text = std::fs::read_to_string(path).map_err(CommandError::file(path))?;
     if let Ok(outcomes) = serde_json::from_str::<Vec<Outcome>>(&text) {
--- a/crates/lab/src/commands/run.rs
+++ b/crates/lab/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`: plays one scenario and judges it.
+//! The subcommand `run`, which runs one scenario and checks its outcome.
 
 use super::options::{ClockOptions, RunOptions};
 use super::output::{write_file, write_json};
@@ -9,31 +9,32 @@
 use opalpulley_lab::tally::Outcome;
 use std::path::{Path, PathBuf};
 
-/// Options of `run`.
+/// Options of the subcommand `run`.
 #[derive(Args)]
 pub struct Options {
+    /// The scenario file
     scenario: PathBuf,
     #[command(flatten)]
     clocks: ClockOptions,
     #[command(flatten)]
     run: RunOptions,
-    /// Writes the outcome as JSON; with both clocks, both
+    /// Writes the outcome as JSON into this file; a list of two outcomes if both clocks are named
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Writes the report as one HTML page, with the outcome as JSON beside it
+    /// Writes the report as HTML into this file, and the outcome as JSON beside it
     #[arg(long)]
     report: Option<PathBuf>,
 }
 
 impl Options {
-    /// Where the outcome goes as JSON: the named file, else beside the report.
+    /// Returns the path for the outcome as JSON: the named file, else a file beside the report.
     fn json_path(&self) -> Option<PathBuf> {
         let beside_report = || Some(self.report.as_ref()?.with_extension("json"));
         self.json.clone().or_else(beside_report)
     }
 }
 
-/// Plays the scenario, prints its figures and writes the files that were asked for.
+/// Runs the scenario, prints its figures and writes the requested files.
 pub fn execute(options: &Options) -> CommandResult {
     let scenario = options.run.load_scenario(&options.scenario)?;
     let outcomes = run_scenario(&scenario, &options.clocks, &options.run)?;
@@ -49,7 +50,7 @@
     Ok(exit_code(&outcomes))
 }
 
-/// Writes one run as one object, several as a list; `report` reads both.
+/// Writes one outcome as an object and several as a list. The subcommand `report` reads both.
 fn write_outcomes(path: &Path, outcomes: &[Outcome]) -> Result<(), super::CommandError> {
     match outcomes {
         [outcome] => write_json(path, outcome),
--- a/crates/lab/src/commands/run_scenario.rs
+++ b/crates/lab/src/commands/run_scenario.rs
@@ -1,4 +1,4 @@
-//! Plays one scenario on the clocks that were asked for, and judges its outcomes.
+//! Runs one scenario on the requested clocks and derives the exit code from its outcomes.
 
 use super::error::CommandError;
 use super::options::{ClockOptions, RunOptions};
@@ -11,7 +11,9 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// Plays a scenario on each clock that was asked for; the simulated one where none was.
+/// Runs a scenario on each requested clock, or on the simulated one if none is requested.
+///
+/// Fails if the load can't be read, the forwarder program does not exist, or the run on sockets fails.
 pub fn run_scenario(
     scenario: &Scenario,
     clocks: &ClockOptions,
@@ -40,7 +42,7 @@
     bar.finish_and_clear();
     let elapsed_s = started_at.elapsed().as_secs_f64();
     eprintln!(
-        "simulated in {elapsed_s:.2} s: {} happenings, {} events of the core ({:.0} a second)",
+        "simulated in {elapsed_s:.2} s: {} simulated events, {} core events ({:.0} per second)",
         work.events,
         work.core_events,
         work.core_events as f64 / elapsed_s
@@ -74,7 +76,7 @@
     ))?;
     bar.finish_and_clear();
     eprintln!(
-        "forwarders used {:.1} us of CPU a message, {:.2} of a core, {:.1} MB the largest",
+        "forwarders used {:.1} us of CPU time per message, {:.2} CPU cores, {:.1} MB in the largest process",
         usage.cpu as f64 / outcome.counts.due.max(1) as f64,
         usage.cpu as f64 / 1e6 / usage.seconds,
         usage.memory as f64 / 1e6
@@ -82,7 +84,7 @@
     Ok(outcome)
 }
 
-/// The runtime for what runs on sockets.
+/// Builds the asynchronous runtime that runs on sockets need.
 pub fn build_runtime() -> Result<tokio::runtime::Runtime, CommandError> {
     tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -90,7 +92,7 @@
         .map_err(CommandError::Runtime)
 }
 
-/// The exit code for these outcomes: void before missed before as expected.
+/// Returns the exit code for the outcomes. A void run takes precedence over a missed expectation.
 pub fn exit_code(outcomes: &[Outcome]) -> ExitCode {
     if outcomes.iter().any(|outcome| outcome.void.is_some()) {
         return ExitCode::from(EXIT_VOID);
--- a/crates/lab/src/commands/stand_ins.rs
+++ b/crates/lab/src/commands/stand_ins.rs
@@ -1,4 +1,4 @@
-//! `stand-ins`: receivers and discovery of a scenario, to try a forwarder by hand.
+//! The subcommand `stand-ins`, which serves the receivers and the discovery of a scenario to try a forwarder by hand.
 
 use super::error::CommandError;
 use super::options::RunOptions;
@@ -12,24 +12,25 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Options of `stand-ins`.
+/// Options of the subcommand `stand-ins`.
 #[derive(Args)]
 pub struct Options {
+    /// The scenario file
     scenario: PathBuf,
     #[command(flatten)]
     run: RunOptions,
-    /// The port of discovery on loopback
+    /// The loopback port of discovery
     #[arg(long, default_value_t = 8500)]
     discovery_port: u16,
-    /// Writes the start-up configuration of a forwarder in this world
+    /// Writes the start-up configuration of a forwarder for this scenario into this file
     #[arg(long = "papers")]
     startup_config: Option<PathBuf>,
-    /// Where that forwarder is to listen
+    /// The listen address in the start-up configuration
     #[arg(long, default_value = "127.0.0.1:7070")]
     listen: SocketAddr,
 }
 
-/// Starts the stand-ins, prints their addresses and goes on until Ctrl-C.
+/// Starts the receivers and discovery, prints their addresses and serves until Ctrl-C.
 pub fn execute(options: &Options) -> CommandResult {
     let scenario = options.run.load_scenario(&options.scenario)?;
     let seed = options.run.seed_for(&scenario);
@@ -48,7 +49,7 @@
     let endpoints: Vec<String> = endpoints.map(ToString::to_string).collect();
     println!("receivers at {}", endpoints.join(", "));
     if let Err(error) = tokio::signal::ctrl_c().await {
-        eprintln!("opalpulley-lab: Ctrl-C can't be waited for, ends now: {error}");
+        eprintln!("opalpulley-lab: stopped because Ctrl-C can't be awaited: {error}");
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/lab/src/commands/sweep.rs
+++ b/crates/lab/src/commands/sweep.rs
@@ -1,4 +1,4 @@
-//! `sweep`: one value of a scenario over a range.
+//! The subcommand `sweep`, which runs a scenario with each of several values of one key.
 
 use super::options::load_scenario;
 use super::output::write_json;
@@ -9,24 +9,29 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Options of `sweep`.
+/// Options of the subcommand `sweep`.
 #[derive(Args)]
 pub struct Options {
+    /// The scenario file
     scenario: PathBuf,
-    /// As in forwarders.slots or destinations[0].rate
+    /// The key to vary, such as forwarders.slots or destinations[0].rate
     #[arg(long)]
     key: String,
+    /// The values of the key
     #[arg(long, required = true, value_delimiter = ',')]
     values: Vec<String>,
+    /// Runs with each value; the seeds count from 1
     #[arg(long, default_value_t = 8)]
     seeds: u64,
+    /// The forwarder variant to simulate
     #[arg(long = "make", default_value_t = ForwarderVariant::True)]
     variant: ForwarderVariant,
+    /// Writes the rows as JSON into this file
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Plays the scenario with each value and prints a row for each.
+/// Runs the scenario with each value and prints one row of mean figures for each.
 pub fn execute(options: &Options) -> CommandResult {
     let scenario = load_scenario(&options.scenario, &[])?;
     let rows = sweep(
--- a/crates/lab/src/experiments.rs
+++ b/crates/lab/src/experiments.rs
@@ -1,4 +1,5 @@
-//! Experiments over simulated runs: variants of one scenario, paired by seed; sweeps; hunts for the worst.
+//! Experiments over simulated runs: paired comparisons, sweeps over one value, a search for the worst case, and the cost of
+//! core events.
 
 pub mod compare;
 pub mod core_cost;
@@ -16,7 +17,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// The scenario with values set by their keys, as in `forwarders.concurrency_limit=16` or `destinations[0].rate=50.0`.
+/// Returns a copy of the scenario with the assignments applied. Each is written as `KEY=VALUE` with the keys of the scenario
+/// file, such as `forwarders.slots=16` or `destinations[0].rate=50.0`.
+///
+/// Fails if an assignment is malformed, if a key names no place for a value, or if the changed scenario is invalid.
 pub fn with_assignments(
     scenario: &Scenario,
     assignments: &[String],
@@ -36,7 +40,7 @@
     Ok(Scenario::read(&text, &name)?)
 }
 
-/// Reads a value as the file would; a bare word is a string.
+/// Parses a value as TOML. A text that is not valid TOML is a string.
 fn parse_value(text: &str) -> toml::Value {
     toml::from_str::<toml::Table>(&format!("v = {text}"))
         .ok()
@@ -44,7 +48,7 @@
         .unwrap_or_else(|| toml::Value::String(text.into()))
 }
 
-/// Sets the value at a key such as `destinations[0].rate`; tables on the way are made where they are missing.
+/// Sets the value at a key such as `destinations[0].rate`, creating the tables that are missing on its path.
 fn set_value(
     root: &mut toml::Value,
     key: &str,
@@ -70,7 +74,7 @@
             current = list_element(current, key, index)?;
         }
     }
-    // A whole number may be given where the file holds a float.
+    // TOML distinguishes integers from floats, but an integer is a valid assignment to a float.
     *current = match (&*current, new_value) {
         (toml::Value::Float(_), toml::Value::Integer(integer)) => {
             toml::Value::Float(integer as f64)
@@ -80,7 +84,7 @@
     Ok(())
 }
 
-/// The element of a list that a key names by its index.
+/// Returns the element at the index that a key gives in brackets. Fails if the index is not a number or out of range.
 fn list_element<'a>(
     list: &'a mut toml::Value,
     key: &str,
@@ -97,7 +101,7 @@
         })
 }
 
-/// Runs jobs on so many threads, and gives what they came to in the order of the jobs.
+/// Runs the jobs on at most `thread_count` threads and returns their results in the order of the jobs.
 pub fn run_in_parallel<J: Sync, R: Send>(
     jobs: &[J],
     thread_count: usize,
@@ -123,7 +127,7 @@
     )
 }
 
-/// One simulated run.
+/// Runs the scenario on the simulated clock. Fails if the submission times of a load can't be read.
 pub fn simulate(
     scenario: &Scenario,
     seed: u64,
@@ -132,7 +136,7 @@
     Ok(Sim::new(scenario, seed, variant)?.run(|_, _| {}))
 }
 
-/// How many runs are played at once: one for each processor core.
+/// Returns the number of simulated runs to execute at once: one for each CPU core.
 pub fn parallelism() -> usize {
     std::thread::available_parallelism().map_or(1, |count| count.get())
 }
--- a/crates/lab/src/experiments/compare.rs
+++ b/crates/lab/src/experiments/compare.rs
@@ -1,4 +1,5 @@
-//! Two variants under the same seeds: differences pair by pair, bootstrap intervals, and a plain verdict.
+//! Compares two variants that ran with the same seeds: the differences of each pair, bootstrap confidence intervals of their
+//! means, and a verdict.
 
 use crate::chance::stream;
 use crate::tally::Outcome;
@@ -6,12 +7,12 @@
 use serde::Serialize;
 use std::fmt;
 
-/// Resamples of the pairs for an interval.
+/// Number of bootstrap resamples for a confidence interval.
 const BOOTSTRAP_RESAMPLES: usize = 4000;
-/// Of the figure, a difference that nobody would see: the same to four places.
+/// Smallest mean difference that can decide a verdict, as a share of the mean of A. Smaller ones don't show in four digits.
 const MIN_RELATIVE_DIFFERENCE: f64 = 1e-4;
 
-/// How B stands against A.
+/// The result of comparing B with A.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
@@ -19,7 +20,7 @@
     Better,
     /// B is worse.
     Worse,
-    /// The runs don't tell.
+    /// The runs don't show a difference.
     CantTell,
 }
 
@@ -33,37 +34,46 @@
     }
 }
 
-/// One figure of both variants: means, the mean difference B - A, and its interval.
+/// One figure of both variants, with the confidence interval of their difference.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Figure {
     pub name: String,
+    /// The mean over the runs of A.
     pub a: f64,
+    /// The mean over the runs of B.
     pub b: f64,
+    /// The mean of the differences B - A.
     pub difference: f64,
+    /// The lower end of the 95 % confidence interval of the difference.
     pub low: f64,
+    /// The upper end of the 95 % confidence interval of the difference.
     pub high: f64,
+    /// The verdict from this figure alone.
     pub verdict: Verdict,
 }
 
-/// Two variants compared.
+/// The comparison of two variants.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Comparison {
-    /// Pairs of runs.
+    /// Number of pairs of runs.
     pub pairs: usize,
-    /// The figures of both.
+    /// The figures of both variants, the share of the weight first.
     pub figures: Vec<Figure>,
-    /// Rules broken by A and by B, over all runs.
+    /// How many times A and B broke a rule, over all runs.
     pub broken: [u64; 2],
-    /// B against A, by the share of the weight that was delivered; a broken rule comes before all figures.
+    /// Whether B is better than A. If one variant alone broke rules, it is the worse one; otherwise the share of the weight
+    /// that was delivered decides.
     pub verdict: Verdict,
 }
 
+/// A figure of an outcome that is compared.
 struct Metric {
     name: &'static str,
     value_of: fn(&Outcome) -> f64,
     more_is_better: bool,
 }
 
+/// The compared figures. The first one decides the verdict of the comparison. Their names are values in the JSON.
 const METRICS: [Metric; 6] = [
     Metric {
         name: "service",
@@ -97,7 +107,7 @@
     },
 ];
 
-/// The 95 % interval of the mean of the differences, by resampling the pairs.
+/// Returns the 95 % bootstrap confidence interval of the mean of the differences. The resamples depend on the seed alone.
 pub fn confidence_interval(differences: &[f64], seed: u64) -> (f64, f64) {
     if differences.is_empty() {
         return (0.0, 0.0);
@@ -116,7 +126,8 @@
     )
 }
 
-/// Compares runs of A and of B, paired by their places.
+/// Compares runs of A and B. Runs at the same index form a pair, so both slices must be in the same order of seeds. A run
+/// without a partner counts only in `broken`.
 pub fn compare(a: &[Outcome], b: &[Outcome]) -> Comparison {
     let pairs = a.len().min(b.len());
     let figures: Vec<Figure> = METRICS
@@ -147,7 +158,7 @@
 }
 
 impl Metric {
-    /// Compares this figure of paired runs.
+    /// Compares this figure in paired runs.
     fn compare(&self, a: &[Outcome], b: &[Outcome]) -> Figure {
         let a: Vec<f64> = a.iter().map(self.value_of).collect();
         let b: Vec<f64> = b.iter().map(self.value_of).collect();
@@ -155,7 +166,7 @@
         let difference = mean(&differences);
         let (low, high) = confidence_interval(&differences, 1);
         let negligible = difference.abs() < MIN_RELATIVE_DIFFERENCE * mean(&a).abs();
-        // One pair shows no spread: nothing is told by it.
+        // A single pair has no spread, so its interval says nothing about chance.
         let verdict = match a.len() < 2 || negligible {
             true => Verdict::CantTell,
             false => self.verdict(low, high),
@@ -171,7 +182,7 @@
         }
     }
 
-    /// What the interval of the difference B - A says.
+    /// Returns the verdict for a confidence interval of the difference B - A.
     fn verdict(&self, low: f64, high: f64) -> Verdict {
         let sign = if self.more_is_better { 1.0 } else { -1.0 };
         let (low, high) = (low * sign, high * sign);
@@ -203,7 +214,7 @@
         }
         writeln!(
             f,
-            "rules broken: A {}, B {}; {} pairs by seed",
+            "rules broken: A {} times, B {} times; {} pairs of runs with equal seeds",
             self.broken[0], self.broken[1], self.pairs
         )?;
         write!(
--- a/crates/lab/src/experiments/core_cost.rs
+++ b/crates/lab/src/experiments/core_cost.rs
@@ -1,5 +1,5 @@
-//! What the core's own work costs while so many messages wait in one queue: the time of one submission and of one attempt's
-//! end, with the scheduling round that follows. Wall-clock figures: they are of this machine.
+//! Measures the cost of core events while a given number of messages waits in one queue: the wall-clock time of one
+//! submission and of one attempt's end, each with the scheduling round that follows. The figures depend on the machine.
 
 use crate::scenario::Scenario;
 use opalpulley::{
@@ -10,18 +10,19 @@
 use serde::Serialize;
 use std::time::Instant;
 
-/// Simulated time between events, µs.
+/// Simulated time between two submissions or two rounds, µs.
 const EVENT_INTERVAL: Micros = 100;
-/// When the first event happens, µs.
+/// Simulated time at which the benchmark begins, µs.
 const START_TIME: Micros = 1_000_000;
-/// Calls a second that the endpoint takes: more than the core sends.
+/// Calls per second that the endpoint accepts: more than the core sends, so that its rate never limits an attempt.
 const ENDPOINT_RATE: f32 = 1e6;
 const ENDPOINT: EndpointId = EndpointId {
     address: [10, 0, 0, 1],
     port: 80,
     incarnation: 0,
 };
-/// One forwarder with one permit and room for everything, one destination with one endpoint.
+/// One forwarder with one concurrency permit and no effective bound on waiting messages, and one destination with one
+/// endpoint.
 const SCENARIO: &str = r#"
 version = 1
 name = "b"
@@ -43,20 +44,21 @@
 rate = 1.0
 "#;
 
-/// What the core's work costs with so many messages waiting.
+/// The mean cost of core events with a given number of waiting messages.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct CoreCost {
-    /// Messages that wait.
+    /// Number of waiting messages.
     pub waiting: u32,
-    /// A submission with what follows from it, ns.
+    /// Mean time of a submission with the scheduling that follows it, ns.
     #[serde(rename = "arrival")]
     pub submission_ns: f64,
-    /// An attempt's end with what follows from it, ns.
+    /// Mean time of an attempt's end with the scheduling that follows it, ns.
     #[serde(rename = "end")]
     pub attempt_end_ns: f64,
 }
 
-/// Lets `waiting` messages wait behind the one in flight; then `rounds` times the one in flight ends and another is submitted.
+/// Measures the cost of core events with `waiting` messages behind the one in flight. In each of the `rounds`, the attempt
+/// in flight ends and another message is submitted, so that the number of waiting messages stays the same.
 pub fn measure(waiting: u32, rounds: u32) -> CoreCost {
     let mut benchmark = CoreBenchmark::new();
     for _ in 0..=waiting {
@@ -87,20 +89,23 @@
     started_at.elapsed().as_nanos() as f64
 }
 
-/// A core with one endpoint, and what it has been told.
+/// A core with one endpoint, and the state of the benchmark around it.
 struct CoreBenchmark {
     core: Forwarder,
+    /// Time to live of each submitted message, µs.
     time_to_live: Micros,
+    /// Simulated time, µs.
     now: Micros,
+    /// Actions of the core; cleared in each round before its events.
     actions: Vec<Action>,
-    /// Messages submitted so far.
+    /// Number of messages submitted so far. The count is also the id of the last one.
     submitted_count: u32,
 }
 
 impl CoreBenchmark {
     fn new() -> CoreBenchmark {
         let scenario = Scenario::read(SCENARIO, "bids")
-            .unwrap_or_else(|error| unreachable!("a fixed scenario: {error}"));
+            .unwrap_or_else(|error| unreachable!("the constant scenario must be valid: {error}"));
         let mut benchmark = CoreBenchmark {
             core: Forwarder::new(scenario.config(0), 1),
             time_to_live: scenario.longest_time_to_live(),
@@ -152,7 +157,7 @@
         });
     }
 
-    /// The message that was sent last.
+    /// Returns the message of the attempt that the core started last, if `actions` contains one.
     fn message_in_flight(&self) -> Option<MessageId> {
         let mut actions = self.actions.iter().rev();
         actions.find_map(|action| match action {
--- a/crates/lab/src/experiments/error.rs
+++ b/crates/lab/src/experiments/error.rs
@@ -1,33 +1,33 @@
-//! Why an experiment could not be carried out.
+//! The errors of the experiments.
 
 use crate::load::ReplayError;
 use crate::scenario::BadScenario;
 
-/// Why an experiment could not be carried out.
+/// Why an experiment failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// A value to set is not written as a key and a value.
-    #[error("{assignment}: write KEY=VALUE")]
+    /// An assignment has no `=` between its key and its value.
+    #[error("{assignment}: write the assignment as KEY=VALUE")]
     NotKeyAndValue { assignment: String },
-    /// The key names something in a value that is no table.
-    #[error("{key}: {name} is not in a table")]
+    /// The key names an entry of a value that is not a table.
+    #[error("{key}: {name} must be an entry of a table")]
     NotInTable { key: String, name: String },
-    /// The index in the key is no number.
-    #[error("{key}: [{index}] is no place")]
+    /// The index in the key is not a number.
+    #[error("{key}: the index [{index}] must be a whole number from 0 on")]
     InvalidIndex { key: String, index: String },
-    /// The list is shorter than the index in the key.
-    #[error("{key}: there is no [{index}]")]
+    /// The key gives an index of a value that is not a list, or the list is too short for it.
+    #[error("{key}: there is no list element [{index}]")]
     IndexOutOfRange { key: String, index: usize },
-    /// The scenario can't be written as TOML, which is needed to change its values.
+    /// The scenario can't be serialized as TOML, the form in which values are changed.
     #[error(transparent)]
     Toml(#[from] toml::ser::Error),
-    /// The scenario with the changed values is wrong.
+    /// The scenario is invalid with the changed values.
     #[error(transparent)]
     Scenario(#[from] BadScenario),
-    /// The load can't be replayed from its file.
+    /// The submission times of a load can't be read from their file.
     #[error(transparent)]
     Replay(#[from] ReplayError),
-    /// A hunt drew no world.
-    #[error("no world was drawn")]
+    /// The search for the worst case generated no scenario.
+    #[error("no scenario was generated")]
     NoScenarioGenerated,
 }
--- a/crates/lab/src/experiments/sweep.rs
+++ b/crates/lab/src/experiments/sweep.rs
@@ -1,4 +1,4 @@
-//! One value over a range.
+//! Runs a scenario with each of several values of one key.
 
 use super::{parallelism, run_in_parallel, simulate, with_assignments, ExperimentError};
 use crate::scenario::Scenario;
@@ -7,38 +7,40 @@
 use serde::Serialize;
 use std::fmt;
 
-/// The figures with one value: means over the seeds.
+/// The figures with one value of the key. All but `broken` are means over the seeds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
-    /// The value.
+    /// The value, as the command line gives it.
     pub value: String,
-    /// The share of the weight that was due.
+    /// The delivered share of the weight that was due.
     pub service: f64,
-    /// The share of the messages that were served.
+    /// The share of the messages that were served in time.
     pub served: f64,
     /// The median latency, ms.
     pub p50: f64,
     /// The 99th percentile of the latency, ms.
     pub p99: f64,
-    /// Calls for each message.
+    /// Calls per message that was due.
     #[serde(rename = "calls_a_packet")]
     pub calls_per_message: f64,
-    /// Rules broken in all runs.
+    /// How many times a rule was broken, over all runs.
     pub broken: u64,
 }
 
-/// The figures with each value.
+/// The figures with each value of one key.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Sweep {
-    /// The key of the value.
+    /// The key that is varied, as in a scenario file.
     pub key: String,
-    /// Runs with each value.
+    /// Number of runs with each value.
     pub seeds: u64,
-    /// A row a value.
+    /// One row for each value, in the order of the command line.
     pub rows: Vec<Row>,
 }
 
-/// Runs the scenario with each value of the key, under seeds from 1 on; figures are means over the seeds.
+/// Runs the scenario with each value of the key, each with the seeds from 1 to `seeds`.
+///
+/// Fails if a value makes the scenario invalid, or if the submission times of a load can't be read.
 pub fn sweep(
     scenario: &Scenario,
     key: &str,
--- a/crates/lab/src/experiments/worst_case.rs
+++ b/crates/lab/src/experiments/worst_case.rs
@@ -1,5 +1,5 @@
-//! A hunt: worlds drawn by chance round a scenario until a rule breaks or the loss is greatest, then shrunk to the smallest
-//! that still shows it.
+//! Searches random variants of a scenario for the worst one, which breaks a rule or loses the largest share of the weight,
+//! and shrinks it to the smallest scenario that still shows the same.
 
 use super::{parallelism, run_in_parallel, simulate, ExperimentError};
 use crate::chance::stream;
@@ -14,34 +14,36 @@
 use std::cmp::Ordering;
 use std::sync::atomic::{self, AtomicUsize};
 
-/// Of the loss found, so much must be left after each step of shrinking.
+/// Share of the loss that each shrinking step must preserve.
 const MIN_KEPT_LOSS_SHARE: f64 = 0.9;
-/// Forwarders of a drawn world at most.
+/// Most forwarders in a generated scenario.
 const MAX_FORWARDERS: u32 = 64;
 const RESET_MOMENTS: [ResetMoment; 3] =
     [ResetMoment::Before, ResetMoment::Within, ResetMoment::After];
-/// A load or fault that is shorter than this is not shortened, µs.
+/// The load of a scenario is halved in duration only if it lasts longer than this, µs.
 const MIN_HALVED_DURATION: u64 = 4_000_000;
+/// A fault is halved in duration only if it lasts longer than this, µs.
 const MIN_HALVED_FAULT_DURATION: u64 = 400_000;
-/// A rate under this is not halved, messages a second.
+/// The rate of a load is halved only if it is above this, messages per second.
 const MIN_HALVED_RATE: f64 = 2.0;
 
-/// What was found, after shrinking.
+/// The worst scenario that a search found, after shrinking.
 #[derive(Clone, Debug)]
 pub struct WorstCase {
-    /// The smallest world that still shows it.
+    /// The smallest scenario that still shows the broken rule or the loss.
     pub scenario: Scenario,
-    /// Its seed.
+    /// The seed of the scenario and of its run.
     pub seed: u64,
-    /// Its outcome.
+    /// The outcome of the scenario with this seed.
     pub outcome: Outcome,
-    /// Worlds drawn.
+    /// Number of scenarios that the search was asked to generate.
     pub generated_scenarios: usize,
-    /// Runs that shrinking took.
+    /// Number of runs for shrinking.
     pub shrink_runs: usize,
 }
 
-/// A world drawn round the base: its load and forwarders within ranges, faults of any kind.
+/// Generates a random variant of a scenario without expectations: its load, forwarders, receivers and discovery lag vary
+/// within ranges, and its faults are replaced by random ones. The variant depends on the base and the seed alone.
 pub fn random_scenario(base: &Scenario, seed: u64) -> Scenario {
     let rng = &mut stream(seed, "hunt", 0);
     let mut scenario = base.clone();
@@ -128,7 +130,7 @@
     }
 }
 
-/// A fault of discovery, or of health checks.
+/// Generates a fault of discovery or of health checks.
 fn random_discovery_fault(rng: &mut Pcg64Mcg) -> FaultKind {
     match rng.random_range(0..3) {
         0 => FaultKind::Stale,
@@ -154,11 +156,13 @@
     scope
 }
 
+/// Returns the share of the weight that was not delivered.
 fn loss(outcome: &Outcome) -> f64 {
     1.0 - outcome.service
 }
 
-/// Whether a smaller world still shows what was found: one of the broken rules, else most of the loss.
+/// Returns whether the outcome of a smaller scenario still shows the finding: one of the broken rules, or most of the loss
+/// if no rule was broken.
 fn reproduces(found: &Outcome, candidate: &Outcome) -> bool {
     let mut rules = found.broken.keys();
     if found.broken.is_empty() {
@@ -167,20 +171,23 @@
     rules.any(|rule| candidate.broken.contains_key(rule))
 }
 
-/// One world that was played.
+/// The run of one generated scenario.
 struct RunResult {
     seed: u64,
     outcome: Outcome,
 }
 
-/// Which of two worlds is worse: a broken rule comes before any loss.
+/// Orders two runs by severity. A run that broke a rule is worse than any run that did not; otherwise the loss decides.
 fn compare_severity(a: &RunResult, b: &RunResult) -> Ordering {
     let breaks_rule = |result: &RunResult| !result.outcome.broken.is_empty();
     let by_loss = loss(&a.outcome).total_cmp(&loss(&b.outcome));
     breaks_rule(a).cmp(&breaks_rule(b)).then(by_loss)
 }
 
-/// Draws so many worlds, with seeds from `first` on, and shrinks the worst. `progress` is told how many have been played.
+/// Runs `scenario_count` random variants of a scenario, but at least one, with seeds from `first_seed` on, and shrinks the
+/// worst. Calls `progress` with the number of finished runs after each one.
+///
+/// Fails if the submission times of a load can't be read.
 pub fn find_worst_case(
     base: &Scenario,
     first_seed: u64,
@@ -213,13 +220,13 @@
     Ok(worst_case)
 }
 
-/// A smaller world that still shows what was found.
+/// A smaller scenario that still shows the finding, with its outcome.
 struct ShrunkScenario {
     scenario: Scenario,
     outcome: Outcome,
 }
 
-/// The first world one step smaller that still shows what was found; none where every step loses it.
+/// Returns the first scenario that is one step smaller and still shows the finding, or `None` if no step preserves it.
 fn shrink(
     worst_case: &mut WorstCase,
     variant: ForwarderVariant,
@@ -234,7 +241,7 @@
     Ok(None)
 }
 
-/// Worlds one step smaller: the boldest steps first.
+/// Returns the scenarios that are one step smaller, those with the largest steps first.
 fn shrink_candidates(scenario: &Scenario) -> Vec<Scenario> {
     let mut candidates = Vec::new();
     for index in 0..scenario.faults.len() {
@@ -267,7 +274,7 @@
     candidates
 }
 
-/// The world without one of its loads, and with half the rate of it.
+/// Returns the scenario without the load at the index, and with half its rate, where each is possible.
 fn candidates_with_less_load(scenario: &Scenario, index: usize) -> Vec<Scenario> {
     let mut candidates = Vec::new();
     if scenario.loads.len() > 1 {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,7 +1,7 @@
-//! `opalpulley-lab`: the laboratory's program. It reads the command line and hands it to one function a subcommand.
+//! The program `opalpulley-lab`. It parses the command line and calls the function of the subcommand.
 //!
-//! Exit codes: 0 all as expected; 1 a rule broken, or an expectation missed; 2 an input that can't be used; 3 a void run, which
-//! shows nothing.
+//! Exit codes: 0 if every result is as expected; 1 if a rule was broken or an expectation missed; 2 if an input is unusable;
+//! 3 if a run is void, that is, if it shows nothing about the forwarder.
 
 mod commands;
 
@@ -13,7 +13,7 @@
 #[command(
     name = "opalpulley-lab",
     version,
-    about = "The laboratory: scenarios on two clocks, experiments and reports"
+    about = "Runs scenarios and experiments on the simulated clock or on sockets, and reports their outcomes"
 )]
 struct CommandLine {
     #[command(subcommand)]
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,5 +1,5 @@
-//! Reports: one self-contained HTML page of one or several outcomes side by side, plots drawn as SVG; the same figures in
-//! words for a terminal. `rows` names the figures, `page` and `plots` write the page.
+//! Reports on outcomes: a self-contained HTML page that shows one or several outcomes side by side, with plots as SVG, and
+//! the same figures as text for a terminal. `rows` defines the figures, `page` and `plots` render the page.
 
 mod page;
 mod plots;
@@ -11,10 +11,10 @@
 use crate::tally::Outcome;
 use rows::FIGURES;
 
-/// Broken rules that are told with what happened, in a terminal.
+/// Most broken rules that are printed with their descriptions in a terminal.
 const MAX_PRINTED_BREAKS: usize = 5;
 
-/// The figures of an outcome in words, for a terminal.
+/// Renders the figures of an outcome as text for a terminal, with its missed expectations and its first broken rules.
 pub fn text(outcome: &Outcome) -> String {
     let mut text = format!("{}: {}\n", outcome.scenario, outcome.shows);
     for (label, format_figure) in FIGURES {
--- a/crates/lab/src/report/page.rs
+++ b/crates/lab/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The HTML page of a report. It holds everything itself.
+//! The HTML page of a report. It refers to no other file, so that it can be passed on alone.
 
 use super::plots::{plots, PlotError};
 use super::rows::FIGURES;
@@ -9,11 +9,13 @@
     table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:2px 8px;text-align:left}\
     svg{display:block;margin:.6em 0}.bad{color:#a00}";
 
-/// The page of one or several outcomes, side by side.
+/// Renders the page of one or several outcomes side by side. The first one gives the title and the description.
+///
+/// Fails if a plot can't be drawn.
 pub fn html(outcomes: &[Outcome]) -> Result<String, PlotError> {
     let title = outcomes
         .first()
-        .map_or("nothing", |outcome| outcome.scenario.as_str());
+        .map_or("no outcomes", |outcome| outcome.scenario.as_str());
     let title = escape_html(title);
     let mut page = format!(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>{title}</title>\
@@ -37,7 +39,7 @@
         .replace('"', "&quot;")
 }
 
-/// The table of figures, a column an outcome.
+/// Renders the table of figures, with one column for each outcome.
 fn figure_table(outcomes: &[Outcome]) -> String {
     let mut table = String::from("<table>\n");
     for (label, format_figure) in FIGURES {
@@ -50,7 +52,7 @@
     table + "</table>\n"
 }
 
-/// What one outcome misses, its plots, its faults and the rules that it broke.
+/// Renders the section of one outcome: its missed expectations, plots, faults and broken rules.
 fn outcome_section(outcome: &Outcome) -> Result<String, PlotError> {
     let clock = match outcome.clock {
         Clock::Simulated => "Simulated",
@@ -81,9 +83,8 @@
     if periods.is_empty() {
         return String::new();
     }
-    let mut table = String::from(
-        "<table><tr><th>went wrong (shaded)</th><th>from s</th><th>until s</th></tr>\n",
-    );
+    let mut table =
+        String::from("<table><tr><th>fault (shaded)</th><th>from s</th><th>until s</th></tr>\n");
     for period in periods {
         let (from_s, until_s) = (period.from as f64 / 1e6, period.until as f64 / 1e6);
         let fault_name = escape_html(&period.what);
--- a/crates/lab/src/report/plots.rs
+++ b/crates/lab/src/report/plots.rs
@@ -1,4 +1,4 @@
-//! The plots of an outcome over the time of its run, as SVG.
+//! Plots of an outcome over the time of its run, as SVG.
 
 use crate::tally::{Outcome, TimeBucket};
 use plotters::coord::ranged1d::ValueFormatter;
@@ -9,33 +9,34 @@
 /// Why a plot could not be drawn.
 pub type PlotError = DrawingAreaErrorKind<std::io::Error>;
 
-/// Width and height of a plot, pixels.
+/// Width and height of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 240);
+/// Colours of the series of a plot, in their order; no plot has more series than this.
 const SERIES_COLOURS: [RGBColor; 4] = [
     RGBColor(31, 119, 180),
     RGBColor(44, 160, 44),
     RGBColor(214, 39, 40),
     RGBColor(255, 127, 14),
 ];
-/// Behind the time of a fault.
+/// Colour of the background during a fault.
 const FAULT_SHADE: RGBColor = RGBColor(150, 120, 60);
-/// The lowest value of a logarithmic axis.
+/// Lower end of a logarithmic axis. Smaller values are drawn at this value.
 const LOG_AXIS_MIN: f64 = 0.1;
 
-/// One line of a plot: its name and its value in a time bucket.
+/// One line of a plot: its name in the legend and its value in a time bucket.
 type Series<'a> = (&'a str, Box<dyn Fn(&TimeBucket) -> f64 + 'a>);
 
-/// One plot over the time of a run.
+/// One plot of an outcome over the time of its run.
 struct Plot<'a> {
     outcome: &'a Outcome,
     title: &'a str,
     unit: &'a str,
-    /// The values stand on a logarithmic axis.
+    /// Whether the axis of values is logarithmic.
     is_logarithmic: bool,
     series: &'a [Series<'a>],
 }
 
-/// All plots of an outcome.
+/// Renders all plots of an outcome as consecutive SVG elements.
 pub(super) fn plots(outcome: &Outcome) -> Result<String, PlotError> {
     let buckets_per_second = 1e6 / outcome.bucket_width as f64;
     let rate = |count_of: fn(&TimeBucket) -> u64| {
@@ -50,13 +51,16 @@
         ("p50", Box::new(|bucket| bucket.p50 as f64 / 1e3)),
         ("p99", Box::new(|bucket| bucket.p99 as f64 / 1e3)),
     ];
-    let in_flight: [Series; 1] = [("calls out", Box::new(|bucket| bucket.calls_out as f64))];
+    let in_flight: [Series; 1] = [(
+        "calls in flight",
+        Box::new(|bucket| bucket.calls_out as f64),
+    )];
     let outcomes: [Series; 4] = [
-        ("good", Box::new(rate(|bucket| bucket.good))),
+        ("succeeded", Box::new(rate(|bucket| bucket.good))),
         ("refused", Box::new(rate(|bucket| bucket.refused))),
         ("failed", Box::new(rate(|bucket| bucket.failed))),
         (
-            "deferred, written off",
+            "messages rejected or failed",
             Box::new(rate(|bucket| bucket.rejected + bucket.failed_messages)),
         ),
     ];
@@ -68,10 +72,10 @@
         series,
     };
     Ok([
-        plot("Traffic", "a second", false, &traffic).svg()?,
+        plot("Traffic", "per second", false, &traffic).svg()?,
         plot("Time from due to served", "ms", true, &latency).svg()?,
         plot("Calls in flight", "calls", false, &in_flight).svg()?,
-        plot("Outcomes", "a second", false, &outcomes).svg()?,
+        plot("Outcomes", "per second", false, &outcomes).svg()?,
     ]
     .concat())
 }
@@ -108,17 +112,17 @@
         area.present()
     }
 
-    /// When a time bucket begins, s.
+    /// Returns when a time bucket begins, in seconds from the start of the run.
     fn bucket_start_s(&self, bucket: usize) -> f64 {
         bucket as f64 * self.outcome.bucket_width as f64 / 1e6
     }
 
-    /// The end of the time axis, s.
+    /// Returns the end of the time axis, in seconds; at least 1.
     fn time_axis_end_s(&self) -> f64 {
         self.bucket_start_s(self.outcome.buckets.len()).max(1.0)
     }
 
-    /// The top of the axis of values.
+    /// Returns the upper end of the axis of values: a tenth above the largest value, or above a minimum if that is larger.
     fn value_axis_max(&self) -> f64 {
         let buckets = &self.outcome.buckets;
         let series = self.series.iter();
@@ -127,7 +131,8 @@
         values.fold(0.0, f64::max).max(min_axis_max) * 1.1
     }
 
-    /// Draws mesh, faults, lines and names; `low` is the lowest value that the axis shows.
+    /// Draws the mesh, the shaded faults, the series and the legend. `value_axis_min` is the lower end of the axis of
+    /// values; smaller values are drawn there.
     fn draw_chart<'c, 'b: 'c, Y>(
         &self,
         mut chart: ChartContext<'c, SVGBackend<'b>, Cartesian2d<RangedCoordf64, Y>>,
--- a/crates/lab/src/report/rows.rs
+++ b/crates/lab/src/report/rows.rs
@@ -1,10 +1,11 @@
-//! The figures of an outcome, a row each, for page and terminal.
+//! The figures of an outcome, in the order in which the page and the terminal show them.
 
 use crate::tally::{Clock, Outcome};
 
-/// What a table row shows of an outcome.
+/// A figure of an outcome: its label and the function that formats its value.
 pub(super) type Figure = (&'static str, fn(&Outcome) -> String);
 
+/// All figures. The text for the terminal pads labels to 38 characters, so none may be longer.
 pub(super) const FIGURES: [Figure; 20] = [
     ("clock", |outcome| {
         if outcome.clock == Clock::Simulated {
@@ -23,7 +24,7 @@
     ("served by the first attempt", |outcome| {
         format!("{:.4}", outcome.first_attempt_share())
     }),
-    ("calls a message", |outcome| {
+    ("calls per message", |outcome| {
         format!("{:.3}", outcome.calls_per_message())
     }),
     ("p50, p99, p99.9 ms", |outcome| {
@@ -36,15 +37,17 @@
         )
     }),
     ("failed", |outcome| outcome.counts.failed.to_string()),
-    ("deferrals", |outcome| outcome.counts.rejections.to_string()),
+    ("rejections", |outcome| {
+        outcome.counts.rejections.to_string()
+    }),
     ("given up by clients", |outcome| {
         outcome.counts.given_up.to_string()
     }),
-    ("gone with a folder", |outcome| {
+    ("lost with a state directory", |outcome| {
         outcome.counts.gone.to_string()
     }),
     ("open at the end", |outcome| outcome.counts.open.to_string()),
-    ("calls, probes", |outcome| {
+    ("calls, health checks", |outcome| {
         format!("{}, {}", outcome.counts.calls, outcome.counts.health_checks)
     }),
     ("outcomes of calls", |outcome| {
@@ -56,7 +59,7 @@
             .collect::<Vec<_>>()
             .join(", ")
     }),
-    ("targets pushed over, blamed or not", |outcome| {
+    ("endpoint overloads, blamed or not", |outcome| {
         outcome.falls.to_string()
     }),
     ("rules broken", |outcome| match outcome.broken.is_empty() {
@@ -79,7 +82,7 @@
         match (outcome.misses().is_empty(), &outcome.void) {
             (_, Some(_)) => "void".into(),
             (true, _) => "as expected".into(),
-            _ => "misses what is expected".into(),
+            _ => "misses expectations".into(),
         }
     }),
 ];
--- a/crates/lab/tests/tool.rs
+++ b/crates/lab/tests/tool.rs
@@ -1,19 +1,19 @@
-//! The program as a person uses it: what it prints, what it writes, how it ends.
+//! Tests of the program `opalpulley-lab` as a process: its output, the files that it writes and its exit codes.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// The exit code of a run that shows nothing, because the machine was too slow for it.
+/// Exit code of a void run, which shows nothing because the machine was too slow for it.
 const EXIT_VOID: i32 = 3;
 
-/// Runs of a world on sockets until one must not be void.
+/// Most runs on sockets until one is not void.
 const MAX_VOID_RUNS: usize = 3;
 
 fn run_lab(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_opalpulley-lab"))
         .args(args)
         .output()
-        .expect("it runs")
+        .expect("opalpulley-lab should start")
 }
 
 fn scenario_path(name: &str) -> String {
@@ -28,7 +28,7 @@
 }
 
 fn simulate(scenario: &str, seed: &str, json_file: &Path) -> Vec<u8> {
-    let json_path = json_file.to_str().expect("a name");
+    let json_path = json_file.to_str().expect("the path should be UTF-8");
     let output = run_lab(&[
         "run",
         scenario,
@@ -39,17 +39,23 @@
         json_path,
     ]);
     assert!(output.status.success(), "{}", to_text(&output.stdout));
-    std::fs::read(json_path).expect("it was written")
+    std::fs::read(json_path).expect("the outcome should be written")
 }
 
 #[test]
 fn writes_identical_outcomes_for_equal_scenario_and_seed_in_two_processes() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a temporary directory should be created");
     for name in ["hostile", "day", "herd"] {
         let [a, b, c] = [("a", "5"), ("b", "5"), ("c", "6")]
             .map(|(file, seed)| simulate(&scenario_path(name), seed, &dir.path().join(file)));
-        assert!(a == b, "{name}: the same seed");
-        assert!(a != c, "{name}: another seed");
+        assert!(
+            a == b,
+            "{name}: the outcomes of equal seeds should be equal"
+        );
+        assert!(
+            a != c,
+            "{name}: the outcomes of different seeds should differ"
+        );
     }
 }
 
@@ -68,13 +74,17 @@
     let broken_rule = run_lab(&["run", &hostile, "--make", "second-answer"]);
     assert_eq!(broken_rule.status.code(), Some(1));
     assert!(to_text(&broken_rule.stdout).contains("second-final-answer"));
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a temporary directory should be created");
     let file = dir.path().join("bad.toml");
-    let good = std::fs::read_to_string(&hostile).expect("it is there");
-    std::fs::write(&file, good.replacen("slots = 24", "slits = 24", 1)).expect("written");
+    let good = std::fs::read_to_string(&hostile).expect("the scenario should exist");
+    std::fs::write(&file, good.replacen("slots = 24", "slits = 24", 1))
+        .expect("the file should be written");
     for (args, expected) in [
         (vec!["run", "nowhere.toml"], "nowhere.toml"),
-        (vec!["run", file.to_str().expect("a name")], "slits"),
+        (
+            vec!["run", file.to_str().expect("the path should be UTF-8")],
+            "slits",
+        ),
         (
             vec!["run", &hostile, "--set", "forwarders.slots=none"],
             "slots",
@@ -113,10 +123,13 @@
 
 #[test]
 fn compare_sweep_and_report_write_their_files() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a temporary directory should be created");
     let path = |name: &str| -> (PathBuf, String) {
         let path = dir.path().join(name);
-        (path.clone(), path.to_str().expect("a name").into())
+        (
+            path.clone(),
+            path.to_str().expect("the path should be UTF-8").into(),
+        )
     };
     let first = scenario_path("first");
     let (file, to) = path("compare.json");
@@ -131,14 +144,19 @@
         "--json",
         &to,
     ];
-    assert_eq!(run_lab(&args).status.code(), Some(1), "one slot is worse");
+    assert_eq!(
+        run_lab(&args).status.code(),
+        Some(1),
+        "a side with one permit should be worse"
+    );
     let comparison: serde_json::Value =
-        serde_json::from_slice(&std::fs::read(file).expect("written")).expect("JSON");
+        serde_json::from_slice(&std::fs::read(file).expect("the file should be written"))
+            .expect("the file should be JSON");
     assert_eq!(
         (&comparison["verdict"], &comparison["pairs"]),
         (&"worse".into(), &4.into())
     );
-    // Another build of the program is asked by its path; this one against itself can't be told apart.
+    // Side B is simulated by this program as another build, so both sides have equal outcomes.
     let build = env!("CARGO_BIN_EXE_opalpulley-lab");
     let same_build = run_lab(&[
         "compare",
@@ -169,45 +187,54 @@
     ];
     assert!(run_lab(&args).status.success());
     let sweep: serde_json::Value =
-        serde_json::from_slice(&std::fs::read(file).expect("written")).expect("JSON");
-    let service = |row: usize| sweep["rows"][row]["service"].as_f64().expect("a figure");
+        serde_json::from_slice(&std::fs::read(file).expect("the file should be written"))
+            .expect("the file should be JSON");
+    let service = |row: usize| {
+        sweep["rows"][row]["service"]
+            .as_f64()
+            .expect("the service should be a number")
+    };
     assert!(service(0) < service(2), "{sweep}");
     let (outcome, _) = path("outcome.json");
     simulate(&first, "1", &outcome);
     let (page, to) = path("page.html");
-    assert!(
-        run_lab(&["report", outcome.to_str().expect("a name"), "--to", &to])
-            .status
-            .success()
-    );
+    assert!(run_lab(&[
+        "report",
+        outcome.to_str().expect("the path should be UTF-8"),
+        "--to",
+        &to
+    ])
+    .status
+    .success());
     assert!(std::fs::read_to_string(page)
-        .expect("written")
+        .expect("the file should be written")
         .contains("<svg"));
 }
 
-/// The oracle on sockets can fail, too: a bare relay neither tries again nor gives anyone a final answer.
+/// Guards against an oracle that never fails on sockets: the relay neither retries nor sends a final answer, so that its
+/// failed messages are lost.
 #[test]
 fn run_on_sockets_reports_lost_messages_of_a_relay_without_retries() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a temporary directory should be created");
     let file = dir.path().join("relay.toml");
     let toml = "version = 1\nname = \"relay\"\nshows = \"s\"\nlasts = \"2s\"\n[[profiles]]\nname = \"p\"\neffect = \"retriable\"\n\
                  contract_time = \"500ms\"\nexpiry = \"2s\"\n[[destinations]]\nname = \"d\"\nrate = 100.0\nlimited = false\n\
                  errors = 0.3\nservice = { kind = \"constant\", time = \"5ms\" }\n[[loads]]\nrate = 40.0\n";
-    std::fs::write(&file, toml).expect("written");
+    std::fs::write(&file, toml).expect("the file should be written");
     let relay = env!("CARGO_BIN_EXE_opalpulley-relay");
     let arguments = [
         "run",
-        file.to_str().expect("a name"),
+        file.to_str().expect("the path should be UTF-8"),
         "--sockets",
         "--forwarder",
         relay,
     ];
-    // A void run shows nothing: the machine was too slow for the load tool.
+    // A void run shows nothing, because the machine was too slow for the load tool.
     let is_void = |output: &Output| output.status.code() == Some(EXIT_VOID);
     let output = (0..MAX_VOID_RUNS)
         .map(|_| run_lab(&arguments))
         .find(|output| !is_void(output))
-        .expect("a run that is not void");
+        .expect("one of the runs should not be void");
     let stdout = to_text(&output.stdout);
     assert_eq!(
         output.status.code(),
