--- a/crates/lab/src/capacity/core/world.rs
+++ b/crates/lab/src/capacity/core/world.rs
@@ -5,7 +5,7 @@
 
 use super::settings::{config, FORWARDERS};
 use crate::capacity::error::CapacityError;
-use crate::chance::stream;
+use crate::random::seeded_rng;
 use opalpulley::{
     Action, AttemptHistory, DeliveryClassId, DestinationId, EndpointEntry, EndpointId,
     EndpointKindId, EndpointStatus, Event, Forwarder, MessageId, Micros, Outcome, StateCounts,
@@ -160,7 +160,7 @@
             due: BTreeMap::new(),
             out: BTreeMap::new(),
             next: 0,
-            chance: stream(plan.seed, "capacity", 0),
+            chance: seeded_rng(plan.seed, "capacity", 0),
             actions: Vec::new(),
             counts: Counts::default(),
         }
--- a/crates/lab/src/capacity/fleet/config_changes.rs
+++ b/crates/lab/src/capacity/fleet/config_changes.rs
@@ -3,7 +3,7 @@
 use super::layout::Layout;
 use super::plan::{Plan, SECOND};
 use super::receivers::Receivers;
-use crate::chance::{exponential, stream};
+use crate::random::{exponential, seeded_rng};
 use opalpulley::{EndpointEntry, EndpointStatus, Micros};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -25,7 +25,7 @@
 impl ConfigChanges {
     /// The changes of a plan.
     pub fn new(plan: &Plan) -> ConfigChanges {
-        let rng = stream(plan.seed, "changes", 0);
+        let rng = seeded_rng(plan.seed, "changes", 0);
         ConfigChanges {
             a_day: plan.changes_a_day,
             destinations: plan.destinations,
--- a/crates/lab/src/capacity/fleet/discovery.rs
+++ b/crates/lab/src/capacity/fleet/discovery.rs
@@ -4,7 +4,7 @@
 
 use super::layout::{forwarder_zone, region, Layout};
 use super::wire::{Cut, Wire};
-use crate::chance::stream;
+use crate::random::seeded_rng;
 use opalpulley::{EndpointEntry, EndpointStatus, Micros};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -88,7 +88,7 @@
             current: all
                 .map(|(d, n)| layout.listing(n, 0, d.rate, EndpointStatus::Ready))
                 .collect(),
-            rng: stream(seed, "discovery", 0),
+            rng: seeded_rng(seed, "discovery", 0),
         }
     }
 
--- a/crates/lab/src/capacity/fleet/hollow.rs
+++ b/crates/lab/src/capacity/fleet/hollow.rs
@@ -8,7 +8,7 @@
 use super::queue::TimedQueue;
 use super::receivers::Receivers;
 use super::tally::{MessageCounts, Work, WorkDone, WORK_KINDS};
-use crate::chance::{exponential, stream};
+use crate::random::{exponential, seeded_rng};
 use opalpulley::{
     Action, AttemptHistory, DeliveryClassId, DestinationId, EndpointEntry, EndpointId,
     EndpointListUpdate, Event, Forwarder, MessageId, Micros, Outcome, StateCounts, Submission,
@@ -66,7 +66,7 @@
             actions: Vec::new(),
             open: HashMap::new(),
             probes: HashMap::new(),
-            rng: stream(plan.seed, "messages", u64::from(number)),
+            rng: seeded_rng(plan.seed, "messages", u64::from(number)),
             arrivals: 0.0,
             stream: 0,
             judged: plan.judged_from()..plan.judged_until(),
--- a/crates/lab/src/capacity/fleet/layout.rs
+++ b/crates/lab/src/capacity/fleet/layout.rs
@@ -1,7 +1,7 @@
 //! Who stands where: the destinations with their rates, zones and part of the traffic, drawn once from the seed.
 
 use super::plan::{Plan, ZONES, ZONES_A_REGION};
-use crate::chance::stream;
+use crate::random::seeded_rng;
 use opalpulley::{
     DestinationId, EndpointEntry, EndpointId, EndpointKindId, EndpointStatus, ZoneId,
 };
@@ -41,7 +41,7 @@
 impl Layout {
     /// The destinations of a plan.
     pub fn new(plan: &Plan) -> Layout {
-        let mut rng = stream(plan.seed, "layout", 0);
+        let mut rng = seeded_rng(plan.seed, "layout", 0);
         let mut by_rank: Vec<u32> = (0..plan.destinations).collect();
         by_rank.shuffle(&mut rng);
         let weight = |rank: usize| ((rank + 1) as f64).powf(-plan.skew);
--- a/crates/lab/src/capacity/fleet/outages.rs
+++ b/crates/lab/src/capacity/fleet/outages.rs
@@ -1,7 +1,7 @@
 //! When destinations are down: each by itself, so that a fixed part of all is down at any time.
 
 use super::plan::{Plan, SECOND};
-use crate::chance::{exponential, stream};
+use crate::random::{exponential, seeded_rng};
 use opalpulley::Micros;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -19,7 +19,7 @@
         Outages {
             share: plan.down_share,
             mean_down: plan.outage_seconds * SECOND as f64,
-            rng: stream(plan.seed, "outages", 0),
+            rng: seeded_rng(plan.seed, "outages", 0),
         }
     }
 
--- a/crates/lab/src/capacity/fleet/receivers.rs
+++ b/crates/lab/src/capacity/fleet/receivers.rs
@@ -4,7 +4,7 @@
 use super::layout::Layout;
 use super::onlooker::{Arrived, Outage, ReceiverCounts, Return};
 use super::plan::{rules, Plan, SECOND};
-use crate::chance::stream;
+use crate::random::seeded_rng;
 use opalpulley::Micros;
 use rand::Rng;
 use rand_distr::{Distribution, LogNormal};
@@ -108,7 +108,7 @@
                 .collect(),
             counts: ReceiverCounts::default(),
             answer_times: LogNormal::new(mean, ANSWER_SPREAD).ok(),
-            rng: stream(plan.seed, "receivers", 0),
+            rng: seeded_rng(plan.seed, "receivers", 0),
         }
     }
 
--- a/crates/lab/src/capacity/fleet/wire.rs
+++ b/crates/lab/src/capacity/fleet/wire.rs
@@ -2,7 +2,7 @@
 //! forwarder sends and receives.
 
 use super::layout::region;
-use crate::chance::stream;
+use crate::random::seeded_rng;
 use opalpulley::Micros;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -137,7 +137,7 @@
             control: vec![ControlTraffic::default(); forwarders as usize],
             attempts_lost: 0,
             gossip_lost: 0,
-            rng: stream(seed, "wire", 0),
+            rng: seeded_rng(seed, "wire", 0),
         }
     }
 
--- a/crates/lab/src/capacity/process/point.rs
+++ b/crates/lab/src/capacity/process/point.rs
@@ -7,7 +7,7 @@
 use super::{ListFrom, Options};
 use crate::capacity::error::CapacityError;
 use crate::capacity::usage::Usage;
-use crate::chance::stream;
+use crate::random::seeded_rng;
 use rand::Rng;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -61,7 +61,7 @@
 
 /// Which targets get messages, in the order of the messages.
 fn draws(options: &Options, listed: u32, in_use: u32) -> Arc<[u32]> {
-    let mut chance = stream(options.seed, "capacity process", u64::from(in_use));
+    let mut chance = seeded_rng(options.seed, "capacity process", u64::from(in_use));
     let (in_use, messages) = (in_use.clamp(1, listed), options.rate * options.seconds);
     let target = |place: u32| (u64::from(place) * u64::from(listed) / u64::from(in_use)) as u32;
     (0..messages)
--- a/crates/lab/src/commands/error.rs
+++ b/crates/lab/src/commands/error.rs
@@ -5,7 +5,7 @@
 use opalpulley_lab::experiments::ExperimentError;
 use opalpulley_lab::load::ReplayError;
 use opalpulley_lab::report::PlotError;
-use opalpulley_lab::scenario::BadScenario;
+use opalpulley_lab::scenario::ScenarioError;
 use opalpulley_lab::sockets::SocketsError;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
 pub enum CommandError {
     /// A scenario file is wrong.
     #[error(transparent)]
-    Scenario(#[from] BadScenario),
+    Scenario(#[from] ScenarioError),
     /// An experiment could not be carried out.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
--- a/crates/lab/src/experiments/bids.rs
+++ b/crates/lab/src/experiments/bids.rs
@@ -101,7 +101,7 @@
             .unwrap_or_else(|error| unreachable!("a fixed scenario: {error}"));
         let mut bench = Bench {
             core: Forwarder::new(scenario.config(0), 1),
-            time_to_live: scenario.longest_time_to_live(),
+            time_to_live: scenario.max_time_to_live(),
             now: START,
             actions: Vec::new(),
             submitted: 0,
--- a/crates/lab/src/experiments/compare.rs
+++ b/crates/lab/src/experiments/compare.rs
@@ -1,6 +1,6 @@
 //! Two variants under the same seeds: differences pair by pair, bootstrap intervals, and a plain verdict.
 
-use crate::chance::stream;
+use crate::random::seeded_rng;
 use crate::tally::Outcome;
 use rand::Rng;
 use serde::Serialize;
@@ -102,7 +102,7 @@
     if differences.is_empty() {
         return (0.0, 0.0);
     }
-    let mut rng = stream(seed, "bootstrap", 0);
+    let mut rng = seeded_rng(seed, "bootstrap", 0);
     let n = differences.len();
     let mut resampled_mean = || {
         let drawn = (0..n).map(|_| differences[rng.random_range(0..n)]);
--- a/crates/lab/src/experiments/error.rs
+++ b/crates/lab/src/experiments/error.rs
@@ -1,7 +1,7 @@
 //! Why an experiment could not be carried out.
 
 use crate::load::ReplayError;
-use crate::scenario::BadScenario;
+use crate::scenario::ScenarioError;
 
 /// Why an experiment could not be carried out.
 #[derive(Debug, thiserror::Error)]
@@ -23,7 +23,7 @@
     Toml(#[from] toml::ser::Error),
     /// The scenario with the changed values is wrong.
     #[error(transparent)]
-    Scenario(#[from] BadScenario),
+    Scenario(#[from] ScenarioError),
     /// The load can't be replayed from its file.
     #[error(transparent)]
     Replay(#[from] ReplayError),
--- a/crates/lab/src/experiments/hunt.rs
+++ b/crates/lab/src/experiments/hunt.rs
@@ -2,8 +2,8 @@
 //! that still shows it.
 
 use super::{in_parallel, simulate, threads, ExperimentError};
-use crate::chance::stream;
 use crate::load::ReplayError;
+use crate::random::seeded_rng;
 use crate::scenario::{
     Destination, Fault, FaultKind, FaultScope, ForwarderProcesses, ResetMoment, Scenario, Span,
 };
@@ -43,7 +43,7 @@
 
 /// A world drawn round the base: its load and forwarders within ranges, faults of any kind.
 pub fn draw(base: &Scenario, seed: u64) -> Scenario {
-    let chance = &mut stream(seed, "hunt", 0);
+    let chance = &mut seeded_rng(seed, "hunt", 0);
     let mut scenario = base.clone();
     scenario.name = format!("{}-hunt-{seed}", base.name);
     scenario.expect = Default::default();
--- a/crates/lab/src/experiments/tests.rs
+++ b/crates/lab/src/experiments/tests.rs
@@ -62,10 +62,10 @@
 
 #[test]
 fn the_interval_of_a_mean_holds_its_mean_most_of_the_time() {
-    let mut rng = crate::chance::stream(3, "interval", 0);
+    let mut rng = crate::random::seeded_rng(3, "interval", 0);
     let held = (0..200).filter(|n| {
         let sample: Vec<f64> = (0..20)
-            .map(|_| crate::chance::exponential(&mut rng))
+            .map(|_| crate::random::exponential(&mut rng))
             .collect();
         let (low, high) = compare::interval(&sample, *n);
         low < 1.0 && high > 1.0
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -5,10 +5,10 @@
 #![allow(missing_docs)]
 
 pub mod capacity;
-pub mod chance;
 pub mod experiments;
 pub mod load;
 pub mod oracle;
+pub mod random;
 pub mod receivers;
 pub mod report;
 pub mod scenario;
--- a/crates/lab/src/load/shape.rs
+++ b/crates/lab/src/load/shape.rs
@@ -5,13 +5,13 @@
 
 impl Shape {
     /// So many times the mean rate at this time.
-    pub fn times(&self, at: Micros) -> f64 {
+    pub fn rate_multiple(&self, at: Micros) -> f64 {
         match self {
             Shape::Poisson | Shape::Even | Shape::Replay { .. } => 1.0,
             Shape::Steps { steps } => steps
                 .iter()
                 .rev()
-                .find(|(from, _)| from.0 <= at)
+                .find(|(starts_at, _)| starts_at.0 <= at)
                 .map_or(1.0, |(_, times)| *times),
             Shape::Bursts {
                 on,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// The most that `times` gives at any time.
-    pub(super) fn most(&self) -> f64 {
+    /// The most that `rate_multiple` gives at any time.
+    pub(super) fn max_rate_multiple(&self) -> f64 {
         match self {
             Shape::Poisson | Shape::Even | Shape::Replay { .. } => 1.0,
             Shape::Steps { steps } => steps.iter().map(|(_, times)| *times).fold(1.0, f64::max),
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -17,7 +17,7 @@
 pub use rule::{Break, Rule};
 pub use submissions::{FinalAnswer, SubmissionRecord, TookEffect};
 
-use crate::receivers::Fall;
+use crate::receivers::OverloadFailure;
 use crate::scenario::{DeliveryClass, Scenario};
 use limits::NotifiedLimits;
 use opalpulley::Micros;
@@ -77,7 +77,7 @@
             in_flight: HashMap::new(),
             effects: HashMap::new(),
             effects_by_age: VecDeque::new(),
-            effect_memory: scenario.longest_time_to_live() + LINGER,
+            effect_memory: scenario.max_time_to_live() + LINGER,
             excused: HashMap::new(),
             breaks: Vec::new(),
             counts: BTreeMap::new(),
@@ -99,11 +99,11 @@
     }
 
     /// Judges the endpoints that fell over: a fall breaks a rule where forwarders are to blame.
-    pub fn judge_falls(&mut self, falls: &[Fall]) {
-        for fall in falls.iter().filter(|fall| fall.blamed) {
+    pub fn judge_falls(&mut self, falls: &[OverloadFailure]) {
+        for fall in falls.iter().filter(|fall| fall.caused_by_witnesses) {
             let what = format!(
                 "target {} fell over: {} calls in the window, {:.1} allowed",
-                fall.endpoint, fall.calls, fall.budget
+                fall.endpoint, fall.calls, fall.overload_limit
             );
             self.broken(Rule::PushedOver, fall.at, what);
         }
--- a/crates/lab/src/chance.rs
+++ b/crates/lab/src/random.rs
@@ -7,13 +7,15 @@
 use rand_pcg::Pcg64Mcg;
 
 /// A stream of chance of its own for `what`, number `number`, of the run with this seed.
-pub fn stream(seed: u64, what: &str, number: u64) -> Pcg64Mcg {
+pub fn seeded_rng(seed: u64, purpose: &str, index: u64) -> Pcg64Mcg {
     // FNV-1a over the name: any fixed spreading does, the generator mixes further.
-    let named = what.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
-        (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
-    });
-    let state =
-        u128::from(seed) << 64 | u128::from(named ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    let purpose_hash = purpose
+        .bytes()
+        .fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
+            (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
+        });
+    let state = u128::from(seed) << 64
+        | u128::from(purpose_hash ^ index.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let mut rng = Pcg64Mcg::new(state | 1);
     let _: u64 = rng.random(); // the first output still shows the state
     Pcg64Mcg::seed_from_u64(rng.random())
@@ -25,13 +27,14 @@
 }
 
 /// A service time in µs, one at least.
-pub fn service(service: &ServiceTime, rng: &mut Pcg64Mcg) -> Micros {
-    let time = match service {
+pub fn sample_service_time(service_time: &ServiceTime, rng: &mut Pcg64Mcg) -> Micros {
+    let micros = match service_time {
         ServiceTime::Constant { time } => time.0 as f64,
         ServiceTime::Exponential { mean } => mean.0 as f64 * exponential(rng),
         ServiceTime::Lognormal { mean, sigma } => {
             let mu = (mean.0.max(1) as f64).ln() - sigma * sigma / 2.0;
-            LogNormal::new(mu, *sigma).map_or(mean.0 as f64, |l| l.sample(rng))
+            LogNormal::new(mu, *sigma)
+                .map_or(mean.0 as f64, |distribution| distribution.sample(rng))
         }
         ServiceTime::Bimodal {
             fast,
@@ -45,12 +48,12 @@
             }) as f64
         }
     };
-    time.round().max(1.0) as Micros
+    micros.round().max(1.0) as Micros
 }
 
 /// The mean of the service times, µs.
-pub fn service_mean(service: &ServiceTime) -> f64 {
-    match service {
+pub fn mean_service_time(service_time: &ServiceTime) -> f64 {
+    match service_time {
         ServiceTime::Constant { time } => time.0 as f64,
         ServiceTime::Exponential { mean } | ServiceTime::Lognormal { mean, .. } => mean.0 as f64,
         ServiceTime::Bimodal {
@@ -62,35 +65,37 @@
 }
 
 /// Which of several comes next: by weight, or by Zipf's law over their places.
-pub enum Pick {
-    Weights(Vec<f64>),
+pub enum IndexSampler {
+    CumulativeWeights(Vec<f64>),
     Zipf(Zipf<f64>),
 }
 
-impl Pick {
+impl IndexSampler {
     /// Chooses by Zipf's law where `skew` is above 0, else by weight.
-    pub fn new(weights: impl Iterator<Item = f64>, skew: f64) -> Pick {
+    pub fn new(weights: impl Iterator<Item = f64>, skew: f64) -> IndexSampler {
         let mut sum = 0.0;
-        let sums: Vec<f64> = weights
-            .map(|w| {
-                sum += w;
+        let cumulative_weights: Vec<f64> = weights
+            .map(|weight| {
+                sum += weight;
                 sum
             })
             .collect();
-        match Zipf::new(sums.len().max(1) as f64, skew) {
-            Ok(zipf) if skew > 0.0 => Pick::Zipf(zipf),
-            _ => Pick::Weights(sums),
+        match Zipf::new(cumulative_weights.len().max(1) as f64, skew) {
+            Ok(zipf) if skew > 0.0 => IndexSampler::Zipf(zipf),
+            _ => IndexSampler::CumulativeWeights(cumulative_weights),
         }
     }
 
     /// Draws a place.
-    pub fn draw(&self, rng: &mut Pcg64Mcg) -> usize {
+    pub fn sample(&self, rng: &mut Pcg64Mcg) -> usize {
         match self {
-            Pick::Zipf(zipf) => zipf.sample(rng) as usize - 1,
-            Pick::Weights(sums) => {
-                let at = rng.random::<f64>() * sums.last().copied().unwrap_or(0.0);
-                sums.partition_point(|s| *s <= at)
-                    .min(sums.len().saturating_sub(1))
+            IndexSampler::Zipf(zipf) => zipf.sample(rng) as usize - 1,
+            IndexSampler::CumulativeWeights(cumulative_weights) => {
+                let target =
+                    rng.random::<f64>() * cumulative_weights.last().copied().unwrap_or(0.0);
+                cumulative_weights
+                    .partition_point(|sum| *sum <= target)
+                    .min(cumulative_weights.len().saturating_sub(1))
             }
         }
     }
--- a/crates/lab/src/receivers.rs
+++ b/crates/lab/src/receivers.rs
@@ -3,24 +3,24 @@
 //! first served, so a call's end is known as it comes.
 //!
 //! `Receivers` owns the receivers' state. The memory of repeats is emptied after twice the longest window, the record of calls
-//! of an endpoint that warms up after the overload window. `endpoint` serves calls, `faults` tells what is in force, `repeats`
+//! of an endpoint that warms up after the overload window. `endpoint` serves calls, `faults` tells what is in force, `idempotency_keys`
 //! knows idempotency keys, `rate_limiter` refuses calls, `reply` names what comes back.
 
 mod endpoint;
 mod faults;
+mod idempotency_keys;
 mod rate_limiter;
-mod repeats;
 mod reply;
 
-pub use reply::{Fall, Fate, ReceiverReply};
+pub use reply::{CallResult, OverloadFailure, ReceiverReply};
 
 use crate::scenario::{Destination, FaultKind, RuleSettings, Scenario};
 use crate::world::Layout;
-use endpoint::{Endpoint, Warmth};
+use endpoint::{Endpoint, EndpointState};
 use faults::{is_outage, ActiveFault, ActiveFaults};
+use idempotency_keys::IdempotencyKeys;
 use opalpulley::Micros;
 use rate_limiter::RateLimiter;
-use repeats::Repeats;
 
 /// An endpoint answers a health check after so long, µs.
 const HEALTH_CHECK_TIME: Micros = 1_000;
@@ -36,17 +36,17 @@
     limiters: Vec<RateLimiter>,
     endpoints: Vec<Endpoint>,
     active: ActiveFaults,
-    repeats: Repeats,
+    idempotency_keys: IdempotencyKeys,
     /// Endpoints that fell over, in order.
-    pub falls: Vec<Fall>,
+    pub overload_failures: Vec<OverloadFailure>,
 }
 
 impl Receivers {
     /// All receivers, warm, without faults.
     pub fn new(scenario: &Scenario, layout: &Layout, seed: u64) -> Receivers {
-        let mut group_of_limiter = vec![usize::MAX; layout.limiters];
+        let mut group_of_limiter = vec![usize::MAX; layout.limiter_count];
         for place in &layout.endpoints {
-            group_of_limiter[place.limiter] = place.group;
+            group_of_limiter[place.limiter_index] = place.group_index;
         }
         let groups = &scenario.destinations;
         let limiters = group_of_limiter.into_iter();
@@ -56,13 +56,13 @@
                 .map(|group| RateLimiter::new(&groups[group]))
                 .collect(),
             endpoints: endpoints
-                .map(|(index, place)| Endpoint::new(&groups[place.group], place, seed, index))
+                .map(|(index, place)| Endpoint::new(&groups[place.group_index], place, seed, index))
                 .collect(),
             groups: groups.clone(),
             rules: scenario.rules.clone(),
             active: ActiveFaults::default(),
-            repeats: Repeats::new(&scenario.classes),
-            falls: Vec::new(),
+            idempotency_keys: IdempotencyKeys::new(&scenario.classes),
+            overload_failures: Vec::new(),
         }
     }
 
@@ -70,55 +70,63 @@
     pub fn set_fault(
         &mut self,
         now: Micros,
-        number: usize,
+        fault_index: usize,
         kind: &FaultKind,
-        until: Micros,
+        ends_at: Micros,
         endpoints: &[usize],
         begins: bool,
     ) {
         if begins {
             let fault = ActiveFault {
                 kind: kind.clone(),
-                from: now,
-                until,
+                starts_at: now,
+                ends_at,
             };
-            self.active.insert(number, fault);
+            self.active.insert(fault_index, fault);
         }
         for index in endpoints {
             let endpoint = &mut self.endpoints[*index];
-            endpoint.faults.retain(|other| *other != number);
+            endpoint.faults.retain(|other| *other != fault_index);
             if begins {
-                endpoint.faults.push(number);
-                endpoint.fault_begins(kind);
-            } else if is_outage(kind) && !self.active.any_outage(endpoint) {
-                endpoint.outage_ends(now);
+                endpoint.faults.push(fault_index);
+                endpoint.begin_fault(kind);
+            } else if is_outage(kind) && !self.active.has_outage(endpoint) {
+                endpoint.end_outage(now);
             }
         }
         if !begins {
-            self.active.remove(number);
+            self.active.remove(fault_index);
         }
     }
 
     /// A new holder of the address: nothing of the old one is left.
     pub fn replace(&mut self, now: Micros, endpoint: usize) {
         let endpoint = &mut self.endpoints[endpoint];
-        let concurrency = self.groups[endpoint.group].concurrency;
+        let concurrency = self.groups[endpoint.group_index].concurrency;
         endpoint.replace(now, concurrency);
     }
 
     /// Whether connections to it are refused now.
-    pub fn refuses(&self, now: Micros, endpoint: usize) -> bool {
+    pub fn refuses_connections(&self, now: Micros, endpoint: usize) -> bool {
         let endpoint = &self.endpoints[endpoint];
-        endpoint.warmth == Warmth::Fallen
-            || self.active.of(endpoint).any(|fault| fault.refuses(now))
+        endpoint.state == EndpointState::Failed
+            || self
+                .active
+                .affecting(endpoint)
+                .any(|fault| fault.refuses(now))
     }
 
     /// The part of its capacity that an endpoint has now.
     fn capacity_share(&self, now: Micros, endpoint: usize) -> f64 {
         let endpoint = &self.endpoints[endpoint];
-        let warm = endpoint.warm_share(now, &self.rules);
-        let left = self.active.of(endpoint).map(ActiveFault::capacity_left);
-        left.fold(warm, f64::min).max(MIN_CAPACITY_SHARE)
+        let warm_share = endpoint.warm_capacity_share(now, &self.rules);
+        let shares_left = self
+            .active
+            .affecting(endpoint)
+            .map(ActiveFault::capacity_left);
+        shares_left
+            .fold(warm_share, f64::min)
+            .max(MIN_CAPACITY_SHARE)
     }
 
     /// Counts what reaches an endpoint that warms up; it may be one call too many.
@@ -129,24 +137,27 @@
             return;
         }
         let limit = endpoint.overload_limit(capacity_share, &self.rules);
-        if self.groups[endpoint.group].falls_over && endpoint.recent_calls() as f64 > limit {
-            self.falls.push(endpoint.fall_over(now, index, limit));
+        if self.groups[endpoint.group_index].falls_over
+            && endpoint.recent_arrival_count() as f64 > limit
+        {
+            self.overload_failures
+                .push(endpoint.fail_from_overload(now, index, limit));
         }
     }
 
     /// What becomes of a health check that reaches an endpoint.
-    pub fn health_check(&mut self, now: Micros, index: usize, forwarder: u32) -> Fate {
-        if self.refuses(now, index) {
-            self.endpoints[index].add_witness(forwarder);
-            return Fate::not_run(ReceiverReply::Refused, now);
+    pub fn health_check(&mut self, now: Micros, index: usize, forwarder: u32) -> CallResult {
+        if self.refuses_connections(now, index) {
+            self.endpoints[index].add_failure_witness(forwarder);
+            return CallResult::without_effect(ReceiverReply::Refused, now);
         }
         self.count_arrival(now, index, forwarder);
         let endpoint = &mut self.endpoints[index];
         let reply = self.active.health_check_reply(endpoint);
-        if reply.is_bad_news() {
-            endpoint.add_witness(forwarder);
+        if reply.reveals_failure() {
+            endpoint.add_failure_witness(forwarder);
         }
-        Fate::not_run(reply, now + HEALTH_CHECK_TIME)
+        CallResult::without_effect(reply, now + HEALTH_CHECK_TIME)
     }
 
     /// What becomes of a call whose last byte reaches its endpoint now. Repeats are known by `idempotency_key`.
@@ -156,72 +167,78 @@
         index: usize,
         forwarder: u32,
         idempotency_key: Option<u64>,
-    ) -> Fate {
-        let mut fate = self.fate_of_call(now, index, idempotency_key);
+    ) -> CallResult {
+        let mut result = self.process_call(now, index, idempotency_key);
         // Every call draws, refused or not: the draws of a run stay the same whatever becomes of its calls.
-        let truncated = self.draws_truncation(index);
-        if let (ReceiverReply::TooManyRequests { wait }, true) = (fate.says, truncated) {
-            fate.says = ReceiverReply::TooManyRequestsTruncated { wait };
+        let truncated = self.draw_truncation(index);
+        if let (ReceiverReply::TooManyRequests { retry_after }, true) = (result.reply, truncated) {
+            result.reply = ReceiverReply::TooManyRequestsTruncated { retry_after };
         }
-        if fate.says != ReceiverReply::Refused {
+        if result.reply != ReceiverReply::Refused {
             self.count_arrival(now, index, forwarder);
         }
-        if fate.says.is_bad_news() {
-            self.endpoints[index].add_witness(forwarder);
+        if result.reply.reveals_failure() {
+            self.endpoints[index].add_failure_witness(forwarder);
         }
-        fate
+        result
     }
 
     /// Draws whether a 429 of this endpoint breaks off.
-    fn draws_truncation(&mut self, index: usize) -> bool {
+    fn draw_truncation(&mut self, index: usize) -> bool {
         let endpoint = &mut self.endpoints[index];
         let rate = self.active.truncation_rate(endpoint);
-        rate.is_some_and(|rate| endpoint.draws(rate))
+        rate.is_some_and(|rate| endpoint.draw(rate))
     }
 
-    fn fate_of_call(&mut self, now: Micros, index: usize, idempotency_key: Option<u64>) -> Fate {
-        if self.refuses(now, index) {
-            return Fate::not_run(ReceiverReply::Refused, now);
+    fn process_call(
+        &mut self,
+        now: Micros,
+        index: usize,
+        idempotency_key: Option<u64>,
+    ) -> CallResult {
+        if self.refuses_connections(now, index) {
+            return CallResult::without_effect(ReceiverReply::Refused, now);
         }
         let capacity_share = self.capacity_share(now, index);
         let endpoint = &mut self.endpoints[index];
-        let faults: Vec<&ActiveFault> = self.active.of(endpoint).collect();
+        let faults: Vec<&ActiveFault> = self.active.affecting(endpoint).collect();
         if let Some(reply) = endpoint.reply_before_service(now, &faults) {
-            return Fate::not_run(reply, now);
+            return CallResult::without_effect(reply, now);
         }
-        let limiter = &mut self.limiters[endpoint.limiter];
+        let limiter = &mut self.limiters[endpoint.limiter_index];
         let rate_share = match capacity_share < 1.0 {
             true => capacity_share.max(MIN_RATE_SHARE),
             false => 1.0,
         };
-        if !limiter.admits(now, rate_share) {
-            return Fate::not_run(limiter.refusal(), now);
+        if !limiter.try_admit(now, rate_share) {
+            return CallResult::without_effect(limiter.rejection(), now);
         }
-        let group = &self.groups[endpoint.group];
-        endpoint.start_waiting_calls(now);
+        let group = &self.groups[endpoint.group_index];
+        endpoint.dequeue_started_calls(now);
         let slowdown = endpoint.slowdown(capacity_share, &faults);
-        if !endpoint.has_room(now, group.queue_limit) {
-            return Fate::not_run(ReceiverReply::Overloaded, now);
-        }
-        let ends = endpoint.serve(now, &group.service_time, slowdown);
-        let says = endpoint.reply_after_service(group.error_rate, &faults);
-        let runs = says != ReceiverReply::Erred && self.repeats.is_new(now, idempotency_key);
-        Fate {
-            ran: runs.then_some(ends),
-            at: ends,
-            says,
+        if !endpoint.has_capacity(now, group.queue_limit) {
+            return CallResult::without_effect(ReceiverReply::Overloaded, now);
+        }
+        let ends_at = endpoint.serve(now, &group.service_time, slowdown);
+        let reply = endpoint.reply_after_service(group.error_rate, &faults);
+        let takes_effect = reply != ReceiverReply::InternalError
+            && self.idempotency_keys.insert_if_new(now, idempotency_key);
+        CallResult {
+            effect_at: takes_effect.then_some(ends_at),
+            reply_at: ends_at,
+            reply,
         }
     }
 
     /// Calls that wait at an endpoint now.
-    pub fn waiting(&self, now: Micros, endpoint: usize) -> usize {
-        self.endpoints[endpoint].waiting(now)
+    pub fn queue_length(&self, now: Micros, endpoint: usize) -> usize {
+        self.endpoints[endpoint].queue_length(now)
     }
 
     /// Entries in all tables: idempotency keys, and calls of endpoints that warm up.
-    pub fn held(&self) -> usize {
-        let recent = self.endpoints.iter().map(Endpoint::recent_calls);
-        self.repeats.len() + recent.sum::<usize>()
+    pub fn entry_count(&self) -> usize {
+        let recent_arrivals = self.endpoints.iter().map(Endpoint::recent_arrival_count);
+        self.idempotency_keys.len() + recent_arrivals.sum::<usize>()
     }
 }
 
--- a/crates/lab/src/receivers/endpoint.rs
+++ b/crates/lab/src/receivers/endpoint.rs
@@ -1,10 +1,10 @@
 //! One endpoint: its concurrency, its queue, its warm-up, and what faults do to its answers.
 
 use super::faults::{is_outage, ActiveFault};
-use super::{Fall, ReceiverReply};
-use crate::chance::{service, stream};
+use super::{OverloadFailure, ReceiverReply};
+use crate::random::{sample_service_time, seeded_rng};
 use crate::scenario::{Destination, FaultKind, ResetMoment, RuleSettings, ServiceTime};
-use crate::world::EndpointPlace;
+use crate::world::LayoutEndpoint;
 use opalpulley::Micros;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -12,13 +12,13 @@
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
 
 /// Calls over the overload limit that chance alone may bring, beside twice the root of the limit.
-const CHANCE_CALLS: f64 = 4.0;
+const RANDOM_CALL_ALLOWANCE: f64 = 4.0;
 /// From this part of the calls on, forwarders that had seen an endpoint fail are to blame for its fall.
-const BLAMED_SHARE: f64 = 2.0 / 3.0;
+const WITNESS_CALL_SHARE: f64 = 2.0 / 3.0;
 
 /// Whether an endpoint has its whole capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Warmth {
+pub(super) enum EndpointState {
     /// It has.
     Warm,
     /// It has an outage.
@@ -26,151 +26,162 @@
     /// It had an outage until then.
     WarmingUp { since: Micros },
     /// It got too many calls as it warmed up, and stays down.
-    Fallen,
+    Failed,
 }
 
 /// One endpoint.
 pub(super) struct Endpoint {
-    pub limiter: usize,
-    pub group: usize,
+    pub limiter_index: usize,
+    pub group_index: usize,
     /// Calls a second: its part of what the limiter takes.
     capacity: f64,
     /// When each of the calls that it serves at once is over.
-    pub free_at: BinaryHeap<Reverse<Micros>>,
+    pub slots_free_at: BinaryHeap<Reverse<Micros>>,
     /// When the calls that wait will be started.
-    starts: VecDeque<Micros>,
-    pub warmth: Warmth,
+    queued_starts: VecDeque<Micros>,
+    pub state: EndpointState,
     /// The faults that strike it, by their places in the scenario.
     pub faults: Vec<usize>,
     /// Service takes so many times as long, in a jam and after it until the queue has been empty.
     jam_slowdown: f64,
     /// Calls and health checks within the overload window while it warms up: when, from whom.
-    recent: VecDeque<(Micros, u32)>,
+    recent_arrivals: VecDeque<(Micros, u32)>,
     /// Forwarders that saw a call or health check fail since its outage began.
-    witnesses: BTreeSet<u32>,
-    chance: Pcg64Mcg,
+    failure_witnesses: BTreeSet<u32>,
+    rng: Pcg64Mcg,
 }
 
 impl Endpoint {
     /// An endpoint without calls or faults. `index` is its number in the layout.
-    pub fn new(group: &Destination, place: &EndpointPlace, seed: u64, index: usize) -> Endpoint {
-        let sharing = match group.independent_limits {
+    pub fn new(
+        group: &Destination,
+        place: &LayoutEndpoint,
+        seed: u64,
+        endpoint_index: usize,
+    ) -> Endpoint {
+        let endpoints_per_limiter = match group.independent_limits {
             true => 1.0,
             false => f64::from(group.endpoints),
         };
         Endpoint {
-            limiter: place.limiter,
-            group: place.group,
-            capacity: group.rate / sharing,
-            free_at: (0..group.concurrency).map(|_| Reverse(0)).collect(),
-            starts: VecDeque::new(),
-            warmth: Warmth::Warm,
+            limiter_index: place.limiter_index,
+            group_index: place.group_index,
+            capacity: group.rate / endpoints_per_limiter,
+            slots_free_at: (0..group.concurrency).map(|_| Reverse(0)).collect(),
+            queued_starts: VecDeque::new(),
+            state: EndpointState::Warm,
             faults: Vec::new(),
             jam_slowdown: 1.0,
-            recent: VecDeque::new(),
-            witnesses: BTreeSet::new(),
-            chance: stream(seed, "receiver", index as u64),
+            recent_arrivals: VecDeque::new(),
+            failure_witnesses: BTreeSet::new(),
+            rng: seeded_rng(seed, "receiver", endpoint_index as u64),
         }
     }
 
     /// A new holder of its address: nothing of the old one is left but the faults.
     pub fn replace(&mut self, now: Micros, concurrency: u32) {
-        self.free_at = (0..concurrency).map(|_| Reverse(now)).collect();
-        self.starts.clear();
-        self.warmth = Warmth::Warm;
+        self.slots_free_at = (0..concurrency).map(|_| Reverse(now)).collect();
+        self.queued_starts.clear();
+        self.state = EndpointState::Warm;
         self.jam_slowdown = 1.0;
-        self.recent.clear();
-        self.witnesses.clear();
+        self.recent_arrivals.clear();
+        self.failure_witnesses.clear();
     }
 
     /// A fault strikes it.
-    pub fn fault_begins(&mut self, kind: &FaultKind) {
+    pub fn begin_fault(&mut self, kind: &FaultKind) {
         if let FaultKind::Jam { times } = kind {
             self.jam_slowdown = *times;
-        } else if is_outage(kind) && self.warmth != Warmth::Fallen {
-            self.warmth = Warmth::Down;
-            self.witnesses.clear();
+        } else if is_outage(kind) && self.state != EndpointState::Failed {
+            self.state = EndpointState::Down;
+            self.failure_witnesses.clear();
         }
     }
 
     /// The last outage is over: it warms up.
-    pub fn outage_ends(&mut self, now: Micros) {
-        if self.warmth == Warmth::Down {
-            self.warmth = Warmth::WarmingUp { since: now };
-            self.recent.clear();
+    pub fn end_outage(&mut self, now: Micros) {
+        if self.state == EndpointState::Down {
+            self.state = EndpointState::WarmingUp { since: now };
+            self.recent_arrivals.clear();
         }
     }
 
     /// The part of its capacity that it has while it warms up.
-    pub fn warm_share(&self, now: Micros, rules: &RuleSettings) -> f64 {
-        let Warmth::WarmingUp { since } = self.warmth else {
+    pub fn warm_capacity_share(&self, now: Micros, rules: &RuleSettings) -> f64 {
+        let EndpointState::WarmingUp { since } = self.state else {
             return 1.0;
         };
-        let warm = (now - since) as f64 / rules.warm_up_time.0.max(1) as f64;
-        rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warm.min(1.0)
+        let progress = (now - since) as f64 / rules.warm_up_time.0.max(1) as f64;
+        rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * progress.min(1.0)
     }
 
     /// Counts a call or a health check while it warms up; false where it does not.
     pub fn count_arrival(&mut self, now: Micros, forwarder: u32, rules: &RuleSettings) -> bool {
-        let Warmth::WarmingUp { since } = self.warmth else {
+        let EndpointState::WarmingUp { since } = self.state else {
             return false;
         };
         if now >= since + rules.warm_up_time.0 {
-            self.warmth = Warmth::Warm;
-            self.recent.clear();
+            self.state = EndpointState::Warm;
+            self.recent_arrivals.clear();
             return false;
         }
-        self.recent.push_back((now, forwarder));
-        while let Some((at, _)) = self.recent.front() {
+        self.recent_arrivals.push_back((now, forwarder));
+        while let Some((at, _)) = self.recent_arrivals.front() {
             if at + rules.overload_window.0 >= now {
                 break;
             }
-            self.recent.pop_front();
+            self.recent_arrivals.pop_front();
         }
         true
     }
 
     /// Calls within the overload window while it warms up.
-    pub fn recent_calls(&self) -> usize {
-        self.recent.len()
+    pub fn recent_arrival_count(&self) -> usize {
+        self.recent_arrivals.len()
     }
 
     /// Calls within the overload window that it stands with this share of its capacity.
     pub fn overload_limit(&self, capacity_share: f64, rules: &RuleSettings) -> f64 {
         let window = rules.overload_window.seconds();
         let limit = rules.overload_multiple * capacity_share * self.capacity * window;
-        limit + 2.0 * limit.sqrt() + CHANCE_CALLS
+        limit + 2.0 * limit.sqrt() + RANDOM_CALL_ALLOWANCE
     }
 
     /// It got more calls than it stands.
-    pub fn fall_over(&mut self, now: Micros, index: usize, limit: f64) -> Fall {
-        let calls = self.recent.len();
-        let mut from_witnesses = 0;
-        for (_, forwarder) in &self.recent {
-            if self.witnesses.contains(forwarder) {
-                from_witnesses += 1;
+    pub fn fail_from_overload(
+        &mut self,
+        now: Micros,
+        endpoint_index: usize,
+        limit: f64,
+    ) -> OverloadFailure {
+        let arrival_count = self.recent_arrivals.len();
+        let mut calls_from_witnesses = 0;
+        for (_, forwarder) in &self.recent_arrivals {
+            if self.failure_witnesses.contains(forwarder) {
+                calls_from_witnesses += 1;
             }
         }
-        self.warmth = Warmth::Fallen;
-        Fall {
+        self.state = EndpointState::Failed;
+        OverloadFailure {
             at: now,
-            endpoint: index,
-            calls,
-            budget: limit,
-            blamed: f64::from(from_witnesses) >= BLAMED_SHARE * calls as f64,
+            endpoint: endpoint_index,
+            calls: arrival_count,
+            overload_limit: limit,
+            caused_by_witnesses: f64::from(calls_from_witnesses)
+                >= WITNESS_CALL_SHARE * arrival_count as f64,
         }
     }
 
     /// A forwarder saw it fail in its outage.
-    pub fn add_witness(&mut self, forwarder: u32) {
-        if self.warmth == Warmth::Down {
-            self.witnesses.insert(forwarder);
+    pub fn add_failure_witness(&mut self, forwarder: u32) {
+        if self.state == EndpointState::Down {
+            self.failure_witnesses.insert(forwarder);
         }
     }
 
     /// Draws whether something of this probability happens.
-    pub fn draws(&mut self, probability: f64) -> bool {
-        self.chance.random_bool(probability)
+    pub fn draw(&mut self, probability: f64) -> bool {
+        self.rng.random_bool(probability)
     }
 
     /// What faults answer before a call is served; nothing where it is.
@@ -181,8 +192,8 @@
     ) -> Option<ReceiverReply> {
         let mut kinds = faults.iter();
         if let Some(shut) = kinds.find(|fault| fault.kind == FaultKind::Shut) {
-            let wait = Some(shut.until.saturating_sub(now));
-            return Some(ReceiverReply::TooManyRequests { wait });
+            let retry_after = Some(shut.ends_at.saturating_sub(now));
+            return Some(ReceiverReply::TooManyRequests { retry_after });
         }
         let mut kinds = faults.iter();
         if kinds.any(|fault| fault.kind == FaultKind::Silent) {
@@ -195,13 +206,17 @@
             } => Some(rate),
             _ => None,
         })?;
-        self.draws(rate).then_some(ReceiverReply::ClosedEarly)
+        self.draw(rate).then_some(ReceiverReply::ClosedEarly)
     }
 
     /// Takes calls that have been started by now off the queue.
-    pub fn start_waiting_calls(&mut self, now: Micros) {
-        while self.starts.front().is_some_and(|start| *start <= now) {
-            self.starts.pop_front();
+    pub fn dequeue_started_calls(&mut self, now: Micros) {
+        while self
+            .queued_starts
+            .front()
+            .is_some_and(|start| *start <= now)
+        {
+            self.queued_starts.pop_front();
         }
     }
 
@@ -216,7 +231,7 @@
         if self.jam_slowdown > 1.0 {
             let mut kinds = faults.iter();
             let jammed = kinds.any(|fault| matches!(fault.kind, FaultKind::Jam { .. }));
-            if !jammed && self.starts.is_empty() {
+            if !jammed && self.queued_starts.is_empty() {
                 self.jam_slowdown = 1.0;
             }
             slowdown *= self.jam_slowdown;
@@ -225,20 +240,23 @@
     }
 
     /// Whether a call can be served at once, or wait.
-    pub fn has_room(&self, now: Micros, queue_limit: u32) -> bool {
-        let is_busy = self.free_at.peek().is_some_and(|free| free.0 > now);
-        !is_busy || self.starts.len() < queue_limit as usize
+    pub fn has_capacity(&self, now: Micros, queue_limit: u32) -> bool {
+        let is_busy = self
+            .slots_free_at
+            .peek()
+            .is_some_and(|free_at| free_at.0 > now);
+        !is_busy || self.queued_starts.len() < queue_limit as usize
     }
 
     /// Serves a call, at once or after those that wait; gives the time when it is over.
-    pub fn serve(&mut self, now: Micros, time: &ServiceTime, slowdown: f64) -> Micros {
-        let free_at = self.free_at.pop().map_or(now, |free| free.0);
-        let starts_at = free_at.max(now);
-        let time = service(time, &mut self.chance) as f64 * slowdown;
-        let ends_at = starts_at + time.round().max(1.0) as Micros;
-        self.free_at.push(Reverse(ends_at));
+    pub fn serve(&mut self, now: Micros, service_time: &ServiceTime, slowdown: f64) -> Micros {
+        let slot_free_at = self.slots_free_at.pop().map_or(now, |free_at| free_at.0);
+        let starts_at = slot_free_at.max(now);
+        let micros = sample_service_time(service_time, &mut self.rng) as f64 * slowdown;
+        let ends_at = starts_at + micros.round().max(1.0) as Micros;
+        self.slots_free_at.push(Reverse(ends_at));
         if starts_at > now {
-            self.starts.push_back(starts_at);
+            self.queued_starts.push_back(starts_at);
         }
         ends_at
     }
@@ -250,30 +268,33 @@
         faults: &[&ActiveFault],
     ) -> ReceiverReply {
         let mut reply = ReceiverReply::Served;
-        if error_rate > 0.0 && self.draws(error_rate) {
-            reply = ReceiverReply::Erred;
+        if error_rate > 0.0 && self.draw(error_rate) {
+            reply = ReceiverReply::InternalError;
         }
         for fault in faults {
-            let Some((rate, spoilt)) = spoilt_reply(&fault.kind) else {
+            let Some((rate, failure_reply)) = failure_reply(&fault.kind) else {
                 continue;
             };
-            if self.draws(rate) && reply == ReceiverReply::Served {
-                reply = spoilt;
+            if self.draw(rate) && reply == ReceiverReply::Served {
+                reply = failure_reply;
             }
         }
         reply
     }
 
     /// Calls that wait now.
-    pub fn waiting(&self, now: Micros) -> usize {
-        self.starts.iter().filter(|start| **start > now).count()
+    pub fn queue_length(&self, now: Micros) -> usize {
+        self.queued_starts
+            .iter()
+            .filter(|start| **start > now)
+            .count()
     }
 }
 
 /// How often a fault spoils an answer, and what comes back then.
-fn spoilt_reply(kind: &FaultKind) -> Option<(f64, ReceiverReply)> {
+fn failure_reply(kind: &FaultKind) -> Option<(f64, ReceiverReply)> {
     match kind {
-        FaultKind::Erring { rate } => Some((*rate, ReceiverReply::Erred)),
+        FaultKind::Erring { rate } => Some((*rate, ReceiverReply::InternalError)),
         FaultKind::Reset {
             rate,
             moment: ResetMoment::Within,
--- a/crates/lab/src/receivers/faults.rs
+++ b/crates/lab/src/receivers/faults.rs
@@ -12,8 +12,8 @@
 /// A fault that is in force.
 pub(super) struct ActiveFault {
     pub kind: FaultKind,
-    pub from: Micros,
-    pub until: Micros,
+    pub starts_at: Micros,
+    pub ends_at: Micros,
 }
 
 impl ActiveFault {
@@ -21,7 +21,7 @@
     pub fn refuses(&self, now: Micros) -> bool {
         match self.kind {
             FaultKind::Refusing => true,
-            FaultKind::Flapping { down, up } => (now - self.from) % (down.0 + up.0) < down.0,
+            FaultKind::Flapping { down, up } => (now - self.starts_at) % (down.0 + up.0) < down.0,
             _ => false,
         }
     }
@@ -47,37 +47,37 @@
 /// The faults that are in force, by their place in the scenario.
 #[derive(Default)]
 pub(super) struct ActiveFaults {
-    by_number: BTreeMap<usize, ActiveFault>,
+    by_index: BTreeMap<usize, ActiveFault>,
 }
 
 impl ActiveFaults {
     /// A fault begins.
-    pub fn insert(&mut self, number: usize, fault: ActiveFault) {
-        self.by_number.insert(number, fault);
+    pub fn insert(&mut self, fault_index: usize, fault: ActiveFault) {
+        self.by_index.insert(fault_index, fault);
     }
 
     /// A fault is over.
-    pub fn remove(&mut self, number: usize) {
-        self.by_number.remove(&number);
+    pub fn remove(&mut self, fault_index: usize) {
+        self.by_index.remove(&fault_index);
     }
 
     /// The faults of an endpoint, in the order in which they struck it.
-    pub fn of<'a, 'e>(
+    pub fn affecting<'a, 'e>(
         &'a self,
         endpoint: &'e Endpoint,
     ) -> impl Iterator<Item = &'a ActiveFault> + use<'a, 'e> {
-        let numbers = endpoint.faults.iter();
-        numbers.filter_map(|number| self.by_number.get(number))
+        let fault_indices = endpoint.faults.iter();
+        fault_indices.filter_map(|index| self.by_index.get(index))
     }
 
     /// Whether an endpoint has an outage.
-    pub fn any_outage(&self, endpoint: &Endpoint) -> bool {
-        self.of(endpoint).any(|fault| is_outage(&fault.kind))
+    pub fn has_outage(&self, endpoint: &Endpoint) -> bool {
+        self.affecting(endpoint).any(|fault| is_outage(&fault.kind))
     }
 
     /// The part of its 429 answers that an endpoint breaks off.
     pub fn truncation_rate(&self, endpoint: &Endpoint) -> Option<f64> {
-        self.of(endpoint).find_map(|fault| match fault.kind {
+        self.affecting(endpoint).find_map(|fault| match fault.kind {
             FaultKind::RefusalsTruncated { rate } => Some(rate),
             _ => None,
         })
@@ -87,10 +87,13 @@
     pub fn health_check_reply(&self, endpoint: &Endpoint) -> ReceiverReply {
         let is_silent =
             |kind: &FaultKind| matches!(kind, FaultKind::Silent | FaultKind::HealthChecksFail);
-        if self.of(endpoint).any(|fault| is_silent(&fault.kind)) {
+        if self.affecting(endpoint).any(|fault| is_silent(&fault.kind)) {
             return ReceiverReply::Silent;
         }
-        if self.of(endpoint).any(|fault| fault.kind == FaultKind::Shut) {
+        if self
+            .affecting(endpoint)
+            .any(|fault| fault.kind == FaultKind::Shut)
+        {
             return ReceiverReply::Overloaded;
         }
         ReceiverReply::Served
--- a/crates/lab/src/receivers/rate_limiter.rs
+++ b/crates/lab/src/receivers/rate_limiter.rs
@@ -9,38 +9,42 @@
     /// Tokens a second.
     rate: f64,
     /// Tokens that it holds at most.
-    burst: f64,
+    max_tokens: f64,
     tokens: f64,
     refilled_at: Micros,
-    limited: bool,
+    enforced: bool,
     /// Tokens that refused calls may take below 0.
     max_debt: f64,
-    /// Of a refusal; 0 for none.
+    /// Of a rejection; 0 for none.
     retry_after: Micros,
 }
 
 impl RateLimiter {
     /// A full bucket.
     pub fn new(group: &Destination) -> RateLimiter {
-        let burst = group.burst.unwrap_or(group.rate);
+        let max_tokens = group.burst.unwrap_or(group.rate);
         RateLimiter {
             rate: group.rate,
-            burst,
-            tokens: burst,
+            max_tokens,
+            tokens: max_tokens,
             refilled_at: 0,
-            limited: group.limited,
-            max_debt: if group.refusals_use_limit { burst } else { 0.0 },
+            enforced: group.limited,
+            max_debt: if group.refusals_use_limit {
+                max_tokens
+            } else {
+                0.0
+            },
             retry_after: group.retry_after.0,
         }
     }
 
     /// Whether a call may pass now, while the bucket refills at this share of its rate.
-    pub fn admits(&mut self, now: Micros, rate_share: f64) -> bool {
-        let passed = now.saturating_sub(self.refilled_at) as f64 / 1e6;
-        let refilled = self.tokens + passed * self.rate * rate_share;
-        self.tokens = refilled.min(self.burst.max(1.0));
+    pub fn try_admit(&mut self, now: Micros, rate_share: f64) -> bool {
+        let elapsed_seconds = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        let refilled = self.tokens + elapsed_seconds * self.rate * rate_share;
+        self.tokens = refilled.min(self.max_tokens.max(1.0));
         self.refilled_at = now;
-        if !self.limited {
+        if !self.enforced {
             return true;
         }
         let admitted = self.tokens >= 1.0;
@@ -53,8 +57,8 @@
     }
 
     /// What a refused call gets.
-    pub fn refusal(&self) -> ReceiverReply {
-        let wait = (self.retry_after > 0).then_some(self.retry_after);
-        ReceiverReply::TooManyRequests { wait }
+    pub fn rejection(&self) -> ReceiverReply {
+        let retry_after = (self.retry_after > 0).then_some(self.retry_after);
+        ReceiverReply::TooManyRequests { retry_after }
     }
 }
--- a/crates/lab/src/receivers/reply.rs
+++ b/crates/lab/src/receivers/reply.rs
@@ -4,22 +4,22 @@
 
 /// What comes back for a call, and when its last byte (or its end) is on the way.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fate {
+pub struct CallResult {
     /// When it took effect, where it did. A repeat that the receiver knows takes none.
-    pub ran: Option<Micros>,
+    pub effect_at: Option<Micros>,
     /// When the reply leaves, µs.
-    pub at: Micros,
+    pub reply_at: Micros,
     /// The reply.
-    pub says: ReceiverReply,
+    pub reply: ReceiverReply,
 }
 
-impl Fate {
+impl CallResult {
     /// A call that takes no effect.
-    pub(super) fn not_run(says: ReceiverReply, at: Micros) -> Fate {
-        Fate {
-            ran: None,
-            at,
-            says,
+    pub(super) fn without_effect(reply: ReceiverReply, reply_at: Micros) -> CallResult {
+        CallResult {
+            effect_at: None,
+            reply_at,
+            reply,
         }
     }
 }
@@ -30,9 +30,9 @@
     /// 200.
     Served,
     /// 500.
-    Erred,
+    InternalError,
     /// 429, with the retry-after time where there is one, µs.
-    TooManyRequests { wait: Option<Micros> },
+    TooManyRequests { retry_after: Option<Micros> },
     /// 503: its queue is full.
     Overloaded,
     /// No connection comes up.
@@ -42,7 +42,7 @@
     /// Nothing is answered.
     Silent,
     /// The head of a 429, which may hold a retry-after time; then the connection breaks.
-    TooManyRequestsTruncated { wait: Option<Micros> },
+    TooManyRequestsTruncated { retry_after: Option<Micros> },
     /// The connection breaks within the answer.
     Reset,
     /// 200, then the connection breaks.
@@ -55,7 +55,7 @@
 
 impl ReceiverReply {
     /// Whether whoever gets it knows that something is wrong there.
-    pub fn is_bad_news(self) -> bool {
+    pub fn reveals_failure(self) -> bool {
         !matches!(
             self,
             ReceiverReply::Served | ReceiverReply::ServedThenReset | ReceiverReply::Endless
@@ -65,7 +65,7 @@
 
 /// An endpoint that fell over: it got too many calls as it warmed up.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fall {
+pub struct OverloadFailure {
     /// When, µs.
     pub at: Micros,
     /// Which endpoint.
@@ -73,7 +73,7 @@
     /// Its calls in the overload window.
     pub calls: usize,
     /// The calls that it would have stood.
-    pub budget: f64,
+    pub overload_limit: f64,
     /// Two thirds of the calls came from forwarders that had seen it fail: the rule is broken.
-    pub blamed: bool,
+    pub caused_by_witnesses: bool,
 }
--- a/crates/lab/src/receivers/tests.rs
+++ b/crates/lab/src/receivers/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use crate::chance::{exponential, stream};
+use crate::random::{exponential, seeded_rng};
 use crate::scenario::ResetMoment;
 
 /// One receiver that takes everything, with this service and so many places.
-fn alone(service: &str, places: u32) -> (Receivers, Scenario) {
+fn single_receiver(service_time: &str, concurrency: u32) -> (Receivers, Scenario) {
     let text = format!(
         "version = 1\nname = \"q\"\nshows = \"q\"\nlasts = \"1s\"\n[[destinations]]\nname = \"d\"\nrate = 1e9\n\
-         limited = false\nplaces = {places}\nqueue = 100000000\nservice = {service}\n[[loads]]\nrate = 1.0\n"
+         limited = false\nplaces = {concurrency}\nqueue = 100000000\nservice = {service_time}\n[[loads]]\nrate = 1.0\n"
     );
     let scenario = Scenario::read(&text, "q").expect("it is right");
     (
@@ -16,69 +16,77 @@
 }
 
 /// Waits of Poisson calls at a load, in units of the mean service time, sorted; and their mean.
-fn waits(service: &str, places: u32, load: f64, calls: usize) -> (Vec<f64>, f64) {
-    const MEAN: f64 = 1e5; // µs: far over the clock's grain
-    let (mut receivers, _) = alone(service, places);
-    let mut rng = stream(11, "arrivals", 0);
+fn queueing_times(
+    service_time: &str,
+    concurrency: u32,
+    load: f64,
+    calls: usize,
+) -> (Vec<f64>, f64) {
+    const MEAN_SERVICE_TIME: f64 = 1e5; // µs: far over the clock's grain
+    let (mut receivers, _) = single_receiver(service_time, concurrency);
+    let mut rng = seeded_rng(11, "arrivals", 0);
     let mut now = 0.0;
-    let mut waits = Vec::with_capacity(calls);
+    let mut times = Vec::with_capacity(calls);
     for _ in 0..calls {
-        now += exponential(&mut rng) * MEAN / (load * f64::from(places));
+        now += exponential(&mut rng) * MEAN_SERVICE_TIME / (load * f64::from(concurrency));
         let at = now as Micros;
-        let before = receivers.endpoints[0].free_at.peek().map_or(0, |p| p.0);
+        let starts_at = receivers.endpoints[0]
+            .slots_free_at
+            .peek()
+            .map_or(0, |free_at| free_at.0);
         receivers.call(at, 0, 0, None);
-        waits.push(before.saturating_sub(at) as f64 / MEAN);
+        times.push(starts_at.saturating_sub(at) as f64 / MEAN_SERVICE_TIME);
     }
-    let mean = waits.iter().sum::<f64>() / calls as f64;
-    waits.sort_by(f64::total_cmp);
-    (waits, mean)
+    let mean = times.iter().sum::<f64>() / calls as f64;
+    times.sort_by(f64::total_cmp);
+    (times, mean)
 }
 
-fn near(what: &str, found: f64, wanted: f64, within: f64) {
+fn assert_close(quantity: &str, measured: f64, expected: f64, tolerance: f64) {
     assert!(
-        (found / wanted - 1.0).abs() < within,
-        "{what}: {found:.4}, the formula says {wanted:.4}"
+        (measured / expected - 1.0).abs() < tolerance,
+        "{quantity}: measured {measured:.4}, the formula gives {expected:.4}"
     );
 }
 
-fn p99(waits: &[f64]) -> f64 {
-    waits[waits.len() * 99 / 100]
+fn p99(times: &[f64]) -> f64 {
+    times[times.len() * 99 / 100]
 }
 
-const CALLS: usize = 4_000_000;
+const CALL_COUNT: usize = 4_000_000;
 
 /// M/M/1: mean wait r/(1-r) services; P(W > t) = r e^(-(1-r)t).
 #[test]
-fn one_place_with_exponential_times_is_an_mm1_queue() {
+fn one_slot_with_exponential_service_times_matches_mm1_queue() {
     let load = 0.7;
-    let (waits, mean) = waits(
+    let (times, mean) = queueing_times(
         r#"{ kind = "exponential", mean = "100ms" }"#,
         1,
         load,
-        CALLS,
+        CALL_COUNT,
     );
-    near("mean", mean, load / (1.0 - load), 0.02);
-    near("p99", p99(&waits), (100.0 * load).ln() / (1.0 - load), 0.05);
+    assert_close("mean", mean, load / (1.0 - load), 0.02);
+    assert_close("p99", p99(&times), (100.0 * load).ln() / (1.0 - load), 0.05);
 }
 
 /// M/M/c: P(wait) by Erlang's C; mean C/(c(1-r)); P(W > t) = C e^(-c(1-r)t).
 #[test]
-fn several_places_with_exponential_times_are_an_mmc_queue() {
+fn several_slots_with_exponential_service_times_match_mmc_queue() {
     let (load, c) = (0.8, 5u32);
     let a = load * f64::from(c);
     let term = |n: u32| (1..=n).map(|k| a / f64::from(k)).product::<f64>();
-    let all: f64 = (0..c).map(term).sum();
-    let erlang = term(c) / (1.0 - load) / (all + term(c) / (1.0 - load));
-    let (waits, mean) = waits(
+    let total: f64 = (0..c).map(term).sum();
+    let erlang = term(c) / (1.0 - load) / (total + term(c) / (1.0 - load));
+    let (times, mean) = queueing_times(
         r#"{ kind = "exponential", mean = "100ms" }"#,
         c,
         load,
-        CALLS,
+        CALL_COUNT,
     );
-    near("mean", mean, erlang / (f64::from(c) * (1.0 - load)), 0.02);
-    near(
+    assert_close("mean", mean, erlang / (f64::from(c) * (1.0 - load)), 0.02);
+    assert_close(
         "p99",
-        p99(&waits),
+        p99(&times),
         (100.0 * erlang).ln() / (f64::from(c) * (1.0 - load)),
         0.05,
     );
@@ -86,9 +94,9 @@
 
 /// M/D/1: mean r/(2(1-r)); P(W <= t) = (1-r) sum over k <= t of (r(k-t))^k / k! e^(r(t-k)), in services (Erlang 1909).
 #[test]
-fn one_place_with_constant_times_is_an_md1_queue() {
+fn one_slot_with_constant_service_times_matches_md1_queue() {
     let load = 0.7f64;
-    let below = |t: f64| {
+    let probability_below = |t: f64| {
         let term = |k: u32| {
             let x = load * (t - f64::from(k));
             let power: f64 = (1..=k).map(|i| -x / f64::from(i)).product();
@@ -99,21 +107,26 @@
     let (mut low, mut high) = (0.0, 30.0);
     while high - low > 1e-6 {
         let middle = (low + high) / 2.0;
-        *(if below(middle) < 0.99 {
+        *(if probability_below(middle) < 0.99 {
             &mut low
         } else {
             &mut high
         }) = middle;
     }
-    let (waits, mean) = waits(r#"{ kind = "constant", time = "100ms" }"#, 1, load, CALLS);
-    near("mean", mean, load / (2.0 * (1.0 - load)), 0.02);
-    near("p99", p99(&waits), low, 0.05);
+    let (times, mean) = queueing_times(
+        r#"{ kind = "constant", time = "100ms" }"#,
+        1,
+        load,
+        CALL_COUNT,
+    );
+    assert_close("mean", mean, load / (2.0 * (1.0 - load)), 0.02);
+    assert_close("p99", p99(&times), low, 0.05);
 }
 
-fn world(more: &str) -> (Receivers, Scenario, Layout) {
+fn receivers_with(destination_keys: &str) -> (Receivers, Scenario, Layout) {
     let text = format!(
         "version = 1\nname = \"q\"\nshows = \"q\"\nlasts = \"1s\"\n[[destinations]]\nname = \"d\"\nrate = 10.0\nburst = 2.0\n\
-         {more}\nservice = {{ kind = \"constant\", time = \"10ms\" }}\n[[loads]]\nrate = 1.0\n"
+         {destination_keys}\nservice = {{ kind = \"constant\", time = \"10ms\" }}\n[[loads]]\nrate = 1.0\n"
     );
     let scenario = Scenario::read(&text, "q").expect("it is right");
     let layout = Layout::new(&scenario);
@@ -121,82 +134,109 @@
 }
 
 #[test]
-fn above_its_limit_it_tells_to_wait_and_takes_again_in_time() {
-    let (mut r, ..) = world("wait = \"300ms\"");
-    let says: Vec<ReceiverReply> = (0..3).map(|_| r.call(0, 0, 0, None).says).collect();
+fn rejects_with_retry_after_over_rate_limit_and_admits_after_refill() {
+    let (mut receivers, ..) = receivers_with("wait = \"300ms\"");
+    let replies: Vec<ReceiverReply> = (0..3)
+        .map(|_| receivers.call(0, 0, 0, None).reply)
+        .collect();
     assert_eq!(
-        says,
+        replies,
         [
             ReceiverReply::Served,
             ReceiverReply::Served,
             ReceiverReply::TooManyRequests {
-                wait: Some(300_000)
+                retry_after: Some(300_000)
             }
         ]
     );
     assert_eq!(
-        r.call(99_000, 0, 0, None).says,
+        receivers.call(99_000, 0, 0, None).reply,
         ReceiverReply::TooManyRequests {
-            wait: Some(300_000)
+            retry_after: Some(300_000)
         }
     );
-    assert_eq!(r.call(200_000, 0, 0, None).says, ReceiverReply::Served);
+    assert_eq!(
+        receivers.call(200_000, 0, 0, None).reply,
+        ReceiverReply::Served
+    );
 }
 
 #[test]
-fn a_repeat_that_it_knows_takes_no_effect() {
-    let (mut r, ..) = world("limited = false");
-    assert!(r.call(0, 0, 0, Some(7)).ran.is_some());
-    assert!(r.call(50_000, 0, 0, Some(7)).ran.is_none());
-    assert!(r.call(50_000, 0, 0, Some(8)).ran.is_some());
+fn repeated_idempotency_key_takes_no_effect_within_retention() {
+    let (mut receivers, ..) = receivers_with("limited = false");
+    assert!(receivers.call(0, 0, 0, Some(7)).effect_at.is_some());
+    assert!(receivers.call(50_000, 0, 0, Some(7)).effect_at.is_none());
+    assert!(receivers.call(50_000, 0, 0, Some(8)).effect_at.is_some());
     assert!(
-        r.call(500_000_000, 0, 0, Some(7)).ran.is_some(),
+        receivers
+            .call(500_000_000, 0, 0, Some(7))
+            .effect_at
+            .is_some(),
         "forgotten after twice the window"
     );
-    assert_eq!(r.held(), 1);
+    assert_eq!(receivers.entry_count(), 1);
 }
 
 #[test]
-fn back_from_an_outage_it_falls_over_under_more_than_it_can_do() {
-    for knew in [true, false] {
-        let (mut r, ..) = world("limited = false");
-        r.set_fault(0, 0, &FaultKind::Refusing, 1_000_000, &[0], true);
-        if knew {
-            assert_eq!(r.call(500_000, 0, 1, None).says, ReceiverReply::Refused);
+fn endpoint_fails_from_overload_while_it_warms_up() {
+    for had_seen_failure in [true, false] {
+        let (mut receivers, ..) = receivers_with("limited = false");
+        receivers.set_fault(0, 0, &FaultKind::Refusing, 1_000_000, &[0], true);
+        if had_seen_failure {
+            assert_eq!(
+                receivers.call(500_000, 0, 1, None).reply,
+                ReceiverReply::Refused
+            );
         }
-        r.set_fault(1_000_000, 0, &FaultKind::Refusing, 1_000_000, &[0], false);
+        receivers.set_fault(1_000_000, 0, &FaultKind::Refusing, 1_000_000, &[0], false);
         // 2 x 0.2 x 10 a second x 2 s = 8, and 2 sqrt(8) + 4 for chance.
-        let reached = (0..40).take_while(|n| {
-            r.call(1_000_000 + n * 1000, 0, 1, None).says != ReceiverReply::Refused
+        let admitted = (0..40).take_while(|n| {
+            receivers.call(1_000_000 + n * 1000, 0, 1, None).reply != ReceiverReply::Refused
         });
-        assert_eq!(reached.count(), 18);
-        assert_eq!(r.falls.iter().map(|f| f.blamed).collect::<Vec<_>>(), [knew]);
-        assert!(r.refuses(900_000_000, 0), "it stays down");
+        assert_eq!(admitted.count(), 18);
+        assert_eq!(
+            receivers
+                .overload_failures
+                .iter()
+                .map(|failure| failure.caused_by_witnesses)
+                .collect::<Vec<_>>(),
+            [had_seen_failure]
+        );
+        assert!(
+            receivers.refuses_connections(900_000_000, 0),
+            "it stays down"
+        );
     }
 }
 
 #[test]
-fn a_jam_outlives_its_trigger_until_the_queue_is_empty() {
-    let (mut r, ..) = world("limited = false\nplaces = 1\nqueue = 1000");
-    r.set_fault(0, 0, &FaultKind::Jam { times: 10.0 }, 1, &[0], true);
-    (0..3).for_each(|_| _ = r.call(0, 0, 0, None));
-    r.set_fault(1, 0, &FaultKind::Jam { times: 10.0 }, 1, &[0], false);
+fn jam_persists_after_its_fault_until_the_queue_is_empty() {
+    let (mut receivers, ..) = receivers_with("limited = false\nplaces = 1\nqueue = 1000");
+    receivers.set_fault(0, 0, &FaultKind::Jam { times: 10.0 }, 1, &[0], true);
+    (0..3).for_each(|_| _ = receivers.call(0, 0, 0, None));
+    receivers.set_fault(1, 0, &FaultKind::Jam { times: 10.0 }, 1, &[0], false);
     for n in 1..20 {
         let at = n * 50_000; // it takes 100 ms a call: the queue grows
-        assert!(r.call(at, 0, 0, None).at > at + 100_000, "call {n}");
+        assert!(
+            receivers.call(at, 0, 0, None).reply_at > at + 100_000,
+            "call {n}"
+        );
     }
-    assert_eq!(r.call(100_000_000, 0, 0, None).at, 100_010_000);
+    assert_eq!(
+        receivers.call(100_000_000, 0, 0, None).reply_at,
+        100_010_000
+    );
 }
 
 #[test]
-fn each_fault_shows_in_what_comes_back() {
+fn each_fault_determines_the_reply_and_the_effect() {
     let half = |rate| rate;
     let cases = [
         (FaultKind::Refusing, ReceiverReply::Refused, false),
         (FaultKind::Silent, ReceiverReply::Silent, false),
         (
             FaultKind::Erring { rate: half(1.0) },
-            ReceiverReply::Erred,
+            ReceiverReply::InternalError,
             false,
         ),
         (
@@ -241,26 +281,30 @@
         (
             FaultKind::Shut,
             ReceiverReply::TooManyRequests {
-                wait: Some(9_000_000),
+                retry_after: Some(9_000_000),
             },
             false,
         ),
     ];
-    for (what, says, ran) in cases {
-        let (mut r, ..) = world("limited = false");
-        r.set_fault(0, 0, &what, 10_000_000, &[0], true);
-        let fate = r.call(1_000_000, 0, 0, None);
-        assert_eq!((fate.says, fate.ran.is_some()), (says, ran), "{what:?}");
-        r.set_fault(10_000_000, 0, &what, 10_000_000, &[0], false);
+    for (kind, reply, takes_effect) in cases {
+        let (mut receivers, ..) = receivers_with("limited = false");
+        receivers.set_fault(0, 0, &kind, 10_000_000, &[0], true);
+        let result = receivers.call(1_000_000, 0, 0, None);
         assert_eq!(
-            r.call(10_000_000, 0, 0, None).says,
+            (result.reply, result.effect_at.is_some()),
+            (reply, takes_effect),
+            "{kind:?}"
+        );
+        receivers.set_fault(10_000_000, 0, &kind, 10_000_000, &[0], false);
+        assert_eq!(
+            receivers.call(10_000_000, 0, 0, None).reply,
             ReceiverReply::Served,
-            "after {what:?}"
+            "after {kind:?}"
         );
     }
-    let (mut r, ..) = world("limited = false");
-    r.set_fault(0, 0, &FaultKind::Slow { times: 3.0 }, 1, &[0], true);
-    r.set_fault(
+    let (mut receivers, ..) = receivers_with("limited = false");
+    receivers.set_fault(0, 0, &FaultKind::Slow { times: 3.0 }, 1, &[0], true);
+    receivers.set_fault(
         0,
         1,
         &FaultKind::Brownout { capacity_left: 0.5 },
@@ -268,5 +312,9 @@
         &[0],
         true,
     );
-    assert_eq!(r.call(0, 0, 0, None).at, 60_000, "they compose");
+    assert_eq!(
+        receivers.call(0, 0, 0, None).reply_at,
+        60_000,
+        "they compose"
+    );
 }
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -14,24 +14,24 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::net::{TcpListener, TcpStream};
 
-type Line = SendRequest<Full<Bytes>>;
+type RequestSender = SendRequest<Full<Bytes>>;
 type RelayError = Box<dyn Error + Send + Sync>;
 
 struct Relay {
     endpoints: BTreeMap<String, String>,
-    idle: Mutex<BTreeMap<String, Vec<Line>>>,
+    idle_connections: Mutex<BTreeMap<String, Vec<RequestSender>>>,
 }
 
-async fn connect(address: &str) -> Result<Line, RelayError> {
+async fn connect(address: &str) -> Result<RequestSender, RelayError> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    let (line, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+    let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(connection);
-    Ok(line)
+    Ok(sender)
 }
 
 impl Relay {
-    async fn pass_on(
+    async fn forward(
         &self,
         request: Request<Full<Bytes>>,
         destination: &str,
@@ -40,27 +40,35 @@
             .endpoints
             .get(destination)
             .ok_or("no such destination")?;
-        let idle = || self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle()
+        let idle_connections = || {
+            self.idle_connections
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+        };
+        let reusable = idle_connections()
             .get_mut(address)
             .and_then(Vec::pop)
-            .filter(|l| !l.is_closed());
-        let mut line = match kept {
-            Some(line) => line,
+            .filter(|sender| !sender.is_closed());
+        let mut sender = match reusable {
+            Some(sender) => sender,
             None => connect(address).await?,
         };
-        line.ready().await?;
-        line.send_request(request)
+        sender.ready().await?;
+        sender
+            .send_request(request)
             .await?
             .into_body()
             .collect()
             .await?;
-        idle().entry(address.clone()).or_default().push(line);
+        idle_connections()
+            .entry(address.clone())
+            .or_default()
+            .push(sender);
         Ok(())
     }
 }
 
-async fn answer(
+async fn handle_submission(
     relay: Arc<Relay>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
@@ -89,7 +97,7 @@
     let destination = envelope.trim_start_matches("dest=").to_owned();
     if let Ok(call) = call.body(Full::new(body.to_bytes())) {
         // Whatever becomes of it, nobody is told: that is what makes it bare.
-        tokio::spawn(async move { drop(relay.pass_on(call, &destination).await) });
+        tokio::spawn(async move { drop(relay.forward(call, &destination).await) });
     }
     *response.status_mut() = StatusCode::ACCEPTED;
     Ok(response)
@@ -117,18 +125,22 @@
         .to_bytes();
     let list: serde_json::Value = serde_json::from_slice(&list)?;
     let members = list["members"].as_array().cloned().unwrap_or_default();
-    let member =
-        |m: &serde_json::Value| Some((m["cell"].to_string(), m["host_port"].as_str()?.to_owned()));
+    let member = |member: &serde_json::Value| {
+        Some((
+            member["cell"].to_string(),
+            member["host_port"].as_str()?.to_owned(),
+        ))
+    };
     let relay = Arc::new(Relay {
         endpoints: members.iter().filter_map(member).collect(),
-        idle: Mutex::default(),
+        idle_connections: Mutex::default(),
     });
     let listener = TcpListener::bind(address("listen")?).await?;
     loop {
         let (stream, _) = listener.accept().await?;
         stream.set_nodelay(true)?;
         let relay = relay.clone();
-        let service = service_fn(move |request| answer(relay.clone(), request));
+        let service = service_fn(move |request| handle_submission(relay.clone(), request));
         tokio::spawn(
             hyper::server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service),
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -18,13 +18,13 @@
 
 pub use classes::{DeliveryClass, DeliverySemantics, Tenant};
 pub use destination::{Destination, ServiceTime};
-pub use error::BadScenario;
+pub use error::ScenarioError;
 pub use fault::{Fault, FaultKind, FaultScope, ResetMoment};
 pub use fleet::{
     ForwarderProcesses, LateConnections, Network, PolledDiscovery, PriorityDecay, RuleSettings,
 };
 pub use load::{Load, Shape, ShortDeadlines};
-pub use units::{BadSpan, Span, Spans};
+pub use units::{ParseSpanError, Span, Spans};
 
 use opalpulley::Micros;
 use serde::{Deserialize, Serialize};
@@ -92,9 +92,9 @@
 
 impl Scenario {
     /// Reads a scenario file; a file of times to replay is found beside it.
-    pub fn load(path: &Path) -> Result<Scenario, BadScenario> {
+    pub fn load(path: &Path) -> Result<Scenario, ScenarioError> {
         let file = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|error| BadScenario {
+        let text = std::fs::read_to_string(path).map_err(|error| ScenarioError {
             file: file.clone(),
             line: None,
             key: String::new(),
@@ -103,27 +103,27 @@
             ),
         })?;
         let mut scenario = Scenario::read(&text, &file)?;
-        let folder = path.parent().unwrap_or(Path::new("."));
+        let directory = path.parent().unwrap_or(Path::new("."));
         for load in &mut scenario.loads {
-            if let Shape::Replay { file: times } = &mut load.shape {
-                *times = folder.join(&times);
+            if let Shape::Replay { file: replay_file } = &mut load.shape {
+                *replay_file = directory.join(&replay_file);
             }
         }
         Ok(scenario)
     }
 
     /// Reads a scenario from its text; `file` names it in errors.
-    pub fn read(text: &str, file: &str) -> Result<Scenario, BadScenario> {
-        let scenario: Scenario =
-            toml::from_str(text).map_err(|error| BadScenario::from_syntax(&error, text, file))?;
-        match scenario.first_problem() {
+    pub fn read(text: &str, file: &str) -> Result<Scenario, ScenarioError> {
+        let scenario: Scenario = toml::from_str(text)
+            .map_err(|error| ScenarioError::from_toml_error(&error, text, file))?;
+        match scenario.first_invalid_value() {
             None => Ok(scenario),
-            Some(problem) => Err(BadScenario::from_value(problem, text, file)),
+            Some(invalid) => Err(ScenarioError::from_invalid_value(invalid, text, file)),
         }
     }
 
     /// The longest time to live: after the load has ended, no message lives longer.
-    pub fn longest_time_to_live(&self) -> Micros {
+    pub fn max_time_to_live(&self) -> Micros {
         let times = self.classes.iter().map(|class| class.time_to_live.0);
         times.max().unwrap_or(0)
     }
--- a/crates/lab/src/scenario/classes.rs
+++ b/crates/lab/src/scenario/classes.rs
@@ -13,7 +13,7 @@
     #[serde(rename = "effect")]
     pub semantics: DeliverySemantics,
     /// Receivers know repeats of an idempotency-keyed message for so long.
-    #[serde(default = "defaults::window")]
+    #[serde(default = "defaults::deduplication_window")]
     pub window: Span,
     /// A message served within this time has its whole weight.
     #[serde(rename = "contract_time")]
@@ -22,10 +22,10 @@
     #[serde(rename = "expiry")]
     pub time_to_live: Span,
     /// The weight of a message against others.
-    #[serde(default = "defaults::one", rename = "importance")]
+    #[serde(default = "defaults::weight", rename = "importance")]
     pub priority_weight: f64,
     /// The part of its weight that a message has left at its deadline.
-    #[serde(default = "defaults::half", rename = "late_share")]
+    #[serde(default = "defaults::late_weight_share", rename = "late_share")]
     pub late_weight_share: f64,
     /// Messages of one key are delivered one after the other.
     #[serde(default, rename = "in_order")]
--- a/crates/lab/src/scenario/config.rs
+++ b/crates/lab/src/scenario/config.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 
 /// The part of its weight that a message over its tenant's quota has.
-const OVER_QUOTA_WEIGHT: f64 = 0.1;
+const OVER_QUOTA_WEIGHT_SHARE: f64 = 0.1;
 /// Time between scheduling rounds, µs.
 const SCHEDULING_INTERVAL: u64 = 5_000;
 /// Endpoint kinds by number: whether each endpoint has a limit of its own.
@@ -18,13 +18,13 @@
 /// Open sockets of a forwarder at most.
 const SOCKET_LIMIT: u32 = 4096;
 /// A forwarder's memory limit, as a multiple of its disk.
-const MEMORY_PER_DISK: f64 = 4.0;
+const MEMORY_TO_DISK_RATIO: f64 = 4.0;
 
 impl Scenario {
     /// The configuration of forwarder `number`.
     pub fn config(&self, number: u32) -> Config {
         let fleet = &self.forwarders;
-        let poll = self.network.polled_discovery.as_ref();
+        let polled_discovery = self.network.polled_discovery.as_ref();
         Config {
             forwarder_id: number as u16,
             fleet_size: fleet.count,
@@ -39,12 +39,12 @@
             max_retry_after: fleet.max_retry_after.0,
             listed_rate_accuracy: ListedRateAccuracy::Nominal,
             priority_decay: fleet.priority_decay.into(),
-            over_quota_weight_share: OVER_QUOTA_WEIGHT,
+            over_quota_weight_share: OVER_QUOTA_WEIGHT_SHARE,
             classes: self.classes.iter().map(DeliveryClass::config).collect(),
             tenants: self.tenant_configs(),
             endpoint_kinds: INDEPENDENT_LIMITS.map(endpoint_kind).to_vec(),
             zone_costs: vec![0.0, 0.0],
-            list_poll_interval: poll.map(|discovery| discovery.poll_interval.0),
+            list_poll_interval: polled_discovery.map(|discovery| discovery.poll_interval.0),
             list_notification_delay: None,
             rules: self.rule_config(),
             min_tick_interval: SCHEDULING_INTERVAL,
@@ -77,7 +77,7 @@
             "name": format!("n{number}"),
             "seed": format!("{seed:016x}"),
             "limits": {
-                "memory_mb": MEMORY_PER_DISK * fleet.disk_mb,
+                "memory_mb": MEMORY_TO_DISK_RATIO * fleet.disk_mb,
                 "sockets": SOCKET_LIMIT,
                 "disk_mb": fleet.disk_mb,
             },
@@ -101,7 +101,7 @@
             "HostTypes": ["shared", "apart"],
             "QuantumUs": SCHEDULING_INTERVAL,
             "Weights": "nominal",
-            "OverShareWorth": OVER_QUOTA_WEIGHT,
+            "OverShareWorth": OVER_QUOTA_WEIGHT_SHARE,
             "Accounts": accounts,
             "Domain": {
                 "Fades": fleet.priority_decay.setting(),
--- a/crates/lab/src/scenario/defaults.rs
+++ b/crates/lab/src/scenario/defaults.rs
@@ -13,17 +13,17 @@
 }
 
 /// Weights.
-pub fn one() -> f64 {
+pub fn weight() -> f64 {
     1.0
 }
 
 /// `late_share` of a delivery class.
-pub fn half() -> f64 {
+pub fn late_weight_share() -> f64 {
     0.5
 }
 
 /// `limited` and `falls_over` of destinations.
-pub fn yes() -> bool {
+pub fn enabled() -> bool {
     true
 }
 
@@ -43,7 +43,7 @@
 }
 
 /// `window` of a delivery class.
-pub fn window() -> Span {
+pub fn deduplication_window() -> Span {
     Span(15_000_000)
 }
 
@@ -67,7 +67,7 @@
     vec![DeliveryClass {
         name: "notice".into(),
         semantics: DeliverySemantics::IdempotencyKeyed,
-        window: window(),
+        window: deduplication_window(),
         latency_objective: Span(2_500_000),
         time_to_live: Span(28_000_000),
         priority_weight: 1.0,
--- a/crates/lab/src/scenario/destination.rs
+++ b/crates/lab/src/scenario/destination.rs
@@ -22,7 +22,7 @@
     /// list names this rate; it is enforced where `limited` holds.
     pub rate: f64,
     /// Whether calls above the rate are refused.
-    #[serde(default = "defaults::yes")]
+    #[serde(default = "defaults::enabled")]
     pub limited: bool,
     /// Calls over the rate that may come at once; a second's calls where it is not named.
     #[serde(default)]
@@ -55,10 +55,10 @@
     #[serde(default = "defaults::idle_timeout", rename = "idle")]
     pub idle_timeout: Span,
     /// Its part of the load, against others.
-    #[serde(default = "defaults::one")]
+    #[serde(default = "defaults::weight")]
     pub weight: f64,
     /// An endpoint falls over when it gets too many calls as it comes back.
-    #[serde(default = "defaults::yes")]
+    #[serde(default = "defaults::enabled")]
     pub falls_over: bool,
 }
 
--- a/crates/lab/src/scenario/error.rs
+++ b/crates/lab/src/scenario/error.rs
@@ -1,11 +1,11 @@
 //! What is wrong with a scenario file, and where.
 
-use super::validation::BadValue;
+use super::validation::InvalidValue;
 
 /// What is wrong with a scenario: at which key and line, with which value, and what to write instead.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{file}{}:{} {problem}", line_suffix(*line), key_suffix(key))]
-pub struct BadScenario {
+pub struct ScenarioError {
     /// The file's name, as it was given.
     pub file: String,
     /// The line, from 1, where it is known.
@@ -16,10 +16,14 @@
     pub problem: String,
 }
 
-impl BadScenario {
+impl ScenarioError {
     /// For a text that is no TOML, or whose keys or types are wrong.
-    pub(super) fn from_syntax(error: &toml::de::Error, text: &str, file: &str) -> BadScenario {
-        BadScenario {
+    pub(super) fn from_toml_error(
+        error: &toml::de::Error,
+        text: &str,
+        file: &str,
+    ) -> ScenarioError {
+        ScenarioError {
             file: file.into(),
             line: error.span().map(|span| line_at(text, span.start)),
             key: String::new(),
@@ -28,12 +32,16 @@
     }
 
     /// For a value that no world can have.
-    pub(super) fn from_value(bad: BadValue, text: &str, file: &str) -> BadScenario {
-        BadScenario {
+    pub(super) fn from_invalid_value(
+        invalid: InvalidValue,
+        text: &str,
+        file: &str,
+    ) -> ScenarioError {
+        ScenarioError {
             file: file.into(),
-            line: line_of_key(text, &bad.key),
-            key: bad.key,
-            problem: bad.problem,
+            line: line_of_key(text, &invalid.key),
+            key: invalid.key,
+            problem: invalid.problem,
         }
     }
 }
@@ -50,8 +58,8 @@
 }
 
 /// The line, from 1, of a byte of the text.
-fn line_at(text: &str, byte: usize) -> usize {
-    text[..byte.min(text.len())].matches('\n').count() + 1
+fn line_at(text: &str, byte_index: usize) -> usize {
+    text[..byte_index.min(text.len())].matches('\n').count() + 1
 }
 
 /// The line of a key such as `destinations[1].rate`, or of the nearest part of it that the file holds.
@@ -63,14 +71,14 @@
         let (name, index) = split_index(part);
         let entry = value.get(name)?;
         line = Some(line_at(text, entry.span().start));
-        let mut inner = entry.get_ref().clone();
+        let mut nested = entry.get_ref().clone();
         if let Some(index) = index {
-            let element = inner.get(index)?;
+            let element = nested.get(index)?;
             line = Some(line_at(text, element.span().start));
             let element = element.get_ref().clone();
-            inner = element;
+            nested = element;
         }
-        value = inner;
+        value = nested;
     }
     line
 }
--- a/crates/lab/src/scenario/fleet.rs
+++ b/crates/lab/src/scenario/fleet.rs
@@ -125,13 +125,13 @@
     pub poll_interval: Span,
     /// Discovery's own time for one poll.
     #[serde(rename = "call")]
-    pub poll_cost: Span,
+    pub poll_service_time: Span,
     /// A poll that waits for longer has failed; discovery still spends its time on it.
     #[serde(rename = "patience")]
     pub poll_timeout: Span,
     /// A poll that would wait for longer is rejected at once.
     #[serde(rename = "turned_away")]
-    pub longest_queue: Span,
+    pub max_queue_wait: Span,
 }
 
 /// The figures of the platform's rules: forwarders are configured with them, receivers and oracle apply them.
--- a/crates/lab/src/scenario/tests.rs
+++ b/crates/lab/src/scenario/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const SMALL: &str = r#"version = 1
+const MINIMAL_SCENARIO: &str = r#"version = 1
 name = "small"
 shows = "nothing"
 lasts = "10s"
@@ -15,8 +15,8 @@
 "#;
 
 #[test]
-fn the_smallest_file_is_read_with_its_defaults() {
-    let scenario = Scenario::read(SMALL, "small.toml").expect("it is right");
+fn reads_minimal_scenario_with_defaults() {
+    let scenario = Scenario::read(MINIMAL_SCENARIO, "small.toml").expect("it is right");
     assert_eq!(
         (scenario.lasts, scenario.forwarders.count),
         (Span(10_000_000), 1)
@@ -29,52 +29,56 @@
 }
 
 #[test]
-fn what_is_wrong_is_told_with_key_and_line() {
+fn reports_key_and_line_of_an_invalid_value() {
     let cases = [
         (
-            SMALL.replace("rate = 50.0", "rate = 0.0"),
+            MINIMAL_SCENARIO.replace("rate = 50.0", "rate = 0.0"),
             Some(8),
             "destinations[0].rate",
         ),
-        (SMALL.replace("rate = 50.0", "rats = 50.0"), Some(8), "rats"),
         (
-            SMALL.replace("\"10s\"", "\"10 parsecs\""),
+            MINIMAL_SCENARIO.replace("rate = 50.0", "rats = 50.0"),
+            Some(8),
+            "rats",
+        ),
+        (
+            MINIMAL_SCENARIO.replace("\"10s\"", "\"10 parsecs\""),
             Some(4),
             "parsecs",
         ),
         (
-            SMALL.replace("version = 1", "version = 2"),
+            MINIMAL_SCENARIO.replace("version = 1", "version = 2"),
             Some(1),
             "version",
         ),
         (
-            format!("{SMALL}destinations = [\"two\"]\n"),
+            format!("{MINIMAL_SCENARIO}destinations = [\"two\"]\n"),
             Some(13),
             "two",
         ),
         (
-            SMALL.replace("name = \"one\"", "name = \"one\"\nerrors = 1.5"),
+            MINIMAL_SCENARIO.replace("name = \"one\"", "name = \"one\"\nerrors = 1.5"),
             Some(8),
             "1.5",
         ),
     ];
-    for (text, line, word) in cases {
-        let bad = Scenario::read(&text, "f.toml").expect_err(word);
-        assert_eq!(bad.line, line, "{bad}");
-        assert!(bad.to_string().contains(word), "{bad}");
+    for (text, line, expected_text) in cases {
+        let error = Scenario::read(&text, "f.toml").expect_err(expected_text);
+        assert_eq!(error.line, line, "{error}");
+        assert!(error.to_string().contains(expected_text), "{error}");
     }
 }
 
 #[test]
-fn spans_are_read_as_they_are_written() {
-    for (text, span) in [
+fn parses_spans_as_they_are_displayed() {
+    for (text, micros) in [
         ("300us", 300),
         ("2.5s", 2_500_000),
         ("1h", 3_600_000_000),
         ("0s", 0),
     ] {
-        assert_eq!(Span::parse(text), Ok(Span(span)));
-        assert_eq!(Span::parse(&Span(span).to_string()), Ok(Span(span)));
+        assert_eq!(Span::parse(text), Ok(Span(micros)));
+        assert_eq!(Span::parse(&Span(micros).to_string()), Ok(Span(micros)));
     }
     for text in ["", "5", "s", "-1s", "1e30h", "5 min"] {
         assert!(Span::parse(text).is_err(), "{text}");
--- a/crates/lab/src/scenario/units.rs
+++ b/crates/lab/src/scenario/units.rs
@@ -7,18 +7,18 @@
 
 /// Why a text is no span of time.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadSpan {
+pub enum ParseSpanError {
     /// It is not a figure followed by a known unit.
-    #[error("\"{text}\": {SPAN_FORMAT}")]
+    #[error("\"{text}\": {SPAN_FORMAT_HELP}")]
     Malformed { text: String },
     /// It is negative, or too long to be counted in µs.
-    #[error("\"{text}\": is out of range, {SPAN_FORMAT}")]
+    #[error("\"{text}\": is out of range, {SPAN_FORMAT_HELP}")]
     OutOfRange { text: String },
 }
 
-const SPAN_FORMAT: &str = "write a figure and a unit: 300us, 20ms, 2.5s, 5m or 1h";
+const SPAN_FORMAT_HELP: &str = "write a figure and a unit: 300us, 20ms, 2.5s, 5m or 1h";
 /// A span must be shorter, µs: up to here `f64` still counts each one.
-const SPAN_LIMIT: f64 = 9e15;
+const SPAN_LIMIT_MICROS: f64 = 9e15;
 
 /// A span of time in µs; written with a unit: `"300us"`, `"20ms"`, `"2.5s"`, `"5m"`, `"1h"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -42,46 +42,46 @@
     }
 
     /// Reads a figure with a unit.
-    pub fn parse(text: &str) -> Result<Span, BadSpan> {
-        let malformed = || BadSpan::Malformed { text: text.into() };
-        let split = text
+    pub fn parse(text: &str) -> Result<Span, ParseSpanError> {
+        let malformed = || ParseSpanError::Malformed { text: text.into() };
+        let unit_start = text
             .find(|c: char| c.is_ascii_alphabetic())
             .unwrap_or(text.len());
-        let (figure, unit) = (text[..split].trim(), &text[split..]);
-        let (_, size) = UNITS
+        let (number, unit) = (text[..unit_start].trim(), &text[unit_start..]);
+        let (_, micros_per_unit) = UNITS
             .iter()
-            .find(|(u, _)| *u == unit)
+            .find(|(symbol, _)| *symbol == unit)
             .ok_or_else(malformed)?;
-        let figure: f64 = figure.parse().map_err(|_| malformed())?;
-        let span = figure * size;
-        if !(0.0..SPAN_LIMIT).contains(&span) {
-            return Err(BadSpan::OutOfRange { text: text.into() });
+        let number: f64 = number.parse().map_err(|_| malformed())?;
+        let micros = number * micros_per_unit;
+        if !(0.0..SPAN_LIMIT_MICROS).contains(&micros) {
+            return Err(ParseSpanError::OutOfRange { text: text.into() });
         }
-        Ok(Span(span.round() as Micros))
+        Ok(Span(micros.round() as Micros))
     }
 }
 
 impl fmt::Display for Span {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (unit, size) = UNITS
+        let (unit, micros_per_unit) = UNITS
             .iter()
             .rev()
-            .find(|(_, s)| self.0 as f64 >= *s)
+            .find(|(_, micros)| self.0 as f64 >= *micros)
             .unwrap_or(&UNITS[0]);
-        write!(f, "{}{unit}", self.0 as f64 / size)
+        write!(f, "{}{unit}", self.0 as f64 / micros_per_unit)
     }
 }
 
 impl Serialize for Span {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_str(self)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
 
 impl<'de> Deserialize<'de> for Span {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Span, D::Error> {
-        struct Text;
-        impl Visitor<'_> for Text {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Span, D::Error> {
+        struct SpanVisitor;
+        impl Visitor<'_> for SpanVisitor {
             type Value = Span;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 write!(f, "a time with a unit, such as \"2.5s\"")
@@ -90,6 +90,6 @@
                 Span::parse(text).map_err(E::custom)
             }
         }
-        from.deserialize_str(Text)
+        deserializer.deserialize_str(SpanVisitor)
     }
 }
--- a/crates/lab/src/scenario/validation.rs
+++ b/crates/lab/src/scenario/validation.rs
@@ -9,12 +9,12 @@
 
 const AT_LEAST_ONE: &str = "must be at least 1";
 const ABOVE_ZERO: &str = "must be above 0";
-const NAME_ONE: &str = "name one at least";
-const SHARE: &str = "is a share from 0 to 1";
+const REQUIRE_ONE: &str = "name one at least";
+const SHARE_RANGE: &str = "is a share from 0 to 1";
 
 /// A value that no world can have.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct BadValue {
+pub(super) struct InvalidValue {
     /// Its key, such as `destinations[1].rate`.
     pub key: String,
     /// The value and what to write instead.
@@ -22,11 +22,11 @@
 }
 
 impl Scenario {
-    /// The first value, in the order of the checks, that no world can have.
-    pub(super) fn first_problem(&self) -> Option<BadValue> {
-        let mut checks = Checks::default();
-        checks.run(self);
-        checks.problems.into_iter().next()
+    /// The first value, in the order of the validator, that no world can have.
+    pub(super) fn first_invalid_value(&self) -> Option<InvalidValue> {
+        let mut validator = Validator::default();
+        validator.run(self);
+        validator.problems.into_iter().next()
     }
 }
 
@@ -40,15 +40,15 @@
 
 /// The problems found so far.
 #[derive(Default)]
-struct Checks {
-    problems: Vec<BadValue>,
+struct Validator {
+    problems: Vec<InvalidValue>,
 }
 
-impl Checks {
-    /// Notes a problem with the value of a key unless the value is good.
-    fn check(&mut self, good: bool, key: &str, value: impl ToString, remedy: &str) {
-        if !good {
-            self.problems.push(BadValue {
+impl Validator {
+    /// Notes a problem with the value of a key unless the value is valid.
+    fn check(&mut self, valid: bool, key: &str, value: impl ToString, remedy: &str) {
+        if !valid {
+            self.problems.push(InvalidValue {
                 key: key.to_owned(),
                 problem: format!("{}: {remedy}", value.to_string()),
             });
@@ -70,27 +70,32 @@
 
     fn run(&mut self, scenario: &Scenario) {
         let version = scenario.version;
-        let good = version == FORMAT_VERSION;
-        self.check(good, "version", version, "this program reads version 1");
+        let valid = version == FORMAT_VERSION;
+        self.check(valid, "version", version, "this program reads version 1");
         self.check(scenario.lasts.0 > 0, "lasts", scenario.lasts, ABOVE_ZERO);
-        self.forwarders(scenario);
-        self.rules(scenario);
-        self.network(scenario);
-        self.check(!scenario.classes.is_empty(), "profiles", "none", NAME_ONE);
+        self.check_forwarders(scenario);
+        self.check_rules(scenario);
+        self.check_network(scenario);
+        self.check(
+            !scenario.classes.is_empty(),
+            "profiles",
+            "none",
+            REQUIRE_ONE,
+        );
         for (index, class) in scenario.classes.iter().enumerate() {
-            self.class(class, &format!("profiles[{index}]"));
+            self.check_class(class, &format!("profiles[{index}]"));
         }
-        self.destinations(scenario);
-        self.check(!scenario.loads.is_empty(), "loads", "none", NAME_ONE);
+        self.check_destinations(scenario);
+        self.check(!scenario.loads.is_empty(), "loads", "none", REQUIRE_ONE);
         for (index, load) in scenario.loads.iter().enumerate() {
-            self.load(scenario, load, &format!("loads[{index}]"));
+            self.check_load(scenario, load, &format!("loads[{index}]"));
         }
         for (index, fault) in scenario.faults.iter().enumerate() {
-            self.fault(scenario, fault, &format!("troubles[{index}]"));
+            self.check_fault(scenario, fault, &format!("troubles[{index}]"));
         }
     }
 
-    fn forwarders(&mut self, scenario: &Scenario) {
+    fn check_forwarders(&mut self, scenario: &Scenario) {
         let fleet = &scenario.forwarders;
         for (key, value) in [
             ("forwarders.count", fleet.count),
@@ -100,8 +105,13 @@
         ] {
             self.check(value > 0, key, "0", AT_LEAST_ONE);
         }
-        let few = fleet.count <= MAX_FORWARDERS;
-        self.check(few, "forwarders.count", fleet.count, "is 1000 at most");
+        let within_limit = fleet.count <= MAX_FORWARDERS;
+        self.check(
+            within_limit,
+            "forwarders.count",
+            fleet.count,
+            "is 1000 at most",
+        );
         let disk_mb = fleet.disk_mb;
         self.check(
             is_positive(disk_mb),
@@ -111,9 +121,9 @@
         );
     }
 
-    fn rules(&mut self, scenario: &Scenario) {
+    fn check_rules(&mut self, scenario: &Scenario) {
         let share = scenario.rules.cold_capacity_share;
-        self.check(is_share(share), "rules.cold_from", share, SHARE);
+        self.check(is_share(share), "rules.cold_from", share, SHARE_RANGE);
         let multiple = scenario.rules.overload_multiple;
         self.check(
             is_positive(multiple),
@@ -123,7 +133,7 @@
         );
     }
 
-    fn network(&mut self, scenario: &Scenario) {
+    fn check_network(&mut self, scenario: &Scenario) {
         let Some(late) = &scenario.network.late_connections else {
             return;
         };
@@ -138,61 +148,71 @@
         self.check(in_time, key, late.most, "is over connect_within");
     }
 
-    fn class(&mut self, class: &DeliveryClass, at: &str) {
+    fn check_class(&mut self, class: &DeliveryClass, key_prefix: &str) {
         let objective = class.latency_objective;
-        let key = format!("{at}.contract_time");
+        let key = format!("{key_prefix}.contract_time");
         self.check(objective.0 > 0, &key, objective, ABOVE_ZERO);
         let time_to_live = class.time_to_live;
-        let key = format!("{at}.expiry");
+        let key = format!("{key_prefix}.expiry");
         let remedy = "must not be under contract_time";
         self.check(time_to_live.0 >= objective.0, &key, time_to_live, remedy);
         let share = class.late_weight_share;
-        self.check(is_share(share), &format!("{at}.late_share"), share, SHARE);
+        self.check(
+            is_share(share),
+            &format!("{key_prefix}.late_share"),
+            share,
+            SHARE_RANGE,
+        );
     }
 
-    fn destinations(&mut self, scenario: &Scenario) {
+    fn check_destinations(&mut self, scenario: &Scenario) {
         let groups = &scenario.destinations;
-        self.check(!groups.is_empty(), "destinations", "none", NAME_ONE);
+        self.check(!groups.is_empty(), "destinations", "none", REQUIRE_ONE);
         for (index, group) in groups.iter().enumerate() {
-            let at = format!("destinations[{index}]");
-            self.destination(group, &at);
+            let key_prefix = format!("destinations[{index}]");
+            self.check_destination(group, &key_prefix);
             let unique = groups[..index].iter().all(|other| other.name != group.name);
             let remedy = "is taken by another, give it one of its own";
-            self.check(unique, &format!("{at}.name"), &group.name, remedy);
-            self.service_time(&group.service_time, &format!("{at}.service"));
+            self.check(unique, &format!("{key_prefix}.name"), &group.name, remedy);
+            self.check_service_time(&group.service_time, &format!("{key_prefix}.service"));
         }
-        let all: u64 = groups.iter().map(|group| u64::from(group.count)).sum();
+        let total: u64 = groups.iter().map(|group| u64::from(group.count)).sum();
         let remedy = "are 60000 at most, all counts together";
-        self.check(all <= MAX_DESTINATIONS, "destinations", all, remedy);
+        self.check(total <= MAX_DESTINATIONS, "destinations", total, remedy);
     }
 
-    fn destination(&mut self, group: &Destination, at: &str) {
+    fn check_destination(&mut self, group: &Destination, key_prefix: &str) {
         for (key, value) in [
             ("count", group.count),
             ("targets", group.endpoints),
             ("places", group.concurrency),
         ] {
-            self.check(value > 0, &format!("{at}.{key}"), "0", AT_LEAST_ONE);
+            self.check(value > 0, &format!("{key_prefix}.{key}"), "0", AT_LEAST_ONE);
         }
         let remedy = "must be above 0 calls a second";
         self.check(
             is_positive(group.rate),
-            &format!("{at}.rate"),
+            &format!("{key_prefix}.rate"),
             group.rate,
             remedy,
         );
         let weight = group.weight;
         self.check(
             is_positive(weight),
-            &format!("{at}.weight"),
+            &format!("{key_prefix}.weight"),
             weight,
             ABOVE_ZERO,
         );
-        let errors = group.error_rate;
-        self.check(is_share(errors), &format!("{at}.errors"), errors, SHARE);
+        let error_rate = group.error_rate;
+        self.check(
+            is_share(error_rate),
+            &format!("{key_prefix}.errors"),
+            error_rate,
+            SHARE_RANGE,
+        );
     }
 
-    fn service_time(&mut self, time: &ServiceTime, key: &str) {
+    fn check_service_time(&mut self, time: &ServiceTime, key: &str) {
         match *time {
             ServiceTime::Bimodal { slow_share, .. } => {
                 let remedy = "slow_share is from 0 to 1";
@@ -205,50 +225,50 @@
         }
     }
 
-    fn load(&mut self, scenario: &Scenario, load: &Load, at: &str) {
+    fn check_load(&mut self, scenario: &Scenario, load: &Load, key_prefix: &str) {
         let remedy = "must be above 0 packets a second";
         self.check(
             is_positive(load.rate),
-            &format!("{at}.rate"),
+            &format!("{key_prefix}.rate"),
             load.rate,
             remedy,
         );
         let skew_is_good = load.skew >= 0.0 && load.skew.is_finite();
         self.check(
             skew_is_good,
-            &format!("{at}.skew"),
+            &format!("{key_prefix}.skew"),
             load.skew,
             "must not be under 0",
         );
-        let small = load.body_bytes <= MAX_BODY_BYTES;
-        let key = format!("{at}.body");
-        self.check(small, &key, load.body_bytes, "is 65536 bytes at most");
-        self.load_names(scenario, load, at);
-        self.shape(&load.shape, &format!("{at}.shape"));
+        let body_fits = load.body_bytes <= MAX_BODY_BYTES;
+        let key = format!("{key_prefix}.body");
+        self.check(body_fits, &key, load.body_bytes, "is 65536 bytes at most");
+        self.check_load_names(scenario, load, key_prefix);
+        self.check_shape(&load.shape, &format!("{key_prefix}.shape"));
     }
 
-    fn load_names(&mut self, scenario: &Scenario, load: &Load, at: &str) {
+    fn check_load_names(&mut self, scenario: &Scenario, load: &Load, key_prefix: &str) {
         self.check_names(
             load.destinations.iter(),
             |name| scenario.has_destination(name),
-            &format!("{at}.destinations"),
+            &format!("{key_prefix}.destinations"),
             "is no destination of this file",
         );
         self.check_names(
             load.classes.iter(),
             |name| scenario.classes.iter().any(|class| class.name == name),
-            &format!("{at}.profiles"),
+            &format!("{key_prefix}.profiles"),
             "is no profile of this file",
         );
         self.check_names(
             load.tenant.iter(),
             |name| scenario.tenants.iter().any(|tenant| tenant.name == name),
-            &format!("{at}.tenant"),
+            &format!("{key_prefix}.tenant"),
             "is no tenant of this file",
         );
     }
 
-    fn shape(&mut self, shape: &Shape, key: &str) {
+    fn check_shape(&mut self, shape: &Shape, key: &str) {
         match shape {
             Shape::Bursts { on, off, .. } => {
                 let remedy = "on and off can't both be 0";
@@ -259,8 +279,8 @@
         }
     }
 
-    fn fault(&mut self, scenario: &Scenario, fault: &Fault, at: &str) {
-        let scope_key = format!("{at}.on");
+    fn check_fault(&mut self, scenario: &Scenario, fault: &Fault, key_prefix: &str) {
+        let scope_key = format!("{key_prefix}.on");
         self.check_names(
             fault.scope.destinations.iter(),
             |name| scenario.has_destination(name),
@@ -268,26 +288,31 @@
             "is no destination of this file",
         );
         let share = fault.scope.share;
-        let shown = format!("{share:?}");
-        self.check(share.is_none_or(is_share), &scope_key, shown, SHARE);
-        self.fault_kind(&fault.kind, &format!("{at}.what"));
+        let shown_value = format!("{share:?}");
+        self.check(
+            share.is_none_or(is_share),
+            &scope_key,
+            shown_value,
+            SHARE_RANGE,
+        );
+        self.check_fault_kind(&fault.kind, &format!("{key_prefix}.what"));
         let mut numbers = fault.scope.forwarders.iter();
         let unknown = numbers.find(|number| **number >= scenario.forwarders.count);
         let remedy = "is no forwarder: they count from 0";
-        let shown = format!("{unknown:?}");
-        self.check(unknown.is_none(), &scope_key, shown, remedy);
+        let shown_value = format!("{unknown:?}");
+        self.check(unknown.is_none(), &scope_key, shown_value, remedy);
     }
 
-    fn fault_kind(&mut self, kind: &FaultKind, key: &str) {
+    fn check_fault_kind(&mut self, kind: &FaultKind, key: &str) {
         let share = kind.share().unwrap_or(0.0);
-        self.check(is_share(share), key, share, SHARE);
+        self.check(is_share(share), key, share, SHARE_RANGE);
         match *kind {
             FaultKind::Slow { times } | FaultKind::Jam { times } => {
                 self.check(is_positive(times), key, times, "times must be above 0");
             }
             FaultKind::Flapping { down, up } => {
-                let both = down.0 > 0 && up.0 > 0;
-                self.check(both, key, "0", "down and up must be above 0");
+                let both_positive = down.0 > 0 && up.0 > 0;
+                self.check(both_positive, key, "0", "down and up must be above 0");
             }
             _ => {}
         }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -16,9 +16,9 @@
 mod lifecycle;
 mod simulated_process;
 
-use crate::chance::stream;
 use crate::load::{Loads, ReplayError};
 use crate::oracle::Oracle;
+use crate::random::seeded_rng;
 use crate::receivers::Receivers;
 use crate::scenario::Scenario;
 use crate::subject::ForwarderVariant;
@@ -152,9 +152,9 @@
             next_submission: 0,
             attempts: HashMap::new(),
             next_attempt: 0,
-            clients: stream(seed, "clients", 0),
-            lags: stream(seed, "lags", 0),
-            lateness: stream(seed, "lateness", 0),
+            clients: seeded_rng(seed, "clients", 0),
+            lags: seeded_rng(seed, "lags", 0),
+            lateness: seeded_rng(seed, "lateness", 0),
             stale_until: 0,
             discovery_busy_until: 0,
             pending_faults: 0,
@@ -174,7 +174,7 @@
         cut: Micros,
         mut progress: impl FnMut(Micros, Micros),
     ) -> (Outcome, Work) {
-        let last_deadline = self.scenario.lasts.0 + self.scenario.longest_time_to_live();
+        let last_deadline = self.scenario.lasts.0 + self.scenario.max_time_to_live();
         let end = (last_deadline + AFTER_LAST_DEADLINE).min(cut);
         while let Some((at, event)) = self.queue.pop() {
             if at > end || self.is_over() {
@@ -197,14 +197,14 @@
         self.work.without_list_updates = processes
             .filter(|process| process.is_up() && !process.follows_list)
             .count();
-        self.oracle.judge_falls(&self.receivers.falls);
+        self.oracle.judge_falls(&self.receivers.overload_failures);
         let name = self.variant.name_in_outcomes();
         let mut outcome =
             self.tally
                 .close(self.now, &self.scenario, Clock::Simulated, self.seed, name);
         outcome.broken = self.oracle.counts_by_name();
         outcome.breaks = self.oracle.breaks;
-        outcome.falls = self.receivers.falls.len() as u64;
+        outcome.falls = self.receivers.overload_failures.len() as u64;
         (outcome, self.work)
     }
 
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -118,7 +118,7 @@
             destination: place.destination,
             endpoint: index,
             holder: endpoint.incarnation,
-            limiter: place.limiter,
+            limiter: place.limiter_index,
         }
     }
 
@@ -150,7 +150,7 @@
         let what = format!(
             "message {client_message} of forwarder {forwarder} to endpoint {index}, chosen before"
         );
-        let limiter = self.layout.endpoints[index].limiter;
+        let limiter = self.layout.endpoints[index].limiter_index;
         self.oracle.check_bound(
             forwarder,
             index,
@@ -174,15 +174,18 @@
         let fate = self
             .receivers
             .call(self.now, index, attempt.forwarder, attempt.idempotency_key);
-        if let Some(ran) = fate.ran {
+        if let Some(ran) = fate.effect_at {
             self.oracle
                 .took_effect(attempt.client_message, attempt.submission, ran);
         }
-        let Some(outcome) = outcome_of(fate.says) else {
+        let Some(outcome) = outcome_of(fate.reply) else {
             return;
         };
-        let at = fate.at.max(self.now) + self.scenario.network.delay.0;
-        if let ReceiverReply::TooManyRequestsTruncated { wait: Some(wait) } = fate.says {
+        let at = fate.reply_at.max(self.now) + self.scenario.network.delay.0;
+        if let ReceiverReply::TooManyRequestsTruncated {
+            retry_after: Some(wait),
+        } = fate.reply
+        {
             let received = SimulatedEvent::RetryAfterReceived {
                 attempt: number,
                 retry_after: wait,
@@ -270,7 +273,7 @@
             retry_after: Some(retry_after),
         } = outcome
         {
-            let limiter = self.layout.endpoints[index].limiter;
+            let limiter = self.layout.endpoints[index].limiter_index;
             let until = self.now + retry_after;
             self.oracle
                 .retry_after_notified(attempt.forwarder, limiter, self.now, until);
@@ -308,7 +311,7 @@
             };
             return self.schedule(self.now + PAUSED_RETRY, received);
         }
-        let limiter = self.layout.endpoints[Layout::endpoint_index(endpoint)].limiter;
+        let limiter = self.layout.endpoints[Layout::endpoint_index(endpoint)].limiter_index;
         let until = self.now + retry_after;
         self.oracle
             .retry_after_notified(forwarder, limiter, self.now, until);
@@ -362,8 +365,10 @@
         ReceiverReply::Served | ReceiverReply::ServedThenReset | ReceiverReply::Endless => {
             Outcome::Delivered
         }
-        ReceiverReply::Erred => Outcome::Error,
-        ReceiverReply::TooManyRequests { wait } => Outcome::Rejected { retry_after: wait },
+        ReceiverReply::InternalError => Outcome::Error,
+        ReceiverReply::TooManyRequests { retry_after: wait } => {
+            Outcome::Rejected { retry_after: wait }
+        }
         ReceiverReply::Overloaded => Outcome::Rejected { retry_after: None },
         ReceiverReply::Refused | ReceiverReply::ClosedEarly => Outcome::NoConnection,
         ReceiverReply::Reset
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -4,7 +4,7 @@
 use super::event::SimulatedEvent;
 use super::simulated_process::NewSubmission;
 use super::Sim;
-use crate::load::Due;
+use crate::load::DueMessage;
 use crate::oracle::{FinalAnswer, SubmissionRecord};
 use crate::tally::Tick;
 use opalpulley::{
@@ -29,7 +29,7 @@
 
 /// A message as its client knows it.
 pub(super) struct ClientMessage {
-    due: Due,
+    due: DueMessage,
     expires: Micros,
     /// How often it may still be submitted again.
     resubmissions: u32,
@@ -49,12 +49,12 @@
 
 impl Sim {
     /// A message of the load is due: its client submits it.
-    pub(super) fn message_due(&mut self, due: Due) {
+    pub(super) fn message_due(&mut self, due: DueMessage) {
         let number = self.next_message;
         self.next_message += 1;
         self.tally.due(self.now, due.class);
         let message = ClientMessage {
-            expires: self.now + due.left,
+            expires: self.now + due.time_left,
             resubmissions: due.resubmissions,
             resubmitted: false,
             tries: 0,
@@ -107,7 +107,7 @@
         self.next_submission += 1;
         let message = &self.messages[&number];
         let ordered = self.scenario.classes[usize::from(message.due.class)].ordered;
-        let key = ordered.then_some(message.due.key);
+        let key = ordered.then_some(message.due.order_key);
         let record = SubmissionRecord {
             submission,
             message: number,
--- a/crates/lab/src/sim/connections.rs
+++ b/crates/lab/src/sim/connections.rs
@@ -47,7 +47,7 @@
 impl Sim {
     /// Takes an idle connection or opens one; none where the endpoint takes no more.
     pub(super) fn connect(&mut self, forwarder: u32, endpoint: usize) -> Option<ConnectDelay> {
-        let group = &self.scenario.destinations[self.layout.endpoints[endpoint].group];
+        let group = &self.scenario.destinations[self.layout.endpoints[endpoint].group_index];
         let idle_timeout = group.idle_timeout.0;
         let limit = group.max_connections as usize;
         let handshake = group.handshake.0;
--- a/crates/lab/src/sim/discovery.rs
+++ b/crates/lab/src/sim/discovery.rs
@@ -24,7 +24,7 @@
     ) -> Vec<EndpointEntry> {
         let entry = |(endpoint, listed): (usize, &ListedEndpoint)| {
             let groups = &scenario.destinations;
-            layout.listing(groups, endpoint, listed.holder, listed.status)
+            layout.list_entry(groups, endpoint, listed.holder, listed.status)
         };
         listed.iter().enumerate().map(entry).collect()
     }
@@ -50,7 +50,7 @@
             self.listed_endpoints[endpoint] = ListedEndpoint { holder, status };
         }
         let groups = &self.scenario.destinations;
-        let entry = |(holder, status)| self.layout.listing(groups, endpoint, holder, status);
+        let entry = |(holder, status)| self.layout.list_entry(groups, endpoint, holder, status);
         let entries = changes.into_iter().map(entry).collect();
         self.send_list_update(EndpointListUpdate::Changes(entries));
     }
@@ -92,9 +92,10 @@
             return;
         };
         self.work.list_calls += 1;
-        let wait = self.discovery_busy_until.saturating_sub(self.now) + discovery.poll_cost.0;
+        let wait =
+            self.discovery_busy_until.saturating_sub(self.now) + discovery.poll_service_time.0;
         let timeout = discovery.poll_timeout.0;
-        let (after, answered) = if wait > discovery.longest_queue.0 {
+        let (after, answered) = if wait > discovery.max_queue_wait.0 {
             (2 * self.scenario.network.delay.0, false)
         } else {
             self.discovery_busy_until = self.now + wait;
--- a/crates/lab/src/sim/event.rs
+++ b/crates/lab/src/sim/event.rs
@@ -1,6 +1,6 @@
 //! What happens in the simulated world, and the queue that orders it by time.
 
-use crate::load::Due;
+use crate::load::DueMessage;
 use opalpulley::{EndpointId, EndpointListUpdate, Micros, Outcome, TimerToken};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -17,7 +17,7 @@
 /// What happens next.
 pub(super) enum SimulatedEvent {
     /// A message of the load is due.
-    Due(Due),
+    Due(DueMessage),
     /// A client submits a message once more.
     Submit { message: u64 },
     /// A timer of a forwarder fires.
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -42,11 +42,11 @@
 
     fn endpoints_struck(&self, number: usize, fault: &Fault) -> Vec<usize> {
         self.layout
-            .endpoints_struck(&self.scenario, &fault.scope, self.seed, number)
+            .affected_endpoints(&self.scenario, &fault.scope, self.seed, number)
     }
 
     fn forwarders_struck(&self, number: usize, fault: &Fault) -> Vec<u32> {
-        Layout::forwarders_struck(&self.scenario, &fault.scope, self.seed, number)
+        Layout::affected_forwarders(&self.scenario, &fault.scope, self.seed, number)
     }
 
     fn kill_processes(&mut self, number: usize, fault: &Fault, folder_kept: bool) {
--- a/crates/lab/src/sim/handlers.rs
+++ b/crates/lab/src/sim/handlers.rs
@@ -68,8 +68,10 @@
     /// Lets the oracle look for what is overdue, and notes how much the tables hold.
     fn sweep(&mut self) {
         self.oracle.sweep(self.now);
-        let held =
-            self.oracle.held() + self.receivers.held() + self.messages.len() + self.attempts.len();
+        let held = self.oracle.held()
+            + self.receivers.entry_count()
+            + self.messages.len()
+            + self.attempts.len();
         self.work.most_held = self.work.most_held.max(held);
         self.schedule(self.now + SWEEP_INTERVAL, SimulatedEvent::OracleSweep);
     }
--- a/crates/lab/src/sim/health_checks.rs
+++ b/crates/lab/src/sim/health_checks.rs
@@ -13,7 +13,7 @@
     pub(super) fn send_health_check(&mut self, forwarder: u32, endpoint: EndpointId) {
         self.tally.counts.health_checks += 1;
         let index = Layout::endpoint_index(endpoint);
-        let limiter = self.layout.endpoints[index].limiter;
+        let limiter = self.layout.endpoints[index].limiter_index;
         let what = format!("a probe of forwarder {forwarder} to target {index}");
         self.oracle
             .check_retry_after(forwarder, limiter, self.now, &what);
@@ -32,17 +32,17 @@
         let fate = self
             .receivers
             .health_check(self.now, index, health_check.forwarder);
-        let outcome = match fate.says {
+        let outcome = match fate.reply {
             ReceiverReply::Served => Outcome::Delivered,
             ReceiverReply::Overloaded => Outcome::Rejected { retry_after: None },
             ReceiverReply::Silent => Outcome::Timeout,
             _ => Outcome::NoConnection,
         };
-        let timeout = match fate.says {
+        let timeout = match fate.reply {
             ReceiverReply::Silent => self.scenario.network.connect_timeout.0,
             _ => 0,
         };
-        let ends_at = fate.at + self.scenario.network.delay.0 + timeout;
+        let ends_at = fate.reply_at + self.scenario.network.delay.0 + timeout;
         self.schedule(
             ends_at,
             SimulatedEvent::HealthCheckEnds {
--- a/crates/lab/src/sim/simulated_process.rs
+++ b/crates/lab/src/sim/simulated_process.rs
@@ -3,8 +3,8 @@
 use super::clients::SubmissionAnswer;
 use super::event::SimulatedEvent;
 use super::Sim;
-use crate::chance::stream;
 use crate::oracle::FinalAnswer;
+use crate::random::seeded_rng;
 use crate::scenario::Scenario;
 use crate::subject::Subject;
 use crate::world::Layout;
@@ -91,7 +91,7 @@
     /// A process that is not started yet; its clock is drawn.
     pub fn new(scenario: &Scenario, seed: u64, number: u32) -> SimulatedProcess {
         let max_skew = scenario.forwarders.max_clock_skew.0;
-        let skew = stream(seed, "clock", u64::from(number)).random_range(0..=max_skew);
+        let skew = seeded_rng(seed, "clock", u64::from(number)).random_range(0..=max_skew);
         SimulatedProcess {
             subject: None,
             incarnation: 0,
@@ -135,7 +135,7 @@
     pub(super) fn start_process(&mut self, forwarder: u32) {
         let incarnation = self.processes[forwarder as usize].incarnation;
         let number = u64::from(forwarder) << 32 | u64::from(incarnation);
-        let seed = stream(self.seed, "forwarder", number).random();
+        let seed = seeded_rng(self.seed, "forwarder", number).random();
         let subject = self.variant.build(self.scenario.config(forwarder), seed);
         let process = &mut self.processes[forwarder as usize];
         process.subject = Some(subject);
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -20,7 +20,7 @@
 
 pub use error::SocketsError;
 
-use crate::load::Due;
+use crate::load::DueMessage;
 use crate::oracle::{FinalAnswer, Oracle};
 use crate::receivers::Receivers;
 use crate::scenario::{DeliverySemantics, Scenario};
@@ -48,7 +48,7 @@
 /// A message as its client knows it.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientMessage {
-    pub due: Due,
+    pub due: DueMessage,
     pub expires: Micros,
     /// How often it may still be submitted again.
     pub resubmissions: u32,
--- a/crates/lab/src/sockets/agents.rs
+++ b/crates/lab/src/sockets/agents.rs
@@ -233,7 +233,7 @@
             phase,
         } = change;
         let place = stage.layout.endpoints[*endpoint];
-        let group = &stage.scenario.destinations[place.group];
+        let group = &stage.scenario.destinations[place.group_index];
         let zone = ZONES[usize::from(place.zone) % ZONES.len()];
         let kind = match group.independent_limits {
             true => "apart",
--- a/crates/lab/src/sockets/calls.rs
+++ b/crates/lab/src/sockets/calls.rs
@@ -5,7 +5,7 @@
 use super::wire::{Conn, HttpMessage};
 use super::{Stage, State};
 use crate::oracle::{FinalAnswer, SentCall, TookEffect};
-use crate::receivers::{Fate, ReceiverReply};
+use crate::receivers::{CallResult, ReceiverReply};
 use crate::scenario::DeliverySemantics;
 use crate::tally::Tick;
 use opalpulley::Micros;
@@ -29,7 +29,7 @@
     /// Which attempt of its message this is, from 0.
     attempt: u32,
     since: Micros,
-    fate: Fate,
+    fate: CallResult,
 }
 
 /// Answers one request; gives the connection back where it can serve again.
@@ -71,7 +71,7 @@
             stand_in.address,
             request.header("request-id").unwrap_or(""),
             request.body.len(),
-            fate.says
+            fate.reply
         );
     }
     write_reply(stage, conn, fate).await
@@ -102,21 +102,21 @@
         destination: place.destination,
         endpoint,
         holder,
-        limiter: place.limiter,
+        limiter: place.limiter_index,
     };
     state.oracle.sent(call, now);
     state.tally.counts.calls += 1;
     state.tally.calls_out += 1;
     state.tally.tick(now, Tick::Call);
     let keyed = state.semantics[usize::from(class)] == DeliverySemantics::IdempotencyKeyed;
-    let falls = state.receivers.falls.len();
+    let falls = state.receivers.overload_failures.len();
     let fate = state
         .receivers
         .call(now, endpoint, forwarder, keyed.then_some(message));
-    if state.receivers.falls.len() > falls {
+    if state.receivers.overload_failures.len() > falls {
         stage.changed.send_modify(|changes| *changes += 1);
     }
-    if let Some(ran) = fate.ran {
+    if let Some(ran) = fate.effect_at {
         state.oracle.took_effect(message, submission, ran);
     }
     Call {
@@ -133,19 +133,19 @@
 async fn answer_call(stage: &Arc<Stage>, mut conn: Conn, call: Call) -> Option<Conn> {
     let fate = call.fate;
     if matches!(
-        fate.says,
+        fate.reply,
         ReceiverReply::Refused | ReceiverReply::ClosedEarly
     ) {
         call.is_over(&mut stage.lock(), TookEffect::No);
         conn.reset();
         return None;
     }
-    let silent = fate.says == ReceiverReply::Silent;
+    let silent = fate.reply == ReceiverReply::Silent;
     let closed = tokio::select! {
         // A forwarder that has closed the connection gets no answer that is due at the same moment.
         biased;
         () = conn.closed() => true,
-        () = wait_until(stage, fate.at), if !silent => false,
+        () = wait_until(stage, fate.reply_at), if !silent => false,
     };
     let now = stage.now();
     if closed {
@@ -176,22 +176,26 @@
     /// The answer leaves now: tells tally and oracle.
     fn settle(&self, stage: &Stage, now: Micros) {
         let mut state = stage.lock();
-        let late = now.saturating_sub(self.fate.at);
+        let late = now.saturating_sub(self.fate.reply_at);
         state.receivers_late.saturating_record(late.max(1));
-        let (name, tick, took_effect) = outcome_of(self.fate.says);
+        let (name, tick, took_effect) = outcome_of(self.fate.reply);
         state.tally.outcome(name);
         state.tally.tick(now, tick);
         state.tally.calls_out = state.tally.calls_out.saturating_sub(1);
         self.is_over(&mut state, took_effect);
-        if let ReceiverReply::TooManyRequests { wait: Some(wait) }
-        | ReceiverReply::TooManyRequestsTruncated { wait: Some(wait) } = self.fate.says
+        if let ReceiverReply::TooManyRequests {
+            retry_after: Some(wait),
+        }
+        | ReceiverReply::TooManyRequestsTruncated {
+            retry_after: Some(wait),
+        } = self.fate.reply
         {
-            let limiter = stage.layout.endpoints[self.endpoint].limiter;
+            let limiter = stage.layout.endpoints[self.endpoint].limiter_index;
             state
                 .oracle
                 .retry_after_notified(self.forwarder, limiter, now, now + wait);
         }
-        if !self.fate.says.is_bad_news() {
+        if !self.fate.reply.reveals_failure() {
             let answer = FinalAnswer::Served;
             state.ended(stage, self.submission, answer, None, self.attempt, now);
         }
@@ -204,7 +208,7 @@
         ReceiverReply::Served | ReceiverReply::ServedThenReset | ReceiverReply::Endless => {
             ("delivered", Tick::CallSucceeded, TookEffect::Perhaps)
         }
-        ReceiverReply::Erred => ("error", Tick::CallFailed, TookEffect::Perhaps),
+        ReceiverReply::InternalError => ("error", Tick::CallFailed, TookEffect::Perhaps),
         ReceiverReply::TooManyRequests { .. } | ReceiverReply::Overloaded => {
             ("refused", Tick::CallRefused, TookEffect::No)
         }
@@ -245,12 +249,12 @@
     let mut state = stage.lock();
     state.tally.counts.health_checks += 1;
     if forwarder != NO_FORWARDER {
-        let limiter = stage.layout.endpoints[endpoint].limiter;
+        let limiter = stage.layout.endpoints[endpoint].limiter_index;
         let what = format!("a probe to target {endpoint}");
         state
             .oracle
             .check_retry_after(forwarder, limiter, now, &what);
     }
     let fate = state.receivers.health_check(now, endpoint, forwarder);
-    fate.says
+    fate.reply
 }
--- a/crates/lab/src/sockets/endpoints.rs
+++ b/crates/lab/src/sockets/endpoints.rs
@@ -63,7 +63,10 @@
     let mut accept_queue = AcceptQueue::new(&stage);
     let flaps = has_flapping(&stage);
     loop {
-        let refuses = stage.lock().receivers.refuses(stage.now(), endpoint);
+        let refuses = stage
+            .lock()
+            .receivers
+            .refuses_connections(stage.now(), endpoint);
         match (refuses, &listener) {
             (true, Some(_)) => listener = None,
             (false, None) => listener = stand_in.port.listen().ok(),
@@ -104,7 +107,7 @@
 
 /// Serves one connection to its end, unless the endpoint has too many.
 async fn serve(stage: Arc<Stage>, endpoint: usize, stand_in: Arc<StandIn>, conn: Conn) {
-    let group = &stage.scenario.destinations[stage.layout.endpoints[endpoint].group];
+    let group = &stage.scenario.destinations[stage.layout.endpoints[endpoint].group_index];
     let open = stand_in.open.fetch_add(1, Ordering::Relaxed) + 1;
     if group.max_connections > 0 && open > group.max_connections {
         conn.reset();
@@ -132,7 +135,7 @@
             request = tokio::time::timeout(idle_timeout, conn.request()) => request,
             _ = changed.changed() => {
                 // An endpoint that is down holds no idle connection.
-                if stage.lock().receivers.refuses(stage.now(), endpoint) {
+                if stage.lock().receivers.refuses_connections(stage.now(), endpoint) {
                     return;
                 }
                 continue;
--- a/crates/lab/src/sockets/load_thread.rs
+++ b/crates/lab/src/sockets/load_thread.rs
@@ -4,7 +4,7 @@
 use super::clients::ForwarderClient;
 use super::submissions::{submit, ClientPool};
 use super::{ClientMessage, Resubmission, Stage};
-use crate::load::{Due, Loads};
+use crate::load::{DueMessage, Loads};
 use opalpulley::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -62,7 +62,7 @@
     clients: Arc<ClientPool>,
     loads: Loads,
     /// The next message of the load.
-    next: Option<Due>,
+    next: Option<DueMessage>,
     resubmissions: mpsc::UnboundedReceiver<Resubmission>,
     /// Messages to submit again, by time.
     later: BinaryHeap<Reverse<(Micros, u64)>>,
@@ -138,7 +138,7 @@
 }
 
 /// Notes a message that is due; gives its number.
-fn message_due(stage: &Stage, due: Due) -> u64 {
+fn message_due(stage: &Stage, due: DueMessage) -> u64 {
     let now = stage.now();
     let mut state = stage.lock();
     let number = state.next_message;
@@ -147,7 +147,7 @@
     let late = now.saturating_sub(due.at);
     state.load_late.saturating_record(late.max(1));
     let message = ClientMessage {
-        expires: due.at + due.left,
+        expires: due.at + due.time_left,
         resubmissions: due.resubmissions,
         resubmitted: false,
         forwarder_lost: false,
--- a/crates/lab/src/sockets/replies.rs
+++ b/crates/lab/src/sockets/replies.rs
@@ -2,7 +2,7 @@
 
 use super::wire::Conn;
 use super::Stage;
-use crate::receivers::{Fate, ReceiverReply};
+use crate::receivers::{CallResult, ReceiverReply};
 use opalpulley::Micros;
 use std::io;
 use std::time::Duration;
@@ -16,15 +16,15 @@
 const PART_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Writes what the fate says; gives the connection back where it can serve again.
-pub(super) async fn write_reply(stage: &Stage, mut conn: Conn, fate: Fate) -> Option<Conn> {
-    if stage.alone && fate.says != ReceiverReply::Silent {
-        tokio::time::sleep_until(stage.at(fate.at)).await;
+pub(super) async fn write_reply(stage: &Stage, mut conn: Conn, fate: CallResult) -> Option<Conn> {
+    if stage.alone && fate.reply != ReceiverReply::Silent {
+        tokio::time::sleep_until(stage.at(fate.reply_at)).await;
     }
-    let written = match fate.says {
+    let written = match fate.reply {
         ReceiverReply::Served => conn.reply("200 OK", "", "").await,
-        ReceiverReply::Erred => conn.reply("500 Internal Server Error", "", "").await,
+        ReceiverReply::InternalError => conn.reply("500 Internal Server Error", "", "").await,
         ReceiverReply::Overloaded => conn.reply("503 Service Unavailable", "", "").await,
-        ReceiverReply::TooManyRequests { wait } => {
+        ReceiverReply::TooManyRequests { retry_after: wait } => {
             let retry_after = retry_after_line(wait);
             conn.reply(TOO_MANY_REQUESTS, &retry_after, "").await
         }
@@ -40,7 +40,7 @@
 async fn write_spoilt(mut conn: Conn, reply: ReceiverReply) {
     let _ = match reply {
         ReceiverReply::ServedThenReset => conn.reply("200 OK", "", "").await,
-        ReceiverReply::TooManyRequestsTruncated { wait } => {
+        ReceiverReply::TooManyRequestsTruncated { retry_after: wait } => {
             conn.write(truncated_refusal(wait).as_bytes()).await
         }
         ReceiverReply::Garbled => conn.write(GARBLED).await,
--- a/crates/lab/src/sockets/run.rs
+++ b/crates/lab/src/sockets/run.rs
@@ -127,7 +127,7 @@
 ) -> Usage {
     let scenario = &timeline.stage.scenario;
     let load_ends = timeline.begin + scenario.lasts.0;
-    let last = load_ends + scenario.longest_time_to_live() + AFTER_LAST_DEADLINE;
+    let last = load_ends + scenario.max_time_to_live() + AFTER_LAST_DEADLINE;
     let mut usage = Usage {
         seconds: scenario.lasts.seconds(),
         ..Usage::default()
@@ -168,7 +168,7 @@
     let stage = &timeline.stage;
     let now = stage.now();
     let mut state = stage.lock();
-    let falls = state.receivers.falls.clone();
+    let falls = state.receivers.overload_failures.clone();
     state.oracle.judge_falls(&falls);
     state.tally.counts.open = state.messages.len() as u64;
     let load_late = percentile_99(&state.load_late);
--- a/crates/lab/src/sockets/submissions.rs
+++ b/crates/lab/src/sockets/submissions.rs
@@ -3,7 +3,7 @@
 use super::clients::ForwarderClient;
 use super::wire::HttpMessage;
 use super::{ClientMessage, Resubmission, Stage, State};
-use crate::load::Due;
+use crate::load::DueMessage;
 use crate::oracle::SubmissionRecord;
 use crate::scenario::DeliverySemantics;
 use opalpulley::Micros;
@@ -183,7 +183,7 @@
         head += &format!("Idempotency-Key: {number:032x}\r\n");
     }
     if class.ordered {
-        head += &format!("Affinity-Key: {:016x}\r\n", due.key);
+        head += &format!("Affinity-Key: {:016x}\r\n", due.order_key);
     }
     let tenants = &stage.scenario.tenants;
     if let Some(tenant) = due.tenant.and_then(|place| tenants.get(place as usize)) {
@@ -198,7 +198,7 @@
 }
 
 /// A request with the body of a message.
-fn with_body(head: String, due: &Due) -> Vec<u8> {
+fn with_body(head: String, due: &DueMessage) -> Vec<u8> {
     let mut request = head.into_bytes();
     request.resize(request.len() + due.body_bytes, b'.');
     request
--- a/crates/lab/src/sockets/timeline.rs
+++ b/crates/lab/src/sockets/timeline.rs
@@ -5,7 +5,7 @@
 use super::endpoints::StandIn;
 use super::processes::{Process, ProcessUsage};
 use super::Stage;
-use crate::chance::stream;
+use crate::random::seeded_rng;
 use crate::scenario::{Fault, FaultKind};
 use crate::world::Layout;
 use opalpulley::Micros;
@@ -68,7 +68,7 @@
             fleet,
             seed,
             begin,
-            lags: Mutex::new(stream(seed, "lags", 0)),
+            lags: Mutex::new(seeded_rng(seed, "lags", 0)),
             stale_until: Mutex::default(),
             crashes: Mutex::default(),
             down: Mutex::default(),
@@ -115,9 +115,9 @@
     pub async fn play_fault(self: Arc<Timeline>, number: usize) {
         let scenario = &self.stage.scenario;
         let fault = scenario.faults[number].clone();
-        let forwarders = Layout::forwarders_struck(scenario, &fault.scope, self.seed, number);
+        let forwarders = Layout::affected_forwarders(scenario, &fault.scope, self.seed, number);
         let layout = &self.stage.layout;
-        let endpoints = layout.endpoints_struck(scenario, &fault.scope, self.seed, number);
+        let endpoints = layout.affected_endpoints(scenario, &fault.scope, self.seed, number);
         self.until(fault.at.0).await;
         match &fault.kind {
             FaultKind::Killed { folder_kept } => {
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -61,7 +61,7 @@
 impl Tally {
     /// Nothing counted yet.
     pub fn new(scenario: &Scenario) -> Tally {
-        let length = scenario.lasts.0 + scenario.longest_time_to_live();
+        let length = scenario.lasts.0 + scenario.max_time_to_live();
         Tally {
             counts: Counts::default(),
             calls_out: 0,
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -1,6 +1,6 @@
 //! Who stands where: a scenario's groups counted out into destinations, endpoints and limiters, the same for both clocks.
 
-use crate::chance::stream;
+use crate::random::seeded_rng;
 use crate::scenario::{Destination, FaultScope, Scenario};
 use opalpulley::{
     DestinationId, EndpointEntry, EndpointId, EndpointKindId, EndpointStatus, ZoneId,
@@ -8,15 +8,15 @@
 use rand::Rng;
 
 /// Endpoints stand in so many zones in turn.
-const ZONES: u32 = 2;
+const ZONE_COUNT: u32 = 2;
 /// The port of every simulated endpoint.
 const ENDPOINT_PORT: u16 = 80;
 
 /// One destination: its group in the file, its number in it, its endpoints.
 #[derive(Clone, Debug)]
-pub struct DestinationPlace {
+pub struct LayoutDestination {
     /// The place of its group in the scenario.
-    pub group: usize,
+    pub group_index: usize,
     /// Its number in the group.
     pub number: u32,
     /// Its endpoints in the layout.
@@ -25,28 +25,28 @@
 
 /// One endpoint: whose it is, its zone, and the limiter (a limit and its retry-after times) that it stands behind.
 #[derive(Clone, Copy, Debug)]
-pub struct EndpointPlace {
+pub struct LayoutEndpoint {
     /// The number of its destination.
     pub destination: u32,
     /// The place of its group in the scenario.
-    pub group: usize,
+    pub group_index: usize,
     /// Its number in its destination.
-    pub place: u32,
+    pub number: u32,
     /// Its zone.
     pub zone: u16,
     /// The number of its limiter.
-    pub limiter: usize,
+    pub limiter_index: usize,
 }
 
 /// All destinations and endpoints of a scenario.
 #[derive(Clone, Debug)]
 pub struct Layout {
     /// By number.
-    pub destinations: Vec<DestinationPlace>,
+    pub destinations: Vec<LayoutDestination>,
     /// By number.
-    pub endpoints: Vec<EndpointPlace>,
+    pub endpoints: Vec<LayoutEndpoint>,
     /// How many limiters there are.
-    pub limiters: usize,
+    pub limiter_count: usize,
 }
 
 impl Layout {
@@ -55,11 +55,11 @@
         let mut layout = Layout {
             destinations: Vec::new(),
             endpoints: Vec::new(),
-            limiters: 0,
+            limiter_count: 0,
         };
-        for (index, group) in scenario.destinations.iter().enumerate() {
+        for (group_index, group) in scenario.destinations.iter().enumerate() {
             for number in 0..group.count {
-                layout.add_destination(index, group, number);
+                layout.add_destination(group_index, group, number);
             }
         }
         layout
@@ -68,32 +68,32 @@
     fn add_destination(&mut self, group_index: usize, group: &Destination, number: u32) {
         let first_endpoint = self.endpoints.len();
         let destination = self.destinations.len() as u32;
-        for place in 0..group.endpoints {
-            if place == 0 || group.independent_limits {
-                self.limiters += 1;
+        for endpoint_number in 0..group.endpoints {
+            if endpoint_number == 0 || group.independent_limits {
+                self.limiter_count += 1;
             }
-            self.endpoints.push(EndpointPlace {
+            self.endpoints.push(LayoutEndpoint {
                 destination,
-                group: group_index,
-                place,
-                zone: (place % ZONES) as u16,
-                limiter: self.limiters - 1,
+                group_index,
+                number: endpoint_number,
+                zone: (endpoint_number % ZONE_COUNT) as u16,
+                limiter_index: self.limiter_count - 1,
             });
         }
-        self.destinations.push(DestinationPlace {
-            group: group_index,
+        self.destinations.push(LayoutDestination {
+            group_index,
             number,
             endpoints: first_endpoint..self.endpoints.len(),
         });
     }
 
-    /// How the list names an endpoint; a new holder of its address has another number.
-    pub fn id(endpoint: usize, holder: u32) -> EndpointId {
-        let [_, b, c, d] = (endpoint as u32).to_be_bytes();
+    /// How the list names an endpoint; a new incarnation of its address has another number.
+    pub fn endpoint_id(endpoint_index: usize, incarnation: u32) -> EndpointId {
+        let [_, b, c, d] = (endpoint_index as u32).to_be_bytes();
         EndpointId {
             address: [10, b, c, d],
             port: ENDPOINT_PORT,
-            incarnation: holder,
+            incarnation,
         }
     }
 
@@ -104,77 +104,77 @@
     }
 
     /// What the list says of an endpoint. `groups` are the scenario's.
-    pub fn listing(
+    pub fn list_entry(
         &self,
         groups: &[Destination],
-        endpoint: usize,
-        holder: u32,
+        endpoint_index: usize,
+        incarnation: u32,
         status: EndpointStatus,
     ) -> EndpointEntry {
-        let place = self.endpoints[endpoint];
-        let group = &groups[place.group];
+        let endpoint = self.endpoints[endpoint_index];
+        let group = &groups[endpoint.group_index];
         EndpointEntry {
-            endpoint: Layout::id(endpoint, holder),
-            zone: ZoneId(place.zone),
+            endpoint: Layout::endpoint_id(endpoint_index, incarnation),
+            zone: ZoneId(endpoint.zone),
             up_since: 0,
             status,
             rate: group.rate as f32,
-            destination: DestinationId(place.destination),
+            destination: DestinationId(endpoint.destination),
             kind: EndpointKindId(u16::from(group.independent_limits)),
         }
     }
 
     /// The endpoints that a fault strikes, in order. `fault` is its place in the scenario.
-    pub fn endpoints_struck(
+    pub fn affected_endpoints(
         &self,
         scenario: &Scenario,
         scope: &FaultScope,
         seed: u64,
-        fault: usize,
+        fault_index: usize,
     ) -> Vec<usize> {
         let endpoints = self.endpoints.iter().enumerate();
-        let named = endpoints.filter(|(_, place)| self.is_named(scenario, scope, place));
-        draw_share(named.map(|(index, _)| index), scope, seed, fault)
+        let in_scope = endpoints.filter(|(_, endpoint)| self.in_scope(scenario, scope, endpoint));
+        sample_share(in_scope.map(|(index, _)| index), scope, seed, fault_index)
     }
 
     /// Whether the scope names this endpoint, whatever its share.
-    fn is_named(&self, scenario: &Scenario, scope: &FaultScope, place: &EndpointPlace) -> bool {
-        let destination = &self.destinations[place.destination as usize];
-        let name = &scenario.destinations[place.group].name;
-        all_or_contains(&scope.destinations, name)
-            && all_or_contains(&scope.numbers, &destination.number)
-            && all_or_contains(&scope.endpoints, &place.place)
-            && scope.zone.is_none_or(|zone| zone == place.zone)
+    fn in_scope(&self, scenario: &Scenario, scope: &FaultScope, endpoint: &LayoutEndpoint) -> bool {
+        let destination = &self.destinations[endpoint.destination as usize];
+        let name = &scenario.destinations[endpoint.group_index].name;
+        empty_or_contains(&scope.destinations, name)
+            && empty_or_contains(&scope.numbers, &destination.number)
+            && empty_or_contains(&scope.endpoints, &endpoint.number)
+            && scope.zone.is_none_or(|zone| zone == endpoint.zone)
     }
 
     /// The forwarders that a fault strikes, in order. `fault` is its place in the scenario.
-    pub fn forwarders_struck(
+    pub fn affected_forwarders(
         scenario: &Scenario,
         scope: &FaultScope,
         seed: u64,
-        fault: usize,
+        fault_index: usize,
     ) -> Vec<u32> {
         let forwarders = 0..scenario.forwarders.count;
-        let named = forwarders.filter(|number| all_or_contains(&scope.forwarders, number));
-        draw_share(named, scope, seed, fault)
+        let in_scope = forwarders.filter(|number| empty_or_contains(&scope.forwarders, number));
+        sample_share(in_scope, scope, seed, fault_index)
     }
 }
 
 /// Whether a list names this one; an empty list names all.
-fn all_or_contains<T: PartialEq>(list: &[T], one: &T) -> bool {
-    list.is_empty() || list.contains(one)
+fn empty_or_contains<T: PartialEq>(list: &[T], item: &T) -> bool {
+    list.is_empty() || list.contains(item)
 }
 
 /// Those that the scope's share strikes, drawn one by one.
-fn draw_share<T>(
-    named: impl Iterator<Item = T>,
+fn sample_share<T>(
+    in_scope: impl Iterator<Item = T>,
     scope: &FaultScope,
     seed: u64,
-    fault: usize,
+    fault_index: usize,
 ) -> Vec<T> {
-    let mut chance = stream(seed, "struck", fault as u64);
+    let mut rng = seeded_rng(seed, "struck", fault_index as u64);
     let share = scope.share.unwrap_or(1.0).clamp(0.0, 1.0);
-    named
-        .filter(|_| share >= 1.0 || chance.random_bool(share))
+    in_scope
+        .filter(|_| share >= 1.0 || rng.random_bool(share))
         .collect()
 }
