--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,7 +1,7 @@
-//! The laboratory: one world for two clocks, an oracle of the rules, experiments and reports. Programs and tests use it; the
-//! product never does.
+//! The laboratory of opalpulley. It plays scenarios on a simulated clock and on sockets, checks every run against the oracle
+//! of the rules, and runs experiments on top of that. Its programs and the tests use it; the forwarder doesn't depend on it.
 
-// Struct fields and variants without a doc comment: counted in docs/ROADMAP.md.
+// docs/ROADMAP.md counts the struct fields and variants that still lack a doc comment.
 #![allow(missing_docs)]
 
 pub mod capacity;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,6 +1,6 @@
-//! The load: an open loop. Each message has the time when it is due, whatever became of those before; both clocks draw the
-//! same messages from the same seed. `Loads` owns the streams; nothing grows with the messages drawn. `shape` tells the rate
-//! over time, `replay` reads times from a file.
+//! The open-loop load generator. When a message is due doesn't depend on the outcome of earlier ones. Equal seeds give the
+//! same messages on the simulated clock and on sockets. `Loads` owns the streams; its memory doesn't grow with the number of
+//! messages drawn. `shape` gives the rate over time, and `replay` reads times from a file.
 
 mod replay;
 mod shape;
@@ -15,51 +15,51 @@
 use rand_pcg::Pcg64Mcg;
 use replay::{read_replay_file, ReplayEntry};
 
-/// A message that is due.
+/// A message for a client to submit when it is due.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DueMessage {
-    /// µs from the start of the run.
+    /// Time at which the message is due, in µs from the start of the run.
     pub at: Micros,
-    /// The number of its destination.
+    /// Index of the destination in the layout.
     pub destination: u32,
-    /// The place of its delivery class in the scenario.
+    /// Index of the delivery class in the scenario.
     pub class: u16,
-    /// The place of its tenant in the scenario.
+    /// Index of the tenant in the scenario, if the message has one.
     pub tenant: Option<u32>,
-    /// Its order key, where its class is ordered.
+    /// Order key; used only if the delivery class is ordered.
     pub order_key: u64,
-    /// How long it may be delivered, µs.
+    /// How long the message may be delivered from the time when it is due, in µs.
     pub time_left: Micros,
-    /// Bytes of its body on sockets.
+    /// Size of the body on sockets, in bytes.
     pub body_bytes: usize,
-    /// How often its client submits it again after a rejection, at most.
+    /// Upper bound on how often the client resubmits the message after a rejection.
     pub resubmissions: u32,
 }
 
-/// One stream of the scenario.
+/// A stream of messages, which draws from its own random number generator.
 struct Stream {
     load: Load,
     rng: Pcg64Mcg,
     destination_sampler: IndexSampler,
-    /// Numbers of the destinations that `destination_sampler` chooses from.
+    /// Indices of the destinations from which `destination_sampler` chooses.
     destinations: Vec<u32>,
     classes: Vec<u16>,
     tenant: Option<u32>,
     replay: std::vec::IntoIter<ReplayEntry>,
-    /// When its next message is due, and its destination where the file names one.
+    /// The next message of the stream; none when the stream has ended.
     next: Option<ReplayEntry>,
 }
 
-/// All streams of a scenario, merged by time.
+/// An iterator over the messages of all streams of a scenario, in the order in which they are due.
 pub struct Loads {
     streams: Vec<Stream>,
     times_to_live: Vec<Micros>,
-    /// From then on nothing is due.
+    /// End of the load, in µs from the start of the run. No message is due from then on.
     end: Micros,
 }
 
 impl Loads {
-    /// The streams of a scenario.
+    /// Creates the streams of a scenario. Fails if a replay file can't be read or parsed.
     pub fn new(scenario: &Scenario, layout: &Layout, seed: u64) -> Result<Loads, ReplayError> {
         let end = scenario.lasts.0;
         let mut streams = Vec::new();
@@ -77,7 +77,7 @@
     }
 }
 
-/// The stream whose next message is due first.
+/// Returns the stream whose next message is due first; none if all streams have ended.
 fn earliest_stream(streams: &mut [Stream]) -> Option<&mut Stream> {
     let pending = streams
         .iter_mut()
@@ -148,7 +148,7 @@
         self.classes[self.rng.random_range(0..self.classes.len())]
     }
 
-    /// The time that a message has left where the stream gives it less than its class; else any time.
+    /// Draws the stream's bound on the time to live of a message, in µs; `Micros::MAX` if there is none.
     fn draw_time_left(&mut self) -> Micros {
         let Some(short_deadlines) = self.load.short_deadlines else {
             return Micros::MAX;
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Draws the next time; nothing is due from `end` on.
+    /// Moves on to the next message of the stream, if one is due before `end`.
     fn advance(&mut self, end: Micros) {
         self.next = match self.load.shape {
             Shape::Replay { .. } => self.replay.next(),
@@ -176,7 +176,8 @@
         Some((at + interval, None))
     }
 
-    /// Draws at the highest rate and thins where the rate is lower.
+    /// Draws the next arrival of an inhomogeneous Poisson process by thinning: candidates are drawn at the highest rate and
+    /// accepted in proportion to the rate at their time.
     fn next_random(&mut self, end: Micros) -> Option<ReplayEntry> {
         let (at, _) = self.next?;
         let max_multiple = self.load.shape.max_rate_multiple();
@@ -198,7 +199,7 @@
     }
 }
 
-/// The weight of each destination by its number; 0 for those that the load does not name.
+/// Returns the weight of each destination by its index; 0 for destinations that the load doesn't select.
 fn destination_weights(scenario: &Scenario, load: &Load) -> Vec<f64> {
     let mut weights = Vec::new();
     for group in &scenario.destinations {
@@ -209,7 +210,7 @@
     weights
 }
 
-/// The places of the delivery classes that the load names.
+/// Returns the indices of the delivery classes that the load selects.
 fn class_indices(scenario: &Scenario, load: &Load) -> Vec<u16> {
     let classes = scenario.classes.iter().enumerate();
     classes
@@ -218,7 +219,7 @@
         .collect()
 }
 
-/// The place of the tenant that the load names.
+/// Returns the index of the load's tenant, if it has one.
 fn tenant_index(scenario: &Scenario, load: &Load) -> Option<u32> {
     let name = load.tenant.as_ref()?;
     let mut tenants = scenario.tenants.iter();
--- a/crates/lab/src/load/replay.rs
+++ b/crates/lab/src/load/replay.rs
@@ -1,9 +1,9 @@
-//! Submission times that are read from a file.
+//! Reads submission times from a file.
 
 use opalpulley::Micros;
 use std::path::{Path, PathBuf};
 
-/// Why a file of submission times can't be replayed.
+/// Why a replay file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplayError {
     /// The file can't be read.
@@ -12,7 +12,7 @@
         file: PathBuf,
         source: std::io::Error,
     },
-    /// A line of it is wrong.
+    /// A line of the file is invalid. `line_number` counts from 1.
     #[error("{}:{line_number}: {line}: {problem}", file.display())]
     Line {
         file: PathBuf,
@@ -22,27 +22,28 @@
     },
 }
 
-/// What is wrong with a line of a file of submission times.
+/// Why a line of a replay file is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplayLineError {
-    /// The first column is no number.
-    #[error("write a time in seconds first")]
+    /// The first column is not a number.
+    #[error("the first column must be a time in seconds")]
     Time,
-    /// The second column is no number.
-    #[error("the destination is a number")]
+    /// The second column is not the number of a destination.
+    #[error("the second column must be the number of a destination")]
     Destination,
-    /// The time is negative or too late, or there is no such destination.
+    /// The time is negative or too late, or the destination doesn't exist.
     #[error("the time or the destination is out of range")]
     OutOfRange,
 }
 
-/// A replayed time must be earlier, s.
+/// Exclusive upper bound on a time in a replay file, in seconds.
 const REPLAY_TIME_LIMIT_SECONDS: f64 = 1e9;
 
-/// When a replayed message is due, and its destination where the file names one.
+/// The time at which a message is due, in µs from the start of the run, and the index of its destination if it is fixed.
 pub(super) type ReplayEntry = (Micros, Option<u32>);
 
-/// Reads a file of submission times, sorted by time. Empty lines and comments (`#`) are passed over.
+/// Reads a replay file and returns its entries sorted by time. Empty lines and comments (`#`) are skipped. Fails if the file
+/// can't be read or a line is invalid.
 pub(super) fn read_replay_file(
     file: &Path,
     destination_count: usize,
@@ -68,7 +69,7 @@
     Ok(entries)
 }
 
-/// Reads one line: a time in seconds, then the number of a destination where one is named.
+/// Parses a line: a time in seconds, optionally followed by a comma and the number of a destination.
 fn parse_line(line: &str, destination_count: usize) -> Result<ReplayEntry, ReplayLineError> {
     let mut columns = line.split(',').map(str::trim);
     let seconds: f64 = columns
--- a/crates/lab/src/load/shape.rs
+++ b/crates/lab/src/load/shape.rs
@@ -4,7 +4,7 @@
 use opalpulley::Micros;
 
 impl Shape {
-    /// So many times the mean rate at this time.
+    /// Returns the rate at the time `at`, in µs from the start of the run, as a multiple of the mean rate.
     pub fn rate_multiple(&self, at: Micros) -> f64 {
         match self {
             Shape::Poisson | Shape::Even | Shape::Replay { .. } => 1.0,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The most that `rate_multiple` gives at any time.
+    /// Returns an upper bound on `rate_multiple` over all times.
     pub(super) fn max_rate_multiple(&self) -> f64 {
         match self {
             Shape::Poisson | Shape::Even | Shape::Replay { .. } => 1.0,
--- a/crates/lab/src/random.rs
+++ b/crates/lab/src/random.rs
@@ -1,4 +1,5 @@
-//! Chance, seeded: each user draws from a stream of its own, so that one more draw here moves nothing there.
+//! Seeded random numbers. Each user draws from its own generator, so that an additional draw by one user doesn't change the
+//! numbers that another one draws.
 
 use crate::scenario::ServiceTime;
 use opalpulley::Micros;
@@ -6,9 +7,10 @@
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
 use rand_pcg::Pcg64Mcg;
 
-/// A stream of chance of its own for `what`, number `number`, of the run with this seed.
+/// Returns the random number generator for a purpose in the run with this seed. `index` tells apart several generators for
+/// the same purpose.
 pub fn seeded_rng(seed: u64, purpose: &str, index: u64) -> Pcg64Mcg {
-    // FNV-1a over the name: any fixed spreading does, the generator mixes further.
+    // FNV-1a over the purpose. Any fixed hash is good enough, because the generator mixes its state further.
     let purpose_hash = purpose
         .bytes()
         .fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
@@ -17,16 +19,16 @@
     let state = u128::from(seed) << 64
         | u128::from(purpose_hash ^ index.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let mut rng = Pcg64Mcg::new(state | 1);
-    let _: u64 = rng.random(); // the first output still shows the state
+    let _: u64 = rng.random(); // the first output still correlates with the initial state
     Pcg64Mcg::seed_from_u64(rng.random())
 }
 
-/// An exponential number with mean 1.
+/// Draws an exponentially distributed number with mean 1.
 pub fn exponential(rng: &mut Pcg64Mcg) -> f64 {
     Exp1.sample(rng)
 }
 
-/// A service time in µs, one at least.
+/// Draws a service time in µs, at least 1.
 pub fn sample_service_time(service_time: &ServiceTime, rng: &mut Pcg64Mcg) -> Micros {
     let micros = match service_time {
         ServiceTime::Constant { time } => time.0 as f64,
@@ -51,7 +53,7 @@
     micros.round().max(1.0) as Micros
 }
 
-/// The mean of the service times, µs.
+/// Returns the mean of the service times, in µs.
 pub fn mean_service_time(service_time: &ServiceTime) -> f64 {
     match service_time {
         ServiceTime::Constant { time } => time.0 as f64,
@@ -64,14 +66,16 @@
     }
 }
 
-/// Which of several comes next: by weight, or by Zipf's law over their places.
+/// Draws indices, either in proportion to weights or from a Zipf distribution over the indices.
 pub enum IndexSampler {
+    /// The sum of the weights up to and including each index.
     CumulativeWeights(Vec<f64>),
     Zipf(Zipf<f64>),
 }
 
 impl IndexSampler {
-    /// Chooses by Zipf's law where `skew` is above 0, else by weight.
+    /// Creates a sampler over as many indices as there are weights. It uses a Zipf distribution with the exponent `skew` if
+    /// `skew` is above 0, and the weights otherwise.
     pub fn new(weights: impl Iterator<Item = f64>, skew: f64) -> IndexSampler {
         let mut sum = 0.0;
         let cumulative_weights: Vec<f64> = weights
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Draws a place.
+    /// Draws an index.
     pub fn sample(&self, rng: &mut Pcg64Mcg) -> usize {
         match self {
             IndexSampler::Zipf(zipf) => zipf.sample(rng) as usize - 1,
--- a/crates/lab/src/receivers.rs
+++ b/crates/lab/src/receivers.rs
@@ -1,10 +1,11 @@
-//! The receivers: concurrency, queues, limits, warm-up and faults, without I/O. Both clocks ask the same model what becomes
-//! of a call at the moment when it reaches its endpoint, and carry the answer out at the time it names. A queue is first come
-//! first served, so a call's end is known as it comes.
+//! The model of the receivers: concurrency, queues, rate limits, warm-up and faults, without I/O. The simulated clock and
+//! sockets ask the same model for the result of a call when the call reaches its endpoint, and deliver the reply at the time
+//! that the result gives. Queues are first in, first out, so the end of a call is known on arrival.
 //!
-//! `Receivers` owns the receivers' state. The memory of repeats is emptied after twice the longest window, the record of calls
-//! of an endpoint that warms up after the overload window. `endpoint` serves calls, `faults` tells what is in force, `idempotency_keys`
-//! knows idempotency keys, `rate_limiter` refuses calls, `reply` names what comes back.
+//! `Receivers` owns the state of the receivers. Idempotency keys are kept for twice the longest window or time to live, and
+//! recorded arrivals at an endpoint that warms up for the overload window. `endpoint` serves calls, `faults` holds the
+//! active faults, `idempotency_keys` recognises repeated calls, `rate_limiter` rejects calls over the limit, and `reply`
+//! defines the results.
 
 mod endpoint;
 mod faults;
@@ -22,14 +23,14 @@
 use opalpulley::Micros;
 use rate_limiter::RateLimiter;
 
-/// An endpoint answers a health check after so long, µs.
+/// Time that an endpoint takes to answer a health check, µs.
 const HEALTH_CHECK_TIME: Micros = 1_000;
-/// The least part of its capacity that an endpoint has in any fault.
+/// Lower bound on the share of its capacity that an endpoint has during faults and warm-up.
 const MIN_CAPACITY_SHARE: f64 = 0.01;
-/// The least part of its rate that a limiter lets through in any fault.
+/// Lower bound on the share of its rate at which a rate limiter refills during faults and warm-up.
 const MIN_RATE_SHARE: f64 = 0.05;
 
-/// All receivers of a scenario.
+/// The state of all receivers of a scenario. `index` and `endpoint` are indices of endpoints in the layout.
 pub struct Receivers {
     groups: Vec<Destination>,
     rules: RuleSettings,
@@ -37,12 +38,12 @@
     endpoints: Vec<Endpoint>,
     active: ActiveFaults,
     idempotency_keys: IdempotencyKeys,
-    /// Endpoints that fell over, in order.
+    /// Failures of endpoints from overload, in the order in which they happened.
     pub overload_failures: Vec<OverloadFailure>,
 }
 
 impl Receivers {
-    /// All receivers, warm, without faults.
+    /// Creates the receivers of a scenario with full capacity and without faults.
     pub fn new(scenario: &Scenario, layout: &Layout, seed: u64) -> Receivers {
         let mut group_of_limiter = vec![usize::MAX; layout.limiter_count];
         for place in &layout.endpoints {
@@ -66,7 +67,8 @@
         }
     }
 
-    /// A fault begins, or ends, at these endpoints. `number` is its place in the scenario.
+    /// Starts a fault at these endpoints if `begins` is set, and ends it otherwise. `fault_index` is the index of the fault
+    /// in the scenario, and `ends_at` its end in µs. Each start must be followed by an end with the same endpoints.
     pub fn set_fault(
         &mut self,
         now: Micros,
@@ -99,14 +101,14 @@
         }
     }
 
-    /// A new holder of the address: nothing of the old one is left.
+    /// Replaces an endpoint by a new incarnation at the same address, which has no calls and full capacity.
     pub fn replace(&mut self, now: Micros, endpoint: usize) {
         let endpoint = &mut self.endpoints[endpoint];
         let concurrency = self.groups[endpoint.group_index].concurrency;
         endpoint.replace(now, concurrency);
     }
 
-    /// Whether connections to it are refused now.
+    /// Whether the endpoint refuses connections at `now`.
     pub fn refuses_connections(&self, now: Micros, endpoint: usize) -> bool {
         let endpoint = &self.endpoints[endpoint];
         endpoint.state == EndpointState::Failed
@@ -116,7 +118,7 @@
                 .any(|fault| fault.refuses(now))
     }
 
-    /// The part of its capacity that an endpoint has now.
+    /// Returns the share of its capacity that an endpoint has at `now`: the smallest that its warm-up or a fault leaves.
     fn capacity_share(&self, now: Micros, endpoint: usize) -> f64 {
         let endpoint = &self.endpoints[endpoint];
         let warm_share = endpoint.warm_capacity_share(now, &self.rules);
@@ -129,7 +131,8 @@
             .max(MIN_CAPACITY_SHARE)
     }
 
-    /// Counts what reaches an endpoint that warms up; it may be one call too many.
+    /// Counts a call or health check at an endpoint that warms up. The endpoint fails if the count exceeds its overload
+    /// limit.
     fn count_arrival(&mut self, now: Micros, index: usize, forwarder: u32) {
         let capacity_share = self.capacity_share(now, index);
         let endpoint = &mut self.endpoints[index];
@@ -145,7 +148,7 @@
         }
     }
 
-    /// What becomes of a health check that reaches an endpoint.
+    /// Returns the result of a health check that reaches an endpoint at `now`.
     pub fn health_check(&mut self, now: Micros, index: usize, forwarder: u32) -> CallResult {
         if self.refuses_connections(now, index) {
             self.endpoints[index].add_failure_witness(forwarder);
@@ -160,7 +163,8 @@
         CallResult::without_effect(reply, now + HEALTH_CHECK_TIME)
     }
 
-    /// What becomes of a call whose last byte reaches its endpoint now. Repeats are known by `idempotency_key`.
+    /// Returns the result of a call whose last byte reaches its endpoint at `now`. A repeated call is recognised by its
+    /// `idempotency_key`.
     pub fn call(
         &mut self,
         now: Micros,
@@ -169,7 +173,7 @@
         idempotency_key: Option<u64>,
     ) -> CallResult {
         let mut result = self.process_call(now, index, idempotency_key);
-        // Every call draws, refused or not: the draws of a run stay the same whatever becomes of its calls.
+        // Every call draws, whatever its reply, so that replies don't change the later draws of a run.
         let truncated = self.draw_truncation(index);
         if let (ReceiverReply::TooManyRequests { retry_after }, true) = (result.reply, truncated) {
             result.reply = ReceiverReply::TooManyRequestsTruncated { retry_after };
@@ -183,7 +187,7 @@
         result
     }
 
-    /// Draws whether a 429 of this endpoint breaks off.
+    /// Draws whether a 429 response of this endpoint is truncated.
     fn draw_truncation(&mut self, index: usize) -> bool {
         let endpoint = &mut self.endpoints[index];
         let rate = self.active.truncation_rate(endpoint);
@@ -230,12 +234,12 @@
         }
     }
 
-    /// Calls that wait at an endpoint now.
+    /// Returns the number of calls in the queue of an endpoint at `now`.
     pub fn queue_length(&self, now: Micros, endpoint: usize) -> usize {
         self.endpoints[endpoint].queue_length(now)
     }
 
-    /// Entries in all tables: idempotency keys, and calls of endpoints that warm up.
+    /// Returns the number of stored entries: idempotency keys, and recorded arrivals at endpoints that warm up.
     pub fn entry_count(&self) -> usize {
         let recent_arrivals = self.endpoints.iter().map(Endpoint::recent_arrival_count);
         self.idempotency_keys.len() + recent_arrivals.sum::<usize>()
--- a/crates/lab/src/receivers/endpoint.rs
+++ b/crates/lab/src/receivers/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint: its concurrency, its queue, its warm-up, and what faults do to its answers.
+//! The model of one endpoint: its concurrency, its queue, its warm-up, and the effect of faults on its replies.
 
 use super::faults::{is_outage, ActiveFault};
 use super::{OverloadFailure, ReceiverReply};
@@ -11,48 +11,50 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
 
-/// Calls over the overload limit that chance alone may bring, beside twice the root of the limit.
+/// Calls that are allowed over the overload limit, in addition to twice its square root, because arrivals vary randomly.
 const RANDOM_CALL_ALLOWANCE: f64 = 4.0;
-/// From this part of the calls on, forwarders that had seen an endpoint fail are to blame for its fall.
+/// Share of the counted calls from which on an overload is attributed to forwarders that had seen the endpoint fail.
 const WITNESS_CALL_SHARE: f64 = 2.0 / 3.0;
 
-/// Whether an endpoint has its whole capacity.
+/// Whether an endpoint is available, and with how much of its capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum EndpointState {
-    /// It has.
+    /// Full capacity.
     Warm,
-    /// It has an outage.
+    /// An outage is active.
     Down,
-    /// It had an outage until then.
+    /// The last outage ended at `since`, in µs.
     WarmingUp { since: Micros },
-    /// It got too many calls as it warmed up, and stays down.
+    /// The endpoint received too many calls while it warmed up. It stays down until it is replaced.
     Failed,
 }
 
-/// One endpoint.
+/// The state of one endpoint.
 pub(super) struct Endpoint {
+    /// Index of the rate limiter that the endpoint's calls pass.
     pub limiter_index: usize,
+    /// Index of the endpoint's group of destinations in the scenario.
     pub group_index: usize,
-    /// Calls a second: its part of what the limiter takes.
+    /// Calls per second: the endpoint's share of the limiter's rate.
     capacity: f64,
-    /// When each of the calls that it serves at once is over.
+    /// When each concurrency slot becomes free, in µs. The number of slots is constant.
     pub slots_free_at: BinaryHeap<Reverse<Micros>>,
-    /// When the calls that wait will be started.
+    /// When each queued call will start, in µs, in ascending order.
     queued_starts: VecDeque<Micros>,
     pub state: EndpointState,
-    /// The faults that strike it, by their places in the scenario.
+    /// Indices in the scenario of the active faults that affect the endpoint, in the order in which they began.
     pub faults: Vec<usize>,
-    /// Service takes so many times as long, in a jam and after it until the queue has been empty.
+    /// Factor on the service time during a jam, and after it until the queue has been empty; 1 otherwise.
     jam_slowdown: f64,
-    /// Calls and health checks within the overload window while it warms up: when, from whom.
+    /// Calls and health checks within the overload window during warm-up, each with its time and its forwarder.
     recent_arrivals: VecDeque<(Micros, u32)>,
-    /// Forwarders that saw a call or health check fail since its outage began.
+    /// Forwarders that have seen a call or health check fail since the last outage began.
     failure_witnesses: BTreeSet<u32>,
     rng: Pcg64Mcg,
 }
 
 impl Endpoint {
-    /// An endpoint without calls or faults. `index` is its number in the layout.
+    /// Creates an endpoint without calls or faults. `endpoint_index` is its index in the layout.
     pub fn new(
         group: &Destination,
         place: &LayoutEndpoint,
@@ -78,7 +80,7 @@
         }
     }
 
-    /// A new holder of its address: nothing of the old one is left but the faults.
+    /// Resets the endpoint to a new incarnation at the same address. Only the active faults remain.
     pub fn replace(&mut self, now: Micros, concurrency: u32) {
         self.slots_free_at = (0..concurrency).map(|_| Reverse(now)).collect();
         self.queued_starts.clear();
@@ -88,7 +90,7 @@
         self.failure_witnesses.clear();
     }
 
-    /// A fault strikes it.
+    /// Applies the start of a fault.
     pub fn begin_fault(&mut self, kind: &FaultKind) {
         if let FaultKind::Jam { times } = kind {
             self.jam_slowdown = *times;
@@ -98,7 +100,7 @@
         }
     }
 
-    /// The last outage is over: it warms up.
+    /// Starts the warm-up. The caller must check that no outage of the endpoint is active any more.
     pub fn end_outage(&mut self, now: Micros) {
         if self.state == EndpointState::Down {
             self.state = EndpointState::WarmingUp { since: now };
@@ -106,7 +108,7 @@
         }
     }
 
-    /// The part of its capacity that it has while it warms up.
+    /// Returns the share of its capacity that the endpoint has: it grows linearly during warm-up, and is 1 otherwise.
     pub fn warm_capacity_share(&self, now: Micros, rules: &RuleSettings) -> f64 {
         let EndpointState::WarmingUp { since } = self.state else {
             return 1.0;
@@ -115,7 +117,7 @@
         rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * progress.min(1.0)
     }
 
-    /// Counts a call or a health check while it warms up; false where it does not.
+    /// Counts a call or a health check during warm-up. Returns false if the endpoint isn't warming up.
     pub fn count_arrival(&mut self, now: Micros, forwarder: u32, rules: &RuleSettings) -> bool {
         let EndpointState::WarmingUp { since } = self.state else {
             return false;
@@ -135,19 +137,21 @@
         true
     }
 
-    /// Calls within the overload window while it warms up.
+    /// Returns the number of calls and health checks within the overload window during warm-up.
     pub fn recent_arrival_count(&self) -> usize {
         self.recent_arrivals.len()
     }
 
-    /// Calls within the overload window that it stands with this share of its capacity.
+    /// Returns the number of calls and health checks within the overload window that the endpoint tolerates with this share
+    /// of its capacity.
     pub fn overload_limit(&self, capacity_share: f64, rules: &RuleSettings) -> f64 {
         let window = rules.overload_window.seconds();
         let limit = rules.overload_multiple * capacity_share * self.capacity * window;
         limit + 2.0 * limit.sqrt() + RANDOM_CALL_ALLOWANCE
     }
 
-    /// It got more calls than it stands.
+    /// Marks the endpoint as failed from overload and returns the record of the failure. `limit` is the overload limit that
+    /// was exceeded.
     pub fn fail_from_overload(
         &mut self,
         now: Micros,
@@ -172,19 +176,19 @@
         }
     }
 
-    /// A forwarder saw it fail in its outage.
+    /// Records that a forwarder saw a call or a health check fail, if an outage is active.
     pub fn add_failure_witness(&mut self, forwarder: u32) {
         if self.state == EndpointState::Down {
             self.failure_witnesses.insert(forwarder);
         }
     }
 
-    /// Draws whether something of this probability happens.
+    /// Draws whether an event of this probability happens.
     pub fn draw(&mut self, probability: f64) -> bool {
         self.rng.random_bool(probability)
     }
 
-    /// What faults answer before a call is served; nothing where it is.
+    /// Returns the reply of a fault that takes effect before service; none if the call may be served.
     pub fn reply_before_service(
         &mut self,
         now: Micros,
@@ -209,7 +213,7 @@
         self.draw(rate).then_some(ReceiverReply::ClosedEarly)
     }
 
-    /// Takes calls that have been started by now off the queue.
+    /// Removes the calls that have started by `now` from the queue.
     pub fn dequeue_started_calls(&mut self, now: Micros) {
         while self
             .queued_starts
@@ -220,7 +224,8 @@
         }
     }
 
-    /// Service takes so many times as long now.
+    /// Returns the factor on the service time of a call that arrives now. Ends a jam once the queue is empty; the caller
+    /// must have removed the started calls from the queue.
     pub fn slowdown(&mut self, capacity_share: f64, faults: &[&ActiveFault]) -> f64 {
         let mut slowdown = 1.0 / capacity_share;
         for fault in faults {
@@ -239,7 +244,7 @@
         slowdown
     }
 
-    /// Whether a call can be served at once, or wait.
+    /// Whether a call can be served at once or queued.
     pub fn has_capacity(&self, now: Micros, queue_limit: u32) -> bool {
         let is_busy = self
             .slots_free_at
@@ -248,7 +253,7 @@
         !is_busy || self.queued_starts.len() < queue_limit as usize
     }
 
-    /// Serves a call, at once or after those that wait; gives the time when it is over.
+    /// Serves a call, at once or after the queued ones, and returns the time when it ends, in µs.
     pub fn serve(&mut self, now: Micros, service_time: &ServiceTime, slowdown: f64) -> Micros {
         let slot_free_at = self.slots_free_at.pop().map_or(now, |free_at| free_at.0);
         let starts_at = slot_free_at.max(now);
@@ -261,7 +266,8 @@
         ends_at
     }
 
-    /// What comes back for a call that was served. Each fault draws, whether or not one before has spoilt the answer.
+    /// Returns the reply for a call that was served. Each fault draws, even if an earlier one has already determined the
+    /// reply.
     pub fn reply_after_service(
         &mut self,
         error_rate: f64,
@@ -282,7 +288,7 @@
         reply
     }
 
-    /// Calls that wait now.
+    /// Returns the number of calls in the queue at `now`.
     pub fn queue_length(&self, now: Micros) -> usize {
         self.queued_starts
             .iter()
@@ -291,7 +297,7 @@
     }
 }
 
-/// How often a fault spoils an answer, and what comes back then.
+/// Returns the probability with which a fault replaces the reply of a served call, and the reply that replaces it.
 fn failure_reply(kind: &FaultKind) -> Option<(f64, ReceiverReply)> {
     match kind {
         FaultKind::Erring { rate } => Some((*rate, ReceiverReply::InternalError)),
--- a/crates/lab/src/receivers/faults.rs
+++ b/crates/lab/src/receivers/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of receivers that are in force.
+//! The active faults of receivers.
 
 use super::endpoint::Endpoint;
 use super::ReceiverReply;
@@ -6,10 +6,10 @@
 use opalpulley::Micros;
 use std::collections::BTreeMap;
 
-/// From this rate of errors on, a fault counts as an outage.
+/// Error rate from which on a fault counts as an outage.
 const OUTAGE_ERROR_RATE: f64 = 0.5;
 
-/// A fault that is in force.
+/// An active fault, with its start and end in µs.
 pub(super) struct ActiveFault {
     pub kind: FaultKind,
     pub starts_at: Micros,
@@ -17,7 +17,7 @@
 }
 
 impl ActiveFault {
-    /// Whether connections are refused now.
+    /// Whether the fault makes an endpoint refuse connections at `now`.
     pub fn refuses(&self, now: Micros) -> bool {
         match self.kind {
             FaultKind::Refusing => true,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The part of its capacity that an endpoint with this fault has.
+    /// Returns the share of its capacity that the fault leaves to an endpoint.
     pub fn capacity_left(&self) -> f64 {
         match self.kind {
             FaultKind::Brownout { capacity_left } => capacity_left,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Whether an endpoint that had this fault warms up afterwards.
+/// Whether a fault is an outage, after which an endpoint warms up.
 pub(super) fn is_outage(kind: &FaultKind) -> bool {
     match kind {
         FaultKind::Refusing | FaultKind::Silent | FaultKind::Shut => true,
@@ -44,24 +44,22 @@
     }
 }
 
-/// The faults that are in force, by their place in the scenario.
+/// The active faults of a run, by their index in the scenario.
 #[derive(Default)]
 pub(super) struct ActiveFaults {
     by_index: BTreeMap<usize, ActiveFault>,
 }
 
 impl ActiveFaults {
-    /// A fault begins.
     pub fn insert(&mut self, fault_index: usize, fault: ActiveFault) {
         self.by_index.insert(fault_index, fault);
     }
 
-    /// A fault is over.
     pub fn remove(&mut self, fault_index: usize) {
         self.by_index.remove(&fault_index);
     }
 
-    /// The faults of an endpoint, in the order in which they struck it.
+    /// Returns the active faults of an endpoint, in the order in which they began.
     pub fn affecting<'a, 'e>(
         &'a self,
         endpoint: &'e Endpoint,
@@ -70,12 +68,12 @@
         fault_indices.filter_map(|index| self.by_index.get(index))
     }
 
-    /// Whether an endpoint has an outage.
+    /// Whether any active fault of the endpoint is an outage.
     pub fn has_outage(&self, endpoint: &Endpoint) -> bool {
         self.affecting(endpoint).any(|fault| is_outage(&fault.kind))
     }
 
-    /// The part of its 429 answers that an endpoint breaks off.
+    /// Returns the share of its 429 responses that an endpoint truncates, if a fault does so.
     pub fn truncation_rate(&self, endpoint: &Endpoint) -> Option<f64> {
         self.affecting(endpoint).find_map(|fault| match fault.kind {
             FaultKind::RefusalsTruncated { rate } => Some(rate),
@@ -83,7 +81,7 @@
         })
     }
 
-    /// What an endpoint that takes connections answers to a health check.
+    /// Returns the reply to a health check of an endpoint that accepts connections.
     pub fn health_check_reply(&self, endpoint: &Endpoint) -> ReceiverReply {
         let is_silent =
             |kind: &FaultKind| matches!(kind, FaultKind::Silent | FaultKind::HealthChecksFail);
--- a/crates/lab/src/receivers/idempotency_keys.rs
+++ b/crates/lab/src/receivers/idempotency_keys.rs
@@ -1,19 +1,21 @@
-//! Idempotency keys that the receivers know.
+//! The idempotency keys that the receivers remember.
 
 use crate::scenario::DeliveryClass;
 use opalpulley::Micros;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Keys of calls that took effect, remembered for twice the longest window or time to live.
+/// The idempotency keys of calls that took effect, kept for twice the longest window or time to live of all delivery
+/// classes.
 pub(super) struct IdempotencyKeys {
     known: BTreeSet<u64>,
-    /// The same keys by age, each with the time of its call.
+    /// The known keys in the order of their calls, each with the time of its call in µs.
     by_age: VecDeque<(Micros, u64)>,
+    /// How long a key is kept, in µs.
     retention: Micros,
 }
 
 impl IdempotencyKeys {
-    /// No key known yet.
+    /// Creates an empty set of keys.
     pub fn new(classes: &[DeliveryClass]) -> IdempotencyKeys {
         let classes = classes.iter();
         let longest = classes.map(|class| class.window.0.max(class.time_to_live.0));
@@ -24,7 +26,8 @@
         }
     }
 
-    /// Whether a call is new to the receivers; from now on its key is known. A call without a key is always new.
+    /// Returns whether a call is new to the receivers, and remembers its key. A call without a key is always new. Removes
+    /// the keys whose retention has ended.
     pub fn insert_if_new(&mut self, now: Micros, key: Option<u64>) -> bool {
         let Some(key) = key else { return true };
         while let Some((at, oldest_key)) = self.by_age.front().copied() {
@@ -41,7 +44,7 @@
         new
     }
 
-    /// Keys that are known.
+    /// Returns the number of stored keys.
     pub fn len(&self) -> usize {
         self.known.len()
     }
--- a/crates/lab/src/receivers/rate_limiter.rs
+++ b/crates/lab/src/receivers/rate_limiter.rs
@@ -1,26 +1,29 @@
-//! A token bucket: the limit of a destination, or of an endpoint with a limit of its own.
+//! The rate limit of a destination, or of an endpoint with an independent limit.
 
 use super::ReceiverReply;
 use crate::scenario::Destination;
 use opalpulley::Micros;
 
-/// A token bucket; a call takes a token.
+/// A token bucket from which each admitted call takes a token.
 pub(super) struct RateLimiter {
-    /// Tokens a second.
+    /// Tokens added per second.
     rate: f64,
-    /// Tokens that it holds at most.
+    /// Capacity of the bucket, in tokens; a capacity below 1 counts as 1.
     max_tokens: f64,
+    /// Tokens at the last refill; below 0 if rejected calls have consumed tokens too.
     tokens: f64,
+    /// Time of the last refill, in µs.
     refilled_at: Micros,
+    /// Whether calls without a token are rejected.
     enforced: bool,
-    /// Tokens that refused calls may take below 0.
+    /// How far rejected calls may take the tokens below 0.
     max_debt: f64,
-    /// Of a rejection; 0 for none.
+    /// Retry-after time of a rejection, in µs; 0 sends none.
     retry_after: Micros,
 }
 
 impl RateLimiter {
-    /// A full bucket.
+    /// Creates a full bucket with the limit of a group of destinations.
     pub fn new(group: &Destination) -> RateLimiter {
         let max_tokens = group.burst.unwrap_or(group.rate);
         RateLimiter {
@@ -38,7 +41,8 @@
         }
     }
 
-    /// Whether a call may pass now, while the bucket refills at this share of its rate.
+    /// Refills the bucket at `rate_share` of its rate and returns whether a call is admitted, which takes a token. A limit that
+    /// isn't enforced admits every call and takes none.
     pub fn try_admit(&mut self, now: Micros, rate_share: f64) -> bool {
         let elapsed_seconds = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         let refilled = self.tokens + elapsed_seconds * self.rate * rate_share;
@@ -56,7 +60,7 @@
         admitted
     }
 
-    /// What a refused call gets.
+    /// Returns the reply to a rejected call.
     pub fn rejection(&self) -> ReceiverReply {
         let retry_after = (self.retry_after > 0).then_some(self.retry_after);
         ReceiverReply::TooManyRequests { retry_after }
--- a/crates/lab/src/receivers/reply.rs
+++ b/crates/lab/src/receivers/reply.rs
@@ -1,20 +1,20 @@
-//! What comes back for a call.
+//! The results and replies of calls and health checks.
 
 use opalpulley::Micros;
 
-/// What comes back for a call, and when its last byte (or its end) is on the way.
+/// The result of a call or a health check: its reply, and whether and when it takes effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallResult {
-    /// When it took effect, where it did. A repeat that the receiver knows takes none.
+    /// Time at which the call takes effect, in µs; none if it doesn't. A repeated call that the receiver recognises takes no
+    /// effect.
     pub effect_at: Option<Micros>,
-    /// When the reply leaves, µs.
+    /// Time at which the last byte of the reply, or the end of the connection, leaves the endpoint, in µs.
     pub reply_at: Micros,
-    /// The reply.
     pub reply: ReceiverReply,
 }
 
 impl CallResult {
-    /// A call that takes no effect.
+    /// Creates the result of a call that takes no effect.
     pub(super) fn without_effect(reply: ReceiverReply, reply_at: Micros) -> CallResult {
         CallResult {
             effect_at: None,
@@ -24,37 +24,37 @@
     }
 }
 
-/// What a receiver does with a call.
+/// What the client of a receiver sees of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceiverReply {
-    /// 200.
+    /// A 200 response.
     Served,
-    /// 500.
+    /// A 500 response.
     InternalError,
-    /// 429, with the retry-after time where there is one, µs.
+    /// A 429 response, with its retry-after time in µs if it has one.
     TooManyRequests { retry_after: Option<Micros> },
-    /// 503: its queue is full.
+    /// A 503 response: the queue is full, or a health check reached a shut endpoint.
     Overloaded,
-    /// No connection comes up.
+    /// The connection is refused.
     Refused,
-    /// The connection breaks off before the call is in.
+    /// The connection is closed before the whole call has been received.
     ClosedEarly,
-    /// Nothing is answered.
+    /// No response is sent.
     Silent,
-    /// The head of a 429, which may hold a retry-after time; then the connection breaks.
+    /// The head of a 429 response, which may hold a retry-after time in µs; then the connection is reset.
     TooManyRequestsTruncated { retry_after: Option<Micros> },
-    /// The connection breaks within the answer.
+    /// The connection is reset in the middle of the response.
     Reset,
-    /// 200, then the connection breaks.
+    /// A 200 response, after which the connection is reset.
     ServedThenReset,
-    /// An answer that can't be read.
+    /// A response that can't be parsed.
     Garbled,
-    /// 200, and a body that never ends.
+    /// A 200 response with a body that never ends.
     Endless,
 }
 
 impl ReceiverReply {
-    /// Whether whoever gets it knows that something is wrong there.
+    /// Whether a forwarder that gets the reply can tell that the endpoint has a problem.
     pub fn reveals_failure(self) -> bool {
         !matches!(
             self,
@@ -63,17 +63,18 @@
     }
 }
 
-/// An endpoint that fell over: it got too many calls as it warmed up.
+/// The failure of an endpoint that received too many calls while it warmed up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverloadFailure {
-    /// When, µs.
+    /// Time of the failure, in µs from the start of the run.
     pub at: Micros,
-    /// Which endpoint.
+    /// Index of the endpoint in the layout.
     pub endpoint: usize,
-    /// Its calls in the overload window.
+    /// Calls and health checks in the overload window.
     pub calls: usize,
-    /// The calls that it would have stood.
+    /// Calls and health checks that the endpoint would have tolerated in the window.
     pub overload_limit: f64,
-    /// Two thirds of the calls came from forwarders that had seen it fail: the rule is broken.
+    /// Whether at least two thirds of the calls came from forwarders that had seen the endpoint fail, which violates the
+    /// rule.
     pub caused_by_witnesses: bool,
 }
--- a/crates/lab/src/receivers/tests.rs
+++ b/crates/lab/src/receivers/tests.rs
@@ -2,27 +2,28 @@
 use crate::random::{exponential, seeded_rng};
 use crate::scenario::ResetMoment;
 
-/// One receiver that takes everything, with this service and so many places.
+/// Creates one receiver without a rate limit, with the given service time and concurrency and a practically unbounded queue.
 fn single_receiver(service_time: &str, concurrency: u32) -> (Receivers, Scenario) {
     let text = format!(
         "version = 1\nname = \"q\"\nshows = \"q\"\nlasts = \"1s\"\n[[destinations]]\nname = \"d\"\nrate = 1e9\n\
          limited = false\nplaces = {concurrency}\nqueue = 100000000\nservice = {service_time}\n[[loads]]\nrate = 1.0\n"
     );
-    let scenario = Scenario::read(&text, "q").expect("it is right");
+    let scenario = Scenario::read(&text, "q").expect("the scenario is valid");
     (
         Receivers::new(&scenario, &Layout::new(&scenario), 5),
         scenario,
     )
 }
 
-/// Waits of Poisson calls at a load, in units of the mean service time, sorted; and their mean.
+/// Returns the queueing times of Poisson arrivals at the given load, sorted and in units of the mean service time, and their
+/// mean.
 fn queueing_times(
     service_time: &str,
     concurrency: u32,
     load: f64,
     calls: usize,
 ) -> (Vec<f64>, f64) {
-    const MEAN_SERVICE_TIME: f64 = 1e5; // µs: far over the clock's grain
+    const MEAN_SERVICE_TIME: f64 = 1e5; // µs; far above the clock's resolution
     let (mut receivers, _) = single_receiver(service_time, concurrency);
     let mut rng = seeded_rng(11, "arrivals", 0);
     let mut now = 0.0;
@@ -55,7 +56,7 @@
 
 const CALL_COUNT: usize = 4_000_000;
 
-/// M/M/1: mean wait r/(1-r) services; P(W > t) = r e^(-(1-r)t).
+/// M/M/1 with load r, in units of the mean service time: the mean wait is r/(1-r), and P(W > t) = r e^(-(1-r)t).
 #[test]
 fn one_slot_with_exponential_service_times_matches_mm1_queue() {
     let load = 0.7;
@@ -69,7 +70,8 @@
     assert_close("p99", p99(&times), (100.0 * load).ln() / (1.0 - load), 0.05);
 }
 
-/// M/M/c: P(wait) by Erlang's C; mean C/(c(1-r)); P(W > t) = C e^(-c(1-r)t).
+/// M/M/c with load r per slot, in units of the mean service time: the probability C of a wait is given by the Erlang C
+/// formula, the mean wait is C/(c(1-r)), and P(W > t) = C e^(-c(1-r)t).
 #[test]
 fn several_slots_with_exponential_service_times_match_mmc_queue() {
     let (load, c) = (0.8, 5u32);
@@ -92,7 +94,8 @@
     );
 }
 
-/// M/D/1: mean r/(2(1-r)); P(W <= t) = (1-r) sum over k <= t of (r(k-t))^k / k! e^(r(t-k)), in services (Erlang 1909).
+/// M/D/1 with load r, in units of the service time: the mean wait is r/(2(1-r)), and
+/// P(W <= t) = (1-r) sum over k <= t of (r(k-t))^k / k! e^(r(t-k)) (Erlang 1909).
 #[test]
 fn one_slot_with_constant_service_times_matches_md1_queue() {
     let load = 0.7f64;
@@ -123,12 +126,13 @@
     assert_close("p99", p99(&times), low, 0.05);
 }
 
+/// Creates the receivers of one destination with 10 calls per second and a burst of 2, with additional keys.
 fn receivers_with(destination_keys: &str) -> (Receivers, Scenario, Layout) {
     let text = format!(
         "version = 1\nname = \"q\"\nshows = \"q\"\nlasts = \"1s\"\n[[destinations]]\nname = \"d\"\nrate = 10.0\nburst = 2.0\n\
          {destination_keys}\nservice = {{ kind = \"constant\", time = \"10ms\" }}\n[[loads]]\nrate = 1.0\n"
     );
-    let scenario = Scenario::read(&text, "q").expect("it is right");
+    let scenario = Scenario::read(&text, "q").expect("the scenario is valid");
     let layout = Layout::new(&scenario);
     (Receivers::new(&scenario, &layout, 5), scenario, layout)
 }
@@ -172,7 +176,7 @@
             .call(500_000_000, 0, 0, Some(7))
             .effect_at
             .is_some(),
-        "forgotten after twice the window"
+        "the key is forgotten after its retention, so the call takes effect again"
     );
     assert_eq!(receivers.entry_count(), 1);
 }
@@ -189,7 +193,7 @@
             );
         }
         receivers.set_fault(1_000_000, 0, &FaultKind::Refusing, 1_000_000, &[0], false);
-        // 2 x 0.2 x 10 a second x 2 s = 8, and 2 sqrt(8) + 4 for chance.
+        // The overload limit is 2 x 0.2 x 10 calls/s x 2 s = 8, plus 2 sqrt(8) + 4 for random variation of the arrivals.
         let admitted = (0..40).take_while(|n| {
             receivers.call(1_000_000 + n * 1000, 0, 1, None).reply != ReceiverReply::Refused
         });
@@ -204,7 +208,7 @@
         );
         assert!(
             receivers.refuses_connections(900_000_000, 0),
-            "it stays down"
+            "an endpoint that failed from overload stays down"
         );
     }
 }
@@ -216,10 +220,10 @@
     (0..3).for_each(|_| _ = receivers.call(0, 0, 0, None));
     receivers.set_fault(1, 0, &FaultKind::Jam { times: 10.0 }, 1, &[0], false);
     for n in 1..20 {
-        let at = n * 50_000; // it takes 100 ms a call: the queue grows
+        let at = n * 50_000; // each call takes 100 ms, so the queue grows
         assert!(
             receivers.call(at, 0, 0, None).reply_at > at + 100_000,
-            "call {n}"
+            "call {n} is queued behind the earlier ones"
         );
     }
     assert_eq!(
@@ -293,13 +297,13 @@
         assert_eq!(
             (result.reply, result.effect_at.is_some()),
             (reply, takes_effect),
-            "{kind:?}"
+            "reply and effect under {kind:?}"
         );
         receivers.set_fault(10_000_000, 0, &kind, 10_000_000, &[0], false);
         assert_eq!(
             receivers.call(10_000_000, 0, 0, None).reply,
             ReceiverReply::Served,
-            "after {kind:?}"
+            "the endpoint serves again after {kind:?}"
         );
     }
     let (mut receivers, ..) = receivers_with("limited = false");
@@ -315,6 +319,6 @@
     assert_eq!(
         receivers.call(0, 0, 0, None).reply_at,
         60_000,
-        "they compose"
+        "slowdown and brownout multiply"
     );
 }
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,6 +1,7 @@
-//! A bare relay over hyper, to hold a forwarder's ceiling against: it takes a message, answers 202 and calls the endpoint once.
-//! No journal, no rules, no retries. It reads the same start-up configuration, so that the laboratory can play a
-//! scenario round it: `opalpulley-lab run ... --sockets --forwarder target/release/opalpulley-relay`.
+//! A minimal relay over hyper, as a baseline for the maximum throughput of a forwarder. It accepts a message, answers 202
+//! and calls the endpoint once, without a journal, rules or retries. It reads the same start-up configuration as a
+//! forwarder, so the laboratory can run a scenario against it: `opalpulley-lab run ... --sockets --forwarder
+//! target/release/opalpulley-relay`.
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Bytes, Incoming};
@@ -14,9 +15,11 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::net::{TcpListener, TcpStream};
 
+/// The sending half of a connection.
 type RequestSender = SendRequest<Full<Bytes>>;
 type RelayError = Box<dyn Error + Send + Sync>;
 
+/// The state shared by all requests: the address of an endpoint per destination, and the idle connections per address.
 struct Relay {
     endpoints: BTreeMap<String, String>,
     idle_connections: Mutex<BTreeMap<String, Vec<RequestSender>>>,
@@ -31,6 +34,8 @@
 }
 
 impl Relay {
+    /// Sends a request to an endpoint of the destination and waits for the complete response. The connection is kept for
+    /// reuse only if the request succeeds.
     async fn forward(
         &self,
         request: Request<Full<Bytes>>,
@@ -39,7 +44,7 @@
         let address = self
             .endpoints
             .get(destination)
-            .ok_or("no such destination")?;
+            .ok_or("destination is not in the endpoint list")?;
         let idle_connections = || {
             self.idle_connections
                 .lock()
@@ -68,6 +73,8 @@
     }
 }
 
+/// Answers a submission with 202 and calls the endpoint in the background. Health checks on `/up`, and requests whose body
+/// can't be read, are answered with 200.
 async fn handle_submission(
     relay: Arc<Relay>,
     request: Request<Incoming>,
@@ -96,7 +103,7 @@
         .unwrap_or("");
     let destination = envelope.trim_start_matches("dest=").to_owned();
     if let Ok(call) = call.body(Full::new(body.to_bytes())) {
-        // Whatever becomes of it, nobody is told: that is what makes it bare.
+        // The relay doesn't report the outcome of the call, as part of doing the least possible work.
         tokio::spawn(async move { drop(relay.forward(call, &destination).await) });
     }
     *response.status_mut() = StatusCode::ACCEPTED;
@@ -110,7 +117,7 @@
         startup_config[key]
             .as_str()
             .map(str::to_owned)
-            .ok_or(format!("GW_CONFIG {key}: is not set"))
+            .ok_or(format!("GW_CONFIG: `{key}` must be set to an address"))
     };
     let mut discovery = connect(&address("discovery")?).await?;
     let poll = Request::get("/discovery/hosts")
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,9 +1,10 @@
-//! The scenario file: one world, for both clocks. TOML, read by serde. A wrong file is reported with key, line, value and what
-//! to write instead.
+//! The scenario file, in TOML. A scenario describes a fleet of forwarders, its receivers, the load and the faults, for the
+//! simulated clock and for sockets alike. An invalid file is reported with its key, line and value, and with what to write
+//! instead.
 //!
-//! The keys of the file are fixed by the scenarios that exist. Where a Rust name differs from its key, the key is named by an
-//! explicit `serde(rename)`. Parts of the file stand in a module each: `fleet` (forwarders, network, rules), `classes`,
-//! `destination`, `load` and `fault`; `validation` finds values that no world can have.
+//! The existing scenario files fix the keys. Where a Rust name differs from its key, an explicit `serde(rename)` gives the
+//! key. Each part of the file has a module: `fleet` (forwarders, network, rules), `classes`, `destination`, `load` and
+//! `fault`. `config` derives the configuration of a forwarder, and `validation` rejects values out of range.
 
 mod classes;
 mod config;
@@ -30,68 +31,69 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// The whole file.
+/// The contents of a scenario file.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// The format's version: 1.
+    /// Version of the file format. Only version 1 exists.
     pub version: u32,
-    /// The name of the scenario in reports.
+    /// Name of the scenario in reports.
     pub name: String,
-    /// One sentence: what it shows.
+    /// One sentence about what the scenario demonstrates, for reports.
     pub shows: String,
-    /// For how long messages are submitted; the run goes on until the last of them is over.
+    /// How long messages are submitted. The run continues until the last of them has ended.
     pub lasts: Span,
-    /// The seed of a run that names none.
+    /// Seed of a run for which no other seed is given.
     #[serde(default = "defaults::seed")]
     pub seed: u64,
-    /// The figures that a run must reach.
+    /// Results that a run must reach.
     #[serde(default)]
     pub expect: Expectations,
-    /// The fleet of forwarders.
+    /// Number and settings of the forwarders.
     #[serde(default)]
     pub forwarders: ForwarderProcesses,
-    /// Delays, connections and the endpoint list.
+    /// Delays, connection set-up and delivery of the endpoint list.
     #[serde(default)]
     pub network: Network,
-    /// The figures of the platform's rules.
+    /// Parameters of the platform's rules.
     #[serde(default)]
     pub rules: RuleSettings,
-    /// Delivery classes.
+    /// Delivery classes of the messages; one default class where the file defines none.
     #[serde(default = "defaults::classes", rename = "profiles")]
     pub classes: Vec<DeliveryClass>,
-    /// Tenants with a quota.
+    /// Tenants with their quotas.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// Groups of destinations.
+    /// Groups of destinations with equal settings; at least one.
     pub destinations: Vec<Destination>,
-    /// Streams of messages.
+    /// Streams of messages; at least one.
     pub loads: Vec<Load>,
-    /// Faults on their timeline.
+    /// Faults, each with its start and duration. They may overlap.
     #[serde(default, rename = "troubles")]
     pub faults: Vec<Fault>,
 }
 
-/// The figures that a run of the true forwarder must reach: shares from 0 to 1, each with its least and most.
+/// The results that a run of the unmodified forwarder must reach. Shares are from 0 to 1, each given as minimum and maximum.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Expectations {
-    /// Messages that were served in time, of all that were due.
+    /// Share of the due messages that were served in time.
     pub served: Option<[f64; 2]>,
-    /// Those served by their first attempt.
+    /// Share of the due messages that were served by their first attempt.
     #[serde(rename = "first_trip")]
     pub first_attempt: Option<[f64; 2]>,
-    /// 99th percentile of the time from due to served, at most.
+    /// Upper bound on the 99th percentile of the time from due to served.
     pub p99: Option<Span>,
-    /// The same on sockets, where this machine's own noise counts too; `p99` where it is not named.
+    /// Upper bound on the same percentile on sockets, where noise of the host adds to the latency. Defaults to `p99`.
     pub p99_sockets: Option<Span>,
-    /// Calls sent for each message due, at most.
+    /// Upper bound on the number of calls sent per due message.
     #[serde(rename = "calls_a_packet")]
     pub calls_per_message: Option<f64>,
 }
 
 impl Scenario {
-    /// Reads a scenario file; a file of times to replay is found beside it.
+    /// Reads a scenario file and resolves the paths of replay files relative to its directory. Fails if the file can't be
+    /// read, is not a valid scenario, or holds a value out of range.
     pub fn load(path: &Path) -> Result<Scenario, ScenarioError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| ScenarioError {
@@ -99,7 +101,7 @@
             line: None,
             key: String::new(),
             problem: format!(
-                "can't be read: {error}; name a scenario file, such as one of lab/scenarios"
+                "cannot be read: {error}; name a scenario file, such as one of lab/scenarios"
             ),
         })?;
         let mut scenario = Scenario::read(&text, &file)?;
@@ -112,7 +114,7 @@
         Ok(scenario)
     }
 
-    /// Reads a scenario from its text; `file` names it in errors.
+    /// Parses and validates a scenario. `file` is the name that errors give.
     pub fn read(text: &str, file: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text)
             .map_err(|error| ScenarioError::from_toml_error(&error, text, file))?;
@@ -122,7 +124,8 @@
         }
     }
 
-    /// The longest time to live: after the load has ended, no message lives longer.
+    /// Returns the longest time to live of all delivery classes, in µs: the bound on how long a message can outlast the
+    /// load.
     pub fn max_time_to_live(&self) -> Micros {
         let times = self.classes.iter().map(|class| class.time_to_live.0);
         times.max().unwrap_or(0)
--- a/crates/lab/src/scenario/classes.rs
+++ b/crates/lab/src/scenario/classes.rs
@@ -1,47 +1,47 @@
-//! Delivery classes and tenants.
+//! The delivery classes and tenants of a scenario.
 
 use super::{defaults, Span};
 use serde::{Deserialize, Serialize};
 
-/// How messages of one kind are delivered.
+/// The delivery requirements shared by the messages of one class.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct DeliveryClass {
-    /// The name of the class.
+    /// Name by which loads refer to the class.
     pub name: String,
-    /// Whether a message may be sent again.
+    /// Whether a message may be sent again after an attempt of unknown effect.
     #[serde(rename = "effect")]
     pub semantics: DeliverySemantics,
-    /// Receivers know repeats of an idempotency-keyed message for so long.
+    /// How long receivers remember the idempotency key of a message.
     #[serde(default = "defaults::deduplication_window")]
     pub window: Span,
-    /// A message served within this time has its whole weight.
+    /// Latency objective. A message served within it keeps its full weight; must be above 0.
     #[serde(rename = "contract_time")]
     pub latency_objective: Span,
-    /// A message may be delivered for so long.
+    /// How long a message may be delivered; at least the latency objective.
     #[serde(rename = "expiry")]
     pub time_to_live: Span,
-    /// The weight of a message against others.
+    /// Weight of a message relative to others.
     #[serde(default = "defaults::weight", rename = "importance")]
     pub priority_weight: f64,
-    /// The part of its weight that a message has left at its deadline.
+    /// Share of its weight that a message still has at its deadline, from 0 to 1.
     #[serde(default = "defaults::late_weight_share", rename = "late_share")]
     pub late_weight_share: f64,
-    /// Messages of one key are delivered one after the other.
+    /// Whether messages with the same order key are delivered one after the other.
     #[serde(default, rename = "in_order")]
     pub ordered: bool,
 }
 
-/// Whether a message may be sent again after an attempt whose effect is not known.
+/// Whether a message may be sent again after an attempt of unknown effect.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum DeliverySemantics {
-    /// A repeat does no harm.
+    /// A repeated call has no further effect.
     #[serde(rename = "retriable")]
     Idempotent,
-    /// Receivers know repeats by a key, for the window of the class.
+    /// Receivers recognise a repeated call by its idempotency key, within the window of the class.
     #[serde(rename = "fingerprinted")]
     IdempotencyKeyed,
-    /// A repeat might take effect twice.
+    /// A repeated call may take effect a second time, so the message must not be sent again.
     #[serde(rename = "binding")]
     AtMostOnce,
 }
@@ -50,8 +50,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// The name of the tenant.
+    /// Name by which loads refer to the tenant.
     pub name: String,
-    /// Messages a second within its quota, for all forwarders together.
+    /// Quota in messages per second, across all forwarders.
     pub quota: f64,
 }
--- a/crates/lab/src/scenario/config.rs
+++ b/crates/lab/src/scenario/config.rs
@@ -1,4 +1,4 @@
-//! A scenario as the core's configuration, and as the start-up configuration of the program on sockets.
+//! Derives the configuration of the core and the start-up configuration of the forwarder program from a scenario.
 
 use super::{DeliveryClass, DeliverySemantics, ForwarderProcesses, PriorityDecay, Scenario};
 use opalpulley::{
@@ -7,21 +7,21 @@
 };
 use serde_json::{json, Value};
 
-/// The part of its weight that a message over its tenant's quota has.
+/// Share of its weight that a message over its tenant's quota keeps.
 const OVER_QUOTA_WEIGHT_SHARE: f64 = 0.1;
 /// Time between scheduling rounds, µs.
 const SCHEDULING_INTERVAL: u64 = 5_000;
-/// Endpoint kinds by number: whether each endpoint has a limit of its own.
+/// Whether the endpoints of each kind have independent limits, by the number of the kind.
 const INDEPENDENT_LIMITS: [bool; 2] = [false, true];
-/// Connections of a destination without an idle timeout are closed after so long, µs.
+/// Idle timeout of connections if the scenario has no destinations, µs.
 const DEFAULT_IDLE_TIMEOUT: u64 = 5_000_000;
-/// Open sockets of a forwarder at most.
+/// Upper bound on the open sockets of a forwarder.
 const SOCKET_LIMIT: u32 = 4096;
-/// A forwarder's memory limit, as a multiple of its disk.
+/// Ratio of a forwarder's memory limit to its disk limit.
 const MEMORY_TO_DISK_RATIO: f64 = 4.0;
 
 impl Scenario {
-    /// The configuration of forwarder `number`.
+    /// Returns the core's configuration for forwarder `number`.
     pub fn config(&self, number: u32) -> Config {
         let fleet = &self.forwarders;
         let polled_discovery = self.network.polled_discovery.as_ref();
@@ -70,7 +70,8 @@
         }
     }
 
-    /// The start-up configuration of forwarder `number` on sockets, as the platform's deployment writes it.
+    /// Returns the start-up configuration of forwarder `number` on sockets, in the format that the platform's deployment
+    /// writes.
     pub fn startup_config(&self, number: u32, seed: u64) -> Value {
         let fleet = &self.forwarders;
         json!({
@@ -85,7 +86,7 @@
         })
     }
 
-    /// The platform's settings, by its names.
+    /// Returns the platform's settings for forwarder `number`, under the platform's names.
     fn settings(&self, number: u32) -> Value {
         let fleet = &self.forwarders;
         let tenants = self.tenants.iter();
@@ -187,7 +188,7 @@
 }
 
 impl DeliverySemantics {
-    /// The platform's name for it.
+    /// Returns the platform's name for the semantics.
     fn setting(self) -> &'static str {
         match self {
             DeliverySemantics::Idempotent => "free",
@@ -198,7 +199,7 @@
 }
 
 impl PriorityDecay {
-    /// The platform's name for it.
+    /// Returns the platform's name for the decay.
     fn setting(self) -> &'static str {
         match self {
             PriorityDecay::Linear => "linear",
--- a/crates/lab/src/scenario/defaults.rs
+++ b/crates/lab/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! The values of keys that a file leaves out.
+//! Default values of the keys that a scenario file omits. The comments name the keys.
 
 use super::{DeliveryClass, DeliverySemantics, Span};
 
@@ -12,7 +12,7 @@
     1
 }
 
-/// Weights.
+/// `weight` of destinations and `importance` of a delivery class.
 pub fn weight() -> f64 {
     1.0
 }
@@ -62,7 +62,7 @@
     3
 }
 
-/// `profiles`: one class, so that a small file needs none.
+/// `profiles`: a single class, so that a small scenario needs to define none.
 pub fn classes() -> Vec<DeliveryClass> {
     vec![DeliveryClass {
         name: "notice".into(),
--- a/crates/lab/src/scenario/destination.rs
+++ b/crates/lab/src/scenario/destination.rs
@@ -1,78 +1,78 @@
-//! Destinations, their endpoints and how long those take to serve a call.
+//! Destinations, their endpoints and the service times of the endpoints.
 
 use super::{defaults, Span};
 use serde::{Deserialize, Serialize};
 
-/// A group of destinations of one kind.
+/// A group of destinations with equal settings.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Destination {
-    /// The name of the group.
+    /// Name by which loads and faults refer to the group; unique in the scenario.
     pub name: String,
-    /// How many destinations it has.
+    /// Number of destinations in the group; at least 1.
     #[serde(default = "defaults::count")]
     pub count: u32,
-    /// Endpoints of each.
+    /// Number of endpoints per destination; at least 1.
     #[serde(default = "defaults::count", rename = "targets")]
     pub endpoints: u32,
-    /// The endpoints have limits and outages of their own.
+    /// Whether each endpoint has its own limit and outages, instead of sharing those of its destination.
     #[serde(default, rename = "routes_apart")]
     pub independent_limits: bool,
-    /// Calls a second that one destination (or one endpoint with a limit of its own) takes from all forwarders together. The
-    /// list names this rate; it is enforced where `limited` holds.
+    /// Calls per second that one destination (or one endpoint with an independent limit) accepts from all forwarders
+    /// together. The endpoint list publishes this rate; it is enforced only if `limited` is set.
     pub rate: f64,
-    /// Whether calls above the rate are refused.
+    /// Whether calls above the rate are rejected.
     #[serde(default = "defaults::enabled")]
     pub limited: bool,
-    /// Calls over the rate that may come at once; a second's calls where it is not named.
+    /// Capacity of the token bucket, in calls; the calls of one second by default.
     #[serde(default)]
     pub burst: Option<f64>,
-    /// Refused calls use the limit up as well, as far as a burst.
+    /// Whether rejected calls consume tokens too, down to a debt of one burst.
     #[serde(default, rename = "refused_count")]
     pub refusals_use_limit: bool,
-    /// The retry-after time of a 429 above the limit; 0 sends none.
+    /// Retry-after time sent with a 429 above the limit; 0 sends none.
     #[serde(default, rename = "wait")]
     pub retry_after: Span,
-    /// Calls that an endpoint serves at once.
+    /// Calls that an endpoint serves concurrently; at least 1.
     #[serde(default = "defaults::concurrency", rename = "places")]
     pub concurrency: u32,
-    /// Calls that wait there before 503 is answered.
+    /// Calls that may queue at an endpoint. Any further call is rejected with a 503.
     #[serde(default = "defaults::queue_limit", rename = "queue")]
     pub queue_limit: u32,
-    /// How long a call takes there.
+    /// Distribution of the service time of a call.
     #[serde(rename = "service")]
     pub service_time: ServiceTime,
-    /// Chance that a call ends with an error without any fault.
+    /// Probability that a call ends with an error when no fault is active.
     #[serde(default, rename = "errors")]
     pub error_rate: f64,
-    /// Open connections that an endpoint takes; 0 for any number.
+    /// Upper bound on the open connections of an endpoint; 0 for no bound.
     #[serde(default, rename = "connections")]
     pub max_connections: u32,
-    /// What a new connection costs beside the way there and back.
+    /// Time to set up a new connection, in addition to the round trip.
     #[serde(default)]
     pub handshake: Span,
-    /// A connection is closed after so long without a call.
+    /// Time without a call after which a connection is closed.
     #[serde(default = "defaults::idle_timeout", rename = "idle")]
     pub idle_timeout: Span,
-    /// Its part of the load, against others.
+    /// Weight of each destination of the group in the choice of a message's destination.
     #[serde(default = "defaults::weight")]
     pub weight: f64,
-    /// An endpoint falls over when it gets too many calls as it comes back.
+    /// Whether an endpoint fails when it receives too many calls while it warms up after an outage.
     #[serde(default = "defaults::enabled")]
     pub falls_over: bool,
 }
 
-/// The distribution of the time that a call takes.
+/// The distribution of the service times of calls.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum ServiceTime {
-    /// Always the same.
+    /// The same time for every call.
     Constant { time: Span },
-    /// Exponential with this mean.
+    /// Exponentially distributed with the given mean.
     Exponential { mean: Span },
-    /// Lognormal with this mean; `sigma` is the deviation of the logarithm.
+    /// Lognormally distributed with the given mean; `sigma` is the standard deviation of the logarithm, above 0.
     Lognormal { mean: Span, sigma: f64 },
-    /// One of two times.
+    /// Either of two times; `slow_share` is the probability of the slow one.
     Bimodal {
         fast: Span,
         slow: Span,
--- a/crates/lab/src/scenario/error.rs
+++ b/crates/lab/src/scenario/error.rs
@@ -1,23 +1,23 @@
-//! What is wrong with a scenario file, and where.
+//! The error for an invalid scenario file.
 
 use super::validation::InvalidValue;
 
-/// What is wrong with a scenario: at which key and line, with which value, and what to write instead.
+/// A scenario file that can't be read or is invalid, with the position of the problem and what to write instead.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{file}{}:{} {problem}", line_suffix(*line), key_suffix(key))]
 pub struct ScenarioError {
-    /// The file's name, as it was given.
+    /// Name of the file, as the caller gave it.
     pub file: String,
-    /// The line, from 1, where it is known.
+    /// Line of the problem, counted from 1, if known.
     pub line: Option<usize>,
-    /// The key, such as `destinations[1].rate`; empty where it is not known.
+    /// Key of the invalid value, such as `destinations[1].rate`; empty if not known.
     pub key: String,
-    /// The value and what to write instead.
+    /// The invalid value and what to write instead.
     pub problem: String,
 }
 
 impl ScenarioError {
-    /// For a text that is no TOML, or whose keys or types are wrong.
+    /// Builds the error for text that is not TOML, or that has an unknown or missing key or a value of the wrong type.
     pub(super) fn from_toml_error(
         error: &toml::de::Error,
         text: &str,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// For a value that no world can have.
+    /// Builds the error for a value out of range, and looks up the line of its key in `text`.
     pub(super) fn from_invalid_value(
         invalid: InvalidValue,
         text: &str,
@@ -57,12 +57,12 @@
     format!(" {key}:")
 }
 
-/// The line, from 1, of a byte of the text.
+/// Returns the line, counted from 1, of the byte at `byte_index`.
 fn line_at(text: &str, byte_index: usize) -> usize {
     text[..byte_index.min(text.len())].matches('\n').count() + 1
 }
 
-/// The line of a key such as `destinations[1].rate`, or of the nearest part of it that the file holds.
+/// Returns the line of a key such as `destinations[1].rate`; none if the text doesn't hold each part of the key.
 fn line_of_key(text: &str, key: &str) -> Option<usize> {
     let table = toml::de::DeTable::parse(text).ok()?;
     let mut value = toml::de::DeValue::Table(table.get_ref().clone());
@@ -83,7 +83,7 @@
     line
 }
 
-/// The name and the index of a part of a key, such as `destinations[1]`.
+/// Splits a part of a key, such as `destinations[1]`, into its name and its index.
 fn split_index(part: &str) -> (&str, Option<usize>) {
     match part.split_once('[') {
         Some((name, index)) => (name, index.trim_end_matches(']').parse().ok()),
--- a/crates/lab/src/scenario/fault.rs
+++ b/crates/lab/src/scenario/fault.rs
@@ -1,95 +1,97 @@
-//! Faults: what goes wrong, when, and at which receivers or forwarders.
+//! Faults of receivers, discovery and forwarders: their kinds, times and scopes.
 
 use super::Span;
 use serde::{Deserialize, Serialize};
 
-/// One fault, from `at` on, for `lasts`. Several may overlap.
+/// A fault that is active for a span of the run. Faults may overlap.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins, from the start of the run.
+    /// Start of the fault, counted from the start of the run.
     pub at: Span,
-    /// How long it lasts.
+    /// Duration of the fault.
     pub lasts: Span,
-    /// What goes wrong.
+    /// Kind of the fault, with its parameters.
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// Where it strikes.
+    /// Receivers or forwarders that the fault affects.
     #[serde(default, rename = "on")]
     pub scope: FaultScope,
 }
 
 impl Fault {
-    /// When it ends, µs from the start of the run.
+    /// Returns the end of the fault, in µs from the start of the run.
     pub fn ends_at(&self) -> opalpulley::Micros {
         self.at.0 + self.lasts.0
     }
 }
 
-/// What goes wrong.
+/// The kinds of faults. A `rate` is a share of the calls, from 0 to 1.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum FaultKind {
-    /// Connections are refused; afterwards the endpoint warms up.
+    /// The endpoint refuses connections; afterwards it warms up.
     Refusing,
-    /// Calls are taken and nothing is answered; afterwards the endpoint warms up.
+    /// The endpoint accepts calls and sends no response; afterwards it warms up.
     Silent,
-    /// Service takes so many times as long.
+    /// Service takes `times` as long.
     Slow { times: f64 },
-    /// So many of the calls end with an error; from one half on, the endpoint warms up afterwards.
+    /// Calls end with an error. If `rate` is at least one half, the endpoint warms up afterwards.
     Erring { rate: f64 },
-    /// So many of the calls have their connection reset.
+    /// Calls have their connection reset.
     Reset {
         rate: f64,
         #[serde(rename = "when")]
         moment: ResetMoment,
     },
-    /// So many of the calls run, and their answers never come.
+    /// Calls take effect, but their responses are lost.
     AnswerLost { rate: f64 },
-    /// So many of the refusals come with a good head, which may hold a retry-after time, and break off.
+    /// 429 responses are cut off after a valid head, which may hold a retry-after time. `rate` is a share of these
+    /// responses.
     #[serde(rename = "refusals-cut")]
     RefusalsTruncated { rate: f64 },
-    /// So many of the answers can't be read, though the call ran.
+    /// Calls take effect, but their responses can't be parsed.
     Garbled { rate: f64 },
-    /// So many of the answers begin, and never end.
+    /// Responses begin and never end.
     Endless { rate: f64 },
-    /// 429 with the time until it opens; afterwards the endpoint warms up.
+    /// The endpoint rejects calls with a 429 whose retry-after time is the rest of the fault; afterwards it warms up.
     Shut,
-    /// Refuses and serves in turn.
+    /// The endpoint alternates between refusing connections (`down`) and serving calls (`up`).
     Flapping { down: Span, up: Span },
-    /// So large a part of its capacity is left: rate and concurrency alike.
+    /// Only the share `capacity_left` of the endpoint's capacity remains, for its rate and its concurrency alike.
     Brownout {
         #[serde(rename = "left")]
         capacity_left: f64,
     },
-    /// Service takes so many times as long, and goes on so after the end until its queue has been empty.
+    /// Service takes `times` as long, and stays slow after the end of the fault until the queue has been empty.
     Jam { times: f64 },
-    /// Listed as draining, then gone; a new holder of the same address is ready. One endpoint after the other.
+    /// The endpoint list shows each endpoint as draining and then removes it; a new incarnation at the same address becomes
+    /// ready. The endpoints drain one after the other.
     Drain,
-    /// Discovery sends no list updates; they come at the end.
+    /// Discovery withholds list updates until the end of the fault.
     Stale,
-    /// Discovery sends the whole list without so large a part of it, and at the end all of it.
+    /// Discovery sends a full list that lacks the share `missing` of the entries, and the complete list at the end.
     Partial { missing: f64 },
-    /// Forwarders are killed and start again at the end, with or without their folder.
+    /// Forwarders are killed and restart at the end, with or without their data directory.
     Killed {
         #[serde(rename = "folder")]
         folder_kept: bool,
     },
-    /// Forwarders are stopped: nothing is read or sent until the end.
+    /// Forwarders are stopped: they neither read nor send until the end.
     Paused,
-    /// Health checks are not answered, calls are.
+    /// Health checks get no response, while calls are served.
     #[serde(rename = "probes-fail")]
     HealthChecksFail,
 }
 
 impl FaultKind {
-    /// Its name in the file.
+    /// Returns the name of the kind in scenario files.
     pub fn name(&self) -> String {
         let value = serde_json::to_value(self).unwrap_or_default();
         value["kind"].as_str().unwrap_or("trouble").to_owned()
     }
 
-    /// The share from 0 to 1 that the fault names, where it names one.
+    /// Returns the parameter that must be a share from 0 to 1, if the kind has one.
     pub(super) fn share(&self) -> Option<f64> {
         match self {
             FaultKind::Erring { rate }
@@ -105,33 +107,33 @@
     }
 }
 
-/// When a connection is reset.
+/// The moment of a call at which its connection is reset.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum ResetMoment {
-    /// Before the call is in.
+    /// Before the endpoint has received the whole call.
     Before,
-    /// Within the answer.
+    /// In the middle of the response.
     Within,
-    /// After the answer.
+    /// After the complete response.
     After,
 }
 
-/// Which receivers or forwarders a fault strikes; empty means all.
+/// The receivers or forwarders that a fault affects. Each criterion restricts the scope further; an empty one admits all.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultScope {
-    /// Destinations by name.
+    /// Names of groups of destinations.
     pub destinations: Vec<String>,
-    /// Of those, the ones with these numbers in their group, from 0.
+    /// Numbers of destinations within their group, counted from 0.
     pub numbers: Vec<u32>,
-    /// Of their endpoints, the ones with these numbers.
+    /// Numbers of endpoints within their destination, counted from 0.
     #[serde(rename = "targets")]
     pub endpoints: Vec<u32>,
-    /// Of those, the ones in this zone: endpoints stand in two zones in turn.
+    /// Zone of the endpoints. The endpoints of a destination alternate between two zones.
     pub zone: Option<u16>,
-    /// Of those, so large a part, drawn by chance.
+    /// Probability, from 0 to 1, with which each endpoint or forwarder in scope is affected.
     pub share: Option<f64>,
-    /// Forwarders by number, for faults of forwarders.
+    /// Numbers of forwarders, counted from 0, for faults of forwarders.
     pub forwarders: Vec<u32>,
 }
--- a/crates/lab/src/scenario/fleet.rs
+++ b/crates/lab/src/scenario/fleet.rs
@@ -1,4 +1,4 @@
-//! The forwarders of a scenario, the network between them and the receivers, and the figures of the platform's rules.
+//! The forwarders of a scenario, their network and the parameters of the platform's rules.
 
 use super::Span;
 use serde::{Deserialize, Serialize};
@@ -7,39 +7,39 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct ForwarderProcesses {
-    /// How many there are.
+    /// Number of forwarders, from 1 to 1000.
     pub count: u32,
-    /// Calls that one has in flight at once.
+    /// Upper bound on the calls that one forwarder has in flight; at least 1.
     #[serde(rename = "slots")]
     pub concurrency_limit: u32,
-    /// Messages that one holds at once.
+    /// Upper bound on the messages that one forwarder holds; at least 1.
     #[serde(rename = "room")]
     pub message_capacity: u32,
-    /// Attempts of a message at most.
+    /// Upper bound on the attempts of a message; at least 1.
     #[serde(rename = "trips")]
     pub max_attempts: u32,
-    /// They may send health checks.
+    /// Whether forwarders may send health checks.
     #[serde(rename = "may_probe")]
     pub may_health_check: bool,
-    /// They may cancel attempts.
+    /// Whether forwarders may cancel attempts.
     #[serde(rename = "may_call_off")]
     pub may_cancel: bool,
-    /// They may send a retry-after time with a rejection.
+    /// Whether forwarders may send a retry-after time with a rejection.
     #[serde(rename = "may_say_when")]
     pub may_send_retry_after: bool,
-    /// They may gossip with each other (simulated clock only).
+    /// Whether forwarders may gossip with each other (simulated clock only).
     #[serde(rename = "may_tell")]
     pub may_gossip: bool,
-    /// The longest retry-after time that clients follow.
+    /// Upper bound on the retry-after time that clients follow.
     #[serde(rename = "longest_return")]
     pub max_retry_after: Span,
-    /// How a message's priority falls after its latency objective.
+    /// How the priority of a message decays after its latency objective.
     #[serde(rename = "fading")]
     pub priority_decay: PriorityDecay,
-    /// The clocks differ by so much at most, drawn once for each (simulated clock only).
+    /// Upper bound on the clock skew of a forwarder, which is drawn once per forwarder (simulated clock only).
     #[serde(rename = "clocks_differ")]
     pub max_clock_skew: Span,
-    /// The folder of one on sockets, in megabytes.
+    /// Size limit of a forwarder's data directory on sockets, in megabytes; above 0.
     pub disk_mb: f64,
 }
 
@@ -62,33 +62,33 @@
     }
 }
 
-/// How a message's priority falls after its latency objective.
+/// How the priority of a message decays after its latency objective.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub enum PriorityDecay {
-    /// In a straight line until the deadline.
+    /// Linearly until the deadline.
     #[serde(rename = "evenly")]
     Linear,
-    /// By half for each latency objective that passes.
+    /// By half with each further latency objective that elapses.
     #[default]
     #[serde(rename = "halving")]
     Exponential,
 }
 
-/// Delays, connections and the endpoint list.
+/// Delays, connection set-up and delivery of the endpoint list.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// One way.
+    /// One-way delay of the network.
     pub delay: Span,
-    /// A list update comes late by so much at most, by chance for each forwarder.
+    /// Upper bound on the extra delay of a list update, which is drawn for each forwarder.
     pub list_lag: Span,
-    /// A connection that takes longer to come up counts as none.
+    /// Time after which a connection attempt has failed.
     #[serde(rename = "connect_within")]
     pub connect_timeout: Span,
-    /// Some new connections come up late.
+    /// New connections that are delayed, if any.
     #[serde(rename = "late")]
     pub late_connections: Option<LateConnections>,
-    /// Forwarders poll the list; left out, discovery sends it by itself (simulated clock only).
+    /// Settings of a polled endpoint list (simulated clock only). If omitted, discovery pushes the list.
     #[serde(rename = "asked")]
     pub polled_discovery: Option<PolledDiscovery>,
 }
@@ -105,56 +105,57 @@
     }
 }
 
-/// Connections that come up late, each by an even chance of up to `most`. On sockets they come up a second later, or as the
-/// kernel tries again, so that the connect timeout has to be longer than that.
+/// New connections that are delayed, each by a time drawn uniformly up to `most`. On sockets they are delayed by a second,
+/// or until the kernel retransmits, so the connect timeout must be longer than that delay.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct LateConnections {
-    /// The part of the new connections.
+    /// Share of the new connections that are delayed, from 0 to 1.
     pub share: f64,
-    /// The longest delay.
+    /// Upper bound on the delay; at most the connect timeout.
     pub most: Span,
 }
 
-/// A discovery that is polled: it answers one poll after the other.
+/// Settings of a discovery service that is polled and serves one poll at a time.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PolledDiscovery {
-    /// The rules want a poll from each forwarder within this time.
+    /// Upper bound that the rules set on the interval between a forwarder's polls.
     #[serde(rename = "within")]
     pub poll_interval: Span,
-    /// Discovery's own time for one poll.
+    /// Time that discovery takes to serve one poll.
     #[serde(rename = "call")]
     pub poll_service_time: Span,
-    /// A poll that waits for longer has failed; discovery still spends its time on it.
+    /// Time after which a poll has failed. Discovery still spends its service time on the poll.
     #[serde(rename = "patience")]
     pub poll_timeout: Span,
-    /// A poll that would wait for longer is rejected at once.
+    /// Upper bound on the time until a poll has been served, its own service included. A poll that would exceed it is
+    /// rejected at once.
     #[serde(rename = "turned_away")]
     pub max_queue_wait: Span,
 }
 
-/// The figures of the platform's rules: forwarders are configured with them, receivers and oracle apply them.
+/// The parameters of the platform's rules. Forwarders are configured with them; receivers and oracle apply them.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct RuleSettings {
-    /// A final answer may come so long after the deadline.
+    /// How long after the deadline a final answer may be sent.
     pub answer_slack: Span,
-    /// Calls may still go to a draining endpoint for so long.
+    /// How long calls may still be sent to a draining endpoint.
     pub drain_grace: Span,
-    /// The part of its capacity that an endpoint has as it comes back.
+    /// Share of its capacity that an endpoint has when its warm-up begins, from 0 to 1.
     #[serde(rename = "cold_from")]
     pub cold_capacity_share: f64,
-    /// An endpoint that came back has its whole capacity after so long.
+    /// Duration of the warm-up, after which an endpoint has its full capacity.
     #[serde(rename = "warm_after")]
     pub warm_up_time: Span,
-    /// An endpoint that warms up falls over at so many times its capacity.
+    /// Multiple of its current capacity at which an endpoint that warms up fails from overload; above 0.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// The time over which its calls are counted for that.
+    /// Window over which the calls of an endpoint that warms up are counted.
     #[serde(rename = "overload_for")]
     pub overload_window: Span,
-    /// The pause between two messages of a key where the first may still take effect.
+    /// Pause between two messages of one order key if the first may still take effect.
     #[serde(rename = "order_pause")]
     pub order_settle_time: Span,
 }
--- a/crates/lab/src/scenario/load.rs
+++ b/crates/lab/src/scenario/load.rs
@@ -1,54 +1,54 @@
-//! Streams of messages and their rate over time.
+//! The streams of messages of a scenario and their rates over time.
 
 use super::{defaults, Span};
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
-/// A stream of messages, each due at its time whatever became of those before.
+/// A stream of messages in an open loop: when a message is due doesn't depend on the outcome of earlier ones.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// The name of the stream; for the reader only.
+    /// Name of the stream, for readers of the file; nothing refers to it.
     #[serde(default)]
     pub name: String,
-    /// Messages a second in the mean.
+    /// Mean rate in messages per second; above 0.
     pub rate: f64,
-    /// How the rate changes over time.
+    /// Rate over time, relative to the mean rate.
     #[serde(default)]
     pub shape: Shape,
-    /// Names of destinations; none for all.
+    /// Names of the groups of destinations; empty for all.
     #[serde(default)]
     pub destinations: Vec<String>,
-    /// Zipf's exponent over them; 0 spreads by weight.
+    /// Exponent of the Zipf distribution over the destinations; 0 distributes the messages by weight.
     #[serde(default)]
     pub skew: f64,
-    /// Names of delivery classes, drawn evenly; none for all.
+    /// Names of the delivery classes, drawn uniformly; empty for all.
     #[serde(default, rename = "profiles")]
     pub classes: Vec<String>,
-    /// The tenant of all its messages.
+    /// Name of the tenant of all messages, if any.
     #[serde(default)]
     pub tenant: Option<String>,
-    /// Order keys, drawn evenly, for ordered classes.
+    /// Number of order keys, drawn uniformly, for ordered classes.
     #[serde(default = "defaults::keys")]
     pub keys: u64,
-    /// Some messages have less time than their class gives them.
+    /// Messages with a shorter time to live than that of their class, if any.
     #[serde(default, rename = "short")]
     pub short_deadlines: Option<ShortDeadlines>,
-    /// Bytes of a body on sockets.
+    /// Size of a message body on sockets, in bytes; at most 65536.
     #[serde(default = "defaults::body_bytes", rename = "body")]
     pub body_bytes: usize,
-    /// How often a client submits a message again after a rejection, at most.
+    /// Upper bound on how often a client resubmits a rejected message.
     #[serde(default = "defaults::resubmissions", rename = "returns")]
     pub resubmissions: u32,
 }
 
-/// The part of the messages that have only `left` until their deadline.
+/// Gives some messages of a stream a shorter time to live.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ShortDeadlines {
-    /// The part of the messages.
+    /// Share of the messages with the shorter time to live, from 0 to 1.
     pub share: f64,
-    /// Their time to live.
+    /// Time to live of these messages, if shorter than that of their class.
     pub left: Span,
 }
 
@@ -56,14 +56,14 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Shape {
-    /// Exponential times between messages.
+    /// A Poisson process: exponentially distributed intervals.
     #[default]
     Poisson,
-    /// Even times between messages.
+    /// Equal intervals.
     Even,
-    /// From each time on, so many times the rate.
+    /// Steps, each with its start and the multiple of the mean rate from then on. Must be sorted by start.
     Steps { steps: Vec<(Span, f64)> },
-    /// On for so long at `times` the rate, then off for so long (at `rest` times the rate).
+    /// Alternates between `on` at `times` the mean rate and `off` at `rest` times the mean rate.
     Bursts {
         on: Span,
         off: Span,
@@ -71,8 +71,9 @@
         #[serde(default)]
         rest: f64,
     },
-    /// One wave a day, from `least` to `most` times the rate.
+    /// A sine wave with the period `day`, from `least` to `most` times the mean rate.
     Day { day: Span, least: f64, most: f64 },
-    /// Times in seconds, one a line, a second column may name the destination by number. Beside the scenario file.
+    /// Times from a file beside the scenario file: one per line, in seconds; a second column may give the number of the
+    /// destination.
     Replay { file: PathBuf },
 }
--- a/crates/lab/src/scenario/tests.rs
+++ b/crates/lab/src/scenario/tests.rs
@@ -16,14 +16,14 @@
 
 #[test]
 fn reads_minimal_scenario_with_defaults() {
-    let scenario = Scenario::read(MINIMAL_SCENARIO, "small.toml").expect("it is right");
+    let scenario = Scenario::read(MINIMAL_SCENARIO, "small.toml").expect("the scenario is valid");
     assert_eq!(
         (scenario.lasts, scenario.forwarders.count),
         (Span(10_000_000), 1)
     );
-    let text = toml::to_string(&scenario).expect("it can be written");
+    let text = toml::to_string(&scenario).expect("the scenario can be serialized");
     assert_eq!(
-        Scenario::read(&text, "again").expect("it can be read again"),
+        Scenario::read(&text, "again").expect("the serialized scenario is valid"),
         scenario
     );
 }
@@ -81,6 +81,6 @@
         assert_eq!(Span::parse(&Span(micros).to_string()), Ok(Span(micros)));
     }
     for text in ["", "5", "s", "-1s", "1e30h", "5 min"] {
-        assert!(Span::parse(text).is_err(), "{text}");
+        assert!(Span::parse(text).is_err(), "{text} is not a span of time");
     }
 }
--- a/crates/lab/src/scenario/units.rs
+++ b/crates/lab/src/scenario/units.rs
@@ -1,32 +1,33 @@
-//! Values with units, as the file writes them.
+//! Spans of time with units, as scenario files write them.
 
 use opalpulley::Micros;
 use serde::de::{Error, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 
-/// Why a text is no span of time.
+/// Why a text can't be parsed as a span of time.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseSpanError {
-    /// It is not a figure followed by a known unit.
+    /// The text is not a number followed by a known unit.
     #[error("\"{text}\": {SPAN_FORMAT_HELP}")]
     Malformed { text: String },
-    /// It is negative, or too long to be counted in µs.
-    #[error("\"{text}\": is out of range, {SPAN_FORMAT_HELP}")]
+    /// The span is negative, or too long to be counted in µs.
+    #[error("\"{text}\": is out of range; {SPAN_FORMAT_HELP}")]
     OutOfRange { text: String },
 }
 
-const SPAN_FORMAT_HELP: &str = "write a figure and a unit: 300us, 20ms, 2.5s, 5m or 1h";
-/// A span must be shorter, µs: up to here `f64` still counts each one.
+const SPAN_FORMAT_HELP: &str = "write a number and a unit: 300us, 20ms, 2.5s, 5m or 1h";
+/// Exclusive upper bound on a span, µs. Up to this value an `f64` still represents every integer.
 const SPAN_LIMIT_MICROS: f64 = 9e15;
 
-/// A span of time in µs; written with a unit: `"300us"`, `"20ms"`, `"2.5s"`, `"5m"`, `"1h"`.
+/// A span of time in µs. Scenario files write it with a unit: `"300us"`, `"20ms"`, `"2.5s"`, `"5m"`, `"1h"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Micros);
 
-/// Spans of time, as a list of the file.
+/// A list of spans of time in a scenario file.
 pub type Spans = Vec<Span>;
 
+/// The units with their lengths in µs, in ascending order.
 const UNITS: [(&str, f64); 5] = [
     ("us", 1.0),
     ("ms", 1e3),
@@ -36,12 +37,12 @@
 ];
 
 impl Span {
-    /// The span in seconds.
+    /// Returns the span in seconds.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// Reads a figure with a unit.
+    /// Parses a number with a unit. Fails if the unit is missing or unknown, or if the span is out of range.
     pub fn parse(text: &str) -> Result<Span, ParseSpanError> {
         let malformed = || ParseSpanError::Malformed { text: text.into() };
         let unit_start = text
@@ -84,7 +85,7 @@
         impl Visitor<'_> for SpanVisitor {
             type Value = Span;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-                write!(f, "a time with a unit, such as \"2.5s\"")
+                write!(f, "a span of time with a unit, such as \"2.5s\"")
             }
             fn visit_str<E: Error>(self, text: &str) -> Result<Span, E> {
                 Span::parse(text).map_err(E::custom)
--- a/crates/lab/src/scenario/validation.rs
+++ b/crates/lab/src/scenario/validation.rs
@@ -1,4 +1,4 @@
-//! Values that no world can have, and what to write instead.
+//! Checks the values of a scenario that the types don't constrain, and says what to write instead of an invalid one.
 
 use super::{DeliveryClass, Destination, Fault, FaultKind, Load, Scenario, ServiceTime, Shape};
 
@@ -9,20 +9,20 @@
 
 const AT_LEAST_ONE: &str = "must be at least 1";
 const ABOVE_ZERO: &str = "must be above 0";
-const REQUIRE_ONE: &str = "name one at least";
-const SHARE_RANGE: &str = "is a share from 0 to 1";
+const REQUIRE_ONE: &str = "define at least one";
+const SHARE_RANGE: &str = "must be a share from 0 to 1";
 
-/// A value that no world can have.
+/// An invalid value in a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct InvalidValue {
-    /// Its key, such as `destinations[1].rate`.
+    /// Key of the value, such as `destinations[1].rate`.
     pub key: String,
     /// The value and what to write instead.
     pub problem: String,
 }
 
 impl Scenario {
-    /// The first value, in the order of the validator, that no world can have.
+    /// Returns the first invalid value, in the order of the checks.
     pub(super) fn first_invalid_value(&self) -> Option<InvalidValue> {
         let mut validator = Validator::default();
         validator.run(self);
@@ -38,14 +38,14 @@
     value.is_finite() && value > 0.0
 }
 
-/// The problems found so far.
+/// Collects the invalid values of a scenario.
 #[derive(Default)]
 struct Validator {
     problems: Vec<InvalidValue>,
 }
 
 impl Validator {
-    /// Notes a problem with the value of a key unless the value is valid.
+    /// Records the value of `key` as invalid, with what to write instead, unless `valid` is set.
     fn check(&mut self, valid: bool, key: &str, value: impl ToString, remedy: &str) {
         if !valid {
             self.problems.push(InvalidValue {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Notes the first name that is not known, where there is one.
+    /// Records the first name that is not known, if any.
     fn check_names<'a>(
         &mut self,
         mut names: impl Iterator<Item = &'a String>,
@@ -110,7 +110,7 @@
             within_limit,
             "forwarders.count",
             fleet.count,
-            "is 1000 at most",
+            "must be at most 1000",
         );
         let disk_mb = fleet.disk_mb;
         self.check(
@@ -142,10 +142,15 @@
             is_share(late.share),
             key,
             late.share,
-            "share is from 0 to 1",
+            "`share` must be from 0 to 1",
         );
         let in_time = late.most.0 <= scenario.network.connect_timeout.0;
-        self.check(in_time, key, late.most, "is over connect_within");
+        self.check(
+            in_time,
+            key,
+            late.most,
+            "`most` must not exceed network.connect_within",
+        );
     }
 
     fn check_class(&mut self, class: &DeliveryClass, key_prefix: &str) {
@@ -154,7 +159,7 @@
         self.check(objective.0 > 0, &key, objective, ABOVE_ZERO);
         let time_to_live = class.time_to_live;
         let key = format!("{key_prefix}.expiry");
-        let remedy = "must not be under contract_time";
+        let remedy = "must be at least contract_time";
         self.check(time_to_live.0 >= objective.0, &key, time_to_live, remedy);
         let share = class.late_weight_share;
         self.check(
@@ -172,12 +177,12 @@
             let key_prefix = format!("destinations[{index}]");
             self.check_destination(group, &key_prefix);
             let unique = groups[..index].iter().all(|other| other.name != group.name);
-            let remedy = "is taken by another, give it one of its own";
+            let remedy = "is the name of another group; choose a unique name";
             self.check(unique, &format!("{key_prefix}.name"), &group.name, remedy);
             self.check_service_time(&group.service_time, &format!("{key_prefix}.service"));
         }
         let total: u64 = groups.iter().map(|group| u64::from(group.count)).sum();
-        let remedy = "are 60000 at most, all counts together";
+        let remedy = "all counts together must be at most 60000";
         self.check(total <= MAX_DESTINATIONS, "destinations", total, remedy);
     }
 
@@ -189,7 +194,7 @@
         ] {
             self.check(value > 0, &format!("{key_prefix}.{key}"), "0", AT_LEAST_ONE);
         }
-        let remedy = "must be above 0 calls a second";
+        let remedy = "must be above 0 calls per second";
         self.check(
             is_positive(group.rate),
             &format!("{key_prefix}.rate"),
@@ -215,18 +220,18 @@
     fn check_service_time(&mut self, time: &ServiceTime, key: &str) {
         match *time {
             ServiceTime::Bimodal { slow_share, .. } => {
-                let remedy = "slow_share is from 0 to 1";
+                let remedy = "`slow_share` must be from 0 to 1";
                 self.check(is_share(slow_share), key, slow_share, remedy);
             }
             ServiceTime::Lognormal { sigma, .. } => {
-                self.check(is_positive(sigma), key, sigma, "sigma must be above 0");
+                self.check(is_positive(sigma), key, sigma, "`sigma` must be above 0");
             }
             ServiceTime::Constant { .. } | ServiceTime::Exponential { .. } => {}
         }
     }
 
     fn check_load(&mut self, scenario: &Scenario, load: &Load, key_prefix: &str) {
-        let remedy = "must be above 0 packets a second";
+        let remedy = "must be above 0 messages per second";
         self.check(
             is_positive(load.rate),
             &format!("{key_prefix}.rate"),
@@ -238,11 +243,16 @@
             skew_is_good,
             &format!("{key_prefix}.skew"),
             load.skew,
-            "must not be under 0",
+            "must be at least 0",
         );
         let body_fits = load.body_bytes <= MAX_BODY_BYTES;
         let key = format!("{key_prefix}.body");
-        self.check(body_fits, &key, load.body_bytes, "is 65536 bytes at most");
+        self.check(
+            body_fits,
+            &key,
+            load.body_bytes,
+            "must be at most 65536 bytes",
+        );
         self.check_load_names(scenario, load, key_prefix);
         self.check_shape(&load.shape, &format!("{key_prefix}.shape"));
     }
@@ -252,29 +262,29 @@
             load.destinations.iter(),
             |name| scenario.has_destination(name),
             &format!("{key_prefix}.destinations"),
-            "is no destination of this file",
+            "is not the name of a destination in this file",
         );
         self.check_names(
             load.classes.iter(),
             |name| scenario.classes.iter().any(|class| class.name == name),
             &format!("{key_prefix}.profiles"),
-            "is no profile of this file",
+            "is not the name of a profile in this file",
         );
         self.check_names(
             load.tenant.iter(),
             |name| scenario.tenants.iter().any(|tenant| tenant.name == name),
             &format!("{key_prefix}.tenant"),
-            "is no tenant of this file",
+            "is not the name of a tenant in this file",
         );
     }
 
     fn check_shape(&mut self, shape: &Shape, key: &str) {
         match shape {
             Shape::Bursts { on, off, .. } => {
-                let remedy = "on and off can't both be 0";
+                let remedy = "`on` and `off` must not both be 0";
                 self.check(on.0 + off.0 > 0, key, "0", remedy);
             }
-            Shape::Day { day, .. } => self.check(day.0 > 0, key, "0", "day must be above 0"),
+            Shape::Day { day, .. } => self.check(day.0 > 0, key, "0", "`day` must be above 0"),
             _ => {}
         }
     }
@@ -285,7 +295,7 @@
             fault.scope.destinations.iter(),
             |name| scenario.has_destination(name),
             &scope_key,
-            "is no destination of this file",
+            "is not the name of a destination in this file",
         );
         let share = fault.scope.share;
         let shown_value = format!("{share:?}");
@@ -298,7 +308,7 @@
         self.check_fault_kind(&fault.kind, &format!("{key_prefix}.what"));
         let mut numbers = fault.scope.forwarders.iter();
         let unknown = numbers.find(|number| **number >= scenario.forwarders.count);
-        let remedy = "is no forwarder: they count from 0";
+        let remedy = "is not the number of a forwarder; forwarders are numbered from 0";
         let shown_value = format!("{unknown:?}");
         self.check(unknown.is_none(), &scope_key, shown_value, remedy);
     }
@@ -308,11 +318,11 @@
         self.check(is_share(share), key, share, SHARE_RANGE);
         match *kind {
             FaultKind::Slow { times } | FaultKind::Jam { times } => {
-                self.check(is_positive(times), key, times, "times must be above 0");
+                self.check(is_positive(times), key, times, "`times` must be above 0");
             }
             FaultKind::Flapping { down, up } => {
                 let both_positive = down.0 > 0 && up.0 > 0;
-                self.check(both_positive, key, "0", "down and up must be above 0");
+                self.check(both_positive, key, "0", "`down` and `up` must be above 0");
             }
             _ => {}
         }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -1,4 +1,5 @@
-//! Who stands where: a scenario's groups counted out into destinations, endpoints and limiters, the same for both clocks.
+//! The layout of a scenario: its groups expanded into numbered destinations, endpoints and rate limiters. The simulated
+//! clock and sockets use the same layout.
 
 use crate::random::seeded_rng;
 use crate::scenario::{Destination, FaultScope, Scenario};
@@ -7,50 +8,50 @@
 };
 use rand::Rng;
 
-/// Endpoints stand in so many zones in turn.
+/// Number of zones. The endpoints of a destination are assigned to them in rotation.
 const ZONE_COUNT: u32 = 2;
-/// The port of every simulated endpoint.
+/// Port of every simulated endpoint.
 const ENDPOINT_PORT: u16 = 80;
 
-/// One destination: its group in the file, its number in it, its endpoints.
+/// The position of a destination in the layout.
 #[derive(Clone, Debug)]
 pub struct LayoutDestination {
-    /// The place of its group in the scenario.
+    /// Index of the destination's group in the scenario.
     pub group_index: usize,
-    /// Its number in the group.
+    /// Number of the destination in its group, from 0.
     pub number: u32,
-    /// Its endpoints in the layout.
+    /// Indices of the destination's endpoints in the layout.
     pub endpoints: std::ops::Range<usize>,
 }
 
-/// One endpoint: whose it is, its zone, and the limiter (a limit and its retry-after times) that it stands behind.
+/// The position of an endpoint in the layout: its destination, its zone, and the rate limiter that its calls pass.
 #[derive(Clone, Copy, Debug)]
 pub struct LayoutEndpoint {
-    /// The number of its destination.
+    /// Index of the endpoint's destination in the layout.
     pub destination: u32,
-    /// The place of its group in the scenario.
+    /// Index of the destination's group in the scenario.
     pub group_index: usize,
-    /// Its number in its destination.
+    /// Number of the endpoint in its destination, from 0.
     pub number: u32,
-    /// Its zone.
+    /// Zone of the endpoint, 0 or 1.
     pub zone: u16,
-    /// The number of its limiter.
+    /// Index of the endpoint's rate limiter. Endpoints without independent limits share the limiter of their destination.
     pub limiter_index: usize,
 }
 
-/// All destinations and endpoints of a scenario.
+/// All destinations and endpoints of a scenario. The layout doesn't change during a run.
 #[derive(Clone, Debug)]
 pub struct Layout {
-    /// By number.
+    /// Destinations, by their index.
     pub destinations: Vec<LayoutDestination>,
-    /// By number.
+    /// Endpoints, by their index.
     pub endpoints: Vec<LayoutEndpoint>,
-    /// How many limiters there are.
+    /// Number of rate limiters.
     pub limiter_count: usize,
 }
 
 impl Layout {
-    /// Counts out the groups of a scenario.
+    /// Expands the groups of a scenario, in the order of the file.
     pub fn new(scenario: &Scenario) -> Layout {
         let mut layout = Layout {
             destinations: Vec::new(),
@@ -87,7 +88,8 @@
         });
     }
 
-    /// How the list names an endpoint; a new incarnation of its address has another number.
+    /// Returns the ID of an endpoint in the endpoint list. The index is encoded in the address and must be below 2^24;
+    /// endpoints that use the same address one after the other differ in `incarnation`.
     pub fn endpoint_id(endpoint_index: usize, incarnation: u32) -> EndpointId {
         let [_, b, c, d] = (endpoint_index as u32).to_be_bytes();
         EndpointId {
@@ -97,13 +99,13 @@
         }
     }
 
-    /// The number of the endpoint that the list names so.
+    /// Returns the index of the endpoint with this ID.
     pub fn endpoint_index(id: EndpointId) -> usize {
         let [_, b, c, d] = id.address;
         u32::from_be_bytes([0, b, c, d]) as usize
     }
 
-    /// What the list says of an endpoint. `groups` are the scenario's.
+    /// Returns the entry of an endpoint in the endpoint list. `groups` must be the groups of the scenario of this layout.
     pub fn list_entry(
         &self,
         groups: &[Destination],
@@ -124,7 +126,8 @@
         }
     }
 
-    /// The endpoints that a fault strikes, in order. `fault` is its place in the scenario.
+    /// Returns the indices of the endpoints that a fault affects, in ascending order. `fault_index` is the index of the
+    /// fault in the scenario; equal arguments give the same endpoints.
     pub fn affected_endpoints(
         &self,
         scenario: &Scenario,
@@ -137,7 +140,7 @@
         sample_share(in_scope.map(|(index, _)| index), scope, seed, fault_index)
     }
 
-    /// Whether the scope names this endpoint, whatever its share.
+    /// Whether all criteria of the scope but `share` admit the endpoint.
     fn in_scope(&self, scenario: &Scenario, scope: &FaultScope, endpoint: &LayoutEndpoint) -> bool {
         let destination = &self.destinations[endpoint.destination as usize];
         let name = &scenario.destinations[endpoint.group_index].name;
@@ -147,7 +150,8 @@
             && scope.zone.is_none_or(|zone| zone == endpoint.zone)
     }
 
-    /// The forwarders that a fault strikes, in order. `fault` is its place in the scenario.
+    /// Returns the numbers of the forwarders that a fault affects, in ascending order. `fault_index` is the index of the
+    /// fault in the scenario; equal arguments give the same forwarders.
     pub fn affected_forwarders(
         scenario: &Scenario,
         scope: &FaultScope,
@@ -160,12 +164,12 @@
     }
 }
 
-/// Whether a list names this one; an empty list names all.
+/// Whether a criterion admits the item: an empty list admits all.
 fn empty_or_contains<T: PartialEq>(list: &[T], item: &T) -> bool {
     list.is_empty() || list.contains(item)
 }
 
-/// Those that the scope's share strikes, drawn one by one.
+/// Returns the items that are affected, each drawn independently with the probability `share` of the scope.
 fn sample_share<T>(
     in_scope: impl Iterator<Item = T>,
     scope: &FaultScope,
