--- a/crates/lab/src/receivers.rs
+++ b/crates/lab/src/receivers.rs
@@ -30,7 +30,7 @@
 /// Lower bound on the share of its rate at which a rate limiter refills during faults and warm-up.
 const MIN_RATE_SHARE: f64 = 0.05;
 
-/// The state of all receivers of a scenario. `index` and `endpoint` are indices of endpoints in the layout.
+/// The state of all receivers of a scenario. `endpoint_index` is an index of the layout.
 pub struct Receivers {
     groups: Vec<Destination>,
     rules: RuleSettings,
@@ -46,8 +46,8 @@
     /// Creates the receivers of a scenario with full capacity and without faults.
     pub fn new(scenario: &Scenario, layout: &Layout, seed: u64) -> Receivers {
         let mut group_of_limiter = vec![usize::MAX; layout.limiter_count];
-        for place in &layout.endpoints {
-            group_of_limiter[place.limiter_index] = place.group_index;
+        for endpoint in &layout.endpoints {
+            group_of_limiter[endpoint.limiter_index] = endpoint.group_index;
         }
         let groups = &scenario.destinations;
         let limiters = group_of_limiter.into_iter();
@@ -57,7 +57,9 @@
                 .map(|group| RateLimiter::new(&groups[group]))
                 .collect(),
             endpoints: endpoints
-                .map(|(index, place)| Endpoint::new(&groups[place.group_index], place, seed, index))
+                .map(|(index, endpoint)| {
+                    Endpoint::new(&groups[endpoint.group_index], endpoint, seed, index)
+                })
                 .collect(),
             groups: groups.clone(),
             rules: scenario.rules.clone(),
@@ -75,7 +77,7 @@
         fault_index: usize,
         kind: &FaultKind,
         ends_at: Micros,
-        endpoints: &[usize],
+        endpoint_indices: &[usize],
         begins: bool,
     ) {
         if begins {
@@ -86,8 +88,8 @@
             };
             self.active.insert(fault_index, fault);
         }
-        for index in endpoints {
-            let endpoint = &mut self.endpoints[*index];
+        for endpoint_index in endpoint_indices {
+            let endpoint = &mut self.endpoints[*endpoint_index];
             endpoint.faults.retain(|other| *other != fault_index);
             if begins {
                 endpoint.faults.push(fault_index);
@@ -102,15 +104,15 @@
     }
 
     /// Replaces an endpoint by a new incarnation at the same address, which has no calls and full capacity.
-    pub fn replace(&mut self, now: Micros, endpoint: usize) {
-        let endpoint = &mut self.endpoints[endpoint];
+    pub fn replace(&mut self, now: Micros, endpoint_index: usize) {
+        let endpoint = &mut self.endpoints[endpoint_index];
         let concurrency = self.groups[endpoint.group_index].concurrency;
         endpoint.replace(now, concurrency);
     }
 
     /// Whether the endpoint refuses connections at `now`.
-    pub fn refuses_connections(&self, now: Micros, endpoint: usize) -> bool {
-        let endpoint = &self.endpoints[endpoint];
+    pub fn refuses_connections(&self, now: Micros, endpoint_index: usize) -> bool {
+        let endpoint = &self.endpoints[endpoint_index];
         endpoint.state == EndpointState::Failed
             || self
                 .active
@@ -119,8 +121,8 @@
     }
 
     /// Returns the share of its capacity that an endpoint has at `now`: the smallest that its warm-up or a fault leaves.
-    fn capacity_share(&self, now: Micros, endpoint: usize) -> f64 {
-        let endpoint = &self.endpoints[endpoint];
+    fn capacity_share(&self, now: Micros, endpoint_index: usize) -> f64 {
+        let endpoint = &self.endpoints[endpoint_index];
         let warm_share = endpoint.warm_capacity_share(now, &self.rules);
         let shares_left = self
             .active
@@ -133,9 +135,9 @@
 
     /// Counts a call or health check at an endpoint that warms up. The endpoint fails if the count exceeds its overload
     /// limit.
-    fn count_arrival(&mut self, now: Micros, index: usize, forwarder: u32) {
-        let capacity_share = self.capacity_share(now, index);
-        let endpoint = &mut self.endpoints[index];
+    fn count_arrival(&mut self, now: Micros, endpoint_index: usize, forwarder: u32) {
+        let capacity_share = self.capacity_share(now, endpoint_index);
+        let endpoint = &mut self.endpoints[endpoint_index];
         if !endpoint.count_arrival(now, forwarder, &self.rules) {
             return;
         }
@@ -144,18 +146,23 @@
             && endpoint.recent_arrival_count() as f64 > limit
         {
             self.overload_failures
-                .push(endpoint.fail_from_overload(now, index, limit));
+                .push(endpoint.fail_from_overload(now, endpoint_index, limit));
         }
     }
 
     /// Returns the result of a health check that reaches an endpoint at `now`.
-    pub fn health_check(&mut self, now: Micros, index: usize, forwarder: u32) -> CallResult {
-        if self.refuses_connections(now, index) {
-            self.endpoints[index].add_failure_witness(forwarder);
+    pub fn health_check(
+        &mut self,
+        now: Micros,
+        endpoint_index: usize,
+        forwarder: u32,
+    ) -> CallResult {
+        if self.refuses_connections(now, endpoint_index) {
+            self.endpoints[endpoint_index].add_failure_witness(forwarder);
             return CallResult::without_effect(ReceiverReply::Refused, now);
         }
-        self.count_arrival(now, index, forwarder);
-        let endpoint = &mut self.endpoints[index];
+        self.count_arrival(now, endpoint_index, forwarder);
+        let endpoint = &mut self.endpoints[endpoint_index];
         let reply = self.active.health_check_reply(endpoint);
         if reply.reveals_failure() {
             endpoint.add_failure_witness(forwarder);
@@ -168,28 +175,28 @@
     pub fn call(
         &mut self,
         now: Micros,
-        index: usize,
+        endpoint_index: usize,
         forwarder: u32,
         idempotency_key: Option<u64>,
     ) -> CallResult {
-        let mut result = self.process_call(now, index, idempotency_key);
+        let mut result = self.process_call(now, endpoint_index, idempotency_key);
         // Every call draws, whatever its reply, so that replies don't change the later draws of a run.
-        let truncated = self.draw_truncation(index);
+        let truncated = self.draw_truncation(endpoint_index);
         if let (ReceiverReply::TooManyRequests { retry_after }, true) = (result.reply, truncated) {
             result.reply = ReceiverReply::TooManyRequestsTruncated { retry_after };
         }
         if result.reply != ReceiverReply::Refused {
-            self.count_arrival(now, index, forwarder);
+            self.count_arrival(now, endpoint_index, forwarder);
         }
         if result.reply.reveals_failure() {
-            self.endpoints[index].add_failure_witness(forwarder);
+            self.endpoints[endpoint_index].add_failure_witness(forwarder);
         }
         result
     }
 
     /// Draws whether a 429 response of this endpoint is truncated.
-    fn draw_truncation(&mut self, index: usize) -> bool {
-        let endpoint = &mut self.endpoints[index];
+    fn draw_truncation(&mut self, endpoint_index: usize) -> bool {
+        let endpoint = &mut self.endpoints[endpoint_index];
         let rate = self.active.truncation_rate(endpoint);
         rate.is_some_and(|rate| endpoint.draw(rate))
     }
@@ -197,14 +204,14 @@
     fn process_call(
         &mut self,
         now: Micros,
-        index: usize,
+        endpoint_index: usize,
         idempotency_key: Option<u64>,
     ) -> CallResult {
-        if self.refuses_connections(now, index) {
+        if self.refuses_connections(now, endpoint_index) {
             return CallResult::without_effect(ReceiverReply::Refused, now);
         }
-        let capacity_share = self.capacity_share(now, index);
-        let endpoint = &mut self.endpoints[index];
+        let capacity_share = self.capacity_share(now, endpoint_index);
+        let endpoint = &mut self.endpoints[endpoint_index];
         let faults: Vec<&ActiveFault> = self.active.affecting(endpoint).collect();
         if let Some(reply) = endpoint.reply_before_service(now, &faults) {
             return CallResult::without_effect(reply, now);
@@ -235,8 +242,8 @@
     }
 
     /// Returns the number of calls in the queue of an endpoint at `now`.
-    pub fn queue_length(&self, now: Micros, endpoint: usize) -> usize {
-        self.endpoints[endpoint].queue_length(now)
+    pub fn queue_length(&self, now: Micros, endpoint_index: usize) -> usize {
+        self.endpoints[endpoint_index].queue_length(now)
     }
 
     /// Returns the number of stored entries: idempotency keys, and recorded arrivals at endpoints that warm up.
--- a/crates/lab/src/receivers/endpoint.rs
+++ b/crates/lab/src/receivers/endpoint.rs
@@ -57,7 +57,7 @@
     /// Creates an endpoint without calls or faults. `endpoint_index` is its index in the layout.
     pub fn new(
         group: &Destination,
-        place: &LayoutEndpoint,
+        layout_endpoint: &LayoutEndpoint,
         seed: u64,
         endpoint_index: usize,
     ) -> Endpoint {
@@ -66,8 +66,8 @@
             false => f64::from(group.endpoints),
         };
         Endpoint {
-            limiter_index: place.limiter_index,
-            group_index: place.group_index,
+            limiter_index: layout_endpoint.limiter_index,
+            group_index: layout_endpoint.group_index,
             capacity: group.rate / endpoints_per_limiter,
             slots_free_at: (0..group.concurrency).map(|_| Reverse(0)).collect(),
             queued_starts: VecDeque::new(),
