--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -1,9 +1,10 @@
-//! The dispatcher: the one actor that owns the decision core, the journal and the messages in flight.
+//! The dispatcher: the actor that owns the decision core, the journal and the messages in flight.
 //!
-//! It turns the reports of the other actors into the core's events and carries out the core's actions in order.
-//! What must survive the process is journalled before it takes effect: a message before its client is answered, an
-//! attempt before its bytes are sent. It refuses submissions that it can't
-//! hold or route, and a delivery after the deadline does not complete a message; all other decisions are the core's.
+//! The dispatcher passes the events from the other actors to the core, and executes the core's actions in order. State
+//! that must survive the process is written to the journal before it takes effect: a message before its client
+//! is answered, an attempt before its bytes are sent. The dispatcher itself rejects submissions for which there is no
+//! capacity or whose destination is unknown, and does not count a delivery after the deadline as the completion of its
+//! message. All other decisions are made by the core.
 
 mod actions;
 mod attempts;
@@ -38,80 +39,84 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How long after the start the messages of a previous run wait for an endpoint list, where none is known.
-const LIST_WAIT: Duration = Duration::from_millis(1000);
+/// Time after the start for which the messages of a previous run wait for an endpoint list. They are submitted to the
+/// core afterwards even if no list is known.
+const RECOVERY_LIST_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// The actor around the decision core.
+/// The actor that owns the decision core. It runs as one task, and the other actors reach it through its mailboxes.
 pub struct Dispatcher {
     clock: Clock,
     config: Config,
     seed: u64,
     forwarder: Forwarder,
     core_state: CoreState,
-    /// How often the core was replaced in this process. Panics while it is being replaced don't count.
-    core_panics: u64,
+    /// Number of times that the core was replaced since the start of the process. A panic during a replacement is not
+    /// counted.
+    core_replacements: u64,
     journal: Journal,
-    list: mpsc::Sender<EndpointListCommand>,
+    list_watch: mpsc::Sender<EndpointListCommand>,
     completion_reports: mpsc::UnboundedSender<PendingCompletionReport>,
     gossip: mpsc::Sender<GossipDatagram>,
     log: Logger,
-    /// Whether clients may submit. See [`DispatcherHandles::ready`].
+    /// Whether clients may submit messages. See [`ActorHandles::ready`].
     ready: Arc<AtomicBool>,
     in_flight: InFlightMessages,
-    /// The destinations that any endpoint list has named. Its size is bounded by the number of destinations.
+    /// The destinations of all endpoint lists since the start. None is removed: the size is bounded by the number of
+    /// destinations.
     known_destinations: BTreeSet<DestinationId>,
-    /// The endpoints of the latest list, and removed ones that still have an attempt out.
-    listed: BTreeMap<EndpointId, ListedEndpoint>,
+    /// The endpoints of the latest list, and removed endpoints that still have an outstanding attempt.
+    listed_endpoints: BTreeMap<EndpointId, ListedEndpoint>,
     endpoint_actors: EndpointActors,
     timers: Timers,
-    /// Events that arose while actions were carried out. Empty between two commands.
+    /// Events caused by the execution of actions, in the order in which the core gets them. Empty between two commands.
     queued_events: VecDeque<Event>,
-    /// The messages of a previous run, until an endpoint list is known or [`LIST_WAIT`] is over.
+    /// The messages of a previous run, until an endpoint list is known or [`RECOVERY_LIST_TIMEOUT`] has passed.
     recovered_messages: Option<Vec<StoredMessage>>,
-    /// The completion reports that the platform has not acknowledged, by serial number. The value is the id of the
-    /// message where its key is ordered: the core then waits for the acknowledgement.
+    /// The completion reports that the platform has not acknowledged, by the serial number of the message. The value is
+    /// the id of the message if it has an order key: the core then waits for the acknowledgement.
     pending_reports: BTreeMap<u64, Option<MessageId>>,
 }
 
-/// Whether a panic of the core may replace it.
+/// What happens when the core panics.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CoreState {
-    /// A panic replaces the core by a new one.
+    /// The core is replaced by a new one.
     Running,
-    /// A new core is being given the messages of the journal. A message that makes it panic fails instead.
+    /// A new core is getting the messages of the journal. A message on which it panics fails, and the core stays.
     Replacing,
 }
 
-/// What the core decided on one event.
+/// The core's actions on one event.
 struct Decision {
-    /// When the event was handled, in µs.
+    /// Time at which the core handled the event, in µs.
     now: Micros,
     actions: Vec<Action>,
 }
 
-/// The other actors that the dispatcher sends to.
-pub struct DispatcherHandles {
-    /// What all endpoint actors share.
+/// The mailboxes and shared state through which the dispatcher reaches the other actors.
+pub struct ActorHandles {
+    /// The configuration and resources that all endpoint actors share.
     pub context: Arc<EndpointContext>,
     /// The mailbox of the endpoint-list watch.
-    pub list: mpsc::Sender<EndpointListCommand>,
-    /// The mailbox of the completion reports.
+    pub list_watch: mpsc::Sender<EndpointListCommand>,
+    /// The mailbox of the actor that sends completion reports.
     pub completion_reports: mpsc::UnboundedSender<PendingCompletionReport>,
     /// The mailbox of the gossip socket.
     pub gossip: mpsc::Sender<GossipDatagram>,
-    /// Whether clients may submit. Set once the messages of a previous run are submitted again (an endpoint list is known,
-    /// or 1 s after the start, or at once where a panic replaces the core). Never cleared, also not at shutdown.
+    /// Whether clients may submit messages. Set once the messages of a previous run have been submitted to the core: as
+    /// soon as an endpoint list is known, 1 s after the start at the latest, or when the core is replaced after a panic.
+    /// Never cleared, not even at shutdown.
     pub ready: Arc<AtomicBool>,
 }
 
 impl Dispatcher {
-    /// A dispatcher without messages. `seed` is that of the core's random numbers.
+    /// Creates a dispatcher without messages. `seed` initialises the core's random number generator.
     pub fn new(
         config: Config,
         seed: u64,
         clock: Clock,
         journal: Journal,
-        handles: DispatcherHandles,
+        handles: ActorHandles,
         log: Logger,
     ) -> Dispatcher {
         Dispatcher {
@@ -121,16 +126,16 @@
             config,
             seed,
             core_state: CoreState::Running,
-            core_panics: 0,
+            core_replacements: 0,
             journal,
-            list: handles.list,
+            list_watch: handles.list_watch,
             completion_reports: handles.completion_reports,
             gossip: handles.gossip,
             log,
             ready: handles.ready,
             in_flight: InFlightMessages::default(),
             known_destinations: BTreeSet::new(),
-            listed: BTreeMap::new(),
+            listed_endpoints: BTreeMap::new(),
             timers: Timers::default(),
             queued_events: VecDeque::new(),
             recovered_messages: None,
@@ -138,8 +143,8 @@
         }
     }
 
-    /// Runs until the shutdown has begun and neither attempts nor completion reports are in flight, or until `exit` is
-    /// ready.
+    /// Runs until `exit` is ready, or until the shutdown has begun and neither an attempt nor a completion report is in
+    /// flight.
     pub async fn run(
         mut self,
         mut commands: mpsc::Receiver<DispatcherCommand>,
@@ -148,14 +153,14 @@
     ) {
         tokio::pin!(exit);
         let mut shutting_down = false;
-        let list_wait_over = Instant::now() + LIST_WAIT;
+        let recovery_list_deadline = Instant::now() + RECOVERY_LIST_TIMEOUT;
         loop {
             if shutting_down && self.has_nothing_in_flight() {
                 return;
             }
-            let next_timer = self.timers.next().map(|at| self.clock.at(at));
-            let next_idle_check = self.endpoint_actors.next_idle_check();
-            let next_idle_check = next_idle_check.map(|at| self.clock.at(at));
+            let next_timer_at = self.timers.next_at().map(|at| self.clock.at(at));
+            let next_idle_check_at = self.endpoint_actors.next_idle_check_at();
+            let next_idle_check_at = next_idle_check_at.map(|at| self.clock.at(at));
             tokio::select! {
                 biased;
                 () = &mut exit => return,
@@ -163,24 +168,24 @@
                     shutting_down |= matches!(command, DispatcherCommand::Event(Event::ShuttingDown));
                     self.handle_command(command);
                 }
-                () = sleep_until(next_timer) => self.fire_timers(),
-                () = sleep_until(next_idle_check) => {
+                () = sleep_until(next_timer_at) => self.fire_timers(),
+                () = sleep_until(next_idle_check_at) => {
                     self.endpoint_actors.stop_idle(self.clock.now());
                 }
-                () = tokio::time::sleep_until(list_wait_over), if self.recovered_messages.is_some() => {
+                () = tokio::time::sleep_until(recovery_list_deadline), if self.recovered_messages.is_some() => {
                     self.submit_recovered_messages();
                 }
-                Some(submission) = submissions.recv() => self.submit(submission),
+                Some(submission) = submissions.recv() => self.handle_submission(submission),
             }
         }
     }
 
     /// Whether neither an attempt nor a completion report is in flight.
     fn has_nothing_in_flight(&self) -> bool {
-        !self.in_flight.has_attempts_out() && self.pending_reports.is_empty()
+        !self.in_flight.has_outstanding_attempts() && self.pending_reports.is_empty()
     }
 
-    /// Handles one message of another actor.
+    /// Handles one command from another actor.
     pub fn handle_command(&mut self, command: DispatcherCommand) {
         match command {
             DispatcherCommand::Event(Event::EndpointListUpdated(update)) => {
@@ -188,72 +193,74 @@
             }
             DispatcherCommand::Event(mut event) => {
                 self.record_attempt_end(&mut event);
-                self.handle(event);
+                self.handle_event(event);
             }
             DispatcherCommand::CompletionReportsAcknowledged(serials) => {
                 for serial in serials {
-                    self.report_acknowledged(serial);
+                    self.handle_report_acknowledgement(serial);
                 }
             }
         }
     }
 
-    /// Handles the timers that are due, the earliest first.
+    /// Passes the timers that are due to the core, the earliest first.
     fn fire_timers(&mut self) {
         let now = self.clock.now();
         while let Some(token) = self.timers.pop_due(now) {
-            self.handle(Event::TimerFired { token });
+            self.handle_event(Event::TimerFired { token });
         }
     }
 
-    /// Gives the core an event, and then those that carrying out its actions has queued.
-    fn handle(&mut self, event: Event) {
-        self.decide(event);
+    /// Passes an event to the core and executes its actions, then does the same for each event that the actions queued.
+    fn handle_event(&mut self, event: Event) {
+        self.process_event(event);
         self.handle_queued_events();
     }
 
     fn handle_queued_events(&mut self) {
         while let Some(event) = self.queued_events.pop_front() {
-            self.decide(event);
+            self.process_event(event);
         }
     }
 
-    /// Gives the core one event and carries out its actions.
-    fn decide(&mut self, event: Event) {
-        let Decision { now, actions } = self.ask_core(event);
+    /// Passes one event to the core and executes its actions. Events that the actions queue stay in the queue.
+    fn process_event(&mut self, event: Event) {
+        let Decision { now, actions } = self.call_core(event);
         for action in actions {
-            self.carry_out(now, action);
+            self.execute_action(now, action);
         }
     }
 
-    /// Gives the core one event. There are no actions where the core panicked.
-    fn ask_core(&mut self, event: Event) -> Decision {
+    /// Passes one event to the core and returns its actions. A panic of the core is handled here; no action is returned
+    /// then.
+    fn call_core(&mut self, event: Event) -> Decision {
         let now = self.clock.now();
-        let submitted = match &event {
+        let submitted_id = match &event {
             Event::MessageSubmitted(submission) => Some(submission.id),
             _ => None,
         };
         let mut actions = Vec::new();
         let forwarder = &mut self.forwarder;
-        let handled = catch_unwind(AssertUnwindSafe(|| {
+        let result = catch_unwind(AssertUnwindSafe(|| {
             forwarder.handle(now, event, &mut actions);
         }));
-        if handled.is_err() {
+        if result.is_err() {
             actions = Vec::new();
-            self.core_panicked(submitted);
+            self.handle_core_panic(submitted_id);
         }
         Decision { now, actions }
     }
 
-    /// The dispatcher goes on after a failed write. Stopping would lose the messages that are already accepted.
+    /// Logs a failed write to the journal. The dispatcher continues, because stopping would lose the messages that are
+    /// already accepted.
     fn log_journal_error(&self, result: Result<(), JournalError>) {
-        if let Err(problem) = result {
-            error!(self.log, "journal write failed"; "problem" => %problem);
+        if let Err(error) = result {
+            error!(self.log, "journal write failed"; "problem" => %error);
         }
     }
 }
 
-/// Sleeps until a deadline; for ever where there is none.
+/// Sleeps until the deadline. Never returns if there is none.
 async fn sleep_until(deadline: Option<Instant>) {
     match deadline {
         Some(deadline) => tokio::time::sleep_until(deadline).await,
--- a/crates/forwarder/src/dispatcher/completion.rs
+++ b/crates/forwarder/src/dispatcher/completion.rs
@@ -1,4 +1,4 @@
-//! The final answers to messages, and the completion reports that tell the platform of them.
+//! Ends messages, and keeps track of the completion reports that pass final answers to the platform.
 
 use super::Dispatcher;
 use crate::commands::PendingCompletionReport;
@@ -7,13 +7,14 @@
 use slog::error;
 
 impl Dispatcher {
-    /// Ends a message without delivery. The platform gets a completion report.
-    pub(super) fn finish_with_report(&mut self, id: MessageId, ending: Ending) {
+    /// Ends a message that was not delivered, and sends its completion report to the platform. Does nothing if the
+    /// ending is already decided.
+    pub(super) fn end_with_report(&mut self, id: MessageId, ending: Ending) {
         let Some(message) = self.in_flight.get_undecided(id) else {
             return;
         };
         message.ending_decided = true;
-        let ordered = message.submitted.order_key.is_some();
+        let is_ordered = message.submitted.order_key.is_some();
         let report = PendingCompletionReport {
             serial: message.serial,
             request_id: message.submitted.request_id.clone(),
@@ -21,12 +22,13 @@
         };
         let written = self.journal.record_pending_report(report.serial, ending);
         self.log_journal_error(written);
-        self.send_report(report, ordered.then_some(id));
-        self.in_flight.remove_if_over(id);
+        self.send_report(report, is_ordered.then_some(id));
+        self.in_flight.remove_if_finished(id);
     }
 
-    /// Ends a message whose client needs no completion report: it gets the answer itself, or has left.
-    pub(super) fn finish_without_report(&mut self, id: MessageId) {
+    /// Ends a message without a completion report, because its client gets the answer itself or has disconnected. Does
+    /// nothing if the ending is already decided.
+    pub(super) fn end_without_report(&mut self, id: MessageId) {
         let Some(message) = self.in_flight.get_undecided(id) else {
             return;
         };
@@ -34,38 +36,39 @@
         let serial = message.serial;
         let written = self.journal.record_message_end(serial);
         self.log_journal_error(written);
-        self.in_flight.remove_if_over(id);
+        self.in_flight.remove_if_finished(id);
     }
 
-    /// Sends a completion report until the platform acknowledges it. `ordered` is the message's id where the core
-    /// waits for the acknowledgement.
+    /// Hands a completion report to the actor that sends it until the platform acknowledges it. `ordered_message` is the
+    /// id of the message if the core waits for the acknowledgement. Does nothing if the report is already pending.
     pub(super) fn send_report(
         &mut self,
         report: PendingCompletionReport,
-        ordered: Option<MessageId>,
+        ordered_message: Option<MessageId>,
     ) {
-        let already_sent = self
+        let already_pending = self
             .pending_reports
-            .insert(report.serial, ordered)
+            .insert(report.serial, ordered_message)
             .is_some();
-        if already_sent {
+        if already_pending {
             return;
         }
         if self.completion_reports.send(report).is_err() {
             error!(
                 self.log,
-                "completion report delayed until the next start: the reporting actor has ended"
+                "completion report deferred to the next start: the actor that sends reports has ended"
             );
         }
     }
 
-    /// The platform has a completion report: nothing of its message needs to survive any more.
-    pub(super) fn report_acknowledged(&mut self, serial: u64) {
-        let ordered = self.pending_reports.remove(&serial).flatten();
+    /// Handles the platform's acknowledgement of a completion report. The journal no longer needs to keep the message,
+    /// and the core is notified if it waits for the acknowledgement.
+    pub(super) fn handle_report_acknowledgement(&mut self, serial: u64) {
+        let ordered_message = self.pending_reports.remove(&serial).flatten();
         let written = self.journal.record_message_end(serial);
         self.log_journal_error(written);
-        if let Some(id) = ordered {
-            self.handle(Event::FinalAnswerAcknowledged { id });
+        if let Some(id) = ordered_message {
+            self.handle_event(Event::FinalAnswerAcknowledged { id });
         }
     }
 }
--- a/crates/forwarder/src/dispatcher/endpoint_list.rs
+++ b/crates/forwarder/src/dispatcher/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoints of the latest list, as far as the dispatcher needs them.
+//! The dispatcher's table of the endpoints in the latest list.
 
 use super::Dispatcher;
 use opalpulley::{
@@ -7,9 +7,10 @@
 };
 use std::collections::btree_map::Entry;
 
-/// What the latest list says of an endpoint, without its id: the table has one for each listed endpoint.
+/// The entry of an endpoint in the latest list without the endpoint's id, which is the key in the dispatcher's table. The
+/// table holds one for each listed endpoint, so its size matters.
 pub struct ListedEndpoint {
-    /// Where it runs.
+    /// Zone in which the endpoint runs.
     pub zone: ZoneId,
     kind: EndpointKindId,
     status: EndpointStatus,
@@ -19,7 +20,7 @@
 }
 
 impl ListedEndpoint {
-    /// The entry of the list that this was made from.
+    /// Returns the entry of the list from which this value was created.
     pub fn to_entry(&self, endpoint: EndpointId) -> EndpointEntry {
         EndpointEntry {
             endpoint,
@@ -47,61 +48,64 @@
 }
 
 impl Dispatcher {
-    /// Applies a report of discovery to the table of endpoints, then gives it to the core. The messages of a previous
-    /// run wait no longer.
+    /// Applies an update from discovery to the table of endpoints and passes it to the core. Then submits the messages of
+    /// a previous run if they still wait for a list; a failed update ends the wait too.
     pub(super) fn update_endpoint_list(&mut self, update: EndpointListUpdate) {
         match &update {
             EndpointListUpdate::Complete(entries) | EndpointListUpdate::Cached(entries) => {
-                self.replace_endpoint_list(entries);
+                self.replace_list(entries);
             }
-            EndpointListUpdate::Changes(entries) => self.change_endpoint_list(entries),
+            EndpointListUpdate::Changes(entries) => self.apply_list_changes(entries),
             EndpointListUpdate::Failed => {}
         }
-        self.handle(Event::EndpointListUpdated(update));
+        self.handle_event(Event::EndpointListUpdated(update));
         self.submit_recovered_messages();
     }
 
-    /// Both tables are built from the complete sorted list, which fills their nodes. Inserting one entry at a time
-    /// would take twice the memory.
-    fn replace_endpoint_list(&mut self, entries: &[EndpointEntry]) {
+    /// Replaces the table by a complete list. Endpoints that are no longer listed stay as removed endpoints while they
+    /// have outstanding attempts.
+    ///
+    /// Both maps are built from the complete sorted list, which fills their nodes. Inserting one entry at a time would
+    /// take twice the memory.
+    fn replace_list(&mut self, entries: &[EndpointEntry]) {
         let mut destinations = entries.iter().map(|entry| entry.destination).collect();
         self.known_destinations.append(&mut destinations);
-        let now_listed = entries
+        let current = entries
             .iter()
             .map(|entry| (entry.endpoint, ListedEndpoint::from(entry)))
             .collect();
-        let listed_before = std::mem::replace(&mut self.listed, now_listed);
-        for (endpoint, listed) in listed_before {
-            if let Entry::Vacant(missing) = self.listed.entry(endpoint) {
-                missing.insert(ListedEndpoint {
+        let previous = std::mem::replace(&mut self.listed_endpoints, current);
+        for (endpoint, listed) in previous {
+            if let Entry::Vacant(vacant) = self.listed_endpoints.entry(endpoint) {
+                vacant.insert(ListedEndpoint {
                     status: EndpointStatus::Removed,
                     ..listed
                 });
-                self.forget_if_removed(endpoint);
+                self.purge_if_removed(endpoint);
             }
         }
         for entry in entries {
-            self.forget_if_removed(entry.endpoint);
+            self.purge_if_removed(entry.endpoint);
         }
     }
 
-    /// The work is proportional to the changes, not to the list.
-    fn change_endpoint_list(&mut self, entries: &[EndpointEntry]) {
+    /// Applies changed entries to the table. The work is proportional to the changes, not to the list.
+    fn apply_list_changes(&mut self, entries: &[EndpointEntry]) {
         for entry in entries {
             self.known_destinations.insert(entry.destination);
-            self.listed.insert(entry.endpoint, entry.into());
-            self.forget_if_removed(entry.endpoint);
+            self.listed_endpoints.insert(entry.endpoint, entry.into());
+            self.purge_if_removed(entry.endpoint);
         }
     }
 
-    /// Forgets an endpoint that has left the list, once no attempt is out to it.
-    pub(super) fn forget_if_removed(&mut self, endpoint: EndpointId) {
+    /// Drops an endpoint and its actor if the endpoint was removed from the list and has no outstanding attempt.
+    pub(super) fn purge_if_removed(&mut self, endpoint: EndpointId) {
         let removed = self
-            .listed
+            .listed_endpoints
             .get(&endpoint)
             .is_some_and(|listed| listed.status == EndpointStatus::Removed);
-        if removed && self.endpoint_actors.attempts_out(endpoint) == 0 {
-            self.listed.remove(&endpoint);
+        if removed && self.endpoint_actors.outstanding_attempt_count(endpoint) == 0 {
+            self.listed_endpoints.remove(&endpoint);
             self.endpoint_actors.stop(endpoint);
         }
     }
--- a/crates/forwarder/src/endpoint_list/watch/tests.rs
+++ b/crates/forwarder/src/endpoint_list/watch/tests.rs
@@ -35,7 +35,7 @@
     let mut table = EndpointTable::default();
     table.apply(known_list(), &names());
     let log = Logger::root(slog::Discard, slog::o!());
-    let platform = Platform::new(address);
+    let platform = PlatformClient::new(address);
     let list_watch = EndpointListWatch {
         platform,
         discovery,
@@ -138,7 +138,7 @@
     let (dispatcher, _events) = mpsc::channel(8);
     let (_address_sender, discovery) = watch::channel(address);
     let list_watch = EndpointListWatch {
-        platform: Platform::new(address),
+        platform: PlatformClient::new(address),
         discovery,
         names: names(),
         table: EndpointTable::default(),
@@ -253,7 +253,7 @@
     let (dispatcher, mut events) = mpsc::channel(4);
     let (_address_sender, discovery) = watch::channel(address);
     let list_watch = EndpointListWatch {
-        platform: Platform::new(address),
+        platform: PlatformClient::new(address),
         discovery,
         names: names(),
         table: EndpointTable::default(),
