--- a/crates/forwarder/src/clients/golden_tests.rs
+++ b/crates/forwarder/src/clients/golden_tests.rs
@@ -26,7 +26,7 @@
         tenants: owned(&["plain", "campus"]),
         zones: owned(&["a", "b"]),
         endpoint_kinds: owned(&["m1", "m2"]),
-        reports: owned(&["x0", "x1"]),
+        load_metrics: owned(&["x0", "x1"]),
     };
     let record = DeliveryClassConfig {
         semantics: DeliverySemantics::Idempotent,
--- a/crates/forwarder/src/dispatcher/attempts.rs
+++ b/crates/forwarder/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: journalled before they are sent, and journalled again once their outcome is known.
+//! Starts, cancels and records attempts. An attempt is journalled before it is sent, and again once its outcome is known.
 
 use super::in_flight::{InFlightMessage, OutstandingAttempt};
 use super::Dispatcher;
@@ -9,8 +9,11 @@
 use tokio::time::Instant;
 
 impl Dispatcher {
-    /// Journals the next attempt at a message and sends it to the endpoint's actor. Where either fails, the core gets
-    /// the outcome [`Outcome::NotAttempted`]. Times are in µs.
+    /// Journals the next attempt at a message and sends it to the endpoint's actor. If either fails, the core gets the
+    /// outcome [`Outcome::NotAttempted`].
+    ///
+    /// Times are in µs. `timeout` is cut to the message's time left; `None` stands for the time left itself. The attempt
+    /// must begin by `send_by`.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -19,47 +22,56 @@
         timeout: Option<Micros>,
         send_by: Micros,
     ) {
-        let zone = self.listed.get(&endpoint).map_or(0, |listed| listed.zone.0);
+        let zone = self
+            .listed_endpoints
+            .get(&endpoint)
+            .map_or(0, |listed| listed.zone.0);
         let send_by = self.clock.at(send_by);
         let Some(message) = self.in_flight.get_undecided(id) else {
-            error!(self.log, "the core sent a message that is over"; "message" => id.0);
+            error!(self.log, "attempt from the core ignored: its message is unknown or has ended";
+                "message" => id.0);
             return;
         };
         let time_left = message.deadline.saturating_sub(now);
         let timeout = timeout.map_or(time_left, |timeout| timeout.min(time_left));
-        let attempt = message.count_attempt();
-        let request = attempt_request(id, attempt, message, timeout, send_by);
+        let attempt_index = message.take_attempt_index();
+        let request = attempt_request(id, attempt_index, message, timeout, send_by);
         let serial = message.serial;
-        let out = OutstandingAttempt { attempt, endpoint };
-        let journalled = self
+        let outstanding = OutstandingAttempt {
+            attempt_index,
+            endpoint,
+        };
+        let start_written = self
             .journal
-            .record_attempt_start(serial, attempt, now, zone);
-        if journalled.is_err() {
-            self.log_journal_error(journalled);
-            self.queue_not_attempted(id, out);
+            .record_attempt_start(serial, attempt_index, now, zone);
+        if start_written.is_err() {
+            self.log_journal_error(start_written);
+            self.queue_not_attempted(id, outstanding);
             return;
         }
-        if self.post(endpoint, EndpointCommand::StartAttempt(Box::new(request))) {
-            self.attempt_is_out(id, out);
+        if self.send_endpoint_command(endpoint, EndpointCommand::StartAttempt(Box::new(request))) {
+            self.record_attempt_start(id, outstanding);
             return;
         }
-        let ended = self.journal.record_attempt_end(serial, attempt, false);
-        self.log_journal_error(ended);
-        self.queue_not_attempted(id, out);
+        let end_written = self
+            .journal
+            .record_attempt_end(serial, attempt_index, false);
+        self.log_journal_error(end_written);
+        self.queue_not_attempted(id, outstanding);
     }
 
-    fn attempt_is_out(&mut self, id: MessageId, attempt: OutstandingAttempt) {
+    fn record_attempt_start(&mut self, id: MessageId, attempt: OutstandingAttempt) {
         self.endpoint_actors.attempt_started(attempt.endpoint);
         if let Some(message) = self.in_flight.get_mut(id) {
-            message.attempts_out.push(attempt);
+            message.outstanding_attempts.push(attempt);
         }
     }
 
-    /// Queues the end of an attempt of which nothing was sent.
+    /// Queues the event that ends an attempt of which no byte was sent.
     fn queue_not_attempted(&mut self, id: MessageId, attempt: OutstandingAttempt) {
         self.queued_events.push_back(Event::AttemptEnded {
             id,
-            attempt_index: attempt.attempt,
+            attempt_index: attempt.attempt_index,
             endpoint: attempt.endpoint,
             outcome: Outcome::NotAttempted { no_permit: false },
             elapsed: 0,
@@ -68,18 +80,18 @@
         });
     }
 
-    /// Asks the endpoint's actor to end an attempt, if it is out.
+    /// Tells the endpoint's actor to cancel an attempt. Does nothing if the attempt is not outstanding.
     pub(super) fn cancel_attempt(&mut self, id: MessageId, attempt_index: u8) {
-        if let Some(endpoint) = self.in_flight.endpoint_of(id, attempt_index) {
-            self.post(
+        if let Some(endpoint) = self.in_flight.endpoint_of_attempt(id, attempt_index) {
+            self.send_endpoint_command(
                 endpoint,
                 EndpointCommand::CancelAttempt { id, attempt_index },
             );
         }
     }
 
-    /// Where the event is the end of an attempt, records it before the core gets it. A delivery that comes after the
-    /// message's deadline does not complete it: the message still needs its final answer.
+    /// Records the end of an attempt before the core gets the event; does nothing for other events. A delivery after the
+    /// message's deadline does not complete the message: the message still needs its final answer.
     pub(super) fn record_attempt_end(&mut self, event: &mut Event) {
         let Event::AttemptEnded {
             id,
@@ -92,16 +104,16 @@
         else {
             return;
         };
-        let late = self
+        let is_late = self
             .in_flight
             .get(*id)
             .is_some_and(|message| self.clock.now() >= message.deadline);
-        if late && *outcome == Outcome::Delivered {
+        if is_late && *outcome == Outcome::Delivered {
             *message_completed = false;
         }
         let now = self.clock.now();
         self.endpoint_actors.attempt_ended(now, *endpoint);
-        self.forget_if_removed(*endpoint);
+        self.purge_if_removed(*endpoint);
         self.journal_attempt_end(*id, *attempt_index, *outcome, *message_completed);
     }
 
@@ -116,10 +128,10 @@
             return;
         };
         message
-            .attempts_out
-            .retain(|out| out.attempt != attempt_index);
+            .outstanding_attempts
+            .retain(|attempt| attempt.attempt_index != attempt_index);
         let serial = message.serial;
-        let written = if message.ending_decided {
+        let end_written = if message.ending_decided {
             Ok(())
         } else if message_completed {
             message.ending_decided = true;
@@ -133,8 +145,8 @@
             self.journal
                 .record_attempt_end(serial, attempt_index, may_have_taken_effect)
         };
-        self.log_journal_error(written);
-        self.in_flight.remove_if_over(id);
+        self.log_journal_error(end_written);
+        self.in_flight.remove_if_finished(id);
     }
 }
 
--- a/crates/forwarder/src/protocol/attempt.rs
+++ b/crates/forwarder/src/protocol/attempt.rs
@@ -166,7 +166,7 @@
     };
     let metrics: BTreeMap<String, f32> =
         serde_json::from_slice(report.as_bytes()).unwrap_or_default();
-    let in_order = names.reports.iter().map(|name| {
+    let in_order = names.load_metrics.iter().map(|name| {
         let metric = metrics.get(name).copied();
         metric.filter(|value| value.is_finite())
     });
