--- a/crates/forwarder/src/clients/submission_service.rs
+++ b/crates/forwarder/src/clients/submission_service.rs
@@ -1,4 +1,5 @@
-//! The service for clients' requests: a submission goes to the dispatcher, whose answer goes back.
+//! The service for the requests of clients. It passes each submission to the dispatcher and returns the dispatcher's
+//! answer.
 
 use crate::commands::{SubmissionAnswer, SubmissionRequest};
 use crate::protocol::{
@@ -19,39 +20,40 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// From the end of a head to the end of its body. Clients wait 400 ms for body and answer together. The timeout is
-/// longer, so that a slow client is answered rather than cut off.
+/// Upper bound on the time from the end of a head to the end of its body. Clients wait 400 ms for the body and the
+/// answer together. The timeout is longer, so that a slow client is answered rather than cut off.
 const BODY_TIMEOUT: Duration = Duration::from_millis(700);
-/// The same for a submission that is rejected in any case.
-const REJECTED_BODY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Counterpart of [`BODY_TIMEOUT`] for a submission that is rejected whatever its body contains.
+const DISCARDED_BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a connection is for.
+/// How the submissions on a connection are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ConnectionUse {
-    /// Submissions.
+pub enum ConnectionMode {
+    /// Submissions are passed to the dispatcher.
     Serve,
-    /// To answer that all connections are taken.
+    /// Submissions are rejected, because all other connections are taken.
     RejectSubmissions,
 }
 
-/// Answers the requests of all connections.
+/// Answers the requests of all client connections, which share it.
 pub struct SubmissionService {
+    /// Names of the delivery classes and tenants in the settings.
     names: Names,
-    /// What a submission needs, for each delivery class in order.
+    /// Requirements on the submissions of each delivery class, in the order of the classes.
     requirements: Vec<SubmissionRequirements>,
-    /// Whether the forwarder takes submissions. Set once the messages of a previous run are submitted again (an endpoint
-    /// list is known, or 1 s after the start). Never cleared, also not at shutdown.
+    /// Whether the forwarder takes submissions. Set once the messages of a previous run have been submitted again, that
+    /// is when an endpoint list is known, or 1 s after the start. Never cleared, not even at shutdown.
     pub ready: Arc<AtomicBool>,
-    /// Whether each answer is the last on its connection.
-    closing: AtomicBool,
-    /// Where submissions go. One that finds it full is rejected.
+    /// Whether each answer is the last one on its connection. Set at shutdown and never cleared.
+    close_after_answer: AtomicBool,
+    /// The dispatcher's mailbox for submissions. A submission that finds it full is rejected.
     pub dispatcher: mpsc::Sender<SubmissionRequest>,
     /// The log of the process.
     pub log: Logger,
 }
 
 impl SubmissionService {
-    /// A service that is not ready yet.
+    /// Returns a service that rejects submissions until `ready` is set.
     pub fn new(
         names: Names,
         config: &Config,
@@ -66,37 +68,37 @@
             names,
             requirements,
             ready: Arc::default(),
-            closing: AtomicBool::new(false),
+            close_after_answer: AtomicBool::new(false),
             dispatcher,
             log,
         }
     }
 
-    /// From now on each answer is the last on its connection.
+    /// Makes each answer the last one on its connection from now on.
     pub fn close_connections_after_answers(&self) {
-        self.closing.store(true, Ordering::Relaxed);
+        self.close_after_answer.store(true, Ordering::Relaxed);
     }
 
-    /// Answers one request.
+    /// Answers one request on a connection in the given mode.
     pub async fn answer(
         &self,
         request: Request<Incoming>,
-        connection_use: ConnectionUse,
+        mode: ConnectionMode,
     ) -> Response<Full<Bytes>> {
-        let result = match (request.uri().path(), connection_use) {
+        let result = match (request.uri().path(), mode) {
             (READINESS_PATH, _) => self.answer_readiness(request.method()),
-            (_, ConnectionUse::RejectSubmissions) => {
+            (_, ConnectionMode::RejectSubmissions) => {
                 discard_body(request.into_body()).await;
                 Err(SubmissionError::AllConnectionsTaken)
             }
-            (_, ConnectionUse::Serve) => self.accept_submission(request).await,
+            (_, ConnectionMode::Serve) => self.accept_submission(request).await,
         };
-        let error_closes = result.as_ref().is_err_and(|e| e.closes_connection());
-        let closes = error_closes
-            || connection_use == ConnectionUse::RejectSubmissions
-            || self.closing.load(Ordering::Relaxed);
-        let mut response = result.unwrap_or_else(|problem| error_response(&problem));
-        if closes {
+        let error_closes_connection = result.as_ref().is_err_and(|e| e.closes_connection());
+        let closes_connection = error_closes_connection
+            || mode == ConnectionMode::RejectSubmissions
+            || self.close_after_answer.load(Ordering::Relaxed);
+        let mut response = result.unwrap_or_else(|error| error_response(&error));
+        if closes_connection {
             let headers = response.headers_mut();
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -119,6 +121,8 @@
         }
     }
 
+    /// Decodes a submission and answers it as the dispatcher decides. Fails if the submission is invalid or the
+    /// forwarder cannot take it.
     async fn accept_submission(
         &self,
         request: Request<Incoming>,
@@ -129,64 +133,68 @@
         self.check_ready()?;
         match self.submit(submitted).await? {
             SubmissionAnswer::Accepted => Ok(empty_response(StatusCode::ACCEPTED)),
-            SubmissionAnswer::Rejected { retry_after } => Ok(rejection(retry_after)),
-            SubmissionAnswer::ResourceExhausted => Ok(rejection(None)),
+            SubmissionAnswer::Rejected { retry_after } => Ok(rejection_response(retry_after)),
+            SubmissionAnswer::ResourceExhausted => Ok(rejection_response(None)),
             SubmissionAnswer::Failed => Ok(empty_response(StatusCode::GATEWAY_TIMEOUT)),
             SubmissionAnswer::ConflictingContent => Err(SubmissionError::ConflictingContent),
             SubmissionAnswer::UnknownDestination => Err(SubmissionError::UnknownDestination),
         }
     }
 
-    /// Hands a message to the dispatcher and waits for its answer. A dispatcher that ends drops what it has not read: such a
-    /// message was not accepted.
+    /// Passes a message to the dispatcher and waits for its answer. Fails if the mailbox is full or the dispatcher ends
+    /// first. A dispatcher that ends drops the messages that it has not read, none of which was accepted.
     async fn submit(
         &self,
         submitted: SubmittedMessage,
     ) -> Result<SubmissionAnswer, SubmissionError> {
-        let (answer_sender, answered) = oneshot::channel();
+        let (answer_sender, answer_receiver) = oneshot::channel();
         let request = SubmissionRequest {
             submitted,
             received_at: Instant::now(),
             answer_sender,
         };
-        // An ended dispatcher gives the same result as a full mailbox.
+        // A dispatcher that has ended is treated like a full mailbox.
         if self.dispatcher.try_send(request).is_err() {
             return Err(SubmissionError::TooManySubmissions);
         }
-        answered.await.map_err(|_| SubmissionError::ShuttingDown)
+        answer_receiver
+            .await
+            .map_err(|_| SubmissionError::ShuttingDown)
     }
 }
 
 fn class_requirements(name: &str, class: &DeliveryClassConfig) -> SubmissionRequirements {
-    let keyed = matches!(class.semantics, DeliverySemantics::IdempotencyKeyed { .. });
+    let is_idempotency_keyed =
+        matches!(class.semantics, DeliverySemantics::IdempotencyKeyed { .. });
     SubmissionRequirements {
         class_name: name.to_owned(),
-        needs_idempotency_key: keyed,
+        needs_idempotency_key: is_idempotency_keyed,
         max_time_left: class.time_to_live,
     }
 }
 
-/// Reads a body of a length that is allowed, in its time.
+/// Reads a whole body. Fails if it exceeds [`MAX_BODY_BYTES`], does not arrive within [`BODY_TIMEOUT`], or the
+/// connection fails.
 async fn read_body(body: Incoming) -> Result<Bytes, SubmissionError> {
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(SubmissionError::BodyTooLarge);
     }
     let whole_body = Limited::new(body, MAX_BODY_BYTES).collect();
     match tokio::time::timeout(BODY_TIMEOUT, whole_body).await {
-        // Copied, because a small body would keep the whole read buffer in memory.
+        // The body is copied, because a small body would keep the whole read buffer in memory.
         Ok(Ok(body)) => Ok(Bytes::copy_from_slice(&body.to_bytes())),
-        Ok(Err(problem)) if problem.is::<LengthLimitError>() => Err(SubmissionError::BodyTooLarge),
-        Ok(Err(problem)) => Err(SubmissionError::BodyUnreadable(problem)),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(SubmissionError::BodyTooLarge),
+        Ok(Err(error)) => Err(SubmissionError::BodyUnreadable(error)),
         Err(_) => Err(SubmissionError::BodyTimedOut),
     }
 }
 
-/// Reads a body that is not used. An answer that goes out before the request is in may be lost: the system resets a
-/// connection that is closed with unread bytes.
+/// Reads a body that is not used. An answer that is written before the whole request is read may be lost, because the
+/// system resets a connection that is closed with unread bytes.
 async fn discard_body(body: Incoming) {
     let whole_body = Limited::new(body, MAX_BODY_BYTES).collect();
-    // The answer is the same whether or not the body came whole.
-    drop(tokio::time::timeout(REJECTED_BODY_TIMEOUT, whole_body).await);
+    // The answer is the same whether or not the whole body arrives.
+    drop(tokio::time::timeout(DISCARDED_BODY_TIMEOUT, whole_body).await);
 }
 
 fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
@@ -195,7 +203,7 @@
     response
 }
 
-fn rejection(retry_after: Option<Micros>) -> Response<Full<Bytes>> {
+fn rejection_response(retry_after: Option<Micros>) -> Response<Full<Bytes>> {
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     if let Some(retry_after) = retry_after {
         if let Ok(value) = HeaderValue::from_str(&encode_retry_after(retry_after)) {
@@ -205,11 +213,11 @@
     response
 }
 
-/// The answer to a request that can't be served: the text of the error on one line.
-fn error_response(problem: &SubmissionError) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::from(format!("{problem}\n")));
-    *response.status_mut() = problem.status();
-    if problem.status() == StatusCode::METHOD_NOT_ALLOWED {
+/// Returns the answer to a request that cannot be served: the text of the error on one line.
+fn error_response(error: &SubmissionError) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::from(format!("{error}\n")));
+    *response.status_mut() = error.status();
+    if error.status() == StatusCode::METHOD_NOT_ALLOWED {
         let headers = response.headers_mut();
         headers.insert(ALLOW, HeaderValue::from_static("POST"));
     }
--- a/crates/forwarder/src/main.rs
+++ b/crates/forwarder/src/main.rs
@@ -1,4 +1,5 @@
-//! The program on the platform: start-up configuration from the environment, control by signals, the log on standard error.
+//! The forwarder program: startup configuration from the environment, control by signals, and the log on standard
+//! error.
 
 use opalpulley_forwarder::{run, ProcessControl, StartupConfig};
 use slog::{error, o, Drain, Logger};
@@ -7,50 +8,51 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
 
-/// Lines that wait to be written. Further ones are counted and dropped.
+/// Upper bound on the number of log lines that wait to be written. Further lines are counted and dropped.
 const LOG_QUEUE_LINES: usize = 1024;
 
-/// The exit code where the start-up configuration can't be used.
+/// Exit code if the startup configuration cannot be used.
 const EXIT_BAD_CONFIG: u8 = 2;
 
-fn logger() -> (Logger, slog_async::AsyncGuard) {
+fn create_logger() -> (Logger, slog_async::AsyncGuard) {
     let decorator = slog_term::PlainDecorator::new(io::stderr());
-    let lines = slog_term::FullFormat::new(decorator)
+    let formatter = slog_term::FullFormat::new(decorator)
         .use_utc_timestamp()
         .build()
         .fuse();
-    let (drain, guard) = slog_async::Async::new(lines)
+    let (drain, guard) = slog_async::Async::new(formatter)
         .chan_size(LOG_QUEUE_LINES)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build_with_guard();
-    // Debug lines never appear, because the level is fixed.
+    // The level is fixed, so debug lines are never written.
     let drain = slog::LevelFilter::new(drain, slog::Level::Info).fuse();
     (Logger::root(drain, o!()), guard)
 }
 
-/// Handles signals from now on: SIGTERM ends the process in order, SIGHUP reloads its configuration. Either would kill a
-/// process without a handler.
-fn process_control() -> io::Result<ProcessControl> {
-    let terminate = signal(SignalKind::terminate())?;
-    let hang_up = signal(SignalKind::hangup())?;
+/// Installs the signal handlers: SIGTERM shuts the process down in order, SIGHUP reloads its configuration. Without a
+/// handler, either signal would kill the process. Fails if a handler cannot be installed.
+fn handle_signals() -> io::Result<ProcessControl> {
+    let sigterm = signal(SignalKind::terminate())?;
+    let sighup = signal(SignalKind::hangup())?;
     let (reload_requests, reload) = mpsc::channel(1);
-    tokio::spawn(forward_reloads(hang_up, reload_requests));
+    tokio::spawn(forward_reload_requests(sighup, reload_requests));
     Ok(ProcessControl {
-        terminate: Box::pin(received(terminate)),
+        terminate: Box::pin(wait_for_signal(sigterm)),
         reload,
         read_config: Box::new(StartupConfig::from_env),
     })
 }
 
-async fn forward_reloads(mut hang_up: Signal, reload_requests: mpsc::Sender<()>) {
-    while hang_up.recv().await.is_some() && !reload_requests.is_closed() {
-        // A request that waits already covers those that come meanwhile.
+/// Requests a reload for each SIGHUP until the forwarder ends.
+async fn forward_reload_requests(mut sighup: Signal, reload_requests: mpsc::Sender<()>) {
+    while sighup.recv().await.is_some() && !reload_requests.is_closed() {
+        // A request that is still queued covers the later ones.
         let _ = reload_requests.try_send(());
     }
 }
 
-/// Resolves with the first signal.
-async fn received(mut signal: Signal) {
+/// Resolves with the first signal, and never if the signals end without one.
+async fn wait_for_signal(mut signal: Signal) {
     if signal.recv().await.is_none() {
         std::future::pending::<()>().await;
     }
@@ -59,25 +61,25 @@
 fn main() -> ExitCode {
     let startup = match StartupConfig::from_env() {
         Ok(startup) => startup,
-        Err(problem) => {
-            eprintln!("opalpulley: {problem}");
+        Err(error) => {
+            eprintln!("opalpulley: {error}");
             return ExitCode::from(EXIT_BAD_CONFIG);
         }
     };
-    let (log, _guard) = logger();
+    let (log, _guard) = create_logger();
     match run_to_end(startup, &log) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            error!(log, "forwarder failed"; "problem" => %problem);
+        Err(error) => {
+            error!(log, "forwarder failed"; "problem" => %error);
             ExitCode::FAILURE
         }
     }
 }
 
-/// Runs a forwarder on this thread.
+/// Runs a forwarder on the current thread until it has shut down.
 fn run_to_end(startup: StartupConfig, log: &Logger) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    runtime.block_on(async { run(startup, process_control()?, log.clone()).await })
+    runtime.block_on(async { run(startup, handle_signals()?, log.clone()).await })
 }
