--- a/crates/forwarder/src/dispatcher/endpoints/tests.rs
+++ b/crates/forwarder/src/dispatcher/endpoints/tests.rs
@@ -29,7 +29,7 @@
             endpoint_kinds: kinds,
             reports,
         },
-        idle: Arc::new(Semaphore::new(64)),
+        idle_permits: Arc::new(Semaphore::new(64)),
         dispatcher,
         log: slog::Logger::root(slog::Discard, slog::o!()),
     };
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -59,7 +59,7 @@
     let context = Arc::new(EndpointContext {
         config: connections,
         names,
-        idle,
+        idle_permits: idle,
         dispatcher,
         log: log.clone(),
     });
--- a/crates/forwarder/src/endpoints.rs
+++ b/crates/forwarder/src/endpoints.rs
@@ -4,12 +4,12 @@
 //! each to the dispatcher. It takes no decision of its own and never sends a message again by itself.
 
 mod actor;
-mod answer_body;
 mod attempt;
 mod attempt_error;
 mod connection;
 mod exchange;
 mod idle_connections;
+mod response_body;
 mod response_filter;
 mod stream;
 
@@ -29,7 +29,7 @@
     /// The names under which endpoints report their load.
     pub names: Names,
     /// One permit for each connection that may stay open without a request.
-    pub idle: Arc<Semaphore>,
+    pub idle_permits: Arc<Semaphore>,
     /// Where events go.
     pub dispatcher: mpsc::Sender<DispatcherCommand>,
     /// The log of the process.
--- a/crates/forwarder/src/endpoints/actor.rs
+++ b/crates/forwarder/src/endpoints/actor.rs
@@ -1,7 +1,7 @@
 //! The actor of one endpoint: its mailbox, its idle connections and its attempts in flight.
 
 use super::attempt::{
-    ended_event, Attempt, AttemptResult, RequestPurpose, RunningRequest, StopRequest,
+    request_ended_event, Attempt, AttemptResult, InFlightRequest, RequestPurpose, StopRequest,
 };
 use super::connection::EndpointConnection;
 use super::exchange::ExchangeDeadlines;
@@ -24,7 +24,7 @@
 
 /// Whether the dispatcher still sends commands.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Mailbox {
+enum MailboxState {
     Open,
     Closed,
 }
@@ -33,21 +33,21 @@
 pub struct Endpoint {
     id: EndpointId,
     context: Arc<EndpointContext>,
-    idle: IdleConnections,
+    idle_connections: IdleConnections,
     /// One task for each attempt or health check in flight. It gives back its connection if that can serve again.
     pub(super) tasks: JoinSet<Option<EndpointConnection>>,
     /// The same attempts and health checks, by their tasks.
-    pub(super) in_flight: BTreeMap<Id, RunningRequest>,
+    pub(super) in_flight: BTreeMap<Id, InFlightRequest>,
 }
 
 impl Endpoint {
     /// An actor without connections.
     pub fn new(id: EndpointId, context: Arc<EndpointContext>) -> Endpoint {
-        let closed_after = Duration::from_micros(context.config.connection_idle_timeout);
+        let endpoint_idle_timeout = Duration::from_micros(context.config.connection_idle_timeout);
         Endpoint {
             id,
             context,
-            idle: IdleConnections::new(closed_after),
+            idle_connections: IdleConnections::new(endpoint_idle_timeout),
             tasks: JoinSet::new(),
             in_flight: BTreeMap::new(),
         }
@@ -55,24 +55,24 @@
 
     /// Runs until the mailbox is closed and no attempt or health check is in flight.
     pub async fn run(mut self, mut commands: mpsc::Receiver<EndpointCommand>) {
-        let mut mailbox = Mailbox::Open;
-        while mailbox == Mailbox::Open || !self.tasks.is_empty() {
-            let retirement = self.idle.next_retirement();
-            let retirement_or_now = retirement.unwrap_or_else(Instant::now);
+        let mut mailbox = MailboxState::Open;
+        while mailbox == MailboxState::Open || !self.tasks.is_empty() {
+            let next_retirement = self.idle_connections.next_retirement();
+            let retirement_or_now = next_retirement.unwrap_or_else(Instant::now);
             tokio::select! {
-                command = commands.recv(), if mailbox == Mailbox::Open => match command {
+                command = commands.recv(), if mailbox == MailboxState::Open => match command {
                     Some(command) => self.handle_command(command),
                     None => {
-                        mailbox = Mailbox::Closed;
-                        self.idle.close_all();
+                        mailbox = MailboxState::Closed;
+                        self.idle_connections.close_all();
                     }
                 },
                 Some(ended) = self.tasks.join_next_with_id(), if !self.tasks.is_empty() => match ended {
-                    Ok((task, connection)) => self.attempt_ended(task, connection, mailbox),
-                    Err(problem) => self.attempt_task_failed(problem).await,
+                    Ok((task_id, connection)) => self.handle_task_end(task_id, connection, mailbox),
+                    Err(error) => self.handle_task_failure(error).await,
                 },
-                () = tokio::time::sleep_until(retirement_or_now), if retirement.is_some() => {
-                    self.idle.retire();
+                () = tokio::time::sleep_until(retirement_or_now), if next_retirement.is_some() => {
+                    self.idle_connections.retire_expired();
                 }
             }
         }
@@ -83,13 +83,13 @@
             EndpointCommand::StartAttempt(request) => self.start_attempt(*request),
             EndpointCommand::StartHealthCheck => self.start_health_check(),
             EndpointCommand::CancelAttempt { id, attempt_index } => {
-                let cancelled = RequestPurpose::Attempt { id, attempt_index };
-                self.request_stop(StopRequest::Cancel, |purpose| purpose == cancelled);
+                let cancelled_purpose = RequestPurpose::Attempt { id, attempt_index };
+                self.request_stop(StopRequest::Cancel, |purpose| purpose == cancelled_purpose);
             }
             EndpointCommand::WithdrawUnsent => {
                 self.request_stop(StopRequest::WithdrawUnsent, |_| true);
             }
-            EndpointCommand::CloseIdleConnections => self.idle.close_all(),
+            EndpointCommand::CloseIdleConnections => self.idle_connections.close_all(),
         }
     }
 
@@ -98,7 +98,7 @@
         for in_flight in self.in_flight.values() {
             if applies_to(in_flight.purpose) {
                 in_flight
-                    .stop
+                    .stop_sender
                     .send_modify(|current| *current = request.max(*current));
             }
         }
@@ -116,71 +116,72 @@
             id: attempt.id,
             attempt_index: attempt.attempt_index,
         };
-        self.start(purpose, request, attempt.timeout, attempt.send_by);
+        self.start_request(purpose, request, attempt.timeout, attempt.send_by);
     }
 
     fn start_health_check(&mut self) {
         let request = protocol::encode_health_check(self.id);
         let connect_timeout = Duration::from_micros(self.context.config.connect_timeout);
         let timeout = connect_timeout.mul_f64(HEALTH_CHECK_TIMEOUT_FACTOR);
-        let send_by = Instant::now() + timeout;
-        self.start(RequestPurpose::HealthCheck, request, timeout, send_by);
+        let send_deadline = Instant::now() + timeout;
+        self.start_request(RequestPurpose::HealthCheck, request, timeout, send_deadline);
     }
 
-    fn start(
+    fn start_request(
         &mut self,
         purpose: RequestPurpose,
         request: Result<EndpointRequest, hyper::http::Error>,
         timeout: Duration,
-        send_by: Instant,
+        send_deadline: Instant,
     ) {
-        let (stop, stop_requests) = watch::channel(StopRequest::Continue);
-        let started = Instant::now();
-        let idle = self.idle.take();
+        let (stop_sender, stop_requests) = watch::channel(StopRequest::Continue);
+        let started_at = Instant::now();
+        let idle = self.idle_connections.take();
         let attempt = Attempt {
             endpoint: self.id,
             purpose,
-            started,
+            started_at,
             deadlines: ExchangeDeadlines {
-                send_by,
-                answer_by: started + timeout,
+                send_deadline,
+                response_deadline: started_at + timeout,
             },
             context: self.context.clone(),
         };
         let task = self.tasks.spawn(attempt.run(request, idle, stop_requests));
-        let in_flight = RunningRequest {
+        let in_flight = InFlightRequest {
             purpose,
-            started,
-            stop,
+            started_at,
+            stop_sender,
         };
         self.in_flight.insert(task.id(), in_flight);
     }
 
-    fn attempt_ended(
+    fn handle_task_end(
         &mut self,
-        task: Id,
+        task_id: Id,
         connection: Option<EndpointConnection>,
-        mailbox: Mailbox,
+        mailbox: MailboxState,
     ) {
-        self.in_flight.remove(&task);
-        if let (Some(connection), Mailbox::Open) = (connection, mailbox) {
-            self.keep_idle(connection);
+        self.in_flight.remove(&task_id);
+        if let (Some(connection), MailboxState::Open) = (connection, mailbox) {
+            self.keep_connection(connection);
         }
     }
 
     /// Keeps a connection for the next request. Closes it where no more may be idle.
-    fn keep_idle(&mut self, connection: EndpointConnection) {
-        if let Ok(permit) = self.context.idle.clone().try_acquire_owned() {
-            self.idle.add(connection, permit);
+    fn keep_connection(&mut self, connection: EndpointConnection) {
+        if let Ok(permit) = self.context.idle_permits.clone().try_acquire_owned() {
+            self.idle_connections.add(connection, permit);
         }
     }
 
     /// A task that panicked ends its own attempt only. That attempt may have taken effect.
-    async fn attempt_task_failed(&mut self, problem: JoinError) {
-        error!(self.context.log, "attempt task failed"; "problem" => %problem);
-        if let Some(in_flight) = self.in_flight.remove(&problem.id()) {
-            let result = AttemptResult::without_answer(Outcome::ConnectionReset);
-            let event = ended_event(self.id, in_flight.purpose, result, in_flight.started);
+    async fn handle_task_failure(&mut self, error: JoinError) {
+        error!(self.context.log, "attempt task failed"; "problem" => %error);
+        if let Some(in_flight) = self.in_flight.remove(&error.id()) {
+            let result = AttemptResult::without_response(Outcome::ConnectionReset);
+            let event =
+                request_ended_event(self.id, in_flight.purpose, result, in_flight.started_at);
             self.context.send_event(event).await;
         }
     }
--- a/crates/forwarder/src/endpoints/attempt.rs
+++ b/crates/forwarder/src/endpoints/attempt.rs
@@ -1,10 +1,10 @@
 //! One attempt or health check, from its start to the report of its outcome.
 
-use super::answer_body::{read_body, BodyEnd};
 use super::attempt_error::{AttemptError, AttemptStage, FailureCause};
 use super::connection::EndpointConnection;
 use super::exchange::{Exchange, ExchangeDeadlines, ExchangeResult};
 use super::idle_connections::ReusedConnection;
+use super::response_body::{read_body, BodyEnd};
 use super::EndpointContext;
 use crate::clock::micros;
 use crate::protocol::{self, EndpointAnswer, EndpointRequest};
@@ -45,13 +45,13 @@
 }
 
 /// An attempt or health check that the actor has started and that has not ended.
-pub struct RunningRequest {
+pub struct InFlightRequest {
     /// What it is for.
     pub purpose: RequestPurpose,
     /// When it started.
-    pub started: Instant,
+    pub started_at: Instant,
     /// Tells its task to stop.
-    pub stop: watch::Sender<StopRequest>,
+    pub stop_sender: watch::Sender<StopRequest>,
 }
 
 /// How an attempt ended, as the decision core is told.
@@ -66,7 +66,7 @@
 
 impl AttemptResult {
     /// The result of an attempt without an answer that could be read.
-    pub fn without_answer(outcome: Outcome) -> AttemptResult {
+    pub fn without_response(outcome: Outcome) -> AttemptResult {
         AttemptResult {
             outcome,
             completed: false,
@@ -94,7 +94,7 @@
     /// What it is for.
     pub purpose: RequestPurpose,
     /// When it started.
-    pub started: Instant,
+    pub started_at: Instant,
     /// When it is given up.
     pub deadlines: ExchangeDeadlines,
     /// What all endpoint actors share.
@@ -111,8 +111,8 @@
     ) -> Option<EndpointConnection> {
         let result = match request {
             Ok(request) => self.exchange(request).run(idle, stop_requests).await,
-            Err(problem) => {
-                error!(self.context.log, "request to an endpoint could not be encoded"; "problem" => %problem);
+            Err(error) => {
+                error!(self.context.log, "request to an endpoint could not be encoded"; "problem" => %error);
                 Err(AttemptError {
                     stage: AttemptStage::Writing,
                     cause: FailureCause::ConnectionLost,
@@ -120,16 +120,16 @@
             }
         };
         match result {
-            Ok(ExchangeResult::Answer {
+            Ok(ExchangeResult::Response {
                 response,
                 connection,
-            }) => self.finish_with_answer(response, connection).await,
-            Ok(ExchangeResult::StatusLineOk) => {
+            }) => self.finish_with_response(response, connection).await,
+            Ok(ExchangeResult::DeliveredStatusOnly) => {
                 self.report_delivered().await;
                 None
             }
-            Err(problem) => {
-                self.report_error(problem).await;
+            Err(error) => {
+                self.report_error(error).await;
                 None
             }
         }
@@ -141,30 +141,30 @@
     }
 
     /// Reports an answer whose head is in, and reads its body. Returns the connection if it can serve again.
-    async fn finish_with_answer(
+    async fn finish_with_response(
         &self,
         response: Response<Incoming>,
         connection: EndpointConnection,
     ) -> Option<EndpointConnection> {
         let names = &self.context.names;
-        let answer = EndpointAnswer::decode(response.status(), response.headers(), names);
+        let decoded = EndpointAnswer::decode(response.status(), response.headers(), names);
         let mut body = pin!(read_body(response.into_body()));
-        let end_already_in = tokio::select! {
+        let early_body_end = tokio::select! {
             biased;
             end = &mut body => Some(end),
             () = ready(()) => None,
         };
-        self.report_retry_after(&answer, end_already_in).await;
+        self.report_retry_after(&decoded, early_body_end).await;
         let rest_of_body = async {
-            match end_already_in {
+            match early_body_end {
                 Some(end) => end,
                 None => body.await,
             }
         };
-        let body_end = self.report_answer(answer, rest_of_body).await;
+        let body_end = self.report_response(decoded, rest_of_body).await;
         connection.end_exchange();
         match body_end {
-            BodyEnd::Complete => connection.reuse().await,
+            BodyEnd::Complete => connection.into_reusable().await,
             BodyEnd::Incomplete => None,
         }
     }
@@ -172,15 +172,15 @@
     /// Reports the outcome as soon as it is certain, and reads the body to its end. An outcome that may have taken effect
     /// is certain with the head of the answer. That the message did not take effect is believed only of an answer that
     /// came whole.
-    async fn report_answer(
+    async fn report_response(
         &self,
-        answer: EndpointAnswer,
+        response: EndpointAnswer,
         rest_of_body: impl Future<Output = BodyEnd>,
     ) -> BodyEnd {
         let result = AttemptResult {
-            outcome: answer.outcome,
-            completed: answer.completed,
-            load_report: answer.load_report,
+            outcome: response.outcome,
+            completed: response.completed,
+            load_report: response.load_report,
         };
         if result.outcome.may_have_taken_effect() {
             self.report(result).await;
@@ -196,12 +196,12 @@
     ///
     /// A rejection whose body is already whole is skipped. A 429 has the retry-after in its outcome. A 503 has none there, so
     /// that its header is reported only if its body is not yet whole, or if the endpoint had no concurrency permit.
-    async fn report_retry_after(&self, answer: &EndpointAnswer, body_end: Option<BodyEnd>) {
-        let rejected = matches!(answer.outcome, Outcome::Rejected { .. });
+    async fn report_retry_after(&self, response: &EndpointAnswer, body_end: Option<BodyEnd>) {
+        let rejected = matches!(response.outcome, Outcome::Rejected { .. });
         if rejected && body_end == Some(BodyEnd::Complete) {
             return;
         }
-        if let Some(retry_after) = answer.retry_after {
+        if let Some(retry_after) = response.retry_after {
             let event = Event::RetryAfterReceived {
                 endpoint: self.endpoint,
                 retry_after,
@@ -219,26 +219,26 @@
         self.report(result).await;
     }
 
-    async fn report_error(&self, problem: AttemptError) {
-        debug!(self.context.log, "attempt failed"; "endpoint" => %protocol::address(self.endpoint), "problem" => %problem);
-        self.report(AttemptResult::without_answer(problem.into()))
+    async fn report_error(&self, error: AttemptError) {
+        debug!(self.context.log, "attempt failed"; "endpoint" => %protocol::address(self.endpoint), "problem" => %error);
+        self.report(AttemptResult::without_response(error.into()))
             .await;
     }
 
     async fn report(&self, result: AttemptResult) {
-        let event = ended_event(self.endpoint, self.purpose, result, self.started);
+        let event = request_ended_event(self.endpoint, self.purpose, result, self.started_at);
         self.context.send_event(event).await;
     }
 }
 
 /// The event that reports the end of an attempt or health check that started at `started` and ends now.
-pub fn ended_event(
+pub fn request_ended_event(
     endpoint: EndpointId,
     purpose: RequestPurpose,
     result: AttemptResult,
-    started: Instant,
+    started_at: Instant,
 ) -> Event {
-    let elapsed = micros(started.elapsed());
+    let elapsed = micros(started_at.elapsed());
     match purpose {
         RequestPurpose::Attempt { id, attempt_index } => Event::AttemptEnded {
             id,
--- a/crates/forwarder/src/endpoints/connection.rs
+++ b/crates/forwarder/src/endpoints/connection.rs
@@ -41,9 +41,9 @@
         let socket = TcpStream::connect(protocol::address(endpoint)).await.ok()?;
         socket.set_nodelay(true).ok()?;
         let (stream, stream_state) = EndpointStream::new(socket);
-        let mut settings = Builder::new();
-        settings.max_buf_size(READ_BUFFER_BYTES);
-        let http = HttpConnection::over(stream, &settings).await.ok()?;
+        let mut builder = Builder::new();
+        builder.max_buf_size(READ_BUFFER_BYTES);
+        let http = HttpConnection::over(stream, &builder).await.ok()?;
         Some(EndpointConnection { http, stream_state })
     }
 
@@ -76,7 +76,7 @@
     }
 
     /// Returns the connection once it can take another request, nothing where it has ended.
-    pub async fn reuse(mut self) -> Option<EndpointConnection> {
+    pub async fn into_reusable(mut self) -> Option<EndpointConnection> {
         if self.http.usable().await {
             Some(self)
         } else {
@@ -97,11 +97,11 @@
 
     fn call(&mut self, request: EndpointRequest) -> Self::Future {
         let stream_state = self.stream_state.clone();
-        let length = request.length;
+        let request_length = request.length;
         let response = self.http.sender.send_request(request.http_request);
         Box::pin(async move {
             response.await.map_err(|_| AttemptError {
-                stage: stage_reached(stream_state.request_bytes_written(), length),
+                stage: stage_reached(stream_state.request_bytes_written(), request_length),
                 cause: FailureCause::ConnectionLost,
             })
         })
@@ -109,10 +109,10 @@
 }
 
 /// The stage of a request of `length` bytes whose connection ended after so many were written.
-fn stage_reached(bytes_written: u64, length: u64) -> AttemptStage {
+fn stage_reached(bytes_written: u64, request_length: u64) -> AttemptStage {
     if bytes_written == 0 {
         AttemptStage::Connecting
-    } else if bytes_written < length {
+    } else if bytes_written < request_length {
         AttemptStage::Writing
     } else {
         AttemptStage::Written
--- a/crates/forwarder/src/endpoints/exchange.rs
+++ b/crates/forwarder/src/endpoints/exchange.rs
@@ -6,7 +6,7 @@
 use super::attempt_error::{AttemptError, AttemptStage, FailureCause};
 use super::connection::EndpointConnection;
 use super::idle_connections::{ReusedConnection, SETTLE_TIME};
-use super::stream::{AnswerProgress, StreamState};
+use super::stream::{ResponseProgress, StreamState};
 use crate::protocol::EndpointRequest;
 use hyper::body::Incoming;
 use hyper::Response;
@@ -19,35 +19,35 @@
 use tokio::time::Instant;
 
 /// From the first byte of an answer to the end of its head. Endpoints write a head at once.
-const ANSWER_HEAD_TIMEOUT: Duration = Duration::from_millis(300);
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The status of an answer that delivers a message.
-const STATUS_OK: u16 = 200;
+const DELIVERED_STATUS: u16 = 200;
 
 /// Turns of the runtime that bring bytes from a socket to the task that waits for them: one for the connection, one for the
 /// task itself.
-const TURNS_TO_READ_SOCKETS: u32 = 2;
+const SOCKET_READ_YIELDS: u32 = 2;
 
 /// What an exchange brought.
 pub enum ExchangeResult {
     /// The head of an answer. Its body may still be on its way.
-    Answer {
+    Response {
         /// The head, and the body as it comes.
         response: Response<Incoming>,
         /// The connection it came on.
         connection: EndpointConnection,
     },
     /// A first line with status 200. The rest of the head never came, or could not be read.
-    StatusLineOk,
+    DeliveredStatusOnly,
 }
 
 /// The moments at which a request is given up.
 #[derive(Clone, Copy)]
 pub struct ExchangeDeadlines {
     /// The first byte is written before this moment, or none is.
-    pub send_by: Instant,
+    pub send_deadline: Instant,
     /// The head of the answer is in before this moment.
-    pub answer_by: Instant,
+    pub response_deadline: Instant,
 }
 
 /// One request and the state of its stream.
@@ -83,21 +83,23 @@
         idle: Option<ReusedConnection>,
         mut stop_requests: watch::Receiver<StopRequest>,
     ) -> Result<ExchangeResult, AttemptError> {
-        let mut work = pin!(self.send(idle));
+        let mut request_future = pin!(self.send(idle));
         let ended = tokio::select! {
             biased;
-            result = &mut work => Ok(result),
-            () = tokio::time::sleep_until(self.deadlines.answer_by) => Err(FailureCause::TimedOut),
-            cause = self.stop_requested(&mut stop_requests) => Err(cause),
-            () = self.answer_head_stalled() => Err(FailureCause::ConnectionLost),
+            result = &mut request_future => Ok(result),
+            () = tokio::time::sleep_until(self.deadlines.response_deadline) => Err(FailureCause::TimedOut),
+            cause = self.wait_for_stop(&mut stop_requests) => Err(cause),
+            () = self.wait_for_stalled_head() => Err(FailureCause::ConnectionLost),
         };
         let result = match ended {
             Ok(result) => result,
-            Err(cause) => self.give_up(cause, work).await,
+            Err(cause) => self.abort(cause, request_future).await,
         };
         // A first line with status 200 is true, whatever became of the rest.
-        if result.is_err() && self.answer_progress() == Some(AnswerProgress::Status(STATUS_OK)) {
-            return Ok(ExchangeResult::StatusLineOk);
+        if result.is_err()
+            && self.response_progress() == Some(ResponseProgress::Status(DELIVERED_STATUS))
+        {
+            return Ok(ExchangeResult::DeliveredStatusOnly);
         }
         result
     }
@@ -135,7 +137,7 @@
     async fn send_on_new(&self) -> Result<ExchangeResult, AttemptError> {
         self.check_send_deadline()?;
         let open = EndpointConnection::open(self.endpoint, self.connect_timeout);
-        let opened = tokio::time::timeout_at(self.deadlines.send_by, open).await;
+        let opened = tokio::time::timeout_at(self.deadlines.send_deadline, open).await;
         let connection = match opened {
             Ok(opened) => opened?,
             Err(_) => return Err(send_deadline_passed()),
@@ -151,14 +153,14 @@
         self.current_stream
             .send_replace(Some(connection.stream_state()));
         let response = connection.send(self.request.clone()).await?;
-        Ok(ExchangeResult::Answer {
+        Ok(ExchangeResult::Response {
             response,
             connection,
         })
     }
 
     fn check_send_deadline(&self) -> Result<(), AttemptError> {
-        if Instant::now() < self.deadlines.send_by {
+        if Instant::now() < self.deadlines.send_deadline {
             Ok(())
         } else {
             Err(send_deadline_passed())
@@ -166,12 +168,12 @@
     }
 
     /// Waits for a stop request that applies. A request that was written whole is not withdrawn any more.
-    async fn stop_requested(&self, requests: &mut watch::Receiver<StopRequest>) -> FailureCause {
+    async fn wait_for_stop(&self, requests: &mut watch::Receiver<StopRequest>) -> FailureCause {
         while requests.changed().await.is_ok() {
             let request = *requests.borrow_and_update();
             match request {
                 StopRequest::Cancel => return FailureCause::Cancelled,
-                StopRequest::WithdrawUnsent if !self.written_whole() => {
+                StopRequest::WithdrawUnsent if !self.request_fully_written() => {
                     return FailureCause::WithdrawnBeforeSend;
                 }
                 StopRequest::WithdrawUnsent | StopRequest::Continue => {}
@@ -181,13 +183,13 @@
     }
 
     /// Waits until an answer has begun on the current stream and the rest of its head is overdue.
-    async fn answer_head_stalled(&self) {
+    async fn wait_for_stalled_head(&self) {
         let mut streams = self.current_stream.subscribe();
         loop {
             let stream = streams.borrow_and_update().clone();
             let stalled = async {
                 match &stream {
-                    Some(state) => state.answer_head_stalled(ANSWER_HEAD_TIMEOUT).await,
+                    Some(state) => state.wait_for_stalled_head(RESPONSE_HEAD_TIMEOUT).await,
                     None => pending().await,
                 }
             };
@@ -200,43 +202,44 @@
 
     /// The result of a request that is given up. One that was written whole gets the bytes that its socket holds by now,
     /// so that an answer or a retry-after that has already arrived counts.
-    async fn give_up(
+    async fn abort(
         &self,
         cause: FailureCause,
-        mut work: Pin<&mut impl Future<Output = Result<ExchangeResult, AttemptError>>>,
+        mut request_future: Pin<&mut impl Future<Output = Result<ExchangeResult, AttemptError>>>,
     ) -> Result<ExchangeResult, AttemptError> {
-        let answerable = matches!(cause, FailureCause::TimedOut | FailureCause::Cancelled);
-        if answerable && self.written_whole() {
+        let response_may_have_arrived =
+            matches!(cause, FailureCause::TimedOut | FailureCause::Cancelled);
+        if response_may_have_arrived && self.request_fully_written() {
             tokio::select! {
                 biased;
-                result = &mut work => return result,
-                () = read_sockets_once_more() => {}
+                result = &mut request_future => return result,
+                () = yield_to_socket_reads() => {}
             }
         }
         Err(AttemptError {
-            stage: self.stage_when_given_up(),
+            stage: self.stage_at_abort(),
             cause,
         })
     }
 
     /// A request whose writing has begun counts as `Written`, whether or not it is whole.
-    fn stage_when_given_up(&self) -> AttemptStage {
-        match self.answer_progress() {
-            None | Some(AnswerProgress::NoRequest) => AttemptStage::Connecting,
+    fn stage_at_abort(&self) -> AttemptStage {
+        match self.response_progress() {
+            None | Some(ResponseProgress::NoRequest) => AttemptStage::Connecting,
             Some(_) => AttemptStage::Written,
         }
     }
 
-    fn written_whole(&self) -> bool {
+    fn request_fully_written(&self) -> bool {
         let stream = self.current_stream.borrow();
         stream
             .as_ref()
             .is_some_and(|state| state.request_bytes_written() >= self.request.length)
     }
 
-    fn answer_progress(&self) -> Option<AnswerProgress> {
+    fn response_progress(&self) -> Option<ResponseProgress> {
         let stream = self.current_stream.borrow();
-        stream.as_ref().map(|state| state.answer_progress())
+        stream.as_ref().map(|state| state.response_progress())
     }
 }
 
@@ -245,8 +248,8 @@
 }
 
 /// Lets the runtime read its sockets, and lets the tasks run that wait for them.
-async fn read_sockets_once_more() {
-    for _ in 0..TURNS_TO_READ_SOCKETS {
+async fn yield_to_socket_reads() {
+    for _ in 0..SOCKET_READ_YIELDS {
         tokio::task::yield_now().await;
     }
 }
--- a/crates/forwarder/src/endpoints/golden_tests.rs
+++ b/crates/forwarder/src/endpoints/golden_tests.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-const WITHIN: Duration = Duration::from_secs(10);
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// An endpoint's actor, the listener of its endpoint and the events that it gives.
 struct Fixture {
@@ -39,7 +39,7 @@
             connect_timeout: 5_000_000,
         },
         names,
-        idle: Arc::new(Semaphore::new(4)),
+        idle_permits: Arc::new(Semaphore::new(4)),
         dispatcher,
         log: Logger::root(slog::Discard, slog::o!()),
     };
@@ -61,43 +61,43 @@
     let Some(request_id) = input["request id"].as_str() else {
         return EndpointCommand::StartHealthCheck;
     };
-    let call = AttemptRequest {
+    let attempt = AttemptRequest {
         id: MessageId(1),
         attempt_index: 0,
         request_id: request_id.to_owned(),
         idempotency_key: input["idempotency key"].as_str().map(str::to_owned),
         body: Bytes::from(input["body"].as_str().expect("a body").to_owned()),
         timeout: Duration::from_micros(input["attempt timeout us"].as_u64().expect("a timeout")),
-        send_by: Instant::now() + WITHIN,
+        send_by: Instant::now() + TEST_TIMEOUT,
     };
-    EndpointCommand::StartAttempt(Box::new(call))
+    EndpointCommand::StartAttempt(Box::new(attempt))
 }
 
 fn render_outcome(outcome: Outcome) -> Value {
     match outcome {
         Outcome::Delivered => json!("delivered"),
         Outcome::Error => json!("error"),
-        Outcome::Rejected { retry_after: wait } => json!({ "rejected, retry-after us": wait }),
+        Outcome::Rejected { retry_after } => json!({ "rejected, retry-after us": retry_after }),
         Outcome::Timeout => json!("timeout"),
         Outcome::NoConnection => json!("no connection"),
         Outcome::ConnectionReset => json!("reset"),
         Outcome::Cancelled => json!("cancelled"),
         Outcome::WithdrawnBeforeSend => json!("withdrawn before send"),
-        Outcome::NotAttempted { no_permit: no_slot } => {
-            json!({ "not attempted, no permit": no_slot })
+        Outcome::NotAttempted { no_permit } => {
+            json!({ "not attempted, no permit": no_permit })
         }
     }
 }
 
-fn render_event(note: DispatcherCommand) -> (Value, bool) {
-    match note {
+fn render_event(command: DispatcherCommand) -> (Value, bool) {
+    match command {
         DispatcherCommand::Event(Event::AttemptEnded {
             outcome,
-            message_completed: closed,
+            message_completed: completed,
             load_metrics,
             ..
         }) => (
-            json!({ "attempt ended": render_outcome(outcome), "message over": closed, "report": load_metrics }),
+            json!({ "attempt ended": render_outcome(outcome), "message over": completed, "report": load_metrics }),
             true,
         ),
         DispatcherCommand::Event(Event::HealthCheckEnded {
@@ -108,9 +108,9 @@
             json!({ "health check ended": render_outcome(outcome), "report": load_metrics }),
             true,
         ),
-        DispatcherCommand::Event(Event::RetryAfterReceived {
-            retry_after: wait, ..
-        }) => (json!({ "retry-after us": wait }), false),
+        DispatcherCommand::Event(Event::RetryAfterReceived { retry_after, .. }) => {
+            (json!({ "retry-after us": retry_after }), false)
+        }
         _ => panic!("another event"),
     }
 }
@@ -129,7 +129,7 @@
                 return bytes;
             }
         }
-        let read = tokio::time::timeout(WITHIN, stream.read_buf(&mut bytes)).await;
+        let read = tokio::time::timeout(TEST_TIMEOUT, stream.read_buf(&mut bytes)).await;
         assert_ne!(
             read.expect("in time").expect("readable"),
             0,
@@ -139,7 +139,7 @@
 }
 
 /// The bytes of the request, with the port of this run left out.
-async fn sent(input: &Value) -> Value {
+async fn sent_request(input: &Value) -> Value {
     let Fixture {
         listener, mailbox, ..
     } = fixture().await;
@@ -157,17 +157,17 @@
 }
 
 /// The events for one answer, up to the outcome.
-async fn decoded(input: &Value) -> Value {
+async fn events_for_response(input: &Value) -> Value {
     let Fixture {
         listener,
         mailbox,
         mut events,
     } = fixture().await;
-    let call = json!({ "request id": "a", "body": "", "attempt timeout us": 10_000_000 });
+    let attempt = json!({ "request id": "a", "body": "", "attempt timeout us": 10_000_000 });
     let command = command(if input["to"] == "health check" {
         &Value::Null
     } else {
-        &call
+        &attempt
     });
     mailbox.send(command).await.expect("the actor runs");
     let (mut stream, _) = listener.accept().await.expect("a connection");
@@ -181,7 +181,7 @@
     }
     let mut rendered = Vec::new();
     loop {
-        let event = tokio::time::timeout(WITHIN, events.recv())
+        let event = tokio::time::timeout(TEST_TIMEOUT, events.recv())
             .await
             .expect("in time")
             .expect("an event");
@@ -194,19 +194,19 @@
 }
 
 #[tokio::test]
-async fn calls_and_health_checks_go_out_as_recorded() {
+async fn encodes_attempts_and_health_checks_as_recorded() {
     let mut golden = GoldenCases::read("endpoint-requests.json");
     for input in golden.inputs() {
-        golden.compare_next(sent(&input).await);
+        golden.compare_next(sent_request(&input).await);
     }
     golden.finish();
 }
 
 #[tokio::test]
-async fn answers_of_endpoints_are_decoded_as_recorded() {
+async fn decodes_responses_as_recorded() {
     let mut golden = GoldenCases::read("endpoint-answers.json");
     for input in golden.inputs() {
-        golden.compare_next(decoded(&input).await);
+        golden.compare_next(events_for_response(&input).await);
     }
     golden.finish();
 }
--- a/crates/forwarder/src/endpoints/idle_connections.rs
+++ b/crates/forwarder/src/endpoints/idle_connections.rs
@@ -10,7 +10,7 @@
 pub const SETTLE_TIME: Duration = Duration::from_millis(3);
 
 /// The connection is retired this part of its idle time early, because a request takes time to arrive.
-const RETIRE_EARLY_DIVISOR: u32 = 10;
+const RETIREMENT_MARGIN_DIVISOR: u32 = 10;
 
 /// A connection taken out of the pool for a request.
 pub struct ReusedConnection {
@@ -34,10 +34,10 @@
 
 impl IdleConnections {
     /// `closed_after`: the endpoint closes a connection that has been idle for so long.
-    pub fn new(closed_after: Duration) -> IdleConnections {
+    pub fn new(endpoint_idle_timeout: Duration) -> IdleConnections {
         IdleConnections {
             connections: Vec::new(),
-            retire_after: closed_after - closed_after / RETIRE_EARLY_DIVISOR,
+            retire_after: endpoint_idle_timeout - endpoint_idle_timeout / RETIREMENT_MARGIN_DIVISOR,
         }
     }
 
@@ -54,9 +54,9 @@
     /// Connections that are closed or due to be retired are dropped on the way.
     pub fn take(&mut self) -> Option<ReusedConnection> {
         while !self.connections.is_empty() {
-            let last = self.connections.len() - 1;
-            let chosen = self.last_settled().unwrap_or(last);
-            let idle = self.connections.remove(chosen);
+            let last_index = self.connections.len() - 1;
+            let chosen_index = self.last_settled_index().unwrap_or(last_index);
+            let idle = self.connections.remove(chosen_index);
             if idle.idle_since.elapsed() < self.retire_after && !idle.connection.is_closed() {
                 return Some(ReusedConnection {
                     connection: idle.connection,
@@ -67,7 +67,7 @@
         None
     }
 
-    fn last_settled(&self) -> Option<usize> {
+    fn last_settled_index(&self) -> Option<usize> {
         self.connections
             .iter()
             .rposition(|idle| idle.idle_since.elapsed() >= SETTLE_TIME)
@@ -80,7 +80,7 @@
     }
 
     /// Closes the connections that the endpoint is about to close.
-    pub fn retire(&mut self) {
+    pub fn retire_expired(&mut self) {
         let retire_after = self.retire_after;
         self.connections
             .retain(|idle| idle.idle_since.elapsed() < retire_after);
--- a/crates/forwarder/src/endpoints/answer_body.rs
+++ b/crates/forwarder/src/endpoints/response_body.rs
@@ -19,8 +19,8 @@
 
 /// Reads a body to its end, up to the longest body of the protocol.
 pub async fn read_body(body: Incoming) -> BodyEnd {
-    let whole_body = Limited::new(body, MAX_BODY_BYTES).collect();
-    match tokio::time::timeout(BODY_TIMEOUT, whole_body).await {
+    let complete_body = Limited::new(body, MAX_BODY_BYTES).collect();
+    match tokio::time::timeout(BODY_TIMEOUT, complete_body).await {
         Ok(Ok(_)) => BodyEnd::Complete,
         Ok(Err(_)) | Err(_) => BodyEnd::Incomplete,
     }
--- a/crates/forwarder/src/endpoints/stream.rs
+++ b/crates/forwarder/src/endpoints/stream.rs
@@ -3,7 +3,7 @@
 //! It counts the bytes written, passes what comes through the response filter, and fails where bytes come that belong to no
 //! request: they must not be taken for the answer to the next one.
 
-use super::response_filter::{ResponseFilter, MAX_FIRST_LINE_BYTES};
+use super::response_filter::{ResponseFilter, MAX_STATUS_LINE_BYTES};
 use socket2::SockRef;
 use std::io::{self, Read};
 use std::pin::Pin;
@@ -16,11 +16,11 @@
 use tokio::sync::watch;
 
 /// Bytes read at once while a first line is awaited. Most answers fit whole.
-const READ_BYTES: usize = 2048;
+const READ_CHUNK_BYTES: usize = 2048;
 
 /// How far the answer to the present request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerProgress {
+pub enum ResponseProgress {
     /// No request is in flight: bytes that come now belong to none.
     NoRequest,
     /// A request is in flight. Nothing of its answer is in, or 1xx heads alone.
@@ -31,9 +31,12 @@
     Status(u16),
 }
 
-impl AnswerProgress {
+impl ResponseProgress {
     fn has_started(self) -> bool {
-        matches!(self, AnswerProgress::Started | AnswerProgress::Status(_))
+        matches!(
+            self,
+            ResponseProgress::Started | ResponseProgress::Status(_)
+        )
     }
 }
 
@@ -42,7 +45,7 @@
     bytes_written: AtomicU64,
     /// Bytes written before the present request.
     bytes_before_request: AtomicU64,
-    answer: watch::Sender<AnswerProgress>,
+    response: watch::Sender<ResponseProgress>,
 }
 
 impl StreamState {
@@ -50,7 +53,7 @@
         StreamState {
             bytes_written: AtomicU64::new(0),
             bytes_before_request: AtomicU64::new(0),
-            answer: watch::Sender::new(AnswerProgress::NoRequest),
+            response: watch::Sender::new(ResponseProgress::NoRequest),
         }
     }
 
@@ -61,17 +64,21 @@
     }
 
     /// How far the answer has come.
-    pub fn answer_progress(&self) -> AnswerProgress {
-        *self.answer.borrow()
+    pub fn response_progress(&self) -> ResponseProgress {
+        *self.response.borrow()
     }
 
     /// Returns once an answer has been in progress for `timeout`; the caller drops this future when the head is complete.
     /// A 1xx head starts the wait anew.
-    pub async fn answer_head_stalled(&self, timeout: Duration) {
-        let mut answer = self.answer.subscribe();
-        while answer.wait_for(|now| now.has_started()).await.is_ok() {
-            let back = answer.wait_for(|now| !now.has_started());
-            if tokio::time::timeout(timeout, back).await.is_err() {
+    pub async fn wait_for_stalled_head(&self, timeout: Duration) {
+        let mut response = self.response.subscribe();
+        while response
+            .wait_for(|current| current.has_started())
+            .await
+            .is_ok()
+        {
+            let restarted = response.wait_for(|current| !current.has_started());
+            if tokio::time::timeout(timeout, restarted).await.is_err() {
                 return;
             }
         }
@@ -81,7 +88,7 @@
     pub fn end_exchange(&self) {
         let written = self.bytes_written.load(Ordering::Relaxed);
         self.bytes_before_request.store(written, Ordering::Relaxed);
-        self.answer.send_replace(AnswerProgress::NoRequest);
+        self.response.send_replace(ResponseProgress::NoRequest);
     }
 
     fn add_bytes_written(&self, count: usize) {
@@ -90,11 +97,11 @@
     }
 
     /// Records a step of the answer. Further bytes of a first line that has started already notify no waiter.
-    fn set_answer_progress(&self, progress: AnswerProgress) {
-        self.answer.send_if_modified(|now| {
-            let again = *now == progress && progress == AnswerProgress::Started;
-            *now = progress;
-            !again
+    fn set_response_progress(&self, progress: ResponseProgress) {
+        self.response.send_if_modified(|current| {
+            let unchanged = *current == progress && progress == ResponseProgress::Started;
+            *current = progress;
+            !unchanged
         });
     }
 }
@@ -121,15 +128,15 @@
     /// Starts an exchange with the first byte of a request. Fails where bytes lie in the socket that belong to no request.
     /// The socket itself is asked, because the runtime may not have read it yet.
     fn begin_exchange(&mut self) -> io::Result<()> {
-        if self.state.answer_progress() != AnswerProgress::NoRequest {
+        if self.state.response_progress() != ResponseProgress::NoRequest {
             return Ok(());
         }
         match (&*SockRef::from(&self.socket)).read(&mut [0]) {
-            Err(problem) if problem.kind() == io::ErrorKind::WouldBlock => {}
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             _ => return Err(io::ErrorKind::ConnectionReset.into()),
         }
-        self.state.set_answer_progress(AnswerProgress::Awaited);
-        self.filter.expect_answer();
+        self.state.set_response_progress(ResponseProgress::Awaited);
+        self.filter.expect_response();
         Ok(())
     }
 
@@ -141,15 +148,15 @@
     }
 
     /// Reads bytes of an answer after its first line, straight to the library.
-    fn poll_read_through(
+    fn poll_read_unfiltered(
         &mut self,
         cx: &mut Context<'_>,
         output: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = output.filled().len();
         ready!(Pin::new(&mut self.socket).poll_read(cx, output))?;
-        let bytes_came = output.filled().len() > before;
-        if bytes_came && self.state.answer_progress() == AnswerProgress::NoRequest {
+        let bytes_received = output.filled().len() > before;
+        if bytes_received && self.state.response_progress() == ResponseProgress::NoRequest {
             return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
         }
         Poll::Ready(Ok(()))
@@ -164,9 +171,9 @@
     ) -> Poll<io::Result<()>> {
         loop {
             // What was kept back of a first line must fit beside what comes now.
-            let space = output.remaining().saturating_sub(MAX_FIRST_LINE_BYTES);
-            let mut buffer = [0; READ_BYTES];
-            let mut input = ReadBuf::new(&mut buffer[..space.clamp(1, READ_BYTES)]);
+            let read_limit = output.remaining().saturating_sub(MAX_STATUS_LINE_BYTES);
+            let mut buffer = [0; READ_CHUNK_BYTES];
+            let mut input = ReadBuf::new(&mut buffer[..read_limit.clamp(1, READ_CHUNK_BYTES)]);
             ready!(Pin::new(&mut self.socket).poll_read(cx, &mut input))?;
             if input.filled().is_empty() {
                 return Poll::Ready(Ok(()));
@@ -174,7 +181,7 @@
             let before = output.filled().len();
             let state = &self.state;
             self.filter.push(input.filled(), output, |progress| {
-                state.set_answer_progress(progress);
+                state.set_response_progress(progress);
             })?;
             if output.filled().len() > before {
                 return Poll::Ready(Ok(()));
@@ -190,7 +197,7 @@
         output: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.filter.passes_through() {
-            self.poll_read_through(cx, output)
+            self.poll_read_unfiltered(cx, output)
         } else {
             self.poll_read_filtered(cx, output)
         }
--- a/crates/forwarder/src/endpoints/tests.rs
+++ b/crates/forwarder/src/endpoints/tests.rs
@@ -1,11 +1,11 @@
 //! The actor of an endpoint against an endpoint on a socket of this machine.
 
-mod answers;
 mod attempts;
 mod connections;
 mod response_filter;
+mod responses;
 
-use super::attempt::{RequestPurpose, RunningRequest, StopRequest};
+use super::attempt::{InFlightRequest, RequestPurpose, StopRequest};
 use super::idle_connections::SETTLE_TIME;
 use super::*;
 use crate::commands::{AttemptRequest, EndpointCommand};
@@ -19,14 +19,14 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-const OK: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-const IDLE: Micros = 400_000;
+const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+const IDLE_TIMEOUT: Micros = 400_000;
 
 struct TestFixture {
     listener: TcpListener,
     mailbox: mpsc::Sender<EndpointCommand>,
     events: mpsc::Receiver<DispatcherCommand>,
-    attempts: u8,
+    attempts_started: u8,
 }
 
 impl TestFixture {
@@ -39,10 +39,10 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let port = listener.local_addr().expect("its address").port();
         let (dispatcher, events) = mpsc::channel(16);
-        let (mailbox, inbox) = mpsc::channel(16);
+        let (mailbox, commands) = mpsc::channel(16);
         let context = EndpointContext {
             config: ConnectionConfig {
-                connection_idle_timeout: IDLE,
+                connection_idle_timeout: IDLE_TIMEOUT,
                 connect_timeout: 300_000,
             },
             names: Names {
@@ -52,7 +52,7 @@
                 endpoint_kinds: Vec::new(),
                 reports: vec!["x0".into()],
             },
-            idle: Arc::new(Semaphore::new(4)),
+            idle_permits: Arc::new(Semaphore::new(4)),
             dispatcher,
             log: Logger::root(slog::Discard, slog::o!()),
         };
@@ -63,30 +63,36 @@
         };
         let mut endpoint = Endpoint::new(id, Arc::new(context));
         prepare(&mut endpoint);
-        tokio::spawn(endpoint.run(inbox));
+        tokio::spawn(endpoint.run(commands));
         TestFixture {
             listener,
             mailbox,
             events,
-            attempts: 0,
+            attempts_started: 0,
         }
     }
 
-    async fn start_attempt(&mut self, body: &Bytes, timeout: u64) {
-        self.start_attempt_within(body, timeout, timeout).await;
+    async fn start_attempt(&mut self, body: &Bytes, timeout_ms: u64) {
+        self.start_attempt_with_send_limit(body, timeout_ms, timeout_ms)
+            .await;
     }
 
-    async fn start_attempt_within(&mut self, body: &Bytes, timeout: u64, send_within: u64) {
+    async fn start_attempt_with_send_limit(
+        &mut self,
+        body: &Bytes,
+        timeout_ms: u64,
+        send_within_ms: u64,
+    ) {
         let attempt = AttemptRequest {
             id: MessageId(1),
-            attempt_index: self.attempts,
+            attempt_index: self.attempts_started,
             request_id: "9b1f03aa5c7e2d41".into(),
             idempotency_key: Some("5c0f6e1a".into()),
             body: body.clone(),
-            timeout: Duration::from_millis(timeout),
-            send_by: Instant::now() + Duration::from_millis(send_within),
+            timeout: Duration::from_millis(timeout_ms),
+            send_by: Instant::now() + Duration::from_millis(send_within_ms),
         };
-        self.attempts += 1;
+        self.attempts_started += 1;
         self.mailbox
             .send(EndpointCommand::StartAttempt(Box::new(attempt)))
             .await
@@ -94,8 +100,8 @@
     }
 
     /// Answers the request on this connection, and waits until its attempt is delivered.
-    async fn answer_with_ok(&mut self, stream: &mut TcpStream) {
-        stream.write_all(OK).await.expect("sent");
+    async fn respond_with_ok(&mut self, stream: &mut TcpStream) {
+        stream.write_all(OK_RESPONSE).await.expect("sent");
         let Some(DispatcherCommand::Event(Event::AttemptEnded { outcome, .. })) =
             self.events.recv().await
         else {
@@ -113,7 +119,7 @@
                 attempt_index,
                 ..
             }) => {
-                assert_eq!(attempt_index + 1, self.attempts);
+                assert_eq!(attempt_index + 1, self.attempts_started);
                 (outcome, message_completed)
             }
             DispatcherCommand::Event(Event::HealthCheckEnded { outcome, .. }) => (outcome, false),
@@ -135,18 +141,18 @@
 
     /// Fills the backlog of the listener. Further connections stay unanswered, as those to a machine that is cut off, until
     /// these are accepted.
-    async fn fill_the_backlog(&self) -> Vec<TcpStream> {
+    async fn fill_backlog(&self) -> Vec<TcpStream> {
         SockRef::from(&self.listener)
             .listen(0)
             .expect("a short line");
         let address = self.listener.local_addr().expect("its address");
-        let mut before = Vec::new();
+        let mut queued = Vec::new();
         while let Ok(stream) =
             tokio::time::timeout(Duration::from_millis(50), TcpStream::connect(address)).await
         {
-            before.push(stream.expect("a connection"));
+            queued.push(stream.expect("a connection"));
         }
-        before
+        queued
     }
 
     async fn accept(&self) -> TcpStream {
@@ -173,7 +179,7 @@
     }
 }
 
-async fn is_closed(stream: &mut TcpStream) -> bool {
+async fn closes_in_time(stream: &mut TcpStream) -> bool {
     let mut rest = [0; 64];
     let end = stream.read(&mut rest);
     matches!(
--- a/crates/forwarder/src/endpoints/tests/attempts.rs
+++ b/crates/forwarder/src/endpoints/tests/attempts.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[tokio::test]
-async fn a_request_carries_the_message_unchanged_and_its_length_is_exact() {
+async fn sends_the_message_unchanged_and_counts_its_exact_length() {
     let mut fixture = TestFixture::new().await;
     for body in [Bytes::new(), Bytes::from_static(b"any \0 bytes\r\n\r\n")] {
         fixture.start_attempt(&body, 1500).await;
@@ -43,7 +43,7 @@
 
 /// Rule 2: whether an attempt may have taken effect follows from the bytes that were written.
 #[tokio::test]
-async fn a_lost_connection_is_a_reset_only_after_the_last_byte() {
+async fn reports_connection_reset_only_after_the_last_request_byte() {
     let mut fixture = TestFixture::new().await;
     fixture
         .start_attempt(&Bytes::from_static(b"body"), 1000)
@@ -67,7 +67,7 @@
         listener,
         mailbox,
         events,
-        attempts,
+        attempts_started,
     } = fixture;
     let address = listener.local_addr().expect("its address");
     drop(listener);
@@ -77,20 +77,20 @@
         listener,
         mailbox,
         events,
-        attempts,
+        attempts_started,
     };
     fixture.start_attempt(&Bytes::new(), 1000).await;
     assert_eq!(fixture.next_outcome().await, (Outcome::NoConnection, false));
 }
 
 #[tokio::test]
-async fn a_timeout_or_cancellation_closes_the_connection() {
+async fn closes_the_connection_on_timeout_or_cancellation() {
     let mut fixture = TestFixture::new().await;
     fixture.start_attempt(&Bytes::new(), 100).await;
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
     assert_eq!(fixture.next_outcome().await, (Outcome::Timeout, false));
-    assert!(is_closed(&mut stream).await);
+    assert!(closes_in_time(&mut stream).await);
     fixture.start_attempt(&Bytes::new(), 60_000).await;
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
@@ -103,22 +103,22 @@
         .await
         .expect("the actor runs");
     assert_eq!(fixture.next_outcome().await, (Outcome::Cancelled, false));
-    assert!(is_closed(&mut stream).await);
+    assert!(closes_in_time(&mut stream).await);
 }
 
 /// After the send deadline no byte goes out: neither on a connection that opens late nor on one that is open already.
 #[tokio::test]
-async fn an_attempt_past_its_send_deadline_writes_no_byte() {
+async fn writes_no_byte_after_the_send_deadline() {
     let mut fixture = TestFixture::new().await;
-    let before = fixture.fill_the_backlog().await;
+    let queued = fixture.fill_backlog().await;
     fixture
-        .start_attempt_within(&Bytes::from_static(b"late"), 1500, 100)
+        .start_attempt_with_send_limit(&Bytes::from_static(b"late"), 1500, 100)
         .await;
     assert_eq!(
         fixture.next_outcome().await,
         (Outcome::NotAttempted { no_permit: false }, false)
     );
-    for _ in 0..before.len() {
+    for _ in 0..queued.len() {
         fixture.accept().await;
     }
 
@@ -127,28 +127,29 @@
         .await;
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
-    stream.write_all(OK).await.expect("sent");
+    stream.write_all(OK_RESPONSE).await.expect("sent");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
     fixture
-        .start_attempt_within(&Bytes::from_static(b"late"), 1500, 0)
+        .start_attempt_with_send_limit(&Bytes::from_static(b"late"), 1500, 0)
         .await;
     assert_eq!(
         fixture.next_outcome().await,
         (Outcome::NotAttempted { no_permit: false }, false)
     );
     let mut byte = [0];
-    let none = tokio::time::timeout(Duration::from_millis(100), stream.read(&mut byte)).await;
+    let read_result =
+        tokio::time::timeout(Duration::from_millis(100), stream.read(&mut byte)).await;
     assert!(
-        !matches!(none, Ok(Ok(1))),
+        !matches!(read_result, Ok(Ok(1))),
         "a byte of a request past its send deadline"
     );
 }
 
 /// A retry-after once came while a connection opened, and the request was sent on it all the same.
 #[tokio::test]
-async fn an_attempt_or_health_check_is_withdrawn_until_its_last_byte_is_written() {
+async fn withdraws_a_request_until_its_last_byte_is_written() {
     let mut fixture = TestFixture::new().await;
-    let before = fixture.fill_the_backlog().await;
+    let queued = fixture.fill_backlog().await;
     fixture
         .start_attempt(&Bytes::from_static(b"chosen before"), 1500)
         .await;
@@ -158,18 +159,18 @@
         .send_command(EndpointCommand::StartHealthCheck)
         .await;
     fixture.withdraw_unsent().await;
-    for _ in before {
+    for _ in queued {
         fixture.accept().await;
     }
     // Half written, to an endpoint that reads nothing.
     fixture
         .start_attempt(&Bytes::from(vec![7; 32 << 20]), 5000)
         .await;
-    let mut half = fixture.accept().await;
+    let mut half_written_stream = fixture.accept().await;
     tokio::time::sleep(Duration::from_millis(50)).await;
     fixture.withdraw_unsent().await;
     let mut received = 0;
-    while let Ok(1..) = half
+    while let Ok(1..) = half_written_stream
         .read(&mut vec![0; 1 << 20])
         .await
         .inspect(|n| received += n)
@@ -182,7 +183,7 @@
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
     fixture.send_command(EndpointCommand::WithdrawUnsent).await;
-    stream.write_all(OK).await.expect("sent");
+    stream.write_all(OK_RESPONSE).await.expect("sent");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
     tokio::time::sleep(Duration::from_millis(20)).await;
     fixture
@@ -200,30 +201,30 @@
         fixture.send_command(command).await;
     }
     assert_eq!(fixture.next_outcome().await, (Outcome::Cancelled, false));
-    assert!(is_closed(&mut stream).await);
+    assert!(closes_in_time(&mut stream).await);
 }
 
 /// A fault in this program that ends the task of an attempt: it may have taken effect, and the actor goes on.
 #[tokio::test]
-async fn an_attempt_whose_task_panics_is_a_reset() {
+async fn reports_connection_reset_if_the_attempt_task_panics() {
     let mut fixture = TestFixture::with_endpoint(|endpoint| {
         let task = endpoint.tasks.spawn(async { panic!("as a fault would") });
-        let (stop, _) = watch::channel(StopRequest::Continue);
+        let (stop_sender, _) = watch::channel(StopRequest::Continue);
         let purpose = RequestPurpose::Attempt {
             id: MessageId(1),
             attempt_index: 0,
         };
         endpoint.in_flight.insert(
             task.id(),
-            RunningRequest {
+            InFlightRequest {
                 purpose,
-                started: Instant::now(),
-                stop,
+                started_at: Instant::now(),
+                stop_sender,
             },
         );
     })
     .await;
-    fixture.attempts = 1;
+    fixture.attempts_started = 1;
     assert_eq!(
         fixture.next_outcome().await,
         (Outcome::ConnectionReset, false)
@@ -233,6 +234,6 @@
         .await;
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
-    stream.write_all(OK).await.expect("written");
+    stream.write_all(OK_RESPONSE).await.expect("written");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
 }
--- a/crates/forwarder/src/endpoints/tests/connections.rs
+++ b/crates/forwarder/src/endpoints/tests/connections.rs
@@ -4,21 +4,21 @@
 
 /// A request that crosses the endpoint's own close would be reset. It must not go out a second time on a new connection.
 #[tokio::test]
-async fn idle_connections_are_retired_early_and_closed_ones_are_not_used() {
+async fn retires_idle_connections_early_and_skips_closed_ones() {
     let mut fixture = TestFixture::new().await;
     fixture.start_attempt(&Bytes::new(), 1000).await;
     let mut first = fixture.accept().await;
     read_request(&mut first).await;
-    first.write_all(OK).await.expect("sent");
+    first.write_all(OK_RESPONSE).await.expect("sent");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
-    let begun = Instant::now();
-    assert!(is_closed(&mut first).await);
-    assert!(begun.elapsed() < Duration::from_micros(IDLE));
+    let started_at = Instant::now();
+    assert!(closes_in_time(&mut first).await);
+    assert!(started_at.elapsed() < Duration::from_micros(IDLE_TIMEOUT));
     // A connection that the endpoint has closed is not used: the request goes out once, on a new one.
     fixture.start_attempt(&Bytes::new(), 1000).await;
     let mut second = fixture.accept().await;
     read_request(&mut second).await;
-    second.write_all(OK).await.expect("sent");
+    second.write_all(OK_RESPONSE).await.expect("sent");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
     tokio::time::sleep(Duration::from_millis(20)).await;
     drop(second);
@@ -26,32 +26,32 @@
     fixture.start_attempt(&Bytes::new(), 1000).await;
     let mut third = fixture.accept().await;
     read_request(&mut third).await;
-    third.write_all(OK).await.expect("sent");
+    third.write_all(OK_RESPONSE).await.expect("sent");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
     fixture
         .mailbox
         .send(EndpointCommand::CloseIdleConnections)
         .await
         .expect("the actor runs");
-    assert!(is_closed(&mut third).await);
+    assert!(closes_in_time(&mut third).await);
 }
 
 /// Rule 1: bytes behind an answer never answer the next request, however soon that follows.
 #[tokio::test]
-async fn bytes_behind_an_answer_do_not_answer_the_next_request() {
+async fn ignores_bytes_behind_a_response_for_the_next_request() {
     for gap in [0, 1] {
         let mut fixture = TestFixture::new().await;
         fixture.start_attempt(&Bytes::new(), 1000).await;
         let mut first = fixture.accept().await;
         read_request(&mut first).await;
-        first.write_all(OK).await.expect("sent");
+        first.write_all(OK_RESPONSE).await.expect("sent");
         if gap > 0 {
             assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
             fixture.start_attempt(&Bytes::new(), 1000).await;
             tokio::time::sleep(Duration::from_millis(gap)).await;
-            first.write_all(OK).await.expect("sent");
+            first.write_all(OK_RESPONSE).await.expect("sent");
         } else {
-            first.write_all(OK).await.expect("sent");
+            first.write_all(OK_RESPONSE).await.expect("sent");
             assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
             fixture.start_attempt(&Bytes::new(), 1000).await;
         }
@@ -65,7 +65,7 @@
             fixture.next_outcome().await,
             (Outcome::Rejected { retry_after: None }, false)
         );
-        assert!(is_closed(&mut first).await);
+        assert!(closes_in_time(&mut first).await);
     }
 }
 
@@ -74,7 +74,7 @@
 /// The second connection must have been idle for less than the settle time as the request begins.
 /// Where the machine took longer than that, the second may serve, and the case is set up again.
 #[tokio::test]
-async fn a_settled_connection_is_used_first() {
+async fn prefers_a_settled_connection() {
     const MAX_TRIES: usize = 100;
     let mut fixture = TestFixture::new().await;
     fixture.start_attempt(&Bytes::new(), 1000).await;
@@ -83,11 +83,11 @@
     let mut second = fixture.accept().await;
     read_request(&mut first).await;
     read_request(&mut second).await;
-    fixture.answer_with_ok(&mut first).await;
+    fixture.respond_with_ok(&mut first).await;
     for _ in 0..MAX_TRIES {
         tokio::time::sleep(Duration::from_millis(30)).await; // until the first has settled
         let answered_at = Instant::now();
-        fixture.answer_with_ok(&mut second).await;
+        fixture.respond_with_ok(&mut second).await;
         tokio::time::sleep(Duration::from_millis(1)).await; // until the second is idle too
         fixture.start_attempt(&Bytes::new(), 1000).await;
         tokio::select! {
--- a/crates/forwarder/src/endpoints/tests/response_filter.rs
+++ b/crates/forwarder/src/endpoints/tests/response_filter.rs
@@ -1,7 +1,7 @@
 //! What the HTTP library sees of an answer, and what is known of it meanwhile, without a socket.
 
-use crate::endpoints::response_filter::{ResponseFilter, MAX_FIRST_LINE_BYTES};
-use crate::endpoints::stream::AnswerProgress;
+use crate::endpoints::response_filter::{ResponseFilter, MAX_STATUS_LINE_BYTES};
+use crate::endpoints::stream::ResponseProgress;
 use std::cell::RefCell;
 use std::io;
 use tokio::io::ReadBuf;
@@ -11,14 +11,14 @@
 /// What a filter made of the pieces of one answer.
 struct Filtered {
     output: Vec<u8>,
-    progress: Vec<AnswerProgress>,
+    progress: Vec<ResponseProgress>,
     result: io::Result<()>,
 }
 
 /// Pushes pieces to a filter that expects an answer, up to the first error.
 fn filter(pieces: &[&[u8]]) -> Filtered {
     let mut filter = ResponseFilter::new();
-    filter.expect_answer();
+    filter.expect_response();
     let mut buffer = vec![0; BUFFER_BYTES];
     let mut output = ReadBuf::new(&mut buffer);
     let progress = RefCell::new(Vec::new());
@@ -38,20 +38,20 @@
 }
 
 #[test]
-fn a_first_line_is_kept_back_until_it_is_whole() {
+fn withholds_a_status_line_until_it_is_complete() {
     let half = filter(&[b"HTTP/1.1 200 OK\r"]);
     assert_eq!(half.output, b"");
-    assert_eq!(half.progress, [AnswerProgress::Started]);
+    assert_eq!(half.progress, [ResponseProgress::Started]);
     let whole = filter(&[b"HTTP/1.1 200 OK\r", b"\nX: y"]);
     assert_eq!(whole.output, b"HTTP/1.1 200 OK\r\nX: y");
     assert_eq!(
         whole.progress,
-        [AnswerProgress::Started, AnswerProgress::Status(200)]
+        [ResponseProgress::Started, ResponseProgress::Status(200)]
     );
 }
 
 #[test]
-fn heads_with_a_1xx_status_are_dropped_wherever_they_are_cut() {
+fn drops_1xx_heads_split_at_any_byte() {
     let text = b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 101 Up\n\nHTTP/1.0 503 Full\r\nX: y\r\n\r\n";
     for cut in 0..text.len() {
         let (first, second) = text.split_at(cut);
@@ -62,15 +62,15 @@
         );
         assert_eq!(
             filtered.progress.last(),
-            Some(&AnswerProgress::Status(503)),
+            Some(&ResponseProgress::Status(503)),
             "{cut}"
         );
     }
 }
 
 #[test]
-fn a_line_without_a_status_or_an_end_goes_to_the_library_as_it_is() {
-    let endless = vec![b'x'; MAX_FIRST_LINE_BYTES];
+fn passes_through_a_line_without_a_status_or_an_end() {
+    let endless = vec![b'x'; MAX_STATUS_LINE_BYTES];
     let lines: [&[u8]; 5] = [
         b"HTTP/1.1 2000 OK\r\n",
         b"HTTP/1.1 +20 OK\r\n",
@@ -81,15 +81,15 @@
     for line in lines {
         let filtered = filter(&[line]);
         assert_eq!(filtered.output, line);
-        assert_eq!(filtered.progress, [AnswerProgress::Started]);
+        assert_eq!(filtered.progress, [ResponseProgress::Started]);
     }
 }
 
 #[test]
-fn heads_with_a_1xx_status_that_never_end_are_an_error() {
+fn rejects_1xx_heads_without_an_end() {
     let piece = vec![b'x'; 33 * 1024];
     let filtered = filter(&[b"HTTP/1.1 100 Continue\r\n", &piece]);
-    let problem = filtered.result.expect_err("too long");
-    assert_eq!(problem.kind(), io::ErrorKind::InvalidData);
+    let error = filtered.result.expect_err("too long");
+    assert_eq!(error.kind(), io::ErrorKind::InvalidData);
     assert_eq!(filtered.output, b"");
 }
--- a/crates/forwarder/src/endpoints/tests/answers.rs
+++ b/crates/forwarder/src/endpoints/tests/responses.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[tokio::test]
-async fn each_status_has_its_outcome() {
+async fn maps_each_response_status_to_its_outcome() {
     let mut fixture = TestFixture::new().await;
     let retry_after = |ms: u64| Outcome::Rejected {
         retry_after: Some(ms * 1000),
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn status_200_delivers_whatever_becomes_of_the_body() {
+async fn delivers_on_status_200_with_an_incomplete_body() {
     let mut fixture = TestFixture::new().await;
     fixture.start_attempt(&Bytes::new(), 5000).await;
     let mut stream = fixture.accept().await;
@@ -58,15 +58,16 @@
         .await
         .expect("sent");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
-    assert!(is_closed(&mut stream).await); // such a connection serves no more
+    assert!(closes_in_time(&mut stream).await); // such a connection serves no more
 }
 
 /// Rules 1 and 2: a first line with status 200 alone proves delivery. That a message did not take effect is believed only of
 /// a whole answer. 1xx heads ahead, 101 too, change nothing.
 #[tokio::test]
-async fn an_invalid_answer_is_a_reset_unless_its_first_line_has_status_200() {
-    let full = Outcome::Rejected { retry_after: None };
-    let early = "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n";
+async fn reports_connection_reset_for_an_invalid_response_without_status_200() {
+    let rejected = Outcome::Rejected { retry_after: None };
+    let interim_heads =
+        "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n";
     let cases = [
         (
             "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n".to_owned(),
@@ -124,13 +125,13 @@
             false,
         ),
         (
-            format!("{early}HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
+            format!("{interim_heads}HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
             Outcome::Delivered,
             true,
         ),
         (
-            format!("{early}HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno"),
-            full,
+            format!("{interim_heads}HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno"),
+            rejected,
             true,
         ),
     ];
@@ -139,27 +140,33 @@
         fixture.start_attempt(&Bytes::new(), 20_000).await;
         let mut stream = fixture.accept().await;
         read_request(&mut stream).await;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         // Where the other side has seen enough it closes.
         let _ = stream.write_all(text.as_bytes()).await;
-        let shown: String = text.chars().take(60).collect();
+        let response_start: String = text.chars().take(60).collect();
         assert_eq!(
             fixture.next_outcome().await,
             (outcome, outcome == Outcome::Delivered),
-            "{shown}"
+            "{response_start}"
+        );
+        assert!(
+            started_at.elapsed() < Duration::from_secs(1),
+            "{response_start}"
         );
-        assert!(begun.elapsed() < Duration::from_secs(1), "{shown}");
         if stays_open {
             fixture.start_attempt(&Bytes::new(), 1000).await;
-            assert!(!read_request(&mut stream).await.is_empty(), "{shown}");
+            assert!(
+                !read_request(&mut stream).await.is_empty(),
+                "{response_start}"
+            );
         } else {
-            assert!(is_closed(&mut stream).await, "{shown}");
+            assert!(closes_in_time(&mut stream).await, "{response_start}");
         }
     }
 }
 
 #[tokio::test]
-async fn a_health_check_reports_the_outcome_of_its_answer() {
+async fn reports_the_outcome_of_a_health_check() {
     let mut fixture = TestFixture::new().await;
     for (line, outcome) in [
         ("200 OK", Outcome::Delivered),
@@ -182,7 +189,7 @@
 
 /// A retry-after binds from the head of its answer on. The body may be late, invalid or cut off, the status another.
 #[tokio::test]
-async fn a_retry_after_is_reported_with_its_head_whatever_becomes_of_the_body() {
+async fn reports_retry_after_before_the_response_body_ends() {
     let cases = [
         (
             "429 W",
@@ -207,7 +214,7 @@
         ),
         ("500 E", "0\r\n\r\n", "", Outcome::Error),
     ];
-    for (status, rest, late, outcome) in cases {
+    for (status, rest, late_body, outcome) in cases {
         let mut fixture = TestFixture::new().await;
         fixture.start_attempt(&Bytes::new(), 20_000).await;
         let mut stream = fixture.accept().await;
@@ -228,7 +235,7 @@
             "{head}"
         );
         tokio::time::sleep(Duration::from_millis(100)).await;
-        stream.write_all(late.as_bytes()).await.expect("sent");
+        stream.write_all(late_body.as_bytes()).await.expect("sent");
         stream.shutdown().await.expect("cut off");
         assert_eq!(fixture.next_outcome().await, (outcome, false), "{head}");
     }
@@ -236,7 +243,7 @@
 
 /// A cancellation in the moment in which the answer came once closed the connection on an unread retry-after.
 #[tokio::test]
-async fn an_answer_in_the_socket_counts_before_a_cancellation() {
+async fn prefers_a_response_in_the_socket_over_a_cancellation() {
     let mut fixture = TestFixture::new().await;
     fixture.start_attempt(&Bytes::new(), 20_000).await;
     let mut stream = fixture.accept().await;
@@ -264,7 +271,7 @@
 
 /// Rule 1: half a first line that arrives in the moment of a cancellation is no answer, whatever it begins with.
 #[tokio::test]
-async fn half_a_first_line_in_the_socket_is_no_answer() {
+async fn ignores_a_partial_status_line_in_the_socket_at_cancellation() {
     let mut fixture = TestFixture::new().await;
     fixture.start_attempt(&Bytes::new(), 20_000).await;
     let mut stream = fixture.accept().await;
--- a/crates/forwarder/src/startup.rs
+++ b/crates/forwarder/src/startup.rs
@@ -172,7 +172,7 @@
         Arc::new(EndpointContext {
             config: self.startup.settings.connections.clone(),
             names: self.names(),
-            idle: Arc::new(Semaphore::new(self.startup.max_idle_connections)),
+            idle_permits: Arc::new(Semaphore::new(self.startup.max_idle_connections)),
             dispatcher: self.dispatcher.clone(),
             log: self.log.clone(),
         })
--- a/crates/forwarder/tests/common/mod.rs
+++ b/crates/forwarder/tests/common/mod.rs
@@ -24,7 +24,7 @@
 }
 
 /// Kills the process and waits until it is gone.
-pub fn kill(forwarder: &mut Forwarder) {
+pub fn kill_and_wait(forwarder: &mut Forwarder) {
     forwarder.child.kill().expect("killed");
     forwarder.child.wait().expect("ended");
 }
@@ -36,7 +36,7 @@
 }
 
 /// An endpoint that answers each request with this status.
-pub fn endpoint_with(status: &'static str) -> (SocketAddr, Log) {
+pub fn endpoint_responding_with(status: &'static str) -> (SocketAddr, Log) {
     serve(move |_, _| plain(status))
 }
 
@@ -51,7 +51,7 @@
 }
 
 /// Waits until watches have taken all changes of the platform's list.
-pub fn until_changes_are_sent(platform: &Platform) {
+pub fn wait_until_changes_are_sent(platform: &Platform) {
     until("the change is sent", || {
         platform.changes.lock().expect("the changes").is_empty()
     });
@@ -76,6 +76,6 @@
 }
 
 /// Waits so long.
-pub fn pause(millis: u64) {
-    std::thread::sleep(Duration::from_millis(millis));
+pub fn sleep_ms(duration_ms: u64) {
+    std::thread::sleep(Duration::from_millis(duration_ms));
 }
--- a/crates/forwarder/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -12,13 +12,13 @@
 use std::thread;
 
 /// Descriptors: 8 go to attempts, 32 to clients, 16 to idle connections to endpoints, 24 to the program itself.
-const LIMIT: usize = 80;
+const DESCRIPTOR_LIMIT: usize = 80;
 /// The file of the program's log, beside its state directory.
-const LOG: &str = "log";
+const LOG_FILE: &str = "log";
 /// More than connections to endpoints may be idle.
-const ENDPOINTS: u16 = 40;
+const ENDPOINT_COUNT: u16 = 40;
 /// More than descriptors.
-const IDLE_CLIENTS: usize = 120;
+const IDLE_CLIENT_COUNT: usize = 120;
 
 /// Starts the program with so many descriptors and no more.
 fn start_limited(state: &Path, text: &str, discovery: SocketAddr) -> Forwarder {
@@ -26,12 +26,12 @@
         .parent()
         .expect("a directory around it")
         .join("limited.sh");
-    let log = script.with_file_name(LOG);
-    let lines = format!(
-        "#!/bin/sh\nulimit -n {LIMIT}\nexec {PROGRAM} 2> {}\n",
+    let log = script.with_file_name(LOG_FILE);
+    let script_text = format!(
+        "#!/bin/sh\nulimit -n {DESCRIPTOR_LIMIT}\nexec {PROGRAM} 2> {}\n",
         log.display()
     );
-    std::fs::write(&script, lines).expect("written");
+    std::fs::write(&script, script_text).expect("written");
     std::fs::set_permissions(&script, PermissionsExt::from_mode(0o755)).expect("it may run");
     opalpulley_lab::scripted::start(
         script.to_str().expect("a plain path"),
@@ -42,7 +42,7 @@
 }
 
 /// Clients that connect, send one request at most, and then nothing. One that is closed connects again at once.
-fn idle_clients(forwarder: SocketAddr, stop: &AtomicBool) {
+fn keep_idle_clients_connected(forwarder: SocketAddr, stop: &AtomicBool) {
     let connect = |n: usize| {
         let stream = TcpStream::connect(forwarder).ok()?;
         stream.set_nonblocking(true).ok()?;
@@ -53,73 +53,77 @@
         }
         Some(stream)
     };
-    let closed = |stream: &TcpStream| {
+    let is_closed = |stream: &TcpStream| {
         let mut byte = [0];
         loop {
             match std::io::Read::read(&mut &*stream, &mut byte) {
                 Ok(1) => {} // an answer
                 Ok(_) => return true,
-                Err(problem) => return problem.kind() != std::io::ErrorKind::WouldBlock,
+                Err(error) => return error.kind() != std::io::ErrorKind::WouldBlock,
             }
         }
     };
-    let mut streams: Vec<Option<TcpStream>> = (0..IDLE_CLIENTS).map(connect).collect();
+    let mut streams: Vec<Option<TcpStream>> = (0..IDLE_CLIENT_COUNT).map(connect).collect();
     while !stop.load(Ordering::Relaxed) {
         for (n, stream) in streams.iter_mut().enumerate() {
-            if stream.as_ref().is_none_or(closed) {
+            if stream.as_ref().is_none_or(is_closed) {
                 *stream = connect(n);
             }
         }
-        pause(1);
+        sleep_ms(1);
     }
 }
 
 /// Clients, idle connections to endpoints and attempts have all descriptors that they may, while discovery is silent. As it
 /// comes back, the list is fetched, a message goes to an endpoint that is new in it, and a failed message is reported.
 #[test]
-fn with_idle_clients_on_every_descriptor_the_list_an_attempt_and_a_report_go_through() {
-    let (endpoint, seen) = endpoint_with("200 OK");
-    let (mute, _) = silent_endpoint();
-    let (full, refused) = endpoint_with("503 Full");
-    let (endpoints, _logs): (Vec<_>, Vec<_>) =
-        (0..ENDPOINTS).map(|_| endpoint_with("200 OK")).unzip();
+fn fetches_sends_and_reports_with_all_descriptors_taken() {
+    let (endpoint, request_log) = endpoint_responding_with("200 OK");
+    let (silent_address, _) = silent_endpoint();
+    let (rejecting, rejected_request_log) = endpoint_responding_with("503 Full");
+    let (endpoints, _logs): (Vec<_>, Vec<_>) = (0..ENDPOINT_COUNT)
+        .map(|_| endpoint_responding_with("200 OK"))
+        .unzip();
     let mut members: Vec<String> = endpoints
         .iter()
         .zip(100..)
         .map(|(endpoint, cell)| member(*endpoint, cell, "Ready"))
         .collect();
-    members.extend([member(mute, 8, "Ready"), member(full, 9, "Ready")]);
-    let later = [members.clone(), vec![member(endpoint, 7, "Ready")]].concat();
+    members.extend([
+        member(silent_address, 8, "Ready"),
+        member(rejecting, 9, "Ready"),
+    ]);
+    let updated_members = [members.clone(), vec![member(endpoint, 7, "Ready")]].concat();
     let silent = Arc::new(AtomicBool::new(false));
-    let (gate, back) = (silent.clone(), Arc::new(AtomicBool::new(false)));
-    let returned = back.clone();
-    let (platform, asked) = serve(move |m, _| {
+    let (is_silent, list_updated) = (silent.clone(), Arc::new(AtomicBool::new(false)));
+    let updated = list_updated.clone();
+    let (platform, platform_requests) = serve(move |m, _| {
         if m.first.contains("/v1/outcomes") {
             return plain("204 No Content");
         }
-        if m.first.contains("index=") && !returned.load(Ordering::Relaxed) {
-            pause(100);
+        if m.first.contains("index=") && !updated.load(Ordering::Relaxed) {
+            sleep_ms(100);
         }
-        if gate.load(Ordering::Relaxed) {
+        if is_silent.load(Ordering::Relaxed) {
             return None;
         }
-        with_body(&match returned.load(Ordering::Relaxed) {
-            true => list(2, true, &later),
+        with_body(&match updated.load(Ordering::Relaxed) {
+            true => list(2, true, &updated_members),
             false => list(1, true, &members),
         })
     });
     let (_dir, state) = folder();
-    let text = config("notice", "guarded", LIMIT, 3.0)
+    let text = config("notice", "guarded", DESCRIPTOR_LIMIT, 3.0)
         .replace("ConnIdleUs\":5000000", "ConnIdleUs\":60000000");
     let forwarder = start_limited(&state, &text, platform);
-    let submit = |id: &str, cell: u16, time: &str| {
+    let submit = |id: &str, cell: u16, time_left_ms: &str| {
         let head = submission_head(id, "notice", 4)
             .replace("dest=7", &format!("dest={cell}"))
-            .replace("20000", time);
+            .replace("20000", time_left_ms);
         forwarder.ask(&head, b"body")
     };
     // The descriptors of idle connections to endpoints and of attempts are taken first.
-    for cell in 100..100 + ENDPOINTS {
+    for cell in 100..100 + ENDPOINT_COUNT {
         until("it is accepted", || {
             submit(&format!("t{cell}"), cell, "20000") == 202
         });
@@ -132,29 +136,32 @@
     silent.store(true, Ordering::Relaxed);
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
-        scope.spawn(|| idle_clients(forwarder.listen, &stop));
+        scope.spawn(|| keep_idle_clients_connected(forwarder.listen, &stop));
         // A watch that was open times out within 7 s, and is opened again in vain.
-        pause(8_000);
-        let (_, open) = forwarder.holds();
-        println!("{open} descriptors");
-        assert!(open > LIMIT / 2 && open <= LIMIT, "{open} descriptors");
-        back.store(true, Ordering::Relaxed);
+        sleep_ms(8_000);
+        let (_, open_descriptors) = forwarder.holds();
+        println!("{open_descriptors} descriptors");
+        assert!(
+            open_descriptors > DESCRIPTOR_LIMIT / 2 && open_descriptors <= DESCRIPTOR_LIMIT,
+            "{open_descriptors} descriptors"
+        );
+        list_updated.store(true, Ordering::Relaxed);
         silent.store(false, Ordering::Relaxed);
         until("the new list counts and a message is accepted", || {
             submit("new", 7, "20000") == 202
         });
-        until("it is delivered", || calls(&seen, "new") == 1);
+        until("it is delivered", || calls(&request_log, "new") == 1);
         until("another is accepted", || submit("end", 9, "600") == 202);
-        until("it is tried", || calls(&refused, "end") > 0);
+        until("it is tried", || calls(&rejected_request_log, "end") > 0);
         until("it is reported", || {
-            let asked = asked.lock().expect("the log");
-            asked
+            let platform_requests = platform_requests.lock().expect("the log");
+            platform_requests
                 .iter()
                 .any(|m| String::from_utf8_lossy(&m.body).contains("\"end\""))
         });
         stop.store(true, Ordering::Relaxed);
     });
-    let log = std::fs::read_to_string(state.with_file_name(LOG)).expect("its log");
+    let log = std::fs::read_to_string(state.with_file_name(LOG_FILE)).expect("its log");
     assert!(
         log.contains("endpoint list received again") && !log.contains("Too many open files"),
         "{log}"
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -9,9 +9,9 @@
 /// Rule 1 where lists have a hundred thousand entries, half of which come and go, and others are cut off or have unknown names:
 /// the endpoint that is in each of them gets each message once, and the program stays up.
 #[test]
-fn lists_that_are_long_flap_or_are_cut_off_lose_no_message() {
+fn loses_no_message_when_long_lists_change_or_are_truncated() {
     const OTHERS: u32 = 100_000;
-    let (endpoint, seen) = endpoint_with("200 OK");
+    let (endpoint, request_log) = endpoint_responding_with("200 OK");
     let other = |n: u32| {
         let address = SocketAddr::from((std::net::Ipv4Addr::from(0x0a00_0000 + n), 80));
         member_named(&format!("t-{n}"), address, 1_000 + n, "Ready")
@@ -23,10 +23,10 @@
             .collect::<Vec<_>>()
     };
     let all = with_endpoint(&mut (0..OTHERS));
-    let half = list(2, true, &with_endpoint(&mut (0..OTHERS).step_by(2)));
+    let half_of_list = list(2, true, &with_endpoint(&mut (0..OTHERS).step_by(2)));
     let unknown = vec![member(endpoint, 7, "Ready").replace(r#""a""#, r#""nowhere""#)];
     let whole = list(2, true, &all);
-    let cut = whole[..whole.len() / 2].to_owned();
+    let truncated = whole[..whole.len() / 2].to_owned();
     let platform = platform(all, 0);
     let (_dir, state) = folder();
     let forwarder = start(
@@ -35,10 +35,10 @@
         platform.address,
     );
     let changes = [
-        half.clone(),
+        half_of_list.clone(),
         whole.clone(),
-        cut,
-        half,
+        truncated,
+        half_of_list,
         list(2, false, &unknown),
         whole,
     ];
@@ -47,10 +47,10 @@
         let ids: Vec<String> = (0..10).map(|n| format!("p-{round}-{n}")).collect();
         for id in &ids {
             assert_eq!(forwarder.submit(id, "notice"), 202, "{id}");
-            pause(100); // so that the list comes amid them
+            sleep_ms(100); // so that the list comes amid them
         }
         until("each is delivered", || {
-            ids.iter().all(|id| calls(&seen, id) == 1)
+            ids.iter().all(|id| calls(&request_log, id) == 1)
         });
     }
     assert!(
@@ -59,7 +59,8 @@
     );
     assert!(report_bodies(&platform).is_empty());
     assert_eq!(
-        seen.lock()
+        request_log
+            .lock()
             .expect("the log")
             .iter()
             .filter(|m| m.first.starts_with("POST"))
--- a/crates/forwarder/tests/asked_list.rs
+++ b/crates/forwarder/tests/polled_list.rs
@@ -14,9 +14,9 @@
 /// The forwarders that run, of the fleet's 350.
 const FORWARDERS: usize = 10;
 /// A change counts as notified so long after discovery had it and could be reached.
-const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
+const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
 /// For nine in ten restarted processes to be ready.
-const READY_WITHIN: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What discovery does with polls.
 #[derive(Clone, Copy, PartialEq)]
@@ -40,34 +40,34 @@
 impl Discovery {
     fn start(mode: Arc<AtomicU8>, members: Vec<String>) -> Discovery {
         let polls: Arc<Mutex<Vec<Instant>>> = Arc::default();
-        let (is, log) = (mode.clone(), polls.clone());
+        let (current_mode, log) = (mode.clone(), polls.clone());
         let (address, _) = serve(move |m, _| {
             if !m.first.contains("/discovery/") {
                 return plain("204 No Content");
             }
-            let wait = m
+            let wait_ms = m
                 .first
                 .split("wait=")
                 .nth(1)
                 .and_then(|w| w.split(' ').next()?.parse().ok());
-            let until = Instant::now() + Duration::from_millis(wait.unwrap_or(0));
-            let before = is.load(Ordering::SeqCst);
-            if before == DiscoveryMode::Silent as u8 {
+            let respond_at = Instant::now() + Duration::from_millis(wait_ms.unwrap_or(0));
+            let initial_mode = current_mode.load(Ordering::SeqCst);
+            if initial_mode == DiscoveryMode::Silent as u8 {
                 return None;
             }
-            if before == DiscoveryMode::Rejects as u8 {
+            if initial_mode == DiscoveryMode::Rejects as u8 {
                 return plain("503 Busy");
             }
             log.lock().expect("the log").push(Instant::now());
-            while Instant::now() < until {
-                let now = is.load(Ordering::SeqCst);
-                if now != before && now != DiscoveryMode::Answers as u8 {
+            while Instant::now() < respond_at {
+                let now = current_mode.load(Ordering::SeqCst);
+                if now != initial_mode && now != DiscoveryMode::Answers as u8 {
                     return None; // a watch that falls silent
                 }
-                pause(5);
+                sleep_ms(5);
             }
-            let whole = wait.is_none();
-            with_body(&list(1, whole, if whole { &members } else { &[] }))
+            let complete = wait_ms.is_none();
+            with_body(&list(1, complete, if complete { &members } else { &[] }))
         });
         Discovery {
             mode,
@@ -76,12 +76,12 @@
         }
     }
 
-    fn calls(&self) -> usize {
+    fn polls_received(&self) -> usize {
         self.polls.lock().expect("the log").len()
     }
 
     /// How long after that moment the first poll came that was answered.
-    fn first_after(&self, moment: Instant) -> Option<Duration> {
+    fn first_poll_after(&self, moment: Instant) -> Option<Duration> {
         let polls = self.polls.lock().expect("the log");
         polls.iter().find(|at| **at > moment).map(|at| *at - moment)
     }
@@ -94,22 +94,22 @@
 }
 
 impl Fleet {
-    fn watching(poll_interval: u64) -> Fleet {
+    fn watching(poll_interval_s: u64) -> Fleet {
         let mode = Arc::new(AtomicU8::new(DiscoveryMode::Answers as u8));
-        let begin = |number: usize| {
+        let start_forwarder = |number: usize| {
             let discovery = Discovery::start(mode.clone(), Vec::new());
             let (dir, state) = folder();
-            let text = config_file(number, poll_interval);
+            let text = config_file(number, poll_interval_s);
             let forwarder = start(&state, &text, discovery.address);
             (discovery, forwarder, dir)
         };
-        let members: Vec<_> = (0..FORWARDERS).map(begin).collect();
+        let members: Vec<_> = (0..FORWARDERS).map(start_forwarder).collect();
         let fleet = Fleet { mode, members };
         until("all watch", || {
             fleet
                 .members
                 .iter()
-                .all(|(discovery, ..)| discovery.calls() >= 3)
+                .all(|(discovery, ..)| discovery.polls_received() >= 3)
         });
         fleet
     }
@@ -121,21 +121,21 @@
 
     /// Checks that each makes a poll that is answered before what discovery had at that moment counts as notified.
     fn assert_polled_in_time_after(&self, moment: Instant) {
-        let first = || {
+        let first_polls = || {
             self.members
                 .iter()
-                .map(|(discovery, ..)| discovery.first_after(moment))
+                .map(|(discovery, ..)| discovery.first_poll_after(moment))
         };
-        thread::sleep(NOTIFIED_WITHIN.saturating_sub(moment.elapsed()));
-        let late = first()
-            .filter(|after| after.is_none_or(|after| after > NOTIFIED_WITHIN))
+        thread::sleep(NOTIFICATION_TIMEOUT.saturating_sub(moment.elapsed()));
+        let late_count = first_polls()
+            .filter(|after| after.is_none_or(|after| after > NOTIFICATION_TIMEOUT))
             .count();
-        assert_eq!(late, 0, "{:?}", first().collect::<Vec<_>>());
+        assert_eq!(late_count, 0, "{:?}", first_polls().collect::<Vec<_>>());
     }
 }
 
 /// The start-up configuration of one of the fleet's forwarders. The poll interval is in seconds.
-fn config_file(number: usize, poll_interval: u64) -> String {
+fn config_file(number: usize, poll_interval_s: u64) -> String {
     config("notice", "free", 200, 3.0)
         .replace(
             "\"seed\":\"8c1f30d27a5be964\"",
@@ -147,22 +147,25 @@
         )
         .replace(
             "\"ColdFrom\"",
-            &format!("\"AskWithinUs\":{},\"ColdFrom\"", poll_interval * 1_000_000),
+            &format!(
+                "\"AskWithinUs\":{},\"ColdFrom\"",
+                poll_interval_s * 1_000_000
+            ),
         )
 }
 
 /// A watch that has fallen silent is broken: what it misses counts as notified 6 s after it fell silent.
 #[test]
-fn a_watch_of_a_polled_list_that_falls_silent_is_opened_anew_in_time() {
+fn reopens_a_silent_watch_of_a_polled_list_in_time() {
     let fleet = Fleet::watching(10);
-    let silent = fleet.switch_to(DiscoveryMode::SilentOnce);
-    pause(100);
+    let silent_since = fleet.switch_to(DiscoveryMode::SilentOnce);
+    sleep_ms(100);
     fleet.switch_to(DiscoveryMode::Answers); // reachable for further polls
-    fleet.assert_polled_in_time_after(silent);
+    fleet.assert_polled_in_time_after(silent_since);
 }
 
 #[test]
-fn discovery_is_polled_in_time_after_it_was_silent() {
+fn polls_discovery_in_time_after_silence() {
     let fleet = Fleet::watching(10);
     fleet.switch_to(DiscoveryMode::Silent);
     thread::sleep(Duration::from_secs(8));
@@ -171,7 +174,7 @@
 
 /// The settings may want a poll in a minute only. What counts as notified does not wait for it.
 #[test]
-fn discovery_is_polled_in_time_after_it_rejected_polls() {
+fn polls_discovery_in_time_after_rejections() {
     let fleet = Fleet::watching(60);
     fleet.switch_to(DiscoveryMode::Rejects);
     thread::sleep(Duration::from_secs(8));
@@ -180,12 +183,12 @@
 
 /// An overloaded discovery answers after a poll has timed out. The answer counts all the same, and no poll is lost on it.
 #[test]
-fn the_answer_to_a_poll_that_timed_out_counts() {
-    const LATE: Duration = Duration::from_millis(4_500);
-    let (endpoint, seen) = endpoint_with("200 OK");
+fn accepts_the_response_to_a_timed_out_poll() {
+    const RESPONSE_DELAY: Duration = Duration::from_millis(4_500);
+    let (endpoint, request_log) = endpoint_responding_with("200 OK");
     let members = vec![member(endpoint, 7, "Ready")];
-    let calls: Arc<Mutex<Vec<Instant>>> = Arc::default();
-    let log = calls.clone();
+    let poll_times: Arc<Mutex<Vec<Instant>>> = Arc::default();
+    let log = poll_times.clone();
     let (discovery, _) = serve(move |m, _| {
         if !m.first.contains("/discovery/") {
             return plain("204 No Content");
@@ -197,11 +200,11 @@
         };
         // Only the first poll is ever answered with the list.
         if first {
-            thread::sleep(LATE);
+            thread::sleep(RESPONSE_DELAY);
             return with_body(&list(1, true, &members));
         }
         if m.first.contains("index=1&") {
-            pause(1_900);
+            sleep_ms(1_900);
             return with_body(&list(1, false, &[]));
         }
         None
@@ -214,51 +217,51 @@
         tries += 1;
         forwarder.submit(&format!("p{tries}"), "notice") == 202
     });
-    let first = calls.lock().expect("the log")[0];
+    let first_poll_at = poll_times.lock().expect("the log")[0];
     assert!(
-        first.elapsed() < LATE + Duration::from_millis(500),
+        first_poll_at.elapsed() < RESPONSE_DELAY + Duration::from_millis(500),
         "{:?}",
-        first.elapsed()
+        first_poll_at.elapsed()
     );
     until("it is delivered", || {
-        !seen.lock().expect("the log").is_empty()
+        !request_log.lock().expect("the log").is_empty()
     });
 }
 
 /// A restarted process with a journal is ready in time, whatever discovery does.
 #[test]
-fn a_restarted_process_is_ready_in_time_whatever_discovery_does() {
+fn restart_is_ready_in_time_if_discovery_fails() {
     for list_mode in ["pushed", "on_request"] {
         for discovery_mode in [DiscoveryMode::Silent, DiscoveryMode::Rejects] {
-            restart(list_mode, Some(discovery_mode));
+            assert_ready_after_restart(list_mode, Some(discovery_mode));
         }
-        restart(list_mode, None);
+        assert_ready_after_restart(list_mode, None);
     }
 }
 
 /// Where there is no mode, discovery's machine is gone: connections to it do not open.
-fn restart(list_mode: &str, discovery_mode: Option<DiscoveryMode>) {
-    let shut = SlowListener::shut("127.0.0.1");
+fn assert_ready_after_restart(list_mode: &str, discovery_mode: Option<DiscoveryMode>) {
+    let unreachable = SlowListener::shut("127.0.0.1");
     let (endpoint, _) = silent_endpoint(); // so that the message is still in flight at the kill
-    let mode_now = Arc::new(AtomicU8::new(DiscoveryMode::Answers as u8));
-    let discovery = Discovery::start(mode_now, vec![member(endpoint, 7, "Ready")]);
+    let mode = Arc::new(AtomicU8::new(DiscoveryMode::Answers as u8));
+    let discovery = Discovery::start(mode, vec![member(endpoint, 7, "Ready")]);
     let (_dir, state) = folder();
     let text = config_file(1, 10).replace("on_request", list_mode);
     let mut forwarder = start(&state, &text, discovery.address);
-    until("the list is in", || discovery.calls() >= 1);
+    until("the list is in", || discovery.polls_received() >= 1);
     until("a message is accepted", || {
         forwarder.submit("held", "notice") == 202
     });
-    kill(&mut forwarder);
-    let address = discovery_mode.map_or(shut.address, |mode| {
+    kill_and_wait(&mut forwarder);
+    let address = discovery_mode.map_or(unreachable.address, |mode| {
         discovery.mode.store(mode as u8, Ordering::SeqCst);
         discovery.address
     });
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let _again: Forwarder = start(&state, &text, address);
     assert!(
-        begun.elapsed() < READY_WITHIN,
+        started_at.elapsed() < READY_TIMEOUT,
         "{list_mode}: ready after {:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
 }
--- a/crates/forwarder/tests/program/configuration.rs
+++ b/crates/forwarder/tests/program/configuration.rs
@@ -5,12 +5,15 @@
 
 /// After SIGHUP the list comes from the new address and reports go there. An invalid file changes nothing.
 #[test]
-fn a_reload_moves_to_the_new_platform_and_an_invalid_file_changes_nothing() {
-    let (endpoint, seen) = endpoint_with("200 OK");
-    let (other, seen_other) = endpoint_with("200 OK");
-    let (mute, _) = silent_endpoint();
+fn reload_switches_platform_and_ignores_an_invalid_file() {
+    let (endpoint, request_log) = endpoint_responding_with("200 OK");
+    let (other, other_request_log) = endpoint_responding_with("200 OK");
+    let (silent_address, _) = silent_endpoint();
     let old = platform(
-        vec![member(endpoint, 7, "Ready"), member(mute, 9, "Ready")],
+        vec![
+            member(endpoint, 7, "Ready"),
+            member(silent_address, 9, "Ready"),
+        ],
         usize::MAX,
     ); // it acknowledges no report
     let new = platform(vec![member(other, 7, "Ready")], 0);
@@ -19,84 +22,89 @@
     // Revisions start lower at the new one.
     push_change(&old, list(90, false, &[member(endpoint, 7, "Ready")]));
     let mut forwarder = start(&state, &text, old.address);
-    until_changes_are_sent(&old);
-    let short = submission_head("short", "notice", 4)
+    wait_until_changes_are_sent(&old);
+    let short_submission = submission_head("short", "notice", 4)
         .replace("20000", "300")
         .replace("dest=7", "dest=9");
-    assert_eq!(forwarder.ask(&short, b"body"), 202);
+    assert_eq!(forwarder.ask(&short_submission, b"body"), 202);
     until("it is reported without an acknowledgement", || {
         !report_bodies(&old).is_empty()
     });
     let config_file = dir.path().join("config.json");
     std::fs::write(&config_file, "{\"name\":").expect("written");
     forwarder.signal("-HUP");
-    pause(200);
+    sleep_ms(200);
     assert_eq!(forwarder.submit("one", "notice"), 202);
-    until("it goes on as before", || calls(&seen, "one") == 1);
-    let moved = text.replacen('{', &format!("{{\"discovery\":\"{}\",", new.address), 1);
-    std::fs::write(&config_file, moved).expect("written");
+    until("it goes on as before", || calls(&request_log, "one") == 1);
+    let new_config = text.replacen('{', &format!("{{\"discovery\":\"{}\",", new.address), 1);
+    std::fs::write(&config_file, new_config).expect("written");
     forwarder.signal("-HUP");
     until("the report is repeated at the new one", || {
         !report_bodies(&new).is_empty()
     });
     // A watch there comes after the new list: from now on nothing goes by the old one.
     push_change(&new, list(1, false, &[]));
-    until_changes_are_sent(&new);
+    wait_until_changes_are_sent(&new);
     until("the new list counts", || {
-        forwarder.submit("two", "notice") == 202 && calls(&seen_other, "two") > 0
+        forwarder.submit("two", "notice") == 202 && calls(&other_request_log, "two") > 0
     });
-    assert_eq!(calls(&seen, "two"), 0);
+    assert_eq!(calls(&request_log, "two"), 0);
     push_change(&new, list(2, false, &[member(endpoint, 7, "Terminating")]));
-    until_changes_are_sent(&new);
+    wait_until_changes_are_sent(&new);
     assert!(forwarder.child.try_wait().expect("its state").is_none());
 }
 
 #[test]
-fn an_invalid_configuration_ends_it_with_one_line_that_names_the_key() {
+fn exits_with_one_line_naming_the_invalid_key() {
     let (_dir, state) = folder();
-    let good = config("notice", "free", 200, 3.0);
+    let valid_config = config("notice", "free", 200, 3.0);
     let discovery = "127.0.0.1:1".parse().expect("an address");
     let cases = [
         (
-            good.replace("\"Workers\":8", "\"Workers\":\"many\""),
+            valid_config.replace("\"Workers\":8", "\"Workers\":\"many\""),
             "settings.Domain.Workers",
         ),
         (
-            good.replace("\"Workers\":8", "\"Workers\":0"),
+            valid_config.replace("\"Workers\":8", "\"Workers\":0"),
             "Domain.Workers",
         ),
-        (good.replace("\"MaxOpen\":400,", ""), "MaxOpen"),
+        (valid_config.replace("\"MaxOpen\":400,", ""), "MaxOpen"),
         (
-            good.replace("\"sockets\":200", "\"sockets\":20"),
+            valid_config.replace("\"sockets\":200", "\"sockets\":20"),
             "limits.sockets",
         ),
         (
-            good.replace("\"disk_mb\":3", "\"disk_mb\":0"),
+            valid_config.replace("\"disk_mb\":3", "\"disk_mb\":0"),
             "limits.disk_mb",
         ),
         (
-            good.replace("\"memory_mb\":192", "\"memory_mb\":0"),
+            valid_config.replace("\"memory_mb\":192", "\"memory_mb\":0"),
             "limits.memory_mb",
         ),
-        (good.replace("8c1f30d27a5be964", "seed"), "seed"),
-        (good[..good.len() - 2].to_owned(), "GW_CONFIG"),
+        (valid_config.replace("8c1f30d27a5be964", "seed"), "seed"),
+        (
+            valid_config[..valid_config.len() - 2].to_owned(),
+            "GW_CONFIG",
+        ),
     ];
     for (text, key) in cases {
-        let ended = command(&state, &text, "127.0.0.1:0", discovery)
+        let output = command(&state, &text, "127.0.0.1:0", discovery)
             .stderr(Stdio::piped())
             .output();
-        let ended = ended.expect("it runs");
-        let words = String::from_utf8_lossy(&ended.stderr).into_owned();
+        let output = output.expect("it runs");
+        let error_output = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            !ended.status.success() && words.contains(key) && words.lines().count() == 1,
-            "{key}: {words}"
+            !output.status.success()
+                && error_output.contains(key)
+                && error_output.lines().count() == 1,
+            "{key}: {error_output}"
         );
     }
-    let ended = command(&state, &good, "nowhere", discovery)
+    let output = command(&state, &valid_config, "nowhere", discovery)
         .stderr(Stdio::piped())
         .output()
         .expect("it runs");
     assert!(
-        !ended.status.success() && String::from_utf8_lossy(&ended.stderr).contains("GW_LISTEN")
+        !output.status.success() && String::from_utf8_lossy(&output.stderr).contains("GW_LISTEN")
     );
 }
--- a/crates/forwarder/tests/program/connections.rs
+++ b/crates/forwarder/tests/program/connections.rs
@@ -9,8 +9,8 @@
 
 /// Whatever a client sends or does not, it gets an error or a close within 3 s.
 #[test]
-fn an_incomplete_request_is_answered_or_its_connection_closed_in_time() {
-    let (endpoint, seen) = endpoint_with("200 OK");
+fn answers_or_closes_incomplete_requests_within_3s() {
+    let (endpoint, request_log) = endpoint_responding_with("200 OK");
     let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
     let (_dir, state) = folder();
     let forwarder = start(
@@ -29,30 +29,32 @@
         (&huge, &[b'x'; 10_000], 1, 413),
     ];
     thread::scope(|scope| {
-        for (begin, more, interval, wanted) in cases {
+        for (begin, more, interval, expected_status) in cases {
             let mut stream = forwarder.connect().expect("a connection");
             let mut reader = stream.try_clone().expect("the same");
             scope.spawn(move || {
-                let begun = Instant::now();
+                let started_at = Instant::now();
                 stream.write_all(begin.as_bytes()).expect("written");
-                while stream.write_all(more).is_ok() && begun.elapsed() < Duration::from_secs(4) {
-                    pause(interval);
+                while stream.write_all(more).is_ok()
+                    && started_at.elapsed() < Duration::from_secs(4)
+                {
+                    sleep_ms(interval);
                 }
             });
             scope.spawn(move || {
-                let begun = Instant::now();
-                assert_eq!(status(&mut reader), wanted, "{begin}");
-                assert!(begun.elapsed() < Duration::from_secs(3), "{begin}");
+                let started_at = Instant::now();
+                assert_eq!(status(&mut reader), expected_status, "{begin}");
+                assert!(started_at.elapsed() < Duration::from_secs(3), "{begin}");
             });
         }
     });
-    assert!(seen.lock().expect("the log").is_empty());
+    assert!(request_log.lock().expect("the log").is_empty());
 }
 
 /// Rule 1 where descriptors run out: every request gets an answer, and the forwarder goes on serving.
 #[test]
-fn with_all_connections_taken_requests_are_rejected_and_none_is_left_unanswered() {
-    let (endpoint, seen) = endpoint_with("200 OK");
+fn answers_every_request_at_the_connection_limit() {
+    let (endpoint, request_log) = endpoint_responding_with("200 OK");
     let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
     let (_dir, state) = folder();
     let forwarder = start(&state, &config("notice", "free", 80, 3.0), platform.address);
@@ -63,11 +65,11 @@
             stream
                 .write_all(submission_head(&format!("h{n}"), "notice", 4).as_bytes())
                 .expect("written");
-            pause(2); // its head is read before the next one comes
+            sleep_ms(2); // its head is read before the next one comes
             stream
         })
         .collect();
-    pause(100);
+    sleep_ms(100);
     let mut statuses = BTreeMap::new();
     for stream in &mut busy {
         stream.write_all(b"body").expect("it is still open");
@@ -86,12 +88,12 @@
         .map(|_| forwarder.connect().expect("accepted"))
         .collect();
     for n in 0..20 {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         assert_eq!(forwarder.submit(&format!("s{n}"), "notice"), 202);
         assert!(
-            begun.elapsed() < Duration::from_millis(400),
+            started_at.elapsed() < Duration::from_millis(400),
             "{:?}",
-            begun.elapsed()
+            started_at.elapsed()
         );
     }
     drop(silent);
@@ -110,13 +112,13 @@
     until("it accepts messages again", || {
         forwarder.submit("last", "notice") == 202
     });
-    until("it is delivered", || calls(&seen, "last") >= 1);
+    until("it is delivered", || calls(&request_log, "last") >= 1);
 }
 
 /// Clients may share a bound on connections: those that keep theirs after one request must leave some for the others.
 #[test]
-fn of_many_idle_connections_the_longest_idle_are_closed() {
-    let (endpoint, _) = endpoint_with("200 OK");
+fn closes_the_longest_idle_client_connections_first() {
+    let (endpoint, _) = endpoint_responding_with("200 OK");
     let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
     let (_dir, state) = folder();
     let forwarder = start(
@@ -124,7 +126,7 @@
         &config("notice", "free", 200, 3.0),
         platform.address,
     );
-    let ask = |n: usize| {
+    let connect_and_submit = |n: usize| {
         let mut stream = forwarder.connect().expect("accepted");
         let head = submission_head(&format!("i{n}"), "notice", 4);
         stream
@@ -133,22 +135,23 @@
         assert_eq!(status(&mut stream), 202);
         stream
     };
-    let mut asked: Vec<TcpStream> = (0..60).map(ask).collect();
-    pause(100);
-    let mut closed = |n: usize| {
-        asked[n]
+    let mut connections: Vec<TcpStream> = (0..60).map(connect_and_submit).collect();
+    sleep_ms(100);
+    let mut is_closed = |n: usize| {
+        connections[n]
             .set_read_timeout(Some(Duration::from_millis(50)))
             .expect("set");
-        matches!(asked[n].read(&mut [0]), Ok(0))
+        matches!(connections[n].read(&mut [0]), Ok(0))
     };
-    assert_eq!((closed(0), closed(59)), (true, false));
+    assert_eq!((is_closed(0), is_closed(59)), (true, false));
 }
 
 /// The operators' fleets grow past hundreds: 1,024 forwarders and as many endpoints, in the cached list and in the complete
 /// one, changed one by one, on 256 descriptors, with a list that is cut off and datagrams of unknown senders between.
 #[test]
 fn a_thousand_peers_and_endpoints_need_a_quarter_as_many_descriptors() {
-    let (endpoints, seens): (Vec<_>, Vec<_>) = (0..300).map(|_| endpoint_with("200 OK")).unzip();
+    let (endpoints, request_logs): (Vec<_>, Vec<_>) =
+        (0..300).map(|_| endpoint_responding_with("200 OK")).unzip();
     let host = |net: usize, n: usize| format!("127.{net}.{}.{}:7946", n / 250, n % 250 + 1);
     let other = |n: usize, phase| {
         member_named(
@@ -200,13 +203,13 @@
         assert_eq!(forwarder.ask(&head, b"body"), 202, "{cell}");
     }
     let delivered = || {
-        seens
+        request_logs
             .iter()
             .zip(0..)
-            .all(|(seen, n): (_, u32)| calls(seen, &format!("p{n}")) == 1)
+            .all(|(request_log, n): (_, u32)| calls(request_log, &format!("p{n}")) == 1)
     };
     until("each endpoint got its message, once", delivered);
-    until_changes_are_sent(&platform);
+    wait_until_changes_are_sent(&platform);
     let (memory, open) = forwarder.holds();
     assert!(
         memory < 64 * 1024 && open < 256,
--- a/crates/forwarder/tests/program/endpoint_list.rs
+++ b/crates/forwarder/tests/program/endpoint_list.rs
@@ -4,9 +4,9 @@
 
 /// Rule 3: a change that the watch brings takes effect at once.
 #[test]
-fn a_draining_endpoint_gets_no_new_message() {
-    let (old, seen_old) = endpoint_with("200 OK");
-    let (new, seen_new) = endpoint_with("200 OK");
+fn sends_no_new_message_to_a_draining_endpoint() {
+    let (old, old_request_log) = endpoint_responding_with("200 OK");
+    let (new, new_request_log) = endpoint_responding_with("200 OK");
     let platform = platform(vec![member(old, 7, "Ready")], 0);
     let (_dir, state) = folder();
     let forwarder = start(
@@ -15,29 +15,31 @@
         platform.address,
     );
     assert_eq!(forwarder.submit("first", "notice"), 202);
-    until("the old one serves", || calls(&seen_old, "first") == 1);
+    until("the old one serves", || {
+        calls(&old_request_log, "first") == 1
+    });
     let change = list(
         2,
         false,
         &[member(old, 7, "Terminating"), member(new, 7, "Ready")],
     );
     push_change(&platform, change);
-    until_changes_are_sent(&platform);
-    pause(100);
+    wait_until_changes_are_sent(&platform);
+    sleep_ms(100);
     for n in 0..10 {
         assert_eq!(forwarder.submit(&format!("n{n}"), "notice"), 202);
     }
     until("the new one serves", || {
-        (0..10).all(|n| calls(&seen_new, &format!("n{n}")) == 1)
+        (0..10).all(|n| calls(&new_request_log, &format!("n{n}")) == 1)
     });
-    assert_eq!(seen_old.lock().expect("the log").len(), 1);
+    assert_eq!(old_request_log.lock().expect("the log").len(), 1);
 }
 
 /// Where another process takes over an address it is another endpoint: its destination, health and connections are its own.
 #[test]
-fn a_new_holder_of_an_address_inherits_nothing() {
+fn treats_a_new_process_at_an_address_as_a_new_endpoint() {
     // The first holder only rejects, with a long retry-after.
-    let (endpoint, seen) = serve(|m, _| {
+    let (endpoint, request_log) = serve(|m, _| {
         plain(if m.headers["request-id"].starts_with("old") {
             "429 Wait\r\nWait-Ms: 9000"
         } else {
@@ -52,17 +54,20 @@
         platform.address,
     );
     assert_eq!(forwarder.submit("old", "notice"), 202);
-    until("the old one refuses", || calls(&seen, "old") == 1);
+    until("the old one refuses", || calls(&request_log, "old") == 1);
     let new = member(endpoint, 8, "Ready").replace("s-", "t-");
     push_change(&platform, list(2, false, &[new]));
-    until_changes_are_sent(&platform);
-    pause(100);
+    wait_until_changes_are_sent(&platform);
+    sleep_ms(100);
     assert_eq!(
         forwarder.ask(&submission_head("lost", "notice", 4), b"body"),
         202
     ); // 7 has no endpoint any more
     let head = submission_head("new", "notice", 4).replace("dest=7", "dest=8");
     assert_eq!(forwarder.ask(&head, b"body"), 202);
-    until("the new one serves", || calls(&seen, "new") == 1);
-    assert_eq!((calls(&seen, "old"), calls(&seen, "lost")), (1, 0));
+    until("the new one serves", || calls(&request_log, "new") == 1);
+    assert_eq!(
+        (calls(&request_log, "old"), calls(&request_log, "lost")),
+        (1, 0)
+    );
 }
--- a/crates/forwarder/tests/program/restarts.rs
+++ b/crates/forwarder/tests/program/restarts.rs
@@ -7,10 +7,10 @@
 
 /// Rules 1 and 2 over a kill: a message that may be repeated is, one that may not is reported, and one that was over stays so.
 #[test]
-fn after_a_kill_each_message_is_delivered_or_reported() {
+fn delivers_or_reports_each_message_after_a_kill() {
     for effect in ["free", "guarded", "single_shot"] {
         // The first attempt at each message hangs. Those after it are answered.
-        let (endpoint, seen) = serve(|m, n| {
+        let (endpoint, request_log) = serve(|m, n| {
             let hangs = n < 2 && m.headers.get("request-id").is_some_and(|i| i == "out");
             if hangs {
                 None
@@ -23,16 +23,16 @@
         let text = config("notice", effect, 200, 3.0);
         let mut forwarder = start(&state, &text, platform.address);
         assert_eq!(forwarder.submit("done", "notice"), 202);
-        until("one is delivered", || calls(&seen, "done") == 1);
-        pause(50);
+        until("one is delivered", || calls(&request_log, "done") == 1);
+        sleep_ms(50);
         assert_eq!(forwarder.submit("out", "notice"), 202);
-        until("the other is out", || calls(&seen, "out") == 1);
+        until("the other is out", || calls(&request_log, "out") == 1);
         assert_eq!(
             forwarder.submit("out", "notice"),
             202,
             "the same id again is the same message"
         );
-        kill(&mut forwarder);
+        kill_and_wait(&mut forwarder);
         let _forwarder = start(&state, &text, platform.address);
         if effect == "single_shot" {
             let line = "{\"id\":\"out\",\"status\":\"undeliverable\"}\n";
@@ -40,33 +40,34 @@
             until("it is reported twice", || {
                 report_bodies(&platform) == [line, line]
             });
-            pause(300);
+            sleep_ms(300);
             assert_eq!(
                 report_bodies(&platform).len(),
                 2,
                 "one acknowledgement is enough"
             );
-            assert_eq!(calls(&seen, "out"), 1);
+            assert_eq!(calls(&request_log, "out"), 1);
         } else {
-            until("it is sent again", || calls(&seen, "out") == 2);
-            pause(300);
+            until("it is sent again", || calls(&request_log, "out") == 2);
+            sleep_ms(300);
             assert!(report_bodies(&platform).is_empty());
         }
-        assert_eq!(calls(&seen, "done"), 1);
+        assert_eq!(calls(&request_log, "done"), 1);
     }
 }
 
 #[test]
-fn on_sigterm_it_answers_what_comes_finishes_attempts_and_ends_in_time() {
-    let (endpoint, seen) = serve(
-        |m, _| match m.headers.get("request-id").map(String::as_str) {
-            Some("stuck") => None,
-            _ => {
-                pause(400);
-                plain("200 OK")
-            }
-        },
-    );
+fn sigterm_answers_submissions_finishes_attempts_and_exits_in_time() {
+    let (endpoint, request_log) =
+        serve(
+            |m, _| match m.headers.get("request-id").map(String::as_str) {
+                Some("stuck") => None,
+                _ => {
+                    sleep_ms(400);
+                    plain("200 OK")
+                }
+            },
+        );
     let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
     let (_dir, state) = folder();
     let text = config("notice", "free", 200, 3.0);
@@ -77,10 +78,10 @@
     let mut half = forwarder.connect().expect("a connection");
     let head = submission_head("half", "notice", 4);
     half.write_all(head.as_bytes()).expect("written");
-    pause(100);
-    let begun = Instant::now();
+    sleep_ms(100);
+    let started_at = Instant::now();
     forwarder.signal("-TERM");
-    pause(100);
+    sleep_ms(100);
     assert_eq!(forwarder.submit("after", "notice"), 202);
     half.write_all(b"body").expect("written");
     assert_eq!(status(&mut half), 202);
@@ -93,25 +94,25 @@
             break code;
         }
         assert!(
-            begun.elapsed() < Duration::from_millis(3700),
+            started_at.elapsed() < Duration::from_millis(3700),
             "it would be killed"
         );
-        pause(5);
+        sleep_ms(5);
     };
     assert_eq!(code.code(), Some(0));
     for id in ["before", "after", "half", "fresh"] {
-        assert_eq!(calls(&seen, id), 1, "{id}");
+        assert_eq!(calls(&request_log, id), 1, "{id}");
     }
-    let before = calls(&seen, "stuck");
+    let before = calls(&request_log, "stuck");
     let _forwarder = start(&state, &text, platform.address);
-    until("the rest goes on", || calls(&seen, "stuck") > before);
-    assert_eq!(calls(&seen, "before"), 1);
+    until("the rest goes on", || calls(&request_log, "stuck") > before);
+    assert_eq!(calls(&request_log, "before"), 1);
 }
 
 /// Rules 1 and 2 for destinations whose number has more than 16 bits: accepted, recovered after a kill, delivered there.
 #[test]
-fn a_message_to_the_seventy_thousandth_destination_survives_a_kill() {
-    let (endpoint, seen) = serve(|m, n| {
+fn recovers_a_message_to_destination_70000_after_a_kill() {
+    let (endpoint, request_log) = serve(|m, n| {
         let hangs = n < 2 && m.headers.get("request-id").is_some_and(|i| i == "out");
         if hangs {
             None
@@ -120,7 +121,7 @@
         }
     });
     // The destination of the number's low 16 bits is another.
-    let (other, seen_other) = endpoint_with("200 OK");
+    let (other, other_request_log) = endpoint_responding_with("200 OK");
     let platform = platform(
         vec![
             member(endpoint, 70_000, "Ready"),
@@ -137,34 +138,34 @@
         forwarder.ask(&head, b"body")
     };
     assert_eq!(submit(&forwarder, "done", "70000"), 202);
-    until("one is delivered", || calls(&seen, "done") == 1);
+    until("one is delivered", || calls(&request_log, "done") == 1);
     assert_eq!(submit(&forwarder, "out", "70000"), 202);
-    until("the other is out", || calls(&seen, "out") == 1);
+    until("the other is out", || calls(&request_log, "out") == 1);
     assert_eq!(submit(&forwarder, "none", "70001"), 503);
     assert_eq!(submit(&forwarder, "none", "4294967295"), 503);
     assert_eq!(submit(&forwarder, "none", "4294967296"), 400);
-    kill(&mut forwarder);
+    kill_and_wait(&mut forwarder);
     let _forwarder = start(&state, &text, platform.address);
-    until("it is sent again", || calls(&seen, "out") == 2);
-    pause(300);
+    until("it is sent again", || calls(&request_log, "out") == 2);
+    sleep_ms(300);
     assert_eq!(
         (
-            calls(&seen, "done"),
-            calls(&seen, "out"),
-            calls(&seen, "none")
+            calls(&request_log, "done"),
+            calls(&request_log, "out"),
+            calls(&request_log, "none")
         ),
         (1, 2, 0)
     );
-    assert!(seen_other.lock().expect("the log").is_empty());
+    assert!(other_request_log.lock().expect("the log").is_empty());
     assert!(report_bodies(&platform).is_empty());
 }
 
 /// Rules 1 and 2 over kills at any moment: each accepted message is delivered or reported, an at-most-once one never twice.
 #[test]
-fn nothing_is_lost_over_kills_in_the_middle_of_work() {
+fn loses_no_message_when_killed_under_load() {
     for effect in ["guarded", "single_shot"] {
-        let (endpoint, seen) = serve(|_, n| {
-            pause(20);
+        let (endpoint, request_log) = serve(|_, n| {
+            sleep_ms(20);
             plain(if n % 8 == 7 { "503 Full" } else { "200 OK" })
         });
         let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
@@ -180,7 +181,7 @@
                 }
             }
             thread::sleep(Duration::from_millis(15 * round));
-            kill(&mut forwarder);
+            kill_and_wait(&mut forwarder);
             forwarder = start(&state, &text, platform.address);
         }
         assert!(accepted.len() > 30, "{} accepted", accepted.len());
@@ -191,7 +192,7 @@
         };
         // Every eighth attempt was rejected. The last attempt at a message that is not reported was served.
         let is_over = |id: &String| {
-            let log = seen.lock().expect("the log");
+            let log = request_log.lock().expect("the log");
             let last = log
                 .iter()
                 .rposition(|m| m.headers.get("request-id") == Some(id));
@@ -200,7 +201,7 @@
         until("each message is over", || accepted.iter().all(is_over));
         if effect == "single_shot" {
             let served = |id: &String| {
-                let log = seen.lock().expect("the log");
+                let log = request_log.lock().expect("the log");
                 let ran = |(n, m): &(usize, &Message)| {
                     n % 8 != 7 && m.headers.get("request-id") == Some(id)
                 };
--- a/crates/forwarder/tests/program/submissions.rs
+++ b/crates/forwarder/tests/program/submissions.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 #[test]
-fn a_message_is_delivered_once_and_each_invalid_request_gets_its_status() {
-    let (endpoint, seen) = endpoint_with("200 OK");
+fn delivers_a_message_once_and_rejects_invalid_submissions() {
+    let (endpoint, request_log) = endpoint_responding_with("200 OK");
     let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
     let (_dir, state) = folder();
     let forwarder = start(
@@ -15,15 +15,15 @@
         platform.address,
     );
     assert_eq!(forwarder.submit("a1", "notice"), 202);
-    until("it is delivered", || calls(&seen, "a1") == 1);
-    let request = seen.lock().expect("the log")[0].clone();
+    until("it is delivered", || calls(&request_log, "a1") == 1);
+    let request = request_log.lock().expect("the log")[0].clone();
     assert_eq!(
         (request.first.as_str(), request.body.as_slice()),
         ("POST /inbox HTTP/1.1", b"body".as_slice())
     );
     assert_eq!(request.headers["idempotency-key"], "k-a1");
     let head = submission_head("b1", "notice", 4);
-    let bad = [
+    let invalid_requests = [
         (head.replace("Envelope: dest=7\r\n", ""), 400),
         (head.replace("dest=7", "dest=x"), 400),
         (head.replace("Request-Id: b1\r\n", ""), 400),
@@ -51,8 +51,8 @@
         ),
         ("POST /up HTTP/1.1\r\nHost: x\r\n\r\n".to_owned(), 405),
     ];
-    for (head, wanted) in bad {
-        assert_eq!(forwarder.ask(&head, b"body"), wanted, "{head}");
+    for (head, expected_status) in invalid_requests {
+        assert_eq!(forwarder.ask(&head, b"body"), expected_status, "{head}");
     }
     // A length beside chunks may hide a request in the body. Neither that nor this one is forwarded.
     let chunked = head.replace(
@@ -75,14 +75,14 @@
     .concat();
     assert_eq!(forwarder.ask(&chunked, &body), 411);
     assert_eq!(forwarder.ask(&head, b"bo"), 408); // the rest never comes
-    assert_eq!(calls(&seen, "b1") + calls(&seen, "b2"), 0);
+    assert_eq!(calls(&request_log, "b1") + calls(&request_log, "b2"), 0);
     assert_eq!(forwarder.submit("a2", "notice"), 202);
-    until("it serves on", || calls(&seen, "a2") == 1);
+    until("it serves on", || calls(&request_log, "a2") == 1);
 }
 
 /// Rule 1: two messages under one id are not taken for one.
 #[test]
-fn an_id_in_flight_with_other_content_is_a_conflict() {
+fn rejects_an_id_in_flight_with_different_content() {
     let (endpoint, _) = silent_endpoint();
     let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
     let (_dir, state) = folder();
@@ -97,10 +97,10 @@
 }
 
 #[test]
-fn a_full_journal_rejects_until_messages_are_over() {
-    let open = Arc::new(AtomicBool::new(false));
-    let gate = open.clone();
-    let (endpoint, _) = serve(move |_, _| match gate.load(Ordering::Relaxed) {
+fn rejects_submissions_while_the_journal_is_full() {
+    let endpoint_accepts = Arc::new(AtomicBool::new(false));
+    let accepts = endpoint_accepts.clone();
+    let (endpoint, _) = serve(move |_, _| match accepts.load(Ordering::Relaxed) {
         true => plain("200 OK"),
         false => plain("429 Wait\r\nWait-Ms: 300"),
     });
@@ -126,21 +126,21 @@
     let files = std::fs::read_dir(&state)
         .expect("the folder")
         .map(|f| f.expect("a file").metadata());
-    let used: u64 = files
+    let used_bytes: u64 = files
         .map(|m| m.expect("its size").len().div_ceil(512) * 512)
         .sum();
-    assert!(used <= 400_000, "{used}");
-    open.store(true, Ordering::Relaxed);
+    assert!(used_bytes <= 400_000, "{used_bytes}");
+    endpoint_accepts.store(true, Ordering::Relaxed);
     until("it accepts messages again", || submit(99) == 202);
 }
 
 /// The order of a key holds also over a kill with its first message in flight: the second goes once the first is over.
 #[test]
-fn messages_of_one_key_go_one_at_a_time_also_over_a_kill() {
-    let open = Arc::new(AtomicBool::new(false));
-    let gate = open.clone();
-    let (endpoint, seen) = serve(move |m, _| {
-        let hangs = m.headers["request-id"] == "first" && !gate.load(Ordering::Relaxed);
+fn serializes_messages_of_an_order_key_across_a_kill() {
+    let endpoint_accepts = Arc::new(AtomicBool::new(false));
+    let accepts = endpoint_accepts.clone();
+    let (endpoint, request_log) = serve(move |m, _| {
+        let hangs = m.headers["request-id"] == "first" && !accepts.load(Ordering::Relaxed);
         (!hangs).then(|| plain("200 OK")).flatten()
     });
     let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
@@ -154,24 +154,26 @@
         assert_eq!(forwarder.ask(&head, b"body"), 202, "{id}");
     };
     submit(&forwarder, "first", "000b832b68ec333d");
-    until("the first is out", || calls(&seen, "first") == 1);
+    until("the first is out", || calls(&request_log, "first") == 1);
     submit(&forwarder, "second", "000b832b68ec333d");
     submit(&forwarder, "other", "00026d498200dd15");
     until("one of another key passes it", || {
-        calls(&seen, "other") == 1
+        calls(&request_log, "other") == 1
     });
-    assert_eq!(calls(&seen, "second"), 0);
-    kill(&mut forwarder);
+    assert_eq!(calls(&request_log, "second"), 0);
+    kill_and_wait(&mut forwarder);
     forwarder = start(&state, &text, platform.address);
-    until("the first is out again", || calls(&seen, "first") >= 2);
+    until("the first is out again", || {
+        calls(&request_log, "first") >= 2
+    });
     submit(&forwarder, "last", "00026d498200dd15");
     until("one of another key passes it again", || {
-        calls(&seen, "last") == 1
+        calls(&request_log, "last") == 1
     });
-    assert_eq!(calls(&seen, "second"), 0);
-    open.store(true, Ordering::Relaxed);
-    until("the second follows", || calls(&seen, "second") == 1);
-    let log = seen.lock().expect("the log");
+    assert_eq!(calls(&request_log, "second"), 0);
+    endpoint_accepts.store(true, Ordering::Relaxed);
+    until("the second follows", || calls(&request_log, "second") == 1);
+    let log = request_log.lock().expect("the log");
     let ids: Vec<&str> = log
         .iter()
         .map(|m| m.headers["request-id"].as_str())
@@ -182,9 +184,9 @@
 /// In the operators' full fleet one endpoint of a destination asked for a retry-after while the connection to another opened,
 /// and the attempt was sent there all the same.
 #[test]
-fn an_attempt_whose_connection_opens_late_honours_a_retry_after_received_meanwhile() {
+fn honours_retry_after_received_while_a_connection_opens() {
     let slow = SlowListener::shut("127.0.0.2");
-    let (quick, quick_seen) = serve(|_, n| {
+    let (quick, quick_request_log) = serve(|_, n| {
         plain(if n == 0 {
             "429 Wait\r\nWait-Ms: 2500"
         } else {
@@ -198,12 +200,15 @@
     let forwarder = start(&state, &text, platform.address);
     assert_eq!(forwarder.submit("slow", "notice"), 202);
     push_change(&platform, list(2, false, &[member(quick, 7, "Ready")]));
-    pause(400);
+    sleep_ms(400);
     assert_eq!(forwarder.submit("quick", "notice"), 202);
-    until("a retry-after is sent", || calls(&quick_seen, "quick") == 1);
-    let (_, slow_seen) = slow.open(|_, _| plain("200 OK"));
-    pause(2300);
-    let requests_seen = || [&slow_seen, &quick_seen].map(|log| log.lock().expect("the log").len());
+    until("a retry-after is sent", || {
+        calls(&quick_request_log, "quick") == 1
+    });
+    let (_, slow_request_log) = slow.open(|_, _| plain("200 OK"));
+    sleep_ms(2300);
+    let requests_seen =
+        || [&slow_request_log, &quick_request_log].map(|log| log.lock().expect("the log").len());
     assert_eq!(requests_seen(), [0, 1], "inside the retry-after");
     until("both are delivered after it", || {
         requests_seen().iter().sum::<usize>() == 3
--- a/crates/forwarder/tests/scenarios.rs
+++ b/crates/forwarder/tests/scenarios.rs
@@ -7,7 +7,7 @@
 use opalpulley_lab::subject::ForwarderVariant;
 use opalpulley_lab::tally::Outcome;
 
-fn on_sockets(scenario: &Scenario, seed: u64) -> Outcome {
+fn run_on_sockets(scenario: &Scenario, seed: u64) -> Outcome {
     let options = SocketRunOptions {
         program: env!("CARGO_BIN_EXE_opalpulley-forwarder").into(),
         logs: None,
@@ -33,12 +33,12 @@
 }
 
 /// What must hold on a machine of any speed: the rules, one end for each message, most of them served.
-fn judge(outcome: &Outcome, least: f64) {
+fn assert_rules_hold(outcome: &Outcome, min_served_share: f64) {
     assert!(outcome.broken.is_empty(), "{:#?}", outcome.breaks);
     let c = &outcome.counts;
     assert_eq!(c.served + c.failed + c.given_up + c.gone, c.due, "{c:?}");
     assert!(
-        outcome.served_share() >= least,
+        outcome.served_share() >= min_served_share,
         "served {}: {c:?}",
         outcome.served_share()
     );
@@ -46,7 +46,7 @@
 
 /// Kills with and without the folder, a process that stands still, a drain: each message has its one end.
 #[test]
-fn killed_stopped_and_drained_it_keeps_the_rules_and_serves() {
+fn keeps_the_rules_through_kills_pauses_and_drains() {
     let scenario = scenario(
         "8s",
         "[forwarders]\ncount = 3\n[[destinations]]\nname = \"d\"\ncount = 3\ntargets = 2\nrate = 60.0\nlimited = false\n\
@@ -56,12 +56,12 @@
          [[troubles]]\nat = \"4s\"\nlasts = \"1s\"\nwhat = { kind = \"paused\" }\non = { forwarders = [2] }\n\
          [[troubles]]\nat = \"2s\"\nlasts = \"4s\"\nwhat = { kind = \"drain\" }\non = { numbers = [0] }\n",
     );
-    judge(&on_sockets(&scenario, 1), 0.8);
+    assert_rules_hold(&run_on_sockets(&scenario, 1), 0.8);
 }
 
 /// Refusals, silence, spoilt answers and waits on sockets; beside it the same world simulated.
 #[test]
-fn a_troubled_world_looks_the_same_on_both_clocks() {
+fn sockets_and_simulation_agree_under_faults() {
     let scenario = scenario(
         "8s",
         "[forwarders]\ncount = 2\n[[destinations]]\nname = \"d\"\ncount = 4\nrate = 40.0\nwait = \"300ms\"\nerrors = 0.03\n\
@@ -72,19 +72,19 @@
          [[troubles]]\nat = \"3s\"\nlasts = \"2s\"\nwhat = { kind = \"shut\" }\non = { numbers = [3] }\n\
          [[troubles]]\nat = \"3s\"\nlasts = \"3s\"\nwhat = { kind = \"refusals-cut\", rate = 0.5 }\n",
     );
-    let real = on_sockets(&scenario, 2);
-    judge(&real, 0.75);
+    let real = run_on_sockets(&scenario, 2);
+    assert_rules_hold(&real, 0.75);
     let simulated = Sim::new(&scenario, 2, ForwarderVariant::True)
         .expect("it starts")
         .run(|_, _| {});
-    judge(&simulated, 0.75);
+    assert_rules_hold(&simulated, 0.75);
     assert_eq!(
         real.counts.due, simulated.counts.due,
         "the same packets on both clocks"
     );
-    let apart = (real.served_share() - simulated.served_share()).abs();
+    let difference = (real.served_share() - simulated.served_share()).abs();
     assert!(
-        apart < 0.12,
+        difference < 0.12,
         "served {} on sockets, {} simulated",
         real.served_share(),
         simulated.served_share()
