--- a/crates/forwarder/src/endpoints.rs
+++ b/crates/forwarder/src/endpoints.rs
@@ -1,7 +1,7 @@
-//! The side of the process that faces the endpoints.
+//! The actors that send requests to the endpoints.
 //!
-//! One actor for each endpoint owns the connections there, carries attempts and health checks, and reports the outcome of
-//! each to the dispatcher. It takes no decision of its own and never sends a message again by itself.
+//! Each endpoint has one actor. It owns the connections to the endpoint, runs attempts and health checks, and reports the
+//! outcome of each to the dispatcher. It makes no decisions: a retry of a message is always started by the dispatcher.
 
 mod actor;
 mod attempt;
@@ -22,22 +22,22 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, Semaphore};
 
-/// What all endpoint actors share.
+/// State that all endpoint actors share.
 pub struct EndpointContext {
-    /// Time limits of connections.
+    /// Timeouts of connections.
     pub config: ConnectionConfig,
-    /// The names under which endpoints report their load.
+    /// Names of the settings; `reports` holds the names under which endpoints report their load.
     pub names: Names,
-    /// One permit for each connection that may stay open without a request.
+    /// Bounds the number of idle connections in the process: each holds one permit.
     pub idle_permits: Arc<Semaphore>,
-    /// Where events go.
+    /// Mailbox of the dispatcher, which receives the events.
     pub dispatcher: mpsc::Sender<DispatcherCommand>,
-    /// The log of the process.
+    /// Logger of the process.
     pub log: Logger,
 }
 
 impl EndpointContext {
-    /// Waits for space in the dispatcher's mailbox. An event after the dispatcher has ended is dropped.
+    /// Sends an event to the dispatcher, and waits while its mailbox is full. Drops the event if the dispatcher has ended.
     async fn send_event(&self, event: Event) {
         let command = DispatcherCommand::Event(event);
         if self.dispatcher.send(command).await.is_err() {
--- a/crates/forwarder/src/endpoints/actor.rs
+++ b/crates/forwarder/src/endpoints/actor.rs
@@ -1,4 +1,4 @@
-//! The actor of one endpoint: its mailbox, its idle connections and its attempts in flight.
+//! The actor of one endpoint, with its idle connections and its requests in flight.
 
 use super::attempt::{
     request_ended_event, Attempt, AttemptResult, InFlightRequest, RequestPurpose, StopRequest,
@@ -18,30 +18,30 @@
 use tokio::task::{Id, JoinError, JoinSet};
 use tokio::time::Instant;
 
-/// The timeout of a health check as a multiple of the connect timeout: it opens a connection and waits for its answer.
-/// The dispatcher reckons with `HEALTH_CHECK_CONNECT_TIMEOUTS`, the same rounded up.
+/// Timeout of a health check, as a multiple of the connect timeout: it covers opening a connection and waiting for the
+/// response. The dispatcher relies on `HEALTH_CHECK_CONNECT_TIMEOUTS`, which is this factor rounded up.
 const HEALTH_CHECK_TIMEOUT_FACTOR: f64 = 1.5;
 
-/// Whether the dispatcher still sends commands.
+/// Whether the dispatcher may still send commands.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum MailboxState {
     Open,
     Closed,
 }
 
-/// The actor of one endpoint.
+/// Sends the attempts and health checks of one endpoint, as the dispatcher commands.
 pub struct Endpoint {
     id: EndpointId,
     context: Arc<EndpointContext>,
     idle_connections: IdleConnections,
-    /// One task for each attempt or health check in flight. It gives back its connection if that can serve again.
+    /// One task per attempt or health check in flight. A task returns its connection if it can carry another request.
     pub(super) tasks: JoinSet<Option<EndpointConnection>>,
-    /// The same attempts and health checks, by their tasks.
+    /// The attempts and health checks in flight, by the id of their task in `tasks`.
     pub(super) in_flight: BTreeMap<Id, InFlightRequest>,
 }
 
 impl Endpoint {
-    /// An actor without connections.
+    /// Creates an actor without connections.
     pub fn new(id: EndpointId, context: Arc<EndpointContext>) -> Endpoint {
         let endpoint_idle_timeout = Duration::from_micros(context.config.connection_idle_timeout);
         Endpoint {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Tells the attempts and health checks that `applies_to` picks to stop.
+    /// Sends a stop request to each attempt or health check in flight whose purpose satisfies `applies_to`.
     fn request_stop(&self, request: StopRequest, applies_to: impl Fn(RequestPurpose) -> bool) {
         for in_flight in self.in_flight.values() {
             if applies_to(in_flight.purpose) {
@@ -168,16 +168,17 @@
         }
     }
 
-    /// Keeps a connection for the next request. Closes it where no more may be idle.
+    /// Keeps a connection for a later request, or closes it if the process holds as many idle connections as it may.
     fn keep_connection(&mut self, connection: EndpointConnection) {
         if let Ok(permit) = self.context.idle_permits.clone().try_acquire_owned() {
             self.idle_connections.add(connection, permit);
         }
     }
 
-    /// A task that panicked ends its own attempt only. That attempt may have taken effect.
+    /// Reports a connection reset for the request whose task panicked, because that request may have taken effect. Other
+    /// requests are not affected.
     async fn handle_task_failure(&mut self, error: JoinError) {
-        error!(self.context.log, "attempt task failed"; "problem" => %error);
+        error!(self.context.log, "task of an attempt or health check failed"; "problem" => %error);
         if let Some(in_flight) = self.in_flight.remove(&error.id()) {
             let result = AttemptResult::without_response(Outcome::ConnectionReset);
             let event =
--- a/crates/forwarder/src/endpoints/attempt.rs
+++ b/crates/forwarder/src/endpoints/attempt.rs
@@ -19,53 +19,54 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What a request to an endpoint is for: a message's attempt or a health check.
+/// The purpose of a request to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPurpose {
-    /// An attempt at a message.
+    /// An attempt to deliver a message.
     Attempt {
-        /// The message.
+        /// The message to deliver.
         id: MessageId,
-        /// The number of the attempt, from 0.
+        /// Index of the attempt among those at the message, from 0.
         attempt_index: u8,
     },
-    /// A health check.
+    /// A check of whether the endpoint responds.
     HealthCheck,
 }
 
-/// How far a running attempt or health check is to go. A later request never weakens an earlier one.
+/// How far an attempt or health check in flight may proceed. The variants are ordered, and a stop request only ever raises
+/// the current value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopRequest {
-    /// To its end.
+    /// The request runs to its end.
     Continue,
-    /// To its end if it was written whole, else no further.
+    /// The request is withdrawn, unless all of its bytes have been written.
     WithdrawUnsent,
-    /// No further.
+    /// The request is cancelled at once.
     Cancel,
 }
 
-/// An attempt or health check that the actor has started and that has not ended.
+/// An attempt or health check whose task has not ended. Owned by the actor of its endpoint.
 pub struct InFlightRequest {
-    /// What it is for.
+    /// The purpose of the request.
     pub purpose: RequestPurpose,
-    /// When it started.
+    /// Time at which the request was started.
     pub started_at: Instant,
-    /// Tells its task to stop.
+    /// Sends stop requests to the task.
     pub stop_sender: watch::Sender<StopRequest>,
 }
 
-/// How an attempt ended, as the decision core is told.
+/// The result of an attempt or health check, as reported to the decision core.
 pub struct AttemptResult {
-    /// The outcome.
+    /// The outcome of the request.
     pub outcome: Outcome,
-    /// Whether the message is over: no further attempt is wanted.
+    /// Whether the message is complete, so that no further attempt is wanted.
     pub completed: bool,
-    /// The load that the endpoint reported, in the order of the settings. Empty where it reported none.
+    /// The load that the endpoint reported, in the order of the settings. Empty if it reported none.
     pub load_report: Vec<f32>,
 }
 
 impl AttemptResult {
-    /// The result of an attempt without an answer that could be read.
+    /// Returns the result of a request without a valid response.
     pub fn without_response(outcome: Outcome) -> AttemptResult {
         AttemptResult {
             outcome,
@@ -74,7 +75,8 @@
         }
     }
 
-    /// The result once the body of its answer has ended. An answer that did not come whole proves nothing.
+    /// Returns the result after the end of the response body. An incomplete response does not prove that the message had no
+    /// effect, so that it becomes a connection reset.
     fn confirmed_by(self, body_end: BodyEnd) -> AttemptResult {
         match body_end {
             BodyEnd::Complete => self,
@@ -87,22 +89,22 @@
     }
 }
 
-/// One attempt or health check.
+/// An attempt or health check, run by a task of its own.
 pub struct Attempt {
-    /// The endpoint that gets it.
+    /// The endpoint that receives the request.
     pub endpoint: EndpointId,
-    /// What it is for.
+    /// The purpose of the request.
     pub purpose: RequestPurpose,
-    /// When it started.
+    /// Time at which the request was started.
     pub started_at: Instant,
-    /// When it is given up.
+    /// The deadlines of the request.
     pub deadlines: ExchangeDeadlines,
-    /// What all endpoint actors share.
+    /// State shared with the other endpoint actors.
     pub context: Arc<EndpointContext>,
 }
 
 impl Attempt {
-    /// Sends the request and reports the outcome. Returns the connection if it can serve again.
+    /// Sends the request and reports its outcome. Returns the connection if it can carry another request.
     pub async fn run(
         self,
         request: Result<EndpointRequest, hyper::http::Error>,
@@ -140,7 +142,8 @@
         Exchange::new(self.endpoint, request, connect_timeout, self.deadlines)
     }
 
-    /// Reports an answer whose head is in, and reads its body. Returns the connection if it can serve again.
+    /// Reports the result of a response whose head was received, and reads its body. Returns the connection if it can carry
+    /// another request.
     async fn finish_with_response(
         &self,
         response: Response<Incoming>,
@@ -169,9 +172,9 @@
         }
     }
 
-    /// Reports the outcome as soon as it is certain, and reads the body to its end. An outcome that may have taken effect
-    /// is certain with the head of the answer. That the message did not take effect is believed only of an answer that
-    /// came whole.
+    /// Reads the response body to its end, and reports the outcome as soon as it is certain. If the message may have taken
+    /// effect, the response head is enough. Otherwise the whole response must be received, because an incomplete one does
+    /// not prove that the message had no effect.
     async fn report_response(
         &self,
         response: EndpointAnswer,
@@ -192,10 +195,12 @@
         }
     }
 
-    /// Reports the retry-after header of an answer. It binds from the head of the answer on, whatever becomes of the body.
+    /// Reports the retry-after header of a response. It applies from the response head on, even if the body turns out to be
+    /// invalid.
     ///
-    /// A rejection whose body is already whole is skipped. A 429 has the retry-after in its outcome. A 503 has none there, so
-    /// that its header is reported only if its body is not yet whole, or if the endpoint had no concurrency permit.
+    /// A rejection whose body is already complete is skipped. The outcome of a 429 contains the retry-after. The outcome of
+    /// a 503 does not, so that the header of a 503 is reported only if its body is not yet complete or if the endpoint had
+    /// no concurrency permit.
     async fn report_retry_after(&self, response: &EndpointAnswer, body_end: Option<BodyEnd>) {
         let rejected = matches!(response.outcome, Outcome::Rejected { .. });
         if rejected && body_end == Some(BodyEnd::Complete) {
@@ -220,7 +225,7 @@
     }
 
     async fn report_error(&self, error: AttemptError) {
-        debug!(self.context.log, "attempt failed"; "endpoint" => %protocol::address(self.endpoint), "problem" => %error);
+        debug!(self.context.log, "attempt or health check failed"; "endpoint" => %protocol::address(self.endpoint), "problem" => %error);
         self.report(AttemptResult::without_response(error.into()))
             .await;
     }
@@ -231,7 +236,7 @@
     }
 }
 
-/// The event that reports the end of an attempt or health check that started at `started` and ends now.
+/// Returns the event that reports the end of a request which was started at `started_at` and ends now.
 pub fn request_ended_event(
     endpoint: EndpointId,
     purpose: RequestPurpose,
--- a/crates/forwarder/src/endpoints/attempt_error.rs
+++ b/crates/forwarder/src/endpoints/attempt_error.rs
@@ -1,48 +1,49 @@
-//! Why an attempt has no answer, and what the decision core is told of it.
+//! The errors of requests that end without a response, and the outcome that each maps to.
 
 use opalpulley::Outcome;
 use std::fmt;
 
-/// How far an attempt had come when it failed.
+/// How far an attempt or health check had proceeded when it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStage {
-    /// No connection was open, or it took no byte of the request.
+    /// No connection was open, or no byte of the request was written to it.
     Connecting,
-    /// The connection ended before all bytes of the request were written, or the request could not be encoded: it can't have
-    /// taken effect.
+    /// The connection ended before all bytes of the request were written, or the request could not be encoded. The request
+    /// cannot have taken effect.
     Writing,
-    /// It may have taken effect. Either all bytes of the request were written, or the attempt was given up after writing had
-    /// begun. In the second case the bytes are not counted, so that some may be unwritten.
+    /// The request may have taken effect. Either all of its bytes were written, or it was aborted after writing had begun.
+    /// Bytes are not counted in the second case, so that some may not have been written.
     Written,
 }
 
-/// Why an attempt failed.
+/// Why an attempt or health check failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    /// The connection could not be opened, closed early, or carried something that is no answer. Also: the head of an answer
-    /// began and did not end in time, or the request could not be encoded.
+    /// The connection could not be opened, was closed early, or carried an invalid response. Also used if the response head
+    /// stalled, and if the request could not be encoded.
     ConnectionLost,
-    /// No head of an answer came before the attempt timeout, or no connection came up within the connect timeout.
+    /// The response head was not received before the attempt timeout, or the connection was not opened within the connect
+    /// timeout.
     TimedOut,
     /// The dispatcher cancelled the attempt.
     Cancelled,
-    /// The last moment to send is over, and no byte of the request was written.
+    /// The send deadline passed before any byte of the request was written.
     SendDeadlinePassed,
-    /// The dispatcher withdrew the attempt before its last byte was written.
+    /// The dispatcher withdrew the request before its last byte was written.
     WithdrawnBeforeSend,
 }
 
-/// An attempt or health check that ended without an answer.
+/// The error of an attempt or health check that ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptError {
-    /// How far it had come.
+    /// How far the request had proceeded.
     pub stage: AttemptStage,
-    /// Why it ended.
+    /// Why the request failed.
     pub cause: FailureCause,
 }
 
 impl AttemptError {
-    /// A failure before any byte of the request was written.
+    /// Returns the error of a request of which no byte was written.
     pub fn connecting(cause: FailureCause) -> AttemptError {
         AttemptError {
             stage: AttemptStage::Connecting,
@@ -53,7 +54,7 @@
 
 impl fmt::Display for AttemptError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} while {:?}", self.cause, self.stage)
+        write!(f, "{:?} in the {:?} stage", self.cause, self.stage)
     }
 }
 
--- a/crates/forwarder/src/endpoints/connection.rs
+++ b/crates/forwarder/src/endpoints/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to an endpoint. It carries one request at a time.
+//! An HTTP/1.1 connection to an endpoint. It carries one request at a time.
 
 use super::attempt_error::{AttemptError, AttemptStage, FailureCause};
 use super::stream::{EndpointStream, StreamState};
@@ -23,8 +23,8 @@
 }
 
 impl EndpointConnection {
-    /// Opens a connection. Fails with `TimedOut` if that takes longer than `timeout`, and with `ConnectionLost` on any other
-    /// error.
+    /// Opens a connection. Fails with `TimedOut` if opening takes longer than `timeout`, and with `ConnectionLost` on any
+    /// other error.
     pub async fn open(
         endpoint: EndpointId,
         timeout: Duration,
@@ -47,7 +47,8 @@
         Some(EndpointConnection { http, stream_state })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head. The connection must be usable. Fails with `ConnectionLost` and the
+    /// stage that the request had reached.
     pub async fn send(
         &mut self,
         request: EndpointRequest,
@@ -55,27 +56,27 @@
         self.ready().await?.call(request).await
     }
 
-    /// What is known of the bytes on this connection.
+    /// Returns the shared state of the stream under this connection.
     pub fn stream_state(&self) -> Arc<StreamState> {
         self.stream_state.clone()
     }
 
-    /// Waits until the connection can take a request. Returns false where it has ended.
+    /// Waits until the connection can take a request. Returns false if the connection has ended.
     pub async fn usable(&mut self) -> bool {
         self.http.usable().await
     }
 
-    /// Whether the connection is known to have ended.
+    /// Returns whether the connection is known to have ended.
     pub fn is_closed(&self) -> bool {
         self.http.sender.is_closed()
     }
 
-    /// Marks the exchange as over: bytes that arrive from now on belong to no request.
+    /// Marks the exchange as complete. Bytes that are received from now on belong to no request.
     pub fn end_exchange(&self) {
         self.stream_state.end_exchange();
     }
 
-    /// Returns the connection once it can take another request, nothing where it has ended.
+    /// Waits until the connection can take another request. Returns `None` if the connection has ended.
     pub async fn into_reusable(mut self) -> Option<EndpointConnection> {
         if self.http.usable().await {
             Some(self)
@@ -108,7 +109,7 @@
     }
 }
 
-/// The stage of a request of `length` bytes whose connection ended after so many were written.
+/// Returns the stage of a request of `request_length` bytes whose connection ended after `bytes_written` of them.
 fn stage_reached(bytes_written: u64, request_length: u64) -> AttemptStage {
     if bytes_written == 0 {
         AttemptStage::Connecting
--- a/crates/forwarder/src/endpoints/exchange.rs
+++ b/crates/forwarder/src/endpoints/exchange.rs
@@ -1,6 +1,6 @@
-//! One request to an endpoint, from the choice of its connection to the head of the answer.
+//! One request to an endpoint, from the choice of its connection to the head of the response.
 //!
-//! The request is given up by dropping the work on it, which closes its connection.
+//! A request is aborted by dropping its future, which closes the connection.
 
 use super::attempt::StopRequest;
 use super::attempt_error::{AttemptError, AttemptStage, FailureCause};
@@ -18,50 +18,51 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// From the first byte of an answer to the end of its head. Endpoints write a head at once.
+/// Upper bound on the time from the first byte of a response to the end of its head. Endpoints write a response head at
+/// once.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The status of an answer that delivers a message.
+/// Status of a response that confirms the delivery of a message.
 const DELIVERED_STATUS: u16 = 200;
 
-/// Turns of the runtime that bring bytes from a socket to the task that waits for them: one for the connection, one for the
-/// task itself.
+/// Number of times to yield to the runtime until bytes in a socket reach the task that waits for them: one for the task of
+/// the connection and one for the waiting task.
 const SOCKET_READ_YIELDS: u32 = 2;
 
-/// What an exchange brought.
+/// The result of an exchange that received a response or at least its status line.
 pub enum ExchangeResult {
-    /// The head of an answer. Its body may still be on its way.
+    /// The response head was received. The body may be incomplete.
     Response {
-        /// The head, and the body as it comes.
+        /// The response head, and the body as it is received.
         response: Response<Incoming>,
-        /// The connection it came on.
+        /// The connection that carries the response.
         connection: EndpointConnection,
     },
-    /// A first line with status 200. The rest of the head never came, or could not be read.
+    /// Only a status line with status 200 was received. The rest of the head was missing or invalid.
     DeliveredStatusOnly,
 }
 
-/// The moments at which a request is given up.
+/// The deadlines of a request.
 #[derive(Clone, Copy)]
 pub struct ExchangeDeadlines {
-    /// The first byte is written before this moment, or none is.
+    /// The first byte is written before this instant, or no byte is written.
     pub send_deadline: Instant,
-    /// The head of the answer is in before this moment.
+    /// The request times out if the response head is not received by this instant.
     pub response_deadline: Instant,
 }
 
-/// One request and the state of its stream.
+/// A request and the state of the stream that carries it. Owned by the task of the attempt.
 pub struct Exchange {
     endpoint: EndpointId,
     request: EndpointRequest,
     connect_timeout: Duration,
     deadlines: ExchangeDeadlines,
-    /// The stream on which the request is written now.
+    /// State of the stream that the request is written to. `None` before a connection is chosen.
     current_stream: watch::Sender<Option<Arc<StreamState>>>,
 }
 
 impl Exchange {
-    /// Prepares a request. Nothing is sent before `run`.
+    /// Creates an exchange. Nothing is sent before `run`.
     pub fn new(
         endpoint: EndpointId,
         request: EndpointRequest,
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Sends the request and waits for the head of its answer, for a deadline or for a stop request.
+    /// Sends the request and waits for the response head. Fails on a deadline, a stop request, a stalled response head or
+    /// the loss of the connection.
     pub async fn run(
         self,
         idle: Option<ReusedConnection>,
@@ -95,7 +97,7 @@
             Ok(result) => result,
             Err(cause) => self.abort(cause, request_future).await,
         };
-        // A first line with status 200 is true, whatever became of the rest.
+        // A status line with status 200 confirms the delivery, even if the rest of the response is missing or invalid.
         if result.is_err()
             && self.response_progress() == Some(ResponseProgress::Status(DELIVERED_STATUS))
         {
@@ -104,7 +106,8 @@
         result
     }
 
-    /// Sends on the idle connection, or on a new one where the idle one took no byte of the request.
+    /// Sends the request on the idle connection. Opens a new connection if there is no idle one, or if no byte was written
+    /// to it.
     async fn send(&self, idle: Option<ReusedConnection>) -> Result<ExchangeResult, AttemptError> {
         if let Some(idle) = idle {
             match self.send_on_idle(idle).await {
@@ -118,7 +121,8 @@
         self.send_on_new().await
     }
 
-    /// Fails with `ConnectionLost` while connecting where the connection took no byte of the request.
+    /// Sends the request on an idle connection. Fails with `ConnectionLost` in the stage `Connecting` if no byte was
+    /// written.
     async fn send_on_idle(&self, idle: ReusedConnection) -> Result<ExchangeResult, AttemptError> {
         let ReusedConnection {
             mut connection,
@@ -132,8 +136,8 @@
         self.send_on(connection).await
     }
 
-    /// Checks the send deadline before and after the connection opens. A connection that opens late must not carry a
-    /// repeat out of the time in which the endpoint recognizes it as one.
+    /// Sends the request on a new connection. Checks the send deadline before and after the connection is opened: a repeat
+    /// that is sent late could reach the endpoint outside the deduplication window.
     async fn send_on_new(&self) -> Result<ExchangeResult, AttemptError> {
         self.check_send_deadline()?;
         let open = EndpointConnection::open(self.endpoint, self.connect_timeout);
@@ -167,7 +171,8 @@
         }
     }
 
-    /// Waits for a stop request that applies. A request that was written whole is not withdrawn any more.
+    /// Waits for a stop request that applies to this exchange. A request whose bytes have all been written is no longer
+    /// withdrawn.
     async fn wait_for_stop(&self, requests: &mut watch::Receiver<StopRequest>) -> FailureCause {
         while requests.changed().await.is_ok() {
             let request = *requests.borrow_and_update();
@@ -182,7 +187,7 @@
         pending().await
     }
 
-    /// Waits until an answer has begun on the current stream and the rest of its head is overdue.
+    /// Waits until a response on the current stream has begun and its head is overdue.
     async fn wait_for_stalled_head(&self) {
         let mut streams = self.current_stream.subscribe();
         loop {
@@ -195,13 +200,13 @@
             };
             tokio::select! {
                 () = stalled => return,
-                Ok(()) = streams.changed() => {} // another connection carries the request now
+                Ok(()) = streams.changed() => {} // the request moved to another connection
             }
         }
     }
 
-    /// The result of a request that is given up. One that was written whole gets the bytes that its socket holds by now,
-    /// so that an answer or a retry-after that has already arrived counts.
+    /// Aborts the request and returns its result. If all bytes were written, the bytes that the socket already holds are
+    /// read first, so that a response or a retry-after in the socket is not lost.
     async fn abort(
         &self,
         cause: FailureCause,
@@ -222,7 +227,8 @@
         })
     }
 
-    /// A request whose writing has begun counts as `Written`, whether or not it is whole.
+    /// Returns the stage of an aborted request. It is `Written` as soon as writing has begun, even if some bytes are
+    /// unwritten.
     fn stage_at_abort(&self) -> AttemptStage {
         match self.response_progress() {
             None | Some(ResponseProgress::NoRequest) => AttemptStage::Connecting,
@@ -247,7 +253,7 @@
     AttemptError::connecting(FailureCause::SendDeadlinePassed)
 }
 
-/// Lets the runtime read its sockets, and lets the tasks run that wait for them.
+/// Yields until the runtime has read its sockets and run the tasks that wait for them.
 async fn yield_to_socket_reads() {
     for _ in 0..SOCKET_READ_YIELDS {
         tokio::task::yield_now().await;
--- a/crates/forwarder/src/endpoints/golden_tests.rs
+++ b/crates/forwarder/src/endpoints/golden_tests.rs
@@ -1,5 +1,5 @@
-//! Proves that the bytes between the forwarder and endpoints stay the same: calls and health checks as they go on a real
-//! connection, and what each recorded answer is decoded to.
+//! Checks that the bytes exchanged with endpoints stay the same: attempts and health checks as written to a real connection,
+//! and the events that each recorded response is decoded to.
 
 use super::*;
 use crate::commands::{AttemptRequest, EndpointCommand};
@@ -14,7 +14,7 @@
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An endpoint's actor, the listener of its endpoint and the events that it gives.
+/// The actor of an endpoint, with the listener that acts as the endpoint and the events that the actor sends.
 struct Fixture {
     listener: TcpListener,
     mailbox: mpsc::Sender<EndpointCommand>,
@@ -22,8 +22,13 @@
 }
 
 async fn fixture() -> Fixture {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let port = listener.local_addr().expect("its address").port();
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a port is free");
+    let port = listener
+        .local_addr()
+        .expect("the socket has a local address")
+        .port();
     let (dispatcher, events) = mpsc::channel(16);
     let (mailbox, commands) = mpsc::channel(16);
     let names = Names {
@@ -56,7 +61,7 @@
     }
 }
 
-/// The command for a call or, without a request id, for a health check.
+/// Returns the command for an attempt or, if the input has no request id, for a health check.
 fn command(input: &Value) -> EndpointCommand {
     let Some(request_id) = input["request id"].as_str() else {
         return EndpointCommand::StartHealthCheck;
@@ -66,8 +71,17 @@
         attempt_index: 0,
         request_id: request_id.to_owned(),
         idempotency_key: input["idempotency key"].as_str().map(str::to_owned),
-        body: Bytes::from(input["body"].as_str().expect("a body").to_owned()),
-        timeout: Duration::from_micros(input["attempt timeout us"].as_u64().expect("a timeout")),
+        body: Bytes::from(
+            input["body"]
+                .as_str()
+                .expect("the input has a body")
+                .to_owned(),
+        ),
+        timeout: Duration::from_micros(
+            input["attempt timeout us"]
+                .as_u64()
+                .expect("the input has an attempt timeout"),
+        ),
         send_by: Instant::now() + TEST_TIMEOUT,
     };
     EndpointCommand::StartAttempt(Box::new(attempt))
@@ -111,11 +125,11 @@
         DispatcherCommand::Event(Event::RetryAfterReceived { retry_after, .. }) => {
             (json!({ "retry-after us": retry_after }), false)
         }
-        _ => panic!("another event"),
+        _ => panic!("unexpected command for the dispatcher"),
     }
 }
 
-/// The bytes of the request that comes: its head and the body that the head announces.
+/// Reads one request: its head, and the body whose length the head states.
 async fn read_request(stream: &mut TcpStream) -> Vec<u8> {
     let mut bytes = Vec::new();
     loop {
@@ -124,31 +138,43 @@
             let length = request[..head]
                 .lines()
                 .find_map(|line| line.strip_prefix("content-length: "));
-            let length: usize = length.map_or(0, |length| length.parse().expect("a length"));
+            let length: usize = length.map_or(0, |length| {
+                length.parse().expect("the content length is a number")
+            });
             if bytes.len() >= head + 4 + length {
                 return bytes;
             }
         }
         let read = tokio::time::timeout(TEST_TIMEOUT, stream.read_buf(&mut bytes)).await;
         assert_ne!(
-            read.expect("in time").expect("readable"),
+            read.expect("an event arrives in time")
+                .expect("the stream is readable"),
             0,
-            "the request is cut off"
+            "the request is complete"
         );
     }
 }
 
-/// The bytes of the request, with the port of this run left out.
+/// Returns the bytes of the request that the actor writes. The port, which differs in each run, is replaced.
 async fn sent_request(input: &Value) -> Value {
     let Fixture {
         listener, mailbox, ..
     } = fixture().await;
-    mailbox.send(command(input)).await.expect("the actor runs");
-    let (mut stream, address) = listener.accept().await.expect("a connection");
+    mailbox
+        .send(command(input))
+        .await
+        .expect("the actor is running");
+    let (mut stream, address) = listener
+        .accept()
+        .await
+        .expect("the connection is established");
     assert!(address.ip().is_loopback());
-    let port = listener.local_addr().expect("its address").port();
-    let request =
-        String::from_utf8(read_request(&mut stream).await).expect("the recorded requests are text");
+    let port = listener
+        .local_addr()
+        .expect("the socket has a local address")
+        .port();
+    let request = String::from_utf8(read_request(&mut stream).await)
+        .expect("the recorded requests are UTF-8");
     text(
         request
             .replace(&format!("127.0.0.1:{port}"), "127.0.0.1:PORT")
@@ -156,7 +182,7 @@
     )
 }
 
-/// The events for one answer, up to the outcome.
+/// Returns the events for one response, up to the event with the outcome.
 async fn events_for_response(input: &Value) -> Value {
     let Fixture {
         listener,
@@ -169,13 +195,21 @@
     } else {
         &attempt
     });
-    mailbox.send(command).await.expect("the actor runs");
-    let (mut stream, _) = listener.accept().await.expect("a connection");
+    mailbox.send(command).await.expect("the actor is running");
+    let (mut stream, _) = listener
+        .accept()
+        .await
+        .expect("the connection is established");
     read_request(&mut stream).await;
     stream
-        .write_all(input["answer"].as_str().expect("an answer").as_bytes())
+        .write_all(
+            input["answer"]
+                .as_str()
+                .expect("the input has an answer")
+                .as_bytes(),
+        )
         .await
-        .expect("written");
+        .expect("the write succeeds");
     if input["then closes"] == true {
         drop(stream);
     }
@@ -183,8 +217,8 @@
     loop {
         let event = tokio::time::timeout(TEST_TIMEOUT, events.recv())
             .await
-            .expect("in time")
-            .expect("an event");
+            .expect("an event arrives in time")
+            .expect("the actor sends an event");
         let (event, last) = render_event(event);
         rendered.push(event);
         if last {
--- a/crates/forwarder/src/endpoints/idle_connections.rs
+++ b/crates/forwarder/src/endpoints/idle_connections.rs
@@ -1,22 +1,23 @@
-//! The open connections of one endpoint that carry no request.
+//! The idle connections of one endpoint.
 
 use super::connection::EndpointConnection;
 use std::time::Duration;
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// How long a connection rests before it carries the next request. Bytes that belong to no request arrive directly behind
-/// an answer: they show in this time, and the connection is then closed.
+/// Time for which a connection rests before it carries the next request. An endpoint that sends bytes behind a response
+/// sends them at once: they are received within this time, and the connection is then closed.
 pub const SETTLE_TIME: Duration = Duration::from_millis(3);
 
-/// The connection is retired this part of its idle time early, because a request takes time to arrive.
+/// A connection is retired earlier than the endpoint closes it, by the idle timeout divided by this number, because a
+/// request takes time to arrive.
 const RETIREMENT_MARGIN_DIVISOR: u32 = 10;
 
-/// A connection taken out of the pool for a request.
+/// A connection that was taken from the idle ones to carry a request.
 pub struct ReusedConnection {
-    /// The connection.
+    /// The open connection.
     pub connection: EndpointConnection,
-    /// Since when it has carried no request.
+    /// Time at which the last exchange on the connection ended.
     pub idle_since: Instant,
 }
 
@@ -26,14 +27,14 @@
     _permit: OwnedSemaphorePermit,
 }
 
-/// The idle connections of one endpoint, the one used last at the end.
+/// The idle connections of one endpoint, ordered by the end of their last exchange, the latest at the end.
 pub struct IdleConnections {
     connections: Vec<IdleConnection>,
     retire_after: Duration,
 }
 
 impl IdleConnections {
-    /// `closed_after`: the endpoint closes a connection that has been idle for so long.
+    /// Creates an empty set. The endpoint closes a connection that has been idle for `endpoint_idle_timeout`.
     pub fn new(endpoint_idle_timeout: Duration) -> IdleConnections {
         IdleConnections {
             connections: Vec::new(),
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Adds a connection that has just ended its exchange. The permit is given back when the connection leaves.
+    /// Adds a connection whose exchange has just ended. The permit is released when the connection is removed.
     pub fn add(&mut self, connection: EndpointConnection, permit: OwnedSemaphorePermit) {
         self.connections.push(IdleConnection {
             connection,
@@ -50,8 +51,9 @@
         });
     }
 
-    /// Takes the connection used last that has rested for the settle time. Where none has, takes the one used last.
-    /// Connections that are closed or due to be retired are dropped on the way.
+    /// Removes and returns the most recently used connection that has been idle for the settle time, or else the most
+    /// recently used one. Drops closed connections and those due for retirement that it comes across. Returns `None` if no
+    /// connection is left.
     pub fn take(&mut self) -> Option<ReusedConnection> {
         while !self.connections.is_empty() {
             let last_index = self.connections.len() - 1;
@@ -73,20 +75,20 @@
             .rposition(|idle| idle.idle_since.elapsed() >= SETTLE_TIME)
     }
 
-    /// When the next connection is to be retired.
+    /// Returns the time at which the next connection is to be retired. `None` if no connection is idle.
     pub fn next_retirement(&self) -> Option<Instant> {
         let oldest = self.connections.first()?;
         Some(oldest.idle_since + self.retire_after)
     }
 
-    /// Closes the connections that the endpoint is about to close.
+    /// Closes the connections that the endpoint will soon close.
     pub fn retire_expired(&mut self) {
         let retire_after = self.retire_after;
         self.connections
             .retain(|idle| idle.idle_since.elapsed() < retire_after);
     }
 
-    /// Closes all.
+    /// Closes all idle connections.
     pub fn close_all(&mut self) {
         self.connections.clear();
     }
--- a/crates/forwarder/src/endpoints/response_body.rs
+++ b/crates/forwarder/src/endpoints/response_body.rs
@@ -1,23 +1,23 @@
-//! The body of an answer. Its bytes are dropped: only whether it came whole counts.
+//! Reads the body of a response. Its bytes are dropped: only whether the body is complete matters.
 
 use crate::protocol::MAX_BODY_BYTES;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use std::time::Duration;
 
-/// For the rest of an answer after its head. Bodies are small.
+/// Upper bound on the time from the end of the response head to the end of the body. Bodies are small.
 const BODY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How the body of an answer ended.
+/// How the body of a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyEnd {
-    /// It came to its last byte.
+    /// The body was received to its last byte.
     Complete,
-    /// It was too long, too late or cut off.
+    /// The body was too long, was not received in time or was cut off.
     Incomplete,
 }
 
-/// Reads a body to its end, up to the longest body of the protocol.
+/// Reads a body to its end, up to `MAX_BODY_BYTES` and for at most `BODY_TIMEOUT`.
 pub async fn read_body(body: Incoming) -> BodyEnd {
     let complete_body = Limited::new(body, MAX_BODY_BYTES).collect();
     match tokio::time::timeout(BODY_TIMEOUT, complete_body).await {
--- a/crates/forwarder/src/endpoints/response_filter.rs
+++ b/crates/forwarder/src/endpoints/response_filter.rs
@@ -1,43 +1,43 @@
-//! What the HTTP library sees of the bytes that an endpoint sends. No I/O.
+//! Filters the bytes of responses before the HTTP library parses them. Performs no I/O.
 //!
-//! 1xx heads are dropped. The first line of an answer is kept back until it is whole, so that its status is known even where
-//! the library takes the answer for invalid.
+//! 1xx heads are dropped. The status line of a response is withheld until it is complete, so that its status is known even
+//! if the library considers the response invalid.
 
 use super::stream::ResponseProgress;
 use std::io;
 use tokio::io::ReadBuf;
 
-/// Bytes at the start of a first line that contain its status.
+/// Length of the start of a status line that contains the status, in bytes.
 const STATUS_PREFIX_BYTES: usize = "HTTP/1.1 200 ".len();
 
-/// Bytes of a first line that are kept back until it ends. Lines of well-behaved endpoints are shorter.
+/// Upper bound on the bytes of a status line that are withheld until its end. Correct endpoints send shorter ones.
 pub const MAX_STATUS_LINE_BYTES: usize = 512;
 
-/// Bytes of 1xx heads before an answer, over what well-behaved endpoints send.
+/// Upper bound on the bytes of 1xx heads before a response. Correct endpoints send fewer.
 const MAX_INTERIM_BYTES: usize = 32 * 1024;
 
-/// Line ends directly behind each other that end a head: that of its last line, and an empty line.
+/// Number of consecutive line ends at the end of a head: the one of its last line and the one of the empty line.
 const LINE_ENDS_AT_HEAD_END: u8 = 2;
 
-/// What the next byte belongs to.
+/// The part of a response that the next byte belongs to.
 enum FilterState {
-    /// The first line, not whole yet: its bytes so far.
+    /// An incomplete status line, with its bytes so far.
     StatusLine(Vec<u8>),
-    /// A 1xx head: the line ends directly behind each other up to here.
+    /// A 1xx head, with the number of consecutive line ends just before the next byte.
     Interim { line_ends: u8 },
-    /// The answer after its first line.
+    /// The part of a response after its status line.
     PassThrough,
 }
 
-/// The filter of one connection, from answer to answer.
+/// Filters the responses on one connection, one after the other. Owned by its stream.
 pub struct ResponseFilter {
     state: FilterState,
-    /// Bytes of 1xx heads dropped before the present answer.
+    /// Number of bytes of 1xx heads dropped before the current response.
     interim_bytes: usize,
 }
 
 impl ResponseFilter {
-    /// A filter that waits for no answer.
+    /// Creates a filter that expects no response yet.
     pub fn new() -> ResponseFilter {
         ResponseFilter {
             state: FilterState::PassThrough,
@@ -45,19 +45,19 @@
         }
     }
 
-    /// Expects the first line of an answer next.
+    /// Prepares the filter for the status line of a response.
     pub fn expect_response(&mut self) {
         self.state = FilterState::status_line();
         self.interim_bytes = 0;
     }
 
-    /// Whether all further bytes of the answer go to the library as they are.
+    /// Returns whether all further bytes of the response are passed through unchanged.
     pub fn passes_through(&self) -> bool {
         matches!(self.state, FilterState::PassThrough)
     }
 
-    /// Takes bytes in as they come. What the library may see goes to `output`, which must have room for `bytes` and a first
-    /// line. `on_progress` is called at each step of the answer. Fails where 1xx heads are too long.
+    /// Filters received bytes into `output`, which must have space for `bytes` and a status line. Calls `on_progress` for
+    /// each step of the response. Fails with `InvalidData` if the 1xx heads are too long.
     pub fn push(
         &mut self,
         mut bytes: &[u8],
@@ -100,8 +100,8 @@
     }
 }
 
-/// Takes bytes of a first line. Returns what follows the line, nothing while it is not whole. A line that is too long goes to
-/// the library as it is.
+/// Consumes bytes of a status line. Returns the next state, or `None` while the line is incomplete. A line that is too long
+/// is passed through unchanged.
 fn push_status_line(
     line: &mut Vec<u8>,
     bytes: &mut &[u8],
@@ -123,7 +123,7 @@
     Some(FilterState::PassThrough)
 }
 
-/// Takes one byte of a 1xx head. Returns whether the head has ended.
+/// Consumes one byte of a 1xx head. Returns whether the head has ended.
 fn push_interim(line_ends: &mut u8, byte: u8) -> bool {
     match byte {
         b'\n' => *line_ends += 1,
@@ -133,7 +133,7 @@
     *line_ends == LINE_ENDS_AT_HEAD_END
 }
 
-/// Moves bytes to `line` up to and with the line end. Returns whether the line has ended.
+/// Moves bytes up to and including the line end to `line`. Returns whether the line has ended.
 fn take_line(line: &mut Vec<u8>, bytes: &mut &[u8]) -> bool {
     let line_end = bytes.iter().position(|byte| *byte == b'\n');
     let length = line_end.map_or(bytes.len(), |at| at + 1);
@@ -143,7 +143,8 @@
     line_end.is_some()
 }
 
-/// The status of a whole first line (RFC 9112 section 4), by its beginning. HTTP/1.0 and HTTP/1.1 only.
+/// Parses the status at the start of a complete status line (RFC 9112 section 4). Returns `None` unless the version is
+/// HTTP/1.0 or HTTP/1.1 and the status is three digits.
 fn parse_status(line: &[u8]) -> Option<u16> {
     let prefix = line.get(..STATUS_PREFIX_BYTES)?;
     let code = match prefix.strip_prefix(b"HTTP/1.")? {
--- a/crates/forwarder/src/endpoints/stream.rs
+++ b/crates/forwarder/src/endpoints/stream.rs
@@ -1,7 +1,7 @@
 //! The stream under a connection to an endpoint.
 //!
-//! It counts the bytes written, passes what comes through the response filter, and fails where bytes come that belong to no
-//! request: they must not be taken for the answer to the next one.
+//! It counts the bytes written, passes received bytes through the response filter, and fails on bytes that belong to no
+//! request, because they must not be taken for the response to the next request.
 
 use super::response_filter::{ResponseFilter, MAX_STATUS_LINE_BYTES};
 use socket2::SockRef;
@@ -15,19 +15,19 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Bytes read at once while a first line is awaited. Most answers fit whole.
+/// Upper bound on the bytes read at once while a status line is awaited. Most responses fit.
 const READ_CHUNK_BYTES: usize = 2048;
 
-/// How far the answer to the present request has come.
+/// How much of the response to the current request has been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseProgress {
-    /// No request is in flight: bytes that come now belong to none.
+    /// No request is in flight. Bytes that are received now belong to none.
     NoRequest,
-    /// A request is in flight. Nothing of its answer is in, or 1xx heads alone.
+    /// A request is in flight. No byte of its response has been received, apart from 1xx heads.
     Awaited,
-    /// The first bytes of the answer are in.
+    /// The first bytes of the response have been received.
     Started,
-    /// The first line is in and has this status. What follows may still be invalid.
+    /// The status line has been received and has this status. The rest of the response may still be invalid.
     Status(u16),
 }
 
@@ -40,10 +40,10 @@
     }
 }
 
-/// What is known of the bytes on a stream, shared with the attempt that uses its connection.
+/// State of a stream, shared between the stream and the attempt that uses its connection.
 pub struct StreamState {
     bytes_written: AtomicU64,
-    /// Bytes written before the present request.
+    /// Number of bytes written before the current request.
     bytes_before_request: AtomicU64,
     response: watch::Sender<ResponseProgress>,
 }
@@ -57,19 +57,19 @@
         }
     }
 
-    /// Bytes of the present request that were written to the socket.
+    /// Returns the number of bytes of the current request that were written to the socket.
     pub fn request_bytes_written(&self) -> u64 {
         let before = self.bytes_before_request.load(Ordering::Relaxed);
         self.bytes_written.load(Ordering::Relaxed) - before
     }
 
-    /// How far the answer has come.
+    /// Returns how much of the response has been received.
     pub fn response_progress(&self) -> ResponseProgress {
         *self.response.borrow()
     }
 
-    /// Returns once an answer has been in progress for `timeout`; the caller drops this future when the head is complete.
-    /// A 1xx head starts the wait anew.
+    /// Waits until a response has been in progress for `timeout`. The caller must drop this future when the response head is
+    /// complete. A 1xx head restarts the wait.
     pub async fn wait_for_stalled_head(&self, timeout: Duration) {
         let mut response = self.response.subscribe();
         while response
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Marks the present exchange as over.
+    /// Marks the current exchange as complete.
     pub fn end_exchange(&self) {
         let written = self.bytes_written.load(Ordering::Relaxed);
         self.bytes_before_request.store(written, Ordering::Relaxed);
@@ -96,7 +96,7 @@
             .fetch_add(count as u64, Ordering::Relaxed);
     }
 
-    /// Records a step of the answer. Further bytes of a first line that has started already notify no waiter.
+    /// Records the progress of the response. Further bytes of a status line that has already started do not wake waiters.
     fn set_response_progress(&self, progress: ResponseProgress) {
         self.response.send_if_modified(|current| {
             let unchanged = *current == progress && progress == ResponseProgress::Started;
@@ -106,7 +106,7 @@
     }
 }
 
-/// A stream to an endpoint.
+/// A stream to an endpoint, owned by the HTTP library.
 pub struct EndpointStream {
     socket: TcpStream,
     state: Arc<StreamState>,
@@ -114,7 +114,7 @@
 }
 
 impl EndpointStream {
-    /// A stream over a new connection, and its state.
+    /// Wraps a new connection. Returns the stream and its shared state.
     pub fn new(socket: TcpStream) -> (EndpointStream, Arc<StreamState>) {
         let state = Arc::new(StreamState::new());
         let stream = EndpointStream {
@@ -125,8 +125,8 @@
         (stream, state)
     }
 
-    /// Starts an exchange with the first byte of a request. Fails where bytes lie in the socket that belong to no request.
-    /// The socket itself is asked, because the runtime may not have read it yet.
+    /// Starts an exchange at the first byte of a request. Fails with `ConnectionReset` if the socket holds bytes that belong
+    /// to no request or has ended. Reads the socket directly, because the runtime may not have noticed the bytes yet.
     fn begin_exchange(&mut self) -> io::Result<()> {
         if self.state.response_progress() != ResponseProgress::NoRequest {
             return Ok(());
@@ -147,7 +147,8 @@
         written
     }
 
-    /// Reads bytes of an answer after its first line, straight to the library.
+    /// Passes bytes of a response after its status line directly to the library. Fails with `InvalidData` if they belong to
+    /// no request.
     fn poll_read_unfiltered(
         &mut self,
         cx: &mut Context<'_>,
@@ -162,15 +163,15 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads until the filter lets bytes through to the library, or to the end of the stream. A first line that the end
-    /// cuts off is dropped.
+    /// Reads until the filter passes bytes to the library, or to the end of the stream. Drops a status line that is cut off
+    /// by the end of the stream.
     fn poll_read_filtered(
         &mut self,
         cx: &mut Context<'_>,
         output: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         loop {
-            // What was kept back of a first line must fit beside what comes now.
+            // The withheld bytes of a status line must fit into `output` in addition to the bytes read now.
             let read_limit = output.remaining().saturating_sub(MAX_STATUS_LINE_BYTES);
             let mut buffer = [0; READ_CHUNK_BYTES];
             let mut input = ReadBuf::new(&mut buffer[..read_limit.clamp(1, READ_CHUNK_BYTES)]);
--- a/crates/forwarder/src/endpoints/tests.rs
+++ b/crates/forwarder/src/endpoints/tests.rs
@@ -1,4 +1,4 @@
-//! The actor of an endpoint against an endpoint on a socket of this machine.
+//! Tests of the actor of an endpoint with an endpoint on a loopback socket.
 
 mod attempts;
 mod connections;
@@ -34,10 +34,15 @@
         TestFixture::with_endpoint(|_| {}).await
     }
 
-    /// A fixture whose actor is prepared before it runs.
+    /// Creates a fixture, and calls `prepare` on the actor before it runs.
     async fn with_endpoint(prepare: impl FnOnce(&mut Endpoint)) -> TestFixture {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let port = listener.local_addr().expect("its address").port();
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port is free");
+        let port = listener
+            .local_addr()
+            .expect("the socket has a local address")
+            .port();
         let (dispatcher, events) = mpsc::channel(16);
         let (mailbox, commands) = mpsc::channel(16);
         let context = EndpointContext {
@@ -96,23 +101,30 @@
         self.mailbox
             .send(EndpointCommand::StartAttempt(Box::new(attempt)))
             .await
-            .expect("the actor runs");
+            .expect("the actor is running");
     }
 
-    /// Answers the request on this connection, and waits until its attempt is delivered.
+    /// Responds to the request on this connection with status 200, and waits until the attempt is reported as delivered.
     async fn respond_with_ok(&mut self, stream: &mut TcpStream) {
-        stream.write_all(OK_RESPONSE).await.expect("sent");
+        stream
+            .write_all(OK_RESPONSE)
+            .await
+            .expect("the response is written");
         let Some(DispatcherCommand::Event(Event::AttemptEnded { outcome, .. })) =
             self.events.recv().await
         else {
-            panic!("no end")
+            panic!("the attempt did not end")
         };
         assert_eq!(outcome, Outcome::Delivered);
     }
 
     async fn next_outcome(&mut self) -> (Outcome, bool) {
         let wait = tokio::time::timeout(Duration::from_secs(5), self.events.recv());
-        match wait.await.expect("in time").expect("an event") {
+        match wait
+            .await
+            .expect("an event arrives in time")
+            .expect("the actor sends an event")
+        {
             DispatcherCommand::Event(Event::AttemptEnded {
                 outcome,
                 message_completed,
@@ -123,12 +135,15 @@
                 (outcome, message_completed)
             }
             DispatcherCommand::Event(Event::HealthCheckEnded { outcome, .. }) => (outcome, false),
-            _ => panic!("another event"),
+            _ => panic!("unexpected command for the dispatcher"),
         }
     }
 
     async fn send_command(&self, command: EndpointCommand) {
-        self.mailbox.send(command).await.expect("the actor runs");
+        self.mailbox
+            .send(command)
+            .await
+            .expect("the actor is running");
     }
 
     async fn withdraw_unsent(&mut self) {
@@ -139,28 +154,35 @@
         );
     }
 
-    /// Fills the backlog of the listener. Further connections stay unanswered, as those to a machine that is cut off, until
-    /// these are accepted.
+    /// Fills the backlog of the listener. Further connections are not opened until the returned ones are accepted, as if the
+    /// endpoint were unreachable.
     async fn fill_backlog(&self) -> Vec<TcpStream> {
         SockRef::from(&self.listener)
             .listen(0)
-            .expect("a short line");
-        let address = self.listener.local_addr().expect("its address");
+            .expect("the backlog is shortened");
+        let address = self
+            .listener
+            .local_addr()
+            .expect("the socket has a local address");
         let mut queued = Vec::new();
         while let Ok(stream) =
             tokio::time::timeout(Duration::from_millis(50), TcpStream::connect(address)).await
         {
-            queued.push(stream.expect("a connection"));
+            queued.push(stream.expect("the connection is established"));
         }
         queued
     }
 
     async fn accept(&self) -> TcpStream {
-        self.listener.accept().await.expect("a connection").0
+        self.listener
+            .accept()
+            .await
+            .expect("the connection is established")
+            .0
     }
 }
 
-/// Reads one request with the body that it announces, and returns all its bytes.
+/// Reads one request with the body whose length its head states, and returns all its bytes.
 async fn read_request(stream: &mut TcpStream) -> Vec<u8> {
     let mut bytes = Vec::new();
     loop {
@@ -173,7 +195,12 @@
                 return bytes;
             }
         }
-        if stream.read_buf(&mut bytes).await.expect("readable") == 0 {
+        if stream
+            .read_buf(&mut bytes)
+            .await
+            .expect("the stream is readable")
+            == 0
+        {
             return bytes;
         }
     }
--- a/crates/forwarder/src/endpoints/tests/attempts.rs
+++ b/crates/forwarder/src/endpoints/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What an attempt writes, and how it ends without an answer.
+//! What an attempt writes, and its outcome if it ends without a response.
 
 use super::*;
 
@@ -22,7 +22,11 @@
             );
         }
         assert!(bytes.ends_with(&body));
-        let port = fixture.listener.local_addr().expect("its address").port();
+        let port = fixture
+            .listener
+            .local_addr()
+            .expect("the socket has a local address")
+            .port();
         let endpoint = EndpointId {
             address: [127, 0, 0, 1],
             port,
@@ -31,17 +35,17 @@
         let limit = Duration::from_millis(1500);
         let request =
             protocol::encode_attempt(endpoint, "9b1f03aa5c7e2d41", Some("5c0f6e1a"), limit, &body)
-                .expect("a request");
+                .expect("the request is encoded");
         assert_eq!(request.length, bytes.len() as u64);
         stream
             .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\nconnection: close\r\n\r\n")
             .await
-            .expect("sent");
+            .expect("the response is written");
         assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
     }
 }
 
-/// Rule 2: whether an attempt may have taken effect follows from the bytes that were written.
+/// Whether an attempt may have taken effect depends on the bytes that were written.
 #[tokio::test]
 async fn reports_connection_reset_only_after_the_last_request_byte() {
     let mut fixture = TestFixture::new().await;
@@ -55,7 +59,7 @@
         fixture.next_outcome().await,
         (Outcome::ConnectionReset, false)
     );
-    // So large that it is not written whole to an endpoint that reads nothing.
+    // The request is so large that an endpoint which reads nothing does not receive all of it.
     fixture
         .start_attempt(&Bytes::from(vec![7; 32 << 20]), 5000)
         .await;
@@ -69,10 +73,19 @@
         events,
         attempts_started,
     } = fixture;
-    let address = listener.local_addr().expect("its address");
+    let address = listener
+        .local_addr()
+        .expect("the socket has a local address");
     drop(listener);
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    assert_ne!(listener.local_addr().expect("its address"), address);
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a port is free");
+    assert_ne!(
+        listener
+            .local_addr()
+            .expect("the socket has a local address"),
+        address
+    );
     let mut fixture = TestFixture {
         listener,
         mailbox,
@@ -101,12 +114,12 @@
             attempt_index: 1,
         })
         .await
-        .expect("the actor runs");
+        .expect("the actor is running");
     assert_eq!(fixture.next_outcome().await, (Outcome::Cancelled, false));
     assert!(closes_in_time(&mut stream).await);
 }
 
-/// After the send deadline no byte goes out: neither on a connection that opens late nor on one that is open already.
+/// No byte is written after the send deadline, neither on a connection that opens late nor on one that is already open.
 #[tokio::test]
 async fn writes_no_byte_after_the_send_deadline() {
     let mut fixture = TestFixture::new().await;
@@ -127,7 +140,10 @@
         .await;
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
-    stream.write_all(OK_RESPONSE).await.expect("sent");
+    stream
+        .write_all(OK_RESPONSE)
+        .await
+        .expect("the response is written");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
     fixture
         .start_attempt_with_send_limit(&Bytes::from_static(b"late"), 1500, 0)
@@ -141,11 +157,11 @@
         tokio::time::timeout(Duration::from_millis(100), stream.read(&mut byte)).await;
     assert!(
         !matches!(read_result, Ok(Ok(1))),
-        "a byte of a request past its send deadline"
+        "no byte is written after the send deadline"
     );
 }
 
-/// A retry-after once came while a connection opened, and the request was sent on it all the same.
+/// Guards against a request that was sent although a retry-after was received while its connection was being opened.
 #[tokio::test]
 async fn withdraws_a_request_until_its_last_byte_is_written() {
     let mut fixture = TestFixture::new().await;
@@ -162,7 +178,7 @@
     for _ in queued {
         fixture.accept().await;
     }
-    // Half written, to an endpoint that reads nothing.
+    // The endpoint reads nothing, so that the request is only partially written.
     fixture
         .start_attempt(&Bytes::from(vec![7; 32 << 20]), 5000)
         .await;
@@ -175,15 +191,21 @@
         .await
         .inspect(|n| received += n)
     {}
-    assert!(received < 32 << 20, "it came whole");
-    // A request that was written whole goes on, also on a connection that has carried others. It can still be cancelled.
+    assert!(
+        received < 32 << 20,
+        "the endpoint does not receive the whole request"
+    );
+    // A fully written request continues, also on a connection that has carried other requests. It can still be cancelled.
     fixture
         .start_attempt(&Bytes::from_static(b"gone"), 1500)
         .await;
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
     fixture.send_command(EndpointCommand::WithdrawUnsent).await;
-    stream.write_all(OK_RESPONSE).await.expect("sent");
+    stream
+        .write_all(OK_RESPONSE)
+        .await
+        .expect("the response is written");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
     tokio::time::sleep(Duration::from_millis(20)).await;
     fixture
@@ -204,11 +226,11 @@
     assert!(closes_in_time(&mut stream).await);
 }
 
-/// A fault in this program that ends the task of an attempt: it may have taken effect, and the actor goes on.
+/// A panic in the task of an attempt: the attempt may have taken effect, and the actor continues to run.
 #[tokio::test]
 async fn reports_connection_reset_if_the_attempt_task_panics() {
     let mut fixture = TestFixture::with_endpoint(|endpoint| {
-        let task = endpoint.tasks.spawn(async { panic!("as a fault would") });
+        let task = endpoint.tasks.spawn(async { panic!("simulated fault") });
         let (stop_sender, _) = watch::channel(StopRequest::Continue);
         let purpose = RequestPurpose::Attempt {
             id: MessageId(1),
@@ -234,6 +256,9 @@
         .await;
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
-    stream.write_all(OK_RESPONSE).await.expect("written");
+    stream
+        .write_all(OK_RESPONSE)
+        .await
+        .expect("the write succeeds");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
 }
--- a/crates/forwarder/src/endpoints/tests/connections.rs
+++ b/crates/forwarder/src/endpoints/tests/connections.rs
@@ -2,23 +2,30 @@
 
 use super::*;
 
-/// A request that crosses the endpoint's own close would be reset. It must not go out a second time on a new connection.
+/// A request that crosses the close of the connection by the endpoint would be reset, and could not be sent again on a new
+/// connection.
 #[tokio::test]
 async fn retires_idle_connections_early_and_skips_closed_ones() {
     let mut fixture = TestFixture::new().await;
     fixture.start_attempt(&Bytes::new(), 1000).await;
     let mut first = fixture.accept().await;
     read_request(&mut first).await;
-    first.write_all(OK_RESPONSE).await.expect("sent");
+    first
+        .write_all(OK_RESPONSE)
+        .await
+        .expect("the response is written");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
     let started_at = Instant::now();
     assert!(closes_in_time(&mut first).await);
     assert!(started_at.elapsed() < Duration::from_micros(IDLE_TIMEOUT));
-    // A connection that the endpoint has closed is not used: the request goes out once, on a new one.
+    // A connection that the endpoint has closed is not used: the request is sent once, on a new one.
     fixture.start_attempt(&Bytes::new(), 1000).await;
     let mut second = fixture.accept().await;
     read_request(&mut second).await;
-    second.write_all(OK_RESPONSE).await.expect("sent");
+    second
+        .write_all(OK_RESPONSE)
+        .await
+        .expect("the response is written");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
     tokio::time::sleep(Duration::from_millis(20)).await;
     drop(second);
@@ -26,17 +33,20 @@
     fixture.start_attempt(&Bytes::new(), 1000).await;
     let mut third = fixture.accept().await;
     read_request(&mut third).await;
-    third.write_all(OK_RESPONSE).await.expect("sent");
+    third
+        .write_all(OK_RESPONSE)
+        .await
+        .expect("the response is written");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
     fixture
         .mailbox
         .send(EndpointCommand::CloseIdleConnections)
         .await
-        .expect("the actor runs");
+        .expect("the actor is running");
     assert!(closes_in_time(&mut third).await);
 }
 
-/// Rule 1: bytes behind an answer never answer the next request, however soon that follows.
+/// Bytes behind a response are never taken for the response to the next request, however soon the request follows.
 #[tokio::test]
 async fn ignores_bytes_behind_a_response_for_the_next_request() {
     for gap in [0, 1] {
@@ -44,23 +54,32 @@
         fixture.start_attempt(&Bytes::new(), 1000).await;
         let mut first = fixture.accept().await;
         read_request(&mut first).await;
-        first.write_all(OK_RESPONSE).await.expect("sent");
+        first
+            .write_all(OK_RESPONSE)
+            .await
+            .expect("the response is written");
         if gap > 0 {
             assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
             fixture.start_attempt(&Bytes::new(), 1000).await;
             tokio::time::sleep(Duration::from_millis(gap)).await;
-            first.write_all(OK_RESPONSE).await.expect("sent");
+            first
+                .write_all(OK_RESPONSE)
+                .await
+                .expect("the response is written");
         } else {
-            first.write_all(OK_RESPONSE).await.expect("sent");
+            first
+                .write_all(OK_RESPONSE)
+                .await
+                .expect("the response is written");
             assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
             fixture.start_attempt(&Bytes::new(), 1000).await;
         }
-        let mut second = fixture.accept().await; // not on the first one
+        let mut second = fixture.accept().await; // a new connection, not the first one
         read_request(&mut second).await;
         second
             .write_all(b"HTTP/1.1 503 Full\r\ncontent-length: 0\r\n\r\n")
             .await
-            .expect("sent");
+            .expect("the response is written");
         assert_eq!(
             fixture.next_outcome().await,
             (Outcome::Rejected { retry_after: None }, false)
@@ -69,10 +88,10 @@
     }
 }
 
-/// A request does not wait for the settle time of one connection where another has passed it.
+/// A request does not wait for the settle time of one connection if another has been idle for longer.
 ///
-/// The second connection must have been idle for less than the settle time as the request begins.
-/// Where the machine took longer than that, the second may serve, and the case is set up again.
+/// The second connection must have been idle for less than the settle time when the request begins. If the machine took
+/// longer, the second connection may carry the request, and the case is set up again.
 #[tokio::test]
 async fn prefers_a_settled_connection() {
     const MAX_TRIES: usize = 100;
@@ -85,10 +104,10 @@
     read_request(&mut second).await;
     fixture.respond_with_ok(&mut first).await;
     for _ in 0..MAX_TRIES {
-        tokio::time::sleep(Duration::from_millis(30)).await; // until the first has settled
+        tokio::time::sleep(Duration::from_millis(30)).await; // the first connection settles
         let answered_at = Instant::now();
         fixture.respond_with_ok(&mut second).await;
-        tokio::time::sleep(Duration::from_millis(1)).await; // until the second is idle too
+        tokio::time::sleep(Duration::from_millis(1)).await; // the second connection becomes idle
         fixture.start_attempt(&Bytes::new(), 1000).await;
         tokio::select! {
             request = read_request(&mut first) => {
@@ -97,7 +116,7 @@
             }
             _ = read_request(&mut second) => {
                 let idle_for = answered_at.elapsed();
-                assert!(idle_for >= SETTLE_TIME, "a settled connection was passed over");
+                assert!(idle_for >= SETTLE_TIME, "the settled connection is preferred");
             }
         }
     }
--- a/crates/forwarder/src/endpoints/tests/response_filter.rs
+++ b/crates/forwarder/src/endpoints/tests/response_filter.rs
@@ -1,4 +1,4 @@
-//! What the HTTP library sees of an answer, and what is known of it meanwhile, without a socket.
+//! Tests of the response filter without a socket: the bytes passed to the HTTP library and the progress reported.
 
 use crate::endpoints::response_filter::{ResponseFilter, MAX_STATUS_LINE_BYTES};
 use crate::endpoints::stream::ResponseProgress;
@@ -8,14 +8,14 @@
 
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// What a filter made of the pieces of one answer.
+/// The result of filtering the parts of one response.
 struct Filtered {
     output: Vec<u8>,
     progress: Vec<ResponseProgress>,
     result: io::Result<()>,
 }
 
-/// Pushes pieces to a filter that expects an answer, up to the first error.
+/// Passes parts of a response to a new filter, up to the first error.
 fn filter(pieces: &[&[u8]]) -> Filtered {
     let mut filter = ResponseFilter::new();
     filter.expect_response();
@@ -89,7 +89,7 @@
 fn rejects_1xx_heads_without_an_end() {
     let piece = vec![b'x'; 33 * 1024];
     let filtered = filter(&[b"HTTP/1.1 100 Continue\r\n", &piece]);
-    let error = filtered.result.expect_err("too long");
+    let error = filtered.result.expect_err("the 1xx heads are too long");
     assert_eq!(error.kind(), io::ErrorKind::InvalidData);
     assert_eq!(filtered.output, b"");
 }
--- a/crates/forwarder/src/endpoints/tests/responses.rs
+++ b/crates/forwarder/src/endpoints/tests/responses.rs
@@ -1,4 +1,4 @@
-//! What an answer, whole or not, says of its attempt.
+//! The outcome of an attempt for complete, incomplete and invalid responses.
 
 use super::*;
 
@@ -31,19 +31,19 @@
     let mut stream = fixture.accept().await;
     for (n, (line, outcome, completed)) in answers.iter().enumerate() {
         if n > 0 {
-            fixture.start_attempt(&Bytes::new(), 1000).await; // on the same connection: it stays open
+            fixture.start_attempt(&Bytes::new(), 1000).await; // on the same connection, which stays open
         }
         read_request(&mut stream).await;
         stream
             .write_all(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n").as_bytes())
             .await
-            .expect("sent");
+            .expect("the response is written");
         assert_eq!(
             fixture.next_outcome().await,
             (*outcome, *completed),
             "{line}"
         );
-        tokio::time::sleep(Duration::from_millis(20)).await; // until the connection is idle again
+        tokio::time::sleep(Duration::from_millis(20)).await; // the connection becomes idle
     }
 }
 
@@ -56,13 +56,14 @@
     stream
         .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf")
         .await
-        .expect("sent");
+        .expect("the response is written");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
-    assert!(closes_in_time(&mut stream).await); // such a connection serves no more
+    assert!(closes_in_time(&mut stream).await); // a connection with an incomplete response is not reused
 }
 
-/// Rules 1 and 2: a first line with status 200 alone proves delivery. That a message did not take effect is believed only of
-/// a whole answer. 1xx heads ahead, 101 too, change nothing.
+/// A status line with status 200 confirms the delivery by itself. Any other status must come with a complete response,
+/// because an incomplete one does not prove that the message had no effect. 1xx heads before the response, including 101,
+/// change nothing.
 #[tokio::test]
 async fn reports_connection_reset_for_an_invalid_response_without_status_200() {
     let rejected = Outcome::Rejected { retry_after: None };
@@ -141,7 +142,7 @@
         let mut stream = fixture.accept().await;
         read_request(&mut stream).await;
         let started_at = Instant::now();
-        // Where the other side has seen enough it closes.
+        // The actor closes the connection as soon as the response is known to be invalid, so that the write may fail.
         let _ = stream.write_all(text.as_bytes()).await;
         let response_start: String = text.chars().take(60).collect();
         assert_eq!(
@@ -176,18 +177,22 @@
             .mailbox
             .send(EndpointCommand::StartHealthCheck)
             .await
-            .expect("the actor runs");
+            .expect("the actor is running");
         let mut stream = fixture.accept().await;
         assert!(read_request(&mut stream)
             .await
             .starts_with(b"GET /alive HTTP/1.1\r\n"));
         let answer = format!("HTTP/1.1 {line}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n");
-        stream.write_all(answer.as_bytes()).await.expect("sent");
+        stream
+            .write_all(answer.as_bytes())
+            .await
+            .expect("the response is written");
         assert_eq!(fixture.next_outcome().await.0, outcome);
     }
 }
 
-/// A retry-after binds from the head of its answer on. The body may be late, invalid or cut off, the status another.
+/// A retry-after applies from the head of its response on, also if the body is late, invalid or cut off, and with any status
+/// but 200.
 #[tokio::test]
 async fn reports_retry_after_before_the_response_body_ends() {
     let cases = [
@@ -220,8 +225,11 @@
         let mut stream = fixture.accept().await;
         read_request(&mut stream).await;
         let head = format!("HTTP/1.1 {status}\r\nWait-Ms: 700\r\nContent-Length: {rest}");
-        stream.write_all(head.as_bytes()).await.expect("sent");
-        // Within the protocol's time for it, well before the wait for the body ends.
+        stream
+            .write_all(head.as_bytes())
+            .await
+            .expect("the response is written");
+        // The protocol's time for reporting, well before the timeout of the body.
         let reported =
             tokio::time::timeout(Duration::from_millis(100), fixture.events.recv()).await;
         assert!(
@@ -235,13 +243,19 @@
             "{head}"
         );
         tokio::time::sleep(Duration::from_millis(100)).await;
-        stream.write_all(late_body.as_bytes()).await.expect("sent");
-        stream.shutdown().await.expect("cut off");
+        stream
+            .write_all(late_body.as_bytes())
+            .await
+            .expect("the response is written");
+        stream
+            .shutdown()
+            .await
+            .expect("the connection is shut down");
         assert_eq!(fixture.next_outcome().await, (outcome, false), "{head}");
     }
 }
 
-/// A cancellation in the moment in which the answer came once closed the connection on an unread retry-after.
+/// Guards against a cancellation that closes a connection whose socket holds an unread retry-after.
 #[tokio::test]
 async fn prefers_a_response_in_the_socket_over_a_cancellation() {
     let mut fixture = TestFixture::new().await;
@@ -250,14 +264,14 @@
     read_request(&mut stream).await;
     stream
         .try_write(b"HTTP/1.1 429 W\r\nWait-Ms: 700\r\nContent-Length: 0\r\n\r\n")
-        .expect("sent");
+        .expect("the response is written");
     fixture
         .mailbox
         .try_send(EndpointCommand::CancelAttempt {
             id: MessageId(1),
             attempt_index: 0,
         })
-        .expect("room");
+        .expect("the mailbox has space");
     assert_eq!(
         fixture.next_outcome().await,
         (
@@ -269,20 +283,22 @@
     );
 }
 
-/// Rule 1: half a first line that arrives in the moment of a cancellation is no answer, whatever it begins with.
+/// A partial status line in the socket at a cancellation is no response, whatever its first bytes are.
 #[tokio::test]
 async fn ignores_a_partial_status_line_in_the_socket_at_cancellation() {
     let mut fixture = TestFixture::new().await;
     fixture.start_attempt(&Bytes::new(), 20_000).await;
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
-    stream.try_write(b"HTTP/1.1 200 OK\r").expect("sent");
+    stream
+        .try_write(b"HTTP/1.1 200 OK\r")
+        .expect("the response is written");
     fixture
         .mailbox
         .try_send(EndpointCommand::CancelAttempt {
             id: MessageId(1),
             attempt_index: 0,
         })
-        .expect("room");
+        .expect("the mailbox has space");
     assert_eq!(fixture.next_outcome().await, (Outcome::Cancelled, false));
 }
--- a/crates/forwarder/tests/common/mod.rs
+++ b/crates/forwarder/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests of the whole program share: the program between the laboratory's scripted peers.
+//! Helpers for the tests of the program, which runs between the scripted peers of the laboratory.
 
-// Each test file is a program of its own and uses a part of these.
+// Each test file is a crate of its own and uses only some of the helpers.
 #![allow(dead_code)]
 
 use opalpulley_lab::scripted;
@@ -10,7 +10,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// The program under test.
+/// Path of the program under test.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_opalpulley-forwarder");
 
 /// Starts the program and waits until it is ready.
@@ -18,55 +18,68 @@
     scripted::start(PROGRAM, state, text, discovery)
 }
 
-/// The program with this configuration, not started yet.
+/// Returns the command that starts the program with this configuration.
 pub fn command(state: &Path, text: &str, listen: &str, discovery: SocketAddr) -> Command {
     scripted::command(PROGRAM, state, text, listen, discovery)
 }
 
-/// Kills the process and waits until it is gone.
+/// Kills the process and waits until it has ended.
 pub fn kill_and_wait(forwarder: &mut Forwarder) {
-    forwarder.child.kill().expect("killed");
-    forwarder.child.wait().expect("ended");
+    forwarder.child.kill().expect("the process is killed");
+    forwarder.child.wait().expect("the process exits");
 }
 
-/// An address of this machine on which nobody listens.
+/// Returns a loopback address without a listener.
 pub fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.local_addr().expect("its address")
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    listener
+        .local_addr()
+        .expect("the socket has a local address")
 }
 
-/// An endpoint that answers each request with this status.
+/// Starts an endpoint that responds to each request with this status.
 pub fn endpoint_responding_with(status: &'static str) -> (SocketAddr, Log) {
     serve(move |_, _| plain(status))
 }
 
-/// An endpoint that takes requests and never answers.
+/// Starts an endpoint that accepts requests and never responds.
 pub fn silent_endpoint() -> (SocketAddr, Log) {
     serve(|_, _| None)
 }
 
-/// Gives the platform a change of its list, for the next watch.
+/// Queues a change of the platform's list for the next watch.
 pub fn push_change(platform: &Platform, change: String) {
-    platform.changes.lock().expect("the changes").push(change);
+    platform
+        .changes
+        .lock()
+        .expect("the changes are not poisoned")
+        .push(change);
 }
 
-/// Waits until watches have taken all changes of the platform's list.
+/// Waits until watches have taken all queued changes of the platform's list.
 pub fn wait_until_changes_are_sent(platform: &Platform) {
-    until("the change is sent", || {
-        platform.changes.lock().expect("the changes").is_empty()
+    until("all changes of the list are sent", || {
+        platform
+            .changes
+            .lock()
+            .expect("the changes are not poisoned")
+            .is_empty()
     });
 }
 
-/// The bodies of the completion reports that the platform has got.
+/// Returns the bodies of the completion reports that the platform received.
 pub fn report_bodies(platform: &Platform) -> Vec<String> {
-    let reports = platform.completion_reports.lock().expect("the reports");
+    let reports = platform
+        .completion_reports
+        .lock()
+        .expect("the reports are not poisoned");
     let bodies = reports.iter().map(|report| &report.body);
     bodies
         .map(|body| String::from_utf8_lossy(body).into_owned())
         .collect()
 }
 
-/// The lines of the completion reports that the platform has got.
+/// Returns the lines of the completion reports that the platform received.
 pub fn report_lines(platform: &Platform) -> Vec<String> {
     let mut lines = Vec::new();
     for body in report_bodies(platform) {
@@ -75,7 +88,7 @@
     lines
 }
 
-/// Waits so long.
+/// Blocks the thread for `duration_ms` milliseconds.
 pub fn sleep_ms(duration_ms: u64) {
     std::thread::sleep(Duration::from_millis(duration_ms));
 }
--- a/crates/forwarder/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! The program under a limit of descriptors that the system enforces, with every kind of connection open at once.
+//! The program under an enforced limit of file descriptors, with all kinds of connections open at once.
 
 mod common;
 
@@ -11,37 +11,39 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Descriptors: 8 go to attempts, 32 to clients, 16 to idle connections to endpoints, 24 to the program itself.
+/// Limit of file descriptors: 8 for attempts, 32 for clients, 16 for idle connections to endpoints, 24 for the program
+/// itself.
 const DESCRIPTOR_LIMIT: usize = 80;
-/// The file of the program's log, beside its state directory.
+/// Name of the file with the log of the program, beside its state folder.
 const LOG_FILE: &str = "log";
-/// More than connections to endpoints may be idle.
+/// Number of endpoints. Exceeds the limit of idle connections to endpoints.
 const ENDPOINT_COUNT: u16 = 40;
-/// More than descriptors.
+/// Number of idle clients. Exceeds the limit of file descriptors.
 const IDLE_CLIENT_COUNT: usize = 120;
 
-/// Starts the program with so many descriptors and no more.
+/// Starts the program with a limit of `DESCRIPTOR_LIMIT` file descriptors.
 fn start_limited(state: &Path, text: &str, discovery: SocketAddr) -> Forwarder {
     let script = state
         .parent()
-        .expect("a directory around it")
+        .expect("the state folder has a parent")
         .join("limited.sh");
     let log = script.with_file_name(LOG_FILE);
     let script_text = format!(
         "#!/bin/sh\nulimit -n {DESCRIPTOR_LIMIT}\nexec {PROGRAM} 2> {}\n",
         log.display()
     );
-    std::fs::write(&script, script_text).expect("written");
-    std::fs::set_permissions(&script, PermissionsExt::from_mode(0o755)).expect("it may run");
+    std::fs::write(&script, script_text).expect("the write succeeds");
+    std::fs::set_permissions(&script, PermissionsExt::from_mode(0o755))
+        .expect("the script is made executable");
     opalpulley_lab::scripted::start(
-        script.to_str().expect("a plain path"),
+        script.to_str().expect("the path is UTF-8"),
         state,
         text,
         discovery,
     )
 }
 
-/// Clients that connect, send one request at most, and then nothing. One that is closed connects again at once.
+/// Keeps clients connected that send at most one request. A client whose connection is closed reconnects at once.
 fn keep_idle_clients_connected(forwarder: SocketAddr, stop: &AtomicBool) {
     let connect = |n: usize| {
         let stream = TcpStream::connect(forwarder).ok()?;
@@ -57,7 +59,7 @@
         let mut byte = [0];
         loop {
             match std::io::Read::read(&mut &*stream, &mut byte) {
-                Ok(1) => {} // an answer
+                Ok(1) => {} // a byte of a response
                 Ok(_) => return true,
                 Err(error) => return error.kind() != std::io::ErrorKind::WouldBlock,
             }
@@ -74,8 +76,9 @@
     }
 }
 
-/// Clients, idle connections to endpoints and attempts have all descriptors that they may, while discovery is silent. As it
-/// comes back, the list is fetched, a message goes to an endpoint that is new in it, and a failed message is reported.
+/// Clients, idle connections to endpoints and attempts use all descriptors available to them while discovery is silent. Once
+/// discovery responds again, the list must be fetched, a message delivered to an endpoint that is new in it, and a failed
+/// message reported.
 #[test]
 fn fetches_sends_and_reports_with_all_descriptors_taken() {
     let (endpoint, request_log) = endpoint_responding_with("200 OK");
@@ -122,14 +125,14 @@
             .replace("20000", time_left_ms);
         forwarder.ask(&head, b"body")
     };
-    // The descriptors of idle connections to endpoints and of attempts are taken first.
+    // First use up the descriptors for idle connections to endpoints and for attempts.
     for cell in 100..100 + ENDPOINT_COUNT {
-        until("it is accepted", || {
+        until("the message is accepted", || {
             submit(&format!("t{cell}"), cell, "20000") == 202
         });
     }
     for n in 0..8 {
-        until("it is accepted", || {
+        until("the message is accepted", || {
             submit(&format!("m{n}"), 8, "20000") == 202
         });
     }
@@ -137,7 +140,7 @@
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
         scope.spawn(|| keep_idle_clients_connected(forwarder.listen, &stop));
-        // A watch that was open times out within 7 s, and is opened again in vain.
+        // The open watch times out within 7 s, and is then reopened in vain.
         sleep_ms(8_000);
         let (_, open_descriptors) = forwarder.holds();
         println!("{open_descriptors} descriptors");
@@ -147,21 +150,31 @@
         );
         list_updated.store(true, Ordering::Relaxed);
         silent.store(false, Ordering::Relaxed);
-        until("the new list counts and a message is accepted", || {
-            submit("new", 7, "20000") == 202
+        until(
+            "the new list takes effect and a message is accepted",
+            || submit("new", 7, "20000") == 202,
+        );
+        until("the message is delivered", || {
+            calls(&request_log, "new") == 1
+        });
+        until("another message is accepted", || {
+            submit("end", 9, "600") == 202
+        });
+        until("the message is tried", || {
+            calls(&rejected_request_log, "end") > 0
         });
-        until("it is delivered", || calls(&request_log, "new") == 1);
-        until("another is accepted", || submit("end", 9, "600") == 202);
-        until("it is tried", || calls(&rejected_request_log, "end") > 0);
-        until("it is reported", || {
-            let platform_requests = platform_requests.lock().expect("the log");
+        until("a completion report arrives", || {
+            let platform_requests = platform_requests
+                .lock()
+                .expect("the request log is not poisoned");
             platform_requests
                 .iter()
                 .any(|m| String::from_utf8_lossy(&m.body).contains("\"end\""))
         });
         stop.store(true, Ordering::Relaxed);
     });
-    let log = std::fs::read_to_string(state.with_file_name(LOG_FILE)).expect("its log");
+    let log =
+        std::fs::read_to_string(state.with_file_name(LOG_FILE)).expect("the log file is readable");
     assert!(
         log.contains("endpoint list received again") && !log.contains("Too many open files"),
         "{log}"
--- a/crates/forwarder/tests/endings.rs
+++ b/crates/forwarder/tests/endings.rs
@@ -1,5 +1,5 @@
-//! What ends, and what is due at that moment: the whole program between peers that wait and write at the right point, so that
-//! the rare order comes every time. `docs/design/endings.md` names the test of each ending.
+//! Events that end something and coincide with other events: the program runs between peers that wait and write at the
+//! critical point, so that the rare order occurs in each run. `docs/design/endings.md` names the test of each ending.
 
 mod common;
 
@@ -10,8 +10,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Rule 1: an answer that lies in the socket as the message's deadline passes came after it and delivers nothing. The process
-/// is stopped over that moment, so that it finds both at once.
+/// A response that arrives after the deadline of its message does not deliver the message, even if both are noticed at once.
+/// The process is stopped across the deadline, so that it finds both at the same time.
 #[test]
 fn reports_failure_for_a_response_after_the_deadline() {
     for effect in ["free", "guarded", "single_shot"] {
@@ -20,9 +20,9 @@
         let (endpoint, request_log) = serve(move |_, _| {
             release_receiver
                 .lock()
-                .expect("the lock")
+                .expect("the receiver is not poisoned")
                 .recv()
-                .expect("it is released");
+                .expect("the test releases the endpoint");
             plain("200 OK")
         });
         let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
@@ -34,13 +34,17 @@
         );
         let head = submission_head("late", "notice", 4).replace("20000", "900");
         assert_eq!(forwarder.ask(&head, b"body"), 202);
-        until("its attempt is out", || calls(&request_log, "late") == 1);
+        until("the attempt is sent", || calls(&request_log, "late") == 1);
         forwarder.signal("-STOP");
         sleep_ms(1000);
-        release_sender.send(()).expect("the endpoint waits");
+        release_sender
+            .send(())
+            .expect("the endpoint waits for the release");
         sleep_ms(50);
         forwarder.signal("-CONT");
-        until("it is reported", || !report_lines(&platform).is_empty());
+        until("a completion report arrives", || {
+            !report_lines(&platform).is_empty()
+        });
         assert_eq!(
             report_lines(&platform),
             ["{\"id\":\"late\",\"status\":\"undeliverable\"}"],
@@ -50,8 +54,8 @@
     }
 }
 
-/// The order of a key: a message whose report the platform has not acknowledged is not over, also over a kill. The platform
-/// rejects the first reports. An attempt that overtakes them would come before it acknowledges one.
+/// A message whose completion report is not acknowledged still blocks its order key, also after a kill. The platform rejects
+/// the first reports. An attempt that overtakes them would be sent before the platform acknowledges one.
 #[test]
 fn order_key_waits_for_the_report_acknowledgement() {
     const UNACKNOWLEDGED: usize = 12;
@@ -72,28 +76,31 @@
     };
     submit(&forwarder, "first", "700");
     submit(&forwarder, "second", "20000");
-    until("the first is reported", || {
+    until("the first message is reported repeatedly", || {
         report_lines(&platform).len() >= 2
     });
     assert_eq!(calls(&request_log, "second"), 0);
     kill_and_wait(&mut forwarder);
     forwarder = start(&state, &text, platform.address);
-    until("the second follows", || calls(&request_log, "second") == 1);
+    until("the second message is sent", || {
+        calls(&request_log, "second") == 1
+    });
     let reports = report_lines(&platform).len();
     assert!(
         reports > UNACKNOWLEDGED,
-        "it followed after {reports} reports, the {UNACKNOWLEDGED}th was not acknowledged yet"
+        "the second message was sent after {reports} reports, expected more than {UNACKNOWLEDGED}"
     );
     drop(forwarder);
 }
 
-/// A connection to the platform falls silent under a report. The report is repeated on another one before it is overdue.
+/// A connection to the platform falls silent during a report. The report must be repeated on another connection before it is
+/// overdue.
 #[test]
 fn repeats_a_report_if_its_connection_falls_silent() {
     let (endpoint, request_log) = endpoint_responding_with("503 Full");
     let members = vec![member(endpoint, 7, "Ready")];
     let (platform, platform_requests) = serve(move |m, _| match m.first.contains("/v1/outcomes") {
-        true => None, // read, and never answered
+        true => None, // the request is read and never answered
         false if m.first.contains("index=") => {
             sleep_ms(300);
             with_body(&list(1, false, &[]))
@@ -104,26 +111,30 @@
     let forwarder = start(&state, &config("notice", "free", 200, 3.0), platform);
     let head = submission_head("short", "notice", 4).replace("20000", "300");
     assert_eq!(forwarder.ask(&head, b"body"), 202);
-    until("its attempt is out", || calls(&request_log, "short") >= 1);
+    until("the attempt is sent", || calls(&request_log, "short") >= 1);
     let completion_reports = || {
-        let platform_requests = platform_requests.lock().expect("the log");
+        let platform_requests = platform_requests
+            .lock()
+            .expect("the request log is not poisoned");
         platform_requests
             .iter()
             .filter(|m| m.first.contains("/v1/outcomes"))
             .count()
     };
-    until("it is reported", || completion_reports() == 1);
+    until("a completion report arrives", || completion_reports() == 1);
     let first_report_at = Instant::now();
-    until("it is reported again", || completion_reports() >= 2);
+    until("the completion report arrives again", || {
+        completion_reports() >= 2
+    });
     assert!(
         first_report_at.elapsed() < Duration::from_millis(300),
-        "{:?}",
+        "the report was repeated after {:?}, expected less than 300 ms",
         first_report_at.elapsed()
     );
 }
 
-/// A restart finds an accepted message untried. While no list is known it waits, past its latency objective too. It is tried as
-/// soon as a list names its destination.
+/// A restart finds an accepted message without an attempt. The message waits while no list is known, even past its latency
+/// objective, and is tried as soon as a list contains its destination.
 #[test]
 fn tries_a_recovered_message_once_a_list_is_known() {
     let (endpoint, request_log) = serve(|m, _| {
@@ -168,14 +179,20 @@
     let _forwarder = start(&state, &text, platform);
     sleep_ms(1500);
     list_available.store(true, Ordering::Relaxed);
-    until("the list is in", || {
-        let platform_requests = platform_requests.lock().expect("the log");
+    until("the list is received", || {
+        let platform_requests = platform_requests
+            .lock()
+            .expect("the request log is not poisoned");
         platform_requests
             .last()
             .is_some_and(|m| m.first.contains("index="))
     });
-    until("it is tried", || calls(&request_log, "untried") == 1);
-    let platform_requests = platform_requests.lock().expect("the log");
+    until("the message is tried", || {
+        calls(&request_log, "untried") == 1
+    });
+    let platform_requests = platform_requests
+        .lock()
+        .expect("the request log is not poisoned");
     let sent = platform_requests
         .iter()
         .map(|m| String::from_utf8_lossy(&m.body).into_owned())
@@ -183,8 +200,8 @@
     assert!(!sent.contains("untried"), "{sent}");
 }
 
-/// A platform that is only slow is waited for longer after each silence, so that its acknowledgement counts in the end. The
-/// next message of the key shows that it did.
+/// The timeout for a report grows after each silence, so that the acknowledgement of a slow platform is accepted in the end.
+/// The next message of the order key shows that it was.
 #[test]
 fn accepts_a_late_report_acknowledgement() {
     let (endpoint, request_log) = serve(|m, _| {
@@ -217,19 +234,23 @@
             .replace("\r\n\r\n", "\r\nAffinity-Key: 000b832b68ec333d\r\n\r\n");
         assert_eq!(forwarder.ask(&head, b"body"), 202, "{id}");
     }
-    until("the second follows", || calls(&request_log, "second") == 1);
-    let platform_requests = platform_requests.lock().expect("the log");
+    until("the second message is sent", || {
+        calls(&request_log, "second") == 1
+    });
+    let platform_requests = platform_requests
+        .lock()
+        .expect("the request log is not poisoned");
     assert!(
         platform_requests
             .iter()
             .filter(|m| m.first.contains("/v1/outcomes"))
             .count()
             > 1,
-        "it was slow for the first report"
+        "the first report is repeated before it is acknowledged"
     );
 }
 
-/// A restart finds a full journal, more messages than permits. It is ready in time, and each of them is tried.
+/// A restart finds a full journal with more messages than permits. It must be ready in time, and each message must be tried.
 #[test]
 fn restart_with_a_full_journal_is_ready_and_tries_each_message() {
     let endpoint_accepts = Arc::new(AtomicBool::new(false));
@@ -253,23 +274,23 @@
         .collect();
     assert!(
         accepted.len() > 8 && accepted.len() < 200,
-        "the journal is full after {}",
+        "the journal is full after 9 to 199 messages, got {}",
         accepted.len()
     );
     kill_and_wait(&mut forwarder);
     endpoint_accepts.store(true, Ordering::Relaxed);
-    let _forwarder = start(&state, &text, platform.address); // within ten seconds
-    until("each is tried", || {
+    let _forwarder = start(&state, &text, platform.address); // ready within ten seconds
+    until("each message is tried once", || {
         accepted.iter().all(|id| calls(&request_log, id) == 1)
     });
-    // The one in flight at the kill may have taken effect, and must not be repeated.
+    // The message in flight at the kill may have taken effect, and must not be repeated.
     assert_eq!(
         report_lines(&platform),
         ["{\"id\":\"p0\",\"status\":\"undeliverable\"}"]
     );
 }
 
-/// SIGTERM comes before the first list, and comes twice.
+/// SIGTERM is sent twice before the first list is received.
 #[test]
 fn exits_cleanly_on_two_sigterms_before_the_first_list() {
     let (platform, _) = silent_endpoint();
@@ -278,22 +299,22 @@
     let text = config("notice", "free", 200, 3.0);
     let child = command(&state, &text, &listen.to_string(), platform)
         .spawn()
-        .expect("it starts");
+        .expect("the process starts");
     let mut forwarder = Forwarder { child, listen };
-    until("it listens", || forwarder.connect().is_ok());
+    until("the process listens", || forwarder.connect().is_ok());
     let started_at = Instant::now();
     forwarder.signal("-TERM");
     forwarder.signal("-TERM");
-    assert!(forwarder.child.wait().expect("it ends").success());
+    assert!(forwarder.child.wait().expect("the process exits").success());
     assert!(
         started_at.elapsed() < Duration::from_millis(3600),
-        "{:?}",
+        "the process exited after {:?}, expected less than 3600 ms",
         started_at.elapsed()
     );
 }
 
-/// A file that is half written as the signal comes is read again until it is whole, with no second signal. One that never
-/// becomes whole, or is gone, changes nothing, and the next signal has its effect.
+/// A file that is partially written at the signal is read again until it is complete, without a second signal. A file that
+/// never becomes complete, or is missing, changes nothing, and the next signal still takes effect.
 #[test]
 fn reload_rereads_a_partially_written_file() {
     let (endpoint, request_log) = endpoint_responding_with("200 OK");
@@ -307,42 +328,51 @@
     let config_file = dir.path().join("config.json");
     let reload_with = |file_content: &str| {
         match file_content {
-            "" => std::fs::remove_file(&config_file).expect("removed"),
-            file_content => std::fs::write(&config_file, file_content).expect("written"),
+            "" => std::fs::remove_file(&config_file).expect("the file is removed"),
+            file_content => std::fs::write(&config_file, file_content).expect("the write succeeds"),
         }
         forwarder.signal("-HUP");
     };
     for (n, file_content) in [&new_config[..new_config.len() - 1], ""].iter().enumerate() {
         reload_with(file_content);
-        sleep_ms(2500); // past any time for which it is read again
+        sleep_ms(2500); // longer than the file is read again
         let id = format!("before-{n}");
         assert_eq!(forwarder.submit(&id, "notice"), 202);
-        until("it goes on as before", || calls(&request_log, &id) == 1);
+        until("the old endpoint receives the message", || {
+            calls(&request_log, &id) == 1
+        });
     }
     reload_with(&new_config[..new_config.len() - 1]);
     sleep_ms(500);
-    std::fs::write(&config_file, &new_config).expect("written");
+    std::fs::write(&config_file, &new_config).expect("the write succeeds");
     let file_completed_at = Instant::now();
     let mut tries = 0;
-    until("the new list counts", || {
+    until("the new list takes effect", || {
         tries += 1;
         forwarder.submit(&format!("after-{tries}"), "notice");
-        !other_request_log.lock().expect("the log").is_empty()
+        !other_request_log
+            .lock()
+            .expect("the request log is not poisoned")
+            .is_empty()
     });
     assert!(
         file_completed_at.elapsed() < Duration::from_secs(2),
-        "{:?}",
+        "the new list took effect after {:?}, expected less than 2 s",
         file_completed_at.elapsed()
     );
-    assert!(forwarder.child.try_wait().expect("its state").is_none());
+    assert!(forwarder
+        .child
+        .try_wait()
+        .expect("the process state is readable")
+        .is_none());
 }
 
-/// Rule 2 over restarts, with a deduplication window of a second: a message that was in flight at a kill is repeated inside the
-/// window of its first attempt, and never outside, whenever the last attempt started.
+/// With a deduplication window of one second, a message in flight at a kill is repeated only within the window of its first
+/// attempt, regardless of when the last attempt started.
 #[test]
 fn restart_repeats_only_within_the_deduplication_window() {
     const WINDOW: Duration = Duration::from_secs(1);
-    // How many attempts before the kill, how long after the first of them the next process starts, and whether it may repeat.
+    // Number of attempts before the kill, time from the first of them to the restart, and whether the restart may repeat.
     for (attempts_before_kill, restart_after_ms, repeats) in
         [(1, 0, true), (1, 1100, false), (2, 1050, false)]
     {
@@ -351,9 +381,9 @@
         let (endpoint, request_log) = serve(move |_, n| {
             recorded_starts
                 .lock()
-                .expect("the times")
+                .expect("the times are not poisoned")
                 .push(Instant::now());
-            // All but the last attempt before the kill end with an error that comes late: they may have taken effect.
+            // All attempts but the last one before the kill end with a late error: they may have taken effect.
             if n + 1 < attempts_before_kill {
                 sleep_ms(400);
                 return plain("500 Oops");
@@ -368,26 +398,28 @@
             .replace("WindowUs\":15000000", "WindowUs\":1000000");
         let mut forwarder = start(&state, &text, platform.address);
         assert_eq!(forwarder.submit("out", "notice"), 202);
-        until("the last attempt before the kill is out", || {
+        until("the last attempt before the kill is sent", || {
             calls(&request_log, "out") == attempts_before_kill
         });
         kill_and_wait(&mut forwarder);
-        let first_start = attempt_starts.lock().expect("the times")[0];
+        let first_start = attempt_starts.lock().expect("the times are not poisoned")[0];
         thread::sleep(
             (first_start + Duration::from_millis(restart_after_ms))
                 .saturating_duration_since(Instant::now()),
         );
         let _forwarder = start(&state, &text, platform.address);
         if repeats {
-            until("it is sent again", || {
+            until("the message is sent again", || {
                 calls(&request_log, "out") == attempts_before_kill + 1
             });
             assert!(
-                attempt_starts.lock().expect("the times")[attempts_before_kill]
+                attempt_starts.lock().expect("the times are not poisoned")[attempts_before_kill]
                     < first_start + WINDOW
             );
         } else {
-            until("it is reported", || !report_lines(&platform).is_empty());
+            until("a completion report arrives", || {
+                !report_lines(&platform).is_empty()
+            });
             assert_eq!(
                 report_lines(&platform),
                 ["{\"id\":\"out\",\"status\":\"undeliverable\"}"]
--- a/crates/forwarder/tests/golden.rs
+++ b/crates/forwarder/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Proves with the whole program that it takes over state folders written before a change: messages that are not past their
-//! deadline go to their endpoints, pending completion reports are told, and what was over stays over.
+//! Checks that the program recovers state folders written by earlier versions: messages before their deadline are sent to
+//! their endpoints, pending completion reports are sent, and completed messages are not sent again.
 
 use opalpulley_lab::scripted::{self, *};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,17 +15,20 @@
         .collect()
 }
 
-/// Copies a stored folder to the empty folder `state`.
+/// Copies a stored state folder to the empty folder `state`.
 fn copy_stored_state(stored: &str, state: &Path) {
-    for file in std::fs::read_dir(golden_path(stored)).expect("the stored folder") {
-        let file = file.expect("a file");
-        std::fs::copy(file.path(), state.join(file.file_name())).expect("copied");
+    for file in std::fs::read_dir(golden_path(stored)).expect("the stored folder is readable") {
+        let file = file.expect("the entry is readable");
+        std::fs::copy(file.path(), state.join(file.file_name())).expect("the file is copied");
     }
 }
 
-/// All lines of the completion reports that the platform was told.
+/// Returns all lines of the completion reports that the platform received.
 fn report_lines(platform: &Platform) -> BTreeSet<String> {
-    let reports = platform.completion_reports.lock().expect("the reports");
+    let reports = platform
+        .completion_reports
+        .lock()
+        .expect("the reports are not poisoned");
     let texts = reports
         .iter()
         .map(|report| String::from_utf8_lossy(&report.body).into_owned());
@@ -34,9 +37,9 @@
         .collect()
 }
 
-/// What an endpoint was called with: request ids with idempotency key and body.
+/// Returns the calls that an endpoint received: idempotency key and body by request id.
 fn calls_by_id(log: &Log) -> BTreeMap<String, (Option<String>, String)> {
-    let log = log.lock().expect("the log");
+    let log = log.lock().expect("the request log is not poisoned");
     let calls = log
         .iter()
         .filter(|message| message.first == "POST /inbox HTTP/1.1")
@@ -50,13 +53,14 @@
     calls.collect()
 }
 
-/// The lines of a recorded text.
+/// Returns the lines of a golden file.
 fn recorded_lines(name: &str) -> BTreeSet<String> {
     let text = std::fs::read_to_string(golden_path(name)).expect("the golden file is readable");
     text.lines().map(str::to_owned).collect()
 }
 
-/// Starts the program on a copy of a stored folder, waits until all recorded calls and reports are there, and compares.
+/// Starts the program on a copy of a stored state folder, waits for all recorded calls and reports, and checks that there
+/// are no others.
 fn assert_recovers(stored: &str, effect: &str, expected: &str) {
     let endpoints: Vec<_> = [7, 8, 9, 10, 11, 65_535, 70_000, u32::MAX]
         .map(|destination| (destination, serve(|_, _| plain("200 OK"))))
@@ -64,7 +68,7 @@
     let members = endpoints
         .iter()
         .map(|(destination, (address, _))| member(*address, *destination, "Ready"));
-    // The first completion report is not acknowledged, so that it comes again.
+    // The platform does not acknowledge the first completion report, so that it is repeated.
     let platform = platform(members.collect(), 1);
     let (_dir, state) = folder();
     copy_stored_state(stored, &state);
@@ -87,15 +91,18 @@
         lines
     };
     let recorded = recorded_lines(expected);
-    assert!(!recorded.is_empty(), "{expected}: there are lines");
-    until("all recorded calls and reports have come", || {
+    assert!(
+        !recorded.is_empty(),
+        "{expected}: the golden file is not empty"
+    );
+    until("all recorded calls and reports arrive", || {
         received_lines().is_superset(&recorded)
     });
     thread::sleep(Duration::from_millis(500));
     assert_eq!(
         received_lines(),
         recorded,
-        "{expected}: nothing else has come"
+        "{expected}: no other call or report arrives"
     );
 }
 
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -1,13 +1,13 @@
-//! The whole program with lists of a hundred thousand entries. In a file of its own: it takes the processor for seconds, and the
-//! tests of a file run side by side, some of which want answers within tenths of a second.
+//! The program with lists of a hundred thousand entries. These tests have a file of their own: they use the processor for
+//! seconds, and the tests of a file run in parallel, some of which expect responses within tenths of a second.
 
 mod common;
 
 use common::*;
 use std::net::SocketAddr;
 
-/// Rule 1 where lists have a hundred thousand entries, half of which come and go, and others are cut off or have unknown names:
-/// the endpoint that is in each of them gets each message once, and the program stays up.
+/// Lists have a hundred thousand entries. Half of the entries come and go, and some lists are truncated or contain unknown
+/// names. The endpoint that is in each list receives each message once, and the program keeps running.
 #[test]
 fn loses_no_message_when_long_lists_change_or_are_truncated() {
     const OTHERS: u32 = 100_000;
@@ -47,21 +47,25 @@
         let ids: Vec<String> = (0..10).map(|n| format!("p-{round}-{n}")).collect();
         for id in &ids {
             assert_eq!(forwarder.submit(id, "notice"), 202, "{id}");
-            sleep_ms(100); // so that the list comes amid them
+            sleep_ms(100); // the list is received between the submissions
         }
-        until("each is delivered", || {
+        until("each message is delivered once", || {
             ids.iter().all(|id| calls(&request_log, id) == 1)
         });
     }
     assert!(
-        platform.changes.lock().expect("the changes").is_empty(),
-        "a list was not fetched"
+        platform
+            .changes
+            .lock()
+            .expect("the changes are not poisoned")
+            .is_empty(),
+        "all lists are fetched"
     );
     assert!(report_bodies(&platform).is_empty());
     assert_eq!(
         request_log
             .lock()
-            .expect("the log")
+            .expect("the request log is not poisoned")
             .iter()
             .filter(|m| m.first.starts_with("POST"))
             .count(),
--- a/crates/forwarder/tests/polled_list.rs
+++ b/crates/forwarder/tests/polled_list.rs
@@ -1,6 +1,7 @@
-//! The list where it must be polled, in a fleet of hundreds: after each fault of discovery the next poll comes early enough
-//! that a change arrives by the time at which it counts as notified. Discovery is a scripted peer that falls silent, rejects or
-//! answers late at the right point. Several forwarders of one fleet run side by side, so that no lucky moment hides a late poll.
+//! Polling of the endpoint list in a fleet of hundreds. After each fault of discovery the next poll must be early enough for
+//! a change to be received within the time in which it counts as notified. Discovery is a scripted peer that falls silent,
+//! rejects or responds late at the critical point. Several forwarders of one fleet run in parallel, so that lucky timing
+//! does not hide a late poll.
 
 mod common;
 
@@ -11,28 +12,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The forwarders that run, of the fleet's 350.
+/// Number of forwarders that run, out of the 350 of the fleet.
 const FORWARDERS: usize = 10;
-/// A change counts as notified so long after discovery had it and could be reached.
+/// Time after which a change counts as notified, from the moment at which discovery had the change and could be reached.
 const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
-/// For nine in ten restarted processes to be ready.
+/// Time within which nine in ten restarted processes must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What discovery does with polls.
+/// How discovery responds to polls.
 #[derive(Clone, Copy, PartialEq)]
 #[repr(u8)]
 enum DiscoveryMode {
     Answers,
     Silent,
     Rejects,
-    /// The first poll in this mode is never answered, even where it is out already. Later ones are.
+    /// The first poll in this mode, even one that is already in flight, is never answered. Later polls are.
     SilentOnce,
 }
 
-/// One discovery for each forwarder, all in the same mode.
+/// The discovery peer of one forwarder. All peers of a fleet share one mode.
 struct Discovery {
     mode: Arc<AtomicU8>,
-    /// When each poll came that was answered.
+    /// Times at which the polls that were answered were received.
     polls: Arc<Mutex<Vec<Instant>>>,
     address: SocketAddr,
 }
@@ -58,7 +59,9 @@
             if initial_mode == DiscoveryMode::Rejects as u8 {
                 return plain("503 Busy");
             }
-            log.lock().expect("the log").push(Instant::now());
+            log.lock()
+                .expect("the request log is not poisoned")
+                .push(Instant::now());
             while Instant::now() < respond_at {
                 let now = current_mode.load(Ordering::SeqCst);
                 if now != initial_mode && now != DiscoveryMode::Answers as u8 {
@@ -77,17 +80,20 @@
     }
 
     fn polls_received(&self) -> usize {
-        self.polls.lock().expect("the log").len()
+        self.polls
+            .lock()
+            .expect("the request log is not poisoned")
+            .len()
     }
 
-    /// How long after that moment the first poll came that was answered.
+    /// Returns the time from `moment` to the first later poll that was answered.
     fn first_poll_after(&self, moment: Instant) -> Option<Duration> {
-        let polls = self.polls.lock().expect("the log");
+        let polls = self.polls.lock().expect("the request log is not poisoned");
         polls.iter().find(|at| **at > moment).map(|at| *at - moment)
     }
 }
 
-/// A part of a fleet that polls its list. All have watches open.
+/// Some forwarders of a fleet that polls its list. All of them have a watch open.
 struct Fleet {
     mode: Arc<AtomicU8>,
     members: Vec<(Discovery, Forwarder, tempfile::TempDir)>,
@@ -105,7 +111,7 @@
         };
         let members: Vec<_> = (0..FORWARDERS).map(start_forwarder).collect();
         let fleet = Fleet { mode, members };
-        until("all watch", || {
+        until("all forwarders have a watch open", || {
             fleet
                 .members
                 .iter()
@@ -119,7 +125,8 @@
         Instant::now()
     }
 
-    /// Checks that each makes a poll that is answered before what discovery had at that moment counts as notified.
+    /// Checks that each forwarder makes a successful poll before the changes that discovery had at `moment` count as
+    /// notified.
     fn assert_polled_in_time_after(&self, moment: Instant) {
         let first_polls = || {
             self.members
@@ -130,11 +137,16 @@
         let late_count = first_polls()
             .filter(|after| after.is_none_or(|after| after > NOTIFICATION_TIMEOUT))
             .count();
-        assert_eq!(late_count, 0, "{:?}", first_polls().collect::<Vec<_>>());
+        assert_eq!(
+            late_count,
+            0,
+            "each forwarder polls in time; first polls after {:?}",
+            first_polls().collect::<Vec<_>>()
+        );
     }
 }
 
-/// The start-up configuration of one of the fleet's forwarders. The poll interval is in seconds.
+/// Returns the start-up configuration of one forwarder of the fleet. The poll interval is in seconds.
 fn config_file(number: usize, poll_interval_s: u64) -> String {
     config("notice", "free", 200, 3.0)
         .replace(
@@ -154,13 +166,13 @@
         )
 }
 
-/// A watch that has fallen silent is broken: what it misses counts as notified 6 s after it fell silent.
+/// A watch that has fallen silent is broken: the changes that it misses count as notified 6 s after it fell silent.
 #[test]
 fn reopens_a_silent_watch_of_a_polled_list_in_time() {
     let fleet = Fleet::watching(10);
     let silent_since = fleet.switch_to(DiscoveryMode::SilentOnce);
     sleep_ms(100);
-    fleet.switch_to(DiscoveryMode::Answers); // reachable for further polls
+    fleet.switch_to(DiscoveryMode::Answers); // further polls are answered
     fleet.assert_polled_in_time_after(silent_since);
 }
 
@@ -172,7 +184,7 @@
     fleet.assert_polled_in_time_after(fleet.switch_to(DiscoveryMode::Answers));
 }
 
-/// The settings may want a poll in a minute only. What counts as notified does not wait for it.
+/// The settings may allow a poll interval of a minute. A change must be received in time regardless.
 #[test]
 fn polls_discovery_in_time_after_rejections() {
     let fleet = Fleet::watching(60);
@@ -181,7 +193,8 @@
     fleet.assert_polled_in_time_after(fleet.switch_to(DiscoveryMode::Answers));
 }
 
-/// An overloaded discovery answers after a poll has timed out. The answer counts all the same, and no poll is lost on it.
+/// An overloaded discovery responds after a poll has timed out. The response must be accepted, and the poll must not be
+/// wasted.
 #[test]
 fn accepts_the_response_to_a_timed_out_poll() {
     const RESPONSE_DELAY: Duration = Duration::from_millis(4_500);
@@ -194,7 +207,7 @@
             return plain("204 No Content");
         }
         let first = {
-            let mut log = log.lock().expect("the log");
+            let mut log = log.lock().expect("the request log is not poisoned");
             log.push(Instant::now());
             log.len() == 1
         };
@@ -212,19 +225,22 @@
     let (_dir, state) = folder();
     let forwarder = start(&state, &config_file(1, 10), discovery);
     let mut tries = 0;
-    // Rejected until a list names the destination.
-    until("the list is in", || {
+    // Submissions are rejected until a list contains the destination.
+    until("the list is received", || {
         tries += 1;
         forwarder.submit(&format!("p{tries}"), "notice") == 202
     });
-    let first_poll_at = poll_times.lock().expect("the log")[0];
+    let first_poll_at = poll_times.lock().expect("the request log is not poisoned")[0];
     assert!(
         first_poll_at.elapsed() < RESPONSE_DELAY + Duration::from_millis(500),
-        "{:?}",
+        "the list was received after {:?}",
         first_poll_at.elapsed()
     );
-    until("it is delivered", || {
-        !request_log.lock().expect("the log").is_empty()
+    until("the message is delivered", || {
+        !request_log
+            .lock()
+            .expect("the request log is not poisoned")
+            .is_empty()
     });
 }
 
@@ -239,16 +255,17 @@
     }
 }
 
-/// Where there is no mode, discovery's machine is gone: connections to it do not open.
+/// Restarts a forwarder and checks that it is ready in time. Without a mode, the machine of discovery is unreachable:
+/// connections to it do not open.
 fn assert_ready_after_restart(list_mode: &str, discovery_mode: Option<DiscoveryMode>) {
     let unreachable = SlowListener::shut("127.0.0.1");
-    let (endpoint, _) = silent_endpoint(); // so that the message is still in flight at the kill
+    let (endpoint, _) = silent_endpoint(); // keeps the message in flight until the kill
     let mode = Arc::new(AtomicU8::new(DiscoveryMode::Answers as u8));
     let discovery = Discovery::start(mode, vec![member(endpoint, 7, "Ready")]);
     let (_dir, state) = folder();
     let text = config_file(1, 10).replace("on_request", list_mode);
     let mut forwarder = start(&state, &text, discovery.address);
-    until("the list is in", || discovery.polls_received() >= 1);
+    until("the list is received", || discovery.polls_received() >= 1);
     until("a message is accepted", || {
         forwarder.submit("held", "notice") == 202
     });
--- a/crates/forwarder/tests/program/configuration.rs
+++ b/crates/forwarder/tests/program/configuration.rs
@@ -1,9 +1,9 @@
-//! The start-up configuration, at the start and at a reload.
+//! The start-up configuration at start-up and after a reload.
 
 use crate::common::*;
 use std::process::Stdio;
 
-/// After SIGHUP the list comes from the new address and reports go there. An invalid file changes nothing.
+/// After SIGHUP the list is fetched from the new platform and reports are sent to it. An invalid file changes nothing.
 #[test]
 fn reload_switches_platform_and_ignores_an_invalid_file() {
     let (endpoint, request_log) = endpoint_responding_with("200 OK");
@@ -15,11 +15,11 @@
             member(silent_address, 9, "Ready"),
         ],
         usize::MAX,
-    ); // it acknowledges no report
+    ); // the old platform acknowledges no report
     let new = platform(vec![member(other, 7, "Ready")], 0);
     let (dir, state) = folder();
     let text = config("notice", "free", 200, 3.0);
-    // Revisions start lower at the new one.
+    // The revisions of the new platform start at a lower number.
     push_change(&old, list(90, false, &[member(endpoint, 7, "Ready")]));
     let mut forwarder = start(&state, &text, old.address);
     wait_until_changes_are_sent(&old);
@@ -27,38 +27,44 @@
         .replace("20000", "300")
         .replace("dest=7", "dest=9");
     assert_eq!(forwarder.ask(&short_submission, b"body"), 202);
-    until("it is reported without an acknowledgement", || {
+    until("a completion report arrives at the old platform", || {
         !report_bodies(&old).is_empty()
     });
     let config_file = dir.path().join("config.json");
-    std::fs::write(&config_file, "{\"name\":").expect("written");
+    std::fs::write(&config_file, "{\"name\":").expect("the write succeeds");
     forwarder.signal("-HUP");
     sleep_ms(200);
     assert_eq!(forwarder.submit("one", "notice"), 202);
-    until("it goes on as before", || calls(&request_log, "one") == 1);
+    until("the old endpoint receives the message", || {
+        calls(&request_log, "one") == 1
+    });
     let new_config = text.replacen('{', &format!("{{\"discovery\":\"{}\",", new.address), 1);
-    std::fs::write(&config_file, new_config).expect("written");
+    std::fs::write(&config_file, new_config).expect("the write succeeds");
     forwarder.signal("-HUP");
-    until("the report is repeated at the new one", || {
+    until("the report is repeated to the new platform", || {
         !report_bodies(&new).is_empty()
     });
-    // A watch there comes after the new list: from now on nothing goes by the old one.
+    // A watch of the new platform follows its complete list: from now on the list of the old platform must not be used.
     push_change(&new, list(1, false, &[]));
     wait_until_changes_are_sent(&new);
-    until("the new list counts", || {
+    until("the new list takes effect", || {
         forwarder.submit("two", "notice") == 202 && calls(&other_request_log, "two") > 0
     });
     assert_eq!(calls(&request_log, "two"), 0);
     push_change(&new, list(2, false, &[member(endpoint, 7, "Terminating")]));
     wait_until_changes_are_sent(&new);
-    assert!(forwarder.child.try_wait().expect("its state").is_none());
+    assert!(forwarder
+        .child
+        .try_wait()
+        .expect("the process state is readable")
+        .is_none());
 }
 
 #[test]
 fn exits_with_one_line_naming_the_invalid_key() {
     let (_dir, state) = folder();
     let valid_config = config("notice", "free", 200, 3.0);
-    let discovery = "127.0.0.1:1".parse().expect("an address");
+    let discovery = "127.0.0.1:1".parse().expect("the address is valid");
     let cases = [
         (
             valid_config.replace("\"Workers\":8", "\"Workers\":\"many\""),
@@ -91,7 +97,7 @@
         let output = command(&state, &text, "127.0.0.1:0", discovery)
             .stderr(Stdio::piped())
             .output();
-        let output = output.expect("it runs");
+        let output = output.expect("the program starts");
         let error_output = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
             !output.status.success()
@@ -103,7 +109,7 @@
     let output = command(&state, &valid_config, "nowhere", discovery)
         .stderr(Stdio::piped())
         .output()
-        .expect("it runs");
+        .expect("the program starts");
     assert!(
         !output.status.success() && String::from_utf8_lossy(&output.stderr).contains("GW_LISTEN")
     );
--- a/crates/forwarder/tests/program/connections.rs
+++ b/crates/forwarder/tests/program/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients and peers, and the limit on descriptors.
+//! Connections of clients and peers, and the limit of file descriptors.
 
 use crate::common::*;
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Whatever a client sends or does not, it gets an error or a close within 3 s.
+/// Whatever a client sends or fails to send, it gets an error or its connection is closed within 3 s.
 #[test]
 fn answers_or_closes_incomplete_requests_within_3s() {
     let (endpoint, request_log) = endpoint_responding_with("200 OK");
@@ -20,7 +20,7 @@
     );
     let head = submission_head("slow", "notice", 400);
     let huge = submission_head("huge", "notice", 60_000_000);
-    // What it sends at once, and what it goes on to send, bit by bit.
+    // What the client sends at once, what it then sends repeatedly, the interval in ms, and the expected status.
     let cases: [(&str, &[u8], u64, u16); 5] = [
         ("", b"", 1, 0),
         ("POST /not", b"", 1, 0),
@@ -30,11 +30,13 @@
     ];
     thread::scope(|scope| {
         for (begin, more, interval, expected_status) in cases {
-            let mut stream = forwarder.connect().expect("a connection");
-            let mut reader = stream.try_clone().expect("the same");
+            let mut stream = forwarder.connect().expect("the connection is established");
+            let mut reader = stream.try_clone().expect("the stream can be cloned");
             scope.spawn(move || {
                 let started_at = Instant::now();
-                stream.write_all(begin.as_bytes()).expect("written");
+                stream
+                    .write_all(begin.as_bytes())
+                    .expect("the write succeeds");
                 while stream.write_all(more).is_ok()
                     && started_at.elapsed() < Duration::from_secs(4)
                 {
@@ -48,31 +50,38 @@
             });
         }
     });
-    assert!(request_log.lock().expect("the log").is_empty());
+    assert!(request_log
+        .lock()
+        .expect("the request log is not poisoned")
+        .is_empty());
 }
 
-/// Rule 1 where descriptors run out: every request gets an answer, and the forwarder goes on serving.
+/// At the limit of file descriptors, every request gets an answer, and the forwarder continues to serve.
 #[test]
 fn answers_every_request_at_the_connection_limit() {
     let (endpoint, request_log) = endpoint_responding_with("200 OK");
     let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
     let (_dir, state) = folder();
     let forwarder = start(&state, &config("notice", "free", 80, 3.0), platform.address);
-    // Connections with half a request: none of them is idle, so none can be closed for others.
+    // Connections with a partial request are not idle, so that none can be closed in favour of others.
     let mut busy: Vec<TcpStream> = (0..120)
         .map(|n| {
-            let mut stream = forwarder.connect().expect("the backlog takes it");
+            let mut stream = forwarder
+                .connect()
+                .expect("the backlog accepts the connection");
             stream
                 .write_all(submission_head(&format!("h{n}"), "notice", 4).as_bytes())
-                .expect("written");
-            sleep_ms(2); // its head is read before the next one comes
+                .expect("the write succeeds");
+            sleep_ms(2); // the head is read before the next connection is opened
             stream
         })
         .collect();
     sleep_ms(100);
     let mut statuses = BTreeMap::new();
     for stream in &mut busy {
-        stream.write_all(b"body").expect("it is still open");
+        stream
+            .write_all(b"body")
+            .expect("the connection is still open");
     }
     for stream in &mut busy {
         *statuses.entry(status(stream)).or_insert(0) += 1;
@@ -83,39 +92,41 @@
         "{statuses:?}"
     );
     assert!(statuses[&202] > 20, "{statuses:?}");
-    // Connections without a request are closed for those with one.
+    // Connections without a request are closed in favour of those with one.
     let silent: Vec<TcpStream> = (0..200)
-        .map(|_| forwarder.connect().expect("accepted"))
+        .map(|_| forwarder.connect().expect("the connection is accepted"))
         .collect();
     for n in 0..20 {
         let started_at = Instant::now();
         assert_eq!(forwarder.submit(&format!("s{n}"), "notice"), 202);
         assert!(
             started_at.elapsed() < Duration::from_millis(400),
-            "{:?}",
+            "the submission was answered after {:?}, expected less than 400 ms",
             started_at.elapsed()
         );
     }
     drop(silent);
-    // Idle connections are closed for new ones.
+    // Idle connections are closed in favour of new ones.
     let _idle: Vec<TcpStream> = (0..60)
         .map(|n| {
-            let mut stream = forwarder.connect().expect("accepted");
+            let mut stream = forwarder.connect().expect("the connection is accepted");
             let head = submission_head(&format!("i{n}"), "notice", 4);
             stream
                 .write_all(&[head.as_bytes(), b"body"].concat())
-                .expect("written");
+                .expect("the write succeeds");
             assert!([202, 503].contains(&status(&mut stream)));
             stream
         })
         .collect();
-    until("it accepts messages again", || {
+    until("messages are accepted again", || {
         forwarder.submit("last", "notice") == 202
     });
-    until("it is delivered", || calls(&request_log, "last") >= 1);
+    until("the message is delivered", || {
+        calls(&request_log, "last") >= 1
+    });
 }
 
-/// Clients may share a bound on connections: those that keep theirs after one request must leave some for the others.
+/// Clients share a limit of connections: those that keep their connection after a request must leave some for other clients.
 #[test]
 fn closes_the_longest_idle_client_connections_first() {
     let (endpoint, _) = endpoint_responding_with("200 OK");
@@ -127,11 +138,11 @@
         platform.address,
     );
     let connect_and_submit = |n: usize| {
-        let mut stream = forwarder.connect().expect("accepted");
+        let mut stream = forwarder.connect().expect("the connection is accepted");
         let head = submission_head(&format!("i{n}"), "notice", 4);
         stream
             .write_all(&[head.as_bytes(), b"body"].concat())
-            .expect("written");
+            .expect("the write succeeds");
         assert_eq!(status(&mut stream), 202);
         stream
     };
@@ -140,14 +151,14 @@
     let mut is_closed = |n: usize| {
         connections[n]
             .set_read_timeout(Some(Duration::from_millis(50)))
-            .expect("set");
+            .expect("the read timeout is set");
         matches!(connections[n].read(&mut [0]), Ok(0))
     };
     assert_eq!((is_closed(0), is_closed(59)), (true, false));
 }
 
-/// The operators' fleets grow past hundreds: 1,024 forwarders and as many endpoints, in the cached list and in the complete
-/// one, changed one by one, on 256 descriptors, with a list that is cut off and datagrams of unknown senders between.
+/// Operators run fleets of more than hundreds: 1,024 forwarders and as many endpoints are in the cached list and in the
+/// complete one, which changes entry by entry, with 256 descriptors, a truncated list and datagrams from unknown senders.
 #[test]
 fn a_thousand_peers_and_endpoints_need_a_quarter_as_many_descriptors() {
     let (endpoints, request_logs): (Vec<_>, Vec<_>) =
@@ -156,7 +167,7 @@
     let other = |n: usize, phase| {
         member_named(
             &format!("o-{n}"),
-            host(9, n).parse().expect("an address"),
+            host(9, n).parse().expect("the address is valid"),
             1_000 + n as u32,
             phase,
         )
@@ -170,10 +181,10 @@
         .collect();
     let platform = platform(members.clone(), 0);
     let (_dir, state) = folder();
-    let unknown_sender = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     let listen = UdpSocket::bind("127.0.0.1:0")
         .and_then(|free| free.local_addr())
-        .expect("an address");
+        .expect("the address is valid");
     let (peers, known): (Vec<_>, _) = (
         (0..1_024).map(|n| host(8, n)).collect(),
         list(1, true, &members),
@@ -188,15 +199,20 @@
         platform.address,
     );
     for _ in 0..200 {
-        unknown_sender.send_to(&[1, 1, 7, 0], listen).expect("sent");
+        unknown_sender
+            .send_to(&[1, 1, 7, 0], listen)
+            .expect("the response is written");
     }
-    // The last one is sent first: one that is cut off.
+    // Changes are sent from the end of the list. The first one to be sent is truncated.
     let mut changes: Vec<String> = (300..1_024)
         .rev()
         .map(|n| list(n as u64, false, &[other(n, "Gone")]))
         .collect();
     changes.push(known[..known.len() / 2].to_owned());
-    *platform.changes.lock().expect("the changes") = changes;
+    *platform
+        .changes
+        .lock()
+        .expect("the changes are not poisoned") = changes;
     for cell in 0..300 {
         let head = submission_head(&format!("p{cell}"), "notice", 4)
             .replace("dest=7", &format!("dest={cell}"));
@@ -208,7 +224,7 @@
             .zip(0..)
             .all(|(request_log, n): (_, u32)| calls(request_log, &format!("p{n}")) == 1)
     };
-    until("each endpoint got its message, once", delivered);
+    until("each endpoint receives its message once", delivered);
     wait_until_changes_are_sent(&platform);
     let (memory, open) = forwarder.holds();
     assert!(
--- a/crates/forwarder/tests/program/endpoint_list.rs
+++ b/crates/forwarder/tests/program/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 
-/// Rule 3: a change that the watch brings takes effect at once.
+/// A change that a watch receives takes effect at once.
 #[test]
 fn sends_no_new_message_to_a_draining_endpoint() {
     let (old, old_request_log) = endpoint_responding_with("200 OK");
@@ -15,7 +15,7 @@
         platform.address,
     );
     assert_eq!(forwarder.submit("first", "notice"), 202);
-    until("the old one serves", || {
+    until("the old endpoint receives the message", || {
         calls(&old_request_log, "first") == 1
     });
     let change = list(
@@ -29,16 +29,23 @@
     for n in 0..10 {
         assert_eq!(forwarder.submit(&format!("n{n}"), "notice"), 202);
     }
-    until("the new one serves", || {
+    until("the new endpoint receives the messages", || {
         (0..10).all(|n| calls(&new_request_log, &format!("n{n}")) == 1)
     });
-    assert_eq!(old_request_log.lock().expect("the log").len(), 1);
+    assert_eq!(
+        old_request_log
+            .lock()
+            .expect("the request log is not poisoned")
+            .len(),
+        1
+    );
 }
 
-/// Where another process takes over an address it is another endpoint: its destination, health and connections are its own.
+/// A new process at the address of an earlier one is another endpoint, with a destination, health and connections of its
+/// own.
 #[test]
 fn treats_a_new_process_at_an_address_as_a_new_endpoint() {
-    // The first holder only rejects, with a long retry-after.
+    // The first process always rejects, with a long retry-after.
     let (endpoint, request_log) = serve(|m, _| {
         plain(if m.headers["request-id"].starts_with("old") {
             "429 Wait\r\nWait-Ms: 9000"
@@ -54,7 +61,9 @@
         platform.address,
     );
     assert_eq!(forwarder.submit("old", "notice"), 202);
-    until("the old one refuses", || calls(&request_log, "old") == 1);
+    until("the old process rejects the message", || {
+        calls(&request_log, "old") == 1
+    });
     let new = member(endpoint, 8, "Ready").replace("s-", "t-");
     push_change(&platform, list(2, false, &[new]));
     wait_until_changes_are_sent(&platform);
@@ -62,10 +71,12 @@
     assert_eq!(
         forwarder.ask(&submission_head("lost", "notice", 4), b"body"),
         202
-    ); // 7 has no endpoint any more
+    ); // destination 7 has no endpoint any more
     let head = submission_head("new", "notice", 4).replace("dest=7", "dest=8");
     assert_eq!(forwarder.ask(&head, b"body"), 202);
-    until("the new one serves", || calls(&request_log, "new") == 1);
+    until("the new endpoint receives the messages", || {
+        calls(&request_log, "new") == 1
+    });
     assert_eq!(
         (calls(&request_log, "old"), calls(&request_log, "lost")),
         (1, 0)
--- a/crates/forwarder/tests/program/main.rs
+++ b/crates/forwarder/tests/program/main.rs
@@ -1,4 +1,4 @@
-//! The whole program between the laboratory's scripted peers on loopback.
+//! The program between the scripted peers of the laboratory on loopback.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/forwarder/tests/program/submissions.rs
+++ b/crates/forwarder/tests/program/submissions.rs
@@ -1,4 +1,4 @@
-//! What becomes of a submission: its answer, its order, its attempts.
+//! The answer to a submission, the order of messages and their attempts.
 
 use crate::common::*;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,8 +15,10 @@
         platform.address,
     );
     assert_eq!(forwarder.submit("a1", "notice"), 202);
-    until("it is delivered", || calls(&request_log, "a1") == 1);
-    let request = request_log.lock().expect("the log")[0].clone();
+    until("the message is delivered", || {
+        calls(&request_log, "a1") == 1
+    });
+    let request = request_log.lock().expect("the request log is not poisoned")[0].clone();
     assert_eq!(
         (request.first.as_str(), request.body.as_slice()),
         ("POST /inbox HTTP/1.1", b"body".as_slice())
@@ -54,7 +56,8 @@
     for (head, expected_status) in invalid_requests {
         assert_eq!(forwarder.ask(&head, b"body"), expected_status, "{head}");
     }
-    // A length beside chunks may hide a request in the body. Neither that nor this one is forwarded.
+    // A length in addition to chunks may hide a request in the body. Neither the message nor the hidden request may be
+    // forwarded.
     let chunked = head.replace(
         "Content-Length: 4",
         "Content-Length: 4\r\nTransfer-Encoding: chunked",
@@ -74,13 +77,15 @@
     ]
     .concat();
     assert_eq!(forwarder.ask(&chunked, &body), 411);
-    assert_eq!(forwarder.ask(&head, b"bo"), 408); // the rest never comes
+    assert_eq!(forwarder.ask(&head, b"bo"), 408); // the rest of the body is never sent
     assert_eq!(calls(&request_log, "b1") + calls(&request_log, "b2"), 0);
     assert_eq!(forwarder.submit("a2", "notice"), 202);
-    until("it serves on", || calls(&request_log, "a2") == 1);
+    until("the next message is delivered", || {
+        calls(&request_log, "a2") == 1
+    });
 }
 
-/// Rule 1: two messages under one id are not taken for one.
+/// Two messages with the same id and different content must not be taken for one.
 #[test]
 fn rejects_an_id_in_flight_with_different_content() {
     let (endpoint, _) = silent_endpoint();
@@ -124,17 +129,18 @@
         "{answers:?}"
     );
     let files = std::fs::read_dir(&state)
-        .expect("the folder")
-        .map(|f| f.expect("a file").metadata());
+        .expect("the state folder is readable")
+        .map(|f| f.expect("the entry is readable").metadata());
     let used_bytes: u64 = files
-        .map(|m| m.expect("its size").len().div_ceil(512) * 512)
+        .map(|m| m.expect("the file has a size").len().div_ceil(512) * 512)
         .sum();
     assert!(used_bytes <= 400_000, "{used_bytes}");
     endpoint_accepts.store(true, Ordering::Relaxed);
-    until("it accepts messages again", || submit(99) == 202);
+    until("messages are accepted again", || submit(99) == 202);
 }
 
-/// The order of a key holds also over a kill with its first message in flight: the second goes once the first is over.
+/// The order of a key also holds across a kill with its first message in flight: the second is sent once the first is
+/// completed.
 #[test]
 fn serializes_messages_of_an_order_key_across_a_kill() {
     let endpoint_accepts = Arc::new(AtomicBool::new(false));
@@ -154,26 +160,30 @@
         assert_eq!(forwarder.ask(&head, b"body"), 202, "{id}");
     };
     submit(&forwarder, "first", "000b832b68ec333d");
-    until("the first is out", || calls(&request_log, "first") == 1);
+    until("the first message is sent", || {
+        calls(&request_log, "first") == 1
+    });
     submit(&forwarder, "second", "000b832b68ec333d");
     submit(&forwarder, "other", "00026d498200dd15");
-    until("one of another key passes it", || {
+    until("a message with another key is delivered", || {
         calls(&request_log, "other") == 1
     });
     assert_eq!(calls(&request_log, "second"), 0);
     kill_and_wait(&mut forwarder);
     forwarder = start(&state, &text, platform.address);
-    until("the first is out again", || {
+    until("the first message is sent again", || {
         calls(&request_log, "first") >= 2
     });
     submit(&forwarder, "last", "00026d498200dd15");
-    until("one of another key passes it again", || {
+    until("another message with another key is delivered", || {
         calls(&request_log, "last") == 1
     });
     assert_eq!(calls(&request_log, "second"), 0);
     endpoint_accepts.store(true, Ordering::Relaxed);
-    until("the second follows", || calls(&request_log, "second") == 1);
-    let log = request_log.lock().expect("the log");
+    until("the second message is sent", || {
+        calls(&request_log, "second") == 1
+    });
+    let log = request_log.lock().expect("the request log is not poisoned");
     let ids: Vec<&str> = log
         .iter()
         .map(|m| m.headers["request-id"].as_str())
@@ -181,8 +191,8 @@
     assert_eq!(ids[ids.len() - 2..], ["first", "second"], "{ids:?}");
 }
 
-/// In the operators' full fleet one endpoint of a destination asked for a retry-after while the connection to another opened,
-/// and the attempt was sent there all the same.
+/// Guards against an attempt that was sent although another endpoint of the destination had requested a retry-after while
+/// the connection was being opened. Seen in a full fleet of an operator.
 #[test]
 fn honours_retry_after_received_while_a_connection_opens() {
     let slow = SlowListener::shut("127.0.0.2");
@@ -207,10 +217,16 @@
     });
     let (_, slow_request_log) = slow.open(|_, _| plain("200 OK"));
     sleep_ms(2300);
-    let requests_seen =
-        || [&slow_request_log, &quick_request_log].map(|log| log.lock().expect("the log").len());
-    assert_eq!(requests_seen(), [0, 1], "inside the retry-after");
-    until("both are delivered after it", || {
+    let requests_seen = || {
+        [&slow_request_log, &quick_request_log]
+            .map(|log| log.lock().expect("the request log is not poisoned").len())
+    };
+    assert_eq!(
+        requests_seen(),
+        [0, 1],
+        "no request is sent within the retry-after"
+    );
+    until("both messages are delivered after the retry-after", || {
         requests_seen().iter().sum::<usize>() == 3
     });
 }
--- a/crates/forwarder/tests/scenarios.rs
+++ b/crates/forwarder/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! The real program in the laboratory's world, on sockets: short scenarios with the troubles that only a process can have,
-//! judged by the oracle, and beside them the same world simulated.
+//! Short scenarios with faults that only a process can have. The program runs in them on sockets and is checked by the
+//! oracle, beside a simulation of the same scenario.
 
 use opalpulley_lab::scenario::Scenario;
 use opalpulley_lab::sim::Sim;
@@ -16,10 +16,10 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("the runtime starts");
     let (outcome, _) = runtime
         .block_on(run(scenario, seed, &options, |_, _| {}))
-        .expect("it runs");
+        .expect("the program starts");
     outcome
 }
 
@@ -29,22 +29,22 @@
          effect = \"fingerprinted\"\nwindow = \"6s\"\ncontract_time = \"1s\"\nexpiry = \"6s\"\n[[profiles]]\nname = \"once\"\n\
          effect = \"binding\"\ncontract_time = \"1s\"\nexpiry = \"6s\"\n"
     );
-    Scenario::read(&text, "short").expect("it is right")
+    Scenario::read(&text, "short").expect("the scenario is valid")
 }
 
-/// What must hold on a machine of any speed: the rules, one end for each message, most of them served.
+/// Checks what must hold on a machine of any speed: no rule is broken, each message has one end, and most are served.
 fn assert_rules_hold(outcome: &Outcome, min_served_share: f64) {
     assert!(outcome.broken.is_empty(), "{:#?}", outcome.breaks);
     let c = &outcome.counts;
     assert_eq!(c.served + c.failed + c.given_up + c.gone, c.due, "{c:?}");
     assert!(
         outcome.served_share() >= min_served_share,
-        "served {}: {c:?}",
+        "share of served messages is {}, expected at least {min_served_share}: {c:?}",
         outcome.served_share()
     );
 }
 
-/// Kills with and without the folder, a process that stands still, a drain: each message has its one end.
+/// Kills with and without the state folder, a paused process and a drain: each message has exactly one end.
 #[test]
 fn keeps_the_rules_through_kills_pauses_and_drains() {
     let scenario = scenario(
@@ -59,7 +59,7 @@
     assert_rules_hold(&run_on_sockets(&scenario, 1), 0.8);
 }
 
-/// Refusals, silence, spoilt answers and waits on sockets; beside it the same world simulated.
+/// Rejections, silence, invalid responses and retry-after on sockets, compared with a simulation of the same scenario.
 #[test]
 fn sockets_and_simulation_agree_under_faults() {
     let scenario = scenario(
@@ -75,12 +75,12 @@
     let real = run_on_sockets(&scenario, 2);
     assert_rules_hold(&real, 0.75);
     let simulated = Sim::new(&scenario, 2, ForwarderVariant::True)
-        .expect("it starts")
+        .expect("the process starts")
         .run(|_, _| {});
     assert_rules_hold(&simulated, 0.75);
     assert_eq!(
         real.counts.due, simulated.counts.due,
-        "the same packets on both clocks"
+        "the same number of messages is due on both clocks"
     );
     let difference = (real.served_share() - simulated.served_share()).abs();
     assert!(
