--- a/crates/forwarder/src/endpoints/tests/connections.rs
+++ b/crates/forwarder/src/endpoints/tests/connections.rs
@@ -105,7 +105,7 @@
     fixture.respond_with_ok(&mut first).await;
     for _ in 0..MAX_TRIES {
         tokio::time::sleep(Duration::from_millis(30)).await; // the first connection settles
-        let answered_at = Instant::now();
+        let responded_at = Instant::now();
         fixture.respond_with_ok(&mut second).await;
         tokio::time::sleep(Duration::from_millis(1)).await; // the second connection becomes idle
         fixture.start_attempt(&Bytes::new(), 1000).await;
@@ -115,7 +115,7 @@
                 return;
             }
             _ = read_request(&mut second) => {
-                let idle_for = answered_at.elapsed();
+                let idle_for = responded_at.elapsed();
                 assert!(idle_for >= SETTLE_TIME, "the settled connection is preferred");
             }
         }
--- a/crates/forwarder/src/endpoints/tests/response_filter.rs
+++ b/crates/forwarder/src/endpoints/tests/response_filter.rs
@@ -16,16 +16,16 @@
 }
 
 /// Passes parts of a response to a new filter, up to the first error.
-fn filter(pieces: &[&[u8]]) -> Filtered {
+fn filter(parts: &[&[u8]]) -> Filtered {
     let mut filter = ResponseFilter::new();
     filter.expect_response();
     let mut buffer = vec![0; BUFFER_BYTES];
     let mut output = ReadBuf::new(&mut buffer);
     let progress = RefCell::new(Vec::new());
     let mut result = Ok(());
-    for piece in pieces {
+    for part in parts {
         let record = |step| progress.borrow_mut().push(step);
-        result = filter.push(piece, &mut output, record);
+        result = filter.push(part, &mut output, record);
         if result.is_err() {
             break;
         }
@@ -39,13 +39,13 @@
 
 #[test]
 fn withholds_a_status_line_until_it_is_complete() {
-    let half = filter(&[b"HTTP/1.1 200 OK\r"]);
-    assert_eq!(half.output, b"");
-    assert_eq!(half.progress, [ResponseProgress::Started]);
-    let whole = filter(&[b"HTTP/1.1 200 OK\r", b"\nX: y"]);
-    assert_eq!(whole.output, b"HTTP/1.1 200 OK\r\nX: y");
+    let incomplete = filter(&[b"HTTP/1.1 200 OK\r"]);
+    assert_eq!(incomplete.output, b"");
+    assert_eq!(incomplete.progress, [ResponseProgress::Started]);
+    let complete = filter(&[b"HTTP/1.1 200 OK\r", b"\nX: y"]);
+    assert_eq!(complete.output, b"HTTP/1.1 200 OK\r\nX: y");
     assert_eq!(
-        whole.progress,
+        complete.progress,
         [ResponseProgress::Started, ResponseProgress::Status(200)]
     );
 }
@@ -87,8 +87,8 @@
 
 #[test]
 fn rejects_1xx_heads_without_an_end() {
-    let piece = vec![b'x'; 33 * 1024];
-    let filtered = filter(&[b"HTTP/1.1 100 Continue\r\n", &piece]);
+    let part = vec![b'x'; 33 * 1024];
+    let filtered = filter(&[b"HTTP/1.1 100 Continue\r\n", &part]);
     let error = filtered.result.expect_err("the 1xx heads are too long");
     assert_eq!(error.kind(), io::ErrorKind::InvalidData);
     assert_eq!(filtered.output, b"");
--- a/crates/forwarder/src/endpoints/tests/responses.rs
+++ b/crates/forwarder/src/endpoints/tests/responses.rs
@@ -8,7 +8,7 @@
     let retry_after = |ms: u64| Outcome::Rejected {
         retry_after: Some(ms * 1000),
     };
-    let answers = [
+    let responses = [
         ("200 OK", Outcome::Delivered, true),
         ("500 Oops", Outcome::Error, false),
         ("429 Wait\r\nWait-Ms: 250", retry_after(250), false),
@@ -29,7 +29,7 @@
     ];
     fixture.start_attempt(&Bytes::new(), 1000).await;
     let mut stream = fixture.accept().await;
-    for (n, (line, outcome, completed)) in answers.iter().enumerate() {
+    for (n, (line, outcome, completed)) in responses.iter().enumerate() {
         if n > 0 {
             fixture.start_attempt(&Bytes::new(), 1000).await; // on the same connection, which stays open
         }
@@ -182,9 +182,9 @@
         assert!(read_request(&mut stream)
             .await
             .starts_with(b"GET /alive HTTP/1.1\r\n"));
-        let answer = format!("HTTP/1.1 {line}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n");
+        let response = format!("HTTP/1.1 {line}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n");
         stream
-            .write_all(answer.as_bytes())
+            .write_all(response.as_bytes())
             .await
             .expect("the response is written");
         assert_eq!(fixture.next_outcome().await.0, outcome);
--- a/crates/forwarder/tests/common/mod.rs
+++ b/crates/forwarder/tests/common/mod.rs
@@ -14,13 +14,13 @@
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_opalpulley-forwarder");
 
 /// Starts the program and waits until it is ready.
-pub fn start(state: &Path, text: &str, discovery: SocketAddr) -> Forwarder {
-    scripted::start(PROGRAM, state, text, discovery)
+pub fn start(state: &Path, config_text: &str, discovery: SocketAddr) -> Forwarder {
+    scripted::start(PROGRAM, state, config_text, discovery)
 }
 
 /// Returns the command that starts the program with this configuration.
-pub fn command(state: &Path, text: &str, listen: &str, discovery: SocketAddr) -> Command {
-    scripted::command(PROGRAM, state, text, listen, discovery)
+pub fn command(state: &Path, config_text: &str, listen: &str, discovery: SocketAddr) -> Command {
+    scripted::command(PROGRAM, state, config_text, listen, discovery)
 }
 
 /// Kills the process and waits until it has ended.
--- a/crates/forwarder/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -22,7 +22,7 @@
 const IDLE_CLIENT_COUNT: usize = 120;
 
 /// Starts the program with a limit of `DESCRIPTOR_LIMIT` file descriptors.
-fn start_limited(state: &Path, text: &str, discovery: SocketAddr) -> Forwarder {
+fn start_limited(state: &Path, config_text: &str, discovery: SocketAddr) -> Forwarder {
     let script = state
         .parent()
         .expect("the state folder has a parent")
@@ -38,7 +38,7 @@
     opalpulley_lab::scripted::start(
         script.to_str().expect("the path is UTF-8"),
         state,
-        text,
+        config_text,
         discovery,
     )
 }
@@ -100,11 +100,11 @@
     let silent = Arc::new(AtomicBool::new(false));
     let (is_silent, list_updated) = (silent.clone(), Arc::new(AtomicBool::new(false)));
     let updated = list_updated.clone();
-    let (platform, platform_requests) = serve(move |m, _| {
-        if m.first.contains("/v1/outcomes") {
+    let (platform, platform_requests) = serve(move |request, _| {
+        if request.first.contains("/v1/outcomes") {
             return plain("204 No Content");
         }
-        if m.first.contains("index=") && !updated.load(Ordering::Relaxed) {
+        if request.first.contains("index=") && !updated.load(Ordering::Relaxed) {
             sleep_ms(100);
         }
         if is_silent.load(Ordering::Relaxed) {
@@ -116,9 +116,9 @@
         })
     });
     let (_dir, state) = folder();
-    let text = config("notice", "guarded", DESCRIPTOR_LIMIT, 3.0)
+    let config_text = config("notice", "guarded", DESCRIPTOR_LIMIT, 3.0)
         .replace("ConnIdleUs\":5000000", "ConnIdleUs\":60000000");
-    let forwarder = start_limited(&state, &text, platform);
+    let forwarder = start_limited(&state, &config_text, platform);
     let submit = |id: &str, cell: u16, time_left_ms: &str| {
         let head = submission_head(id, "notice", 4)
             .replace("dest=7", &format!("dest={cell}"))
@@ -169,7 +169,7 @@
                 .expect("the request log is not poisoned");
             platform_requests
                 .iter()
-                .any(|m| String::from_utf8_lossy(&m.body).contains("\"end\""))
+                .any(|request| String::from_utf8_lossy(&request.body).contains("\"end\""))
         });
         stop.store(true, Ordering::Relaxed);
     });
--- a/crates/forwarder/tests/endings.rs
+++ b/crates/forwarder/tests/endings.rs
@@ -59,15 +59,16 @@
 #[test]
 fn order_key_waits_for_the_report_acknowledgement() {
     const UNACKNOWLEDGED: usize = 12;
-    let (endpoint, request_log) = serve(|m, _| match m.headers["request-id"].as_str() {
-        "first" => plain("503 Full"),
-        _ => plain("200 OK"),
-    });
+    let (endpoint, request_log) =
+        serve(|request, _| match request.headers["request-id"].as_str() {
+            "first" => plain("503 Full"),
+            _ => plain("200 OK"),
+        });
     let platform = platform(vec![member(endpoint, 7, "Ready")], UNACKNOWLEDGED);
     let (_dir, state) = folder();
-    let text = config("notice", "guarded", 200, 3.0)
+    let config_text = config("notice", "guarded", 200, 3.0)
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
-    let mut forwarder = start(&state, &text, platform.address);
+    let mut forwarder = start(&state, &config_text, platform.address);
     let submit = |forwarder: &Forwarder, id: &str, time_left_ms: &str| {
         let head = submission_head(id, "notice", 4)
             .replace("20000", time_left_ms)
@@ -81,7 +82,7 @@
     });
     assert_eq!(calls(&request_log, "second"), 0);
     kill_and_wait(&mut forwarder);
-    forwarder = start(&state, &text, platform.address);
+    forwarder = start(&state, &config_text, platform.address);
     until("the second message is sent", || {
         calls(&request_log, "second") == 1
     });
@@ -99,14 +100,17 @@
 fn repeats_a_report_if_its_connection_falls_silent() {
     let (endpoint, request_log) = endpoint_responding_with("503 Full");
     let members = vec![member(endpoint, 7, "Ready")];
-    let (platform, platform_requests) = serve(move |m, _| match m.first.contains("/v1/outcomes") {
-        true => None, // the request is read and never answered
-        false if m.first.contains("index=") => {
-            sleep_ms(300);
-            with_body(&list(1, false, &[]))
-        }
-        false => with_body(&list(1, true, &members)),
-    });
+    let (platform, platform_requests) =
+        serve(
+            move |request, _| match request.first.contains("/v1/outcomes") {
+                true => None, // the request is read and never answered
+                false if request.first.contains("index=") => {
+                    sleep_ms(300);
+                    with_body(&list(1, false, &[]))
+                }
+                false => with_body(&list(1, true, &members)),
+            },
+        );
     let (_dir, state) = folder();
     let forwarder = start(&state, &config("notice", "free", 200, 3.0), platform);
     let head = submission_head("short", "notice", 4).replace("20000", "300");
@@ -118,7 +122,7 @@
             .expect("the request log is not poisoned");
         platform_requests
             .iter()
-            .filter(|m| m.first.contains("/v1/outcomes"))
+            .filter(|request| request.first.contains("/v1/outcomes"))
             .count()
     };
     until("a completion report arrives", || completion_reports() == 1);
@@ -137,8 +141,8 @@
 /// objective, and is tried as soon as a list contains its destination.
 #[test]
 fn tries_a_recovered_message_once_a_list_is_known() {
-    let (endpoint, request_log) = serve(|m, _| {
-        if m.headers["request-id"] == "out" {
+    let (endpoint, request_log) = serve(|request, _| {
+        if request.headers["request-id"] == "out" {
             None
         } else {
             plain("200 OK")
@@ -149,13 +153,13 @@
         vec![member(endpoint, 7, "Ready")],
     );
     let available = list_available.clone();
-    let (platform, platform_requests) = serve(move |m, _| {
-        if m.first.contains("/v1/outcomes") {
+    let (platform, platform_requests) = serve(move |request, _| {
+        if request.first.contains("/v1/outcomes") {
             return plain("204 No Content");
         }
         let (listed, watch) = (
             available.load(Ordering::Relaxed),
-            m.first.contains("index="),
+            request.first.contains("index="),
         );
         thread::sleep(Duration::from_millis(if watch { 100 } else { 0 }));
         match (listed, watch) {
@@ -165,10 +169,10 @@
         }
     });
     let (_dir, state) = folder();
-    let text = config("notice", "single_shot", 200, 3.0)
+    let config_text = config("notice", "single_shot", 200, 3.0)
         .replace("GoalTimeUs\":2500000", "GoalTimeUs\":400000")
         .replace("Workers\":8", "Workers\":1");
-    let mut forwarder = start(&state, &text, platform);
+    let mut forwarder = start(&state, &config_text, platform);
     assert_eq!(forwarder.submit("out", "notice"), 202);
     until("the only permit is in use", || {
         calls(&request_log, "out") == 1
@@ -176,7 +180,7 @@
     assert_eq!(forwarder.submit("untried", "notice"), 202);
     kill_and_wait(&mut forwarder);
     list_available.store(false, Ordering::Relaxed);
-    let _forwarder = start(&state, &text, platform);
+    let _forwarder = start(&state, &config_text, platform);
     sleep_ms(1500);
     list_available.store(true, Ordering::Relaxed);
     until("the list is received", || {
@@ -185,7 +189,7 @@
             .expect("the request log is not poisoned");
         platform_requests
             .last()
-            .is_some_and(|m| m.first.contains("index="))
+            .is_some_and(|request| request.first.contains("index="))
     });
     until("the message is tried", || {
         calls(&request_log, "untried") == 1
@@ -195,7 +199,7 @@
         .expect("the request log is not poisoned");
     let sent = platform_requests
         .iter()
-        .map(|m| String::from_utf8_lossy(&m.body).into_owned())
+        .map(|request| String::from_utf8_lossy(&request.body).into_owned())
         .collect::<String>();
     assert!(!sent.contains("untried"), "{sent}");
 }
@@ -204,17 +208,19 @@
 /// The next message of the order key shows that it was.
 #[test]
 fn accepts_a_late_report_acknowledgement() {
-    let (endpoint, request_log) = serve(|m, _| {
-        plain(if m.headers["request-id"] == "first" {
+    let (endpoint, request_log) = serve(|request, _| {
+        plain(if request.headers["request-id"] == "first" {
             "503 Full"
         } else {
             "200 OK"
         })
     });
     let members = vec![member(endpoint, 7, "Ready")];
-    let (platform, platform_requests) = serve(move |m, _| {
-        let (completion_report, watch) =
-            (m.first.contains("/v1/outcomes"), m.first.contains("index="));
+    let (platform, platform_requests) = serve(move |request, _| {
+        let (completion_report, watch) = (
+            request.first.contains("/v1/outcomes"),
+            request.first.contains("index="),
+        );
         thread::sleep(Duration::from_millis(
             if completion_report { 450 } else { 0 } + if watch { 300 } else { 0 },
         ));
@@ -225,9 +231,9 @@
         }
     });
     let (_dir, state) = folder();
-    let text = config("notice", "guarded", 200, 3.0)
+    let config_text = config("notice", "guarded", 200, 3.0)
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
-    let forwarder = start(&state, &text, platform);
+    let forwarder = start(&state, &config_text, platform);
     for (id, time_left_ms) in [("first", "300"), ("second", "20000")] {
         let head = submission_head(id, "notice", 4)
             .replace("20000", time_left_ms)
@@ -243,7 +249,7 @@
     assert!(
         platform_requests
             .iter()
-            .filter(|m| m.first.contains("/v1/outcomes"))
+            .filter(|request| request.first.contains("/v1/outcomes"))
             .count()
             > 1,
         "the first report is repeated before it is acknowledged"
@@ -263,8 +269,9 @@
     });
     let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
     let (_dir, state) = folder();
-    let text = config("notice", "single_shot", 200, 3.0).replace("Workers\":8", "Workers\":1");
-    let mut forwarder = start(&state, &text, platform.address);
+    let config_text =
+        config("notice", "single_shot", 200, 3.0).replace("Workers\":8", "Workers\":1");
+    let mut forwarder = start(&state, &config_text, platform.address);
     let body = vec![b'x'; 40_000];
     let submit =
         |id: &String| forwarder.ask(&submission_head(id, "notice", body.len()), &body) == 202;
@@ -279,7 +286,7 @@
     );
     kill_and_wait(&mut forwarder);
     endpoint_accepts.store(true, Ordering::Relaxed);
-    let _forwarder = start(&state, &text, platform.address); // ready within ten seconds
+    let _forwarder = start(&state, &config_text, platform.address); // ready within ten seconds
     until("each message is tried once", || {
         accepted.iter().all(|id| calls(&request_log, id) == 1)
     });
@@ -296,8 +303,8 @@
     let (platform, _) = silent_endpoint();
     let (_dir, state) = folder();
     let listen = free_address();
-    let text = config("notice", "free", 200, 3.0);
-    let child = command(&state, &text, &listen.to_string(), platform)
+    let config_text = config("notice", "free", 200, 3.0);
+    let child = command(&state, &config_text, &listen.to_string(), platform)
         .spawn()
         .expect("the process starts");
     let mut forwarder = Forwarder { child, listen };
@@ -319,12 +326,16 @@
 fn reload_rereads_a_partially_written_file() {
     let (endpoint, request_log) = endpoint_responding_with("200 OK");
     let (other, other_request_log) = endpoint_responding_with("200 OK");
-    let old = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let new = platform(vec![member(other, 7, "Ready")], 0);
+    let old_platform = platform(vec![member(endpoint, 7, "Ready")], 0);
+    let new_platform = platform(vec![member(other, 7, "Ready")], 0);
     let (dir, state) = folder();
-    let text = config("notice", "free", 200, 3.0);
-    let mut forwarder = start(&state, &text, old.address);
-    let new_config = text.replacen('{', &format!("{{\"discovery\":\"{}\",", new.address), 1);
+    let config_text = config("notice", "free", 200, 3.0);
+    let mut forwarder = start(&state, &config_text, old_platform.address);
+    let new_config = config_text.replacen(
+        '{',
+        &format!("{{\"discovery\":\"{}\",", new_platform.address),
+        1,
+    );
     let config_file = dir.path().join("config.json");
     let reload_with = |file_content: &str| {
         match file_content {
@@ -394,9 +405,9 @@
         });
         let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
         let (_dir, state) = folder();
-        let text = config("notice", "guarded", 200, 3.0)
+        let config_text = config("notice", "guarded", 200, 3.0)
             .replace("WindowUs\":15000000", "WindowUs\":1000000");
-        let mut forwarder = start(&state, &text, platform.address);
+        let mut forwarder = start(&state, &config_text, platform.address);
         assert_eq!(forwarder.submit("out", "notice"), 202);
         until("the last attempt before the kill is sent", || {
             calls(&request_log, "out") == attempts_before_kill
@@ -407,7 +418,7 @@
             (first_start + Duration::from_millis(restart_after_ms))
                 .saturating_duration_since(Instant::now()),
         );
-        let _forwarder = start(&state, &text, platform.address);
+        let _forwarder = start(&state, &config_text, platform.address);
         if repeats {
             until("the message is sent again", || {
                 calls(&request_log, "out") == attempts_before_kill + 1
--- a/crates/forwarder/tests/golden.rs
+++ b/crates/forwarder/tests/golden.rs
@@ -16,8 +16,10 @@
 }
 
 /// Copies a stored state folder to the empty folder `state`.
-fn copy_stored_state(stored: &str, state: &Path) {
-    for file in std::fs::read_dir(golden_path(stored)).expect("the stored folder is readable") {
+fn copy_stored_state(stored_folder: &str, state: &Path) {
+    for file in
+        std::fs::read_dir(golden_path(stored_folder)).expect("the stored folder is readable")
+    {
         let file = file.expect("the entry is readable");
         std::fs::copy(file.path(), state.join(file.file_name())).expect("the file is copied");
     }
@@ -61,7 +63,7 @@
 
 /// Starts the program on a copy of a stored state folder, waits for all recorded calls and reports, and checks that there
 /// are no others.
-fn assert_recovers(stored: &str, effect: &str, expected: &str) {
+fn assert_recovers(stored_folder: &str, effect: &str, expected: &str) {
     let endpoints: Vec<_> = [7, 8, 9, 10, 11, 65_535, 70_000, u32::MAX]
         .map(|destination| (destination, serve(|_, _| plain("200 OK"))))
         .into();
@@ -71,10 +73,10 @@
     // The platform does not acknowledge the first completion report, so that it is repeated.
     let platform = platform(members.collect(), 1);
     let (_dir, state) = folder();
-    copy_stored_state(stored, &state);
-    let text = config("notice", effect, 200, 3.0)
+    copy_stored_state(stored_folder, &state);
+    let config_text = config("notice", effect, 200, 3.0)
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
-    let _forwarder = scripted::start(PROGRAM, &state, &text, platform.address);
+    let _forwarder = scripted::start(PROGRAM, &state, &config_text, platform.address);
     let received_lines = || {
         let mut lines: BTreeSet<String> = report_lines(&platform)
             .into_iter()
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -42,8 +42,8 @@
         list(2, false, &unknown),
         whole,
     ];
-    for (round, text) in changes.into_iter().enumerate() {
-        push_change(&platform, text);
+    for (round, change) in changes.into_iter().enumerate() {
+        push_change(&platform, change);
         let ids: Vec<String> = (0..10).map(|n| format!("p-{round}-{n}")).collect();
         for id in &ids {
             assert_eq!(forwarder.submit(id, "notice"), 202, "{id}");
@@ -67,7 +67,7 @@
             .lock()
             .expect("the request log is not poisoned")
             .iter()
-            .filter(|m| m.first.starts_with("POST"))
+            .filter(|request| request.first.starts_with("POST"))
             .count(),
         60
     );
--- a/crates/forwarder/tests/polled_list.rs
+++ b/crates/forwarder/tests/polled_list.rs
@@ -42,11 +42,11 @@
     fn start(mode: Arc<AtomicU8>, members: Vec<String>) -> Discovery {
         let polls: Arc<Mutex<Vec<Instant>>> = Arc::default();
         let (current_mode, log) = (mode.clone(), polls.clone());
-        let (address, _) = serve(move |m, _| {
-            if !m.first.contains("/discovery/") {
+        let (address, _) = serve(move |request, _| {
+            if !request.first.contains("/discovery/") {
                 return plain("204 No Content");
             }
-            let wait_ms = m
+            let wait_ms = request
                 .first
                 .split("wait=")
                 .nth(1)
@@ -105,8 +105,8 @@
         let start_forwarder = |number: usize| {
             let discovery = Discovery::start(mode.clone(), Vec::new());
             let (dir, state) = folder();
-            let text = config_file(number, poll_interval_s);
-            let forwarder = start(&state, &text, discovery.address);
+            let config_text = config_file(number, poll_interval_s);
+            let forwarder = start(&state, &config_text, discovery.address);
             (discovery, forwarder, dir)
         };
         let members: Vec<_> = (0..FORWARDERS).map(start_forwarder).collect();
@@ -202,8 +202,8 @@
     let members = vec![member(endpoint, 7, "Ready")];
     let poll_times: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let log = poll_times.clone();
-    let (discovery, _) = serve(move |m, _| {
-        if !m.first.contains("/discovery/") {
+    let (discovery, _) = serve(move |request, _| {
+        if !request.first.contains("/discovery/") {
             return plain("204 No Content");
         }
         let first = {
@@ -216,7 +216,7 @@
             thread::sleep(RESPONSE_DELAY);
             return with_body(&list(1, true, &members));
         }
-        if m.first.contains("index=1&") {
+        if request.first.contains("index=1&") {
             sleep_ms(1_900);
             return with_body(&list(1, false, &[]));
         }
@@ -263,8 +263,8 @@
     let mode = Arc::new(AtomicU8::new(DiscoveryMode::Answers as u8));
     let discovery = Discovery::start(mode, vec![member(endpoint, 7, "Ready")]);
     let (_dir, state) = folder();
-    let text = config_file(1, 10).replace("on_request", list_mode);
-    let mut forwarder = start(&state, &text, discovery.address);
+    let config_text = config_file(1, 10).replace("on_request", list_mode);
+    let mut forwarder = start(&state, &config_text, discovery.address);
     until("the list is received", || discovery.polls_received() >= 1);
     until("a message is accepted", || {
         forwarder.submit("held", "notice") == 202
@@ -275,7 +275,7 @@
         discovery.address
     });
     let started_at = Instant::now();
-    let _again: Forwarder = start(&state, &text, address);
+    let _again: Forwarder = start(&state, &config_text, address);
     assert!(
         started_at.elapsed() < READY_TIMEOUT,
         "{list_mode}: ready after {:?}",
--- a/crates/forwarder/tests/program/configuration.rs
+++ b/crates/forwarder/tests/program/configuration.rs
@@ -9,26 +9,29 @@
     let (endpoint, request_log) = endpoint_responding_with("200 OK");
     let (other, other_request_log) = endpoint_responding_with("200 OK");
     let (silent_address, _) = silent_endpoint();
-    let old = platform(
+    let old_platform = platform(
         vec![
             member(endpoint, 7, "Ready"),
             member(silent_address, 9, "Ready"),
         ],
         usize::MAX,
     ); // the old platform acknowledges no report
-    let new = platform(vec![member(other, 7, "Ready")], 0);
+    let new_platform = platform(vec![member(other, 7, "Ready")], 0);
     let (dir, state) = folder();
-    let text = config("notice", "free", 200, 3.0);
+    let config_text = config("notice", "free", 200, 3.0);
     // The revisions of the new platform start at a lower number.
-    push_change(&old, list(90, false, &[member(endpoint, 7, "Ready")]));
-    let mut forwarder = start(&state, &text, old.address);
-    wait_until_changes_are_sent(&old);
+    push_change(
+        &old_platform,
+        list(90, false, &[member(endpoint, 7, "Ready")]),
+    );
+    let mut forwarder = start(&state, &config_text, old_platform.address);
+    wait_until_changes_are_sent(&old_platform);
     let short_submission = submission_head("short", "notice", 4)
         .replace("20000", "300")
         .replace("dest=7", "dest=9");
     assert_eq!(forwarder.ask(&short_submission, b"body"), 202);
     until("a completion report arrives at the old platform", || {
-        !report_bodies(&old).is_empty()
+        !report_bodies(&old_platform).is_empty()
     });
     let config_file = dir.path().join("config.json");
     std::fs::write(&config_file, "{\"name\":").expect("the write succeeds");
@@ -38,21 +41,28 @@
     until("the old endpoint receives the message", || {
         calls(&request_log, "one") == 1
     });
-    let new_config = text.replacen('{', &format!("{{\"discovery\":\"{}\",", new.address), 1);
+    let new_config = config_text.replacen(
+        '{',
+        &format!("{{\"discovery\":\"{}\",", new_platform.address),
+        1,
+    );
     std::fs::write(&config_file, new_config).expect("the write succeeds");
     forwarder.signal("-HUP");
     until("the report is repeated to the new platform", || {
-        !report_bodies(&new).is_empty()
+        !report_bodies(&new_platform).is_empty()
     });
     // A watch of the new platform follows its complete list: from now on the list of the old platform must not be used.
-    push_change(&new, list(1, false, &[]));
-    wait_until_changes_are_sent(&new);
+    push_change(&new_platform, list(1, false, &[]));
+    wait_until_changes_are_sent(&new_platform);
     until("the new list takes effect", || {
         forwarder.submit("two", "notice") == 202 && calls(&other_request_log, "two") > 0
     });
     assert_eq!(calls(&request_log, "two"), 0);
-    push_change(&new, list(2, false, &[member(endpoint, 7, "Terminating")]));
-    wait_until_changes_are_sent(&new);
+    push_change(
+        &new_platform,
+        list(2, false, &[member(endpoint, 7, "Terminating")]),
+    );
+    wait_until_changes_are_sent(&new_platform);
     assert!(forwarder
         .child
         .try_wait()
@@ -93,8 +103,8 @@
             "GW_CONFIG",
         ),
     ];
-    for (text, key) in cases {
-        let output = command(&state, &text, "127.0.0.1:0", discovery)
+    for (config_text, key) in cases {
+        let output = command(&state, &config_text, "127.0.0.1:0", discovery)
             .stderr(Stdio::piped())
             .output();
         let output = output.expect("the program starts");
--- a/crates/forwarder/tests/program/endpoint_list.rs
+++ b/crates/forwarder/tests/program/endpoint_list.rs
@@ -5,9 +5,9 @@
 /// A change that a watch receives takes effect at once.
 #[test]
 fn sends_no_new_message_to_a_draining_endpoint() {
-    let (old, old_request_log) = endpoint_responding_with("200 OK");
-    let (new, new_request_log) = endpoint_responding_with("200 OK");
-    let platform = platform(vec![member(old, 7, "Ready")], 0);
+    let (old_endpoint, old_request_log) = endpoint_responding_with("200 OK");
+    let (new_endpoint, new_request_log) = endpoint_responding_with("200 OK");
+    let platform = platform(vec![member(old_endpoint, 7, "Ready")], 0);
     let (_dir, state) = folder();
     let forwarder = start(
         &state,
@@ -21,7 +21,10 @@
     let change = list(
         2,
         false,
-        &[member(old, 7, "Terminating"), member(new, 7, "Ready")],
+        &[
+            member(old_endpoint, 7, "Terminating"),
+            member(new_endpoint, 7, "Ready"),
+        ],
     );
     push_change(&platform, change);
     wait_until_changes_are_sent(&platform);
@@ -46,8 +49,8 @@
 #[test]
 fn treats_a_new_process_at_an_address_as_a_new_endpoint() {
     // The first process always rejects, with a long retry-after.
-    let (endpoint, request_log) = serve(|m, _| {
-        plain(if m.headers["request-id"].starts_with("old") {
+    let (endpoint, request_log) = serve(|request, _| {
+        plain(if request.headers["request-id"].starts_with("old") {
             "429 Wait\r\nWait-Ms: 9000"
         } else {
             "200 OK"
@@ -64,8 +67,8 @@
     until("the old process rejects the message", || {
         calls(&request_log, "old") == 1
     });
-    let new = member(endpoint, 8, "Ready").replace("s-", "t-");
-    push_change(&platform, list(2, false, &[new]));
+    let new_endpoint = member(endpoint, 8, "Ready").replace("s-", "t-");
+    push_change(&platform, list(2, false, &[new_endpoint]));
     wait_until_changes_are_sent(&platform);
     sleep_ms(100);
     assert_eq!(
--- a/crates/forwarder/tests/program/restarts.rs
+++ b/crates/forwarder/tests/program/restarts.rs
@@ -10,8 +10,12 @@
 fn delivers_or_reports_each_message_after_a_kill() {
     for effect in ["free", "guarded", "single_shot"] {
         // The first attempt at the message `out` gets no response. All other requests get one.
-        let (endpoint, request_log) = serve(|m, n| {
-            let hangs = n < 2 && m.headers.get("request-id").is_some_and(|i| i == "out");
+        let (endpoint, request_log) = serve(|request, n| {
+            let hangs = n < 2
+                && request
+                    .headers
+                    .get("request-id")
+                    .is_some_and(|i| i == "out");
             if hangs {
                 None
             } else {
@@ -20,8 +24,8 @@
         });
         let platform = platform(vec![member(endpoint, 7, "Ready")], 1);
         let (_dir, state) = folder();
-        let text = config("notice", effect, 200, 3.0);
-        let mut forwarder = start(&state, &text, platform.address);
+        let config_text = config("notice", effect, 200, 3.0);
+        let mut forwarder = start(&state, &config_text, platform.address);
         assert_eq!(forwarder.submit("done", "notice"), 202);
         until("the message `done` is delivered", || {
             calls(&request_log, "done") == 1
@@ -37,7 +41,7 @@
             "a repeated submission is the same message"
         );
         kill_and_wait(&mut forwarder);
-        let _forwarder = start(&state, &text, platform.address);
+        let _forwarder = start(&state, &config_text, platform.address);
         if effect == "single_shot" {
             let line = "{\"id\":\"out\",\"status\":\"undeliverable\"}\n";
             // The first report is not acknowledged, so that it is repeated.
@@ -66,7 +70,7 @@
 fn sigterm_answers_submissions_finishes_attempts_and_exits_in_time() {
     let (endpoint, request_log) =
         serve(
-            |m, _| match m.headers.get("request-id").map(String::as_str) {
+            |request, _| match request.headers.get("request-id").map(String::as_str) {
                 Some("stuck") => None,
                 _ => {
                     sleep_ms(400);
@@ -76,8 +80,8 @@
         );
     let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
     let (_dir, state) = folder();
-    let text = config("notice", "free", 200, 3.0);
-    let mut forwarder = start(&state, &text, platform.address);
+    let config_text = config("notice", "free", 200, 3.0);
+    let mut forwarder = start(&state, &config_text, platform.address);
     assert_eq!(forwarder.submit("stuck", "notice"), 202);
     assert_eq!(forwarder.submit("before", "notice"), 202);
     let mut fresh = forwarder.connect().expect("the connection is established");
@@ -114,7 +118,7 @@
         assert_eq!(calls(&request_log, id), 1, "{id}");
     }
     let before = calls(&request_log, "stuck");
-    let _forwarder = start(&state, &text, platform.address);
+    let _forwarder = start(&state, &config_text, platform.address);
     until("the message `stuck` is sent again", || {
         calls(&request_log, "stuck") > before
     });
@@ -124,8 +128,12 @@
 /// A message to a destination whose number has more than 16 bits is accepted, recovered after a kill and delivered there.
 #[test]
 fn recovers_a_message_to_destination_70000_after_a_kill() {
-    let (endpoint, request_log) = serve(|m, n| {
-        let hangs = n < 2 && m.headers.get("request-id").is_some_and(|i| i == "out");
+    let (endpoint, request_log) = serve(|request, n| {
+        let hangs = n < 2
+            && request
+                .headers
+                .get("request-id")
+                .is_some_and(|i| i == "out");
         if hangs {
             None
         } else {
@@ -142,8 +150,8 @@
         0,
     );
     let (_dir, state) = folder();
-    let text = config("notice", "free", 200, 3.0);
-    let mut forwarder = start(&state, &text, platform.address);
+    let config_text = config("notice", "free", 200, 3.0);
+    let mut forwarder = start(&state, &config_text, platform.address);
     let submit = |forwarder: &Forwarder, id: &str, destination: &str| {
         let head =
             submission_head(id, "notice", 4).replace("dest=7", &format!("dest={destination}"));
@@ -161,7 +169,7 @@
     assert_eq!(submit(&forwarder, "none", "4294967295"), 503);
     assert_eq!(submit(&forwarder, "none", "4294967296"), 400);
     kill_and_wait(&mut forwarder);
-    let _forwarder = start(&state, &text, platform.address);
+    let _forwarder = start(&state, &config_text, platform.address);
     until("the message is sent again", || {
         calls(&request_log, "out") == 2
     });
@@ -192,8 +200,8 @@
         });
         let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
         let (_dir, state) = folder();
-        let text = config("notice", effect, 200, 3.0);
-        let mut forwarder = start(&state, &text, platform.address);
+        let config_text = config("notice", effect, 200, 3.0);
+        let mut forwarder = start(&state, &config_text, platform.address);
         let mut accepted = Vec::new();
         for round in 0..3 {
             for n in 0..12 {
@@ -204,7 +212,7 @@
             }
             thread::sleep(Duration::from_millis(15 * round));
             kill_and_wait(&mut forwarder);
-            forwarder = start(&state, &text, platform.address);
+            forwarder = start(&state, &config_text, platform.address);
         }
         assert!(
             accepted.len() > 30,
@@ -221,7 +229,7 @@
             let log = request_log.lock().expect("the request log is not poisoned");
             let last = log
                 .iter()
-                .rposition(|m| m.headers.get("request-id") == Some(id));
+                .rposition(|request| request.headers.get("request-id") == Some(id));
             reported(id) || last.is_some_and(|n| n % 8 != 7)
         };
         until("each message is delivered or reported", || {
@@ -230,8 +238,8 @@
         if effect == "single_shot" {
             let served = |id: &String| {
                 let log = request_log.lock().expect("the request log is not poisoned");
-                let ran = |(n, m): &(usize, &Message)| {
-                    n % 8 != 7 && m.headers.get("request-id") == Some(id)
+                let ran = |(n, request): &(usize, &Message)| {
+                    n % 8 != 7 && request.headers.get("request-id") == Some(id)
                 };
                 log.iter().enumerate().filter(ran).count()
             };
--- a/crates/forwarder/tests/program/submissions.rs
+++ b/crates/forwarder/tests/program/submissions.rs
@@ -132,7 +132,7 @@
         .expect("the state folder is readable")
         .map(|f| f.expect("the entry is readable").metadata());
     let used_bytes: u64 = files
-        .map(|m| m.expect("the file has a size").len().div_ceil(512) * 512)
+        .map(|metadata| metadata.expect("the file has a size").len().div_ceil(512) * 512)
         .sum();
     assert!(used_bytes <= 400_000, "{used_bytes}");
     endpoint_accepts.store(true, Ordering::Relaxed);
@@ -145,15 +145,15 @@
 fn serializes_messages_of_an_order_key_across_a_kill() {
     let endpoint_accepts = Arc::new(AtomicBool::new(false));
     let accepts = endpoint_accepts.clone();
-    let (endpoint, request_log) = serve(move |m, _| {
-        let hangs = m.headers["request-id"] == "first" && !accepts.load(Ordering::Relaxed);
+    let (endpoint, request_log) = serve(move |request, _| {
+        let hangs = request.headers["request-id"] == "first" && !accepts.load(Ordering::Relaxed);
         (!hangs).then(|| plain("200 OK")).flatten()
     });
     let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
     let (_dir, state) = folder();
-    let text = config("notice", "guarded", 200, 3.0)
+    let config_text = config("notice", "guarded", 200, 3.0)
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
-    let mut forwarder = start(&state, &text, platform.address);
+    let mut forwarder = start(&state, &config_text, platform.address);
     let submit = |forwarder: &Forwarder, id: &str, key: &str| {
         let head = submission_head(id, "notice", 4)
             .replace("\r\n\r\n", &format!("\r\nAffinity-Key: {key}\r\n\r\n"));
@@ -170,7 +170,7 @@
     });
     assert_eq!(calls(&request_log, "second"), 0);
     kill_and_wait(&mut forwarder);
-    forwarder = start(&state, &text, platform.address);
+    forwarder = start(&state, &config_text, platform.address);
     until("the first message is sent again", || {
         calls(&request_log, "first") >= 2
     });
@@ -186,7 +186,7 @@
     let log = request_log.lock().expect("the request log is not poisoned");
     let ids: Vec<&str> = log
         .iter()
-        .map(|m| m.headers["request-id"].as_str())
+        .map(|request| request.headers["request-id"].as_str())
         .collect();
     assert_eq!(ids[ids.len() - 2..], ["first", "second"], "{ids:?}");
 }
@@ -205,9 +205,9 @@
     });
     let platform = platform(vec![member(slow.address, 7, "Ready")], 0);
     let (_dir, state) = folder();
-    let text =
+    let config_text =
         config("notice", "guarded", 200, 3.0).replace("TimeoutUs\":1000000", "TimeoutUs\":5000000");
-    let forwarder = start(&state, &text, platform.address);
+    let forwarder = start(&state, &config_text, platform.address);
     assert_eq!(forwarder.submit("slow", "notice"), 202);
     push_change(&platform, list(2, false, &[member(quick, 7, "Ready")]));
     sleep_ms(400);
--- a/crates/forwarder/tests/scenarios.rs
+++ b/crates/forwarder/tests/scenarios.rs
@@ -23,9 +23,9 @@
     outcome
 }
 
-fn scenario(lasts: &str, more: &str) -> Scenario {
+fn scenario(lasts: &str, extra_sections: &str) -> Scenario {
     let text = format!(
-        "version = 1\nname = \"short\"\nshows = \"s\"\nlasts = \"{lasts}\"\n{more}\n[[profiles]]\nname = \"keyed\"\n\
+        "version = 1\nname = \"short\"\nshows = \"s\"\nlasts = \"{lasts}\"\n{extra_sections}\n[[profiles]]\nname = \"keyed\"\n\
          effect = \"fingerprinted\"\nwindow = \"6s\"\ncontract_time = \"1s\"\nexpiry = \"6s\"\n[[profiles]]\nname = \"once\"\n\
          effect = \"binding\"\ncontract_time = \"1s\"\nexpiry = \"6s\"\n"
     );
@@ -35,11 +35,15 @@
 /// Checks what must hold on a machine of any speed: no rule is broken, each message has one end, and most are served.
 fn assert_rules_hold(outcome: &Outcome, min_served_share: f64) {
     assert!(outcome.broken.is_empty(), "{:#?}", outcome.breaks);
-    let c = &outcome.counts;
-    assert_eq!(c.served + c.failed + c.given_up + c.gone, c.due, "{c:?}");
+    let counts = &outcome.counts;
+    assert_eq!(
+        counts.served + counts.failed + counts.given_up + counts.gone,
+        counts.due,
+        "{counts:?}"
+    );
     assert!(
         outcome.served_share() >= min_served_share,
-        "share of served messages is {}, expected at least {min_served_share}: {c:?}",
+        "share of served messages is {}, expected at least {min_served_share}: {counts:?}",
         outcome.served_share()
     );
 }
@@ -72,21 +76,21 @@
          [[troubles]]\nat = \"3s\"\nlasts = \"2s\"\nwhat = { kind = \"shut\" }\non = { numbers = [3] }\n\
          [[troubles]]\nat = \"3s\"\nlasts = \"3s\"\nwhat = { kind = \"refusals-cut\", rate = 0.5 }\n",
     );
-    let real = run_on_sockets(&scenario, 2);
-    assert_rules_hold(&real, 0.75);
+    let on_sockets = run_on_sockets(&scenario, 2);
+    assert_rules_hold(&on_sockets, 0.75);
     let simulated = Sim::new(&scenario, 2, ForwarderVariant::True)
         .expect("the process starts")
         .run(|_, _| {});
     assert_rules_hold(&simulated, 0.75);
     assert_eq!(
-        real.counts.due, simulated.counts.due,
+        on_sockets.counts.due, simulated.counts.due,
         "the same number of messages is due on both clocks"
     );
-    let difference = (real.served_share() - simulated.served_share()).abs();
+    let difference = (on_sockets.served_share() - simulated.served_share()).abs();
     assert!(
         difference < 0.12,
         "served {} on sockets, {} simulated",
-        real.served_share(),
+        on_sockets.served_share(),
         simulated.served_share()
     );
 }
