--- a/crates/forwarder/src/dispatcher/recovery.rs
+++ b/crates/forwarder/src/dispatcher/recovery.rs
@@ -1,7 +1,7 @@
-//! Recovery: a new core gets the messages of the journal, after a restart of the process or a panic of the core.
+//! Recovery: passes the messages of the journal to a new core, after a restart of the process or a panic of the core.
 
 use super::in_flight::InFlightMessage;
-use super::submissions::submission;
+use super::submissions::core_submission;
 use super::{CoreState, Dispatcher};
 use crate::commands::{EndpointCommand, PendingCompletionReport};
 use crate::journal::StoredMessage;
@@ -14,51 +14,53 @@
 use std::sync::atomic::Ordering;
 
 impl Dispatcher {
-    /// Takes over the messages of a previous run. They wait for an endpoint list: without one the core could send
-    /// them nowhere.
-    pub fn take_over(&mut self, messages: Vec<StoredMessage>) {
+    /// Restores the messages of a previous run. They wait until an endpoint list is known, because the core could not
+    /// send them to any endpoint without one.
+    pub fn restore_previous_run(&mut self, messages: Vec<StoredMessage>) {
         self.recovered_messages = Some(messages);
-        if !self.listed.is_empty() {
+        if !self.listed_endpoints.is_empty() {
             self.submit_recovered_messages();
         }
     }
 
-    /// Gives the core the messages of a previous run, if it has not got them yet. From then on clients may submit.
+    /// Passes the messages of a previous run to the core, unless that is already done. From then on clients may submit
+    /// messages.
     pub(super) fn submit_recovered_messages(&mut self) {
         if let Some(messages) = self.recovered_messages.take() {
-            self.restore(messages);
+            self.restore_messages(messages);
             self.ready.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Gives the core messages of the journal, with what is known of their attempts.
-    pub(super) fn restore(&mut self, messages: Vec<StoredMessage>) {
+    /// Passes messages of the journal to the core, with the recorded history of their attempts. For a message that has
+    /// ended, only the completion report is sent again.
+    pub(super) fn restore_messages(&mut self, messages: Vec<StoredMessage>) {
         let now = self.clock.now();
         for stored in messages {
-            let id = self.in_flight.new_id();
+            let id = self.in_flight.unused_id();
             match stored.pending_report {
-                Some(ending) => self.restore_report(id, stored, ending),
+                Some(ending) => self.restore_pending_report(id, stored, ending),
                 None => self.restore_message(now, id, stored),
             }
         }
     }
 
-    /// The message is over, and the platform has not acknowledged its completion report.
-    fn restore_report(&mut self, id: MessageId, stored: StoredMessage, ending: Ending) {
+    /// Restores a message that has ended and whose completion report the platform has not acknowledged.
+    fn restore_pending_report(&mut self, id: MessageId, stored: StoredMessage, ending: Ending) {
         if let Some(key) = stored.order_key {
-            self.handle(Event::CompletionReportPending {
+            self.handle_event(Event::CompletionReportPending {
                 id,
                 class: DeliveryClassId(stored.class),
                 order_key: OrderKey(key),
             });
         }
-        let ordered = stored.order_key.map(|_| id);
+        let ordered_message = stored.order_key.map(|_| id);
         let report = PendingCompletionReport {
             serial: stored.serial,
             request_id: stored.request_id,
             ending,
         };
-        self.send_report(report, ordered);
+        self.send_report(report, ordered_message);
     }
 
     fn restore_message(&mut self, now: Micros, id: MessageId, stored: StoredMessage) {
@@ -71,61 +73,63 @@
         let submitted = submitted_message(now, stored);
         let submission = Submission {
             resubmitted: true,
-            ..submission(id, &submitted, history)
+            ..core_submission(id, &submitted, history)
         };
         let message = InFlightMessage::new(serial, submitted, deadline, history.attempts);
         self.in_flight.insert(id, message);
-        self.handle(Event::MessageSubmitted(submission));
+        self.handle_event(Event::MessageSubmitted(submission));
     }
 
-    /// Handles a panic of the core. `submitted` is the message whose submission it panicked on.
-    pub(super) fn core_panicked(&mut self, submitted: Option<MessageId>) {
+    /// Handles a panic of the core. `submitted_id` is the message whose submission caused the panic, if it was a
+    /// submission.
+    pub(super) fn handle_core_panic(&mut self, submitted_id: Option<MessageId>) {
         match self.core_state {
             CoreState::Running => self.replace_core(),
-            // A second replacement would panic on the same message again. So the message fails.
+            // Another replacement would panic on the same message again, so the message fails.
             CoreState::Replacing => {
-                if let Some(id) = submitted {
-                    self.finish_with_report(id, Ending::Failed);
+                if let Some(id) = submitted_id {
+                    self.end_with_report(id, Ending::Failed);
                 }
             }
         }
     }
 
-    /// Replaces a core that panicked. The new one gets the endpoint list and the messages of the journal, as after a
+    /// Replaces a core that panicked. The new core gets the endpoint list and the messages of the journal, as after a
     /// restart of the process.
     pub(super) fn replace_core(&mut self) {
-        self.core_panics += 1;
-        crit!(self.log, "the core panicked and is replaced"; "panics" => self.core_panics);
-        let seed = self.seed.wrapping_add(self.core_panics);
+        self.core_replacements += 1;
+        crit!(self.log, "decision core replaced after a panic"; "panics" => self.core_replacements);
+        let seed = self.seed.wrapping_add(self.core_replacements);
         self.forwarder = Forwarder::new(self.config.clone(), seed);
         self.timers.clear();
         self.queued_events.clear();
-        // The journal has the messages of a previous run too. Once they are restored from it, clients may submit.
+        // The journal also holds the messages of a previous run. They are restored from it below, so clients may submit
+        // messages.
         if self.recovered_messages.take().is_some() {
             self.ready.store(true, Ordering::Relaxed);
         }
         self.cancel_all_attempts();
         self.core_state = CoreState::Replacing;
         let entries = self
-            .listed
+            .listed_endpoints
             .iter()
             .map(|(endpoint, listed)| listed.to_entry(*endpoint))
             .collect();
-        self.decide(Event::EndpointListUpdated(EndpointListUpdate::Cached(
+        self.process_event(Event::EndpointListUpdated(EndpointListUpdate::Cached(
             entries,
         )));
         let messages = self.journal.recover_messages();
-        self.restore(messages);
+        self.restore_messages(messages);
         self.core_state = CoreState::Running;
     }
 
     /// Removes all messages in flight and cancels their attempts.
     fn cancel_all_attempts(&mut self) {
         for (id, message) in self.in_flight.take_all() {
-            for out in message.attempts_out {
-                let attempt_index = out.attempt;
-                self.post(
-                    out.endpoint,
+            for attempt in message.outstanding_attempts {
+                let attempt_index = attempt.attempt_index;
+                self.send_endpoint_command(
+                    attempt.endpoint,
                     EndpointCommand::CancelAttempt { id, attempt_index },
                 );
             }
@@ -133,8 +137,10 @@
     }
 }
 
-/// The earliest attempt that may have taken effect. A start in the future means that the clock was set back: how long
-/// ago the attempt began is not known then. 0 makes it older than any deduplication window, so that it is not repeated.
+/// Returns the earliest attempt that may have taken effect.
+///
+/// A start in the future means that the clock was set back, so that the age of the attempt is not known. The start is
+/// then set to 0: the attempt is older than any deduplication window, so that it is not repeated.
 fn possible_effect(now: Micros, stored: &StoredMessage) -> Option<PossibleEffect> {
     let effect = stored.possible_effect?;
     let started_in_future = effect.started_at > now;
--- a/crates/forwarder/src/dispatcher/submissions.rs
+++ b/crates/forwarder/src/dispatcher/submissions.rs
@@ -1,4 +1,4 @@
-//! Accepting the messages that clients submit.
+//! Accepts or rejects the messages that clients submit.
 
 use super::in_flight::InFlightMessage;
 use super::{Decision, Dispatcher};
@@ -12,47 +12,48 @@
 use slog::{debug, error};
 use tokio::sync::oneshot;
 
-/// A tenant that no deployment has: the core finds no quota for it.
+/// The tenant of messages without one. No deployment configures this id, so that the core finds no quota for it.
 const NO_TENANT: TenantId = TenantId(u32::MAX);
 
 impl Dispatcher {
-    /// Accepts or rejects one submission and answers its client. The message is journalled before the answer.
-    pub(super) fn submit(&mut self, request: SubmissionRequest) {
+    /// Accepts or rejects one submission and answers its client. An accepted message is journalled before the answer is
+    /// sent.
+    pub(super) fn handle_submission(&mut self, request: SubmissionRequest) {
         let SubmissionRequest {
             mut submitted,
             received_at,
             answer_sender,
         } = request;
-        // The client has left, and nothing was accepted yet: there is nothing to do.
+        // The client has disconnected and the message is not accepted yet, so it can be dropped.
         if answer_sender.is_closed() {
             return;
         }
-        if let Some(reply) = self.answer_without_acceptance(&submitted) {
-            send_answer(answer_sender, reply);
+        if let Some(answer) = self.answer_without_acceptance(&submitted) {
+            send_answer(answer_sender, answer);
             return;
         }
-        // The time left is counted from the last byte of the request, not from its turn in the mailbox.
+        // The time left is counted from the last byte of the request, which includes the wait in the mailbox.
         submitted.time_left = submitted
             .time_left
             .saturating_sub(micros(received_at.elapsed()));
-        let Some(submission) = self.accept(submitted) else {
+        let Some(submission) = self.accept_message(submitted) else {
             send_answer(answer_sender, SubmissionAnswer::ResourceExhausted);
             return;
         };
         let id = submission.id;
-        let ordered = submission.order_key.is_some();
-        match self.decide_submission(submission) {
-            Some(rejection) => self.reject_submission(id, ordered, rejection, answer_sender),
+        let is_ordered = submission.order_key.is_some();
+        match self.process_submission(submission) {
+            Some(rejection) => self.reject_submission(id, is_ordered, rejection, answer_sender),
             None => self.confirm_submission(id, answer_sender),
         }
         self.handle_queued_events();
     }
 
-    /// The answer to a submission that needs no place in the journal: the repeat of a message in flight, which a
-    /// client sends where the first answer was lost, or one to an unknown destination.
+    /// Returns the answer to a submission that needs no space in the journal: a submission to an unknown destination, or
+    /// the repeat of a message in flight, which a client sends if the first answer was lost.
     fn answer_without_acceptance(&self, submitted: &SubmittedMessage) -> Option<SubmissionAnswer> {
-        if let Some(first) = self.in_flight.by_request_id(&submitted.request_id) {
-            return Some(if has_same_content(&first.submitted, submitted) {
+        if let Some(in_flight) = self.in_flight.get_by_request_id(&submitted.request_id) {
+            return Some(if has_same_content(&in_flight.submitted, submitted) {
                 SubmissionAnswer::Accepted
             } else {
                 SubmissionAnswer::ConflictingContent
@@ -64,85 +65,89 @@
         None
     }
 
-    /// Journals a message and adds it to those in flight. None where there is no capacity for it.
-    fn accept(&mut self, submitted: SubmittedMessage) -> Option<Submission> {
+    /// Journals a message and adds it to the messages in flight. Returns `None` if there is no capacity for it or the
+    /// journal fails.
+    fn accept_message(&mut self, submitted: SubmittedMessage) -> Option<Submission> {
         let deadline = self.clock.now() + submitted.time_left;
         let stored = stored_message(&submitted, deadline);
-        // The configured capacity is checked before the core is asked, as the simulator does.
-        let table_full = self.in_flight.len() >= self.config.max_messages as usize;
-        if table_full || !self.journal.has_space_for(&stored) {
+        // The configured capacity is checked before the core gets the submission, as in the simulator.
+        let is_full = self.in_flight.len() >= self.config.max_messages as usize;
+        if is_full || !self.journal.has_space_for(&stored) {
             return None;
         }
         let serial = match self.journal.record_message(stored) {
             Ok(serial) => serial,
-            Err(problem) => {
-                error!(self.log, "a message could not be journalled"; "problem" => %problem);
+            Err(error) => {
+                error!(self.log, "submission rejected: the message could not be written to the journal";
+                    "problem" => %error);
                 return None;
             }
         };
-        let id = self.in_flight.new_id();
-        let submission = submission(id, &submitted, AttemptHistory::default());
+        let id = self.in_flight.unused_id();
+        let submission = core_submission(id, &submitted, AttemptHistory::default());
         let message = InFlightMessage::new(serial, submitted, deadline, 0);
         self.in_flight.insert(id, message);
         Some(submission)
     }
 
-    /// Gives the core a submission and carries out its actions. The action that ends this message at once is returned
-    /// as the answer to its client instead.
-    fn decide_submission(&mut self, submission: Submission) -> Option<SubmissionAnswer> {
-        let submitted = submission.id;
-        let Decision { now, actions } = self.ask_core(Event::MessageSubmitted(submission));
+    /// Passes a submission to the core and executes the core's actions. An action that ends this message at once is not
+    /// executed: it is returned as the answer to the client.
+    fn process_submission(&mut self, submission: Submission) -> Option<SubmissionAnswer> {
+        let submitted_id = submission.id;
+        let Decision { now, actions } = self.call_core(Event::MessageSubmitted(submission));
         let mut rejection = None;
         for action in actions {
             match action {
-                Action::Fail { id } if id == submitted => {
+                Action::Fail { id } if id == submitted_id => {
                     rejection = Some(SubmissionAnswer::Failed);
                 }
-                Action::Reject { id, retry_after } if id == submitted => {
+                Action::Reject { id, retry_after } if id == submitted_id => {
                     rejection = Some(SubmissionAnswer::Rejected { retry_after });
                 }
-                other => self.carry_out(now, other),
+                other => self.execute_action(now, other),
             }
         }
         rejection
     }
 
-    /// The client's own answer ends the message: the platform gets no completion report.
+    /// Ends a message that the core rejected at once, and sends the rejection to its client. The platform gets no
+    /// completion report, because the client's answer is final. `is_ordered`: the message has an order key, so that the
+    /// core waits for the acknowledgement of the final answer.
     fn reject_submission(
         &mut self,
         id: MessageId,
-        ordered: bool,
+        is_ordered: bool,
         rejection: SubmissionAnswer,
         answer_sender: oneshot::Sender<SubmissionAnswer>,
     ) {
-        self.finish_without_report(id);
-        if ordered {
+        self.end_without_report(id);
+        if is_ordered {
             let acknowledged = Event::FinalAnswerAcknowledged { id };
             self.queued_events.push_back(acknowledged);
         }
         send_answer(answer_sender, rejection);
     }
 
-    /// Tells the client that its message is accepted. The message is withdrawn where the client has left meanwhile.
+    /// Answers the client that its message is accepted. Withdraws the message if the client has disconnected.
     fn confirm_submission(
         &mut self,
         id: MessageId,
         answer_sender: oneshot::Sender<SubmissionAnswer>,
     ) {
         if answer_sender.send(SubmissionAnswer::Accepted).is_err() {
-            debug!(self.log, "a client left before its answer"; "message" => id.0);
-            self.finish_without_report(id);
-            self.handle(Event::MessageWithdrawn { id });
+            debug!(self.log, "message withdrawn: the client disconnected before the answer"; "message" => id.0);
+            self.end_without_report(id);
+            self.handle_event(Event::MessageWithdrawn { id });
         }
     }
 }
 
-/// An answer to a client that has left is dropped: nothing was accepted from it.
-fn send_answer(answer_sender: oneshot::Sender<SubmissionAnswer>, reply: SubmissionAnswer) {
-    let _ = answer_sender.send(reply);
+/// Sends an answer to a client. The answer is dropped if the client has disconnected, because no message was accepted.
+fn send_answer(answer_sender: oneshot::Sender<SubmissionAnswer>, answer: SubmissionAnswer) {
+    let _ = answer_sender.send(answer);
 }
 
-/// Whether two submissions with the same request id are the same message.
+/// Returns whether two submissions with the same request id are the same message.
 fn has_same_content(first: &SubmittedMessage, second: &SubmittedMessage) -> bool {
     first.class == second.class
         && first.destination == second.destination
@@ -151,7 +156,8 @@
         && first.body == second.body
 }
 
-/// A message as the journal stores it, before its first attempt. `deadline` is in µs.
+/// Returns a message as the journal stores it before the first attempt. `deadline` is in µs. The journal assigns the
+/// serial number.
 pub(super) fn stored_message(submitted: &SubmittedMessage, deadline: Micros) -> StoredMessage {
     StoredMessage {
         serial: 0,
@@ -172,8 +178,8 @@
     }
 }
 
-/// A message as the core gets it.
-pub(super) fn submission(
+/// Returns a message as the core gets it. `history` holds the attempts of previous runs.
+pub(super) fn core_submission(
     id: MessageId,
     submitted: &SubmittedMessage,
     history: AttemptHistory,
--- a/crates/forwarder/src/endpoint_list/watch.rs
+++ b/crates/forwarder/src/endpoint_list/watch.rs
@@ -7,7 +7,7 @@
 
 use super::table::EndpointTable;
 use crate::commands::{DispatcherCommand, EndpointListCommand};
-use crate::platform::{Platform, PlatformAnswer, PlatformError, Reachability};
+use crate::platform::{PlatformClient, PlatformError, PlatformResponse, Reachability};
 use crate::protocol::{list_path, EndpointListDocument};
 use hyper::{Method, StatusCode};
 use opalpulley::{EndpointListUpdate, Event, MAX_POLL_SILENCE};
@@ -47,7 +47,7 @@
 /// The actor that gets the endpoint list.
 pub struct EndpointListWatch {
     /// A connection to the platform's agent.
-    pub platform: Platform,
+    pub platform: PlatformClient,
     /// The address of the agent. A change takes effect at once, also during a poll.
     pub discovery: watch::Receiver<SocketAddr>,
     /// The names of zones and endpoint kinds in the settings.
@@ -65,7 +65,7 @@
 type PollResult = Result<EndpointListDocument, PlatformError>;
 
 /// A poll in flight. It returns the connection that it used.
-type PollInFlight = Pin<Box<dyn Future<Output = (Platform, PollResult)> + Send>>;
+type PollInFlight = Pin<Box<dyn Future<Output = (PlatformClient, PollResult)> + Send>>;
 
 /// The polls that are wanted, and the state of earlier ones.
 struct WatchState {
@@ -257,7 +257,7 @@
         } else {
             request.timeout
         };
-        let replacement = self.platform.to_same_address();
+        let replacement = self.platform.clone_without_connection();
         let mut platform = std::mem::replace(&mut self.platform, replacement);
         Box::pin(async move {
             let answer = platform
@@ -274,7 +274,7 @@
         state: &mut WatchState,
         document: EndpointListDocument,
     ) -> Result<(), DispatcherStopped> {
-        if state.reachability.set(Reachability::Reachable) {
+        if state.reachability.update(Reachability::Reachable) {
             info!(self.log, "endpoint list received again"; "revision" => document.revision);
         }
         match self.table.apply(document, &self.names) {
@@ -312,7 +312,7 @@
         state: &mut WatchState,
         error: PlatformError,
     ) -> Result<(), DispatcherStopped> {
-        if state.reachability.set(Reachability::Unreachable) {
+        if state.reachability.update(Reachability::Unreachable) {
             warn!(self.log, "endpoint list poll failed"; "problem" => %error);
         }
         if self.must_be_polled {
@@ -339,14 +339,14 @@
     /// again. The list from the previous address stays in use until then.
     fn handle_address_change(&mut self, state: &mut WatchState) {
         let address = *self.discovery.borrow_and_update();
-        self.platform.move_to(address);
+        self.platform.set_address(address);
         self.table.revision = None;
         state.fetch_wanted = true;
         state.late_poll = None;
     }
 }
 
-fn decode_document(answer: PlatformAnswer) -> PollResult {
+fn decode_document(answer: PlatformResponse) -> PollResult {
     if answer.status != StatusCode::OK {
         return Err(PlatformError::Status(answer.status));
     }
--- a/crates/forwarder/src/endpoints/connection.rs
+++ b/crates/forwarder/src/endpoints/connection.rs
@@ -43,7 +43,7 @@
         let (stream, stream_state) = EndpointStream::new(socket);
         let mut builder = Builder::new();
         builder.max_buf_size(READ_BUFFER_BYTES);
-        let http = HttpConnection::over(stream, &builder).await.ok()?;
+        let http = HttpConnection::handshake(stream, &builder).await.ok()?;
         Some(EndpointConnection { http, stream_state })
     }
 
@@ -63,7 +63,7 @@
 
     /// Waits until the connection can take a request. Returns false if the connection has ended.
     pub async fn usable(&mut self) -> bool {
-        self.http.usable().await
+        self.http.ready().await
     }
 
     /// Returns whether the connection is known to have ended.
@@ -78,7 +78,7 @@
 
     /// Waits until the connection can take another request. Returns `None` if the connection has ended.
     pub async fn into_reusable(mut self) -> Option<EndpointConnection> {
-        if self.http.usable().await {
+        if self.http.ready().await {
             Some(self)
         } else {
             None
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of opalpulley's decision core on the simulator's wire, over standard input and output.
+//! Runs instances of opalpulley's decision core for the simulator. It reads batches of records from standard input and
+//! writes a reply to each batch to standard output.
 
 mod error;
 mod field_reader;
@@ -11,14 +12,15 @@
 use std::io::{self, Write};
 use std::process::ExitCode;
 
-/// Answers batches until the input ends.
-fn run() -> Result<(), WireError> {
+/// Replies to batches until the input ends after a whole batch. Fails at the first error of a batch, a reply, the input
+/// or the output.
+fn serve() -> Result<(), WireError> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut host = host::Host::default();
     let mut body = Vec::new();
-    while let Some(head) = frame::read_batch(&mut input, &mut body)? {
-        let reply = host.answer(head, &body)?;
+    while let Some(header) = frame::read_batch(&mut input, &mut body)? {
+        let reply = host.handle_batch(header, &body)?;
         output.write_all(&reply)?;
         output.flush()?;
     }
@@ -26,10 +28,10 @@
 }
 
 fn main() -> ExitCode {
-    match run() {
+    match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("opalpulley-simhost: {problem}");
+        Err(error) => {
+            eprintln!("opalpulley-simhost: {error}");
             ExitCode::FAILURE
         }
     }
