--- a/crates/forwarder/tests/program/connections.rs
+++ b/crates/forwarder/tests/program/connections.rs
@@ -160,7 +160,7 @@
 /// Operators run fleets of more than hundreds: 1,024 forwarders and as many endpoints are in the cached list and in the
 /// complete one, which changes entry by entry, with 256 descriptors, a truncated list and datagrams from unknown senders.
 #[test]
-fn a_thousand_peers_and_endpoints_need_a_quarter_as_many_descriptors() {
+fn serves_1024_peers_and_endpoints_with_256_descriptors() {
     let (endpoints, request_logs): (Vec<_>, Vec<_>) =
         (0..300).map(|_| endpoint_responding_with("200 OK")).unzip();
     let host = |net: usize, n: usize| format!("127.{net}.{}.{}:7946", n / 250, n % 250 + 1);
