--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,6 +1,7 @@
-//! A bare relay over hyper, to hold a forwarder's ceiling against: it takes a message, answers 202 and calls the endpoint once.
-//! No journal, no rules, no retries. It reads the same start-up configuration, so that the laboratory can play a
-//! scenario round it: `opalpulley-lab run ... --sockets --forwarder target/release/opalpulley-relay`.
+//! A minimal relay over hyper, as a baseline for the maximum throughput of a forwarder. It accepts a message, answers 202
+//! and calls the endpoint once, without a journal, rules or retries. It reads the same start-up configuration as a
+//! forwarder, so the laboratory can run a scenario against it: `opalpulley-lab run ... --sockets --forwarder
+//! target/release/opalpulley-relay`.
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Bytes, Incoming};
@@ -14,24 +15,28 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::net::{TcpListener, TcpStream};
 
-type Line = SendRequest<Full<Bytes>>;
+/// The sending half of a connection.
+type RequestSender = SendRequest<Full<Bytes>>;
 type RelayError = Box<dyn Error + Send + Sync>;
 
+/// The state shared by all requests: the address of an endpoint per destination, and the idle connections per address.
 struct Relay {
     endpoints: BTreeMap<String, String>,
-    idle: Mutex<BTreeMap<String, Vec<Line>>>,
+    idle_connections: Mutex<BTreeMap<String, Vec<RequestSender>>>,
 }
 
-async fn connect(address: &str) -> Result<Line, RelayError> {
+async fn connect(address: &str) -> Result<RequestSender, RelayError> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    let (line, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+    let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(connection);
-    Ok(line)
+    Ok(sender)
 }
 
 impl Relay {
-    async fn pass_on(
+    /// Sends a request to an endpoint of the destination and waits for the complete response. The connection is kept for
+    /// reuse only if the request succeeds.
+    async fn forward(
         &self,
         request: Request<Full<Bytes>>,
         destination: &str,
@@ -39,28 +44,38 @@
         let address = self
             .endpoints
             .get(destination)
-            .ok_or("no such destination")?;
-        let idle = || self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle()
+            .ok_or("destination is not in the endpoint list")?;
+        let idle_connections = || {
+            self.idle_connections
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+        };
+        let reusable = idle_connections()
             .get_mut(address)
             .and_then(Vec::pop)
-            .filter(|l| !l.is_closed());
-        let mut line = match kept {
-            Some(line) => line,
+            .filter(|sender| !sender.is_closed());
+        let mut sender = match reusable {
+            Some(sender) => sender,
             None => connect(address).await?,
         };
-        line.ready().await?;
-        line.send_request(request)
+        sender.ready().await?;
+        sender
+            .send_request(request)
             .await?
             .into_body()
             .collect()
             .await?;
-        idle().entry(address.clone()).or_default().push(line);
+        idle_connections()
+            .entry(address.clone())
+            .or_default()
+            .push(sender);
         Ok(())
     }
 }
 
-async fn answer(
+/// Answers a submission with 202 and calls the endpoint in the background. Health checks on `/up`, and requests whose body
+/// can't be read, are answered with 200.
+async fn handle_submission(
     relay: Arc<Relay>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
@@ -88,8 +103,8 @@
         .unwrap_or("");
     let destination = envelope.trim_start_matches("dest=").to_owned();
     if let Ok(call) = call.body(Full::new(body.to_bytes())) {
-        // Whatever becomes of it, nobody is told: that is what makes it bare.
-        tokio::spawn(async move { drop(relay.pass_on(call, &destination).await) });
+        // The relay doesn't report the outcome of the call, as part of doing the least possible work.
+        tokio::spawn(async move { drop(relay.forward(call, &destination).await) });
     }
     *response.status_mut() = StatusCode::ACCEPTED;
     Ok(response)
@@ -102,7 +117,7 @@
         startup_config[key]
             .as_str()
             .map(str::to_owned)
-            .ok_or(format!("GW_CONFIG {key}: is not set"))
+            .ok_or(format!("GW_CONFIG: `{key}` must be set to an address"))
     };
     let mut discovery = connect(&address("discovery")?).await?;
     let poll = Request::get("/discovery/hosts")
@@ -117,18 +132,22 @@
         .to_bytes();
     let list: serde_json::Value = serde_json::from_slice(&list)?;
     let members = list["members"].as_array().cloned().unwrap_or_default();
-    let member =
-        |m: &serde_json::Value| Some((m["cell"].to_string(), m["host_port"].as_str()?.to_owned()));
+    let member = |member: &serde_json::Value| {
+        Some((
+            member["cell"].to_string(),
+            member["host_port"].as_str()?.to_owned(),
+        ))
+    };
     let relay = Arc::new(Relay {
         endpoints: members.iter().filter_map(member).collect(),
-        idle: Mutex::default(),
+        idle_connections: Mutex::default(),
     });
     let listener = TcpListener::bind(address("listen")?).await?;
     loop {
         let (stream, _) = listener.accept().await?;
         stream.set_nodelay(true)?;
         let relay = relay.clone();
-        let service = service_fn(move |request| answer(relay.clone(), request));
+        let service = service_fn(move |request| handle_submission(relay.clone(), request));
         tokio::spawn(
             hyper::server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service),
