--- a/crates/forwarder/src/dispatcher/endpoints/tests.rs
+++ b/crates/forwarder/src/dispatcher/endpoints/tests.rs
@@ -30,7 +30,7 @@
             endpoint_kinds: kinds,
             load_metrics,
         },
-        idle: Arc::new(Semaphore::new(64)),
+        idle_permits: Arc::new(Semaphore::new(64)),
         dispatcher,
         log: slog::Logger::root(slog::Discard, slog::o!()),
     };
--- a/crates/forwarder/src/endpoints/tests.rs
+++ b/crates/forwarder/src/endpoints/tests.rs
@@ -1,11 +1,11 @@
-//! The actor of an endpoint against an endpoint on a socket of this machine.
+//! Tests of the actor of an endpoint with an endpoint on a loopback socket.
 
-mod answers;
 mod attempts;
 mod connections;
 mod response_filter;
+mod responses;
 
-use super::attempt::{RequestPurpose, RunningRequest, StopRequest};
+use super::attempt::{InFlightRequest, RequestPurpose, StopRequest};
 use super::idle_connections::SETTLE_TIME;
 use super::*;
 use crate::commands::{AttemptRequest, EndpointCommand};
@@ -19,14 +19,14 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-const OK: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-const IDLE: Micros = 400_000;
+const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+const IDLE_TIMEOUT: Micros = 400_000;
 
 struct TestFixture {
     listener: TcpListener,
     mailbox: mpsc::Sender<EndpointCommand>,
     events: mpsc::Receiver<DispatcherCommand>,
-    attempts: u8,
+    attempts_started: u8,
 }
 
 impl TestFixture {
@@ -34,15 +34,20 @@
         TestFixture::with_endpoint(|_| {}).await
     }
 
-    /// A fixture whose actor is prepared before it runs.
+    /// Creates a fixture, and calls `prepare` on the actor before it runs.
     async fn with_endpoint(prepare: impl FnOnce(&mut Endpoint)) -> TestFixture {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let port = listener.local_addr().expect("its address").port();
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port is free");
+        let port = listener
+            .local_addr()
+            .expect("the socket has a local address")
+            .port();
         let (dispatcher, events) = mpsc::channel(16);
-        let (mailbox, inbox) = mpsc::channel(16);
+        let (mailbox, commands) = mpsc::channel(16);
         let context = EndpointContext {
             config: ConnectionConfig {
-                connection_idle_timeout: IDLE,
+                connection_idle_timeout: IDLE_TIMEOUT,
                 connect_timeout: 300_000,
             },
             names: Names {
@@ -52,7 +57,7 @@
                 endpoint_kinds: Vec::new(),
                 load_metrics: vec!["x0".into()],
             },
-            idle: Arc::new(Semaphore::new(4)),
+            idle_permits: Arc::new(Semaphore::new(4)),
             dispatcher,
             log: Logger::root(slog::Discard, slog::o!()),
         };
@@ -63,66 +68,82 @@
         };
         let mut endpoint = Endpoint::new(id, Arc::new(context));
         prepare(&mut endpoint);
-        tokio::spawn(endpoint.run(inbox));
+        tokio::spawn(endpoint.run(commands));
         TestFixture {
             listener,
             mailbox,
             events,
-            attempts: 0,
+            attempts_started: 0,
         }
     }
 
-    async fn start_attempt(&mut self, body: &Bytes, timeout: u64) {
-        self.start_attempt_within(body, timeout, timeout).await;
+    async fn start_attempt(&mut self, body: &Bytes, timeout_ms: u64) {
+        self.start_attempt_with_send_limit(body, timeout_ms, timeout_ms)
+            .await;
     }
 
-    async fn start_attempt_within(&mut self, body: &Bytes, timeout: u64, send_within: u64) {
+    async fn start_attempt_with_send_limit(
+        &mut self,
+        body: &Bytes,
+        timeout_ms: u64,
+        send_within_ms: u64,
+    ) {
         let attempt = AttemptRequest {
             id: MessageId(1),
-            attempt_index: self.attempts,
+            attempt_index: self.attempts_started,
             request_id: "9b1f03aa5c7e2d41".into(),
             idempotency_key: Some("5c0f6e1a".into()),
             body: body.clone(),
-            timeout: Duration::from_millis(timeout),
-            send_by: Instant::now() + Duration::from_millis(send_within),
+            timeout: Duration::from_millis(timeout_ms),
+            send_by: Instant::now() + Duration::from_millis(send_within_ms),
         };
-        self.attempts += 1;
+        self.attempts_started += 1;
         self.mailbox
             .send(EndpointCommand::StartAttempt(Box::new(attempt)))
             .await
-            .expect("the actor runs");
+            .expect("the actor is running");
     }
 
-    /// Answers the request on this connection, and waits until its attempt is delivered.
-    async fn answer_with_ok(&mut self, stream: &mut TcpStream) {
-        stream.write_all(OK).await.expect("sent");
+    /// Responds to the request on this connection with status 200, and waits until the attempt is reported as delivered.
+    async fn respond_with_ok(&mut self, stream: &mut TcpStream) {
+        stream
+            .write_all(OK_RESPONSE)
+            .await
+            .expect("the response is written");
         let Some(DispatcherCommand::Event(Event::AttemptEnded { outcome, .. })) =
             self.events.recv().await
         else {
-            panic!("no end")
+            panic!("the attempt did not end")
         };
         assert_eq!(outcome, Outcome::Delivered);
     }
 
     async fn next_outcome(&mut self) -> (Outcome, bool) {
         let wait = tokio::time::timeout(Duration::from_secs(5), self.events.recv());
-        match wait.await.expect("in time").expect("an event") {
+        match wait
+            .await
+            .expect("an event arrives in time")
+            .expect("the actor sends an event")
+        {
             DispatcherCommand::Event(Event::AttemptEnded {
                 outcome,
                 message_completed,
                 attempt_index,
                 ..
             }) => {
-                assert_eq!(attempt_index + 1, self.attempts);
+                assert_eq!(attempt_index + 1, self.attempts_started);
                 (outcome, message_completed)
             }
             DispatcherCommand::Event(Event::HealthCheckEnded { outcome, .. }) => (outcome, false),
-            _ => panic!("another event"),
+            _ => panic!("unexpected command for the dispatcher"),
         }
     }
 
     async fn send_command(&self, command: EndpointCommand) {
-        self.mailbox.send(command).await.expect("the actor runs");
+        self.mailbox
+            .send(command)
+            .await
+            .expect("the actor is running");
     }
 
     async fn withdraw_unsent(&mut self) {
@@ -133,28 +154,35 @@
         );
     }
 
-    /// Fills the backlog of the listener. Further connections stay unanswered, as those to a machine that is cut off, until
-    /// these are accepted.
-    async fn fill_the_backlog(&self) -> Vec<TcpStream> {
+    /// Fills the backlog of the listener. Further connections are not opened until the returned ones are accepted, as if the
+    /// endpoint were unreachable.
+    async fn fill_backlog(&self) -> Vec<TcpStream> {
         SockRef::from(&self.listener)
             .listen(0)
-            .expect("a short line");
-        let address = self.listener.local_addr().expect("its address");
-        let mut before = Vec::new();
+            .expect("the backlog is shortened");
+        let address = self
+            .listener
+            .local_addr()
+            .expect("the socket has a local address");
+        let mut queued = Vec::new();
         while let Ok(stream) =
             tokio::time::timeout(Duration::from_millis(50), TcpStream::connect(address)).await
         {
-            before.push(stream.expect("a connection"));
+            queued.push(stream.expect("the connection is established"));
         }
-        before
+        queued
     }
 
     async fn accept(&self) -> TcpStream {
-        self.listener.accept().await.expect("a connection").0
+        self.listener
+            .accept()
+            .await
+            .expect("the connection is established")
+            .0
     }
 }
 
-/// Reads one request with the body that it announces, and returns all its bytes.
+/// Reads one request with the body whose length its head states, and returns all its bytes.
 async fn read_request(stream: &mut TcpStream) -> Vec<u8> {
     let mut bytes = Vec::new();
     loop {
@@ -167,13 +195,18 @@
                 return bytes;
             }
         }
-        if stream.read_buf(&mut bytes).await.expect("readable") == 0 {
+        if stream
+            .read_buf(&mut bytes)
+            .await
+            .expect("the stream is readable")
+            == 0
+        {
             return bytes;
         }
     }
 }
 
-async fn is_closed(stream: &mut TcpStream) -> bool {
+async fn closes_in_time(stream: &mut TcpStream) -> bool {
     let mut rest = [0; 64];
     let end = stream.read(&mut rest);
     matches!(
--- a/crates/forwarder/src/endpoints/tests/attempts.rs
+++ b/crates/forwarder/src/endpoints/tests/attempts.rs
@@ -1,9 +1,9 @@
-//! What an attempt writes, and how it ends without an answer.
+//! What an attempt writes, and its outcome if it ends without a response.
 
 use super::*;
 
 #[tokio::test]
-async fn a_request_carries_the_message_unchanged_and_its_length_is_exact() {
+async fn sends_the_message_unchanged_and_counts_its_exact_length() {
     let mut fixture = TestFixture::new().await;
     for body in [Bytes::new(), Bytes::from_static(b"any \0 bytes\r\n\r\n")] {
         fixture.start_attempt(&body, 1500).await;
@@ -22,7 +22,11 @@
             );
         }
         assert!(bytes.ends_with(&body));
-        let port = fixture.listener.local_addr().expect("its address").port();
+        let port = fixture
+            .listener
+            .local_addr()
+            .expect("the socket has a local address")
+            .port();
         let endpoint = EndpointId {
             address: [127, 0, 0, 1],
             port,
@@ -31,19 +35,19 @@
         let limit = Duration::from_millis(1500);
         let request =
             protocol::encode_attempt(endpoint, "9b1f03aa5c7e2d41", Some("5c0f6e1a"), limit, &body)
-                .expect("a request");
+                .expect("the request is encoded");
         assert_eq!(request.wire_bytes, bytes.len() as u64);
         stream
             .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\nconnection: close\r\n\r\n")
             .await
-            .expect("sent");
+            .expect("the response is written");
         assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
     }
 }
 
-/// Rule 2: whether an attempt may have taken effect follows from the bytes that were written.
+/// Whether an attempt may have taken effect depends on the bytes that were written.
 #[tokio::test]
-async fn a_lost_connection_is_a_reset_only_after_the_last_byte() {
+async fn reports_connection_reset_only_after_the_last_request_byte() {
     let mut fixture = TestFixture::new().await;
     fixture
         .start_attempt(&Bytes::from_static(b"body"), 1000)
@@ -55,7 +59,7 @@
         fixture.next_outcome().await,
         (Outcome::ConnectionReset, false)
     );
-    // So large that it is not written whole to an endpoint that reads nothing.
+    // The request is so large that an endpoint which reads nothing does not receive all of it.
     fixture
         .start_attempt(&Bytes::from(vec![7; 32 << 20]), 5000)
         .await;
@@ -67,30 +71,39 @@
         listener,
         mailbox,
         events,
-        attempts,
+        attempts_started,
     } = fixture;
-    let address = listener.local_addr().expect("its address");
+    let address = listener
+        .local_addr()
+        .expect("the socket has a local address");
     drop(listener);
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    assert_ne!(listener.local_addr().expect("its address"), address);
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a port is free");
+    assert_ne!(
+        listener
+            .local_addr()
+            .expect("the socket has a local address"),
+        address
+    );
     let mut fixture = TestFixture {
         listener,
         mailbox,
         events,
-        attempts,
+        attempts_started,
     };
     fixture.start_attempt(&Bytes::new(), 1000).await;
     assert_eq!(fixture.next_outcome().await, (Outcome::NoConnection, false));
 }
 
 #[tokio::test]
-async fn a_timeout_or_cancellation_closes_the_connection() {
+async fn closes_the_connection_on_timeout_or_cancellation() {
     let mut fixture = TestFixture::new().await;
     fixture.start_attempt(&Bytes::new(), 100).await;
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
     assert_eq!(fixture.next_outcome().await, (Outcome::Timeout, false));
-    assert!(is_closed(&mut stream).await);
+    assert!(closes_in_time(&mut stream).await);
     fixture.start_attempt(&Bytes::new(), 60_000).await;
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
@@ -101,24 +114,24 @@
             attempt_index: 1,
         })
         .await
-        .expect("the actor runs");
+        .expect("the actor is running");
     assert_eq!(fixture.next_outcome().await, (Outcome::Cancelled, false));
-    assert!(is_closed(&mut stream).await);
+    assert!(closes_in_time(&mut stream).await);
 }
 
-/// After the send deadline no byte goes out: neither on a connection that opens late nor on one that is open already.
+/// No byte is written after the send deadline, neither on a connection that opens late nor on one that is already open.
 #[tokio::test]
-async fn an_attempt_past_its_send_deadline_writes_no_byte() {
+async fn writes_no_byte_after_the_send_deadline() {
     let mut fixture = TestFixture::new().await;
-    let before = fixture.fill_the_backlog().await;
+    let queued = fixture.fill_backlog().await;
     fixture
-        .start_attempt_within(&Bytes::from_static(b"late"), 1500, 100)
+        .start_attempt_with_send_limit(&Bytes::from_static(b"late"), 1500, 100)
         .await;
     assert_eq!(
         fixture.next_outcome().await,
         (Outcome::NotAttempted { no_permit: false }, false)
     );
-    for _ in 0..before.len() {
+    for _ in 0..queued.len() {
         fixture.accept().await;
     }
 
@@ -127,28 +140,32 @@
         .await;
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
-    stream.write_all(OK).await.expect("sent");
+    stream
+        .write_all(OK_RESPONSE)
+        .await
+        .expect("the response is written");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
     fixture
-        .start_attempt_within(&Bytes::from_static(b"late"), 1500, 0)
+        .start_attempt_with_send_limit(&Bytes::from_static(b"late"), 1500, 0)
         .await;
     assert_eq!(
         fixture.next_outcome().await,
         (Outcome::NotAttempted { no_permit: false }, false)
     );
     let mut byte = [0];
-    let none = tokio::time::timeout(Duration::from_millis(100), stream.read(&mut byte)).await;
+    let read_result =
+        tokio::time::timeout(Duration::from_millis(100), stream.read(&mut byte)).await;
     assert!(
-        !matches!(none, Ok(Ok(1))),
-        "a byte of a request past its send deadline"
+        !matches!(read_result, Ok(Ok(1))),
+        "no byte is written after the send deadline"
     );
 }
 
-/// A retry-after once came while a connection opened, and the request was sent on it all the same.
+/// Guards against a request that was sent although a retry-after was received while its connection was being opened.
 #[tokio::test]
-async fn an_attempt_or_health_check_is_withdrawn_until_its_last_byte_is_written() {
+async fn withdraws_a_request_until_its_last_byte_is_written() {
     let mut fixture = TestFixture::new().await;
-    let before = fixture.fill_the_backlog().await;
+    let queued = fixture.fill_backlog().await;
     fixture
         .start_attempt(&Bytes::from_static(b"chosen before"), 1500)
         .await;
@@ -158,31 +175,37 @@
         .send_command(EndpointCommand::StartHealthCheck)
         .await;
     fixture.withdraw_unsent().await;
-    for _ in before {
+    for _ in queued {
         fixture.accept().await;
     }
-    // Half written, to an endpoint that reads nothing.
+    // The endpoint reads nothing, so that the request is only partially written.
     fixture
         .start_attempt(&Bytes::from(vec![7; 32 << 20]), 5000)
         .await;
-    let mut half = fixture.accept().await;
+    let mut half_written_stream = fixture.accept().await;
     tokio::time::sleep(Duration::from_millis(50)).await;
     fixture.withdraw_unsent().await;
     let mut received = 0;
-    while let Ok(1..) = half
+    while let Ok(1..) = half_written_stream
         .read(&mut vec![0; 1 << 20])
         .await
         .inspect(|n| received += n)
     {}
-    assert!(received < 32 << 20, "it came whole");
-    // A request that was written whole goes on, also on a connection that has carried others. It can still be cancelled.
+    assert!(
+        received < 32 << 20,
+        "the endpoint does not receive the whole request"
+    );
+    // A fully written request continues, also on a connection that has carried other requests. It can still be cancelled.
     fixture
         .start_attempt(&Bytes::from_static(b"gone"), 1500)
         .await;
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
     fixture.send_command(EndpointCommand::WithdrawUnsent).await;
-    stream.write_all(OK).await.expect("sent");
+    stream
+        .write_all(OK_RESPONSE)
+        .await
+        .expect("the response is written");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
     tokio::time::sleep(Duration::from_millis(20)).await;
     fixture
@@ -200,30 +223,30 @@
         fixture.send_command(command).await;
     }
     assert_eq!(fixture.next_outcome().await, (Outcome::Cancelled, false));
-    assert!(is_closed(&mut stream).await);
+    assert!(closes_in_time(&mut stream).await);
 }
 
-/// A fault in this program that ends the task of an attempt: it may have taken effect, and the actor goes on.
+/// A panic in the task of an attempt: the attempt may have taken effect, and the actor continues to run.
 #[tokio::test]
-async fn an_attempt_whose_task_panics_is_a_reset() {
+async fn reports_connection_reset_if_the_attempt_task_panics() {
     let mut fixture = TestFixture::with_endpoint(|endpoint| {
-        let task = endpoint.tasks.spawn(async { panic!("as a fault would") });
-        let (stop, _) = watch::channel(StopRequest::Continue);
+        let task = endpoint.tasks.spawn(async { panic!("simulated fault") });
+        let (stop_sender, _) = watch::channel(StopRequest::Continue);
         let purpose = RequestPurpose::Attempt {
             id: MessageId(1),
             attempt_index: 0,
         };
         endpoint.in_flight.insert(
             task.id(),
-            RunningRequest {
+            InFlightRequest {
                 purpose,
-                started: Instant::now(),
-                stop,
+                started_at: Instant::now(),
+                stop_sender,
             },
         );
     })
     .await;
-    fixture.attempts = 1;
+    fixture.attempts_started = 1;
     assert_eq!(
         fixture.next_outcome().await,
         (Outcome::ConnectionReset, false)
@@ -233,6 +256,9 @@
         .await;
     let mut stream = fixture.accept().await;
     read_request(&mut stream).await;
-    stream.write_all(OK).await.expect("written");
+    stream
+        .write_all(OK_RESPONSE)
+        .await
+        .expect("the write succeeds");
     assert_eq!(fixture.next_outcome().await, (Outcome::Delivered, true));
 }
