--- /dev/null
+++ b/crates/forwarder/src/endpoints/response_body.rs
@@ -0,0 +1,27 @@
+//! Reads the body of a response. Its bytes are dropped: only whether the body is complete matters.
+
+use crate::protocol::MAX_BODY_BYTES;
+use http_body_util::{BodyExt, Limited};
+use hyper::body::Incoming;
+use std::time::Duration;
+
+/// Upper bound on the time from the end of the response head to the end of the body. Bodies are small.
+const BODY_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// How the body of a response ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BodyEnd {
+    /// The body was received to its last byte.
+    Complete,
+    /// The body was too long, was not received in time or was cut off.
+    Incomplete,
+}
+
+/// Reads a body to its end, up to `MAX_BODY_BYTES` and for at most `BODY_TIMEOUT`.
+pub async fn read_body(body: Incoming) -> BodyEnd {
+    let complete_body = Limited::new(body, MAX_BODY_BYTES).collect();
+    match tokio::time::timeout(BODY_TIMEOUT, complete_body).await {
+        Ok(Ok(_)) => BodyEnd::Complete,
+        Ok(Err(_)) | Err(_) => BodyEnd::Incomplete,
+    }
+}
--- a/crates/forwarder/tests/golden.rs
+++ b/crates/forwarder/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Proves with the whole program that it takes over state folders written before a change: messages that are not past their
-//! deadline go to their endpoints, pending completion reports are told, and what was over stays over.
+//! Checks that the program recovers state folders written by earlier versions: messages before their deadline are sent to
+//! their endpoints, pending completion reports are sent, and completed messages are not sent again.
 
 use opalpulley_lab::scripted::{self, *};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,23 +9,28 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_opalpulley-forwarder");
 
-fn golden(name: &str) -> PathBuf {
+fn golden_path(name: &str) -> PathBuf {
     [env!("CARGO_MANIFEST_DIR"), "tests", "golden", name]
         .iter()
         .collect()
 }
 
-/// Copies a stored folder to the empty folder `state`.
-fn copy(stored: &str, state: &Path) {
-    for file in std::fs::read_dir(golden(stored)).expect("the stored folder") {
-        let file = file.expect("a file");
-        std::fs::copy(file.path(), state.join(file.file_name())).expect("copied");
+/// Copies a stored state folder to the empty folder `state`.
+fn copy_stored_state(stored_folder: &str, state: &Path) {
+    for file in
+        std::fs::read_dir(golden_path(stored_folder)).expect("the stored folder is readable")
+    {
+        let file = file.expect("the entry is readable");
+        std::fs::copy(file.path(), state.join(file.file_name())).expect("the file is copied");
     }
 }
 
-/// All lines of the completion reports that the platform was told.
-fn reported(platform: &Platform) -> BTreeSet<String> {
-    let reports = platform.completion_reports.lock().expect("the reports");
+/// Returns all lines of the completion reports that the platform received.
+fn report_lines(platform: &Platform) -> BTreeSet<String> {
+    let reports = platform
+        .completion_reports
+        .lock()
+        .expect("the reports are not poisoned");
     let texts = reports
         .iter()
         .map(|report| String::from_utf8_lossy(&report.body).into_owned());
@@ -34,9 +39,9 @@
         .collect()
 }
 
-/// What an endpoint was called with: request ids with idempotency key and body.
-fn called(log: &Log) -> BTreeMap<String, (Option<String>, String)> {
-    let log = log.lock().expect("the log");
+/// Returns the calls that an endpoint received: idempotency key and body by request id.
+fn calls_by_id(log: &Log) -> BTreeMap<String, (Option<String>, String)> {
+    let log = log.lock().expect("the request log is not poisoned");
     let calls = log
         .iter()
         .filter(|message| message.first == "POST /inbox HTTP/1.1")
@@ -50,34 +55,35 @@
     calls.collect()
 }
 
-/// The lines of a recorded text.
-fn recorded(name: &str) -> BTreeSet<String> {
-    let text = std::fs::read_to_string(golden(name)).expect("the golden file is readable");
+/// Returns the lines of a golden file.
+fn recorded_lines(name: &str) -> BTreeSet<String> {
+    let text = std::fs::read_to_string(golden_path(name)).expect("the golden file is readable");
     text.lines().map(str::to_owned).collect()
 }
 
-/// Starts the program on a copy of a stored folder, waits until all recorded calls and reports are there, and compares.
-fn takes_over(stored: &str, effect: &str, expected: &str) {
-    let served: Vec<_> = [7, 8, 9, 10, 11, 65_535, 70_000, u32::MAX]
+/// Starts the program on a copy of a stored state folder, waits for all recorded calls and reports, and checks that there
+/// are no others.
+fn assert_recovers(stored_folder: &str, effect: &str, expected: &str) {
+    let endpoints: Vec<_> = [7, 8, 9, 10, 11, 65_535, 70_000, u32::MAX]
         .map(|destination| (destination, serve(|_, _| plain("200 OK"))))
         .into();
-    let members = served
+    let members = endpoints
         .iter()
         .map(|(destination, (address, _))| member(*address, *destination, "Ready"));
-    // The first completion report is not acknowledged, so that it comes again.
+    // The platform does not acknowledge the first completion report, so that it is repeated.
     let platform = platform(members.collect(), 1);
     let (_dir, state) = folder();
-    copy(stored, &state);
-    let text = config("notice", effect, 200, 3.0)
+    copy_stored_state(stored_folder, &state);
+    let config_text = config("notice", effect, 200, 3.0)
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
-    let _forwarder = scripted::start(PROGRAM, &state, &text, platform.address);
-    let seen = || {
-        let mut lines: BTreeSet<String> = reported(&platform)
+    let _forwarder = scripted::start(PROGRAM, &state, &config_text, platform.address);
+    let received_lines = || {
+        let mut lines: BTreeSet<String> = report_lines(&platform)
             .into_iter()
             .map(|line| format!("reported {line}"))
             .collect();
-        for (destination, (_, log)) in &served {
-            for (id, (key, body)) in called(log) {
+        for (destination, (_, log)) in &endpoints {
+            for (id, (key, body)) in calls_by_id(log) {
                 let key = key.unwrap_or_else(|| "none".to_owned());
                 lines.insert(format!(
                     "destination {destination} called: {id}, idempotency key {key}, body {body}"
@@ -86,26 +92,33 @@
         }
         lines
     };
-    let recorded = recorded(expected);
-    assert!(!recorded.is_empty(), "{expected}: there are lines");
-    until("all recorded calls and reports have come", || {
-        seen().is_superset(&recorded)
+    let recorded = recorded_lines(expected);
+    assert!(
+        !recorded.is_empty(),
+        "{expected}: the golden file is not empty"
+    );
+    until("all recorded calls and reports arrive", || {
+        received_lines().is_superset(&recorded)
     });
     thread::sleep(Duration::from_millis(500));
-    assert_eq!(seen(), recorded, "{expected}: nothing else has come");
+    assert_eq!(
+        received_lines(),
+        recorded,
+        "{expected}: no other call or report arrives"
+    );
 }
 
 #[test]
-fn stored_messages_that_may_be_repeated_are_all_sent_and_pending_reports_told() {
-    takes_over("state-by-operations", "free", "taken-over-free.txt");
+fn sends_repeatable_stored_messages_and_pending_reports() {
+    assert_recovers("state-by-operations", "free", "taken-over-free.txt");
 }
 
 #[test]
-fn stored_messages_outside_their_repeat_window_fail_and_the_others_are_sent() {
-    takes_over("state-by-operations", "guarded", "taken-over-guarded.txt");
+fn fails_stored_messages_outside_their_deduplication_window() {
+    assert_recovers("state-by-operations", "guarded", "taken-over-guarded.txt");
 }
 
 #[test]
-fn stored_messages_past_their_deadline_end_with_a_completion_report() {
-    takes_over("state-by-program", "guarded", "taken-over-expired.txt");
+fn reports_stored_messages_past_their_deadline() {
+    assert_recovers("state-by-program", "guarded", "taken-over-expired.txt");
 }
--- a/crates/forwarder/tests/scenarios.rs
+++ b/crates/forwarder/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! The real program in the laboratory's world, on sockets: short scenarios with the troubles that only a process can have,
-//! judged by the oracle, and beside them the same world simulated.
+//! Short scenarios with faults that only a process can have. The program runs in them on sockets and is checked by the
+//! oracle, beside a simulation of the same scenario.
 
 use opalpulley_lab::scenario::Scenario;
 use opalpulley_lab::sim::Sim;
@@ -7,7 +7,7 @@
 use opalpulley_lab::subject::ForwarderVariant;
 use opalpulley_lab::tally::Outcome;
 
-fn on_sockets(scenario: &Scenario, seed: u64) -> Outcome {
+fn run_on_sockets(scenario: &Scenario, seed: u64) -> Outcome {
     let options = SocketRunOptions {
         program: env!("CARGO_BIN_EXE_opalpulley-forwarder").into(),
         logs: None,
@@ -16,37 +16,41 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("the runtime starts");
     let (outcome, _) = runtime
         .block_on(run(scenario, seed, &options, |_, _| {}))
-        .expect("it runs");
+        .expect("the program starts");
     outcome
 }
 
-fn scenario(lasts: &str, more: &str) -> Scenario {
+fn scenario(lasts: &str, extra_sections: &str) -> Scenario {
     let text = format!(
-        "version = 1\nname = \"short\"\nshows = \"s\"\nlasts = \"{lasts}\"\n{more}\n[[profiles]]\nname = \"keyed\"\n\
+        "version = 1\nname = \"short\"\nshows = \"s\"\nlasts = \"{lasts}\"\n{extra_sections}\n[[profiles]]\nname = \"keyed\"\n\
          effect = \"fingerprinted\"\nwindow = \"6s\"\ncontract_time = \"1s\"\nexpiry = \"6s\"\n[[profiles]]\nname = \"once\"\n\
          effect = \"binding\"\ncontract_time = \"1s\"\nexpiry = \"6s\"\n"
     );
-    Scenario::read(&text, "short").expect("it is right")
+    Scenario::read(&text, "short").expect("the scenario is valid")
 }
 
-/// What must hold on a machine of any speed: the rules, one end for each message, most of them served.
-fn judge(outcome: &Outcome, least: f64) {
+/// Checks what must hold on a machine of any speed: no rule is broken, each message has one end, and most are served.
+fn assert_rules_hold(outcome: &Outcome, min_served_share: f64) {
     assert!(outcome.broken.is_empty(), "{:#?}", outcome.breaks);
-    let c = &outcome.counts;
-    assert_eq!(c.served + c.failed + c.given_up + c.gone, c.due, "{c:?}");
+    let counts = &outcome.counts;
+    assert_eq!(
+        counts.served + counts.failed + counts.given_up + counts.gone,
+        counts.due,
+        "{counts:?}"
+    );
     assert!(
-        outcome.served_share() >= least,
-        "served {}: {c:?}",
+        outcome.served_share() >= min_served_share,
+        "share of served messages is {}, expected at least {min_served_share}: {counts:?}",
         outcome.served_share()
     );
 }
 
-/// Kills with and without the folder, a process that stands still, a drain: each message has its one end.
+/// Kills with and without the state folder, a paused process and a drain: each message has exactly one end.
 #[test]
-fn killed_stopped_and_drained_it_keeps_the_rules_and_serves() {
+fn keeps_the_rules_through_kills_pauses_and_drains() {
     let scenario = scenario(
         "8s",
         "[forwarders]\ncount = 3\n[[destinations]]\nname = \"d\"\ncount = 3\ntargets = 2\nrate = 60.0\nlimited = false\n\
@@ -56,12 +60,12 @@
          [[troubles]]\nat = \"4s\"\nlasts = \"1s\"\nwhat = { kind = \"paused\" }\non = { forwarders = [2] }\n\
          [[troubles]]\nat = \"2s\"\nlasts = \"4s\"\nwhat = { kind = \"drain\" }\non = { numbers = [0] }\n",
     );
-    judge(&on_sockets(&scenario, 1), 0.8);
+    assert_rules_hold(&run_on_sockets(&scenario, 1), 0.8);
 }
 
-/// Refusals, silence, spoilt answers and waits on sockets; beside it the same world simulated.
+/// Rejections, silence, invalid responses and retry-after on sockets, compared with a simulation of the same scenario.
 #[test]
-fn a_troubled_world_looks_the_same_on_both_clocks() {
+fn sockets_and_simulation_agree_under_faults() {
     let scenario = scenario(
         "8s",
         "[forwarders]\ncount = 2\n[[destinations]]\nname = \"d\"\ncount = 4\nrate = 40.0\nwait = \"300ms\"\nerrors = 0.03\n\
@@ -72,21 +76,21 @@
          [[troubles]]\nat = \"3s\"\nlasts = \"2s\"\nwhat = { kind = \"shut\" }\non = { numbers = [3] }\n\
          [[troubles]]\nat = \"3s\"\nlasts = \"3s\"\nwhat = { kind = \"refusals-cut\", rate = 0.5 }\n",
     );
-    let real = on_sockets(&scenario, 2);
-    judge(&real, 0.75);
+    let on_sockets = run_on_sockets(&scenario, 2);
+    assert_rules_hold(&on_sockets, 0.75);
     let simulated = Sim::new(&scenario, 2, ForwarderVariant::True)
-        .expect("it starts")
+        .expect("the process starts")
         .run(|_, _| {});
-    judge(&simulated, 0.75);
+    assert_rules_hold(&simulated, 0.75);
     assert_eq!(
-        real.counts.due, simulated.counts.due,
-        "the same packets on both clocks"
+        on_sockets.counts.due, simulated.counts.due,
+        "the same number of messages is due on both clocks"
     );
-    let apart = (real.served_share() - simulated.served_share()).abs();
+    let difference = (on_sockets.served_share() - simulated.served_share()).abs();
     assert!(
-        apart < 0.12,
+        difference < 0.12,
         "served {} on sockets, {} simulated",
-        real.served_share(),
+        on_sockets.served_share(),
         simulated.served_share()
     );
 }
--- a/crates/lab/src/experiments/compare.rs
+++ b/crates/lab/src/experiments/compare.rs
@@ -1,7 +1,7 @@
 //! Compares two variants that ran with the same seeds: the differences of each pair, bootstrap confidence intervals of their
 //! means, and a verdict.
 
-use crate::chance::stream;
+use crate::random::seeded_rng;
 use crate::tally::Outcome;
 use rand::Rng;
 use serde::Serialize;
@@ -112,7 +112,7 @@
     if differences.is_empty() {
         return (0.0, 0.0);
     }
-    let mut rng = stream(seed, "bootstrap", 0);
+    let mut rng = seeded_rng(seed, "bootstrap", 0);
     let pair_count = differences.len();
     let mut resampled_mean = || {
         let resample = (0..pair_count).map(|_| differences[rng.random_range(0..pair_count)]);
--- a/crates/lab/src/experiments/core_cost.rs
+++ b/crates/lab/src/experiments/core_cost.rs
@@ -108,7 +108,7 @@
             .unwrap_or_else(|error| unreachable!("the constant scenario must be valid: {error}"));
         let mut benchmark = CoreBenchmark {
             core: Forwarder::new(scenario.config(0), 1),
-            time_to_live: scenario.longest_time_to_live(),
+            time_to_live: scenario.max_time_to_live(),
             now: START_TIME,
             actions: Vec::new(),
             submitted_count: 0,
--- a/crates/lab/src/experiments/error.rs
+++ b/crates/lab/src/experiments/error.rs
@@ -1,7 +1,7 @@
 //! The errors of the experiments.
 
 use crate::load::ReplayError;
-use crate::scenario::BadScenario;
+use crate::scenario::ScenarioError;
 
 /// Why an experiment failed.
 #[derive(Debug, thiserror::Error)]
@@ -23,7 +23,7 @@
     Toml(#[from] toml::ser::Error),
     /// The scenario is invalid with the changed values.
     #[error(transparent)]
-    Scenario(#[from] BadScenario),
+    Scenario(#[from] ScenarioError),
     /// The submission times of a load can't be read from their file.
     #[error(transparent)]
     Replay(#[from] ReplayError),
--- a/crates/lab/src/experiments/tests.rs
+++ b/crates/lab/src/experiments/tests.rs
@@ -69,10 +69,10 @@
 
 #[test]
 fn confidence_interval_covers_the_true_mean_in_85_to_99_percent_of_samples() {
-    let mut rng = crate::chance::stream(3, "interval", 0);
+    let mut rng = crate::random::seeded_rng(3, "interval", 0);
     let covered = (0..200).filter(|seed| {
         let sample: Vec<f64> = (0..20)
-            .map(|_| crate::chance::exponential(&mut rng))
+            .map(|_| crate::random::exponential(&mut rng))
             .collect();
         let (low, high) = compare::confidence_interval(&sample, *seed);
         low < 1.0 && high > 1.0
--- a/crates/lab/src/experiments/worst_case.rs
+++ b/crates/lab/src/experiments/worst_case.rs
@@ -2,8 +2,8 @@
 //! and shrinks it to the smallest scenario that still shows the same.
 
 use super::{parallelism, run_in_parallel, simulate, ExperimentError};
-use crate::chance::stream;
 use crate::load::ReplayError;
+use crate::random::seeded_rng;
 use crate::scenario::{
     Destination, Fault, FaultKind, FaultScope, ForwarderProcesses, ResetMoment, Scenario, Span,
 };
@@ -45,7 +45,7 @@
 /// Generates a random variant of a scenario without expectations: its load, forwarders, receivers and discovery lag vary
 /// within ranges, and its faults are replaced by random ones. The variant depends on the base and the seed alone.
 pub fn random_scenario(base: &Scenario, seed: u64) -> Scenario {
-    let rng = &mut stream(seed, "hunt", 0);
+    let rng = &mut seeded_rng(seed, "hunt", 0);
     let mut scenario = base.clone();
     scenario.name = format!("{}-hunt-{seed}", base.name);
     scenario.expect = Default::default();
