--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -14,8 +14,8 @@
 mod submissions;
 
 pub use calls::SentCall;
-pub use rule::{Break, Rule};
-pub use submissions::{FinalAnswer, SubmissionRecord, TookEffect};
+pub use rule::{Rule, RuleViolation};
+pub use submissions::{CallEffect, FinalAnswer, SubmissionRecord};
 
 use crate::receivers::Fall;
 use crate::scenario::{DeliveryClass, Scenario};
@@ -25,9 +25,9 @@
 use submissions::TrackedSubmission;
 
 /// A submission stays known for so long after its deadline, µs: late calls must still be told from unknown ones.
-const LINGER: Micros = 60_000_000;
+const RETENTION_AFTER_DEADLINE: Micros = 60_000_000;
 /// Breaks that are kept with all their words; further ones are counted.
-const MAX_BREAKS: usize = 20;
+const MAX_RECORDED_VIOLATIONS: usize = 20;
 
 /// Judges a run.
 pub struct Oracle {
@@ -36,7 +36,7 @@
     max_attempts: u32,
     concurrency_limit: u32,
     /// How much later something is seen than it was done, µs.
-    slack: Micros,
+    observation_slack: Micros,
     submissions: HashMap<u64, TrackedSubmission>,
     /// Submissions by deadline. Each leaves as its deadline has passed; one that is not owed yet is looked at again.
     by_deadline: BTreeSet<(Micros, u64)>,
@@ -46,41 +46,41 @@
     /// Submissions of a forwarder and an order key that are not over, in their order.
     ordered_queues: HashMap<(u32, u64), VecDeque<u64>>,
     /// Calls in flight of each forwarder.
-    in_flight: HashMap<u32, u32>,
+    calls_in_flight: HashMap<u32, u32>,
     /// Messages that took effect, and when.
-    effects: HashMap<u64, Micros>,
+    effect_times: HashMap<u64, Micros>,
     effects_by_age: VecDeque<(Micros, u64)>,
     /// An effect is remembered for so long, µs.
-    effect_memory: Micros,
+    effect_retention: Micros,
     /// Until when a forwarder that is down, stopped or just back may be late with final answers.
-    excused: HashMap<u32, Micros>,
+    excused_until: HashMap<u32, Micros>,
     /// The first broken rules, with what happened.
-    pub breaks: Vec<Break>,
+    pub violations: Vec<RuleViolation>,
     /// How often each rule was broken.
-    pub counts: BTreeMap<Rule, u64>,
+    pub violation_counts: BTreeMap<Rule, u64>,
 }
 
 impl Oracle {
-    /// `slack`: how much later something is seen than it was done, µs, beside what the rules allow.
-    pub fn new(scenario: &Scenario, slack: Micros) -> Oracle {
+    /// `observation_slack`: how much later something is seen than it was done, µs, beside what the rules allow.
+    pub fn new(scenario: &Scenario, observation_slack: Micros) -> Oracle {
         Oracle {
             classes: scenario.classes.clone(),
             answer_slack: scenario.rules.answer_slack.0,
             max_attempts: scenario.forwarders.max_attempts,
             concurrency_limit: scenario.forwarders.concurrency_limit,
-            slack,
+            observation_slack,
             submissions: HashMap::new(),
             by_deadline: BTreeSet::new(),
             expired: VecDeque::new(),
-            limits: NotifiedLimits::new(scenario.rules.drain_grace.0, slack),
+            limits: NotifiedLimits::new(scenario.rules.drain_grace.0, observation_slack),
             ordered_queues: HashMap::new(),
-            in_flight: HashMap::new(),
-            effects: HashMap::new(),
+            calls_in_flight: HashMap::new(),
+            effect_times: HashMap::new(),
             effects_by_age: VecDeque::new(),
-            effect_memory: scenario.longest_time_to_live() + LINGER,
-            excused: HashMap::new(),
-            breaks: Vec::new(),
-            counts: BTreeMap::new(),
+            effect_retention: scenario.longest_time_to_live() + RETENTION_AFTER_DEADLINE,
+            excused_until: HashMap::new(),
+            violations: Vec::new(),
+            violation_counts: BTreeMap::new(),
         }
     }
 
@@ -91,10 +91,10 @@
     }
 
     /// Notes that a rule was broken.
-    pub fn broken(&mut self, rule: Rule, at: Micros, what: String) {
-        *self.counts.entry(rule).or_default() += 1;
-        if self.breaks.len() < MAX_BREAKS {
-            self.breaks.push(Break { rule, at, what });
+    pub fn record_violation(&mut self, rule: Rule, at: Micros, what: String) {
+        *self.violation_counts.entry(rule).or_default() += 1;
+        if self.violations.len() < MAX_RECORDED_VIOLATIONS {
+            self.violations.push(RuleViolation { rule, at, what });
         }
     }
 
@@ -105,30 +105,30 @@
                 "target {} fell over: {} calls in the window, {:.1} allowed",
                 fall.endpoint, fall.calls, fall.budget
             );
-            self.broken(Rule::PushedOver, fall.at, what);
+            self.record_violation(Rule::PushedOver, fall.at, what);
         }
     }
 
     /// How often each rule was broken, by the rule's name.
-    pub fn counts_by_name(&self) -> BTreeMap<String, u64> {
-        let counts = self.counts.iter();
+    pub fn violation_counts_by_name(&self) -> BTreeMap<String, u64> {
+        let counts = self.violation_counts.iter();
         counts
             .map(|(rule, count)| (rule.to_string(), *count))
             .collect()
     }
 
     /// Accepted submissions that are not over.
-    pub fn open(&self) -> usize {
+    pub fn open_submissions(&self) -> usize {
         let submissions = self.submissions.values();
         submissions
-            .filter(|submission| submission.accepted && submission.ended.is_none())
+            .filter(|submission| submission.accepted && submission.ended_at.is_none())
             .count()
     }
 
     /// Entries in all tables.
-    pub fn held(&self) -> usize {
+    pub fn table_entries(&self) -> usize {
         self.submissions.len()
-            + self.effects.len()
+            + self.effect_times.len()
             + self.ordered_queues.len()
             + self.limits.retry_after_count()
     }
--- a/crates/lab/src/oracle/calls.rs
+++ b/crates/lab/src/oracle/calls.rs
@@ -1,6 +1,6 @@
 //! Each call is judged as it is sent: to whom, how often, in which order, within which limits.
 
-use super::submissions::{TookEffect, TrackedSubmission};
+use super::submissions::{CallEffect, TrackedSubmission};
 use super::{Oracle, Rule};
 use crate::scenario::DeliverySemantics;
 use opalpulley::Micros;
@@ -24,27 +24,29 @@
 
 impl Oracle {
     /// A call with a submission's message, sent (or, on sockets, received) at `now`.
-    pub fn sent(&mut self, call: SentCall, now: Micros) {
+    pub fn call_sent(&mut self, call: SentCall, now: Micros) {
         let SentCall {
-            submission: number,
+            submission: submission_number,
             forwarder,
             endpoint,
             ..
         } = call;
-        let Some(submission) = self.submissions.get(&number).cloned() else {
-            let what =
-                format!("message {number} to endpoint {endpoint}: long over or never submitted");
-            return self.broken(Rule::SentAfterEnd, now, what);
+        let Some(submission) = self.submissions.get(&submission_number).cloned() else {
+            let what = format!(
+                "message {submission_number} to endpoint {endpoint}: long over or never submitted"
+            );
+            return self.record_violation(Rule::SentAfterEnd, now, what);
         };
-        let what = format!("message {number} of forwarder {forwarder} to endpoint {endpoint}");
+        let what =
+            format!("message {submission_number} of forwarder {forwarder} to endpoint {endpoint}");
         self.judge_attempt(&submission, call, now, &what);
         self.judge_repeat(&submission, now, &what);
-        self.check_bound(forwarder, endpoint, call.holder, call.limiter, now, &what);
+        self.check_limits(forwarder, endpoint, call.holder, call.limiter, now, &what);
         self.judge_order(&submission, call, now, &what);
         self.judge_concurrency(forwarder, now, &what);
-        if let Some(submission) = self.submissions.get_mut(&number) {
-            submission.in_flight += 1;
-            submission.attempts += 1;
+        if let Some(submission) = self.submissions.get_mut(&submission_number) {
+            submission.calls_in_flight += 1;
+            submission.attempt_count += 1;
         }
     }
 
@@ -58,50 +60,52 @@
     ) {
         if submission.record.destination != call.destination {
             let what = format!("{what} of another destination");
-            self.broken(Rule::WrongDestination, now, what);
+            self.record_violation(Rule::WrongDestination, now, what);
         }
         if self.is_after_end(submission, now) {
             let what = format!("{what}: it has its final answer");
-            self.broken(Rule::SentAfterEnd, now, what);
+            self.record_violation(Rule::SentAfterEnd, now, what);
         }
-        if submission.in_flight > 0 {
+        if submission.calls_in_flight > 0 {
             let what = format!("{what}: an attempt is still in flight");
-            self.broken(Rule::TwoAttemptsInFlight, now, what);
+            self.record_violation(Rule::TwoAttemptsInFlight, now, what);
         }
-        if submission.attempts >= self.max_attempts {
-            let what = format!("{what}: attempt {}", submission.attempts + 1);
-            self.broken(Rule::TooManyAttempts, now, what);
+        if submission.attempt_count >= self.max_attempts {
+            let what = format!("{what}: attempt {}", submission.attempt_count + 1);
+            self.record_violation(Rule::TooManyAttempts, now, what);
         }
     }
 
     /// Whether a call at this time was sent after the final answer that the forwarder knows of.
     fn is_after_end(&self, submission: &TrackedSubmission, now: Micros) -> bool {
-        let Some(ended) = submission.ended else {
+        let Some(ended_at) = submission.ended_at else {
             return false;
         };
         // Without slack both are seen on one clock: what is seen at the same time was sent after the end.
-        let after = match self.slack {
-            0 => now >= ended,
-            slack => now > ended + slack,
+        let seen_after_end = match self.observation_slack {
+            0 => now >= ended_at,
+            observation_slack => now > ended_at + observation_slack,
         };
-        let known = submission.accepted || !submission.void;
-        after && known && !submission.unacknowledged
+        let end_known = submission.accepted || !submission.no_answer_owed;
+        seen_after_end && end_known && !submission.unacknowledged
     }
 
     /// Whether a repeat might take effect a second time.
     fn judge_repeat(&mut self, submission: &TrackedSubmission, now: Micros, what: &str) {
-        let Some(first) = submission.possible_effect_since else {
+        let Some(first_sent_at) = submission.possible_effect_sent_at else {
             return;
         };
         let class = &self.classes[usize::from(submission.record.class)];
         match class.semantics {
             DeliverySemantics::AtMostOnce => {
                 let what = format!("{what}: binding, and it may have run");
-                self.broken(Rule::EffectTwice, now, what);
+                self.record_violation(Rule::EffectTwice, now, what);
             }
-            DeliverySemantics::IdempotencyKeyed if now > first + class.window.0 + self.slack => {
+            DeliverySemantics::IdempotencyKeyed
+                if now > first_sent_at + class.window.0 + self.observation_slack =>
+            {
                 let what = format!("{what}: past the window in which repeats are known");
-                self.broken(Rule::EffectTwice, now, what);
+                self.record_violation(Rule::EffectTwice, now, what);
             }
             _ => {}
         }
@@ -116,7 +120,7 @@
         what: &str,
     ) {
         let ordered = self.classes[usize::from(submission.record.class)].ordered;
-        let Some(key) = submission.record.key.filter(|_| ordered) else {
+        let Some(key) = submission.record.order_key.filter(|_| ordered) else {
             return;
         };
         let Some(queue) = self.ordered_queues.get(&(call.forwarder, key)) else {
@@ -124,30 +128,30 @@
         };
         let mut earlier = queue
             .iter()
-            .take_while(|number| **number != call.submission);
-        let is_open = |number: &u64| {
-            let earlier = self.submissions.get(number);
-            earlier.is_some_and(|earlier| earlier.ended.is_none() || earlier.in_flight > 0)
+            .take_while(|submission_number| **submission_number != call.submission);
+        let is_open = |submission_number: &u64| {
+            let earlier = self.submissions.get(submission_number);
+            earlier.is_some_and(|earlier| earlier.ended_at.is_none() || earlier.calls_in_flight > 0)
         };
         if earlier.any(is_open) {
             let what = format!("{what}: an earlier one of its key is not over");
-            self.broken(Rule::OrderNotKept, now, what);
+            self.record_violation(Rule::OrderNotKept, now, what);
         }
     }
 
     /// Counts the call, and judges how many its forwarder has in flight.
     fn judge_concurrency(&mut self, forwarder: u32, now: Micros, what: &str) {
-        let in_flight = self.in_flight.entry(forwarder).or_default();
+        let in_flight = self.calls_in_flight.entry(forwarder).or_default();
         *in_flight += 1;
         let in_flight = *in_flight;
         if in_flight > self.concurrency_limit {
             let what = format!("{what}: {in_flight} calls out");
-            self.broken(Rule::TooManyInFlight, now, what);
+            self.record_violation(Rule::TooManyInFlight, now, what);
         }
     }
 
     /// Drains and retry-after times bind a call as its bytes leave, whenever it was decided.
-    pub fn check_bound(
+    pub fn check_limits(
         &mut self,
         forwarder: u32,
         endpoint: usize,
@@ -156,9 +160,9 @@
         now: Micros,
         what: &str,
     ) {
-        if self.limits.drain_broken(forwarder, endpoint, holder, now) {
+        if self.limits.violates_drain(forwarder, endpoint, holder, now) {
             let what = format!("{what}: it drains or is gone");
-            self.broken(Rule::DrainNotKept, now, what);
+            self.record_violation(Rule::DrainNotKept, now, what);
         }
         let what = format!("{what}: told to wait");
         self.check_retry_after(forwarder, limiter, now, &what);
@@ -166,31 +170,37 @@
 
     /// A retry-after time binds calls and health checks.
     pub fn check_retry_after(&mut self, forwarder: u32, limiter: usize, now: Micros, what: &str) {
-        if self.limits.retry_after_broken(forwarder, limiter, now) {
-            self.broken(Rule::RetryAfterIgnored, now, what.to_owned());
+        if self.limits.violates_retry_after(forwarder, limiter, now) {
+            self.record_violation(Rule::RetryAfterIgnored, now, what.to_owned());
         }
     }
 
     /// An attempt was withdrawn before its bytes left: it counts for nothing.
     pub fn withdrawn_before_send(&mut self, submission: u64) {
         if let Some(submission) = self.submissions.get_mut(&submission) {
-            submission.attempts = submission.attempts.saturating_sub(1);
+            submission.attempt_count = submission.attempt_count.saturating_sub(1);
         }
     }
 
     /// A call is not in flight any more. `took_effect`: what its forwarder can know of its effect; `since`: when it was sent.
-    pub fn over(&mut self, number: u64, forwarder: u32, since: Micros, took_effect: TookEffect) {
-        if let Some(in_flight) = self.in_flight.get_mut(&forwarder) {
+    pub fn call_ended(
+        &mut self,
+        submission_number: u64,
+        forwarder: u32,
+        sent_at: Micros,
+        effect: CallEffect,
+    ) {
+        if let Some(in_flight) = self.calls_in_flight.get_mut(&forwarder) {
             *in_flight = in_flight.saturating_sub(1);
         }
-        if let Some(submission) = self.submissions.get_mut(&number) {
-            submission.in_flight = submission.in_flight.saturating_sub(1);
-            if took_effect == TookEffect::Perhaps {
-                let first = submission.possible_effect_since.unwrap_or(since);
-                submission.possible_effect_since = Some(first.min(since));
+        if let Some(submission) = self.submissions.get_mut(&submission_number) {
+            submission.calls_in_flight = submission.calls_in_flight.saturating_sub(1);
+            if effect == CallEffect::Possible {
+                let first_sent_at = submission.possible_effect_sent_at.unwrap_or(sent_at);
+                submission.possible_effect_sent_at = Some(first_sent_at.min(sent_at));
             }
         }
-        self.leave_order(number);
+        self.leave_order(submission_number);
     }
 
     /// A forwarder knows now whether an endpoint (this holder of its address) takes new calls.
@@ -218,14 +228,14 @@
     }
 
     /// Whether a call with the submission's message is in flight.
-    pub fn is_out(&self, submission: u64) -> bool {
+    pub fn has_call_in_flight(&self, submission: u64) -> bool {
         let submission = self.submissions.get(&submission);
-        submission.is_some_and(|submission| submission.in_flight > 0)
+        submission.is_some_and(|submission| submission.calls_in_flight > 0)
     }
 
     /// Attempts that the message has made under this submission.
-    pub fn attempts(&self, submission: u64) -> u32 {
+    pub fn attempt_count(&self, submission: u64) -> u32 {
         let submission = self.submissions.get(&submission);
-        submission.map_or(0, |submission| submission.attempts)
+        submission.map_or(0, |submission| submission.attempt_count)
     }
 }
--- a/crates/lab/src/oracle/limits.rs
+++ b/crates/lab/src/oracle/limits.rs
@@ -6,14 +6,14 @@
 /// A retry-after time that a forwarder was told.
 #[derive(Clone, Copy, Debug)]
 struct RetryAfter {
-    from: Micros,
+    binds_from: Micros,
     until: Micros,
 }
 
 /// What each forwarder was told about endpoints and their limiters.
 pub(super) struct NotifiedLimits {
     drain_grace: Micros,
-    slack: Micros,
+    observation_slack: Micros,
     /// Since when a forwarder knows that an endpoint (a holder of its address) takes nothing new.
     draining_since: HashMap<(u32, usize, u32), Micros>,
     /// By forwarder and limiter.
@@ -22,10 +22,10 @@
 
 impl NotifiedLimits {
     /// Nothing told yet.
-    pub fn new(drain_grace: Micros, slack: Micros) -> NotifiedLimits {
+    pub fn new(drain_grace: Micros, observation_slack: Micros) -> NotifiedLimits {
         NotifiedLimits {
             drain_grace,
-            slack,
+            observation_slack,
             draining_since: HashMap::new(),
             retry_after: HashMap::new(),
         }
@@ -55,11 +55,11 @@
 
     /// A forwarder was told a retry-after time, which binds once it can have been read.
     pub fn set_retry_after(&mut self, forwarder: u32, limiter: usize, now: Micros, until: Micros) {
-        let from = now + self.slack;
+        let binds_from = now + self.observation_slack;
         let known = self
             .retry_after
             .entry((forwarder, limiter))
-            .or_insert(RetryAfter { from, until });
+            .or_insert(RetryAfter { binds_from, until });
         known.until = until.max(known.until);
     }
 
@@ -69,13 +69,19 @@
     }
 
     /// Whether a call comes later than drains allow.
-    pub fn drain_broken(&self, forwarder: u32, endpoint: usize, holder: u32, now: Micros) -> bool {
+    pub fn violates_drain(
+        &self,
+        forwarder: u32,
+        endpoint: usize,
+        holder: u32,
+        now: Micros,
+    ) -> bool {
         let since = self.draining_since.get(&(forwarder, endpoint, holder));
-        since.is_some_and(|since| now > since + self.drain_grace + self.slack)
+        since.is_some_and(|since| now > since + self.drain_grace + self.observation_slack)
     }
 
     /// Whether a call comes before its retry-after time is over; one that is over is forgotten.
-    pub fn retry_after_broken(&mut self, forwarder: u32, limiter: usize, now: Micros) -> bool {
+    pub fn violates_retry_after(&mut self, forwarder: u32, limiter: usize, now: Micros) -> bool {
         let key = (forwarder, limiter);
         let Some(retry_after) = self.retry_after.get(&key).copied() else {
             return false;
@@ -84,6 +90,6 @@
             self.retry_after.remove(&key);
             return false;
         }
-        now >= retry_after.from
+        now >= retry_after.binds_from
     }
 }
--- a/crates/lab/src/oracle/rule.rs
+++ b/crates/lab/src/oracle/rule.rs
@@ -48,7 +48,7 @@
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Break {
+pub struct RuleViolation {
     /// Which rule.
     pub rule: Rule,
     /// µs from the start of the run.
--- a/crates/lab/src/oracle/submissions.rs
+++ b/crates/lab/src/oracle/submissions.rs
@@ -1,6 +1,6 @@
 //! Submissions from acceptance to final answer, and the effects of their messages.
 
-use super::{Oracle, Rule, LINGER};
+use super::{Oracle, Rule, RETENTION_AFTER_DEADLINE};
 use crate::scenario::DeliverySemantics;
 use opalpulley::Micros;
 
@@ -17,11 +17,11 @@
 
 /// What an outcome says about an effect, from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TookEffect {
+pub enum CallEffect {
     /// It took none.
-    No,
+    None,
     /// It may have taken effect.
-    Perhaps,
+    Possible,
 }
 
 /// A message as a client submits it to a forwarder.
@@ -34,13 +34,13 @@
     /// To whom it was submitted.
     pub forwarder: u32,
     /// The deadline, µs.
-    pub expires: Micros,
+    pub deadline: Micros,
     /// The delivery class, by its place in the scenario.
     pub class: u16,
     /// The destination, by its number.
     pub destination: u32,
     /// The order key of an ordered message.
-    pub key: Option<u64>,
+    pub order_key: Option<u64>,
 }
 
 /// A submission and what became of it so far.
@@ -50,7 +50,7 @@
     /// The client was told that it is accepted.
     pub accepted: bool,
     /// When it was over.
-    pub ended: Option<Micros>,
+    pub ended_at: Option<Micros>,
     pub answer: Option<FinalAnswer>,
     /// Served while its forwarder was down or stopped. The forwarder may not know, goes on, and ends it once more.
     pub unacknowledged: bool,
@@ -58,11 +58,11 @@
     /// it, and still owes the final answer.
     pub delivered_late: bool,
     /// Nothing is owed for it: it was not accepted, or its forwarder was lost with its folder.
-    pub void: bool,
+    pub no_answer_owed: bool,
     /// When the first call that may have taken effect was sent.
-    pub possible_effect_since: Option<Micros>,
-    pub in_flight: u32,
-    pub attempts: u32,
+    pub possible_effect_sent_at: Option<Micros>,
+    pub calls_in_flight: u32,
+    pub attempt_count: u32,
 }
 
 impl TrackedSubmission {
@@ -70,62 +70,63 @@
         TrackedSubmission {
             record,
             accepted: false,
-            ended: None,
+            ended_at: None,
             answer: None,
             unacknowledged: false,
             delivered_late: false,
-            void: false,
-            possible_effect_since: None,
-            in_flight: 0,
-            attempts: 0,
+            no_answer_owed: false,
+            possible_effect_sent_at: None,
+            calls_in_flight: 0,
+            attempt_count: 0,
         }
     }
 }
 
 impl Oracle {
     /// A client submits a message; the forwarder has not answered yet.
-    pub fn submitted(&mut self, record: SubmissionRecord) {
-        let number = record.submission;
-        self.by_deadline.insert((record.expires, number));
+    pub fn message_submitted(&mut self, record: SubmissionRecord) {
+        let submission_number = record.submission;
+        self.by_deadline
+            .insert((record.deadline, submission_number));
         let class = self.classes.get(usize::from(record.class));
         if let Some(key) = record
-            .key
+            .order_key
             .filter(|_| class.is_some_and(|class| class.ordered))
         {
             let queue = self.ordered_queues.entry((record.forwarder, key));
-            queue.or_default().push_back(number);
+            queue.or_default().push_back(submission_number);
         }
         self.submissions
-            .insert(number, TrackedSubmission::new(record));
+            .insert(submission_number, TrackedSubmission::new(record));
     }
 
     /// The client was told that it is accepted.
-    pub fn accepted(&mut self, submission: u64) {
+    pub fn submission_accepted(&mut self, submission: u64) {
         if let Some(submission) = self.submissions.get_mut(&submission) {
             submission.accepted = true;
         }
     }
 
     /// The client was told that it is not accepted, or was told nothing: no final answer is owed.
-    pub fn refused(&mut self, number: u64, now: Micros) {
-        if let Some(submission) = self.submissions.get_mut(&number) {
-            submission.ended = submission.ended.or(Some(now));
-            submission.void = true;
+    pub fn submission_refused(&mut self, submission_number: u64, now: Micros) {
+        if let Some(submission) = self.submissions.get_mut(&submission_number) {
+            submission.ended_at = submission.ended_at.or(Some(now));
+            submission.no_answer_owed = true;
         }
-        self.leave_order(number);
+        self.leave_order(submission_number);
     }
 
     /// The forwarder is gone and its folder with it. Gives the messages that it had accepted.
     pub fn lost_with_folder(&mut self, forwarder: u32, now: Micros) -> Vec<u64> {
         let lost = self.submissions.values().filter(|submission| {
-            submission.record.forwarder == forwarder && submission.ended.is_none()
+            submission.record.forwarder == forwarder && submission.ended_at.is_none()
         });
         let mut records: Vec<(SubmissionRecord, bool)> = lost
             .map(|submission| (submission.record.clone(), submission.accepted))
             .collect();
         records.sort_unstable_by_key(|(record, _)| record.submission);
         for (record, _) in &records {
-            self.refused(record.submission, now);
+            self.submission_refused(record.submission, now);
         }
         let accepted = records.into_iter().filter(|(_, accepted)| *accepted);
         accepted.map(|(record, _)| record.message).collect()
@@ -139,22 +140,22 @@
     }
 
     /// What a forwarder owes is not late before then.
-    pub fn excuse(&mut self, forwarder: u32, until: Micros) {
-        self.excused.insert(forwarder, until);
+    pub fn excuse_until(&mut self, forwarder: u32, until: Micros) {
+        self.excused_until.insert(forwarder, until);
     }
 
-    fn is_owed(&self, forwarder: u32, now: Micros) -> bool {
-        let until = self.excused.get(&forwarder);
+    fn is_answer_due(&self, forwarder: u32, now: Micros) -> bool {
+        let until = self.excused_until.get(&forwarder);
         until.is_none_or(|until| now > *until)
     }
 
     /// A process ended: it has forgotten retry-after times, and none of its calls is in flight.
     pub fn process_ended(&mut self, forwarder: u32) {
         self.limits.forget_retry_after(forwarder);
-        self.in_flight.remove(&forwarder);
+        self.calls_in_flight.remove(&forwarder);
         for submission in self.submissions.values_mut() {
             if submission.record.forwarder == forwarder {
-                submission.in_flight = 0;
+                submission.calls_in_flight = 0;
             }
         }
     }
@@ -166,17 +167,20 @@
     }
 
     /// A final answer.
-    pub fn ended(&mut self, number: u64, answer: FinalAnswer, now: Micros) {
-        let forwarder = self.record(number).map_or(0, |record| record.forwarder);
-        let owed = self.is_owed(forwarder, now);
-        let slack = self.answer_slack + self.slack;
-        let is_on_sockets = self.slack > 0;
-        let Some(submission) = self.submissions.get_mut(&number) else {
-            let what = format!("message {number}: {answer:?}, long over or never submitted");
-            return self.broken(Rule::SecondFinalAnswer, now, what);
+    pub fn message_ended(&mut self, submission_number: u64, answer: FinalAnswer, now: Micros) {
+        let forwarder = self
+            .record(submission_number)
+            .map_or(0, |record| record.forwarder);
+        let answer_due = self.is_answer_due(forwarder, now);
+        let allowed_lateness = self.answer_slack + self.observation_slack;
+        let is_on_sockets = self.observation_slack > 0;
+        let Some(submission) = self.submissions.get_mut(&submission_number) else {
+            let what =
+                format!("message {submission_number}: {answer:?}, long over or never submitted");
+            return self.record_violation(Rule::SecondFinalAnswer, now, what);
         };
-        match submission.ended {
-            Some(_) if submission.void => {}
+        match submission.ended_at {
+            Some(_) if submission.no_answer_owed => {}
             Some(_) if submission.unacknowledged => {
                 submission.unacknowledged = answer == FinalAnswer::Served;
             }
@@ -184,44 +188,45 @@
                 submission.delivered_late = false;
                 submission.answer = Some(answer);
             }
-            Some(before) => {
+            Some(ended_at) => {
                 let what = format!(
-                    "message {number}: {answer:?} now, and a final answer at {before} already"
+                    "message {submission_number}: {answer:?} now, and a final answer at {ended_at} already"
                 );
-                self.broken(Rule::SecondFinalAnswer, now, what);
+                self.record_violation(Rule::SecondFinalAnswer, now, what);
             }
             None => {
-                submission.ended = Some(now);
+                submission.ended_at = Some(now);
                 submission.answer = Some(answer);
-                submission.unacknowledged = !owed && answer == FinalAnswer::Served;
-                let expires = submission.record.expires;
+                submission.unacknowledged = !answer_due && answer == FinalAnswer::Served;
+                let deadline = submission.record.deadline;
                 submission.delivered_late =
-                    is_on_sockets && answer == FinalAnswer::Served && now >= expires;
-                if owed && now > expires + slack {
-                    let late = now - expires;
-                    let what =
-                        format!("message {number}: {answer:?} {late} us after its time was up");
-                    self.broken(Rule::Lost, now, what);
+                    is_on_sockets && answer == FinalAnswer::Served && now >= deadline;
+                if answer_due && now > deadline + allowed_lateness {
+                    let late = now - deadline;
+                    let what = format!(
+                        "message {submission_number}: {answer:?} {late} us after its time was up"
+                    );
+                    self.record_violation(Rule::Lost, now, what);
                 }
             }
         }
-        self.leave_order(number);
+        self.leave_order(submission_number);
     }
 
     /// A submission that is over, with no call in flight, does not hold up others of its order key.
-    pub(super) fn leave_order(&mut self, number: u64) {
-        let Some(submission) = self.submissions.get(&number) else {
+    pub(super) fn leave_order(&mut self, submission_number: u64) {
+        let Some(submission) = self.submissions.get(&submission_number) else {
             return;
         };
-        if submission.ended.is_none() || submission.in_flight > 0 {
+        if submission.ended_at.is_none() || submission.calls_in_flight > 0 {
             return;
         }
-        let Some(key) = submission.record.key else {
+        let Some(key) = submission.record.order_key else {
             return;
         };
         let queue_key = (submission.record.forwarder, key);
         if let Some(queue) = self.ordered_queues.get_mut(&queue_key) {
-            queue.retain(|other| *other != number);
+            queue.retain(|other| *other != submission_number);
             if queue.is_empty() {
                 self.ordered_queues.remove(&queue_key);
             }
@@ -235,13 +240,13 @@
             return;
         };
         let class = &self.classes[usize::from(submission.record.class)];
-        let never_accepted = submission.void && !submission.accepted;
+        let never_accepted = submission.no_answer_owed && !submission.accepted;
         if class.semantics == DeliverySemantics::Idempotent || never_accepted {
             return;
         }
-        if self.effects.insert(message, now).is_some() {
+        if self.effect_times.insert(message, now).is_some() {
             let what = format!("message {message} took effect a second time");
-            self.broken(Rule::EffectTwice, now, what);
+            self.record_violation(Rule::EffectTwice, now, what);
         } else {
             self.effects_by_age.push_back((now, message));
         }
@@ -249,58 +254,63 @@
 
     fn forget_effects(&mut self, now: Micros) {
         while let Some((at, message)) = self.effects_by_age.front().copied() {
-            if at + self.effect_memory >= now {
+            if at + self.effect_retention >= now {
                 return;
             }
             self.effects_by_age.pop_front();
-            self.effects.remove(&message);
+            self.effect_times.remove(&message);
         }
     }
 
     /// Looks for final answers that are overdue, and forgets submissions that are long over.
     pub fn sweep(&mut self, now: Micros) {
-        let grace = self.answer_slack + self.slack;
-        while let Some((expires, number)) = self.by_deadline.first().copied() {
-            if expires + grace >= now {
+        let allowed_lateness = self.answer_slack + self.observation_slack;
+        while let Some((deadline, submission_number)) = self.by_deadline.first().copied() {
+            if deadline + allowed_lateness >= now {
                 break;
             }
             self.by_deadline.pop_first();
-            self.judge_deadline(number, expires, now);
+            self.judge_deadline(submission_number, deadline, now);
         }
-        while let Some((forget_at, number)) = self.expired.front().copied() {
+        while let Some((forget_at, submission_number)) = self.expired.front().copied() {
             if forget_at >= now {
                 break;
             }
             self.expired.pop_front();
-            self.submissions.remove(&number);
+            self.submissions.remove(&submission_number);
         }
     }
 
-    /// A deadline has passed, with all that the rules allow after it. `listed_at` is the time under which it was found; it is
+    /// A deadline has passed, with all that the rules allow after it. `scheduled_at` is the time under which it was found; it is
     /// later than the deadline for a submission that was looked at before.
-    fn judge_deadline(&mut self, number: u64, listed_at: Micros, now: Micros) {
-        let Some(record) = self.record(number) else {
+    fn judge_deadline(&mut self, submission_number: u64, scheduled_at: Micros, now: Micros) {
+        let Some(record) = self.record(submission_number) else {
             return;
         };
-        let (forwarder, deadline) = (record.forwarder, record.expires);
-        let owed = self.is_owed(forwarder, now);
-        let Some(submission) = self.submissions.get_mut(&number) else {
+        let (forwarder, deadline) = (record.forwarder, record.deadline);
+        let answer_due = self.is_answer_due(forwarder, now);
+        let Some(submission) = self.submissions.get_mut(&submission_number) else {
             return;
         };
-        let open = submission.ended.is_none();
+        let is_open = submission.ended_at.is_none();
         let accepted = submission.accepted;
-        if open && (!owed || !accepted) && (accepted || now < deadline + LINGER) {
-            self.by_deadline.insert((now.max(listed_at), number));
+        if is_open
+            && (!answer_due || !accepted)
+            && (accepted || now < deadline + RETENTION_AFTER_DEADLINE)
+        {
+            self.by_deadline
+                .insert((now.max(scheduled_at), submission_number));
             return;
         }
-        if open && accepted {
-            submission.ended = Some(now);
-            submission.void = true;
+        if is_open && accepted {
+            submission.ended_at = Some(now);
+            submission.no_answer_owed = true;
             let what =
-                format!("message {number} of forwarder {forwarder}: no final answer by {deadline}");
-            self.broken(Rule::Lost, now, what);
-            self.leave_order(number);
+                format!("message {submission_number} of forwarder {forwarder}: no final answer by {deadline}");
+            self.record_violation(Rule::Lost, now, what);
+            self.leave_order(submission_number);
         }
-        self.expired.push_back((now + LINGER, number));
+        self.expired
+            .push_back((now + RETENTION_AFTER_DEADLINE, submission_number));
     }
 }
--- a/crates/lab/src/oracle/tests.rs
+++ b/crates/lab/src/oracle/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn oracle() -> Oracle {
+fn new_oracle() -> Oracle {
     let class = |name: &str, effect: &str, more: &str| {
         format!("[[profiles]]\nname = \"{name}\"\neffect = \"{effect}\"\nwindow = \"2s\"\ncontract_time = \"1s\"\nexpiry = \"10s\"\n{more}\n")
     };
@@ -14,22 +14,22 @@
     Oracle::new(&Scenario::read(&text, "o").expect("it is right"), 1000)
 }
 
-fn submit(o: &mut Oracle, submission: u64, class: u16, key: Option<u64>) {
+fn submit(oracle: &mut Oracle, submission: u64, class: u16, key: Option<u64>) {
     let record = SubmissionRecord {
         submission,
         message: submission,
         forwarder: 0,
-        expires: 10_000_000,
+        deadline: 10_000_000,
         class,
         destination: 0,
-        key,
+        order_key: key,
     };
-    o.submitted(record);
-    o.accepted(submission);
+    oracle.message_submitted(record);
+    oracle.submission_accepted(submission);
 }
 
-fn send(o: &mut Oracle, submission: u64, at: Micros) {
-    o.sent(
+fn send(oracle: &mut Oracle, submission: u64, at: Micros) {
+    oracle.call_sent(
         SentCall {
             submission,
             forwarder: 0,
@@ -42,100 +42,100 @@
     );
 }
 
-fn names(o: &Oracle) -> Vec<Rule> {
-    o.counts.keys().copied().collect()
+fn broken_rules(oracle: &Oracle) -> Vec<Rule> {
+    oracle.violation_counts.keys().copied().collect()
 }
 
 #[test]
-fn a_message_that_is_served_breaks_nothing_and_leaves_no_trace() {
-    let mut o = oracle();
-    submit(&mut o, 1, 1, None);
-    send(&mut o, 1, 100);
-    o.over(1, 0, 100, TookEffect::Perhaps);
-    o.took_effect(1, 1, 200);
-    o.ended(1, FinalAnswer::Served, 300);
-    o.sweep(200_000_000);
-    o.sweep(300_000_000);
-    o.took_effect(2, 2, 200_000_000);
+fn served_message_breaks_no_rule_and_leaves_no_table_entries() {
+    let mut oracle = new_oracle();
+    submit(&mut oracle, 1, 1, None);
+    send(&mut oracle, 1, 100);
+    oracle.call_ended(1, 0, 100, CallEffect::Possible);
+    oracle.took_effect(1, 1, 200);
+    oracle.message_ended(1, FinalAnswer::Served, 300);
+    oracle.sweep(200_000_000);
+    oracle.sweep(300_000_000);
+    oracle.took_effect(2, 2, 200_000_000);
     assert!(
-        names(&o).is_empty() && o.held() == 0,
+        broken_rules(&oracle).is_empty() && oracle.table_entries() == 0,
         "{:?}, {} held",
-        o.breaks,
-        o.held()
+        oracle.violations,
+        oracle.table_entries()
     );
 }
 
 #[test]
-fn each_rule_has_a_case_that_breaks_it_and_one_just_inside() {
+fn accepts_each_rule_at_its_bound_and_reports_violation_past_it() {
     type Case = (Rule, fn(&mut Oracle, Micros), Micros, Micros);
     // What is done, then a time that is still within the rule and one that is not.
     let cases: [Case; 8] = [
         (
             Rule::Lost,
-            |o, t| {
-                submit(o, 1, 0, None);
-                o.sweep(t)
+            |oracle, value| {
+                submit(oracle, 1, 0, None);
+                oracle.sweep(value)
             },
             10_021_000,
             10_021_001,
         ),
         (
             Rule::Lost,
-            |o, t| {
-                submit(o, 1, 0, None);
-                o.ended(1, FinalAnswer::Failed, t)
+            |oracle, value| {
+                submit(oracle, 1, 0, None);
+                oracle.message_ended(1, FinalAnswer::Failed, value)
             },
             10_021_000,
             10_021_001,
         ),
         (
             Rule::SentAfterEnd,
-            |o, t| {
-                submit(o, 1, 0, None);
-                o.ended(1, FinalAnswer::Rejected, 500);
-                send(o, 1, t)
+            |oracle, value| {
+                submit(oracle, 1, 0, None);
+                oracle.message_ended(1, FinalAnswer::Rejected, 500);
+                send(oracle, 1, value)
             },
             1500,
             1501,
         ),
         (
             Rule::EffectTwice,
-            |o, t| {
-                submit(o, 1, 1, None);
-                send(o, 1, 0);
-                o.over(1, 0, 0, TookEffect::Perhaps);
-                send(o, 1, t)
+            |oracle, value| {
+                submit(oracle, 1, 1, None);
+                send(oracle, 1, 0);
+                oracle.call_ended(1, 0, 0, CallEffect::Possible);
+                send(oracle, 1, value)
             },
             2_001_000,
             2_001_001,
         ),
         (
             Rule::DrainNotKept,
-            |o, t| {
-                submit(o, 1, 0, None);
-                o.endpoint_status_notified(0, 5, 0, false, 0);
-                send(o, 1, t)
+            |oracle, value| {
+                submit(oracle, 1, 0, None);
+                oracle.endpoint_status_notified(0, 5, 0, false, 0);
+                send(oracle, 1, value)
             },
             501_000,
             501_001,
         ),
         (
             Rule::RetryAfterIgnored,
-            |o, t| {
-                submit(o, 1, 0, None);
-                o.retry_after_notified(0, 0, 0, 90_000);
-                send(o, 1, t)
+            |oracle, value| {
+                submit(oracle, 1, 0, None);
+                oracle.retry_after_notified(0, 0, 0, 90_000);
+                send(oracle, 1, value)
             },
             90_000,
             89_999,
         ),
         (
             Rule::TooManyAttempts,
-            |o, t| {
-                submit(o, 1, 0, None);
-                (0..t).for_each(|n| {
-                    send(o, 1, n);
-                    o.over(1, 0, n, TookEffect::No)
+            |oracle, value| {
+                submit(oracle, 1, 0, None);
+                (0..value).for_each(|n| {
+                    send(oracle, 1, n);
+                    oracle.call_ended(1, 0, n, CallEffect::None)
                 })
             },
             3,
@@ -143,10 +143,10 @@
         ),
         (
             Rule::TooManyInFlight,
-            |o, t| {
-                (1..=t).for_each(|n| {
-                    submit(o, n, 0, None);
-                    send(o, n, 1)
+            |oracle, value| {
+                (1..=value).for_each(|n| {
+                    submit(oracle, n, 0, None);
+                    send(oracle, n, 1)
                 })
             },
             2,
@@ -154,44 +154,48 @@
         ),
     ];
     for (rule, case, inside, outside) in cases {
-        let mut o = oracle();
-        case(&mut o, inside);
-        assert!(names(&o).is_empty(), "{rule} inside: {:?}", o.breaks);
-        let mut o = oracle();
-        case(&mut o, outside);
-        assert_eq!(names(&o), [rule], "{:?}", o.breaks);
+        let mut oracle = new_oracle();
+        case(&mut oracle, inside);
+        assert!(
+            broken_rules(&oracle).is_empty(),
+            "{rule} inside: {:?}",
+            oracle.violations
+        );
+        let mut oracle = new_oracle();
+        case(&mut oracle, outside);
+        assert_eq!(broken_rules(&oracle), [rule], "{:?}", oracle.violations);
     }
 }
 
 #[test]
-fn a_second_answer_a_second_attempt_a_second_effect_and_a_wrong_place_are_seen() {
-    let mut o = oracle();
-    submit(&mut o, 1, 0, None);
-    o.ended(1, FinalAnswer::Served, 10);
-    o.ended(1, FinalAnswer::Failed, 20);
-    assert_eq!(names(&o), [Rule::SecondFinalAnswer]);
-    let mut o = oracle();
-    submit(&mut o, 1, 0, None);
-    send(&mut o, 1, 0);
-    send(&mut o, 1, 1);
-    assert_eq!(names(&o), [Rule::TwoAttemptsInFlight]);
-    let mut o = oracle();
-    submit(&mut o, 1, 2, None);
-    send(&mut o, 1, 0);
-    o.over(1, 0, 0, TookEffect::No);
-    send(&mut o, 1, 5);
-    assert!(names(&o).is_empty());
-    o.over(1, 0, 5, TookEffect::Perhaps);
-    send(&mut o, 1, 9);
-    assert_eq!(names(&o), [Rule::EffectTwice]);
-    let mut o = oracle();
-    submit(&mut o, 1, 2, None);
-    o.took_effect(1, 1, 5);
-    o.took_effect(1, 1, 9);
-    assert_eq!(names(&o), [Rule::EffectTwice]);
-    let mut o = oracle();
-    submit(&mut o, 1, 0, None);
-    o.sent(
+fn reports_second_answer_concurrent_attempt_second_effect_and_wrong_destination() {
+    let mut oracle = new_oracle();
+    submit(&mut oracle, 1, 0, None);
+    oracle.message_ended(1, FinalAnswer::Served, 10);
+    oracle.message_ended(1, FinalAnswer::Failed, 20);
+    assert_eq!(broken_rules(&oracle), [Rule::SecondFinalAnswer]);
+    let mut oracle = new_oracle();
+    submit(&mut oracle, 1, 0, None);
+    send(&mut oracle, 1, 0);
+    send(&mut oracle, 1, 1);
+    assert_eq!(broken_rules(&oracle), [Rule::TwoAttemptsInFlight]);
+    let mut oracle = new_oracle();
+    submit(&mut oracle, 1, 2, None);
+    send(&mut oracle, 1, 0);
+    oracle.call_ended(1, 0, 0, CallEffect::None);
+    send(&mut oracle, 1, 5);
+    assert!(broken_rules(&oracle).is_empty());
+    oracle.call_ended(1, 0, 5, CallEffect::Possible);
+    send(&mut oracle, 1, 9);
+    assert_eq!(broken_rules(&oracle), [Rule::EffectTwice]);
+    let mut oracle = new_oracle();
+    submit(&mut oracle, 1, 2, None);
+    oracle.took_effect(1, 1, 5);
+    oracle.took_effect(1, 1, 9);
+    assert_eq!(broken_rules(&oracle), [Rule::EffectTwice]);
+    let mut oracle = new_oracle();
+    submit(&mut oracle, 1, 0, None);
+    oracle.call_sent(
         SentCall {
             submission: 1,
             forwarder: 0,
@@ -202,67 +206,71 @@
         },
         1,
     );
-    assert_eq!(names(&o), [Rule::WrongDestination]);
+    assert_eq!(broken_rules(&oracle), [Rule::WrongDestination]);
 }
 
 #[test]
-fn a_key_goes_on_only_when_the_one_before_is_over() {
-    let mut o = oracle();
-    submit(&mut o, 1, 0, Some(7));
-    submit(&mut o, 2, 0, Some(7));
-    submit(&mut o, 3, 0, Some(8));
-    send(&mut o, 1, 0);
-    send(&mut o, 3, 0);
-    o.over(3, 0, 0, TookEffect::Perhaps);
-    assert!(names(&o).is_empty());
-    o.ended(1, FinalAnswer::Failed, 50);
-    send(&mut o, 2, 60); // the first one's attempt is still out
-    assert_eq!(names(&o), [Rule::OrderNotKept]);
+fn reports_call_sent_before_earlier_message_of_its_order_key_ended() {
+    let mut oracle = new_oracle();
+    submit(&mut oracle, 1, 0, Some(7));
+    submit(&mut oracle, 2, 0, Some(7));
+    submit(&mut oracle, 3, 0, Some(8));
+    send(&mut oracle, 1, 0);
+    send(&mut oracle, 3, 0);
+    oracle.call_ended(3, 0, 0, CallEffect::Possible);
+    assert!(broken_rules(&oracle).is_empty());
+    oracle.message_ended(1, FinalAnswer::Failed, 50);
+    send(&mut oracle, 2, 60); // the first one's attempt is still out
+    assert_eq!(broken_rules(&oracle), [Rule::OrderNotKept]);
 }
 
 #[test]
-fn nothing_is_owed_by_a_forwarder_that_is_down_or_lost_its_folder() {
-    let mut o = oracle();
-    submit(&mut o, 1, 0, None);
-    o.excuse(0, 51_000_000);
-    o.sweep(50_000_000);
-    assert!(names(&o).is_empty());
-    o.lost_with_folder(0, 50_000_000);
-    o.sweep(60_000_000);
-    assert!(names(&o).is_empty() && o.open() == 0);
+fn expects_no_answer_from_forwarder_that_is_down_or_lost_its_folder() {
+    let mut oracle = new_oracle();
+    submit(&mut oracle, 1, 0, None);
+    oracle.excuse_until(0, 51_000_000);
+    oracle.sweep(50_000_000);
+    assert!(broken_rules(&oracle).is_empty());
+    oracle.lost_with_folder(0, 50_000_000);
+    oracle.sweep(60_000_000);
+    assert!(broken_rules(&oracle).is_empty() && oracle.open_submissions() == 0);
 }
 
 #[test]
-fn one_that_was_served_while_its_forwarder_was_down_may_be_ended_once_more() {
+fn allows_one_more_answer_for_message_served_while_its_forwarder_was_down() {
     for (down, broken) in [(true, 0), (false, 1)] {
-        let mut o = oracle();
-        submit(&mut o, 1, 1, None);
-        send(&mut o, 1, 0);
-        o.excuse(0, if down { 1_000_000 } else { 0 });
-        o.over(1, 0, 0, TookEffect::Perhaps);
-        o.ended(1, FinalAnswer::Served, 500_000);
-        o.ended(1, FinalAnswer::Failed, 2_000_000);
-        assert_eq!(o.counts.len(), broken);
-        o.ended(1, FinalAnswer::Failed, 3_000_000);
-        assert_eq!(names(&o), [Rule::SecondFinalAnswer], "not twice more");
+        let mut oracle = new_oracle();
+        submit(&mut oracle, 1, 1, None);
+        send(&mut oracle, 1, 0);
+        oracle.excuse_until(0, if down { 1_000_000 } else { 0 });
+        oracle.call_ended(1, 0, 0, CallEffect::Possible);
+        oracle.message_ended(1, FinalAnswer::Served, 500_000);
+        oracle.message_ended(1, FinalAnswer::Failed, 2_000_000);
+        assert_eq!(oracle.violation_counts.len(), broken);
+        oracle.message_ended(1, FinalAnswer::Failed, 3_000_000);
+        assert_eq!(
+            broken_rules(&oracle),
+            [Rule::SecondFinalAnswer],
+            "not twice more"
+        );
     }
 }
 
 /// An endpoint answered 289 us after the deadline, and 411 us later the forwarder reported the
 /// message as failed, as it owed. Seen on sockets beside load: the answer and the report crossed.
 #[test]
-fn a_delivery_after_the_deadline_leaves_one_final_answer_owed() {
+fn allows_one_failure_after_late_delivery_on_sockets() {
     const DEADLINE: Micros = 10_000_000;
     let delivered_then_failed = |delivered_at: Micros, failures: usize| {
-        let mut o = oracle();
-        submit(&mut o, 1, 1, None);
-        send(&mut o, 1, DEADLINE - 1_000);
-        o.over(1, 0, DEADLINE - 1_000, TookEffect::Perhaps);
-        o.ended(1, FinalAnswer::Served, delivered_at);
+        let mut oracle = new_oracle();
+        submit(&mut oracle, 1, 1, None);
+        send(&mut oracle, 1, DEADLINE - 1_000);
+        oracle.call_ended(1, 0, DEADLINE - 1_000, CallEffect::Possible);
+        oracle.message_ended(1, FinalAnswer::Served, delivered_at);
         for _ in 0..failures {
-            o.ended(1, FinalAnswer::Failed, delivered_at + 411);
+            oracle.message_ended(1, FinalAnswer::Failed, delivered_at + 411);
         }
-        names(&o)
+        broken_rules(&oracle)
     };
     assert!(delivered_then_failed(DEADLINE + 289, 0).is_empty());
     assert!(delivered_then_failed(DEADLINE + 289, 1).is_empty());
@@ -272,11 +280,11 @@
 }
 
 #[test]
-fn a_delivery_after_the_deadline_on_one_clock_is_a_final_answer() {
-    let mut o = oracle();
-    o.slack = 0;
-    submit(&mut o, 1, 1, None);
-    o.ended(1, FinalAnswer::Served, 10_000_289);
-    o.ended(1, FinalAnswer::Failed, 10_000_700);
-    assert_eq!(names(&o), [Rule::SecondFinalAnswer]);
+fn reports_second_answer_after_late_delivery_on_simulated_clock() {
+    let mut oracle = new_oracle();
+    oracle.observation_slack = 0;
+    submit(&mut oracle, 1, 1, None);
+    oracle.message_ended(1, FinalAnswer::Served, 10_000_289);
+    oracle.message_ended(1, FinalAnswer::Failed, 10_000_700);
+    assert_eq!(broken_rules(&oracle), [Rule::SecondFinalAnswer]);
 }
--- a/crates/lab/src/report/page.rs
+++ b/crates/lab/src/report/page.rs
@@ -2,7 +2,7 @@
 
 use super::plots::{plots, PlotError};
 use super::rows::ROWS;
-use crate::oracle::Break;
+use crate::oracle::RuleViolation;
 use crate::tally::{Clock, FaultPeriod, Outcome};
 
 const STYLE: &str = "body{font:14px/1.4 sans-serif;margin:2em auto;max-width:1000px;color:#222}\
@@ -92,7 +92,7 @@
     table + "</table>\n"
 }
 
-fn breaks(breaks: &[Break]) -> String {
+fn breaks(breaks: &[RuleViolation]) -> String {
     if breaks.is_empty() {
         return String::new();
     }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -37,13 +37,13 @@
 /// Time between the oracle's looks for what is overdue, µs.
 const SWEEP_INTERVAL: Micros = 250_000;
 /// The run goes on so long after the last deadline, µs: a forwarder that started again may still owe a final answer.
-const AFTER_LAST_DEADLINE: Micros = 3_000_000;
+const TIME_AFTER_LAST_DEADLINE: Micros = 3_000_000;
 /// Progress is reported once for so many events.
-const EVENTS_PER_REPORT: u64 = 4096;
+const EVENTS_PER_PROGRESS_REPORT: u64 = 4096;
 
 /// What a run did, apart from its outcome. Nothing in it depends on the machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Work {
+pub struct RunStats {
     /// Events of the simulated world.
     pub events: u64,
     /// Events that forwarders handled.
@@ -51,11 +51,11 @@
     /// Actions that forwarders answered them with.
     pub core_actions: u64,
     /// The most entries that the tables of the laboratory held at once.
-    pub most_held: usize,
+    pub peak_table_entries: usize,
     /// Polls of the endpoint list.
-    pub list_calls: u64,
+    pub list_polls: u64,
     /// Forwarders that run at the end and get no list updates.
-    pub without_list_updates: usize,
+    pub forwarders_without_list_updates: usize,
 }
 
 /// A scenario on the simulated clock.
@@ -83,18 +83,18 @@
     oracle: Oracle,
     tally: Tally,
     /// Chance of the clients: which forwarder, and when again.
-    clients: Pcg64Mcg,
+    client_rng: Pcg64Mcg,
     /// Chance of discovery: lags, and what a partial list lacks.
-    lags: Pcg64Mcg,
+    discovery_rng: Pcg64Mcg,
     /// Chance of late connections.
-    lateness: Pcg64Mcg,
+    connection_rng: Pcg64Mcg,
     /// Until when discovery sends nothing.
-    stale_until: Micros,
+    discovery_stale_until: Micros,
     /// Until when discovery has polls to answer.
     discovery_busy_until: Micros,
     /// Faults that are not over.
     pending_faults: usize,
-    work: Work,
+    stats: RunStats,
 }
 
 impl Sim {
@@ -106,13 +106,13 @@
     ) -> Result<Sim, ReplayError> {
         let loads = Loads::new(scenario, &Layout::new(scenario), seed)?;
         let mut sim = Sim::empty(scenario, seed, variant, loads);
-        for (number, fault) in sim.scenario.faults.clone().iter().enumerate() {
+        for (fault_index, fault) in sim.scenario.faults.clone().iter().enumerate() {
             sim.pending_faults += 1;
-            let begins = SimulatedEvent::FaultChanges {
-                fault: number,
+            let fault_begins = SimulatedEvent::FaultChanges {
+                fault: fault_index,
                 begins: true,
             };
-            sim.schedule(fault.at.0, begins);
+            sim.schedule(fault.at.0, fault_begins);
         }
         for forwarder in 0..scenario.forwarders.count {
             sim.start_process(forwarder);
@@ -152,13 +152,13 @@
             next_submission: 0,
             attempts: HashMap::new(),
             next_attempt: 0,
-            clients: stream(seed, "clients", 0),
-            lags: stream(seed, "lags", 0),
-            lateness: stream(seed, "lateness", 0),
-            stale_until: 0,
+            client_rng: stream(seed, "clients", 0),
+            discovery_rng: stream(seed, "lags", 0),
+            connection_rng: stream(seed, "lateness", 0),
+            discovery_stale_until: 0,
             discovery_busy_until: 0,
             pending_faults: 0,
-            work: Work::default(),
+            stats: RunStats::default(),
         }
     }
 
@@ -171,19 +171,19 @@
     /// for them.
     pub fn run_until(
         mut self,
-        cut: Micros,
+        cut_off_at: Micros,
         mut progress: impl FnMut(Micros, Micros),
-    ) -> (Outcome, Work) {
+    ) -> (Outcome, RunStats) {
         let last_deadline = self.scenario.lasts.0 + self.scenario.longest_time_to_live();
-        let end = (last_deadline + AFTER_LAST_DEADLINE).min(cut);
+        let ends_at = (last_deadline + TIME_AFTER_LAST_DEADLINE).min(cut_off_at);
         while let Some((at, event)) = self.queue.pop() {
-            if at > end || self.is_over() {
+            if at > ends_at || self.is_over() {
                 break;
             }
             self.now = at;
-            self.work.events += 1;
-            if self.work.events.is_multiple_of(EVENTS_PER_REPORT) {
-                progress(at, end);
+            self.stats.events += 1;
+            if self.stats.events.is_multiple_of(EVENTS_PER_PROGRESS_REPORT) {
+                progress(at, ends_at);
             }
             self.handle(event);
         }
@@ -191,21 +191,21 @@
     }
 
     /// Closes tally and oracle.
-    fn close(mut self) -> (Outcome, Work) {
+    fn close(mut self) -> (Outcome, RunStats) {
         self.tally.counts.open = self.messages.len() as u64;
         let processes = self.processes.iter();
-        self.work.without_list_updates = processes
+        self.stats.forwarders_without_list_updates = processes
             .filter(|process| process.is_up() && !process.follows_list)
             .count();
         self.oracle.judge_falls(&self.receivers.falls);
         let name = self.variant.name_in_outcomes();
         let mut outcome =
             self.tally
-                .close(self.now, &self.scenario, Clock::Simulated, self.seed, name);
-        outcome.broken = self.oracle.counts_by_name();
-        outcome.breaks = self.oracle.breaks;
+                .into_outcome(self.now, &self.scenario, Clock::Simulated, self.seed, name);
+        outcome.broken = self.oracle.violation_counts_by_name();
+        outcome.breaks = self.oracle.violations;
         outcome.falls = self.receivers.falls.len() as u64;
-        (outcome, self.work)
+        (outcome, self.stats)
     }
 
     /// The load has ended, every message is over and no fault is left.
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -4,15 +4,15 @@
 use super::event::SimulatedEvent;
 use super::simulated_process::HeldMessage;
 use super::Sim;
-use crate::oracle::{FinalAnswer, SentCall, TookEffect};
+use crate::oracle::{CallEffect, FinalAnswer, SentCall};
 use crate::receivers::ReceiverReply;
 use crate::scenario::DeliverySemantics;
-use crate::tally::Tick;
+use crate::tally::BucketEvent;
 use crate::world::Layout;
 use opalpulley::{EndpointId, Event, MessageId, Micros, Outcome, PossibleEffect, ZoneId};
 
 /// How long until a stopped forwarder is asked again whether it goes on, µs.
-const PAUSED_RETRY: Micros = 10_000;
+const PAUSED_POLL_INTERVAL: Micros = 10_000;
 
 /// An attempt in flight.
 pub(super) struct Attempt {
@@ -24,7 +24,7 @@
     /// The message as its client numbers it.
     pub client_message: u64,
     /// Which attempt of its message this is, from 0.
-    pub number: u8,
+    pub attempt_index: u8,
     pub endpoint: EndpointId,
     pub sent_at: Micros,
     pub idempotency_key: Option<u64>,
@@ -34,7 +34,7 @@
 
 impl Sim {
     /// A forwarder sends a message to an endpoint.
-    pub(super) fn send(
+    pub(super) fn send_call(
         &mut self,
         forwarder: u32,
         id: MessageId,
@@ -42,19 +42,19 @@
         timeout: Option<Micros>,
     ) {
         let process = &mut self.processes[forwarder as usize];
-        let Some(held) = process.open.get_mut(&id) else {
-            return self.sent_after_end(forwarder, id, endpoint);
+        let Some(held) = process.open_messages.get_mut(&id) else {
+            return self.record_send_after_end(forwarder, id, endpoint);
         };
-        let number = held.attempts.min(255) as u8;
+        let attempt_index = held.attempts.min(255) as u8;
         held.attempts += 1;
         let attempt = self.next_attempt;
         self.next_attempt += 1;
-        held.in_flight.push((number, attempt));
-        let time_left = held.expires.saturating_sub(self.now);
+        held.in_flight.push((attempt_index, attempt));
+        let time_left = held.deadline.saturating_sub(self.now);
         let (submission, client_message) = (held.submission, held.client_message);
         let class = held.message.class.0;
         let timeout = timeout.map_or(time_left, |limit| limit.min(time_left));
-        self.note_call(forwarder, submission, endpoint);
+        self.record_call(forwarder, submission, endpoint);
         let index = Layout::endpoint_index(endpoint);
         let connected = self.connect(forwarder, index);
         let in_flight = Attempt {
@@ -62,10 +62,10 @@
             id,
             submission,
             client_message,
-            number,
+            attempt_index,
             endpoint,
             sent_at: self.now,
-            idempotency_key: self.idempotency_key(client_message, class),
+            idempotency_key: self.idempotency_key_of(client_message, class),
             unsent: connected.is_some_and(|delay| delay.late > 0),
         };
         self.attempts.insert(attempt, in_flight);
@@ -84,32 +84,32 @@
             let arrives_at = sent_at + self.scenario.network.delay.0;
             self.schedule(arrives_at, SimulatedEvent::RequestArrives { attempt });
         }
-        self.schedule_end(self.now + timeout, attempt, Outcome::Timeout);
+        self.schedule_attempt_end(self.now + timeout, attempt, Outcome::Timeout);
     }
 
     /// The endpoint takes no more connections. The attempt counts as one until its outcome gives it back.
     fn schedule_refusal(&mut self, attempt: u64, endpoint: usize) {
         self.connections[endpoint].in_use += 1;
         let refused_at = self.now + 2 * self.scenario.network.delay.0;
-        self.schedule_end(refused_at, attempt, Outcome::NoConnection);
+        self.schedule_attempt_end(refused_at, attempt, Outcome::NoConnection);
     }
 
-    pub(super) fn schedule_end(&mut self, at: Micros, attempt: u64, outcome: Outcome) {
+    pub(super) fn schedule_attempt_end(&mut self, at: Micros, attempt: u64, outcome: Outcome) {
         self.schedule(at, SimulatedEvent::AttemptEnds { attempt, outcome });
     }
 
     /// A forwarder sends a message that is over: only a broken one does. The oracle is told all the same.
-    fn sent_after_end(&mut self, forwarder: u32, id: MessageId, endpoint: EndpointId) {
+    fn record_send_after_end(&mut self, forwarder: u32, id: MessageId, endpoint: EndpointId) {
         let process = &self.processes[forwarder as usize];
         if let Some(submission) = process.finished_submission(id) {
-            let call = self.sent_call(forwarder, submission, endpoint);
-            self.oracle.sent(call, self.now);
+            let call = self.describe_call(forwarder, submission, endpoint);
+            self.oracle.call_sent(call, self.now);
             self.oracle
-                .over(submission, forwarder, self.now, TookEffect::No);
+                .call_ended(submission, forwarder, self.now, CallEffect::None);
         }
     }
 
-    fn sent_call(&self, forwarder: u32, submission: u64, endpoint: EndpointId) -> SentCall {
+    fn describe_call(&self, forwarder: u32, submission: u64, endpoint: EndpointId) -> SentCall {
         let index = Layout::endpoint_index(endpoint);
         let place = self.layout.endpoints[index];
         SentCall {
@@ -123,24 +123,24 @@
     }
 
     /// Tells oracle and tally of a call that is sent now.
-    fn note_call(&mut self, forwarder: u32, submission: u64, endpoint: EndpointId) {
-        let call = self.sent_call(forwarder, submission, endpoint);
-        self.oracle.sent(call, self.now);
+    fn record_call(&mut self, forwarder: u32, submission: u64, endpoint: EndpointId) {
+        let call = self.describe_call(forwarder, submission, endpoint);
+        self.oracle.call_sent(call, self.now);
         self.tally.counts.calls += 1;
-        self.tally.calls_out += 1;
-        self.tally.tick(self.now, Tick::Call);
+        self.tally.calls_in_flight += 1;
+        self.tally.count(self.now, BucketEvent::Call);
     }
 
-    fn idempotency_key(&self, message: u64, class: u16) -> Option<u64> {
+    fn idempotency_key_of(&self, message: u64, class: u16) -> Option<u64> {
         let semantics = self.scenario.classes[usize::from(class)].semantics;
         (semantics == DeliverySemantics::IdempotencyKeyed).then_some(message)
     }
 
     /// The bytes of a call leave on a connection that came up late. Drains and retry-after times that were sent meanwhile
     /// bind it.
-    pub(super) fn request_sent(&mut self, number: u64) {
+    pub(super) fn request_sent(&mut self, attempt_number: u64) {
         // One that is missing was withdrawn or cancelled.
-        let Some(attempt) = self.attempts.get_mut(&number) else {
+        let Some(attempt) = self.attempts.get_mut(&attempt_number) else {
             return;
         };
         attempt.unsent = false;
@@ -151,7 +151,7 @@
             "message {client_message} of forwarder {forwarder} to endpoint {index}, chosen before"
         );
         let limiter = self.layout.endpoints[index].limiter;
-        self.oracle.check_bound(
+        self.oracle.check_limits(
             forwarder,
             index,
             endpoint.incarnation,
@@ -160,14 +160,16 @@
             &what,
         );
         let arrives_at = self.now + self.scenario.network.delay.0;
-        let arrives = SimulatedEvent::RequestArrives { attempt: number };
+        let arrives = SimulatedEvent::RequestArrives {
+            attempt: attempt_number,
+        };
         self.schedule(arrives_at, arrives);
     }
 
     /// The receiver answers a call, or does not.
-    pub(super) fn request_arrives(&mut self, number: u64) {
+    pub(super) fn request_arrives(&mut self, attempt_number: u64) {
         // One that is missing was cancelled on its way.
-        let Some(attempt) = self.attempts.get(&number) else {
+        let Some(attempt) = self.attempts.get(&attempt_number) else {
             return;
         };
         let index = Layout::endpoint_index(attempt.endpoint);
@@ -184,42 +186,46 @@
         let at = fate.at.max(self.now) + self.scenario.network.delay.0;
         if let ReceiverReply::TooManyRequestsTruncated { wait: Some(wait) } = fate.says {
             let received = SimulatedEvent::RetryAfterReceived {
-                attempt: number,
+                attempt: attempt_number,
                 retry_after: wait,
             };
             self.schedule(at, received);
         }
-        self.schedule_end(at, number, outcome);
+        self.schedule_attempt_end(at, attempt_number, outcome);
     }
 
     /// The outcome of an attempt reaches its forwarder.
-    pub(super) fn attempt_ends(&mut self, number: u64, outcome: Outcome) {
-        let Some(attempt) = self.attempts.get(&number) else {
+    pub(super) fn attempt_ends(&mut self, attempt_number: u64, outcome: Outcome) {
+        let Some(attempt) = self.attempts.get(&attempt_number) else {
             return;
         };
         if self.processes[attempt.forwarder as usize].paused {
             // A stopped process reads nothing: the answer waits in its socket, and its own timers do not fire.
-            return self.schedule_end(self.now + PAUSED_RETRY, number, outcome);
+            return self.schedule_attempt_end(
+                self.now + PAUSED_POLL_INTERVAL,
+                attempt_number,
+                outcome,
+            );
         }
-        let Some(attempt) = self.attempts.remove(&number) else {
+        let Some(attempt) = self.attempts.remove(&attempt_number) else {
             return;
         };
-        self.note_outcome(&attempt, outcome);
-        self.end_attempt(number, &attempt, outcome);
+        self.record_outcome(&attempt, outcome);
+        self.end_attempt(attempt_number, &attempt, outcome);
     }
 
     /// Ends an attempt of a message that its forwarder holds, and tells the forwarder.
-    fn end_attempt(&mut self, number: u64, attempt: &Attempt, outcome: Outcome) {
+    fn end_attempt(&mut self, attempt_number: u64, attempt: &Attempt, outcome: Outcome) {
         let process = &mut self.processes[attempt.forwarder as usize];
         let incarnation = process.incarnation;
-        let clock_lead = process.clock_lead;
+        let clock_offset = process.clock_offset;
         let place = self.layout.endpoints[Layout::endpoint_index(attempt.endpoint)];
-        let Some(held) = process.open.get_mut(&attempt.id) else {
+        let Some(held) = process.open_messages.get_mut(&attempt.id) else {
             return;
         };
         let served = outcome == Outcome::Delivered && !held.ended;
-        let sent_at = attempt.sent_at + clock_lead;
-        held.attempt_ended(number, outcome, sent_at, ZoneId(place.zone));
+        let sent_at = attempt.sent_at + clock_offset;
+        held.attempt_ended(attempt_number, outcome, sent_at, ZoneId(place.zone));
         let message_completed = held.ended;
         if served {
             self.final_answer(
@@ -227,13 +233,13 @@
                 attempt.submission,
                 FinalAnswer::Served,
                 None,
-                u32::from(attempt.number),
+                u32::from(attempt.attempt_index),
             );
         }
         self.forget_finished(attempt.forwarder, attempt.id);
         let ended = Event::AttemptEnded {
             id: attempt.id,
-            attempt_index: attempt.number,
+            attempt_index: attempt.attempt_index,
             endpoint: attempt.endpoint,
             outcome,
             elapsed: self.now - attempt.sent_at,
@@ -244,8 +250,8 @@
     }
 
     /// Tells connections, tally and oracle of an outcome.
-    fn note_outcome(&mut self, attempt: &Attempt, outcome: Outcome) {
-        self.tally.calls_out = self.tally.calls_out.saturating_sub(1);
+    fn record_outcome(&mut self, attempt: &Attempt, outcome: Outcome) {
+        self.tally.calls_in_flight = self.tally.calls_in_flight.saturating_sub(1);
         let index = Layout::endpoint_index(attempt.endpoint);
         let usable = matches!(
             outcome,
@@ -254,10 +260,10 @@
         self.release_connection(attempt.forwarder, index, usable);
         self.count_outcome(outcome);
         let took_effect = match outcome.may_have_taken_effect() {
-            true => TookEffect::Perhaps,
-            false => TookEffect::No,
+            true => CallEffect::Possible,
+            false => CallEffect::None,
         };
-        self.oracle.over(
+        self.oracle.call_ended(
             attempt.submission,
             attempt.forwarder,
             attempt.sent_at,
@@ -279,23 +285,23 @@
 
     fn count_outcome(&mut self, outcome: Outcome) {
         let (name, tick) = match outcome {
-            Outcome::Delivered => ("delivered", Tick::CallSucceeded),
-            Outcome::Error => ("error", Tick::CallFailed),
-            Outcome::Rejected { .. } => ("refused", Tick::CallRefused),
-            Outcome::Timeout => ("time-out", Tick::CallFailed),
-            Outcome::NoConnection => ("no-connection", Tick::CallFailed),
-            Outcome::ConnectionReset => ("reset", Tick::CallFailed),
-            Outcome::Cancelled => ("called-off", Tick::CallFailed),
-            Outcome::WithdrawnBeforeSend => ("taken-back", Tick::CallFailed),
-            Outcome::NotAttempted { .. } => ("moot", Tick::CallFailed),
+            Outcome::Delivered => ("delivered", BucketEvent::CallSucceeded),
+            Outcome::Error => ("error", BucketEvent::CallFailed),
+            Outcome::Rejected { .. } => ("refused", BucketEvent::CallRefused),
+            Outcome::Timeout => ("time-out", BucketEvent::CallFailed),
+            Outcome::NoConnection => ("no-connection", BucketEvent::CallFailed),
+            Outcome::ConnectionReset => ("reset", BucketEvent::CallFailed),
+            Outcome::Cancelled => ("called-off", BucketEvent::CallFailed),
+            Outcome::WithdrawnBeforeSend => ("taken-back", BucketEvent::CallFailed),
+            Outcome::NotAttempted { .. } => ("moot", BucketEvent::CallFailed),
         };
-        self.tally.outcome(name);
-        self.tally.tick(self.now, tick);
+        self.tally.count_outcome(name);
+        self.tally.count(self.now, tick);
     }
 
     /// The head of an answer holds a retry-after time. Its forwarder reads it at once unless it is stopped.
-    pub(super) fn retry_after_received(&mut self, number: u64, retry_after: Micros) {
-        let Some(attempt) = self.attempts.get(&number) else {
+    pub(super) fn retry_after_received(&mut self, attempt_number: u64, retry_after: Micros) {
+        let Some(attempt) = self.attempts.get(&attempt_number) else {
             return;
         };
         let (forwarder, endpoint) = (attempt.forwarder, attempt.endpoint);
@@ -303,10 +309,10 @@
         let incarnation = process.incarnation;
         if process.paused {
             let received = SimulatedEvent::RetryAfterReceived {
-                attempt: number,
+                attempt: attempt_number,
                 retry_after,
             };
-            return self.schedule(self.now + PAUSED_RETRY, received);
+            return self.schedule(self.now + PAUSED_POLL_INTERVAL, received);
         }
         let limiter = self.layout.endpoints[Layout::endpoint_index(endpoint)].limiter;
         let until = self.now + retry_after;
@@ -320,10 +326,10 @@
     }
 
     /// A forwarder cancels an attempt.
-    pub(super) fn cancel(&mut self, forwarder: u32, id: MessageId, attempt: u8) {
-        let held = self.processes[forwarder as usize].open.get(&id);
-        if let Some(attempt) = held.and_then(|held| held.attempt_in_flight(attempt)) {
-            self.schedule_end(self.now, attempt, Outcome::Cancelled);
+    pub(super) fn cancel_attempt(&mut self, forwarder: u32, id: MessageId, attempt_index: u8) {
+        let held = self.processes[forwarder as usize].open_messages.get(&id);
+        if let Some(attempt) = held.and_then(|held| held.attempt_in_flight(attempt_index)) {
+            self.schedule_attempt_end(self.now, attempt, Outcome::Cancelled);
         }
     }
 
@@ -332,18 +338,25 @@
         let unsent = self.attempts.iter().filter(|(_, attempt)| {
             attempt.forwarder == forwarder && attempt.endpoint == endpoint && attempt.unsent
         });
-        let mut numbers: Vec<u64> = unsent.map(|(number, _)| *number).collect();
+        let mut numbers: Vec<u64> = unsent.map(|(attempt_number, _)| *attempt_number).collect();
         numbers.sort_unstable();
         for attempt in numbers {
-            self.schedule_end(self.now, attempt, Outcome::WithdrawnBeforeSend);
+            self.schedule_attempt_end(self.now, attempt, Outcome::WithdrawnBeforeSend);
         }
     }
 }
 
 impl HeldMessage {
     /// Notes the outcome of one of its attempts; `sent_at` is on its forwarder's clock.
-    fn attempt_ended(&mut self, number: u64, outcome: Outcome, sent_at: Micros, zone: ZoneId) {
-        self.in_flight.retain(|(_, attempt)| *attempt != number);
+    fn attempt_ended(
+        &mut self,
+        attempt_number: u64,
+        outcome: Outcome,
+        sent_at: Micros,
+        zone: ZoneId,
+    ) {
+        self.in_flight
+            .retain(|(_, attempt)| *attempt != attempt_number);
         if outcome == Outcome::WithdrawnBeforeSend {
             self.attempts -= 1;
         }
--- a/crates/lab/src/sim/connections.rs
+++ b/crates/lab/src/sim/connections.rs
@@ -17,12 +17,12 @@
         self.in_use as usize + self.idle.values().map(Vec::len).sum::<usize>()
     }
 
-    /// Takes an idle connection of this forwarder that has been idle for less than `longest_idle`, where there is one.
-    fn take_idle(&mut self, forwarder: u32, now: Micros, longest_idle: Micros) -> bool {
+    /// Takes an idle connection of this forwarder that has been idle for less than `max_idle`, where there is one.
+    fn take_idle(&mut self, forwarder: u32, now: Micros, max_idle: Micros) -> bool {
         let Some(idle) = self.idle.get_mut(&forwarder) else {
             return false;
         };
-        idle.retain(|since| since + longest_idle > now);
+        idle.retain(|since| since + max_idle > now);
         idle.pop().is_some()
     }
 
@@ -76,10 +76,10 @@
         let Some(late) = &self.scenario.network.late_connections else {
             return 0;
         };
-        if !self.lateness.random_bool(late.share) {
+        if !self.connection_rng.random_bool(late.share) {
             return 0;
         }
-        self.lateness.random_range(0..=late.most.0)
+        self.connection_rng.random_range(0..=late.most.0)
     }
 
     /// Gives the connection of an attempt back: idle again, or closed.
--- a/crates/lab/src/sim/discovery.rs
+++ b/crates/lab/src/sim/discovery.rs
@@ -58,16 +58,18 @@
     /// Sends the whole list without a part of it that is drawn by chance.
     pub(super) fn send_partial_list(&mut self, missing_share: f64) {
         let mut list = self.current_list();
-        list.retain(|_| !self.lags.random_bool(missing_share));
+        list.retain(|_| !self.discovery_rng.random_bool(missing_share));
         self.send_list_update(EndpointListUpdate::Complete(list));
     }
 
     /// Sends an update to every forwarder: each after a lag of its own, in order, and not while discovery is stale.
     fn send_list_update(&mut self, update: EndpointListUpdate) {
         for forwarder in 0..self.processes.len() {
-            let lag = self.lags.random_range(0..=self.scenario.network.list_lag.0);
+            let lag = self
+                .discovery_rng
+                .random_range(0..=self.scenario.network.list_lag.0);
             let process = &mut self.processes[forwarder];
-            let arrives_at = self.now.max(self.stale_until) + lag;
+            let arrives_at = self.now.max(self.discovery_stale_until) + lag;
             process.list_update_at = arrives_at.max(process.list_update_at);
             let at = process.list_update_at;
             self.schedule_list_update(at, forwarder as u32, update.clone());
@@ -81,8 +83,8 @@
     /// Sends the whole list to a forwarder that was away.
     pub(super) fn send_complete_list(&mut self, forwarder: u32) {
         let update = EndpointListUpdate::Complete(self.current_list());
-        let at = self.now.max(self.stale_until);
-        self.schedule_list_update(at, forwarder, update);
+        let arrives_at = self.now.max(self.discovery_stale_until);
+        self.schedule_list_update(arrives_at, forwarder, update);
     }
 
     /// A forwarder polls the list. Discovery answers one poll after the other, even those that it answers too late; one that
@@ -91,21 +93,22 @@
         let Some(discovery) = &self.scenario.network.polled_discovery else {
             return;
         };
-        self.work.list_calls += 1;
-        let wait = self.discovery_busy_until.saturating_sub(self.now) + discovery.poll_cost.0;
+        self.stats.list_polls += 1;
+        let queue_delay =
+            self.discovery_busy_until.saturating_sub(self.now) + discovery.poll_cost.0;
         let timeout = discovery.poll_timeout.0;
-        let (after, answered) = if wait > discovery.longest_queue.0 {
+        let (answer_delay, answered) = if queue_delay > discovery.longest_queue.0 {
             (2 * self.scenario.network.delay.0, false)
         } else {
-            self.discovery_busy_until = self.now + wait;
-            (wait.min(timeout), wait <= timeout)
+            self.discovery_busy_until = self.now + queue_delay;
+            (queue_delay.min(timeout), queue_delay <= timeout)
         };
-        let ends = SimulatedEvent::PollAnswered {
+        let answered_event = SimulatedEvent::PollAnswered {
             forwarder,
             incarnation: self.processes[forwarder as usize].incarnation,
             answered,
         };
-        self.schedule(self.now + after, ends);
+        self.schedule(self.now + answer_delay, answered_event);
     }
 
     pub(super) fn poll_answered(&mut self, forwarder: u32, incarnation: u32, answered: bool) {
@@ -142,14 +145,14 @@
 
     /// Removes endpoints that a complete list does not name.
     fn remove_missing(&mut self, forwarder: u32, entries: &[EndpointEntry]) {
-        let listed = &self.processes[forwarder as usize].listed;
+        let listed = &self.processes[forwarder as usize].known_endpoints;
         let missing = |known: &&EndpointEntry| {
             let mut named = entries.iter();
             !named.any(|entry| entry.endpoint == known.endpoint)
         };
         let missing: Vec<EndpointEntry> = listed.values().filter(missing).cloned().collect();
         for entry in missing {
-            let listed = &mut self.processes[forwarder as usize].listed;
+            let listed = &mut self.processes[forwarder as usize].known_endpoints;
             listed.remove(&Layout::endpoint_index(entry.endpoint));
             self.notify_oracle(forwarder, &entry, false);
         }
@@ -158,7 +161,7 @@
     fn apply_entries(&mut self, forwarder: u32, entries: &[EndpointEntry]) {
         for entry in entries {
             self.notify_oracle(forwarder, entry, entry.status == EndpointStatus::Ready);
-            let listed = &mut self.processes[forwarder as usize].listed;
+            let listed = &mut self.processes[forwarder as usize].known_endpoints;
             let index = Layout::endpoint_index(entry.endpoint);
             if entry.status != EndpointStatus::Removed {
                 listed.insert(index, entry.clone());
--- a/crates/lab/src/sim/event.rs
+++ b/crates/lab/src/sim/event.rs
@@ -72,13 +72,13 @@
 
 struct QueuedEvent {
     at: Micros,
-    number: u64,
+    sequence: u64,
     event: SimulatedEvent,
 }
 
 impl PartialEq for QueuedEvent {
     fn eq(&self, other: &QueuedEvent) -> bool {
-        self.number == other.number
+        self.sequence == other.sequence
     }
 }
 
@@ -93,7 +93,7 @@
 impl Ord for QueuedEvent {
     /// The greatest is taken first: the earliest, and of those at one time the one that was scheduled first.
     fn cmp(&self, other: &QueuedEvent) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
@@ -101,16 +101,16 @@
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BinaryHeap<QueuedEvent>,
-    scheduled: u64,
+    scheduled_count: u64,
 }
 
 impl EventQueue {
     /// Adds an event that happens at this time.
     pub fn push(&mut self, at: Micros, event: SimulatedEvent) {
-        self.scheduled += 1;
+        self.scheduled_count += 1;
         self.events.push(QueuedEvent {
             at,
-            number: self.scheduled,
+            sequence: self.scheduled_count,
             event,
         });
     }
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -7,11 +7,11 @@
 
 impl Sim {
     /// A fault begins or ends.
-    pub(super) fn fault_changes(&mut self, number: usize, begins: bool) {
-        let fault = self.scenario.faults[number].clone();
+    pub(super) fn fault_changes(&mut self, fault_index: usize, begins: bool) {
+        let fault = self.scenario.faults[fault_index].clone();
         if begins {
             let ends = SimulatedEvent::FaultChanges {
-                fault: number,
+                fault: fault_index,
                 begins: false,
             };
             self.schedule(fault.ends_at(), ends);
@@ -20,11 +20,13 @@
         }
         match (&fault.kind, begins) {
             (FaultKind::Killed { folder_kept }, true) => {
-                self.kill_processes(number, &fault, *folder_kept)
+                self.kill_processes(fault_index, &fault, *folder_kept)
+            }
+            (FaultKind::Paused, true) => self.pause_processes(fault_index, &fault),
+            (FaultKind::Drain, true) => self.drain_endpoints(fault_index, &fault),
+            (FaultKind::Stale, true) => {
+                self.discovery_stale_until = self.discovery_stale_until.max(fault.ends_at())
             }
-            (FaultKind::Paused, true) => self.pause_processes(number, &fault),
-            (FaultKind::Drain, true) => self.drain_endpoints(number, &fault),
-            (FaultKind::Stale, true) => self.stale_until = self.stale_until.max(fault.ends_at()),
             (FaultKind::Partial { missing }, true) => self.send_partial_list(*missing),
             (FaultKind::Partial { .. }, false) => self.send_partial_list(0.0),
             (
@@ -32,25 +34,25 @@
                 false,
             ) => {}
             (kind, begins) => {
-                let endpoints = self.endpoints_struck(number, &fault);
+                let endpoints = self.affected_endpoints(fault_index, &fault);
                 let ends_at = fault.ends_at();
                 self.receivers
-                    .set_fault(self.now, number, kind, ends_at, &endpoints, begins);
+                    .set_fault(self.now, fault_index, kind, ends_at, &endpoints, begins);
             }
         }
     }
 
-    fn endpoints_struck(&self, number: usize, fault: &Fault) -> Vec<usize> {
+    fn affected_endpoints(&self, fault_index: usize, fault: &Fault) -> Vec<usize> {
         self.layout
-            .endpoints_struck(&self.scenario, &fault.scope, self.seed, number)
+            .endpoints_struck(&self.scenario, &fault.scope, self.seed, fault_index)
     }
 
-    fn forwarders_struck(&self, number: usize, fault: &Fault) -> Vec<u32> {
-        Layout::forwarders_struck(&self.scenario, &fault.scope, self.seed, number)
+    fn affected_forwarders(&self, fault_index: usize, fault: &Fault) -> Vec<u32> {
+        Layout::forwarders_struck(&self.scenario, &fault.scope, self.seed, fault_index)
     }
 
-    fn kill_processes(&mut self, number: usize, fault: &Fault, folder_kept: bool) {
-        for forwarder in self.forwarders_struck(number, fault) {
+    fn kill_processes(&mut self, fault_index: usize, fault: &Fault, folder_kept: bool) {
+        for forwarder in self.affected_forwarders(fault_index, fault) {
             self.kill_process(forwarder, folder_kept);
             let restarts = SimulatedEvent::ProcessRestarts {
                 forwarder,
@@ -60,8 +62,8 @@
         }
     }
 
-    fn pause_processes(&mut self, number: usize, fault: &Fault) {
-        for forwarder in self.forwarders_struck(number, fault) {
+    fn pause_processes(&mut self, fault_index: usize, fault: &Fault) {
+        for forwarder in self.affected_forwarders(fault_index, fault) {
             self.pause_process(forwarder);
             let resumes = SimulatedEvent::ProcessResumes { forwarder };
             self.schedule(fault.ends_at(), resumes);
@@ -69,8 +71,8 @@
     }
 
     /// One endpoint after the other drains, each for the same part of the fault's time.
-    fn drain_endpoints(&mut self, number: usize, fault: &Fault) {
-        let endpoints = self.endpoints_struck(number, fault);
+    fn drain_endpoints(&mut self, fault_index: usize, fault: &Fault) {
+        let endpoints = self.affected_endpoints(fault_index, fault);
         let each = fault.lasts.0 / endpoints.len().max(1) as u64;
         for (position, endpoint) in endpoints.into_iter().enumerate() {
             let begins_at = fault.at.0 + each * position as u64;
--- a/crates/lab/src/sim/handlers.rs
+++ b/crates/lab/src/sim/handlers.rs
@@ -28,7 +28,7 @@
             SimulatedEvent::EndpointDrains { endpoint, gone } => {
                 self.endpoint_drains(endpoint, gone)
             }
-            SimulatedEvent::OracleSweep => self.sweep(),
+            SimulatedEvent::OracleSweep => self.sweep_oracle(),
             other => self.handle_for_forwarder(other),
         }
     }
@@ -66,11 +66,13 @@
     }
 
     /// Lets the oracle look for what is overdue, and notes how much the tables hold.
-    fn sweep(&mut self) {
+    fn sweep_oracle(&mut self) {
         self.oracle.sweep(self.now);
-        let held =
-            self.oracle.held() + self.receivers.held() + self.messages.len() + self.attempts.len();
-        self.work.most_held = self.work.most_held.max(held);
+        let table_entries = self.oracle.table_entries()
+            + self.receivers.held()
+            + self.messages.len()
+            + self.attempts.len();
+        self.stats.peak_table_entries = self.stats.peak_table_entries.max(table_entries);
         self.schedule(self.now + SWEEP_INTERVAL, SimulatedEvent::OracleSweep);
     }
 }
--- a/crates/lab/src/sim/health_checks.rs
+++ b/crates/lab/src/sim/health_checks.rs
@@ -7,7 +7,7 @@
 use opalpulley::{EndpointId, Event, Outcome};
 
 /// Ways between forwarder and endpoint until a health check is in: a connection is made for it.
-const WAYS_TO_ENDPOINT: u64 = 3;
+const ONE_WAY_DELAYS_TO_ENDPOINT: u64 = 3;
 
 impl Sim {
     pub(super) fn send_health_check(&mut self, forwarder: u32, endpoint: EndpointId) {
@@ -23,7 +23,7 @@
             endpoint,
             sent_at: self.now,
         };
-        let arrives_at = self.now + WAYS_TO_ENDPOINT * self.scenario.network.delay.0;
+        let arrives_at = self.now + ONE_WAY_DELAYS_TO_ENDPOINT * self.scenario.network.delay.0;
         self.schedule(arrives_at, SimulatedEvent::HealthCheckArrives(health_check));
     }
 
--- a/crates/lab/src/sim/lifecycle.rs
+++ b/crates/lab/src/sim/lifecycle.rs
@@ -2,12 +2,12 @@
 
 use super::simulated_process::HeldMessage;
 use super::Sim;
-use crate::oracle::TookEffect;
+use crate::oracle::CallEffect;
 use crate::world::Layout;
 use opalpulley::{AttemptHistory, Event, Micros, PossibleEffect, Submission, ZoneId};
 
 /// After a restart: from then on a final answer may be overdue, µs.
-const READY_AFTER: Micros = 1_500_000;
+const RECOVERY_ALLOWANCE: Micros = 1_500_000;
 
 impl Sim {
     /// Kills a process. Its calls break off; if its folder is kept, its messages wait there for the next start.
@@ -20,52 +20,54 @@
         process.paused = false;
         process.incarnation += 1;
         process.inbox.clear();
-        self.break_off_attempts(forwarder);
+        self.abort_attempts(forwarder);
         for connections in &mut self.connections {
             connections.idle.remove(&forwarder);
         }
         self.oracle.process_ended(forwarder);
-        self.oracle.excuse(forwarder, Micros::MAX);
+        self.oracle.excuse_until(forwarder, Micros::MAX);
         let process = &mut self.processes[forwarder as usize];
-        process.open.retain(|_, held| !held.ended);
+        process.open_messages.retain(|_, held| !held.ended);
         if !folder_kept {
             self.lose_folder(forwarder);
         }
     }
 
     /// Ends the attempts of a process that was killed, in the order of their numbers.
-    fn break_off_attempts(&mut self, forwarder: u32) {
-        let own = self
+    fn abort_attempts(&mut self, forwarder: u32) {
+        let attempts_of_process = self
             .attempts
             .iter()
             .filter(|(_, attempt)| attempt.forwarder == forwarder);
-        let mut numbers: Vec<u64> = own.map(|(number, _)| *number).collect();
+        let mut numbers: Vec<u64> = attempts_of_process
+            .map(|(attempt_number, _)| *attempt_number)
+            .collect();
         numbers.sort_unstable();
-        for number in numbers {
-            self.break_off(number);
+        for attempt_number in numbers {
+            self.abort_attempt(attempt_number);
         }
     }
 
-    fn break_off(&mut self, number: u64) {
-        let Some(attempt) = self.attempts.remove(&number) else {
+    fn abort_attempt(&mut self, attempt_number: u64) {
+        let Some(attempt) = self.attempts.remove(&attempt_number) else {
             return;
         };
         let forwarder = attempt.forwarder;
-        self.tally.calls_out = self.tally.calls_out.saturating_sub(1);
-        self.oracle.over(
+        self.tally.calls_in_flight = self.tally.calls_in_flight.saturating_sub(1);
+        self.oracle.call_ended(
             attempt.submission,
             forwarder,
             attempt.sent_at,
-            TookEffect::Perhaps,
+            CallEffect::Possible,
         );
         let index = Layout::endpoint_index(attempt.endpoint);
         self.release_connection(forwarder, index, false);
         let process = &mut self.processes[forwarder as usize];
         let possible_effect = PossibleEffect {
-            sent_at: attempt.sent_at + process.clock_lead,
+            sent_at: attempt.sent_at + process.clock_offset,
             zone: ZoneId(self.layout.endpoints[index].zone),
         };
-        if let Some(held) = process.open.get_mut(&attempt.id) {
+        if let Some(held) = process.open_messages.get_mut(&attempt.id) {
             held.in_flight.clear();
             held.possible_effect.get_or_insert(possible_effect);
         }
@@ -74,8 +76,8 @@
     /// The messages of a killed process are lost with its folder.
     fn lose_folder(&mut self, forwarder: u32) {
         let process = &mut self.processes[forwarder as usize];
-        let lost = std::mem::take(&mut process.open);
-        process.listed.clear();
+        let lost = std::mem::take(&mut process.open_messages);
+        process.known_endpoints.clear();
         self.oracle.lost_with_folder(forwarder, self.now);
         for held in lost.into_values() {
             if self.messages.remove(&held.client_message).is_some() {
@@ -86,7 +88,8 @@
 
     /// Starts a killed process again; it takes over what its folder holds.
     pub(super) fn restart_process(&mut self, forwarder: u32, folder_kept: bool) {
-        self.oracle.excuse(forwarder, self.now + READY_AFTER);
+        self.oracle
+            .excuse_until(forwarder, self.now + RECOVERY_ALLOWANCE);
         self.start_process(forwarder);
         if self.processes[forwarder as usize].follows_list {
             self.send_complete_list(forwarder);
@@ -95,7 +98,9 @@
             return;
         }
         let process = &mut self.processes[forwarder as usize];
-        let messages: Vec<HeldMessage> = std::mem::take(&mut process.open).into_values().collect();
+        let messages: Vec<HeldMessage> = std::mem::take(&mut process.open_messages)
+            .into_values()
+            .collect();
         for held in messages {
             self.recover_message(forwarder, held);
         }
@@ -107,7 +112,7 @@
         let id = process.new_id();
         held.message = Submission {
             id,
-            time_left: held.expires.saturating_sub(self.now),
+            time_left: held.deadline.saturating_sub(self.now),
             resubmitted: true,
             history: AttemptHistory {
                 attempts: held.attempts,
@@ -116,7 +121,7 @@
             ..held.message
         };
         let message = held.message.clone();
-        process.open.insert(id, held);
+        process.open_messages.insert(id, held);
         self.run_forwarder(forwarder, Event::MessageSubmitted(message), None);
     }
 
@@ -125,7 +130,7 @@
         let process = &mut self.processes[forwarder as usize];
         if process.is_up() {
             process.paused = true;
-            self.oracle.excuse(forwarder, Micros::MAX);
+            self.oracle.excuse_until(forwarder, Micros::MAX);
         }
     }
 
@@ -136,7 +141,8 @@
             return;
         }
         process.paused = false;
-        self.oracle.excuse(forwarder, self.now + READY_AFTER);
+        self.oracle
+            .excuse_until(forwarder, self.now + RECOVERY_ALLOWANCE);
         while let Some(event) = self.processes[forwarder as usize].inbox.pop_front() {
             self.run_forwarder(forwarder, event, None);
         }
--- a/crates/lab/src/sim/simulated_process.rs
+++ b/crates/lab/src/sim/simulated_process.rs
@@ -27,7 +27,7 @@
     pub client_message: u64,
     /// As it was submitted to the forwarder.
     pub message: Submission,
-    pub expires: Micros,
+    pub deadline: Micros,
     /// Attempts so far, without those that were withdrawn.
     pub attempts: u32,
     /// Attempts in flight: the forwarder's number and the world's.
@@ -39,9 +39,9 @@
 
 impl HeldMessage {
     /// The world's number of an attempt in flight.
-    pub fn attempt_in_flight(&self, attempt: u8) -> Option<u64> {
+    pub fn attempt_in_flight(&self, attempt_index: u8) -> Option<u64> {
         let mut in_flight = self.in_flight.iter();
-        let (_, number) = in_flight.find(|(own, _)| *own == attempt)?;
+        let (_, number) = in_flight.find(|(index, _)| *index == attempt_index)?;
         Some(*number)
     }
 }
@@ -58,7 +58,7 @@
     pub submission: u64,
     /// The message as its client numbers it.
     pub client_message: u64,
-    pub expires: Micros,
+    pub deadline: Micros,
     /// What the forwarder is told; its id is chosen as it is accepted.
     pub message: Submission,
 }
@@ -74,13 +74,13 @@
     /// Events that wait while it is stopped.
     pub inbox: VecDeque<Event>,
     /// Messages that it answers for. Each leaves with its final answer and the outcome of its last attempt.
-    pub open: BTreeMap<MessageId, HeldMessage>,
+    pub open_messages: BTreeMap<MessageId, HeldMessage>,
     recently_finished: VecDeque<FinishedMessage>,
     next_id: u32,
     /// How far its clock is ahead, µs.
-    pub clock_lead: Micros,
+    pub clock_offset: Micros,
     /// The list as it knows it, by endpoint.
-    pub listed: BTreeMap<usize, EndpointEntry>,
+    pub known_endpoints: BTreeMap<usize, EndpointEntry>,
     /// Discovery sends it list updates.
     pub follows_list: bool,
     /// When its latest list update arrives: updates stay in order.
@@ -90,18 +90,18 @@
 impl SimulatedProcess {
     /// A process that is not started yet; its clock is drawn.
     pub fn new(scenario: &Scenario, seed: u64, number: u32) -> SimulatedProcess {
-        let max_skew = scenario.forwarders.max_clock_skew.0;
-        let skew = stream(seed, "clock", u64::from(number)).random_range(0..=max_skew);
+        let max_clock_skew = scenario.forwarders.max_clock_skew.0;
+        let skew = stream(seed, "clock", u64::from(number)).random_range(0..=max_clock_skew);
         SimulatedProcess {
             subject: None,
             incarnation: 0,
             paused: false,
             inbox: VecDeque::new(),
-            open: BTreeMap::new(),
+            open_messages: BTreeMap::new(),
             recently_finished: VecDeque::new(),
             next_id: 0,
-            clock_lead: CLOCK_START + skew,
-            listed: BTreeMap::new(),
+            clock_offset: CLOCK_START + skew,
+            known_endpoints: BTreeMap::new(),
             follows_list: false,
             list_update_at: 0,
         }
@@ -116,7 +116,7 @@
     pub fn new_id(&mut self) -> MessageId {
         loop {
             self.next_id = self.next_id.wrapping_add(1);
-            if !self.open.contains_key(&MessageId(self.next_id)) {
+            if !self.open_messages.contains_key(&MessageId(self.next_id)) {
                 return MessageId(self.next_id);
             }
         }
@@ -140,11 +140,11 @@
         let process = &mut self.processes[forwarder as usize];
         process.subject = Some(subject);
         process.follows_list = self.scenario.network.polled_discovery.is_none();
-        if process.listed.is_empty() {
+        if process.known_endpoints.is_empty() {
             let list = Sim::complete_list(&self.layout, &self.scenario, &self.listed_endpoints);
-            process.listed = list.into_iter().enumerate().collect();
+            process.known_endpoints = list.into_iter().enumerate().collect();
         }
-        let list = process.listed.values().cloned().collect();
+        let list = process.known_endpoints.values().cloned().collect();
         let cached = Event::EndpointListUpdated(EndpointListUpdate::Cached(list));
         self.run_forwarder(forwarder, cached, None);
     }
@@ -162,16 +162,16 @@
             submission: new.submission,
             client_message: new.client_message,
             message: message.clone(),
-            expires: new.expires,
+            deadline: new.deadline,
             attempts: 0,
             in_flight: Vec::new(),
             ended: false,
             possible_effect: None,
         };
-        process.open.insert(id, held);
+        process.open_messages.insert(id, held);
         let answer = self.run_forwarder(forwarder, Event::MessageSubmitted(message), Some(id));
         if !matches!(answer, SubmissionAnswer::Accepted) {
-            self.processes[forwarder as usize].open.remove(&id);
+            self.processes[forwarder as usize].open_messages.remove(&id);
         }
         answer
     }
@@ -201,9 +201,9 @@
             return SubmissionAnswer::Accepted;
         };
         let mut actions = Vec::new();
-        subject.handle(self.now + process.clock_lead, event, &mut actions);
-        self.work.core_events += 1;
-        self.work.core_actions += actions.len() as u64;
+        subject.handle(self.now + process.clock_offset, event, &mut actions);
+        self.stats.core_events += 1;
+        self.stats.core_actions += actions.len() as u64;
         let mut answer = SubmissionAnswer::Accepted;
         for action in actions {
             match action {
@@ -211,20 +211,20 @@
                 Action::Reject { id, retry_after } if Some(id) == submitted => {
                     answer = SubmissionAnswer::Rejected(retry_after)
                 }
-                other => self.carry_out(forwarder, other),
+                other => self.execute(forwarder, other),
             }
         }
         answer
     }
 
-    fn carry_out(&mut self, forwarder: u32, action: Action) {
+    fn execute(&mut self, forwarder: u32, action: Action) {
         match action {
             Action::StartAttempt {
                 id,
                 endpoint,
                 timeout,
                 ..
-            } => self.send(forwarder, id, endpoint, timeout),
+            } => self.send_call(forwarder, id, endpoint, timeout),
             Action::Fail { id } => self.finish_message(forwarder, id, FinalAnswer::Failed, None),
             Action::Reject { id, retry_after } => {
                 self.finish_message(forwarder, id, FinalAnswer::Rejected, retry_after)
@@ -239,7 +239,7 @@
             }
             Action::StartHealthCheck { endpoint } => self.send_health_check(forwarder, endpoint),
             Action::CancelAttempt { id, attempt_index } => {
-                self.cancel(forwarder, id, attempt_index)
+                self.cancel_attempt(forwarder, id, attempt_index)
             }
             Action::CloseIdleConnections { endpoint } => {
                 let connections = &mut self.connections[Layout::endpoint_index(endpoint)];
@@ -270,11 +270,11 @@
     /// Forgets a message that is over and has no attempt in flight.
     pub(super) fn forget_finished(&mut self, forwarder: u32, id: MessageId) {
         let process = &mut self.processes[forwarder as usize];
-        let is_over = |held: &HeldMessage| held.ended && held.in_flight.is_empty();
-        if !process.open.get(&id).is_some_and(is_over) {
+        let is_finished = |held: &HeldMessage| held.ended && held.in_flight.is_empty();
+        if !process.open_messages.get(&id).is_some_and(is_finished) {
             return;
         }
-        if let Some(held) = process.open.remove(&id) {
+        if let Some(held) = process.open_messages.remove(&id) {
             let submission = held.submission;
             let finished = FinishedMessage { id, submission };
             process.recently_finished.push_front(finished);
@@ -292,15 +292,15 @@
         retry_after: Option<Micros>,
     ) {
         let process = &mut self.processes[forwarder as usize];
-        let Some(held) = process.open.get_mut(&id) else {
+        let Some(held) = process.open_messages.get_mut(&id) else {
             if let Some(submission) = process.finished_submission(id) {
-                self.oracle.ended(submission, answer, self.now);
+                self.oracle.message_ended(submission, answer, self.now);
             }
             return;
         };
         let (submission, client_message) = (held.submission, held.client_message);
         if held.ended {
-            return self.oracle.ended(submission, answer, self.now);
+            return self.oracle.message_ended(submission, answer, self.now);
         }
         held.ended = true;
         self.final_answer(client_message, submission, answer, retry_after, 0);
--- a/crates/lab/src/sim/tests.rs
+++ b/crates/lab/src/sim/tests.rs
@@ -2,7 +2,7 @@
 use crate::scenario::Scenario;
 use crate::subject::ForwarderVariant;
 
-fn hostile() -> Scenario {
+fn hostile_scenario() -> Scenario {
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../lab/scenarios/hostile.toml"
@@ -17,29 +17,29 @@
 }
 
 #[test]
-fn the_true_forwarder_breaks_no_rule_and_every_message_has_its_end() {
+fn true_forwarder_breaks_no_rule_and_ends_every_message() {
     for seed in 1..=4 {
-        let outcome = run(&hostile(), seed, ForwarderVariant::True);
+        let outcome = run(&hostile_scenario(), seed, ForwarderVariant::True);
         assert!(
             outcome.misses().is_empty(),
             "seed {seed}: {:?}\n{:?}",
             outcome.misses(),
             outcome.breaks
         );
-        let c = &outcome.counts;
+        let counts = &outcome.counts;
         assert_eq!(
-            c.served + c.failed + c.given_up + c.gone,
-            c.due,
+            counts.served + counts.failed + counts.given_up + counts.gone,
+            counts.due,
             "seed {seed}"
         );
-        assert!(c.due > 5000 && c.retried > 100, "{c:?}");
+        assert!(counts.due > 5000 && counts.retried > 100, "{counts:?}");
     }
 }
 
 #[test]
-fn each_broken_forwarder_is_caught_by_the_name_of_its_rule() {
+fn each_broken_variant_breaks_its_rule() {
     for (variant, rule) in ForwarderVariant::BROKEN {
-        let outcome = run(&hostile(), 1, variant);
+        let outcome = run(&hostile_scenario(), 1, variant);
         assert!(
             outcome.broken.contains_key(rule),
             "{variant:?} should break {rule}: {:?}",
@@ -49,17 +49,18 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run_to_the_byte() {
-    let text = |seed| {
-        serde_json::to_string(&run(&hostile(), seed, ForwarderVariant::True)).expect("it is data")
+fn same_seed_gives_identical_outcome() {
+    let outcome_json = |seed| {
+        serde_json::to_string(&run(&hostile_scenario(), seed, ForwarderVariant::True))
+            .expect("it is data")
     };
-    assert_eq!(text(7), text(7));
-    assert_ne!(text(7), text(8));
+    assert_eq!(outcome_json(7), outcome_json(7));
+    assert_ne!(outcome_json(7), outcome_json(8));
 }
 
 #[test]
-fn a_run_cut_off_counts_what_is_open_and_blames_nobody() {
-    let sim = Sim::new(&hostile(), 1, ForwarderVariant::True).expect("it starts");
+fn run_cut_off_early_counts_open_messages_and_breaks_no_rule() {
+    let sim = Sim::new(&hostile_scenario(), 1, ForwarderVariant::True).expect("it starts");
     let (outcome, _) = sim.run_until(12_000_000, |_, _| {});
     assert!(
         outcome.counts.open > 0 && outcome.broken.is_empty(),
@@ -70,28 +71,28 @@
 
 /// What the tables hold follows the messages that are open, not those ever seen.
 #[test]
-fn tables_do_not_grow_with_the_length_of_a_run() {
-    let held = |lasts: u64| {
-        let mut scenario = hostile();
+fn table_sizes_do_not_grow_with_run_length() {
+    let peak_entries = |lasts: u64| {
+        let mut scenario = hostile_scenario();
         scenario.faults.clear();
         scenario.lasts = crate::scenario::Span(lasts * 1_000_000);
         Sim::new(&scenario, 1, ForwarderVariant::True)
             .expect("it starts")
             .run_until(Micros::MAX, |_, _| {})
             .1
-            .most_held
+            .peak_table_entries
     };
-    let (short, long) = (held(150), held(450));
+    let (short, long) = (peak_entries(150), peak_entries(450));
     assert!(long < short * 11 / 10, "{short} entries, then {long}");
 }
 
 /// A forwarder that comes back with its folder gives what is overdue its end at once.
 #[test]
-fn a_folder_with_overdue_messages_is_taken_over() {
-    let mut scenario = hostile();
+fn restarted_forwarder_ends_overdue_messages_of_its_folder() {
+    let mut scenario = hostile_scenario();
     scenario
         .faults
-        .retain(|t| matches!(t.kind, crate::scenario::FaultKind::Killed { .. }));
+        .retain(|fault| matches!(fault.kind, crate::scenario::FaultKind::Killed { .. }));
     scenario.forwarders.count = 1;
     scenario.faults[0].lasts = crate::scenario::Span(15_000_000); // longer than any message lives
     scenario.loads[0].rate = 200.0; // so that lines wait
@@ -108,7 +109,7 @@
 /// Most of a fleet starts anew while discovery has more calls than it can work off: in the end it tells all of them, and
 /// is not asked much more often than once for each start. Calls made again each second would keep it full for good.
 #[test]
-fn an_overbooked_discovery_tells_a_fleet_that_starts_at_once() {
+fn overloaded_discovery_updates_fleet_that_restarts_at_once() {
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../lab/scenarios/fleet-restart-full.toml"
@@ -116,24 +117,24 @@
     let scenario = Scenario::load(std::path::Path::new(path)).expect("it is right");
     for seed in 1..=3 {
         let sim = Sim::new(&scenario, seed, ForwarderVariant::True).expect("it starts");
-        let (outcome, work) = sim.run_until(Micros::MAX, |_, _| {});
+        let (outcome, stats) = sim.run_until(Micros::MAX, |_, _| {});
         assert!(outcome.broken.is_empty(), "{:?}", outcome.breaks);
         assert_eq!(
-            work.without_list_updates, 0,
+            stats.forwarders_without_list_updates, 0,
             "seed {seed}: {} calls for the list",
-            work.list_calls
+            stats.list_polls
         );
         assert!(
-            work.list_calls <= 400,
+            stats.list_polls <= 400,
             "seed {seed}: {} calls for some 170 starts",
-            work.list_calls
+            stats.list_polls
         );
     }
 }
 
 /// Where forwarders may tell each other of refusals, fewer calls are refused and more messages served.
 #[test]
-fn notes_spare_refusals_where_a_clump_meets_a_fleet() {
+fn gossip_reduces_refused_calls_and_serves_more_messages() {
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../lab/scenarios/fleet-limits-full.toml"
@@ -151,16 +152,16 @@
             );
         }
     }
-    let [(served, refused), (served_alone, refused_alone)] = sums;
+    let [(served, refused), (served_without_gossip, refused_without_gossip)] = sums;
     assert!(
-        served > served_alone && 2 * refused < refused_alone,
+        served > served_without_gossip && 2 * refused < refused_without_gossip,
         "{sums:?}"
     );
 }
 
 /// What the operators' full fleet showed: a wait is told, and a list drains, while connections are still to come up.
 #[test]
-fn calls_on_late_connections_heed_what_was_told_meanwhile() {
+fn calls_on_late_connections_respect_limits_notified_before_sending() {
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../lab/scenarios/late-connections.toml"
@@ -173,6 +174,9 @@
         outcome.misses(),
         outcome.breaks
     );
-    let broken = run(&scenario, 2, ForwarderVariant::WithdrawsNothing).broken;
-    assert!(broken.contains_key("wait-not-heeded"), "{broken:?}");
+    let broken_rules = run(&scenario, 2, ForwarderVariant::WithdrawsNothing).broken;
+    assert!(
+        broken_rules.contains_key("wait-not-heeded"),
+        "{broken_rules:?}"
+    );
 }
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -24,7 +24,7 @@
 use crate::oracle::{FinalAnswer, Oracle};
 use crate::receivers::Receivers;
 use crate::scenario::{DeliverySemantics, Scenario};
-use crate::tally::{Tally, Tick};
+use crate::tally::{BucketEvent, Tally};
 use crate::world::Layout;
 use hdrhistogram::Histogram;
 use opalpulley::Micros;
@@ -168,7 +168,7 @@
         now: Micros,
     ) {
         let message = self.oracle.record(submission).map(|record| record.message);
-        self.oracle.ended(submission, answer, now);
+        self.oracle.message_ended(submission, answer, now);
         let Some(number) = message else { return };
         match answer {
             FinalAnswer::Served => self.message_served(number, attempt, now),
@@ -192,14 +192,14 @@
         let took = now - message.due.at;
         let class = message.due.class;
         self.tally
-            .served(now, took, class, attempt, message.resubmitted);
+            .message_served(now, took, class, attempt, message.resubmitted);
     }
 
     /// Counts a failed message.
     pub(crate) fn fail_message(&mut self, number: u64, now: Micros) {
         if self.messages.remove(&number).is_some() {
             self.tally.counts.failed += 1;
-            self.tally.tick(now, Tick::MessageFailed);
+            self.tally.count(now, BucketEvent::MessageFailed);
         }
     }
 
@@ -211,7 +211,7 @@
         retry_after: Option<Micros>,
         now: Micros,
     ) {
-        self.tally.tick(now, Tick::Rejected);
+        self.tally.count(now, BucketEvent::Rejected);
         let Some(message) = self.messages.get_mut(&number) else {
             return;
         };
--- a/crates/lab/src/sockets/calls.rs
+++ b/crates/lab/src/sockets/calls.rs
@@ -4,10 +4,10 @@
 use super::replies::write_reply;
 use super::wire::{Conn, HttpMessage};
 use super::{Stage, State};
-use crate::oracle::{FinalAnswer, SentCall, TookEffect};
+use crate::oracle::{CallEffect, FinalAnswer, SentCall};
 use crate::receivers::{Fate, ReceiverReply};
 use crate::scenario::DeliverySemantics;
-use crate::tally::Tick;
+use crate::tally::BucketEvent;
 use opalpulley::Micros;
 use std::sync::Arc;
 use std::time::Duration;
@@ -80,7 +80,7 @@
 /// A call that its forwarder has cancelled may be seen to end later than the next one comes.
 async fn wait_for_call_before(stage: &Stage, submission: u64) {
     for _ in 0..CROSSING_LOOKS {
-        if !stage.lock().oracle.is_out(submission) {
+        if !stage.lock().oracle.has_call_in_flight(submission) {
             return;
         }
         tokio::time::sleep(CROSSING_INTERVAL).await;
@@ -104,10 +104,10 @@
         holder,
         limiter: place.limiter,
     };
-    state.oracle.sent(call, now);
+    state.oracle.call_sent(call, now);
     state.tally.counts.calls += 1;
-    state.tally.calls_out += 1;
-    state.tally.tick(now, Tick::Call);
+    state.tally.calls_in_flight += 1;
+    state.tally.count(now, BucketEvent::Call);
     let keyed = state.semantics[usize::from(class)] == DeliverySemantics::IdempotencyKeyed;
     let falls = state.receivers.falls.len();
     let fate = state
@@ -123,7 +123,7 @@
         submission,
         forwarder,
         endpoint,
-        attempt: state.oracle.attempts(submission).saturating_sub(1),
+        attempt: state.oracle.attempt_count(submission).saturating_sub(1),
         since: now,
         fate,
     }
@@ -136,7 +136,7 @@
         fate.says,
         ReceiverReply::Refused | ReceiverReply::ClosedEarly
     ) {
-        call.is_over(&mut stage.lock(), TookEffect::No);
+        call.is_over(&mut stage.lock(), CallEffect::None);
         conn.reset();
         return None;
     }
@@ -150,9 +150,9 @@
     let now = stage.now();
     if closed {
         let mut state = stage.lock();
-        state.tally.outcome("closed by the forwarder");
-        state.tally.tick(now, Tick::CallFailed);
-        call.is_over(&mut state, TookEffect::Perhaps);
+        state.tally.count_outcome("closed by the forwarder");
+        state.tally.count(now, BucketEvent::CallFailed);
+        call.is_over(&mut state, CallEffect::Possible);
         return None;
     }
     call.settle(stage, now);
@@ -167,10 +167,10 @@
 }
 
 impl Call {
-    fn is_over(&self, state: &mut State, took_effect: TookEffect) {
+    fn is_over(&self, state: &mut State, took_effect: CallEffect) {
         state
             .oracle
-            .over(self.submission, self.forwarder, self.since, took_effect);
+            .call_ended(self.submission, self.forwarder, self.since, took_effect);
     }
 
     /// The answer leaves now: tells tally and oracle.
@@ -179,9 +179,9 @@
         let late = now.saturating_sub(self.fate.at);
         state.receivers_late.saturating_record(late.max(1));
         let (name, tick, took_effect) = outcome_of(self.fate.says);
-        state.tally.outcome(name);
-        state.tally.tick(now, tick);
-        state.tally.calls_out = state.tally.calls_out.saturating_sub(1);
+        state.tally.count_outcome(name);
+        state.tally.count(now, tick);
+        state.tally.calls_in_flight = state.tally.calls_in_flight.saturating_sub(1);
         self.is_over(&mut state, took_effect);
         if let ReceiverReply::TooManyRequests { wait: Some(wait) }
         | ReceiverReply::TooManyRequestsTruncated { wait: Some(wait) } = self.fate.says
@@ -199,22 +199,24 @@
 }
 
 /// How a reply is counted, and what its forwarder can know of the call's effect.
-fn outcome_of(reply: ReceiverReply) -> (&'static str, Tick, TookEffect) {
+fn outcome_of(reply: ReceiverReply) -> (&'static str, BucketEvent, CallEffect) {
     match reply {
-        ReceiverReply::Served | ReceiverReply::ServedThenReset | ReceiverReply::Endless => {
-            ("delivered", Tick::CallSucceeded, TookEffect::Perhaps)
-        }
-        ReceiverReply::Erred => ("error", Tick::CallFailed, TookEffect::Perhaps),
+        ReceiverReply::Served | ReceiverReply::ServedThenReset | ReceiverReply::Endless => (
+            "delivered",
+            BucketEvent::CallSucceeded,
+            CallEffect::Possible,
+        ),
+        ReceiverReply::Erred => ("error", BucketEvent::CallFailed, CallEffect::Possible),
         ReceiverReply::TooManyRequests { .. } | ReceiverReply::Overloaded => {
-            ("refused", Tick::CallRefused, TookEffect::No)
+            ("refused", BucketEvent::CallRefused, CallEffect::None)
         }
         ReceiverReply::Refused | ReceiverReply::ClosedEarly => {
-            ("no-connection", Tick::CallFailed, TookEffect::No)
+            ("no-connection", BucketEvent::CallFailed, CallEffect::None)
         }
         ReceiverReply::Reset
         | ReceiverReply::Garbled
         | ReceiverReply::TooManyRequestsTruncated { .. }
-        | ReceiverReply::Silent => ("reset", Tick::CallFailed, TookEffect::Perhaps),
+        | ReceiverReply::Silent => ("reset", BucketEvent::CallFailed, CallEffect::Possible),
     }
 }
 
--- a/crates/lab/src/sockets/load_thread.rs
+++ b/crates/lab/src/sockets/load_thread.rs
@@ -143,7 +143,7 @@
     let mut state = stage.lock();
     let number = state.next_message;
     state.next_message += 1;
-    state.tally.due(due.at, due.class);
+    state.tally.message_due(due.at, due.class);
     let late = now.saturating_sub(due.at);
     state.load_late.saturating_record(late.max(1));
     let message = ClientMessage {
--- a/crates/lab/src/sockets/run.rs
+++ b/crates/lab/src/sockets/run.rs
@@ -63,7 +63,7 @@
     let begin = stage.now() + LOAD_BEGINS_AFTER;
     let clients = fleet.clients.clone();
     let timeline = Timeline::new(stage.clone(), stand_ins, fleet, seed, begin);
-    stage.lock().tally.begins(begin);
+    stage.lock().tally.set_start(begin);
     let loads = Loads::new(scenario, &stage.layout, seed)?;
     let load = load_thread::start(stage.clone(), clients, loads, resubmissions, begin)
         .map_err(SocketsError::Stage)?;
@@ -174,9 +174,10 @@
     let load_late = percentile_99(&state.load_late);
     let receivers_late = percentile_99(&state.receivers_late);
     let tally = std::mem::replace(&mut state.tally, Tally::new(&stage.scenario));
-    let mut outcome = tally.close(now, &stage.scenario, Clock::Sockets, timeline.seed, "True");
-    outcome.broken = state.oracle.counts_by_name();
-    outcome.breaks = state.oracle.breaks.clone();
+    let mut outcome =
+        tally.into_outcome(now, &stage.scenario, Clock::Sockets, timeline.seed, "True");
+    outcome.broken = state.oracle.violation_counts_by_name();
+    outcome.breaks = state.oracle.violations.clone();
     for broken in &mut outcome.breaks {
         broken.at = broken.at.saturating_sub(timeline.begin);
     }
--- a/crates/lab/src/sockets/submissions.rs
+++ b/crates/lab/src/sockets/submissions.rs
@@ -86,14 +86,14 @@
     state.tally.counts.submissions += 1;
     // Where nobody judges, nothing is kept for the oracle.
     if !stage.alone {
-        state.oracle.submitted(SubmissionRecord {
+        state.oracle.message_submitted(SubmissionRecord {
             submission,
             message: number,
             forwarder,
-            expires: message.expires,
+            deadline: message.expires,
             class: message.due.class,
             destination: message.due.destination,
-            key: None,
+            order_key: None,
         });
     }
     let time_left_ms = (message.expires - now) / 1000;
@@ -115,15 +115,15 @@
 ) {
     match answer.status {
         200 | 202 => {
-            state.oracle.accepted(submission);
+            state.oracle.submission_accepted(submission);
             if stage.alone {
                 // What becomes of it is not seen from here.
                 state.messages.remove(&number);
             }
-            state.tally.outcome("hand-in: taken");
+            state.tally.count_outcome("hand-in: taken");
         }
         429 | 503 => {
-            state.oracle.refused(submission, now);
+            state.oracle.submission_refused(submission, now);
             state.tally.counts.rejections += 1;
             let retry_after = retry_after(answer);
             if retry_after.is_none() {
@@ -132,8 +132,8 @@
             state.schedule_resubmission(stage, number, retry_after, now);
         }
         status => {
-            state.oracle.refused(submission, now);
-            state.tally.outcome(&format!("hand-in: {status}"));
+            state.oracle.submission_refused(submission, now);
+            state.tally.count_outcome(&format!("hand-in: {status}"));
             state.fail_message(number, now);
         }
     }
@@ -146,7 +146,7 @@
 
 /// A forwarder is not there, or did not answer in time: the client submits to another one, under another id.
 fn no_answer(state: &mut State, stage: &Stage, number: u64, submission: u64, now: Micros) {
-    state.oracle.refused(submission, now);
+    state.oracle.submission_refused(submission, now);
     state.tally.counts.turned_away += 1;
     let Some(message) = state.messages.get_mut(&number) else {
         return;
--- a/crates/lab/src/sockets/timeline.rs
+++ b/crates/lab/src/sockets/timeline.rs
@@ -165,7 +165,10 @@
 
     async fn play_pause(&self, fault: &Fault, forwarders: &[u32]) {
         for forwarder in forwarders {
-            self.stage.lock().oracle.excuse(*forwarder, Micros::MAX);
+            self.stage
+                .lock()
+                .oracle
+                .excuse_until(*forwarder, Micros::MAX);
             self.process(*forwarder).lock().await.stop();
         }
         self.until(fault.ends_at()).await;
@@ -199,13 +202,16 @@
     fn excuse_until_ready(&self, forwarder: u32) {
         let now = self.stage.now();
         let mut state = self.stage.lock();
-        state.oracle.excuse(forwarder, now + READY_AFTER);
+        state.oracle.excuse_until(forwarder, now + READY_AFTER);
     }
 
     async fn kill_process(&self, forwarder: u32, folder_kept: bool) {
         locked(&self.down).insert(forwarder);
         self.set_open(forwarder, false);
-        self.stage.lock().oracle.excuse(forwarder, Micros::MAX);
+        self.stage
+            .lock()
+            .oracle
+            .excuse_until(forwarder, Micros::MAX);
         self.process(forwarder).lock().await.kill(folder_kept).await;
         let now = self.stage.now();
         let mut state = self.stage.lock();
--- a/crates/lab/src/sockets/without_forwarders.rs
+++ b/crates/lab/src/sockets/without_forwarders.rs
@@ -68,7 +68,7 @@
     let (stage, resubmissions) = Stage::new(scenario, seed, true);
     let begin = stage.now() + LOAD_BEGINS_AFTER;
     let loads = Loads::new(scenario, &stage.layout, seed)?;
-    stage.lock().tally.begins(begin);
+    stage.lock().tally.set_start(begin);
     let clients = forwarders.iter().copied().map(ForwarderClient::new);
     let load = load_thread::start(
         stage.clone(),
@@ -88,7 +88,7 @@
     let now = stage.now();
     let load_late = percentile_99(&state.load_late);
     let tally = std::mem::replace(&mut state.tally, Tally::new(scenario));
-    let mut outcome = tally.close(now, scenario, Clock::Sockets, seed, "load alone");
+    let mut outcome = tally.into_outcome(now, scenario, Clock::Sockets, seed, "load alone");
     outcome.load_late = load_late;
     if load_late > MOST_LATE {
         outcome.void = Some(format!("the load tool was {load_late} us late at p99"));
--- a/crates/lab/src/subject/broken.rs
+++ b/crates/lab/src/subject/broken.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// `LosesMessages` gives no final answer to one message in so many.
-const LOST_ANSWERS: u64 = 10;
+const LOST_ANSWER_INTERVAL: u64 = 10;
 
 /// The true core, with what its variant changes.
 pub(super) struct BrokenForwarder {
@@ -16,11 +16,11 @@
     core: Forwarder,
     semantics: Vec<DeliverySemantics>,
     /// Open messages of at-most-once classes. Each leaves with its final answer.
-    at_most_once: BTreeSet<MessageId>,
+    open_at_most_once: BTreeSet<MessageId>,
     /// Endpoints that the core knows as ready, for `SendsAfterDrain`.
-    ready: BTreeMap<EndpointId, EndpointEntry>,
+    ready_endpoints: BTreeMap<EndpointId, EndpointEntry>,
     /// Final answers so far.
-    final_answers: u64,
+    final_answer_count: u64,
 }
 
 impl BrokenForwarder {
@@ -31,17 +31,17 @@
             variant,
             semantics: classes.map(|class| class.semantics).collect(),
             core: Forwarder::new(config, seed),
-            at_most_once: BTreeSet::new(),
-            ready: BTreeMap::new(),
-            final_answers: 0,
+            open_at_most_once: BTreeSet::new(),
+            ready_endpoints: BTreeMap::new(),
+            final_answer_count: 0,
         }
     }
 
     /// What the core is told instead of an event.
-    fn changed_event(&mut self, event: Event) -> Event {
+    fn alter_event(&mut self, event: Event) -> Event {
         match event {
             Event::MessageSubmitted(message) => {
-                Event::MessageSubmitted(self.changed_message(message))
+                Event::MessageSubmitted(self.alter_message(message))
             }
             Event::AttemptEnded {
                 id,
@@ -55,7 +55,7 @@
                 id,
                 attempt_index,
                 endpoint,
-                outcome: self.changed_outcome(id, outcome),
+                outcome: self.alter_outcome(id, outcome),
                 elapsed,
                 message_completed,
                 load_metrics,
@@ -69,13 +69,13 @@
         }
     }
 
-    fn changed_message(&mut self, mut message: Submission) -> Submission {
+    fn alter_message(&mut self, mut message: Submission) -> Submission {
         match self.variant {
             ForwarderVariant::IgnoresOrder => message.order_key = None,
             ForwarderVariant::ResendsAtMostOnce => {
                 let semantics = self.semantics.get(usize::from(message.class.0));
                 if semantics == Some(&DeliverySemantics::AtMostOnce) {
-                    self.at_most_once.insert(message.id);
+                    self.open_at_most_once.insert(message.id);
                 }
             }
             _ => {}
@@ -83,11 +83,11 @@
         message
     }
 
-    fn changed_outcome(&self, id: MessageId, outcome: Outcome) -> Outcome {
+    fn alter_outcome(&self, id: MessageId, outcome: Outcome) -> Outcome {
         match (self.variant, outcome) {
             (ForwarderVariant::ResendsAtMostOnce, outcome) => {
-                let unclear = outcome != Outcome::Delivered && outcome.may_have_taken_effect();
-                if unclear && self.at_most_once.contains(&id) {
+                let may_have_run = outcome != Outcome::Delivered && outcome.may_have_taken_effect();
+                if may_have_run && self.open_at_most_once.contains(&id) {
                     return Outcome::Rejected { retry_after: None };
                 }
                 outcome
@@ -107,34 +107,34 @@
             EndpointListUpdate::Changes(mut entries) => {
                 entries.retain(|entry| {
                     entry.status == EndpointStatus::Ready
-                        || !self.ready.contains_key(&entry.endpoint)
+                        || !self.ready_endpoints.contains_key(&entry.endpoint)
                 });
-                self.remember(&entries);
+                self.record_ready(&entries);
                 EndpointListUpdate::Changes(entries)
             }
             EndpointListUpdate::Cached(entries) | EndpointListUpdate::Complete(entries) => {
-                self.remember(&entries);
-                EndpointListUpdate::Complete(self.ready.values().cloned().collect())
+                self.record_ready(&entries);
+                EndpointListUpdate::Complete(self.ready_endpoints.values().cloned().collect())
             }
             EndpointListUpdate::Failed => EndpointListUpdate::Failed,
         }
     }
 
-    fn remember(&mut self, entries: &[EndpointEntry]) {
+    fn record_ready(&mut self, entries: &[EndpointEntry]) {
         for entry in entries {
-            self.ready.insert(entry.endpoint, entry.clone());
+            self.ready_endpoints.insert(entry.endpoint, entry.clone());
         }
     }
 
     /// Passes an action of the core on: once, twice or not at all.
-    fn pass_on(&mut self, action: Action, actions: &mut Vec<Action>) {
+    fn forward_action(&mut self, action: Action, actions: &mut Vec<Action>) {
         let answered = match &action {
             Action::Fail { id } | Action::Reject { id, .. } => Some(*id),
             _ => None,
         };
         if let Some(id) = answered {
-            self.final_answers += 1;
-            self.at_most_once.remove(&id);
+            self.final_answer_count += 1;
+            self.open_at_most_once.remove(&id);
         }
         let is_send = matches!(action, Action::StartAttempt { .. });
         let is_withdrawal = matches!(action, Action::WithdrawUnsent { .. });
@@ -143,7 +143,8 @@
             ForwarderVariant::SendsTwice if is_send => 2,
             ForwarderVariant::WithdrawsNothing if is_withdrawal => 0,
             ForwarderVariant::LosesMessages
-                if answered.is_some() && self.final_answers.is_multiple_of(LOST_ANSWERS) =>
+                if answered.is_some()
+                    && self.final_answer_count.is_multiple_of(LOST_ANSWER_INTERVAL) =>
             {
                 0
             }
@@ -158,11 +159,11 @@
 impl Subject for BrokenForwarder {
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         let delivered = delivered_message(&event);
-        let event = self.changed_event(event);
-        let mut from_core = Vec::new();
-        self.core.handle(now, event, &mut from_core);
-        for action in from_core {
-            self.pass_on(action, actions);
+        let event = self.alter_event(event);
+        let mut core_actions = Vec::new();
+        self.core.handle(now, event, &mut core_actions);
+        for action in core_actions {
+            self.forward_action(action, actions);
         }
         if self.variant != ForwarderVariant::SendsAfterEnd {
             return;
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 /// Time buckets at most: more than a plot shows.
-const MAX_BUCKETS: u64 = 600;
+const MAX_BUCKET_COUNT: u64 = 600;
 /// The shortest time bucket, µs.
 const MIN_BUCKET_WIDTH: Micros = 100_000;
 /// The longest latency that is told from longer ones, µs.
@@ -21,7 +21,7 @@
 
 /// What a time bucket counts.
 #[derive(Clone, Copy, Debug)]
-pub enum Tick {
+pub enum BucketEvent {
     /// A message was due.
     Due,
     /// A message was rejected.
@@ -43,17 +43,17 @@
     /// Counts over the whole run.
     pub counts: Counts,
     /// Calls in flight now.
-    pub calls_out: u64,
+    pub calls_in_flight: u64,
     latencies: Histogram<u64>,
     bucket_latencies: Histogram<u64>,
     bucket_width: Micros,
     /// When the first bucket begins.
-    begin: Micros,
+    started_at: Micros,
     buckets: Vec<TimeBucket>,
     /// The weight of the messages that were served, less where they were late.
-    weight_served: f64,
+    served_weight: f64,
     /// The weight of all messages that were due.
-    weight_due: f64,
+    due_weight: f64,
     classes: Vec<DeliveryClass>,
     decay: PriorityDecay,
 }
@@ -64,27 +64,27 @@
         let length = scenario.lasts.0 + scenario.longest_time_to_live();
         Tally {
             counts: Counts::default(),
-            calls_out: 0,
+            calls_in_flight: 0,
             latencies: latency_histogram(),
             bucket_latencies: latency_histogram(),
-            bucket_width: (length / MAX_BUCKETS).max(MIN_BUCKET_WIDTH),
-            begin: 0,
+            bucket_width: (length / MAX_BUCKET_COUNT).max(MIN_BUCKET_WIDTH),
+            started_at: 0,
             buckets: vec![TimeBucket::default()],
-            weight_served: 0.0,
-            weight_due: 0.0,
+            served_weight: 0.0,
+            due_weight: 0.0,
             classes: scenario.classes.clone(),
             decay: scenario.forwarders.priority_decay,
         }
     }
 
     /// The run's first µs, where the clock does not begin with it.
-    pub fn begins(&mut self, at: Micros) {
-        self.begin = at;
+    pub fn set_start(&mut self, at: Micros) {
+        self.started_at = at;
     }
 
     /// The bucket of this time, which is not before that of an earlier call; those before it are closed.
     fn bucket_at(&mut self, now: Micros) -> &mut TimeBucket {
-        let now = now.saturating_sub(self.begin);
+        let now = now.saturating_sub(self.started_at);
         while now >= self.buckets.len() as u64 * self.bucket_width {
             self.close_bucket();
         }
@@ -100,48 +100,48 @@
             self.bucket_latencies.reset();
         }
         self.buckets.push(TimeBucket {
-            calls_out: self.calls_out,
+            calls_out: self.calls_in_flight,
             ..TimeBucket::default()
         });
     }
 
     /// Counts something that happened now.
-    pub fn tick(&mut self, now: Micros, what: Tick) {
+    pub fn count(&mut self, now: Micros, what: BucketEvent) {
         let bucket = self.bucket_at(now);
         let count = match what {
-            Tick::Due => &mut bucket.due,
-            Tick::Rejected => &mut bucket.rejected,
-            Tick::MessageFailed => &mut bucket.failed_messages,
-            Tick::Call => &mut bucket.calls,
-            Tick::CallSucceeded => &mut bucket.good,
-            Tick::CallRefused => &mut bucket.refused,
-            Tick::CallFailed => &mut bucket.failed,
+            BucketEvent::Due => &mut bucket.due,
+            BucketEvent::Rejected => &mut bucket.rejected,
+            BucketEvent::MessageFailed => &mut bucket.failed_messages,
+            BucketEvent::Call => &mut bucket.calls,
+            BucketEvent::CallSucceeded => &mut bucket.good,
+            BucketEvent::CallRefused => &mut bucket.refused,
+            BucketEvent::CallFailed => &mut bucket.failed,
         };
         *count += 1;
     }
 
     /// A message of this delivery class was due.
-    pub fn due(&mut self, now: Micros, class: u16) {
+    pub fn message_due(&mut self, now: Micros, class: u16) {
         self.counts.due += 1;
-        self.weight_due += self.classes[usize::from(class)].priority_weight;
-        self.tick(now, Tick::Due);
+        self.due_weight += self.classes[usize::from(class)].priority_weight;
+        self.count(now, BucketEvent::Due);
     }
 
-    /// A message was served: `took` after it was due, by its attempt of this number (from 0). `resubmitted`: it was rejected
+    /// A message was served: `latency` after it was due, by its attempt of this number (from 0). `resubmitted`: it was rejected
     /// before.
-    pub fn served(
+    pub fn message_served(
         &mut self,
         now: Micros,
-        took: Micros,
+        latency: Micros,
         class: u16,
         attempt: u32,
         resubmitted: bool,
     ) {
         let class = &self.classes[usize::from(class)];
-        let left = weight_left(class, self.decay, took);
-        self.weight_served += class.priority_weight * left;
+        let weight_share = remaining_weight_share(class, self.decay, latency);
+        self.served_weight += class.priority_weight * weight_share;
         self.counts.served += 1;
-        if took <= class.latency_objective.0 {
+        if latency <= class.latency_objective.0 {
             self.counts.on_time += 1;
         }
         if attempt == 0 && !resubmitted {
@@ -150,12 +150,12 @@
             self.counts.retried += 1;
         }
         self.bucket_at(now).served += 1;
-        self.latencies.saturating_record(took.max(1));
-        self.bucket_latencies.saturating_record(took.max(1));
+        self.latencies.saturating_record(latency.max(1));
+        self.bucket_latencies.saturating_record(latency.max(1));
     }
 
     /// Counts the outcome of a call, by its name.
-    pub fn outcome(&mut self, name: &str) {
+    pub fn count_outcome(&mut self, name: &str) {
         if let Some(count) = self.counts.outcomes.get_mut(name) {
             *count += 1;
         } else {
@@ -165,7 +165,7 @@
 
     /// The outcome of the run. What the tally does not know is left empty: broken rules, falls, lateness, and whether the run
     /// is void.
-    pub fn close(
+    pub fn into_outcome(
         mut self,
         now: Micros,
         scenario: &Scenario,
@@ -192,7 +192,11 @@
             receivers_late: 0,
             bucket_width: self.bucket_width,
             buckets: self.buckets,
-            spells: scenario.faults.iter().map(FaultPeriod::of).collect(),
+            spells: scenario
+                .faults
+                .iter()
+                .map(FaultPeriod::from_fault)
+                .collect(),
             expect: scenario.expect.clone(),
         }
     }
@@ -214,8 +218,8 @@
 
     /// The share of the weight that was due.
     fn service(&self) -> f64 {
-        if self.weight_due > 0.0 {
-            self.weight_served / self.weight_due
+        if self.due_weight > 0.0 {
+            self.served_weight / self.due_weight
         } else {
             1.0
         }
@@ -223,18 +227,18 @@
 }
 
 /// The part of its weight that a message has left when it is served so long after it was due.
-fn weight_left(class: &DeliveryClass, decay: PriorityDecay, took: Micros) -> f64 {
+fn remaining_weight_share(class: &DeliveryClass, decay: PriorityDecay, latency: Micros) -> f64 {
     let objective = class.latency_objective.0;
-    let late = took.saturating_sub(objective) as f64;
-    let share = class.late_weight_share;
-    let left = match decay {
-        PriorityDecay::Exponential => (-late / objective.max(1) as f64).exp2().max(share),
+    let lateness = latency.saturating_sub(objective) as f64;
+    let min_share = class.late_weight_share;
+    let share = match decay {
+        PriorityDecay::Exponential => (-lateness / objective.max(1) as f64).exp2().max(min_share),
         PriorityDecay::Linear => {
             let span = class.time_to_live.0.saturating_sub(objective).max(1);
-            1.0 - (1.0 - share) * late / span as f64
+            1.0 - (1.0 - min_share) * lateness / span as f64
         }
     };
-    left.clamp(0.0, 1.0)
+    share.clamp(0.0, 1.0)
 }
 
 fn latency_histogram() -> Histogram<u64> {
--- a/crates/lab/src/tally/outcome.rs
+++ b/crates/lab/src/tally/outcome.rs
@@ -1,7 +1,7 @@
 //! The outcome of a run, as it is written and as reports read it. The keys of its JSON are fixed by outcomes that were written
 //! before; where a Rust name differs, the key is named by an explicit `serde(rename)`.
 
-use crate::oracle::Break;
+use crate::oracle::RuleViolation;
 use crate::scenario::{Expectations, Fault};
 use opalpulley::Micros;
 use serde::{Deserialize, Serialize};
@@ -118,7 +118,7 @@
 
 impl FaultPeriod {
     /// The period of a fault.
-    pub fn of(fault: &Fault) -> FaultPeriod {
+    pub fn from_fault(fault: &Fault) -> FaultPeriod {
         FaultPeriod {
             what: fault.kind.name(),
             from: fault.at.0,
@@ -151,7 +151,7 @@
     /// How often each rule was broken, by the rule's name.
     pub broken: BTreeMap<String, u64>,
     /// The first broken rules, with what happened.
-    pub breaks: Vec<Break>,
+    pub breaks: Vec<RuleViolation>,
     /// Endpoints that fell over as they warmed up, blamed or not.
     pub falls: u64,
     /// Why the run shows nothing, if it does not.
@@ -202,11 +202,23 @@
             .map(|(rule, times)| format!("rule broken: {rule}, {times} times"))
             .collect();
         let expect = &self.expect;
-        misses.extend(miss("served", self.served_share(), expect.served));
+        misses.extend(missed_expectation(
+            "served",
+            self.served_share(),
+            expect.served,
+        ));
         let first_attempt = self.first_attempt_share();
-        misses.extend(miss("first attempt", first_attempt, expect.first_attempt));
+        misses.extend(missed_expectation(
+            "first attempt",
+            first_attempt,
+            expect.first_attempt,
+        ));
         let calls = expect.calls_per_message.map(|most| [0.0, most]);
-        misses.extend(miss("calls a message", self.calls_per_message(), calls));
+        misses.extend(missed_expectation(
+            "calls a message",
+            self.calls_per_message(),
+            calls,
+        ));
         misses.extend(self.missed_p99());
         let open = self.counts.open;
         if open > 0 {
@@ -226,8 +238,8 @@
 }
 
 /// What is said of a figure outside of what is expected.
-fn miss(name: &str, found: f64, expected: Option<[f64; 2]>) -> Option<String> {
+fn missed_expectation(name: &str, actual: f64, expected: Option<[f64; 2]>) -> Option<String> {
     let [least, most] = expected?;
-    let outside = found < least || found > most;
-    outside.then(|| format!("{name} {found:.4}, expected {least} to {most}"))
+    let outside = actual < least || actual > most;
+    outside.then(|| format!("{name} {actual:.4}, expected {least} to {most}"))
 }
