--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -1,12 +1,13 @@
-//! The oracle: the six rules and the final answers, judged from outside, on both clocks. It knows what clients were told,
-//! what reached the receivers and what forwarders had been told; it knows nothing of how a forwarder decides.
+//! The oracle checks the six rules and the final answers from outside a forwarder, on the simulated clock and on sockets. It
+//! observes the answers to clients, the calls that reach the receivers, and the endpoint statuses and retry-after times that
+//! forwarders were notified of. It has no access to a forwarder's decisions.
 //!
-//! A submission is a message as one forwarder accepted it; a client that submits it again makes a new one. A submission leaves
-//! the tables some time after its deadline, once none of its calls is in flight. A retry-after time, a drain and an order key
-//! leave as they end.
+//! A submission is one message as submitted to one forwarder; a resubmission by the client is a new submission. A submission
+//! is removed from the tables some time after its deadline, once none of its calls is in flight. A retry-after time, a drain
+//! and an order key are removed when they end.
 //!
-//! `rule` names the rules, `submissions` follows final answers, `calls` judges each call, `limits` holds what forwarders were
-//! told about endpoints.
+//! `rule` defines the rules, `submissions` tracks final answers, `calls` judges each call, and `limits` holds the drains and
+//! retry-after times that forwarders were notified of.
 
 mod calls;
 mod limits;
@@ -24,44 +25,48 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use submissions::TrackedSubmission;
 
-/// A submission stays known for so long after its deadline, µs: late calls must still be told from unknown ones.
+/// Time for which a submission is kept after its deadline, µs, so that a late call is not mistaken for a call of an unknown
+/// submission.
 const RETENTION_AFTER_DEADLINE: Micros = 60_000_000;
-/// Breaks that are kept with all their words; further ones are counted.
+/// Upper bound on the violations that are kept with their description. Further violations are only counted.
 const MAX_RECORDED_VIOLATIONS: usize = 20;
 
-/// Judges a run.
+/// Judges one run. Owned by the simulation, or by the shared state of a run on sockets.
 pub struct Oracle {
     classes: Vec<DeliveryClass>,
     answer_slack: Micros,
     max_attempts: u32,
     concurrency_limit: u32,
-    /// How much later something is seen than it was done, µs.
+    /// Upper bound on the delay between an action of a forwarder and its observation, µs; 0 on the simulated clock.
     observation_slack: Micros,
     submissions: HashMap<u64, TrackedSubmission>,
-    /// Submissions by deadline. Each leaves as its deadline has passed; one that is not owed yet is looked at again.
+    /// Submissions by deadline. An entry is removed once the deadline has passed, and is scheduled again while no answer is
+    /// due yet.
     by_deadline: BTreeSet<(Micros, u64)>,
-    /// Submissions whose deadline has passed, each with the time when it is forgotten.
+    /// Submissions whose deadline has passed, each with the instant of its removal from `submissions`, µs.
     expired: VecDeque<(Micros, u64)>,
     limits: NotifiedLimits,
-    /// Submissions of a forwarder and an order key that are not over, in their order.
+    /// Submissions by forwarder and order key, in the order of submission. A submission is removed once it has ended and has
+    /// no call in flight.
     ordered_queues: HashMap<(u32, u64), VecDeque<u64>>,
-    /// Calls in flight of each forwarder.
+    /// Number of calls in flight, by forwarder.
     calls_in_flight: HashMap<u32, u32>,
-    /// Messages that took effect, and when.
+    /// When each message took effect, µs. Idempotent messages are not tracked.
     effect_times: HashMap<u64, Micros>,
     effects_by_age: VecDeque<(Micros, u64)>,
-    /// An effect is remembered for so long, µs.
+    /// Time for which an effect is kept, µs.
     effect_retention: Micros,
-    /// Until when a forwarder that is down, stopped or just back may be late with final answers.
+    /// Instant until which a forwarder that is down, paused or restarting may be late with final answers, µs.
     excused_until: HashMap<u32, Micros>,
-    /// The first broken rules, with what happened.
+    /// The first violations, `MAX_RECORDED_VIOLATIONS` at most.
     pub violations: Vec<RuleViolation>,
-    /// How often each rule was broken.
+    /// Number of violations of each rule.
     pub violation_counts: BTreeMap<Rule, u64>,
 }
 
 impl Oracle {
-    /// `observation_slack`: how much later something is seen than it was done, µs, beside what the rules allow.
+    /// Creates an oracle for a scenario. `observation_slack` is the upper bound on the delay between an action and its
+    /// observation, µs; it is granted in addition to the tolerances of the rules.
     pub fn new(scenario: &Scenario, observation_slack: Micros) -> Oracle {
         Oracle {
             classes: scenario.classes.clone(),
@@ -84,13 +89,14 @@
         }
     }
 
-    /// On sockets a call that its forwarder has closed is seen to end later: the concurrency limit is not judged there.
+    /// Disables the check of the concurrency limit. On sockets the end of a call that its forwarder has closed is observed
+    /// late, so the number of calls in flight is not known exactly.
     pub fn for_sockets(mut self) -> Oracle {
         self.concurrency_limit = u32::MAX;
         self
     }
 
-    /// Notes that a rule was broken.
+    /// Counts a violation, and keeps its description if it is one of the first.
     pub fn record_violation(&mut self, rule: Rule, at: Micros, what: String) {
         *self.violation_counts.entry(rule).or_default() += 1;
         if self.violations.len() < MAX_RECORDED_VIOLATIONS {
@@ -98,18 +104,18 @@
         }
     }
 
-    /// Judges the endpoints that fell over: a fall breaks a rule where forwarders are to blame.
+    /// Records a violation for each endpoint collapse that forwarders caused; other collapses break no rule.
     pub fn judge_falls(&mut self, falls: &[Fall]) {
         for fall in falls.iter().filter(|fall| fall.blamed) {
             let what = format!(
-                "target {} fell over: {} calls in the window, {:.1} allowed",
+                "endpoint {} collapsed: {} calls in the window, {:.1} allowed",
                 fall.endpoint, fall.calls, fall.budget
             );
             self.record_violation(Rule::PushedOver, fall.at, what);
         }
     }
 
-    /// How often each rule was broken, by the rule's name.
+    /// Returns the number of violations of each rule, by the rule's name in outcomes.
     pub fn violation_counts_by_name(&self) -> BTreeMap<String, u64> {
         let counts = self.violation_counts.iter();
         counts
@@ -117,7 +123,7 @@
             .collect()
     }
 
-    /// Accepted submissions that are not over.
+    /// Returns the number of accepted submissions without a final answer.
     pub fn open_submissions(&self) -> usize {
         let submissions = self.submissions.values();
         submissions
@@ -125,7 +131,7 @@
             .count()
     }
 
-    /// Entries in all tables.
+    /// Returns the number of entries in the tables whose size must not grow with the length of a run.
     pub fn table_entries(&self) -> usize {
         self.submissions.len()
             + self.effect_times.len()
--- a/crates/lab/src/oracle/calls.rs
+++ b/crates/lab/src/oracle/calls.rs
@@ -1,29 +1,30 @@
-//! Each call is judged as it is sent: to whom, how often, in which order, within which limits.
+//! Judges each call when it is sent: its destination and endpoint, its attempt number, its order, and the limits that bind it.
 
 use super::submissions::{CallEffect, TrackedSubmission};
 use super::{Oracle, Rule};
 use crate::scenario::DeliverySemantics;
 use opalpulley::Micros;
 
-/// A call as it goes out: whose message, from whom, to whom.
+/// A call at the time when it is sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SentCall {
-    /// The submission whose message it carries.
+    /// The number of the submission whose message the call carries.
     pub submission: u64,
-    /// Who sends it.
+    /// The number of the forwarder that sends the call.
     pub forwarder: u32,
-    /// The destination of the endpoint.
+    /// The number of the destination that the endpoint belongs to.
     pub destination: u32,
-    /// Where it goes.
+    /// The index of the endpoint in the layout.
     pub endpoint: usize,
-    /// The holder of the endpoint's address.
+    /// The incarnation of the endpoint: each new holder of its address has the next number.
     pub holder: u32,
-    /// The limiter of the endpoint.
+    /// The index of the rate limiter that the endpoint shares.
     pub limiter: usize,
 }
 
 impl Oracle {
-    /// A call with a submission's message, sent (or, on sockets, received) at `now`.
+    /// Judges a call that was sent at `now`, or on sockets received at `now`, and counts it as in flight. The caller reports
+    /// its end with `call_ended`.
     pub fn call_sent(&mut self, call: SentCall, now: Micros) {
         let SentCall {
             submission: submission_number,
@@ -33,7 +34,7 @@
         } = call;
         let Some(submission) = self.submissions.get(&submission_number).cloned() else {
             let what = format!(
-                "message {submission_number} to endpoint {endpoint}: long over or never submitted"
+                "message {submission_number} to endpoint {endpoint}: unknown, or ended long ago"
             );
             return self.record_violation(Rule::SentAfterEnd, now, what);
         };
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Whether the message may be sent there, at this time, once more.
+    /// Checks the destination, the final answer, concurrent attempts and the number of attempts.
     fn judge_attempt(
         &mut self,
         submission: &TrackedSubmission,
@@ -59,11 +60,11 @@
         what: &str,
     ) {
         if submission.record.destination != call.destination {
-            let what = format!("{what} of another destination");
+            let what = format!("{what}: the endpoint belongs to another destination");
             self.record_violation(Rule::WrongDestination, now, what);
         }
         if self.is_after_end(submission, now) {
-            let what = format!("{what}: it has its final answer");
+            let what = format!("{what}: the message already has its final answer");
             self.record_violation(Rule::SentAfterEnd, now, what);
         }
         if submission.calls_in_flight > 0 {
@@ -76,12 +77,12 @@
         }
     }
 
-    /// Whether a call at this time was sent after the final answer that the forwarder knows of.
+    /// Returns whether a call at `now` was sent after a final answer that the forwarder knows of.
     fn is_after_end(&self, submission: &TrackedSubmission, now: Micros) -> bool {
         let Some(ended_at) = submission.ended_at else {
             return false;
         };
-        // Without slack both are seen on one clock: what is seen at the same time was sent after the end.
+        // Without slack both are observed on one clock, and a call observed at the instant of the answer was sent after it.
         let seen_after_end = match self.observation_slack {
             0 => now >= ended_at,
             observation_slack => now > ended_at + observation_slack,
@@ -90,7 +91,7 @@
         seen_after_end && end_known && !submission.unacknowledged
     }
 
-    /// Whether a repeat might take effect a second time.
+    /// Checks that a repeated call can't take effect a second time.
     fn judge_repeat(&mut self, submission: &TrackedSubmission, now: Micros, what: &str) {
         let Some(first_sent_at) = submission.possible_effect_sent_at else {
             return;
@@ -98,20 +99,21 @@
         let class = &self.classes[usize::from(submission.record.class)];
         match class.semantics {
             DeliverySemantics::AtMostOnce => {
-                let what = format!("{what}: binding, and it may have run");
+                let what = format!("{what}: the class is at-most-once, and an earlier attempt may have taken effect");
                 self.record_violation(Rule::EffectTwice, now, what);
             }
             DeliverySemantics::IdempotencyKeyed
                 if now > first_sent_at + class.window.0 + self.observation_slack =>
             {
-                let what = format!("{what}: past the window in which repeats are known");
+                let what =
+                    format!("{what}: the window in which receivers recognize a repeat has ended");
                 self.record_violation(Rule::EffectTwice, now, what);
             }
             _ => {}
         }
     }
 
-    /// Whether an earlier message of the same order key is not over.
+    /// Checks that every earlier message of the same order key has ended.
     fn judge_order(
         &mut self,
         submission: &TrackedSubmission,
@@ -134,23 +136,24 @@
             earlier.is_some_and(|earlier| earlier.ended_at.is_none() || earlier.calls_in_flight > 0)
         };
         if earlier.any(is_open) {
-            let what = format!("{what}: an earlier one of its key is not over");
+            let what = format!("{what}: an earlier message of its order key has not ended");
             self.record_violation(Rule::OrderNotKept, now, what);
         }
     }
 
-    /// Counts the call, and judges how many its forwarder has in flight.
+    /// Counts the call as in flight, and checks the concurrency limit of its forwarder.
     fn judge_concurrency(&mut self, forwarder: u32, now: Micros, what: &str) {
         let in_flight = self.calls_in_flight.entry(forwarder).or_default();
         *in_flight += 1;
         let in_flight = *in_flight;
         if in_flight > self.concurrency_limit {
-            let what = format!("{what}: {in_flight} calls out");
+            let what = format!("{what}: {in_flight} calls in flight");
             self.record_violation(Rule::TooManyInFlight, now, what);
         }
     }
 
-    /// Drains and retry-after times bind a call as its bytes leave, whenever it was decided.
+    /// Checks the drain and the retry-after time that bind a call. Both bind at the time when the bytes of the call leave,
+    /// even if the forwarder chose the endpoint earlier.
     pub fn check_limits(
         &mut self,
         forwarder: u32,
@@ -161,28 +164,29 @@
         what: &str,
     ) {
         if self.limits.violates_drain(forwarder, endpoint, holder, now) {
-            let what = format!("{what}: it drains or is gone");
+            let what = format!("{what}: the endpoint is draining or removed");
             self.record_violation(Rule::DrainNotKept, now, what);
         }
-        let what = format!("{what}: told to wait");
+        let what = format!("{what}: the retry-after time has not elapsed");
         self.check_retry_after(forwarder, limiter, now, &what);
     }
 
-    /// A retry-after time binds calls and health checks.
+    /// Checks the retry-after time that binds calls and health checks alike. `what` describes the violation.
     pub fn check_retry_after(&mut self, forwarder: u32, limiter: usize, now: Micros, what: &str) {
         if self.limits.violates_retry_after(forwarder, limiter, now) {
             self.record_violation(Rule::RetryAfterIgnored, now, what.to_owned());
         }
     }
 
-    /// An attempt was withdrawn before its bytes left: it counts for nothing.
+    /// Uncounts an attempt that was withdrawn before its bytes left.
     pub fn withdrawn_before_send(&mut self, submission: u64) {
         if let Some(submission) = self.submissions.get_mut(&submission) {
             submission.attempt_count = submission.attempt_count.saturating_sub(1);
         }
     }
 
-    /// A call is not in flight any more. `took_effect`: what its forwarder can know of its effect; `since`: when it was sent.
+    /// Counts a call as no longer in flight. `sent_at` is when it was sent, µs; `effect` is what its outcome tells the forwarder
+    /// about an effect.
     pub fn call_ended(
         &mut self,
         submission_number: u64,
@@ -203,7 +207,7 @@
         self.leave_order(submission_number);
     }
 
-    /// A forwarder knows now whether an endpoint (this holder of its address) takes new calls.
+    /// Records that a forwarder was notified at `now` whether this incarnation of an endpoint takes new calls.
     pub fn endpoint_status_notified(
         &mut self,
         forwarder: u32,
@@ -216,7 +220,7 @@
             .set_ready(forwarder, endpoint, holder, ready, now);
     }
 
-    /// A forwarder was told that it may send there again at `until`.
+    /// Records that a forwarder was notified at `now` of a retry-after time, which elapses at `until`, µs.
     pub fn retry_after_notified(
         &mut self,
         forwarder: u32,
@@ -227,13 +231,13 @@
         self.limits.set_retry_after(forwarder, limiter, now, until);
     }
 
-    /// Whether a call with the submission's message is in flight.
+    /// Returns whether a call of the submission is in flight.
     pub fn has_call_in_flight(&self, submission: u64) -> bool {
         let submission = self.submissions.get(&submission);
         submission.is_some_and(|submission| submission.calls_in_flight > 0)
     }
 
-    /// Attempts that the message has made under this submission.
+    /// Returns the number of attempts of the submission, without those withdrawn before they were sent.
     pub fn attempt_count(&self, submission: u64) -> u32 {
         let submission = self.submissions.get(&submission);
         submission.map_or(0, |submission| submission.attempt_count)
--- a/crates/lab/src/oracle/limits.rs
+++ b/crates/lab/src/oracle/limits.rs
@@ -1,27 +1,28 @@
-//! What forwarders were told about endpoints: which drain or are gone, and when they may send there again.
+//! The limits that forwarders were notified of: endpoints that are draining or removed, and retry-after times.
 
 use opalpulley::Micros;
 use std::collections::HashMap;
 
-/// A retry-after time that a forwarder was told.
+/// A retry-after time that a forwarder was notified of. It binds from `binds_from` until `until`, both µs.
 #[derive(Clone, Copy, Debug)]
 struct RetryAfter {
     binds_from: Micros,
     until: Micros,
 }
 
-/// What each forwarder was told about endpoints and their limiters.
+/// The drains and retry-after times that each forwarder was notified of. Owned by the oracle.
 pub(super) struct NotifiedLimits {
     drain_grace: Micros,
     observation_slack: Micros,
-    /// Since when a forwarder knows that an endpoint (a holder of its address) takes nothing new.
+    /// When a forwarder was first notified that an endpoint takes no new calls, µs; by forwarder, endpoint and incarnation.
     draining_since: HashMap<(u32, usize, u32), Micros>,
-    /// By forwarder and limiter.
+    /// Retry-after times by forwarder and limiter.
     retry_after: HashMap<(u32, usize), RetryAfter>,
 }
 
 impl NotifiedLimits {
-    /// Nothing told yet.
+    /// Creates the state of a run in which no forwarder was notified of a limit. `drain_grace` is the time after a
+    /// notification for which calls to a draining endpoint are allowed, µs.
     pub fn new(drain_grace: Micros, observation_slack: Micros) -> NotifiedLimits {
         NotifiedLimits {
             drain_grace,
@@ -31,12 +32,13 @@
         }
     }
 
-    /// Retry-after times that are known.
+    /// Returns the number of retry-after times that are kept.
     pub fn retry_after_count(&self) -> usize {
         self.retry_after.len()
     }
 
-    /// A forwarder knows now whether an endpoint takes new calls.
+    /// Records whether an endpoint takes new calls, as a forwarder was notified at `now`. A repeated notification of a drain
+    /// doesn't restart its grace time.
     pub fn set_ready(
         &mut self,
         forwarder: u32,
@@ -53,7 +55,8 @@
         }
     }
 
-    /// A forwarder was told a retry-after time, which binds once it can have been read.
+    /// Records a retry-after time. It binds once the forwarder has had time to read the response, and an earlier end doesn't
+    /// shorten a retry-after time that is known already.
     pub fn set_retry_after(&mut self, forwarder: u32, limiter: usize, now: Micros, until: Micros) {
         let binds_from = now + self.observation_slack;
         let known = self
@@ -63,12 +66,12 @@
         known.until = until.max(known.until);
     }
 
-    /// A process ended: it has forgotten the retry-after times.
+    /// Removes the retry-after times of a forwarder whose process has ended: it keeps none of them.
     pub fn forget_retry_after(&mut self, forwarder: u32) {
         self.retry_after.retain(|(of, _), _| *of != forwarder);
     }
 
-    /// Whether a call comes later than drains allow.
+    /// Returns whether a call at `now` comes after the grace time of a drain.
     pub fn violates_drain(
         &self,
         forwarder: u32,
@@ -80,7 +83,7 @@
         since.is_some_and(|since| now > since + self.drain_grace + self.observation_slack)
     }
 
-    /// Whether a call comes before its retry-after time is over; one that is over is forgotten.
+    /// Returns whether a call at `now` comes before the retry-after time has elapsed. An elapsed retry-after time is removed.
     pub fn violates_retry_after(&mut self, forwarder: u32, limiter: usize, now: Micros) -> bool {
         let key = (forwarder, limiter);
         let Some(retry_after) = self.retry_after.get(&key).copied() else {
--- a/crates/lab/src/oracle/rule.rs
+++ b/crates/lab/src/oracle/rule.rs
@@ -1,39 +1,39 @@
-//! The rules by name, and a broken one with what happened.
+//! The rules that the oracle checks, and the violations that it records.
 
 use opalpulley::Micros;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A rule that a run can break. Outcomes name it by the text that serde writes.
+/// A rule that a run can break. Outcomes name a rule by its serialized text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// No final answer by the deadline.
+    /// A message got no final answer by its deadline.
     Lost,
-    /// A second final answer.
+    /// A message got a second final answer.
     SecondFinalAnswer,
-    /// Sent after its final answer.
+    /// A message was sent after its final answer.
     SentAfterEnd,
-    /// Might take effect twice, or did.
+    /// A message took effect twice, or was sent again when it could.
     EffectTwice,
-    /// A second attempt while one is in flight.
+    /// A message was sent while another of its attempts was in flight.
     #[serde(rename = "two-trips-out")]
     TwoAttemptsInFlight,
-    /// More attempts than a message may have.
+    /// A message was attempted more often than the configured maximum.
     #[serde(rename = "too-many-trips")]
     TooManyAttempts,
-    /// Sent to an endpoint that the forwarder knew drains or is gone.
+    /// A message was sent to an endpoint that the forwarder knew to be draining or removed.
     DrainNotKept,
-    /// An endpoint fell over under calls of forwarders that had seen it fail.
+    /// An endpoint collapsed under the calls of forwarders that had seen it fail.
     PushedOver,
-    /// Sent while an earlier message of its order key is not over.
+    /// A message was sent before an earlier message of its order key had ended.
     OrderNotKept,
-    /// Sent before the retry-after time was over.
+    /// A message or health check was sent before the retry-after time had elapsed.
     #[serde(rename = "wait-not-heeded")]
     RetryAfterIgnored,
-    /// Sent to an endpoint of another destination, or of none.
+    /// A message was sent to an endpoint of another destination, or of none.
     WrongDestination,
-    /// More calls in flight than a forwarder may have.
+    /// A forwarder had more calls in flight than its concurrency limit.
     #[serde(rename = "too-many-slots")]
     TooManyInFlight,
 }
@@ -46,13 +46,13 @@
     }
 }
 
-/// A broken rule.
+/// One violation of a rule, as it is written to outcomes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RuleViolation {
-    /// Which rule.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// µs from the start of the run.
+    /// When the violation was observed, in µs since the start of the run.
     pub at: Micros,
-    /// What happened, for a person.
+    /// Description for a human reader.
     pub what: String,
 }
--- a/crates/lab/src/oracle/submissions.rs
+++ b/crates/lab/src/oracle/submissions.rs
@@ -1,26 +1,26 @@
-//! Submissions from acceptance to final answer, and the effects of their messages.
+//! Tracks submissions from the client's request to the final answer, and the effects of their messages.
 
 use super::{Oracle, Rule, RETENTION_AFTER_DEADLINE};
 use crate::scenario::DeliverySemantics;
 use opalpulley::Micros;
 
-/// A final answer, as the client gets it.
+/// The final answer that a client gets for an accepted message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// Delivered.
+    /// The message was delivered.
     Served,
-    /// Rejected: the client may submit it again.
+    /// The message was rejected; the client may submit it again.
     Rejected,
-    /// Not delivered.
+    /// The message was not delivered.
     Failed,
 }
 
-/// What an outcome says about an effect, from outside.
+/// What the outcome of a call tells a forwarder about an effect at the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEffect {
-    /// It took none.
+    /// The call took no effect.
     None,
-    /// It may have taken effect.
+    /// The call may have taken effect.
     Possible,
 }
 
@@ -29,37 +29,39 @@
 pub struct SubmissionRecord {
     /// The number of the submission.
     pub submission: u64,
-    /// The message as its client numbers it.
+    /// The client's number of the message.
     pub message: u64,
-    /// To whom it was submitted.
+    /// The number of the forwarder that it was submitted to.
     pub forwarder: u32,
     /// The deadline, µs.
     pub deadline: Micros,
-    /// The delivery class, by its place in the scenario.
+    /// The index of the delivery class in the scenario.
     pub class: u16,
-    /// The destination, by its number.
+    /// The number of the destination.
     pub destination: u32,
-    /// The order key of an ordered message.
+    /// The order key; present for messages of ordered classes only.
     pub order_key: Option<u64>,
 }
 
-/// A submission and what became of it so far.
+/// The state of one submission, from `message_submitted` until it is removed some time after its deadline.
 #[derive(Clone, Debug)]
 pub(super) struct TrackedSubmission {
     pub record: SubmissionRecord,
-    /// The client was told that it is accepted.
+    /// Whether the client was told that the message is accepted.
     pub accepted: bool,
-    /// When it was over.
+    /// When no final answer was expected any more, µs.
     pub ended_at: Option<Micros>,
     pub answer: Option<FinalAnswer>,
-    /// Served while its forwarder was down or stopped. The forwarder may not know, goes on, and ends it once more.
+    /// Whether the message was delivered while its forwarder was down or paused. The forwarder may not have learnt of the
+    /// delivery, and may end the message once more.
     pub unacknowledged: bool,
-    /// On sockets: an endpoint answered at or after the deadline. The forwarder may read that answer too late to count
-    /// it, and still owes the final answer.
+    /// Whether, on sockets, an endpoint responded at or after the deadline. The forwarder may read the response too late to
+    /// count it, and still owes the final answer.
     pub delivered_late: bool,
-    /// Nothing is owed for it: it was not accepted, or its forwarder was lost with its folder.
+    /// Whether no final answer is owed: the message was not accepted, its forwarder was lost with its folder, or a missing
+    /// answer was reported already.
     pub no_answer_owed: bool,
-    /// When the first call that may have taken effect was sent.
+    /// When the first call that may have taken effect was sent, µs.
     pub possible_effect_sent_at: Option<Micros>,
     pub calls_in_flight: u32,
     pub attempt_count: u32,
@@ -83,7 +85,8 @@
 }
 
 impl Oracle {
-    /// A client submits a message; the forwarder has not answered yet.
+    /// Starts to track a submission. The caller reports the forwarder's answer with `submission_accepted` or
+    /// `submission_refused`.
     pub fn message_submitted(&mut self, record: SubmissionRecord) {
         let submission_number = record.submission;
         self.by_deadline
@@ -100,14 +103,14 @@
             .insert(submission_number, TrackedSubmission::new(record));
     }
 
-    /// The client was told that it is accepted.
+    /// Records that the client was told that its message is accepted: a final answer is owed from now on.
     pub fn submission_accepted(&mut self, submission: u64) {
         if let Some(submission) = self.submissions.get_mut(&submission) {
             submission.accepted = true;
         }
     }
 
-    /// The client was told that it is not accepted, or was told nothing: no final answer is owed.
+    /// Records that the client was told that its message is not accepted, or got no answer: no final answer is owed.
     pub fn submission_refused(&mut self, submission_number: u64, now: Micros) {
         if let Some(submission) = self.submissions.get_mut(&submission_number) {
             submission.ended_at = submission.ended_at.or(Some(now));
@@ -116,7 +119,8 @@
         self.leave_order(submission_number);
     }
 
-    /// The forwarder is gone and its folder with it. Gives the messages that it had accepted.
+    /// Records that a forwarder was lost with its folder: it owes no final answers. Returns the client's numbers of the open
+    /// messages that it had accepted, in the order of their submissions.
     pub fn lost_with_folder(&mut self, forwarder: u32, now: Micros) -> Vec<u64> {
         let lost = self.submissions.values().filter(|submission| {
             submission.record.forwarder == forwarder && submission.ended_at.is_none()
@@ -132,14 +136,15 @@
         accepted.map(|(record, _)| record.message).collect()
     }
 
-    /// Whether a submission has this very answer already, from a report before.
+    /// Returns whether the submission already has this answer from an earlier completion report. Always false for `Served`,
+    /// which is not reported.
     pub fn already_reported(&self, submission: u64, answer: FinalAnswer) -> bool {
         let submission = self.submissions.get(&submission);
         let known = submission.is_some_and(|submission| submission.answer == Some(answer));
         known && answer != FinalAnswer::Served
     }
 
-    /// What a forwarder owes is not late before then.
+    /// Excuses a forwarder from its deadlines until `until`, µs. Replaces an earlier excuse.
     pub fn excuse_until(&mut self, forwarder: u32, until: Micros) {
         self.excused_until.insert(forwarder, until);
     }
@@ -149,7 +154,7 @@
         until.is_none_or(|until| now > *until)
     }
 
-    /// A process ended: it has forgotten retry-after times, and none of its calls is in flight.
+    /// Records that a forwarder process ended: it has lost its retry-after times, and none of its calls is in flight.
     pub fn process_ended(&mut self, forwarder: u32) {
         self.limits.forget_retry_after(forwarder);
         self.calls_in_flight.remove(&forwarder);
@@ -160,13 +165,13 @@
         }
     }
 
-    /// Who submitted what to whom, and until when.
+    /// Returns the submission as the client made it, if it is still tracked.
     pub fn record(&self, submission: u64) -> Option<&SubmissionRecord> {
         let submission = self.submissions.get(&submission)?;
         Some(&submission.record)
     }
 
-    /// A final answer.
+    /// Judges a final answer that was given at `now`: whether it is the only one, and whether it is in time.
     pub fn message_ended(&mut self, submission_number: u64, answer: FinalAnswer, now: Micros) {
         let forwarder = self
             .record(submission_number)
@@ -176,7 +181,7 @@
         let is_on_sockets = self.observation_slack > 0;
         let Some(submission) = self.submissions.get_mut(&submission_number) else {
             let what =
-                format!("message {submission_number}: {answer:?}, long over or never submitted");
+                format!("message {submission_number}: {answer:?}, unknown, or ended long ago");
             return self.record_violation(Rule::SecondFinalAnswer, now, what);
         };
         match submission.ended_at {
@@ -190,7 +195,7 @@
             }
             Some(ended_at) => {
                 let what = format!(
-                    "message {submission_number}: {answer:?} now, and a final answer at {ended_at} already"
+                    "message {submission_number}: second final answer {answer:?}; the first was given at {ended_at}"
                 );
                 self.record_violation(Rule::SecondFinalAnswer, now, what);
             }
@@ -204,7 +209,7 @@
                 if answer_due && now > deadline + allowed_lateness {
                     let late = now - deadline;
                     let what = format!(
-                        "message {submission_number}: {answer:?} {late} us after its time was up"
+                        "message {submission_number}: final answer {answer:?} {late} us after the deadline"
                     );
                     self.record_violation(Rule::Lost, now, what);
                 }
@@ -213,7 +218,7 @@
         self.leave_order(submission_number);
     }
 
-    /// A submission that is over, with no call in flight, does not hold up others of its order key.
+    /// Removes a submission from the queue of its order key once it has ended and has no call in flight.
     pub(super) fn leave_order(&mut self, submission_number: u64) {
         let Some(submission) = self.submissions.get(&submission_number) else {
             return;
@@ -233,7 +238,8 @@
         }
     }
 
-    /// The message took effect at a receiver that did not know it as a repeat.
+    /// Judges an effect at a receiver that didn't recognize the message as a repeat. Effects of idempotent and of never
+    /// accepted messages are ignored.
     pub fn took_effect(&mut self, message: u64, submission: u64, now: Micros) {
         self.forget_effects(now);
         let Some(submission) = self.submissions.get(&submission) else {
@@ -262,7 +268,8 @@
         }
     }
 
-    /// Looks for final answers that are overdue, and forgets submissions that are long over.
+    /// Records a violation for each overdue final answer, and removes submissions whose retention has ended. Called at regular
+    /// intervals.
     pub fn sweep(&mut self, now: Micros) {
         let allowed_lateness = self.answer_slack + self.observation_slack;
         while let Some((deadline, submission_number)) = self.by_deadline.first().copied() {
@@ -281,8 +288,8 @@
         }
     }
 
-    /// A deadline has passed, with all that the rules allow after it. `scheduled_at` is the time under which it was found; it is
-    /// later than the deadline for a submission that was looked at before.
+    /// Judges a submission whose deadline, with the tolerances of the rules, has passed. `scheduled_at` is the time of its entry
+    /// in `by_deadline`, which is later than the deadline if the submission was scheduled again.
     fn judge_deadline(&mut self, submission_number: u64, scheduled_at: Micros, now: Micros) {
         let Some(record) = self.record(submission_number) else {
             return;
--- a/crates/lab/src/oracle/tests.rs
+++ b/crates/lab/src/oracle/tests.rs
@@ -11,7 +11,10 @@
         class("f", "fingerprinted", ""),
         class("b", "binding", "")
     );
-    Oracle::new(&Scenario::read(&text, "o").expect("it is right"), 1000)
+    Oracle::new(
+        &Scenario::read(&text, "o").expect("the scenario is valid"),
+        1000,
+    )
 }
 
 fn submit(oracle: &mut Oracle, submission: u64, class: u16, key: Option<u64>) {
@@ -59,7 +62,7 @@
     oracle.took_effect(2, 2, 200_000_000);
     assert!(
         broken_rules(&oracle).is_empty() && oracle.table_entries() == 0,
-        "{:?}, {} held",
+        "expected no violation and no entries, got {:?} and {} entries",
         oracle.violations,
         oracle.table_entries()
     );
@@ -68,7 +71,7 @@
 #[test]
 fn accepts_each_rule_at_its_bound_and_reports_violation_past_it() {
     type Case = (Rule, fn(&mut Oracle, Micros), Micros, Micros);
-    // What is done, then a time that is still within the rule and one that is not.
+    // The rule, the steps that lead to a value, a value that the rule allows, and one that it forbids.
     let cases: [Case; 8] = [
         (
             Rule::Lost,
@@ -158,12 +161,17 @@
         case(&mut oracle, inside);
         assert!(
             broken_rules(&oracle).is_empty(),
-            "{rule} inside: {:?}",
+            "expected no violation of {rule} at its bound, got {:?}",
             oracle.violations
         );
         let mut oracle = new_oracle();
         case(&mut oracle, outside);
-        assert_eq!(broken_rules(&oracle), [rule], "{:?}", oracle.violations);
+        assert_eq!(
+            broken_rules(&oracle),
+            [rule],
+            "expected {rule} alone past its bound, got {:?}",
+            oracle.violations
+        );
     }
 }
 
@@ -220,7 +228,7 @@
     oracle.call_ended(3, 0, 0, CallEffect::Possible);
     assert!(broken_rules(&oracle).is_empty());
     oracle.message_ended(1, FinalAnswer::Failed, 50);
-    send(&mut oracle, 2, 60); // the first one's attempt is still out
+    send(&mut oracle, 2, 60); // an attempt of the first message is still in flight
     assert_eq!(broken_rules(&oracle), [Rule::OrderNotKept]);
 }
 
@@ -251,13 +259,13 @@
         assert_eq!(
             broken_rules(&oracle),
             [Rule::SecondFinalAnswer],
-            "not twice more"
+            "expected a violation for a third answer"
         );
     }
 }
 
-/// An endpoint answered 289 us after the deadline, and 411 us later the forwarder reported the
-/// message as failed, as it owed. Seen on sockets beside load: the answer and the report crossed.
+/// Guards against a false violation on sockets under load: an endpoint responded 289 us after the deadline, and 411 us later the
+/// forwarder reported the message as failed, as it had to. The response and the completion report had crossed.
 #[test]
 fn allows_one_failure_after_late_delivery_on_sockets() {
     const DEADLINE: Micros = 10_000_000;
@@ -276,7 +284,11 @@
     assert!(delivered_then_failed(DEADLINE + 289, 1).is_empty());
     let second = [Rule::SecondFinalAnswer];
     assert_eq!(delivered_then_failed(DEADLINE + 289, 2), second);
-    assert_eq!(delivered_then_failed(DEADLINE - 1, 1), second, "in time");
+    assert_eq!(
+        delivered_then_failed(DEADLINE - 1, 1),
+        second,
+        "expected a violation for a delivery before the deadline"
+    );
 }
 
 #[test]
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -1,9 +1,9 @@
-//! The simulated clock: a deterministic event loop round the very core that is in service. Forwarders, clients, discovery,
-//! connections and receivers of a scenario in one thread; the same scenario and seed give the same run.
+//! The simulated clock: a deterministic event loop around the core that runs in production. It simulates the forwarders,
+//! clients, discovery, connections and receivers of a scenario in one thread; the same scenario and seed give the same run.
 //!
-//! `Sim` owns all of the simulated world. A message leaves with its end, an attempt with its outcome, an event as it happens.
-//! `event` holds the events and their queue, `handlers` hands each to its part: `clients`, `attempts`, `connections`,
-//! `health_checks`, `discovery`, `simulated_process`, `lifecycle` and `faults`.
+//! `Sim` owns the whole simulated world. A message is removed when it ends, an attempt with its outcome, and an event when it
+//! happens. `event` defines the events and their queue, and `handlers` dispatches each event to the module that handles it:
+//! `clients`, `attempts`, `connections`, `health_checks`, `discovery`, `simulated_process`, `lifecycle` or `faults`.
 
 mod attempts;
 mod clients;
@@ -34,31 +34,31 @@
 use simulated_process::SimulatedProcess;
 use std::collections::HashMap;
 
-/// Time between the oracle's looks for what is overdue, µs.
+/// Interval between the oracle's checks for overdue final answers, µs.
 const SWEEP_INTERVAL: Micros = 250_000;
-/// The run goes on so long after the last deadline, µs: a forwarder that started again may still owe a final answer.
+/// Time for which a run continues after the last deadline, µs: a restarted forwarder may still owe a final answer.
 const TIME_AFTER_LAST_DEADLINE: Micros = 3_000_000;
-/// Progress is reported once for so many events.
+/// Number of events between two progress reports.
 const EVENTS_PER_PROGRESS_REPORT: u64 = 4096;
 
-/// What a run did, apart from its outcome. Nothing in it depends on the machine.
+/// Statistics of a run beside its outcome. They don't depend on the machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunStats {
-    /// Events of the simulated world.
+    /// Number of simulated events.
     pub events: u64,
-    /// Events that forwarders handled.
+    /// Number of events that forwarders handled.
     pub core_events: u64,
-    /// Actions that forwarders answered them with.
+    /// Number of actions that forwarders returned.
     pub core_actions: u64,
-    /// The most entries that the tables of the laboratory held at once.
+    /// Maximum number of entries in the tables of the laboratory at one time.
     pub peak_table_entries: usize,
-    /// Polls of the endpoint list.
+    /// Number of polls of the endpoint list.
     pub list_polls: u64,
-    /// Forwarders that run at the end and get no list updates.
+    /// Number of forwarders that run at the end and get no list updates.
     pub forwarders_without_list_updates: usize,
 }
 
-/// A scenario on the simulated clock.
+/// A run of one scenario on the simulated clock.
 pub struct Sim {
     scenario: Scenario,
     layout: Layout,
@@ -68,37 +68,37 @@
     queue: EventQueue,
     loads: Loads,
     processes: Vec<SimulatedProcess>,
-    /// What the list says of each endpoint.
+    /// The entry of each endpoint in the endpoint list.
     listed_endpoints: Vec<ListedEndpoint>,
-    /// Messages that are not over, by their client's number.
+    /// Open messages, by the client's number.
     messages: HashMap<u64, ClientMessage>,
     next_message: u64,
     next_submission: u64,
-    /// Attempts in flight.
+    /// Attempts in flight, by attempt number.
     attempts: HashMap<u64, Attempt>,
     next_attempt: u64,
-    /// Connections to each endpoint.
+    /// Connections to each endpoint, by endpoint index.
     connections: Vec<Connections>,
     receivers: Receivers,
     oracle: Oracle,
     tally: Tally,
-    /// Chance of the clients: which forwarder, and when again.
+    /// Random numbers of the clients: the choice of a forwarder, and the jitter of a resubmission.
     client_rng: Pcg64Mcg,
-    /// Chance of discovery: lags, and what a partial list lacks.
+    /// Random numbers of discovery: the lags of updates, and the entries that a partial list lacks.
     discovery_rng: Pcg64Mcg,
-    /// Chance of late connections.
+    /// Random numbers of late connections.
     connection_rng: Pcg64Mcg,
-    /// Until when discovery sends nothing.
+    /// Instant until which discovery sends no updates, µs.
     discovery_stale_until: Micros,
-    /// Until when discovery has polls to answer.
+    /// Instant at which discovery will have answered all queued polls, µs.
     discovery_busy_until: Micros,
-    /// Faults that are not over.
+    /// Number of faults that have not ended.
     pending_faults: usize,
     stats: RunStats,
 }
 
 impl Sim {
-    /// Sets the world up and starts the forwarders.
+    /// Sets up the simulated world, schedules the faults and starts the forwarders. Fails if a recorded load can't be replayed.
     pub fn new(
         scenario: &Scenario,
         seed: u64,
@@ -122,7 +122,7 @@
         Ok(sim)
     }
 
-    /// A world in which nothing has happened yet.
+    /// Returns a world in which no process runs and no event is scheduled.
     fn empty(scenario: &Scenario, seed: u64, variant: ForwarderVariant, loads: Loads) -> Sim {
         let layout = Layout::new(scenario);
         let endpoints = layout.endpoints.len();
@@ -133,7 +133,7 @@
         Sim {
             loads,
             receivers: Receivers::new(scenario, &layout, seed),
-            // On one clock a call is seen as it is sent: the oracle allows no slack.
+            // On one clock a call is observed at the instant when it is sent, so the oracle needs no slack.
             oracle: Oracle::new(scenario, 0),
             tally: Tally::new(scenario),
             processes: (0..scenario.forwarders.count)
@@ -162,13 +162,13 @@
         }
     }
 
-    /// Runs to the end; `progress` is told the time that has passed and the length of the run, µs.
+    /// Runs to the end and returns the outcome. `progress` is called with the simulated time and the end of the run, µs.
     pub fn run(self, progress: impl FnMut(Micros, Micros)) -> Outcome {
         self.run_until(Micros::MAX, progress).0
     }
 
-    /// Runs to the end or until `cut`, µs. Messages that are open then are counted as open; the oracle expects nothing more
-    /// for them.
+    /// Runs to the end or until `cut_off_at`, µs. Messages that are open at that time are counted as open, and the oracle
+    /// expects no final answer for them.
     pub fn run_until(
         mut self,
         cut_off_at: Micros,
@@ -190,7 +190,7 @@
         self.close()
     }
 
-    /// Closes tally and oracle.
+    /// Closes the tally and returns the outcome and the statistics.
     fn close(mut self) -> (Outcome, RunStats) {
         self.tally.counts.open = self.messages.len() as u64;
         let processes = self.processes.iter();
@@ -208,7 +208,7 @@
         (outcome, self.stats)
     }
 
-    /// The load has ended, every message is over and no fault is left.
+    /// Returns whether the load, all messages, all attempts and all faults have ended.
     fn is_over(&self) -> bool {
         self.now > self.scenario.lasts.0
             && self.messages.is_empty()
@@ -216,7 +216,7 @@
             && self.pending_faults == 0
     }
 
-    /// Schedules an event, now at the earliest.
+    /// Schedules an event at `at`, or now if `at` has passed.
     fn schedule(&mut self, at: Micros, event: SimulatedEvent) {
         self.queue.push(at.max(self.now), event);
     }
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: a call leaves its forwarder, reaches its endpoint and comes back with an outcome.
+//! Simulated attempts: a call leaves its forwarder, reaches its endpoint, and its outcome reaches the forwarder.
 
 use super::connections::ConnectDelay;
 use super::event::SimulatedEvent;
@@ -11,29 +11,30 @@
 use crate::world::Layout;
 use opalpulley::{EndpointId, Event, MessageId, Micros, Outcome, PossibleEffect, ZoneId};
 
-/// How long until a stopped forwarder is asked again whether it goes on, µs.
+/// Interval after which delivery to a paused forwarder is tried again, µs.
 const PAUSED_POLL_INTERVAL: Micros = 10_000;
 
-/// An attempt in flight.
+/// An attempt in flight. Owned by `Sim` from the send until the outcome.
 pub(super) struct Attempt {
     pub forwarder: u32,
-    /// The message as its forwarder numbers it.
+    /// The forwarder's id of the message.
     pub id: MessageId,
-    /// The submission as the oracle numbers it.
+    /// The oracle's number of the submission.
     pub submission: u64,
-    /// The message as its client numbers it.
+    /// The client's number of the message.
     pub client_message: u64,
-    /// Which attempt of its message this is, from 0.
+    /// The index of the attempt among those of its message, from 0.
     pub attempt_index: u8,
     pub endpoint: EndpointId,
     pub sent_at: Micros,
     pub idempotency_key: Option<u64>,
-    /// Its connection has not come up yet.
+    /// Whether its connection is not established yet, so that the attempt can still be withdrawn.
     pub unsent: bool,
 }
 
 impl Sim {
-    /// A forwarder sends a message to an endpoint.
+    /// Sends a message of a forwarder to an endpoint. The attempt times out after `timeout`, µs, and at the deadline of the
+    /// message at the latest.
     pub(super) fn send_call(
         &mut self,
         forwarder: u32,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The bytes of a call leave once its connection is up; without an answer it times out.
+    /// Schedules the arrival of a call once its connection is established, and its timeout.
     fn schedule_call(&mut self, attempt: u64, delay: ConnectDelay, timeout: Micros) {
         let sent_at = self.now + delay.setup + delay.late;
         if delay.late > 0 {
@@ -87,7 +88,8 @@
         self.schedule_attempt_end(self.now + timeout, attempt, Outcome::Timeout);
     }
 
-    /// The endpoint takes no more connections. The attempt counts as one until its outcome gives it back.
+    /// Schedules the failure of a call whose connection the endpoint refuses. The attempt counts as a connection until its
+    /// outcome releases it.
     fn schedule_refusal(&mut self, attempt: u64, endpoint: usize) {
         self.connections[endpoint].in_use += 1;
         let refused_at = self.now + 2 * self.scenario.network.delay.0;
@@ -98,7 +100,7 @@
         self.schedule(at, SimulatedEvent::AttemptEnds { attempt, outcome });
     }
 
-    /// A forwarder sends a message that is over: only a broken one does. The oracle is told all the same.
+    /// Reports a call with a message that is finished to the oracle. Only a faulty forwarder sends one.
     fn record_send_after_end(&mut self, forwarder: u32, id: MessageId, endpoint: EndpointId) {
         let process = &self.processes[forwarder as usize];
         if let Some(submission) = process.finished_submission(id) {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Tells oracle and tally of a call that is sent now.
+    /// Reports a call that is sent now to the oracle and the tally.
     fn record_call(&mut self, forwarder: u32, submission: u64, endpoint: EndpointId) {
         let call = self.describe_call(forwarder, submission, endpoint);
         self.oracle.call_sent(call, self.now);
@@ -136,10 +138,10 @@
         (semantics == DeliverySemantics::IdempotencyKeyed).then_some(message)
     }
 
-    /// The bytes of a call leave on a connection that came up late. Drains and retry-after times that were sent meanwhile
-    /// bind it.
+    /// Sends the bytes of a call whose connection was established late. Drains and retry-after times that the forwarder was
+    /// notified of in the meantime bind the call.
     pub(super) fn request_sent(&mut self, attempt_number: u64) {
-        // One that is missing was withdrawn or cancelled.
+        // A missing attempt was withdrawn or cancelled.
         let Some(attempt) = self.attempts.get_mut(&attempt_number) else {
             return;
         };
@@ -148,7 +150,7 @@
         let client_message = attempt.client_message;
         let index = Layout::endpoint_index(endpoint);
         let what = format!(
-            "message {client_message} of forwarder {forwarder} to endpoint {index}, chosen before"
+            "message {client_message} of forwarder {forwarder} to endpoint {index}, on a late connection"
         );
         let limiter = self.layout.endpoints[index].limiter;
         self.oracle.check_limits(
@@ -166,9 +168,9 @@
         self.schedule(arrives_at, arrives);
     }
 
-    /// The receiver answers a call, or does not.
+    /// Lets the receiver handle a call, and schedules its response if it sends one.
     pub(super) fn request_arrives(&mut self, attempt_number: u64) {
-        // One that is missing was cancelled on its way.
+        // A missing attempt was cancelled in flight.
         let Some(attempt) = self.attempts.get(&attempt_number) else {
             return;
         };
@@ -194,13 +196,13 @@
         self.schedule_attempt_end(at, attempt_number, outcome);
     }
 
-    /// The outcome of an attempt reaches its forwarder.
+    /// Ends an attempt when its outcome reaches the forwarder. The outcome waits while the forwarder is paused.
     pub(super) fn attempt_ends(&mut self, attempt_number: u64, outcome: Outcome) {
         let Some(attempt) = self.attempts.get(&attempt_number) else {
             return;
         };
         if self.processes[attempt.forwarder as usize].paused {
-            // A stopped process reads nothing: the answer waits in its socket, and its own timers do not fire.
+            // A paused process reads nothing: the response waits in its socket, and the process's timers don't fire.
             return self.schedule_attempt_end(
                 self.now + PAUSED_POLL_INTERVAL,
                 attempt_number,
@@ -214,7 +216,8 @@
         self.end_attempt(attempt_number, &attempt, outcome);
     }
 
-    /// Ends an attempt of a message that its forwarder holds, and tells the forwarder.
+    /// Ends an attempt at its forwarder process, gives the client the final answer after a delivery, and delivers the outcome
+    /// to the forwarder.
     fn end_attempt(&mut self, attempt_number: u64, attempt: &Attempt, outcome: Outcome) {
         let process = &mut self.processes[attempt.forwarder as usize];
         let incarnation = process.incarnation;
@@ -249,7 +252,7 @@
         self.deliver_event(attempt.forwarder, incarnation, ended);
     }
 
-    /// Tells connections, tally and oracle of an outcome.
+    /// Releases the connection of an attempt, and reports its outcome to the tally and the oracle.
     fn record_outcome(&mut self, attempt: &Attempt, outcome: Outcome) {
         self.tally.calls_in_flight = self.tally.calls_in_flight.saturating_sub(1);
         let index = Layout::endpoint_index(attempt.endpoint);
@@ -299,7 +302,7 @@
         self.tally.count(self.now, tick);
     }
 
-    /// The head of an answer holds a retry-after time. Its forwarder reads it at once unless it is stopped.
+    /// Delivers the retry-after time in the head of a response to the forwarder, which reads it at once unless it is paused.
     pub(super) fn retry_after_received(&mut self, attempt_number: u64, retry_after: Micros) {
         let Some(attempt) = self.attempts.get(&attempt_number) else {
             return;
@@ -325,7 +328,7 @@
         self.deliver_event(forwarder, incarnation, received);
     }
 
-    /// A forwarder cancels an attempt.
+    /// Ends an attempt in flight that its forwarder cancels.
     pub(super) fn cancel_attempt(&mut self, forwarder: u32, id: MessageId, attempt_index: u8) {
         let held = self.processes[forwarder as usize].open_messages.get(&id);
         if let Some(attempt) = held.and_then(|held| held.attempt_in_flight(attempt_index)) {
@@ -333,7 +336,7 @@
         }
     }
 
-    /// A forwarder withdraws its attempts to an endpoint whose bytes have not left, in the order of their numbers.
+    /// Ends the unsent attempts of a forwarder to an endpoint, in the order of their numbers so that runs stay deterministic.
     pub(super) fn withdraw_unsent(&mut self, forwarder: u32, endpoint: EndpointId) {
         let unsent = self.attempts.iter().filter(|(_, attempt)| {
             attempt.forwarder == forwarder && attempt.endpoint == endpoint && attempt.unsent
@@ -347,7 +350,7 @@
 }
 
 impl HeldMessage {
-    /// Notes the outcome of one of its attempts; `sent_at` is on its forwarder's clock.
+    /// Records the outcome of an attempt of this message. `sent_at` is in µs on the forwarder's clock.
     fn attempt_ended(
         &mut self,
         attempt_number: u64,
@@ -369,7 +372,7 @@
     }
 }
 
-/// What a forwarder sees of a receiver's reply; nothing where none comes.
+/// Returns the outcome that a forwarder observes for a receiver's reply; `None` if the receiver stays silent.
 fn outcome_of(reply: ReceiverReply) -> Option<Outcome> {
     Some(match reply {
         ReceiverReply::Served | ReceiverReply::ServedThenReset | ReceiverReply::Endless => {
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: they submit a message when it is due, submit it again after a rejection, and go to another forwarder when one is
-//! not there.
+//! Simulated clients. A client submits a message when it is due, submits it again after a rejection, and tries another forwarder
+//! when one is unreachable.
 
 use super::event::SimulatedEvent;
 use super::simulated_process::NewSubmission;
@@ -13,42 +13,43 @@
 };
 use rand::Rng;
 
-/// A client goes to another forwarder so long after a connection was refused, µs.
+/// Delay before a client tries another forwarder after a refused connection, µs.
 const OTHER_FORWARDER_DELAY: Micros = 50_000;
-/// A client waits so long for the answer to its request, µs.
+/// Time for which a client waits for the answer to a request, µs.
 const ANSWER_TIMEOUT: Micros = 400_000;
-/// A client submits again after so long where no time was named, µs.
+/// Delay before a resubmission if the rejection gave no retry-after time, µs.
 const DEFAULT_RETRY_AFTER: Micros = 1_000_000;
-/// Tries of a client that finds no forwarder.
+/// Number of unreachable forwarders after which a client gives up.
 const MAX_UNREACHABLE_FORWARDERS: u32 = 20;
-/// A client submits again up to this part of the named time later, by chance: clients do not all keep the same time.
+/// Upper bound on the random delay of a resubmission, as a share of the retry-after time. It spreads the resubmissions of
+/// clients that were rejected at the same time.
 const RETRY_JITTER: f64 = 0.1;
 
-/// No tenant: the core finds no quota for it.
+/// The id that stands for no tenant; the core has no quota for it.
 const NO_TENANT: TenantId = TenantId(u32::MAX);
 
-/// A message as its client knows it.
+/// The state of an open message at its client.
 pub(super) struct ClientMessage {
     due: Due,
     deadline: Micros,
-    /// How often it may still be submitted again.
+    /// Number of resubmissions that are left.
     resubmissions_left: u32,
-    /// It was rejected before.
+    /// Whether the message was rejected before.
     resubmitted: bool,
-    /// Forwarders that were not there.
+    /// Number of tries that found their forwarder unreachable.
     unreachable_forwarders: u32,
 }
 
-/// What a forwarder answers to a submission at once.
+/// A forwarder's immediate answer to a submission.
 pub(super) enum SubmissionAnswer {
     Accepted,
-    /// Rejected, with the retry-after time where there is one, µs.
+    /// The message was rejected, with the retry-after time if there is one, µs.
     Rejected(Option<Micros>),
     Failed,
 }
 
 impl Sim {
-    /// A message of the load is due: its client submits it.
+    /// Creates the client of a message that is due, and submits the message.
     pub(super) fn message_due(&mut self, due: Due) {
         let message_number = self.next_message;
         self.next_message += 1;
@@ -64,7 +65,8 @@
         self.submit(message_number);
     }
 
-    /// The client of a message submits it to a forwarder drawn by chance.
+    /// Submits a message to a randomly chosen forwarder, or gives it up at its deadline. If the forwarder is unreachable or
+    /// at its message capacity, the client submits the message again later.
     pub(super) fn submit(&mut self, message_number: u64) {
         let Some(message) = self.messages.get(&message_number) else {
             return;
@@ -88,7 +90,7 @@
         self.submit_to(forwarder as u32, message_number);
     }
 
-    /// A forwarder was not there: the client tries another after some time.
+    /// Schedules a try with another forwarder `after` µs from now, because one was unreachable.
     fn try_another_forwarder(&mut self, message_number: u64, after: Micros) {
         self.tally.counts.turned_away += 1;
         let Some(message) = self.messages.get_mut(&message_number) else {
@@ -106,7 +108,7 @@
         );
     }
 
-    /// Submits a message to a forwarder that has room for it, and takes its answer.
+    /// Submits a message to a forwarder that is below its message capacity, and handles its answer.
     fn submit_to(&mut self, forwarder: u32, message_number: u64) {
         let submission = self.next_submission;
         self.next_submission += 1;
@@ -143,7 +145,7 @@
         }
     }
 
-    /// The client was asked to submit again later; it gives up where that is too late.
+    /// Schedules a resubmission of a rejected message, or gives the message up if none is left or its deadline is too near.
     fn schedule_resubmission(&mut self, message_number: u64, retry_after: Option<Micros>) {
         self.tally.count(self.now, BucketEvent::Rejected);
         let Some(message) = self.messages.get_mut(&message_number) else {
@@ -178,7 +180,7 @@
         }
     }
 
-    /// The client gets the final answer to a message that was accepted; `attempt` is the number of the one that served it.
+    /// Handles the final answer to an accepted message at its client. `attempt` is the index of the attempt that served it.
     pub(super) fn final_answer(
         &mut self,
         message_number: u64,
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Counts a served message; one served after its deadline counts as failed.
+    /// Counts a served message, or a failed one if it was served after its deadline.
     fn message_served(&mut self, message_number: u64, attempt: u32) {
         let Some(message) = self.messages.remove(&message_number) else {
             return;
@@ -216,7 +218,7 @@
 }
 
 impl ClientMessage {
-    /// The message as it is submitted now; the forwarder chooses its id.
+    /// Returns the message as it is submitted at `now`. Its id is a placeholder: the forwarder process assigns the id.
     fn as_submitted(&self, key: Option<u64>, now: Micros) -> Submission {
         Submission {
             id: MessageId(0),
--- a/crates/lab/src/sim/connections.rs
+++ b/crates/lab/src/sim/connections.rs
@@ -1,11 +1,12 @@
-//! Connections between forwarders and endpoints: kept while they are idle, opened at a cost, limited by the endpoint.
+//! Simulated connections between forwarders and endpoints. Opening one takes time, an idle one is reused until its idle timeout,
+//! and each endpoint limits their number.
 
 use super::Sim;
 use opalpulley::Micros;
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Connections to one endpoint: how many are in use, and since when each idle one is idle, by forwarder.
+/// The connections to one endpoint: the number in use, and the instants at which idle ones became idle, µs, by forwarder.
 #[derive(Default)]
 pub(super) struct Connections {
     pub in_use: u32,
@@ -17,7 +18,7 @@
         self.in_use as usize + self.idle.values().map(Vec::len).sum::<usize>()
     }
 
-    /// Takes an idle connection of this forwarder that has been idle for less than `max_idle`, where there is one.
+    /// Takes a connection of this forwarder that has been idle for less than `max_idle`, and returns whether there was one.
     fn take_idle(&mut self, forwarder: u32, now: Micros, max_idle: Micros) -> bool {
         let Some(idle) = self.idle.get_mut(&forwarder) else {
             return false;
@@ -26,7 +27,7 @@
         idle.pop().is_some()
     }
 
-    /// Forgets the connections that the endpoint has closed.
+    /// Removes the connections that the endpoint has closed after its idle timeout.
     fn close_idle(&mut self, now: Micros, idle_timeout: Micros) {
         for idle in self.idle.values_mut() {
             idle.retain(|since| since + idle_timeout > now);
@@ -35,24 +36,24 @@
     }
 }
 
-/// What it takes until a call's bytes can leave on its connection.
+/// The delay until the bytes of a call can leave on its connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConnectDelay {
-    /// The way there and back and the handshake, µs; 0 on an idle connection.
+    /// Network round trip and handshake of a new connection, µs; 0 for an idle connection.
     pub setup: Micros,
-    /// How late the connection comes up beside that, µs.
+    /// Additional delay until the connection is established, µs.
     pub late: Micros,
 }
 
 impl Sim {
-    /// Takes an idle connection or opens one; none where the endpoint takes no more.
+    /// Takes an idle connection or opens a new one. Returns `None` if the endpoint accepts no more connections.
     pub(super) fn connect(&mut self, forwarder: u32, endpoint: usize) -> Option<ConnectDelay> {
         let group = &self.scenario.destinations[self.layout.endpoints[endpoint].group];
         let idle_timeout = group.idle_timeout.0;
         let limit = group.max_connections as usize;
         let handshake = group.handshake.0;
         let connections = &mut self.connections[endpoint];
-        // A forwarder leaves a connection alone a tenth before the endpoint closes it.
+        // A forwarder stops reusing a connection when a tenth of the idle timeout is left, before the endpoint closes it.
         if connections.take_idle(forwarder, self.now, idle_timeout - idle_timeout / 10) {
             connections.in_use += 1;
             return Some(ConnectDelay { setup: 0, late: 0 });
@@ -71,7 +72,7 @@
         })
     }
 
-    /// How late a new connection comes up, µs; 0 for most.
+    /// Draws the additional delay of a new connection, µs; 0 for most connections.
     fn draw_lateness(&mut self) -> Micros {
         let Some(late) = &self.scenario.network.late_connections else {
             return 0;
@@ -82,7 +83,7 @@
         self.connection_rng.random_range(0..=late.most.0)
     }
 
-    /// Gives the connection of an attempt back: idle again, or closed.
+    /// Returns the connection of an attempt to the idle ones if it is `usable`, and closes it otherwise.
     pub(super) fn release_connection(&mut self, forwarder: u32, endpoint: usize, usable: bool) {
         let connections = &mut self.connections[endpoint];
         connections.in_use = connections.in_use.saturating_sub(1);
--- a/crates/lab/src/sim/discovery.rs
+++ b/crates/lab/src/sim/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the endpoint list, its updates on their way to the forwarders, and polls of it.
+//! Simulated discovery: the endpoint list, its updates to the forwarders, and the forwarders' polls of it.
 
 use super::event::SimulatedEvent;
 use super::Sim;
@@ -7,16 +7,16 @@
 use opalpulley::{EndpointEntry, EndpointListUpdate, EndpointStatus, Event, Micros};
 use rand::Rng;
 
-/// What the list says of one endpoint's address.
+/// The entry of an endpoint's address in the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListedEndpoint {
-    /// The number of the holder of the address; a new holder has the next one.
+    /// The incarnation of the endpoint; each new holder of the address has the next number.
     pub holder: u32,
     pub status: EndpointStatus,
 }
 
 impl Sim {
-    /// The complete list, in the order of the endpoints.
+    /// Returns the complete list, in the order of the endpoint indexes.
     pub(super) fn complete_list(
         layout: &Layout,
         scenario: &Scenario,
@@ -33,7 +33,7 @@
         Sim::complete_list(&self.layout, &self.scenario, &self.listed_endpoints)
     }
 
-    /// One endpoint begins to drain; or it is gone, and a new holder of its address is ready.
+    /// Starts to drain an endpoint; or, if `gone`, removes it and lists a new holder of its address as ready.
     pub(super) fn endpoint_drains(&mut self, endpoint: usize, gone: bool) {
         let holder = self.listed_endpoints[endpoint].holder;
         let changes = if gone {
@@ -55,14 +55,15 @@
         self.send_list_update(EndpointListUpdate::Changes(entries));
     }
 
-    /// Sends the whole list without a part of it that is drawn by chance.
+    /// Sends the complete list to all forwarders, with each entry left out with probability `missing_share`.
     pub(super) fn send_partial_list(&mut self, missing_share: f64) {
         let mut list = self.current_list();
         list.retain(|_| !self.discovery_rng.random_bool(missing_share));
         self.send_list_update(EndpointListUpdate::Complete(list));
     }
 
-    /// Sends an update to every forwarder: each after a lag of its own, in order, and not while discovery is stale.
+    /// Sends an update to every forwarder, each after a random lag, in the order of the updates and not before discovery stops
+    /// being stale.
     fn send_list_update(&mut self, update: EndpointListUpdate) {
         for forwarder in 0..self.processes.len() {
             let lag = self
@@ -80,15 +81,15 @@
         self.schedule(at, SimulatedEvent::ListUpdate { forwarder, update });
     }
 
-    /// Sends the whole list to a forwarder that was away.
+    /// Sends the complete list to a forwarder that missed updates.
     pub(super) fn send_complete_list(&mut self, forwarder: u32) {
         let update = EndpointListUpdate::Complete(self.current_list());
         let arrives_at = self.now.max(self.discovery_stale_until);
         self.schedule_list_update(arrives_at, forwarder, update);
     }
 
-    /// A forwarder polls the list. Discovery answers one poll after the other, even those that it answers too late; one that
-    /// would wait for too long is rejected.
+    /// Handles a forwarder's poll of the list. Discovery answers polls one after the other, including those that have timed out
+    /// by then, and rejects a poll that would be queued for too long.
     pub(super) fn poll_list(&mut self, forwarder: u32) {
         let Some(discovery) = &self.scenario.network.polled_discovery else {
             return;
@@ -125,7 +126,8 @@
         }
     }
 
-    /// A list update reaches a forwarder. One that is down, or does not follow the list yet, gets the whole list later.
+    /// Applies and delivers a list update to a forwarder. The update is dropped if the forwarder is down or gets no updates yet;
+    /// it gets the complete list later.
     pub(super) fn receive_list_update(&mut self, forwarder: u32, update: EndpointListUpdate) {
         let process = &self.processes[forwarder as usize];
         if !process.is_up() || !process.follows_list {
@@ -143,7 +145,7 @@
         self.deliver_event(forwarder, incarnation, Event::EndpointListUpdated(update));
     }
 
-    /// Removes endpoints that a complete list does not name.
+    /// Removes endpoints that are missing from a complete list.
     fn remove_missing(&mut self, forwarder: u32, entries: &[EndpointEntry]) {
         let listed = &self.processes[forwarder as usize].known_endpoints;
         let missing = |known: &&EndpointEntry| {
@@ -167,7 +169,7 @@
                 listed.insert(index, entry.clone());
                 continue;
             }
-            // A new holder of the address stays.
+            // The entry of a newer holder of the address stays.
             let known = listed.get(&index);
             if known.is_some_and(|known| known.endpoint == entry.endpoint) {
                 listed.remove(&index);
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Tells the oracle that a forwarder knows now whether an endpoint takes new calls.
+    /// Notifies the oracle that a forwarder knows whether an endpoint takes new calls.
     fn notify_oracle(&mut self, forwarder: u32, entry: &EndpointEntry, ready: bool) {
         let index = Layout::endpoint_index(entry.endpoint);
         let holder = entry.endpoint.incarnation;
--- a/crates/lab/src/sim/event.rs
+++ b/crates/lab/src/sim/event.rs
@@ -1,4 +1,4 @@
-//! What happens in the simulated world, and the queue that orders it by time.
+//! The events of the simulated world, and the queue that orders them by time.
 
 use crate::load::Due;
 use opalpulley::{EndpointId, EndpointListUpdate, Micros, Outcome, TimerToken};
@@ -14,23 +14,23 @@
     pub sent_at: Micros,
 }
 
-/// What happens next.
+/// An event of the simulated world, owned by the queue until it happens.
 pub(super) enum SimulatedEvent {
     /// A message of the load is due.
     Due(Due),
     /// A client submits a message once more.
     Submit { message: u64 },
-    /// A timer of a forwarder fires.
+    /// A forwarder's timer fires.
     TimerFires {
         forwarder: u32,
         incarnation: u32,
         token: TimerToken,
     },
-    /// The bytes of a call leave, on a connection that came up late.
+    /// The bytes of a call leave on a connection that was established late.
     RequestSent { attempt: u64 },
     /// A call's last byte reaches its endpoint.
     RequestArrives { attempt: u64 },
-    /// The head of an answer holds a retry-after time; the outcome follows.
+    /// The head of a response with a retry-after time reaches a forwarder; the outcome of the attempt follows.
     RetryAfterReceived { attempt: u64, retry_after: Micros },
     /// An attempt's outcome reaches its forwarder.
     AttemptEnds { attempt: u64, outcome: Outcome },
@@ -46,13 +46,13 @@
         forwarder: u32,
         update: EndpointListUpdate,
     },
-    /// A poll of the list is answered, or has failed.
+    /// A poll of the endpoint list is answered, or fails.
     PollAnswered {
         forwarder: u32,
         incarnation: u32,
         answered: bool,
     },
-    /// Gossip reaches a forwarder.
+    /// A gossip payload reaches a forwarder.
     Gossip {
         from: u32,
         to: u32,
@@ -60,13 +60,13 @@
     },
     /// A fault begins or ends.
     FaultChanges { fault: usize, begins: bool },
-    /// One endpoint of a drain begins to drain, or is gone.
+    /// An endpoint begins to drain, or is removed.
     EndpointDrains { endpoint: usize, gone: bool },
-    /// A killed forwarder starts again, with or without its folder.
+    /// A killed forwarder restarts, with or without its folder.
     ProcessRestarts { forwarder: u32, folder_kept: bool },
-    /// A stopped forwarder goes on.
+    /// A paused forwarder resumes.
     ProcessResumes { forwarder: u32 },
-    /// The oracle looks for final answers that are overdue.
+    /// The oracle checks for overdue final answers.
     OracleSweep,
 }
 
@@ -91,13 +91,14 @@
 }
 
 impl Ord for QueuedEvent {
-    /// The greatest is taken first: the earliest, and of those at one time the one that was scheduled first.
+    /// Orders the earliest event as the greatest, since the heap returns the greatest first. Among events at the same time, the
+    /// one scheduled first is the greatest.
     fn cmp(&self, other: &QueuedEvent) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Scheduled events; those at one time happen in the order in which they were scheduled.
+/// The scheduled events, ordered by time. Events at the same time happen in the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BinaryHeap<QueuedEvent>,
@@ -105,7 +106,7 @@
 }
 
 impl EventQueue {
-    /// Adds an event that happens at this time.
+    /// Schedules an event at `at`, µs.
     pub fn push(&mut self, at: Micros, event: SimulatedEvent) {
         self.scheduled_count += 1;
         self.events.push(QueuedEvent {
@@ -115,7 +116,7 @@
         });
     }
 
-    /// Takes the next event, with its time.
+    /// Removes and returns the next event with its time, µs.
     pub fn pop(&mut self) -> Option<(Micros, SimulatedEvent)> {
         let next = self.events.pop()?;
         Some((next.at, next.event))
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -1,4 +1,5 @@
-//! Faults on their timeline: those of receivers go to the receivers, the others concern discovery and forwarders.
+//! Begins and ends the faults of the scenario. Faults of receivers are set at the receivers; the other faults act on discovery
+//! and the forwarder processes.
 
 use super::event::SimulatedEvent;
 use super::Sim;
@@ -6,7 +7,7 @@
 use crate::world::Layout;
 
 impl Sim {
-    /// A fault begins or ends.
+    /// Begins or ends a fault, and schedules its end when it begins.
     pub(super) fn fault_changes(&mut self, fault_index: usize, begins: bool) {
         let fault = self.scenario.faults[fault_index].clone();
         if begins {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// One endpoint after the other drains, each for the same part of the fault's time.
+    /// Drains the affected endpoints one after the other, each for an equal part of the fault's duration.
     fn drain_endpoints(&mut self, fault_index: usize, fault: &Fault) {
         let endpoints = self.affected_endpoints(fault_index, fault);
         let each = fault.lasts.0 / endpoints.len().max(1) as u64;
--- a/crates/lab/src/sim/handlers.rs
+++ b/crates/lab/src/sim/handlers.rs
@@ -1,4 +1,4 @@
-//! Hands each simulated event to the part of the world that it concerns.
+//! Dispatches each simulated event to the method that handles it.
 
 use super::event::SimulatedEvent;
 use super::{Sim, SWEEP_INTERVAL};
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Events that reach one forwarder process.
+    /// Dispatches the events that concern a forwarder process.
     fn handle_for_forwarder(&mut self, event: SimulatedEvent) {
         match event {
             SimulatedEvent::TimerFires {
@@ -65,7 +65,7 @@
         self.deliver_event(to, incarnation, Event::GossipReceived { peer, payload });
     }
 
-    /// Lets the oracle look for what is overdue, and notes how much the tables hold.
+    /// Runs the oracle's check for overdue answers, updates the peak table size, and schedules the next check.
     fn sweep_oracle(&mut self) {
         self.oracle.sweep(self.now);
         let table_entries = self.oracle.table_entries()
--- a/crates/lab/src/sim/health_checks.rs
+++ b/crates/lab/src/sim/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks between forwarders and receivers.
+//! Simulated health checks, from the forwarder to the receiver and back.
 
 use super::event::{HealthCheck, SimulatedEvent};
 use super::Sim;
@@ -6,7 +6,8 @@
 use crate::world::Layout;
 use opalpulley::{EndpointId, Event, Outcome};
 
-/// Ways between forwarder and endpoint until a health check is in: a connection is made for it.
+/// Number of one-way network delays until a health check reaches its endpoint: two to establish a connection, and one for the
+/// request.
 const ONE_WAY_DELAYS_TO_ENDPOINT: u64 = 3;
 
 impl Sim {
@@ -14,7 +15,7 @@
         self.tally.counts.health_checks += 1;
         let index = Layout::endpoint_index(endpoint);
         let limiter = self.layout.endpoints[index].limiter;
-        let what = format!("a probe of forwarder {forwarder} to target {index}");
+        let what = format!("health check of forwarder {forwarder} to endpoint {index}");
         self.oracle
             .check_retry_after(forwarder, limiter, self.now, &what);
         let health_check = HealthCheck {
--- a/crates/lab/src/sim/lifecycle.rs
+++ b/crates/lab/src/sim/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Forwarder processes are killed, started again, stopped and continued.
+//! Kills, restarts, pauses and resumes simulated forwarder processes.
 
 use super::simulated_process::HeldMessage;
 use super::Sim;
@@ -6,11 +6,12 @@
 use crate::world::Layout;
 use opalpulley::{AttemptHistory, Event, Micros, PossibleEffect, Submission, ZoneId};
 
-/// After a restart: from then on a final answer may be overdue, µs.
+/// Time after a restart or a resumption during which final answers may be late, µs.
 const RECOVERY_ALLOWANCE: Micros = 1_500_000;
 
 impl Sim {
-    /// Kills a process. Its calls break off; if its folder is kept, its messages wait there for the next start.
+    /// Kills a process and aborts its calls. If its folder is kept, its messages are recovered at the restart; otherwise they
+    /// are lost.
     pub(super) fn kill_process(&mut self, forwarder: u32, folder_kept: bool) {
         let process = &mut self.processes[forwarder as usize];
         if !process.is_up() {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Ends the attempts of a process that was killed, in the order of their numbers.
+    /// Aborts the attempts of a killed process, in the order of their numbers so that runs stay deterministic.
     fn abort_attempts(&mut self, forwarder: u32) {
         let attempts_of_process = self
             .attempts
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The messages of a killed process are lost with its folder.
+    /// Drops the messages of a killed process whose folder is lost, and its endpoint list.
     fn lose_folder(&mut self, forwarder: u32) {
         let process = &mut self.processes[forwarder as usize];
         let lost = std::mem::take(&mut process.open_messages);
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Starts a killed process again; it takes over what its folder holds.
+    /// Restarts a killed process, which recovers the messages of its folder if that was kept.
     pub(super) fn restart_process(&mut self, forwarder: u32, folder_kept: bool) {
         self.oracle
             .excuse_until(forwarder, self.now + RECOVERY_ALLOWANCE);
@@ -106,7 +107,7 @@
         }
     }
 
-    /// A process that started again submits a message of its folder to itself, with the history of its attempts.
+    /// Submits a message of the folder to the restarted forwarder, with the history of its attempts.
     fn recover_message(&mut self, forwarder: u32, mut held: HeldMessage) {
         let process = &mut self.processes[forwarder as usize];
         let id = process.new_id();
@@ -125,7 +126,7 @@
         self.run_forwarder(forwarder, Event::MessageSubmitted(message), None);
     }
 
-    /// Stops a process: it reads and sends nothing until it goes on.
+    /// Pauses a process: it handles no events until it is resumed.
     pub(super) fn pause_process(&mut self, forwarder: u32) {
         let process = &mut self.processes[forwarder as usize];
         if process.is_up() {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// A stopped process goes on and handles what waited for it.
+    /// Resumes a paused process, which handles the events that waited for it.
     pub(super) fn resume_process(&mut self, forwarder: u32) {
         let process = &mut self.processes[forwarder as usize];
         if !process.paused {
--- a/crates/lab/src/sim/simulated_process.rs
+++ b/crates/lab/src/sim/simulated_process.rs
@@ -1,4 +1,4 @@
-//! One forwarder process of the simulated world: the forwarder under test, its clock, and the messages that it answers for.
+//! A simulated forwarder process: the forwarder under test, its clock, and the messages that it has accepted.
 
 use super::clients::SubmissionAnswer;
 use super::event::SimulatedEvent;
@@ -14,31 +14,31 @@
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Messages just over that are still known: a broken forwarder may send one.
+/// Number of finished messages that are kept, so that the oracle can judge a call with one of them by a faulty forwarder.
 const MAX_RECENTLY_FINISHED: usize = 8;
-/// Every clock starts at this at least, µs: no real one starts at 0.
+/// Lower bound on the start of a process's clock, µs; a real clock doesn't start at 0.
 const CLOCK_START: Micros = 1_000_000;
 
-/// A message that the forwarder has accepted.
+/// A message that a forwarder process holds, from its submission until it is finished.
 pub(super) struct HeldMessage {
-    /// The submission as the oracle numbers it.
+    /// The oracle's number of the submission.
     pub submission: u64,
-    /// The message as its client numbers it.
+    /// The client's number of the message.
     pub client_message: u64,
-    /// As it was submitted to the forwarder.
+    /// The message as it was submitted to the forwarder.
     pub message: Submission,
     pub deadline: Micros,
-    /// Attempts so far, without those that were withdrawn.
+    /// Number of attempts so far, without withdrawn ones.
     pub attempts: u32,
-    /// Attempts in flight: the forwarder's number and the world's.
+    /// Attempts in flight: the attempt index of the forwarder, and the attempt number in `Sim::attempts`.
     pub in_flight: Vec<(u8, u64)>,
-    /// It has its final answer.
+    /// Whether the message has its final answer.
     pub ended: bool,
     pub possible_effect: Option<PossibleEffect>,
 }
 
 impl HeldMessage {
-    /// The world's number of an attempt in flight.
+    /// Returns the number in `Sim::attempts` of an attempt in flight.
     pub fn attempt_in_flight(&self, attempt_index: u8) -> Option<u64> {
         let mut in_flight = self.in_flight.iter();
         let (_, number) = in_flight.find(|(index, _)| *index == attempt_index)?;
@@ -46,7 +46,7 @@
     }
 }
 
-/// A message that was over a short time ago.
+/// A message that was finished recently.
 struct FinishedMessage {
     id: MessageId,
     submission: u64,
@@ -54,41 +54,41 @@
 
 /// A message as a client submits it to a forwarder.
 pub(super) struct NewSubmission {
-    /// The submission as the oracle numbers it.
+    /// The oracle's number of the submission.
     pub submission: u64,
-    /// The message as its client numbers it.
+    /// The client's number of the message.
     pub client_message: u64,
     pub deadline: Micros,
-    /// What the forwarder is told; its id is chosen as it is accepted.
+    /// The message for the forwarder. The process replaces its id.
     pub message: Submission,
 }
 
-/// One forwarder process.
+/// A simulated forwarder process. Owned by `Sim`; outlives kills and restarts.
 pub(super) struct SimulatedProcess {
-    /// The forwarder under test; none while the process is down.
+    /// The forwarder under test; `None` while the process is down.
     pub subject: Option<Box<dyn Subject>>,
-    /// How often it has been killed: events for an earlier incarnation are dropped.
+    /// Number of times that the process was killed. Events for an earlier incarnation are dropped.
     pub incarnation: u32,
-    /// It is stopped.
+    /// Whether the process is paused.
     pub paused: bool,
-    /// Events that wait while it is stopped.
+    /// Events that wait while the process is paused.
     pub inbox: VecDeque<Event>,
-    /// Messages that it answers for. Each leaves with its final answer and the outcome of its last attempt.
+    /// Messages that the process holds. A message is removed once it has its final answer and no attempt in flight.
     pub open_messages: BTreeMap<MessageId, HeldMessage>,
     recently_finished: VecDeque<FinishedMessage>,
     next_id: u32,
-    /// How far its clock is ahead, µs.
+    /// Offset of the process's clock from the simulated clock, µs.
     pub clock_offset: Micros,
-    /// The list as it knows it, by endpoint.
+    /// The endpoint list as the process knows it, by endpoint index.
     pub known_endpoints: BTreeMap<usize, EndpointEntry>,
-    /// Discovery sends it list updates.
+    /// Whether discovery sends list updates to the process.
     pub follows_list: bool,
-    /// When its latest list update arrives: updates stay in order.
+    /// When the latest list update arrives, µs. Later updates don't arrive before it.
     pub list_update_at: Micros,
 }
 
 impl SimulatedProcess {
-    /// A process that is not started yet; its clock is drawn.
+    /// Creates a process that is not started, with a random clock offset.
     pub fn new(scenario: &Scenario, seed: u64, number: u32) -> SimulatedProcess {
         let max_clock_skew = scenario.forwarders.max_clock_skew.0;
         let skew = stream(seed, "clock", u64::from(number)).random_range(0..=max_clock_skew);
@@ -107,12 +107,12 @@
         }
     }
 
-    /// Whether the process runs, stopped or not.
+    /// Returns whether the process is up, which includes a paused one.
     pub fn is_up(&self) -> bool {
         self.subject.is_some()
     }
 
-    /// The next id that no open message has.
+    /// Returns the next id that no open message has.
     pub fn new_id(&mut self) -> MessageId {
         loop {
             self.next_id = self.next_id.wrapping_add(1);
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The submission of a message that was over a short time ago.
+    /// Returns the submission of a recently finished message.
     pub fn finished_submission(&self, id: MessageId) -> Option<u64> {
         let mut finished = self.recently_finished.iter();
         let message = finished.find(|message| message.id == id)?;
@@ -131,7 +131,7 @@
 }
 
 impl Sim {
-    /// Starts a process with the list that it had last; the first time with the list as it is.
+    /// Starts a process with the endpoint list that it knew last. A process that knows none gets the current list.
     pub(super) fn start_process(&mut self, forwarder: u32) {
         let incarnation = self.processes[forwarder as usize].incarnation;
         let number = u64::from(forwarder) << 32 | u64::from(incarnation);
@@ -149,7 +149,7 @@
         self.run_forwarder(forwarder, cached, None);
     }
 
-    /// A client submits a message to a forwarder that is up; gives the forwarder's answer.
+    /// Submits a message to a forwarder, which must be up and not paused, and returns its answer.
     pub(super) fn accept_submission(
         &mut self,
         forwarder: u32,
@@ -176,7 +176,8 @@
         answer
     }
 
-    /// Gives an event to one incarnation of a forwarder; it waits while the process is stopped.
+    /// Delivers an event to an incarnation of a forwarder. The event waits while the process is paused, and is dropped if the
+    /// incarnation has ended.
     pub(super) fn deliver_event(&mut self, forwarder: u32, incarnation: u32, event: Event) {
         let process = &mut self.processes[forwarder as usize];
         if process.incarnation != incarnation || !process.is_up() {
@@ -188,8 +189,8 @@
         self.run_forwarder(forwarder, event, None);
     }
 
-    /// Lets the forwarder handle an event and carries out its actions. `submitted` is the message that a client submits just
-    /// now: what the forwarder says of it is the answer to that client.
+    /// Lets the forwarder handle an event and executes its actions. If the event submits a client's message, `submitted` is its
+    /// id, and the returned answer is the answer to the client.
     pub(super) fn run_forwarder(
         &mut self,
         forwarder: u32,
@@ -255,7 +256,7 @@
         }
     }
 
-    /// Sends gossip to one peer, or to all.
+    /// Sends a gossip payload to one peer, or to all peers if `peer` is `None`.
     fn send_gossip(&mut self, from: u32, peer: Option<u16>, payload: Vec<u8>) {
         let arrives_at = self.now + self.scenario.network.delay.0;
         for to in 0..self.processes.len() as u32 {
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Forgets a message that is over and has no attempt in flight.
+    /// Moves a message that has its final answer and no attempt in flight to the recently finished ones.
     pub(super) fn forget_finished(&mut self, forwarder: u32, id: MessageId) {
         let process = &mut self.processes[forwarder as usize];
         let is_finished = |held: &HeldMessage| held.ended && held.in_flight.is_empty();
@@ -282,8 +283,8 @@
         }
     }
 
-    /// A forwarder gives an accepted message its final answer. A second answer, which only a broken forwarder gives, goes to
-    /// the oracle alone.
+    /// Handles a forwarder's final answer to an accepted message. A second answer, which only a faulty forwarder gives, is
+    /// reported to the oracle and not to the client.
     fn finish_message(
         &mut self,
         forwarder: u32,
--- a/crates/lab/src/sim/tests.rs
+++ b/crates/lab/src/sim/tests.rs
@@ -7,12 +7,12 @@
         env!("CARGO_MANIFEST_DIR"),
         "/../../lab/scenarios/hostile.toml"
     );
-    Scenario::load(std::path::Path::new(path)).expect("it is right")
+    Scenario::load(std::path::Path::new(path)).expect("the scenario is valid")
 }
 
 fn run(scenario: &Scenario, seed: u64, variant: ForwarderVariant) -> Outcome {
     Sim::new(scenario, seed, variant)
-        .expect("it starts")
+        .expect("the simulation can be set up")
         .run(|_, _| {})
 }
 
@@ -22,7 +22,7 @@
         let outcome = run(&hostile_scenario(), seed, ForwarderVariant::True);
         assert!(
             outcome.misses().is_empty(),
-            "seed {seed}: {:?}\n{:?}",
+            "expected no unmet expectation with seed {seed}, got {:?}\n{:?}",
             outcome.misses(),
             outcome.breaks
         );
@@ -30,9 +30,12 @@
         assert_eq!(
             counts.served + counts.failed + counts.given_up + counts.gone,
             counts.due,
-            "seed {seed}"
+            "expected every due message to end once with seed {seed}"
+        );
+        assert!(
+            counts.due > 5000 && counts.retried > 100,
+            "expected many messages and retries, got {counts:?}"
         );
-        assert!(counts.due > 5000 && counts.retried > 100, "{counts:?}");
     }
 }
 
@@ -42,7 +45,7 @@
         let outcome = run(&hostile_scenario(), 1, variant);
         assert!(
             outcome.broken.contains_key(rule),
-            "{variant:?} should break {rule}: {:?}",
+            "expected {variant:?} to break {rule}, got {:?}",
             outcome.broken
         );
     }
@@ -52,7 +55,7 @@
 fn same_seed_gives_identical_outcome() {
     let outcome_json = |seed| {
         serde_json::to_string(&run(&hostile_scenario(), seed, ForwarderVariant::True))
-            .expect("it is data")
+            .expect("an outcome can be serialized")
     };
     assert_eq!(outcome_json(7), outcome_json(7));
     assert_ne!(outcome_json(7), outcome_json(8));
@@ -60,16 +63,17 @@
 
 #[test]
 fn run_cut_off_early_counts_open_messages_and_breaks_no_rule() {
-    let sim = Sim::new(&hostile_scenario(), 1, ForwarderVariant::True).expect("it starts");
+    let sim = Sim::new(&hostile_scenario(), 1, ForwarderVariant::True)
+        .expect("the simulation can be set up");
     let (outcome, _) = sim.run_until(12_000_000, |_, _| {});
     assert!(
         outcome.counts.open > 0 && outcome.broken.is_empty(),
-        "{:?}",
+        "expected open messages and no broken rule, got {:?}",
         outcome.broken
     );
 }
 
-/// What the tables hold follows the messages that are open, not those ever seen.
+/// The table sizes must depend on the number of open messages, not on the number of messages seen so far.
 #[test]
 fn table_sizes_do_not_grow_with_run_length() {
     let peak_entries = |lasts: u64| {
@@ -77,16 +81,19 @@
         scenario.faults.clear();
         scenario.lasts = crate::scenario::Span(lasts * 1_000_000);
         Sim::new(&scenario, 1, ForwarderVariant::True)
-            .expect("it starts")
+            .expect("the simulation can be set up")
             .run_until(Micros::MAX, |_, _| {})
             .1
             .peak_table_entries
     };
     let (short, long) = (peak_entries(150), peak_entries(450));
-    assert!(long < short * 11 / 10, "{short} entries, then {long}");
+    assert!(
+        long < short * 11 / 10,
+        "expected a peak independent of the run length, got {short} entries, then {long}"
+    );
 }
 
-/// A forwarder that comes back with its folder gives what is overdue its end at once.
+/// A forwarder that restarts with its folder must end the messages that became overdue while it was down.
 #[test]
 fn restarted_forwarder_ends_overdue_messages_of_its_folder() {
     let mut scenario = hostile_scenario();
@@ -94,58 +101,71 @@
         .faults
         .retain(|fault| matches!(fault.kind, crate::scenario::FaultKind::Killed { .. }));
     scenario.forwarders.count = 1;
-    scenario.faults[0].lasts = crate::scenario::Span(15_000_000); // longer than any message lives
-    scenario.loads[0].rate = 200.0; // so that lines wait
+    scenario.faults[0].lasts = crate::scenario::Span(15_000_000); // longer than any time to live
+    scenario.loads[0].rate = 200.0; // so that messages are queued at the kill
     let outcome = run(&scenario, 3, ForwarderVariant::True);
     assert!(
         outcome.broken.is_empty() && outcome.counts.open == 0,
-        "{:?} {:?}",
+        "expected no violation and no open message, got {:?} {:?}",
         outcome.breaks,
         outcome.counts
     );
-    assert!(outcome.counts.failed > 0, "{:?}", outcome.counts);
+    assert!(
+        outcome.counts.failed > 0,
+        "expected overdue messages to fail, got {:?}",
+        outcome.counts
+    );
 }
 
-/// Most of a fleet starts anew while discovery has more calls than it can work off: in the end it tells all of them, and
-/// is not asked much more often than once for each start. Calls made again each second would keep it full for good.
+/// Most of a fleet restarts while discovery is overloaded by polls. Every forwarder must get list updates in the end, with few
+/// more polls than restarts. Forwarders that polled again each second would keep discovery overloaded forever.
 #[test]
 fn overloaded_discovery_updates_fleet_that_restarts_at_once() {
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../lab/scenarios/fleet-restart-full.toml"
     );
-    let scenario = Scenario::load(std::path::Path::new(path)).expect("it is right");
+    let scenario = Scenario::load(std::path::Path::new(path)).expect("the scenario is valid");
     for seed in 1..=3 {
-        let sim = Sim::new(&scenario, seed, ForwarderVariant::True).expect("it starts");
+        let sim = Sim::new(&scenario, seed, ForwarderVariant::True)
+            .expect("the simulation can be set up");
         let (outcome, stats) = sim.run_until(Micros::MAX, |_, _| {});
-        assert!(outcome.broken.is_empty(), "{:?}", outcome.breaks);
+        assert!(
+            outcome.broken.is_empty(),
+            "expected no violation, got {:?}",
+            outcome.breaks
+        );
         assert_eq!(
             stats.forwarders_without_list_updates, 0,
-            "seed {seed}: {} calls for the list",
+            "expected list updates for every forwarder with seed {seed}; there were {} polls of the list",
             stats.list_polls
         );
         assert!(
             stats.list_polls <= 400,
-            "seed {seed}: {} calls for some 170 starts",
+            "expected at most 400 polls for about 170 starts with seed {seed}, got {}",
             stats.list_polls
         );
     }
 }
 
-/// Where forwarders may tell each other of refusals, fewer calls are refused and more messages served.
+/// When forwarders may gossip about refused calls, fewer calls must be refused and more messages served.
 #[test]
 fn gossip_reduces_refused_calls_and_serves_more_messages() {
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../lab/scenarios/fleet-limits-full.toml"
     );
-    let mut scenario = Scenario::load(std::path::Path::new(path)).expect("it is right");
+    let mut scenario = Scenario::load(std::path::Path::new(path)).expect("the scenario is valid");
     let mut sums = [(0, 0); 2];
     for (sum, may_gossip) in sums.iter_mut().zip([true, false]) {
         scenario.forwarders.may_gossip = may_gossip;
         for seed in 1..=3 {
             let outcome = run(&scenario, seed, ForwarderVariant::True);
-            assert!(outcome.broken.is_empty(), "{:?}", outcome.breaks);
+            assert!(
+                outcome.broken.is_empty(),
+                "expected no violation, got {:?}",
+                outcome.breaks
+            );
             *sum = (
                 sum.0 + outcome.counts.served,
                 sum.1 + outcome.counts.outcomes.get("refused").copied().unwrap_or(0),
@@ -155,28 +175,29 @@
     let [(served, refused), (served_without_gossip, refused_without_gossip)] = sums;
     assert!(
         served > served_without_gossip && 2 * refused < refused_without_gossip,
-        "{sums:?}"
+        "expected more served and under half the refused calls with gossip, got {sums:?}"
     );
 }
 
-/// What the operators' full fleet showed: a wait is told, and a list drains, while connections are still to come up.
+/// Guards against a failure that the operators' full fleet showed: a retry-after time or a drain is notified while connections
+/// are not established yet, and the calls on them are sent all the same.
 #[test]
 fn calls_on_late_connections_respect_limits_notified_before_sending() {
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../lab/scenarios/late-connections.toml"
     );
-    let scenario = Scenario::load(std::path::Path::new(path)).expect("it is right");
+    let scenario = Scenario::load(std::path::Path::new(path)).expect("the scenario is valid");
     let outcome = run(&scenario, 2, ForwarderVariant::True);
     assert!(
         outcome.misses().is_empty(),
-        "{:?}\n{:?}",
+        "expected no unmet expectation, got {:?}\n{:?}",
         outcome.misses(),
         outcome.breaks
     );
     let broken_rules = run(&scenario, 2, ForwarderVariant::WithdrawsNothing).broken;
     assert!(
         broken_rules.contains_key("wait-not-heeded"),
-        "{broken_rules:?}"
+        "expected a violation of wait-not-heeded, got {broken_rules:?}"
     );
 }
--- a/crates/lab/src/subject.rs
+++ b/crates/lab/src/subject.rs
@@ -1,17 +1,18 @@
-//! What a simulated forwarder is: the true core, or one that is broken on purpose so that the oracle has something to catch.
-//! `broken` holds what the broken ones do.
+//! The forwarder under test on the simulated clock: the real core, or a variant with a deliberate fault that the oracle must
+//! detect. `broken` implements the variants.
 
 mod broken;
 
 use broken::BrokenForwarder;
 use opalpulley::{Action, Config, Event, Forwarder, Micros};
 
-/// Overload multiple of a forwarder that skips slow start: more than any endpoint is sent.
+/// Overload multiple of a forwarder that skips slow start. No endpoint is sent this multiple of its capacity, so the limit
+/// never binds.
 const UNLIMITED_MULTIPLE: f64 = 1e3;
 
-/// One forwarder's decisions: the same signature as the core's.
+/// A forwarder under test. Has the same interface as the core.
 pub trait Subject: Send {
-    /// Handles an event; its actions are added to `actions`.
+    /// Handles an event at `now`, in µs on the forwarder's clock, and appends the resulting actions to `actions`.
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>);
 }
 
@@ -21,37 +22,37 @@
     }
 }
 
-/// Which forwarder stands in the simulated world.
+/// The forwarder that a simulated run tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum ForwarderVariant {
-    /// The one in service.
+    /// The real core, without changes.
     True,
-    /// One attempt for each message: never sends again. A baseline, not broken.
+    /// Makes one attempt for each message and never retries. A baseline, without a fault.
     #[value(name = "one-try")]
     OneAttempt,
     /// Gives each failed or rejected message a second final answer.
     SecondAnswer,
-    /// Sends at-most-once messages again after an attempt that may have taken effect.
+    /// Retries at-most-once messages after an attempt that may have taken effect.
     #[value(name = "resends-binding")]
     ResendsAtMostOnce,
-    /// Ignores that an endpoint drains.
+    /// Sends to draining endpoints.
     SendsAfterDrain,
     /// Ignores retry-after times.
     #[value(name = "ignores-waits")]
     IgnoresRetryAfter,
-    /// Does not withdraw calls that were decided before a retry-after time or a drain was told.
+    /// Doesn't withdraw calls whose endpoint was chosen before a retry-after time or a drain was notified.
     #[value(name = "takes-nothing-back")]
     WithdrawsNothing,
-    /// Gives one message in ten no final answer.
+    /// Drops one final answer in ten.
     #[value(name = "loses-packets")]
     LosesMessages,
-    /// Sends an endpoint that comes back its whole load at once.
+    /// Sends a readmitted endpoint its full load at once.
     #[value(name = "pushes-over")]
     SkipsSlowStart,
     /// Ignores order keys.
     #[value(name = "breaks-order")]
     IgnoresOrder,
-    /// Sends a message again after it was delivered.
+    /// Sends a message again after its delivery.
     SendsAfterEnd,
     /// Sends each call twice.
     SendsTwice,
@@ -65,7 +66,7 @@
 }
 
 impl ForwarderVariant {
-    /// Those that the oracle must catch, each with the rule that it breaks.
+    /// Variants that the oracle must detect, each with the name of the rule that it breaks.
     pub const BROKEN: [(ForwarderVariant, &'static str); 9] = [
         (ForwarderVariant::SecondAnswer, "second-final-answer"),
         (ForwarderVariant::ResendsAtMostOnce, "effect-twice"),
@@ -78,7 +79,8 @@
         (ForwarderVariant::SendsTwice, "two-trips-out"),
     ];
 
-    /// Its name in outcomes and reports: fixed, since outcomes that were written before are compared by it.
+    /// Returns the variant's name in outcomes and reports. The names are fixed: runs are compared with outcomes that were
+    /// written before.
     pub fn name_in_outcomes(self) -> &'static str {
         match self {
             ForwarderVariant::True => "True",
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Builds a forwarder of this variant.
+    /// Builds a forwarder of this variant. `seed` seeds its random decisions.
     pub fn build(self, mut config: Config, seed: u64) -> Box<dyn Subject> {
         match self {
             ForwarderVariant::True => return Box::new(Forwarder::new(config, seed)),
--- a/crates/lab/src/subject/broken.rs
+++ b/crates/lab/src/subject/broken.rs
@@ -1,4 +1,4 @@
-//! A forwarder that is broken on purpose: the true core, with events or actions changed on their way.
+//! A forwarder with a deliberate fault: the real core, whose events or actions are altered in between.
 
 use super::{ForwarderVariant, Subject};
 use opalpulley::{
@@ -7,24 +7,24 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// `LosesMessages` gives no final answer to one message in so many.
+/// `LosesMessages` drops one final answer in this many.
 const LOST_ANSWER_INTERVAL: u64 = 10;
 
-/// The true core, with what its variant changes.
+/// The real core with the changes of one variant.
 pub(super) struct BrokenForwarder {
     variant: ForwarderVariant,
     core: Forwarder,
     semantics: Vec<DeliverySemantics>,
-    /// Open messages of at-most-once classes. Each leaves with its final answer.
+    /// Open messages of at-most-once classes, for `ResendsAtMostOnce`. A message is removed with its final answer.
     open_at_most_once: BTreeSet<MessageId>,
-    /// Endpoints that the core knows as ready, for `SendsAfterDrain`.
+    /// Endpoints that the core knows to be ready, for `SendsAfterDrain`.
     ready_endpoints: BTreeMap<EndpointId, EndpointEntry>,
-    /// Final answers so far.
+    /// Number of final answers of the core so far.
     final_answer_count: u64,
 }
 
 impl BrokenForwarder {
-    /// A forwarder of this variant round a new core.
+    /// Creates a forwarder of this variant with a new core.
     pub fn new(variant: ForwarderVariant, config: Config, seed: u64) -> BrokenForwarder {
         let classes = config.classes.iter();
         BrokenForwarder {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// What the core is told instead of an event.
+    /// Returns the event that the core handles in place of `event`.
     fn alter_event(&mut self, event: Event) -> Event {
         match event {
             Event::MessageSubmitted(message) => {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A list update in which no known endpoint drains or is gone.
+    /// Returns the list update without entries that drain or remove a known endpoint.
     fn without_drains(&mut self, update: EndpointListUpdate) -> EndpointListUpdate {
         match update {
             EndpointListUpdate::Changes(mut entries) => {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Passes an action of the core on: once, twice or not at all.
+    /// Appends an action of the core once, twice or not at all, depending on the variant.
     fn forward_action(&mut self, action: Action, actions: &mut Vec<Action>) {
         let answered = match &action {
             Action::Fail { id } | Action::Reject { id, .. } => Some(*id),
@@ -179,7 +179,7 @@
     }
 }
 
-/// The message that an event tells was delivered, and to which endpoint.
+/// Returns the message whose delivery an event reports, and its endpoint.
 fn delivered_message(event: &Event) -> Option<(MessageId, EndpointId)> {
     match event {
         Event::AttemptEnded {
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -1,5 +1,6 @@
-//! What a run came to: counts, latencies from when a message was due, and what happened over time. `Tally` gathers the
-//! figures of one run, `outcome` holds them once it is over. Their size follows the length of the run, not the messages.
+//! The figures of a run: counts, latencies measured from when a message was due, and time buckets. `Tally` collects them during
+//! the run; `outcome` defines them as they are written. Their size depends on the length of the run, not on the number of
+//! messages.
 
 mod outcome;
 
@@ -10,16 +11,16 @@
 use opalpulley::Micros;
 use std::collections::BTreeMap;
 
-/// Time buckets at most: more than a plot shows.
+/// Upper bound on the number of time buckets that the planned length of a run is divided into; a plot shows fewer.
 const MAX_BUCKET_COUNT: u64 = 600;
-/// The shortest time bucket, µs.
+/// Lower bound on the width of a time bucket, µs.
 const MIN_BUCKET_WIDTH: Micros = 100_000;
-/// The longest latency that is told from longer ones, µs.
+/// Upper bound of the latency histograms, µs; longer latencies are recorded as this one.
 const MAX_LATENCY: u64 = 24 * 3600 * 1_000_000;
-/// Significant digits of a latency.
+/// Significant decimal digits of the latency histograms.
 const LATENCY_DIGITS: u8 = 3;
 
-/// What a time bucket counts.
+/// An event that a time bucket counts.
 #[derive(Clone, Copy, Debug)]
 pub enum BucketEvent {
     /// A message was due.
@@ -30,36 +31,36 @@
     MessageFailed,
     /// A call was sent.
     Call,
-    /// A call was answered well.
+    /// A call was answered with success.
     CallSucceeded,
     /// A call was refused.
     CallRefused,
-    /// A call failed otherwise.
+    /// A call ended with any other outcome.
     CallFailed,
 }
 
-/// Gathers the figures while a run goes on.
+/// Collects the figures of one run. Owned by the simulation, or by the shared state of a run on sockets.
 pub struct Tally {
     /// Counts over the whole run.
     pub counts: Counts,
-    /// Calls in flight now.
+    /// Number of calls in flight; the owner counts it up and down.
     pub calls_in_flight: u64,
     latencies: Histogram<u64>,
     bucket_latencies: Histogram<u64>,
     bucket_width: Micros,
-    /// When the first bucket begins.
+    /// When the first time bucket begins, µs.
     started_at: Micros,
     buckets: Vec<TimeBucket>,
-    /// The weight of the messages that were served, less where they were late.
+    /// Sum of the priority weights of the served messages, each reduced if the message was late.
     served_weight: f64,
-    /// The weight of all messages that were due.
+    /// Sum of the priority weights of all messages that were due.
     due_weight: f64,
     classes: Vec<DeliveryClass>,
     decay: PriorityDecay,
 }
 
 impl Tally {
-    /// Nothing counted yet.
+    /// Creates a tally with all counts at 0, whose clock starts at 0.
     pub fn new(scenario: &Scenario) -> Tally {
         let length = scenario.lasts.0 + scenario.longest_time_to_live();
         Tally {
@@ -77,12 +78,12 @@
         }
     }
 
-    /// The run's first µs, where the clock does not begin with it.
+    /// Sets when the run starts, µs, if its clock doesn't start at 0. The caller must do this before anything is counted.
     pub fn set_start(&mut self, at: Micros) {
         self.started_at = at;
     }
 
-    /// The bucket of this time, which is not before that of an earlier call; those before it are closed.
+    /// Returns the bucket of `now` and closes the buckets before it. `now` must not fall into a bucket that is closed already.
     fn bucket_at(&mut self, now: Micros) -> &mut TimeBucket {
         let now = now.saturating_sub(self.started_at);
         while now >= self.buckets.len() as u64 * self.bucket_width {
@@ -105,7 +106,7 @@
         });
     }
 
-    /// Counts something that happened now.
+    /// Counts an event in the time bucket of `now`.
     pub fn count(&mut self, now: Micros, what: BucketEvent) {
         let bucket = self.bucket_at(now);
         let count = match what {
@@ -120,15 +121,15 @@
         *count += 1;
     }
 
-    /// A message of this delivery class was due.
+    /// Counts a message that became due. `class` is the index of its delivery class.
     pub fn message_due(&mut self, now: Micros, class: u16) {
         self.counts.due += 1;
         self.due_weight += self.classes[usize::from(class)].priority_weight;
         self.count(now, BucketEvent::Due);
     }
 
-    /// A message was served: `latency` after it was due, by its attempt of this number (from 0). `resubmitted`: it was rejected
-    /// before.
+    /// Counts a message that was served `latency` after it was due, µs. `attempt` is the index of the successful attempt, from
+    /// 0; `resubmitted` says whether the message had been rejected before.
     pub fn message_served(
         &mut self,
         now: Micros,
@@ -154,7 +155,7 @@
         self.bucket_latencies.saturating_record(latency.max(1));
     }
 
-    /// Counts the outcome of a call, by its name.
+    /// Counts an outcome by its name.
     pub fn count_outcome(&mut self, name: &str) {
         if let Some(count) = self.counts.outcomes.get_mut(name) {
             *count += 1;
@@ -163,8 +164,8 @@
         }
     }
 
-    /// The outcome of the run. What the tally does not know is left empty: broken rules, falls, lateness, and whether the run
-    /// is void.
+    /// Closes the last time bucket and returns the outcome of the run. The caller fills in what the tally doesn't know: broken
+    /// rules, collapses, the lateness of load and receivers, and whether the run is void.
     pub fn into_outcome(
         mut self,
         now: Micros,
@@ -216,7 +217,7 @@
         }
     }
 
-    /// The share of the weight that was due.
+    /// Returns the served share of the weight that was due; 1 if no message was due.
     fn service(&self) -> f64 {
         if self.due_weight > 0.0 {
             self.served_weight / self.due_weight
@@ -226,7 +227,8 @@
     }
 }
 
-/// The part of its weight that a message has left when it is served so long after it was due.
+/// Returns the share of its weight that a message keeps when it is served `latency` after it was due: 1 within the latency
+/// objective, and less after it.
 fn remaining_weight_share(class: &DeliveryClass, decay: PriorityDecay, latency: Micros) -> f64 {
     let objective = class.latency_objective.0;
     let lateness = latency.saturating_sub(objective) as f64;
--- a/crates/lab/src/tally/outcome.rs
+++ b/crates/lab/src/tally/outcome.rs
@@ -1,5 +1,5 @@
-//! The outcome of a run, as it is written and as reports read it. The keys of its JSON are fixed by outcomes that were written
-//! before; where a Rust name differs, the key is named by an explicit `serde(rename)`.
+//! The outcome of a run, as it is written to JSON and read by reports. The JSON keys must stay readable by and compatible with
+//! outcomes that were written before; a field whose Rust name differs has an explicit `serde(rename)`.
 
 use crate::oracle::RuleViolation;
 use crate::scenario::{Expectations, Fault};
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Clock {
-    /// Deterministic, as fast as it goes.
+    /// A simulated clock: deterministic, and not bound to real time.
     Simulated,
     /// Real time, with forwarder processes.
     Sockets,
@@ -22,31 +22,31 @@
 pub struct Counts {
     /// Messages that were due.
     pub due: u64,
-    /// Messages that were served in time.
+    /// Messages that were served by their deadline.
     pub served: u64,
-    /// Those within the latency objective.
+    /// Messages that were served within the latency objective of their class.
     pub on_time: u64,
-    /// Those by their first attempt.
+    /// Messages that were served by the first attempt of their first submission.
     #[serde(rename = "first_trip")]
     pub first_attempt: u64,
-    /// Those by another than the first.
+    /// Messages that were served by a later attempt, or after a resubmission.
     pub retried: u64,
-    /// Failed: that was the final answer, or it was served too late.
+    /// Messages whose final answer was a failure, or that were served after their deadline.
     #[serde(rename = "written_off")]
     pub failed: u64,
-    /// Rejected, and the client did not submit again in time.
+    /// Messages that their clients gave up after rejections or unreachable forwarders.
     pub given_up: u64,
-    /// Lost with a forwarder's folder.
+    /// Messages that were lost with a forwarder's folder.
     pub gone: u64,
-    /// Not over when the run ended.
+    /// Messages that were still open when the run ended.
     pub open: u64,
-    /// Submissions, with those of messages that were rejected before.
+    /// Submissions, including resubmissions.
     #[serde(rename = "hand_ins")]
     pub submissions: u64,
     /// Rejections.
     #[serde(rename = "deferrals")]
     pub rejections: u64,
-    /// Submissions that found no forwarder, or one without room.
+    /// Submissions that reached no forwarder, or one that was at its message capacity.
     pub turned_away: u64,
     /// Calls that were sent.
     pub calls: u64,
@@ -55,7 +55,7 @@
     pub health_checks: u64,
     /// Connections that were opened.
     pub handshakes: u64,
-    /// Outcomes of calls, by name.
+    /// Number of outcomes, by name.
     pub outcomes: BTreeMap<String, u64>,
 }
 
@@ -72,11 +72,11 @@
     pub p99: u64,
     /// The 99.9th percentile.
     pub p999: u64,
-    /// The longest.
+    /// The maximum.
     pub most: u64,
 }
 
-/// What happened within one time bucket.
+/// Counts and latencies of one time bucket.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TimeBucket {
     /// Messages that were due.
@@ -91,33 +91,33 @@
     pub failed_messages: u64,
     /// Calls that were sent.
     pub calls: u64,
-    /// Calls that were answered well.
+    /// Calls that were answered with success.
     pub good: u64,
     /// Calls that were refused.
     pub refused: u64,
-    /// Calls that failed otherwise.
+    /// Calls that ended with any other outcome.
     pub failed: u64,
     /// Calls in flight as the bucket began.
     pub calls_out: u64,
-    /// The median latency of messages served in it, µs.
+    /// The median latency of the messages that were served in this bucket, µs; 0 if there were none.
     pub p50: u64,
-    /// The 99th percentile of the same, µs.
+    /// The 99th percentile of their latency, µs; 0 if there were none.
     pub p99: u64,
 }
 
-/// When a fault was in force.
+/// The period in which a fault was active.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FaultPeriod {
     /// The fault's name in the scenario file.
     pub what: String,
-    /// µs from the start of the run.
+    /// When the fault began, in µs since the start of the run.
     pub from: Micros,
-    /// µs from the start of the run.
+    /// When the fault ended, in µs since the start of the run.
     pub until: Micros,
 }
 
 impl FaultPeriod {
-    /// The period of a fault.
+    /// Returns the period of a fault of the scenario.
     pub fn from_fault(fault: &Fault) -> FaultPeriod {
         FaultPeriod {
             what: fault.kind.name(),
@@ -127,63 +127,64 @@
     }
 }
 
-/// The whole outcome of a run, as `report` reads it. Nothing in a simulated one depends on the machine.
+/// The complete outcome of a run, as `report` reads it. The outcome of a simulated run doesn't depend on the machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
     /// The scenario's name.
     pub scenario: String,
-    /// What the scenario shows.
+    /// What the scenario demonstrates.
     pub shows: String,
     /// The clock of the run.
     pub clock: Clock,
     /// The seed of the run.
     pub seed: u64,
-    /// Which forwarder was played.
+    /// The forwarder that was run.
     pub subject: String,
-    /// For how long messages were due, µs.
+    /// The time during which messages became due, µs.
     pub lasts: Micros,
     /// Counts over the whole run.
     pub counts: Counts,
     /// Latencies of served messages.
     pub latency: Latency,
-    /// The share of the weight that was due: a message counts in full within its latency objective, less after it.
+    /// The served share of the priority weight that was due. A message counts with its full weight within its latency objective,
+    /// and with less after it.
     pub service: f64,
-    /// How often each rule was broken, by the rule's name.
+    /// Number of violations of each rule, by the rule's name.
     pub broken: BTreeMap<String, u64>,
-    /// The first broken rules, with what happened.
+    /// The first violations, with their descriptions.
     pub breaks: Vec<RuleViolation>,
-    /// Endpoints that fell over as they warmed up, blamed or not.
+    /// Endpoints that collapsed during warm-up, whether or not forwarders caused it.
     pub falls: u64,
-    /// Why the run shows nothing, if it does not.
+    /// Why the run is void, if it is: nothing can be concluded from it.
     pub void: Option<String>,
-    /// How late the load tool submitted messages, 99th percentile, µs (sockets).
+    /// How late the load generator submitted messages, 99th percentile, µs; on sockets only.
     pub load_late: u64,
-    /// How late the receivers answered, 99th percentile, µs (sockets).
+    /// How late the receivers responded, 99th percentile, µs; on sockets only.
     pub receivers_late: u64,
     /// The width of a time bucket, µs.
     #[serde(rename = "column")]
     pub bucket_width: Micros,
-    /// What happened over time.
+    /// The time buckets, from the start of the run.
     #[serde(rename = "columns")]
     pub buckets: Vec<TimeBucket>,
-    /// When faults were in force.
+    /// The periods in which faults were active.
     pub spells: Vec<FaultPeriod>,
-    /// What the scenario expects.
+    /// The expectations of the scenario.
     pub expect: Expectations,
 }
 
 impl Outcome {
-    /// The share of the messages that were served in time.
+    /// Returns the share of the messages that were served by their deadline.
     pub fn served_share(&self) -> f64 {
         self.per_message(self.counts.served)
     }
 
-    /// The share of the messages that were served by their first attempt.
+    /// Returns the share of the messages that were served by their first attempt.
     pub fn first_attempt_share(&self) -> f64 {
         self.per_message(self.counts.first_attempt)
     }
 
-    /// Calls for each message that was due.
+    /// Returns the number of calls per message that was due.
     pub fn calls_per_message(&self) -> f64 {
         self.per_message(self.counts.calls)
     }
@@ -192,7 +193,8 @@
         count as f64 / self.counts.due.max(1) as f64
     }
 
-    /// What the run misses of what its scenario expects; nothing where all holds. A void run misses everything.
+    /// Returns a line for each broken rule and each expectation that the run doesn't meet; none if all are met. A void run
+    /// returns the reason alone.
     pub fn misses(&self) -> Vec<String> {
         if let Some(void) = &self.void {
             return vec![format!("void: {void}")];
@@ -237,7 +239,8 @@
     }
 }
 
-/// What is said of a figure outside of what is expected.
+/// Returns a line on a figure that lies outside its expected range, both bounds included; `None` if it lies within, or if
+/// nothing is expected.
 fn missed_expectation(name: &str, actual: f64, expected: Option<[f64; 2]>) -> Option<String> {
     let [least, most] = expected?;
     let outside = actual < least || actual > most;
