--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -97,21 +97,25 @@
     }
 
     /// Counts a violation, and keeps its description if it is one of the first.
-    pub fn record_violation(&mut self, rule: Rule, at: Micros, what: String) {
+    pub fn record_violation(&mut self, rule: Rule, at: Micros, description: String) {
         *self.violation_counts.entry(rule).or_default() += 1;
         if self.violations.len() < MAX_RECORDED_VIOLATIONS {
-            self.violations.push(RuleViolation { rule, at, what });
+            self.violations.push(RuleViolation {
+                rule,
+                at,
+                what: description,
+            });
         }
     }
 
     /// Records a violation for each endpoint collapse that forwarders caused; other collapses break no rule.
     pub fn judge_falls(&mut self, falls: &[Fall]) {
         for fall in falls.iter().filter(|fall| fall.blamed) {
-            let what = format!(
+            let description = format!(
                 "endpoint {} collapsed: {} calls in the window, {:.1} allowed",
                 fall.endpoint, fall.calls, fall.budget
             );
-            self.record_violation(Rule::PushedOver, fall.at, what);
+            self.record_violation(Rule::PushedOver, fall.at, description);
         }
     }
 
--- a/crates/lab/src/oracle/calls.rs
+++ b/crates/lab/src/oracle/calls.rs
@@ -33,18 +33,25 @@
             ..
         } = call;
         let Some(submission) = self.submissions.get(&submission_number).cloned() else {
-            let what = format!(
+            let description = format!(
                 "message {submission_number} to endpoint {endpoint}: unknown, or ended long ago"
             );
-            return self.record_violation(Rule::SentAfterEnd, now, what);
+            return self.record_violation(Rule::SentAfterEnd, now, description);
         };
-        let what =
+        let description =
             format!("message {submission_number} of forwarder {forwarder} to endpoint {endpoint}");
-        self.judge_attempt(&submission, call, now, &what);
-        self.judge_repeat(&submission, now, &what);
-        self.check_limits(forwarder, endpoint, call.holder, call.limiter, now, &what);
-        self.judge_order(&submission, call, now, &what);
-        self.judge_concurrency(forwarder, now, &what);
+        self.judge_attempt(&submission, call, now, &description);
+        self.judge_repeat(&submission, now, &description);
+        self.check_limits(
+            forwarder,
+            endpoint,
+            call.holder,
+            call.limiter,
+            now,
+            &description,
+        );
+        self.judge_order(&submission, call, now, &description);
+        self.judge_concurrency(forwarder, now, &description);
         if let Some(submission) = self.submissions.get_mut(&submission_number) {
             submission.calls_in_flight += 1;
             submission.attempt_count += 1;
@@ -57,23 +64,23 @@
         submission: &TrackedSubmission,
         call: SentCall,
         now: Micros,
-        what: &str,
+        description: &str,
     ) {
         if submission.record.destination != call.destination {
-            let what = format!("{what}: the endpoint belongs to another destination");
-            self.record_violation(Rule::WrongDestination, now, what);
+            let description = format!("{description}: the endpoint belongs to another destination");
+            self.record_violation(Rule::WrongDestination, now, description);
         }
         if self.is_after_end(submission, now) {
-            let what = format!("{what}: the message already has its final answer");
-            self.record_violation(Rule::SentAfterEnd, now, what);
+            let description = format!("{description}: the message already has its final answer");
+            self.record_violation(Rule::SentAfterEnd, now, description);
         }
         if submission.calls_in_flight > 0 {
-            let what = format!("{what}: an attempt is still in flight");
-            self.record_violation(Rule::TwoAttemptsInFlight, now, what);
+            let description = format!("{description}: an attempt is still in flight");
+            self.record_violation(Rule::TwoAttemptsInFlight, now, description);
         }
         if submission.attempt_count >= self.max_attempts {
-            let what = format!("{what}: attempt {}", submission.attempt_count + 1);
-            self.record_violation(Rule::TooManyAttempts, now, what);
+            let description = format!("{description}: attempt {}", submission.attempt_count + 1);
+            self.record_violation(Rule::TooManyAttempts, now, description);
         }
     }
 
@@ -92,22 +99,23 @@
     }
 
     /// Checks that a repeated call can't take effect a second time.
-    fn judge_repeat(&mut self, submission: &TrackedSubmission, now: Micros, what: &str) {
+    fn judge_repeat(&mut self, submission: &TrackedSubmission, now: Micros, description: &str) {
         let Some(first_sent_at) = submission.possible_effect_sent_at else {
             return;
         };
         let class = &self.classes[usize::from(submission.record.class)];
         match class.semantics {
             DeliverySemantics::AtMostOnce => {
-                let what = format!("{what}: the class is at-most-once, and an earlier attempt may have taken effect");
-                self.record_violation(Rule::EffectTwice, now, what);
+                let description = format!("{description}: the class is at-most-once, and an earlier attempt may have taken effect");
+                self.record_violation(Rule::EffectTwice, now, description);
             }
             DeliverySemantics::IdempotencyKeyed
                 if now > first_sent_at + class.window.0 + self.observation_slack =>
             {
-                let what =
-                    format!("{what}: the window in which receivers recognize a repeat has ended");
-                self.record_violation(Rule::EffectTwice, now, what);
+                let description = format!(
+                    "{description}: the window in which receivers recognize a repeat has ended"
+                );
+                self.record_violation(Rule::EffectTwice, now, description);
             }
             _ => {}
         }
@@ -119,7 +127,7 @@
         submission: &TrackedSubmission,
         call: SentCall,
         now: Micros,
-        what: &str,
+        description: &str,
     ) {
         let ordered = self.classes[usize::from(submission.record.class)].ordered;
         let Some(key) = submission.record.order_key.filter(|_| ordered) else {
@@ -136,19 +144,20 @@
             earlier.is_some_and(|earlier| earlier.ended_at.is_none() || earlier.calls_in_flight > 0)
         };
         if earlier.any(is_open) {
-            let what = format!("{what}: an earlier message of its order key has not ended");
-            self.record_violation(Rule::OrderNotKept, now, what);
+            let description =
+                format!("{description}: an earlier message of its order key has not ended");
+            self.record_violation(Rule::OrderNotKept, now, description);
         }
     }
 
     /// Counts the call as in flight, and checks the concurrency limit of its forwarder.
-    fn judge_concurrency(&mut self, forwarder: u32, now: Micros, what: &str) {
+    fn judge_concurrency(&mut self, forwarder: u32, now: Micros, description: &str) {
         let in_flight = self.calls_in_flight.entry(forwarder).or_default();
         *in_flight += 1;
         let in_flight = *in_flight;
         if in_flight > self.concurrency_limit {
-            let what = format!("{what}: {in_flight} calls in flight");
-            self.record_violation(Rule::TooManyInFlight, now, what);
+            let description = format!("{description}: {in_flight} calls in flight");
+            self.record_violation(Rule::TooManyInFlight, now, description);
         }
     }
 
@@ -161,20 +170,26 @@
         holder: u32,
         limiter: usize,
         now: Micros,
-        what: &str,
+        description: &str,
     ) {
         if self.limits.violates_drain(forwarder, endpoint, holder, now) {
-            let what = format!("{what}: the endpoint is draining or removed");
-            self.record_violation(Rule::DrainNotKept, now, what);
+            let description = format!("{description}: the endpoint is draining or removed");
+            self.record_violation(Rule::DrainNotKept, now, description);
         }
-        let what = format!("{what}: the retry-after time has not elapsed");
-        self.check_retry_after(forwarder, limiter, now, &what);
+        let description = format!("{description}: the retry-after time has not elapsed");
+        self.check_retry_after(forwarder, limiter, now, &description);
     }
 
-    /// Checks the retry-after time that binds calls and health checks alike. `what` describes the violation.
-    pub fn check_retry_after(&mut self, forwarder: u32, limiter: usize, now: Micros, what: &str) {
+    /// Checks the retry-after time that binds calls and health checks alike. `description` is that of the violation.
+    pub fn check_retry_after(
+        &mut self,
+        forwarder: u32,
+        limiter: usize,
+        now: Micros,
+        description: &str,
+    ) {
         if self.limits.violates_retry_after(forwarder, limiter, now) {
-            self.record_violation(Rule::RetryAfterIgnored, now, what.to_owned());
+            self.record_violation(Rule::RetryAfterIgnored, now, description.to_owned());
         }
     }
 
--- a/crates/lab/src/oracle/submissions.rs
+++ b/crates/lab/src/oracle/submissions.rs
@@ -180,9 +180,9 @@
         let allowed_lateness = self.answer_slack + self.observation_slack;
         let is_on_sockets = self.observation_slack > 0;
         let Some(submission) = self.submissions.get_mut(&submission_number) else {
-            let what =
+            let description =
                 format!("message {submission_number}: {answer:?}, unknown, or ended long ago");
-            return self.record_violation(Rule::SecondFinalAnswer, now, what);
+            return self.record_violation(Rule::SecondFinalAnswer, now, description);
         };
         match submission.ended_at {
             Some(_) if submission.no_answer_owed => {}
@@ -194,10 +194,10 @@
                 submission.answer = Some(answer);
             }
             Some(ended_at) => {
-                let what = format!(
+                let description = format!(
                     "message {submission_number}: second final answer {answer:?}; the first was given at {ended_at}"
                 );
-                self.record_violation(Rule::SecondFinalAnswer, now, what);
+                self.record_violation(Rule::SecondFinalAnswer, now, description);
             }
             None => {
                 submission.ended_at = Some(now);
@@ -208,10 +208,10 @@
                     is_on_sockets && answer == FinalAnswer::Served && now >= deadline;
                 if answer_due && now > deadline + allowed_lateness {
                     let late = now - deadline;
-                    let what = format!(
+                    let description = format!(
                         "message {submission_number}: final answer {answer:?} {late} us after the deadline"
                     );
-                    self.record_violation(Rule::Lost, now, what);
+                    self.record_violation(Rule::Lost, now, description);
                 }
             }
         }
@@ -251,8 +251,8 @@
             return;
         }
         if self.effect_times.insert(message, now).is_some() {
-            let what = format!("message {message} took effect a second time");
-            self.record_violation(Rule::EffectTwice, now, what);
+            let description = format!("message {message} took effect a second time");
+            self.record_violation(Rule::EffectTwice, now, description);
         } else {
             self.effects_by_age.push_back((now, message));
         }
@@ -312,9 +312,9 @@
         if is_open && accepted {
             submission.ended_at = Some(now);
             submission.no_answer_owed = true;
-            let what =
+            let description =
                 format!("message {submission_number} of forwarder {forwarder}: no final answer by {deadline}");
-            self.record_violation(Rule::Lost, now, what);
+            self.record_violation(Rule::Lost, now, description);
             self.leave_order(submission_number);
         }
         self.expired
--- a/crates/lab/src/oracle/tests.rs
+++ b/crates/lab/src/oracle/tests.rs
@@ -156,16 +156,16 @@
             3,
         ),
     ];
-    for (rule, case, inside, outside) in cases {
+    for (rule, case, allowed_value, forbidden_value) in cases {
         let mut oracle = new_oracle();
-        case(&mut oracle, inside);
+        case(&mut oracle, allowed_value);
         assert!(
             broken_rules(&oracle).is_empty(),
             "expected no violation of {rule} at its bound, got {:?}",
             oracle.violations
         );
         let mut oracle = new_oracle();
-        case(&mut oracle, outside);
+        case(&mut oracle, forbidden_value);
         assert_eq!(
             broken_rules(&oracle),
             [rule],
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -67,7 +67,7 @@
             endpoint,
             sent_at: self.now,
             idempotency_key: self.idempotency_key_of(client_message, class),
-            unsent: connected.is_some_and(|delay| delay.late > 0),
+            unsent: connected.is_some_and(|delay| delay.lateness > 0),
         };
         self.attempts.insert(attempt, in_flight);
         match connected {
@@ -78,8 +78,8 @@
 
     /// Schedules the arrival of a call once its connection is established, and its timeout.
     fn schedule_call(&mut self, attempt: u64, delay: ConnectDelay, timeout: Micros) {
-        let sent_at = self.now + delay.setup + delay.late;
-        if delay.late > 0 {
+        let sent_at = self.now + delay.setup + delay.lateness;
+        if delay.lateness > 0 {
             self.schedule(sent_at, SimulatedEvent::RequestSent { attempt });
         } else {
             let arrives_at = sent_at + self.scenario.network.delay.0;
@@ -149,7 +149,7 @@
         let (forwarder, endpoint) = (attempt.forwarder, attempt.endpoint);
         let client_message = attempt.client_message;
         let index = Layout::endpoint_index(endpoint);
-        let what = format!(
+        let description = format!(
             "message {client_message} of forwarder {forwarder} to endpoint {index}, on a late connection"
         );
         let limiter = self.layout.endpoints[index].limiter;
@@ -159,7 +159,7 @@
             endpoint.incarnation,
             limiter,
             self.now,
-            &what,
+            &description,
         );
         let arrives_at = self.now + self.scenario.network.delay.0;
         let arrives = SimulatedEvent::RequestArrives {
--- a/crates/lab/src/sim/connections.rs
+++ b/crates/lab/src/sim/connections.rs
@@ -14,7 +14,7 @@
 }
 
 impl Connections {
-    fn open(&self) -> usize {
+    fn open_count(&self) -> usize {
         self.in_use as usize + self.idle.values().map(Vec::len).sum::<usize>()
     }
 
@@ -42,7 +42,7 @@
     /// Network round trip and handshake of a new connection, µs; 0 for an idle connection.
     pub setup: Micros,
     /// Additional delay until the connection is established, µs.
-    pub late: Micros,
+    pub lateness: Micros,
 }
 
 impl Sim {
@@ -56,11 +56,14 @@
         // A forwarder stops reusing a connection when a tenth of the idle timeout is left, before the endpoint closes it.
         if connections.take_idle(forwarder, self.now, idle_timeout - idle_timeout / 10) {
             connections.in_use += 1;
-            return Some(ConnectDelay { setup: 0, late: 0 });
+            return Some(ConnectDelay {
+                setup: 0,
+                lateness: 0,
+            });
         }
-        if limit > 0 && connections.open() >= limit {
+        if limit > 0 && connections.open_count() >= limit {
             connections.close_idle(self.now, idle_timeout);
-            if connections.open() >= limit {
+            if connections.open_count() >= limit {
                 return None;
             }
         }
@@ -68,7 +71,7 @@
         self.tally.counts.handshakes += 1;
         Some(ConnectDelay {
             setup: 2 * self.scenario.network.delay.0 + handshake,
-            late: self.draw_lateness(),
+            lateness: self.draw_lateness(),
         })
     }
 
--- a/crates/lab/src/sim/discovery.rs
+++ b/crates/lab/src/sim/discovery.rs
@@ -71,8 +71,8 @@
                 .random_range(0..=self.scenario.network.list_lag.0);
             let process = &mut self.processes[forwarder];
             let arrives_at = self.now.max(self.discovery_stale_until) + lag;
-            process.list_update_at = arrives_at.max(process.list_update_at);
-            let at = process.list_update_at;
+            process.last_list_update_at = arrives_at.max(process.last_list_update_at);
+            let at = process.last_list_update_at;
             self.schedule_list_update(at, forwarder as u32, update.clone());
         }
     }
--- a/crates/lab/src/sim/health_checks.rs
+++ b/crates/lab/src/sim/health_checks.rs
@@ -15,9 +15,9 @@
         self.tally.counts.health_checks += 1;
         let index = Layout::endpoint_index(endpoint);
         let limiter = self.layout.endpoints[index].limiter;
-        let what = format!("health check of forwarder {forwarder} to endpoint {index}");
+        let description = format!("health check of forwarder {forwarder} to endpoint {index}");
         self.oracle
-            .check_retry_after(forwarder, limiter, self.now, &what);
+            .check_retry_after(forwarder, limiter, self.now, &description);
         let health_check = HealthCheck {
             forwarder,
             incarnation: self.processes[forwarder as usize].incarnation,
--- a/crates/lab/src/sim/simulated_process.rs
+++ b/crates/lab/src/sim/simulated_process.rs
@@ -17,7 +17,7 @@
 /// Number of finished messages that are kept, so that the oracle can judge a call with one of them by a faulty forwarder.
 const MAX_RECENTLY_FINISHED: usize = 8;
 /// Lower bound on the start of a process's clock, µs; a real clock doesn't start at 0.
-const CLOCK_START: Micros = 1_000_000;
+const MIN_CLOCK_START: Micros = 1_000_000;
 
 /// A message that a forwarder process holds, from its submission until it is finished.
 pub(super) struct HeldMessage {
@@ -84,7 +84,7 @@
     /// Whether discovery sends list updates to the process.
     pub follows_list: bool,
     /// When the latest list update arrives, µs. Later updates don't arrive before it.
-    pub list_update_at: Micros,
+    pub last_list_update_at: Micros,
 }
 
 impl SimulatedProcess {
@@ -100,10 +100,10 @@
             open_messages: BTreeMap::new(),
             recently_finished: VecDeque::new(),
             next_id: 0,
-            clock_offset: CLOCK_START + skew,
+            clock_offset: MIN_CLOCK_START + skew,
             known_endpoints: BTreeMap::new(),
             follows_list: false,
-            list_update_at: 0,
+            last_list_update_at: 0,
         }
     }
 
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -107,9 +107,9 @@
     }
 
     /// Counts an event in the time bucket of `now`.
-    pub fn count(&mut self, now: Micros, what: BucketEvent) {
+    pub fn count(&mut self, now: Micros, event: BucketEvent) {
         let bucket = self.bucket_at(now);
-        let count = match what {
+        let count = match event {
             BucketEvent::Due => &mut bucket.due,
             BucketEvent::Rejected => &mut bucket.rejected,
             BucketEvent::MessageFailed => &mut bucket.failed_messages,
