--- a/crates/forwarder/src/clients/connection.rs
+++ b/crates/forwarder/src/clients/connection.rs
@@ -1,8 +1,8 @@
-//! One client connection: HTTP/1.1 with time limits, and the service for its requests.
+//! One client connection: HTTP/1.1 with timeouts, and the tower service that answers its requests.
 
 use super::client_stream::ClientStream;
 use super::connection_state::{ConnectionPhase, ConnectionState};
-use super::submission_service::{ConnectionUse, SubmissionService};
+use super::submission_service::{ConnectionMode, SubmissionService};
 use crate::protocol::READ_BUFFER_BYTES;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -21,24 +21,25 @@
 use tokio::net::TcpStream;
 use tower::Service;
 
-/// From the connection's start, or the last answer, to the end of a head. It is the keep-alive limit too: a connection
-/// without a further request is closed after this time.
+/// Upper bound on the time from the start of the connection, or from the previous answer, to the end of a request's
+/// head. It is also the keep-alive limit: a connection without a further request is closed after this time.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2100);
-/// The same on a connection that only rejects.
-const REJECTED_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
+/// Counterpart of [`HEAD_TIMEOUT`] on a connection in the mode [`ConnectionMode::RejectSubmissions`].
+const REJECTING_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The requests of one connection.
+/// The tower service for the requests of one connection.
 #[derive(Clone)]
 pub struct ConnectionService {
-    /// Answers them.
+    /// Answers the requests. All connections share it.
     pub submission_service: Arc<SubmissionService>,
-    /// The state of the connection.
+    /// The state of the connection, shared with the listener.
     pub state: Arc<ConnectionState>,
-    /// What the connection is for.
-    pub connection_use: ConnectionUse,
+    /// Whether the connection serves or rejects submissions. Set when the connection is accepted.
+    pub mode: ConnectionMode,
 }
 
-/// Makes the connection idle again when the answer is made, or its future is dropped. The answer is written afterwards.
+/// Keeps the connection in the phase [`ConnectionPhase::Answering`] until the answer is ready or its future is dropped.
+/// The connection is idle afterwards. The answer is written only after the guard is dropped.
 struct AnsweringGuard(Arc<ConnectionState>);
 
 impl AnsweringGuard {
@@ -66,27 +67,27 @@
     fn call(&mut self, request: Request<Incoming>) -> Self::Future {
         let answering = AnsweringGuard::enter(self.state.clone());
         let submission_service = self.submission_service.clone();
-        let connection_use = self.connection_use;
+        let mode = self.mode;
         Box::pin(async move {
-            let response = submission_service.answer(request, connection_use).await;
+            let response = submission_service.answer(request, mode).await;
             drop(answering);
             Ok(response)
         })
     }
 }
 
-/// Serves a connection until it ends or is to be closed. What has come is read first: a request that lies in the socket is
-/// answered before the close.
+/// Serves a connection until it ends or the listener requests its close. Received bytes are read before a close, so a
+/// request that is unread in the socket is still answered.
 pub async fn serve_connection(socket: TcpStream, service: ConnectionService) {
     let log = service.submission_service.log.clone();
     let state = service.state.clone();
-    if let Err(problem) = socket.set_nodelay(true) {
-        debug!(log, "client connection already closed"; "problem" => %problem);
+    if let Err(error) = socket.set_nodelay(true) {
+        debug!(log, "client connection closed before it was served"; "problem" => %error);
     }
     let stream = ClientStream::new(socket, state.clone());
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(head_timeout(service.connection_use))
+        .header_read_timeout(head_timeout(service.mode))
         .max_buf_size(READ_BUFFER_BYTES)
         .serve_connection(TokioIo::new(stream), TowerToHyperService::new(service));
     tokio::pin!(connection);
@@ -94,21 +95,22 @@
         biased;
         ended = &mut connection => ended,
         () = state.wait_for_close_request() => match state.phase() {
-            ConnectionPhase::NoRequestYet | ConnectionPhase::ReadingHead => return,
+            ConnectionPhase::AwaitingFirstRequest | ConnectionPhase::ReadingHead => return,
             ConnectionPhase::Idle | ConnectionPhase::Answering => {
                 connection.as_mut().graceful_shutdown();
                 connection.await
             }
         },
     };
-    if let Err(problem) = ended {
-        debug!(log, "client connection failed"; "problem" => %problem);
+    if let Err(error) = ended {
+        debug!(log, "client connection failed"; "problem" => %error);
     }
 }
 
-fn head_timeout(connection_use: ConnectionUse) -> Duration {
-    match connection_use {
-        ConnectionUse::Serve => HEAD_TIMEOUT,
-        ConnectionUse::RejectSubmissions => REJECTED_HEAD_TIMEOUT,
+/// Returns the upper bound on the time in which a head must be received on a connection in this mode.
+fn head_timeout(mode: ConnectionMode) -> Duration {
+    match mode {
+        ConnectionMode::Serve => HEAD_TIMEOUT,
+        ConnectionMode::RejectSubmissions => REJECTING_HEAD_TIMEOUT,
     }
 }
--- a/crates/lab/src/load/shape.rs
+++ b/crates/lab/src/load/shape.rs
@@ -4,14 +4,14 @@
 use opalpulley::Micros;
 
 impl Shape {
-    /// So many times the mean rate at this time.
-    pub fn times(&self, at: Micros) -> f64 {
+    /// Returns the rate at the time `at`, in µs from the start of the run, as a multiple of the mean rate.
+    pub fn rate_multiple(&self, at: Micros) -> f64 {
         match self {
             Shape::Poisson | Shape::Even | Shape::Replay { .. } => 1.0,
             Shape::Steps { steps } => steps
                 .iter()
                 .rev()
-                .find(|(from, _)| from.0 <= at)
+                .find(|(starts_at, _)| starts_at.0 <= at)
                 .map_or(1.0, |(_, times)| *times),
             Shape::Bursts {
                 on,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// The most that `times` gives at any time.
-    pub(super) fn most(&self) -> f64 {
+    /// Returns an upper bound on `rate_multiple` over all times.
+    pub(super) fn max_rate_multiple(&self) -> f64 {
         match self {
             Shape::Poisson | Shape::Even | Shape::Replay { .. } => 1.0,
             Shape::Steps { steps } => steps.iter().map(|(_, times)| *times).fold(1.0, f64::max),
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -18,7 +18,7 @@
 pub use rule::{Rule, RuleViolation};
 pub use submissions::{CallEffect, FinalAnswer, SubmissionRecord};
 
-use crate::receivers::Fall;
+use crate::receivers::OverloadFailure;
 use crate::scenario::{DeliveryClass, Scenario};
 use limits::NotifiedLimits;
 use opalpulley::Micros;
@@ -82,7 +82,7 @@
             calls_in_flight: HashMap::new(),
             effect_times: HashMap::new(),
             effects_by_age: VecDeque::new(),
-            effect_retention: scenario.longest_time_to_live() + RETENTION_AFTER_DEADLINE,
+            effect_retention: scenario.max_time_to_live() + RETENTION_AFTER_DEADLINE,
             excused_until: HashMap::new(),
             violations: Vec::new(),
             violation_counts: BTreeMap::new(),
@@ -108,14 +108,18 @@
         }
     }
 
-    /// Records a violation for each endpoint collapse that forwarders caused; other collapses break no rule.
-    pub fn judge_falls(&mut self, falls: &[Fall]) {
-        for fall in falls.iter().filter(|fall| fall.blamed) {
+    /// Records a violation for each overload failure that was caused by forwarders that had seen the endpoint fail. Other
+    /// overload failures break no rule.
+    pub fn judge_overload_failures(&mut self, overload_failures: &[OverloadFailure]) {
+        for failure in overload_failures
+            .iter()
+            .filter(|failure| failure.caused_by_witnesses)
+        {
             let description = format!(
-                "endpoint {} collapsed: {} calls in the window, {:.1} allowed",
-                fall.endpoint, fall.calls, fall.budget
+                "endpoint {} failed from overload: {} calls in the window, {:.1} allowed",
+                failure.endpoint, failure.calls, failure.overload_limit
             );
-            self.record_violation(Rule::PushedOver, fall.at, description);
+            self.record_violation(Rule::PushedOver, failure.at, description);
         }
     }
 
--- a/crates/lab/src/oracle/rule.rs
+++ b/crates/lab/src/oracle/rule.rs
@@ -24,7 +24,7 @@
     TooManyAttempts,
     /// A message was sent to an endpoint that the forwarder knew to be draining or removed.
     DrainNotKept,
-    /// An endpoint collapsed under the calls of forwarders that had seen it fail.
+    /// An endpoint failed from overload under the calls of forwarders that had seen it fail.
     PushedOver,
     /// A message was sent before an earlier message of its order key had ended.
     OrderNotKept,
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -16,9 +16,9 @@
 mod lifecycle;
 mod simulated_process;
 
-use crate::chance::stream;
 use crate::load::{Loads, ReplayError};
 use crate::oracle::Oracle;
+use crate::random::seeded_rng;
 use crate::receivers::Receivers;
 use crate::scenario::Scenario;
 use crate::subject::ForwarderVariant;
@@ -152,9 +152,9 @@
             next_submission: 0,
             attempts: HashMap::new(),
             next_attempt: 0,
-            client_rng: stream(seed, "clients", 0),
-            discovery_rng: stream(seed, "lags", 0),
-            connection_rng: stream(seed, "lateness", 0),
+            client_rng: seeded_rng(seed, "clients", 0),
+            discovery_rng: seeded_rng(seed, "lags", 0),
+            connection_rng: seeded_rng(seed, "lateness", 0),
             discovery_stale_until: 0,
             discovery_busy_until: 0,
             pending_faults: 0,
@@ -174,7 +174,7 @@
         cut_off_at: Micros,
         mut progress: impl FnMut(Micros, Micros),
     ) -> (Outcome, RunStats) {
-        let last_deadline = self.scenario.lasts.0 + self.scenario.longest_time_to_live();
+        let last_deadline = self.scenario.lasts.0 + self.scenario.max_time_to_live();
         let ends_at = (last_deadline + TIME_AFTER_LAST_DEADLINE).min(cut_off_at);
         while let Some((at, event)) = self.queue.pop() {
             if at > ends_at || self.is_over() {
@@ -197,14 +197,15 @@
         self.stats.forwarders_without_list_updates = processes
             .filter(|process| process.is_up() && !process.follows_list)
             .count();
-        self.oracle.judge_falls(&self.receivers.falls);
+        self.oracle
+            .judge_overload_failures(&self.receivers.overload_failures);
         let name = self.variant.name_in_outcomes();
         let mut outcome =
             self.tally
                 .into_outcome(self.now, &self.scenario, Clock::Simulated, self.seed, name);
         outcome.broken = self.oracle.violation_counts_by_name();
         outcome.breaks = self.oracle.violations;
-        outcome.falls = self.receivers.falls.len() as u64;
+        outcome.falls = self.receivers.overload_failures.len() as u64;
         (outcome, self.stats)
     }
 
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -120,7 +120,7 @@
             destination: place.destination,
             endpoint: index,
             holder: endpoint.incarnation,
-            limiter: place.limiter,
+            limiter: place.limiter_index,
         }
     }
 
@@ -152,7 +152,7 @@
         let description = format!(
             "message {client_message} of forwarder {forwarder} to endpoint {index}, on a late connection"
         );
-        let limiter = self.layout.endpoints[index].limiter;
+        let limiter = self.layout.endpoints[index].limiter_index;
         self.oracle.check_limits(
             forwarder,
             index,
@@ -175,18 +175,21 @@
             return;
         };
         let index = Layout::endpoint_index(attempt.endpoint);
-        let fate = self
-            .receivers
-            .call(self.now, index, attempt.forwarder, attempt.idempotency_key);
-        if let Some(ran) = fate.ran {
+        let result =
+            self.receivers
+                .call(self.now, index, attempt.forwarder, attempt.idempotency_key);
+        if let Some(ran) = result.effect_at {
             self.oracle
                 .took_effect(attempt.client_message, attempt.submission, ran);
         }
-        let Some(outcome) = outcome_of(fate.says) else {
+        let Some(outcome) = outcome_of(result.reply) else {
             return;
         };
-        let at = fate.at.max(self.now) + self.scenario.network.delay.0;
-        if let ReceiverReply::TooManyRequestsTruncated { wait: Some(wait) } = fate.says {
+        let at = result.reply_at.max(self.now) + self.scenario.network.delay.0;
+        if let ReceiverReply::TooManyRequestsTruncated {
+            retry_after: Some(wait),
+        } = result.reply
+        {
             let received = SimulatedEvent::RetryAfterReceived {
                 attempt: attempt_number,
                 retry_after: wait,
@@ -279,7 +282,7 @@
             retry_after: Some(retry_after),
         } = outcome
         {
-            let limiter = self.layout.endpoints[index].limiter;
+            let limiter = self.layout.endpoints[index].limiter_index;
             let until = self.now + retry_after;
             self.oracle
                 .retry_after_notified(attempt.forwarder, limiter, self.now, until);
@@ -317,7 +320,7 @@
             };
             return self.schedule(self.now + PAUSED_POLL_INTERVAL, received);
         }
-        let limiter = self.layout.endpoints[Layout::endpoint_index(endpoint)].limiter;
+        let limiter = self.layout.endpoints[Layout::endpoint_index(endpoint)].limiter_index;
         let until = self.now + retry_after;
         self.oracle
             .retry_after_notified(forwarder, limiter, self.now, until);
@@ -378,8 +381,10 @@
         ReceiverReply::Served | ReceiverReply::ServedThenReset | ReceiverReply::Endless => {
             Outcome::Delivered
         }
-        ReceiverReply::Erred => Outcome::Error,
-        ReceiverReply::TooManyRequests { wait } => Outcome::Rejected { retry_after: wait },
+        ReceiverReply::InternalError => Outcome::Error,
+        ReceiverReply::TooManyRequests { retry_after: wait } => {
+            Outcome::Rejected { retry_after: wait }
+        }
         ReceiverReply::Overloaded => Outcome::Rejected { retry_after: None },
         ReceiverReply::Refused | ReceiverReply::ClosedEarly => Outcome::NoConnection,
         ReceiverReply::Reset
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -4,7 +4,7 @@
 use super::event::SimulatedEvent;
 use super::simulated_process::NewSubmission;
 use super::Sim;
-use crate::load::Due;
+use crate::load::DueMessage;
 use crate::oracle::{FinalAnswer, SubmissionRecord};
 use crate::tally::BucketEvent;
 use opalpulley::{
@@ -30,7 +30,7 @@
 
 /// The state of an open message at its client.
 pub(super) struct ClientMessage {
-    due: Due,
+    due: DueMessage,
     deadline: Micros,
     /// Number of resubmissions that are left.
     resubmissions_left: u32,
@@ -50,12 +50,12 @@
 
 impl Sim {
     /// Creates the client of a message that is due, and submits the message.
-    pub(super) fn message_due(&mut self, due: Due) {
+    pub(super) fn message_due(&mut self, due: DueMessage) {
         let message_number = self.next_message;
         self.next_message += 1;
         self.tally.message_due(self.now, due.class);
         let message = ClientMessage {
-            deadline: self.now + due.left,
+            deadline: self.now + due.time_left,
             resubmissions_left: due.resubmissions,
             resubmitted: false,
             unreachable_forwarders: 0,
@@ -114,7 +114,7 @@
         self.next_submission += 1;
         let message = &self.messages[&message_number];
         let ordered = self.scenario.classes[usize::from(message.due.class)].ordered;
-        let key = ordered.then_some(message.due.key);
+        let key = ordered.then_some(message.due.order_key);
         let record = SubmissionRecord {
             submission,
             message: message_number,
--- a/crates/lab/src/sim/connections.rs
+++ b/crates/lab/src/sim/connections.rs
@@ -48,7 +48,7 @@
 impl Sim {
     /// Takes an idle connection or opens a new one. Returns `None` if the endpoint accepts no more connections.
     pub(super) fn connect(&mut self, forwarder: u32, endpoint: usize) -> Option<ConnectDelay> {
-        let group = &self.scenario.destinations[self.layout.endpoints[endpoint].group];
+        let group = &self.scenario.destinations[self.layout.endpoints[endpoint].group_index];
         let idle_timeout = group.idle_timeout.0;
         let limit = group.max_connections as usize;
         let handshake = group.handshake.0;
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -45,11 +45,11 @@
 
     fn affected_endpoints(&self, fault_index: usize, fault: &Fault) -> Vec<usize> {
         self.layout
-            .endpoints_struck(&self.scenario, &fault.scope, self.seed, fault_index)
+            .affected_endpoints(&self.scenario, &fault.scope, self.seed, fault_index)
     }
 
     fn affected_forwarders(&self, fault_index: usize, fault: &Fault) -> Vec<u32> {
-        Layout::forwarders_struck(&self.scenario, &fault.scope, self.seed, fault_index)
+        Layout::affected_forwarders(&self.scenario, &fault.scope, self.seed, fault_index)
     }
 
     fn kill_processes(&mut self, fault_index: usize, fault: &Fault, folder_kept: bool) {
--- a/crates/lab/src/sim/handlers.rs
+++ b/crates/lab/src/sim/handlers.rs
@@ -69,7 +69,7 @@
     fn sweep_oracle(&mut self) {
         self.oracle.sweep(self.now);
         let table_entries = self.oracle.table_entries()
-            + self.receivers.held()
+            + self.receivers.entry_count()
             + self.messages.len()
             + self.attempts.len();
         self.stats.peak_table_entries = self.stats.peak_table_entries.max(table_entries);
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -62,7 +62,7 @@
 impl Tally {
     /// Creates a tally with all counts at 0, whose clock starts at 0.
     pub fn new(scenario: &Scenario) -> Tally {
-        let length = scenario.lasts.0 + scenario.longest_time_to_live();
+        let length = scenario.lasts.0 + scenario.max_time_to_live();
         Tally {
             counts: Counts::default(),
             calls_in_flight: 0,
@@ -165,7 +165,7 @@
     }
 
     /// Closes the last time bucket and returns the outcome of the run. The caller fills in what the tally doesn't know: broken
-    /// rules, collapses, the lateness of load and receivers, and whether the run is void.
+    /// rules, overload failures, the lateness of load and receivers, and whether the run is void.
     pub fn into_outcome(
         mut self,
         now: Micros,
--- a/crates/lab/src/tally/outcome.rs
+++ b/crates/lab/src/tally/outcome.rs
@@ -153,7 +153,7 @@
     pub broken: BTreeMap<String, u64>,
     /// The first violations, with their descriptions.
     pub breaks: Vec<RuleViolation>,
-    /// Endpoints that collapsed during warm-up, whether or not forwarders caused it.
+    /// Overload failures of endpoints during warm-up, whether or not forwarders caused them.
     pub falls: u64,
     /// Why the run is void, if it is: nothing can be concluded from it.
     pub void: Option<String>,
