--- a/crates/lab/src/oracle/calls.rs
+++ b/crates/lab/src/oracle/calls.rs
@@ -17,7 +17,7 @@
     /// The index of the endpoint in the layout.
     pub endpoint: usize,
     /// The incarnation of the endpoint: each new holder of its address has the next number.
-    pub holder: u32,
+    pub incarnation: u32,
     /// The index of the rate limiter that the endpoint shares.
     pub limiter: usize,
 }
@@ -45,7 +45,7 @@
         self.check_limits(
             forwarder,
             endpoint,
-            call.holder,
+            call.incarnation,
             call.limiter,
             now,
             &description,
@@ -167,12 +167,15 @@
         &mut self,
         forwarder: u32,
         endpoint: usize,
-        holder: u32,
+        incarnation: u32,
         limiter: usize,
         now: Micros,
         description: &str,
     ) {
-        if self.limits.violates_drain(forwarder, endpoint, holder, now) {
+        if self
+            .limits
+            .violates_drain(forwarder, endpoint, incarnation, now)
+        {
             let description = format!("{description}: the endpoint is draining or removed");
             self.record_violation(Rule::DrainNotKept, now, description);
         }
@@ -227,12 +230,12 @@
         &mut self,
         forwarder: u32,
         endpoint: usize,
-        holder: u32,
+        incarnation: u32,
         ready: bool,
         now: Micros,
     ) {
         self.limits
-            .set_ready(forwarder, endpoint, holder, ready, now);
+            .set_ready(forwarder, endpoint, incarnation, ready, now);
     }
 
     /// Records that a forwarder was notified at `now` of a retry-after time, which elapses at `until`, µs.
--- a/crates/lab/src/oracle/limits.rs
+++ b/crates/lab/src/oracle/limits.rs
@@ -43,11 +43,11 @@
         &mut self,
         forwarder: u32,
         endpoint: usize,
-        holder: u32,
+        incarnation: u32,
         ready: bool,
         now: Micros,
     ) {
-        let key = (forwarder, endpoint, holder);
+        let key = (forwarder, endpoint, incarnation);
         if ready {
             self.draining_since.remove(&key);
         } else {
@@ -76,10 +76,10 @@
         &self,
         forwarder: u32,
         endpoint: usize,
-        holder: u32,
+        incarnation: u32,
         now: Micros,
     ) -> bool {
-        let since = self.draining_since.get(&(forwarder, endpoint, holder));
+        let since = self.draining_since.get(&(forwarder, endpoint, incarnation));
         since.is_some_and(|since| now > since + self.drain_grace + self.observation_slack)
     }
 
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -127,7 +127,7 @@
         let layout = Layout::new(scenario);
         let endpoints = layout.endpoints.len();
         let ready = ListedEndpoint {
-            holder: 0,
+            incarnation: 0,
             status: EndpointStatus::Ready,
         };
         Sim {
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -119,7 +119,7 @@
             forwarder,
             destination: place.destination,
             endpoint: index,
-            holder: endpoint.incarnation,
+            incarnation: endpoint.incarnation,
             limiter: place.limiter_index,
         }
     }
@@ -178,9 +178,9 @@
         let result =
             self.receivers
                 .call(self.now, index, attempt.forwarder, attempt.idempotency_key);
-        if let Some(ran) = result.effect_at {
+        if let Some(effect_at) = result.effect_at {
             self.oracle
-                .took_effect(attempt.client_message, attempt.submission, ran);
+                .took_effect(attempt.client_message, attempt.submission, effect_at);
         }
         let Some(outcome) = outcome_of(result.reply) else {
             return;
--- a/crates/lab/src/sim/discovery.rs
+++ b/crates/lab/src/sim/discovery.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListedEndpoint {
     /// The incarnation of the endpoint; each new holder of the address has the next number.
-    pub holder: u32,
+    pub incarnation: u32,
     pub status: EndpointStatus,
 }
 
@@ -24,7 +24,7 @@
     ) -> Vec<EndpointEntry> {
         let entry = |(endpoint, listed): (usize, &ListedEndpoint)| {
             let groups = &scenario.destinations;
-            layout.list_entry(groups, endpoint, listed.holder, listed.status)
+            layout.list_entry(groups, endpoint, listed.incarnation, listed.status)
         };
         listed.iter().enumerate().map(entry).collect()
     }
@@ -35,22 +35,28 @@
 
     /// Starts to drain an endpoint; or, if `gone`, removes it and lists a new holder of its address as ready.
     pub(super) fn endpoint_drains(&mut self, endpoint: usize, gone: bool) {
-        let holder = self.listed_endpoints[endpoint].holder;
+        let incarnation = self.listed_endpoints[endpoint].incarnation;
         let changes = if gone {
             self.receivers.replace(self.now, endpoint);
             self.connections[endpoint].idle.clear();
             vec![
-                (holder, EndpointStatus::Removed),
-                (holder + 1, EndpointStatus::Ready),
+                (incarnation, EndpointStatus::Removed),
+                (incarnation + 1, EndpointStatus::Ready),
             ]
         } else {
-            vec![(holder, EndpointStatus::Draining)]
+            vec![(incarnation, EndpointStatus::Draining)]
         };
-        if let Some((holder, status)) = changes.last().copied() {
-            self.listed_endpoints[endpoint] = ListedEndpoint { holder, status };
+        if let Some((incarnation, status)) = changes.last().copied() {
+            self.listed_endpoints[endpoint] = ListedEndpoint {
+                incarnation,
+                status,
+            };
         }
         let groups = &self.scenario.destinations;
-        let entry = |(holder, status)| self.layout.list_entry(groups, endpoint, holder, status);
+        let entry = |(incarnation, status)| {
+            self.layout
+                .list_entry(groups, endpoint, incarnation, status)
+        };
         let entries = changes.into_iter().map(entry).collect();
         self.send_list_update(EndpointListUpdate::Changes(entries));
     }
@@ -180,8 +186,8 @@
     /// Notifies the oracle that a forwarder knows whether an endpoint takes new calls.
     fn notify_oracle(&mut self, forwarder: u32, entry: &EndpointEntry, ready: bool) {
         let index = Layout::endpoint_index(entry.endpoint);
-        let holder = entry.endpoint.incarnation;
+        let incarnation = entry.endpoint.incarnation;
         self.oracle
-            .endpoint_status_notified(forwarder, index, holder, ready, self.now);
+            .endpoint_status_notified(forwarder, index, incarnation, ready, self.now);
     }
 }
--- a/crates/lab/src/sockets/calls.rs
+++ b/crates/lab/src/sockets/calls.rs
@@ -101,7 +101,7 @@
         forwarder,
         destination: place.destination,
         endpoint,
-        holder,
+        incarnation: holder,
         limiter: place.limiter_index,
     };
     state.oracle.call_sent(call, now);
