--- a/crates/lab/src/oracle/calls.rs
+++ b/crates/lab/src/oracle/calls.rs
@@ -1,122 +1,136 @@
-//! Each call is judged as it is sent: to whom, how often, in which order, within which limits.
+//! Judges each call when it is sent: its destination and endpoint, its attempt number, its order, and the limits that bind it.
 
-use super::submissions::{TookEffect, TrackedSubmission};
+use super::submissions::{CallEffect, TrackedSubmission};
 use super::{Oracle, Rule};
 use crate::scenario::DeliverySemantics;
 use opalpulley::Micros;
 
-/// A call as it goes out: whose message, from whom, to whom.
+/// A call at the time when it is sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SentCall {
-    /// The submission whose message it carries.
+    /// The number of the submission whose message the call carries.
     pub submission: u64,
-    /// Who sends it.
+    /// The number of the forwarder that sends the call.
     pub forwarder: u32,
-    /// The destination of the endpoint.
+    /// The number of the destination that the endpoint belongs to.
     pub destination: u32,
-    /// Where it goes.
+    /// The index of the endpoint in the layout.
     pub endpoint: usize,
-    /// The holder of the endpoint's address.
-    pub holder: u32,
-    /// The limiter of the endpoint.
+    /// The incarnation of the endpoint: each new holder of its address has the next number.
+    pub incarnation: u32,
+    /// The index of the rate limiter that the endpoint shares.
     pub limiter: usize,
 }
 
 impl Oracle {
-    /// A call with a submission's message, sent (or, on sockets, received) at `now`.
-    pub fn sent(&mut self, call: SentCall, now: Micros) {
+    /// Judges a call that was sent at `now`, or on sockets received at `now`, and counts it as in flight. The caller reports
+    /// its end with `call_ended`.
+    pub fn call_sent(&mut self, call: SentCall, now: Micros) {
         let SentCall {
-            submission: number,
+            submission: submission_number,
             forwarder,
             endpoint,
             ..
         } = call;
-        let Some(submission) = self.submissions.get(&number).cloned() else {
-            let what =
-                format!("message {number} to endpoint {endpoint}: long over or never submitted");
-            return self.broken(Rule::SentAfterEnd, now, what);
+        let Some(submission) = self.submissions.get(&submission_number).cloned() else {
+            let description = format!(
+                "message {submission_number} to endpoint {endpoint}: unknown, or ended long ago"
+            );
+            return self.record_violation(Rule::SentAfterEnd, now, description);
         };
-        let what = format!("message {number} of forwarder {forwarder} to endpoint {endpoint}");
-        self.judge_attempt(&submission, call, now, &what);
-        self.judge_repeat(&submission, now, &what);
-        self.check_bound(forwarder, endpoint, call.holder, call.limiter, now, &what);
-        self.judge_order(&submission, call, now, &what);
-        self.judge_concurrency(forwarder, now, &what);
-        if let Some(submission) = self.submissions.get_mut(&number) {
-            submission.in_flight += 1;
-            submission.attempts += 1;
+        let description =
+            format!("message {submission_number} of forwarder {forwarder} to endpoint {endpoint}");
+        self.judge_attempt(&submission, call, now, &description);
+        self.judge_repeat(&submission, now, &description);
+        self.check_limits(
+            forwarder,
+            endpoint,
+            call.incarnation,
+            call.limiter,
+            now,
+            &description,
+        );
+        self.judge_order(&submission, call, now, &description);
+        self.judge_concurrency(forwarder, now, &description);
+        if let Some(submission) = self.submissions.get_mut(&submission_number) {
+            submission.calls_in_flight += 1;
+            submission.attempt_count += 1;
         }
     }
 
-    /// Whether the message may be sent there, at this time, once more.
+    /// Checks the destination, the final answer, concurrent attempts and the number of attempts.
     fn judge_attempt(
         &mut self,
         submission: &TrackedSubmission,
         call: SentCall,
         now: Micros,
-        what: &str,
+        description: &str,
     ) {
         if submission.record.destination != call.destination {
-            let what = format!("{what} of another destination");
-            self.broken(Rule::WrongDestination, now, what);
+            let description = format!("{description}: the endpoint belongs to another destination");
+            self.record_violation(Rule::WrongDestination, now, description);
         }
         if self.is_after_end(submission, now) {
-            let what = format!("{what}: it has its final answer");
-            self.broken(Rule::SentAfterEnd, now, what);
+            let description = format!("{description}: the message already has its final answer");
+            self.record_violation(Rule::SentAfterEnd, now, description);
         }
-        if submission.in_flight > 0 {
-            let what = format!("{what}: an attempt is still in flight");
-            self.broken(Rule::TwoAttemptsInFlight, now, what);
+        if submission.calls_in_flight > 0 {
+            let description = format!("{description}: an attempt is still in flight");
+            self.record_violation(Rule::TwoAttemptsInFlight, now, description);
         }
-        if submission.attempts >= self.max_attempts {
-            let what = format!("{what}: attempt {}", submission.attempts + 1);
-            self.broken(Rule::TooManyAttempts, now, what);
+        if submission.attempt_count >= self.max_attempts {
+            let description = format!("{description}: attempt {}", submission.attempt_count + 1);
+            self.record_violation(Rule::TooManyAttempts, now, description);
         }
     }
 
-    /// Whether a call at this time was sent after the final answer that the forwarder knows of.
+    /// Returns whether a call at `now` was sent after a final answer that the forwarder knows of.
     fn is_after_end(&self, submission: &TrackedSubmission, now: Micros) -> bool {
-        let Some(ended) = submission.ended else {
+        let Some(ended_at) = submission.ended_at else {
             return false;
         };
-        // Without slack both are seen on one clock: what is seen at the same time was sent after the end.
-        let after = match self.slack {
-            0 => now >= ended,
-            slack => now > ended + slack,
+        // Without slack both are observed on one clock, and a call observed at the instant of the answer was sent after it.
+        let seen_after_end = match self.observation_slack {
+            0 => now >= ended_at,
+            observation_slack => now > ended_at + observation_slack,
         };
-        let known = submission.accepted || !submission.void;
-        after && known && !submission.unacknowledged
+        let end_known = submission.accepted || !submission.no_answer_owed;
+        seen_after_end && end_known && !submission.unacknowledged
     }
 
-    /// Whether a repeat might take effect a second time.
-    fn judge_repeat(&mut self, submission: &TrackedSubmission, now: Micros, what: &str) {
-        let Some(first) = submission.possible_effect_since else {
+    /// Checks that a repeated call can't take effect a second time.
+    fn judge_repeat(&mut self, submission: &TrackedSubmission, now: Micros, description: &str) {
+        let Some(first_sent_at) = submission.possible_effect_sent_at else {
             return;
         };
         let class = &self.classes[usize::from(submission.record.class)];
         match class.semantics {
             DeliverySemantics::AtMostOnce => {
-                let what = format!("{what}: binding, and it may have run");
-                self.broken(Rule::EffectTwice, now, what);
+                let description = format!("{description}: the class is at-most-once, and an earlier attempt may have taken effect");
+                self.record_violation(Rule::EffectTwice, now, description);
             }
-            DeliverySemantics::IdempotencyKeyed if now > first + class.window.0 + self.slack => {
-                let what = format!("{what}: past the window in which repeats are known");
-                self.broken(Rule::EffectTwice, now, what);
+            DeliverySemantics::IdempotencyKeyed
+                if now > first_sent_at + class.window.0 + self.observation_slack =>
+            {
+                let description = format!(
+                    "{description}: the window in which receivers recognize a repeat has ended"
+                );
+                self.record_violation(Rule::EffectTwice, now, description);
             }
             _ => {}
         }
     }
 
-    /// Whether an earlier message of the same order key is not over.
+    /// Checks that every earlier message of the same order key has ended.
     fn judge_order(
         &mut self,
         submission: &TrackedSubmission,
         call: SentCall,
         now: Micros,
-        what: &str,
+        description: &str,
     ) {
         let ordered = self.classes[usize::from(submission.record.class)].ordered;
-        let Some(key) = submission.record.key.filter(|_| ordered) else {
+        let Some(key) = submission.record.order_key.filter(|_| ordered) else {
             return;
         };
         let Some(queue) = self.ordered_queues.get(&(call.forwarder, key)) else {
@@ -124,89 +138,107 @@
         };
         let mut earlier = queue
             .iter()
-            .take_while(|number| **number != call.submission);
-        let is_open = |number: &u64| {
-            let earlier = self.submissions.get(number);
-            earlier.is_some_and(|earlier| earlier.ended.is_none() || earlier.in_flight > 0)
+            .take_while(|submission_number| **submission_number != call.submission);
+        let is_open = |submission_number: &u64| {
+            let earlier = self.submissions.get(submission_number);
+            earlier.is_some_and(|earlier| earlier.ended_at.is_none() || earlier.calls_in_flight > 0)
         };
         if earlier.any(is_open) {
-            let what = format!("{what}: an earlier one of its key is not over");
-            self.broken(Rule::OrderNotKept, now, what);
+            let description =
+                format!("{description}: an earlier message of its order key has not ended");
+            self.record_violation(Rule::OrderNotKept, now, description);
         }
     }
 
-    /// Counts the call, and judges how many its forwarder has in flight.
-    fn judge_concurrency(&mut self, forwarder: u32, now: Micros, what: &str) {
-        let in_flight = self.in_flight.entry(forwarder).or_default();
+    /// Counts the call as in flight, and checks the concurrency limit of its forwarder.
+    fn judge_concurrency(&mut self, forwarder: u32, now: Micros, description: &str) {
+        let in_flight = self.calls_in_flight.entry(forwarder).or_default();
         *in_flight += 1;
         let in_flight = *in_flight;
         if in_flight > self.concurrency_limit {
-            let what = format!("{what}: {in_flight} calls out");
-            self.broken(Rule::TooManyInFlight, now, what);
+            let description = format!("{description}: {in_flight} calls in flight");
+            self.record_violation(Rule::TooManyInFlight, now, description);
         }
     }
 
-    /// Drains and retry-after times bind a call as its bytes leave, whenever it was decided.
-    pub fn check_bound(
+    /// Checks the drain and the retry-after time that bind a call. Both bind at the time when the bytes of the call leave,
+    /// even if the forwarder chose the endpoint earlier.
+    pub fn check_limits(
         &mut self,
         forwarder: u32,
         endpoint: usize,
-        holder: u32,
+        incarnation: u32,
         limiter: usize,
         now: Micros,
-        what: &str,
+        description: &str,
     ) {
-        if self.limits.drain_broken(forwarder, endpoint, holder, now) {
-            let what = format!("{what}: it drains or is gone");
-            self.broken(Rule::DrainNotKept, now, what);
+        if self
+            .limits
+            .violates_drain(forwarder, endpoint, incarnation, now)
+        {
+            let description = format!("{description}: the endpoint is draining or removed");
+            self.record_violation(Rule::DrainNotKept, now, description);
         }
-        let what = format!("{what}: told to wait");
-        self.check_retry_after(forwarder, limiter, now, &what);
+        let description = format!("{description}: the retry-after time has not elapsed");
+        self.check_retry_after(forwarder, limiter, now, &description);
     }
 
-    /// A retry-after time binds calls and health checks.
-    pub fn check_retry_after(&mut self, forwarder: u32, limiter: usize, now: Micros, what: &str) {
-        if self.limits.retry_after_broken(forwarder, limiter, now) {
-            self.broken(Rule::RetryAfterIgnored, now, what.to_owned());
+    /// Checks the retry-after time that binds calls and health checks alike. `description` is that of the violation.
+    pub fn check_retry_after(
+        &mut self,
+        forwarder: u32,
+        limiter: usize,
+        now: Micros,
+        description: &str,
+    ) {
+        if self.limits.violates_retry_after(forwarder, limiter, now) {
+            self.record_violation(Rule::RetryAfterIgnored, now, description.to_owned());
         }
     }
 
-    /// An attempt was withdrawn before its bytes left: it counts for nothing.
+    /// Uncounts an attempt that was withdrawn before its bytes left.
     pub fn withdrawn_before_send(&mut self, submission: u64) {
         if let Some(submission) = self.submissions.get_mut(&submission) {
-            submission.attempts = submission.attempts.saturating_sub(1);
+            submission.attempt_count = submission.attempt_count.saturating_sub(1);
         }
     }
 
-    /// A call is not in flight any more. `took_effect`: what its forwarder can know of its effect; `since`: when it was sent.
-    pub fn over(&mut self, number: u64, forwarder: u32, since: Micros, took_effect: TookEffect) {
-        if let Some(in_flight) = self.in_flight.get_mut(&forwarder) {
+    /// Counts a call as no longer in flight. `sent_at` is when it was sent, µs; `effect` is what its outcome tells the forwarder
+    /// about an effect.
+    pub fn call_ended(
+        &mut self,
+        submission_number: u64,
+        forwarder: u32,
+        sent_at: Micros,
+        effect: CallEffect,
+    ) {
+        if let Some(in_flight) = self.calls_in_flight.get_mut(&forwarder) {
             *in_flight = in_flight.saturating_sub(1);
         }
-        if let Some(submission) = self.submissions.get_mut(&number) {
-            submission.in_flight = submission.in_flight.saturating_sub(1);
-            if took_effect == TookEffect::Perhaps {
-                let first = submission.possible_effect_since.unwrap_or(since);
-                submission.possible_effect_since = Some(first.min(since));
+        if let Some(submission) = self.submissions.get_mut(&submission_number) {
+            submission.calls_in_flight = submission.calls_in_flight.saturating_sub(1);
+            if effect == CallEffect::Possible {
+                let first_sent_at = submission.possible_effect_sent_at.unwrap_or(sent_at);
+                submission.possible_effect_sent_at = Some(first_sent_at.min(sent_at));
             }
         }
-        self.leave_order(number);
+        self.leave_order(submission_number);
     }
 
-    /// A forwarder knows now whether an endpoint (this holder of its address) takes new calls.
+    /// Records that a forwarder was notified at `now` whether this incarnation of an endpoint takes new calls.
     pub fn endpoint_status_notified(
         &mut self,
         forwarder: u32,
         endpoint: usize,
-        holder: u32,
+        incarnation: u32,
         ready: bool,
         now: Micros,
     ) {
         self.limits
-            .set_ready(forwarder, endpoint, holder, ready, now);
+            .set_ready(forwarder, endpoint, incarnation, ready, now);
     }
 
-    /// A forwarder was told that it may send there again at `until`.
+    /// Records that a forwarder was notified at `now` of a retry-after time, which elapses at `until`, µs.
     pub fn retry_after_notified(
         &mut self,
         forwarder: u32,
@@ -217,15 +249,15 @@
         self.limits.set_retry_after(forwarder, limiter, now, until);
     }
 
-    /// Whether a call with the submission's message is in flight.
-    pub fn is_out(&self, submission: u64) -> bool {
+    /// Returns whether a call of the submission is in flight.
+    pub fn has_call_in_flight(&self, submission: u64) -> bool {
         let submission = self.submissions.get(&submission);
-        submission.is_some_and(|submission| submission.in_flight > 0)
+        submission.is_some_and(|submission| submission.calls_in_flight > 0)
     }
 
-    /// Attempts that the message has made under this submission.
-    pub fn attempts(&self, submission: u64) -> u32 {
+    /// Returns the number of attempts of the submission, without those withdrawn before they were sent.
+    pub fn attempt_count(&self, submission: u64) -> u32 {
         let submission = self.submissions.get(&submission);
-        submission.map_or(0, |submission| submission.attempts)
+        submission.map_or(0, |submission| submission.attempt_count)
     }
 }
--- a/crates/lab/src/report/page.rs
+++ b/crates/lab/src/report/page.rs
@@ -2,7 +2,7 @@
 
 use super::plots::{plots, PlotError};
 use super::rows::FIGURES;
-use crate::oracle::Break;
+use crate::oracle::RuleViolation;
 use crate::tally::{Clock, FaultPeriod, Outcome};
 
 const STYLE: &str = "body{font:14px/1.4 sans-serif;margin:2em auto;max-width:1000px;color:#222}\
@@ -63,7 +63,7 @@
     section += &missed_expectations(outcome);
     section += &plots(outcome)?;
     section += &fault_table(&outcome.spells);
-    section += &break_table(&outcome.breaks);
+    section += &violation_table(&outcome.breaks);
     Ok(section)
 }
 
@@ -94,7 +94,7 @@
     table + "</table>\n"
 }
 
-fn break_table(breaks: &[Break]) -> String {
+fn violation_table(breaks: &[RuleViolation]) -> String {
     if breaks.is_empty() {
         return String::new();
     }
--- a/crates/lab/src/sim/discovery.rs
+++ b/crates/lab/src/sim/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the endpoint list, its updates on their way to the forwarders, and polls of it.
+//! Simulated discovery: the endpoint list, its updates to the forwarders, and the forwarders' polls of it.
 
 use super::event::SimulatedEvent;
 use super::Sim;
@@ -7,16 +7,16 @@
 use opalpulley::{EndpointEntry, EndpointListUpdate, EndpointStatus, Event, Micros};
 use rand::Rng;
 
-/// What the list says of one endpoint's address.
+/// The entry of an endpoint's address in the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListedEndpoint {
-    /// The number of the holder of the address; a new holder has the next one.
-    pub holder: u32,
+    /// The incarnation of the endpoint; each new holder of the address has the next number.
+    pub incarnation: u32,
     pub status: EndpointStatus,
 }
 
 impl Sim {
-    /// The complete list, in the order of the endpoints.
+    /// Returns the complete list, in the order of the endpoint indexes.
     pub(super) fn complete_list(
         layout: &Layout,
         scenario: &Scenario,
@@ -24,7 +24,7 @@
     ) -> Vec<EndpointEntry> {
         let entry = |(endpoint, listed): (usize, &ListedEndpoint)| {
             let groups = &scenario.destinations;
-            layout.list_entry(groups, endpoint, listed.holder, listed.status)
+            layout.list_entry(groups, endpoint, listed.incarnation, listed.status)
         };
         listed.iter().enumerate().map(entry).collect()
     }
@@ -33,43 +33,52 @@
         Sim::complete_list(&self.layout, &self.scenario, &self.listed_endpoints)
     }
 
-    /// One endpoint begins to drain; or it is gone, and a new holder of its address is ready.
+    /// Starts to drain an endpoint; or, if `gone`, removes it and lists a new holder of its address as ready.
     pub(super) fn endpoint_drains(&mut self, endpoint: usize, gone: bool) {
-        let holder = self.listed_endpoints[endpoint].holder;
+        let incarnation = self.listed_endpoints[endpoint].incarnation;
         let changes = if gone {
             self.receivers.replace(self.now, endpoint);
             self.connections[endpoint].idle.clear();
             vec![
-                (holder, EndpointStatus::Removed),
-                (holder + 1, EndpointStatus::Ready),
+                (incarnation, EndpointStatus::Removed),
+                (incarnation + 1, EndpointStatus::Ready),
             ]
         } else {
-            vec![(holder, EndpointStatus::Draining)]
+            vec![(incarnation, EndpointStatus::Draining)]
         };
-        if let Some((holder, status)) = changes.last().copied() {
-            self.listed_endpoints[endpoint] = ListedEndpoint { holder, status };
+        if let Some((incarnation, status)) = changes.last().copied() {
+            self.listed_endpoints[endpoint] = ListedEndpoint {
+                incarnation,
+                status,
+            };
         }
         let groups = &self.scenario.destinations;
-        let entry = |(holder, status)| self.layout.list_entry(groups, endpoint, holder, status);
+        let entry = |(incarnation, status)| {
+            self.layout
+                .list_entry(groups, endpoint, incarnation, status)
+        };
         let entries = changes.into_iter().map(entry).collect();
         self.send_list_update(EndpointListUpdate::Changes(entries));
     }
 
-    /// Sends the whole list without a part of it that is drawn by chance.
+    /// Sends the complete list to all forwarders, with each entry left out with probability `missing_share`.
     pub(super) fn send_partial_list(&mut self, missing_share: f64) {
         let mut list = self.current_list();
-        list.retain(|_| !self.lags.random_bool(missing_share));
+        list.retain(|_| !self.discovery_rng.random_bool(missing_share));
         self.send_list_update(EndpointListUpdate::Complete(list));
     }
 
-    /// Sends an update to every forwarder: each after a lag of its own, in order, and not while discovery is stale.
+    /// Sends an update to every forwarder, each after a random lag, in the order of the updates and not before discovery stops
+    /// being stale.
     fn send_list_update(&mut self, update: EndpointListUpdate) {
         for forwarder in 0..self.processes.len() {
-            let lag = self.lags.random_range(0..=self.scenario.network.list_lag.0);
+            let lag = self
+                .discovery_rng
+                .random_range(0..=self.scenario.network.list_lag.0);
             let process = &mut self.processes[forwarder];
-            let arrives_at = self.now.max(self.stale_until) + lag;
-            process.list_update_at = arrives_at.max(process.list_update_at);
-            let at = process.list_update_at;
+            let arrives_at = self.now.max(self.discovery_stale_until) + lag;
+            process.last_list_update_at = arrives_at.max(process.last_list_update_at);
+            let at = process.last_list_update_at;
             self.schedule_list_update(at, forwarder as u32, update.clone());
         }
     }
@@ -78,35 +87,35 @@
         self.schedule(at, SimulatedEvent::ListUpdate { forwarder, update });
     }
 
-    /// Sends the whole list to a forwarder that was away.
+    /// Sends the complete list to a forwarder that missed updates.
     pub(super) fn send_complete_list(&mut self, forwarder: u32) {
         let update = EndpointListUpdate::Complete(self.current_list());
-        let at = self.now.max(self.stale_until);
-        self.schedule_list_update(at, forwarder, update);
+        let arrives_at = self.now.max(self.discovery_stale_until);
+        self.schedule_list_update(arrives_at, forwarder, update);
     }
 
-    /// A forwarder polls the list. Discovery answers one poll after the other, even those that it answers too late; one that
-    /// would wait for too long is rejected.
+    /// Handles a forwarder's poll of the list. Discovery answers polls one after the other, including those that have timed out
+    /// by then, and rejects a poll that would be queued for too long.
     pub(super) fn poll_list(&mut self, forwarder: u32) {
         let Some(discovery) = &self.scenario.network.polled_discovery else {
             return;
         };
-        self.work.list_calls += 1;
-        let wait =
+        self.stats.list_polls += 1;
+        let queue_delay =
             self.discovery_busy_until.saturating_sub(self.now) + discovery.poll_service_time.0;
         let timeout = discovery.poll_timeout.0;
-        let (after, answered) = if wait > discovery.max_queue_wait.0 {
+        let (answer_delay, answered) = if queue_delay > discovery.max_queue_wait.0 {
             (2 * self.scenario.network.delay.0, false)
         } else {
-            self.discovery_busy_until = self.now + wait;
-            (wait.min(timeout), wait <= timeout)
+            self.discovery_busy_until = self.now + queue_delay;
+            (queue_delay.min(timeout), queue_delay <= timeout)
         };
-        let ends = SimulatedEvent::PollAnswered {
+        let answered_event = SimulatedEvent::PollAnswered {
             forwarder,
             incarnation: self.processes[forwarder as usize].incarnation,
             answered,
         };
-        self.schedule(self.now + after, ends);
+        self.schedule(self.now + answer_delay, answered_event);
     }
 
     pub(super) fn poll_answered(&mut self, forwarder: u32, incarnation: u32, answered: bool) {
@@ -123,7 +132,8 @@
         }
     }
 
-    /// A list update reaches a forwarder. One that is down, or does not follow the list yet, gets the whole list later.
+    /// Applies and delivers a list update to a forwarder. The update is dropped if the forwarder is down or gets no updates yet;
+    /// it gets the complete list later.
     pub(super) fn receive_list_update(&mut self, forwarder: u32, update: EndpointListUpdate) {
         let process = &self.processes[forwarder as usize];
         if !process.is_up() || !process.follows_list {
@@ -141,16 +151,16 @@
         self.deliver_event(forwarder, incarnation, Event::EndpointListUpdated(update));
     }
 
-    /// Removes endpoints that a complete list does not name.
+    /// Removes endpoints that are missing from a complete list.
     fn remove_missing(&mut self, forwarder: u32, entries: &[EndpointEntry]) {
-        let listed = &self.processes[forwarder as usize].listed;
+        let listed = &self.processes[forwarder as usize].known_endpoints;
         let missing = |known: &&EndpointEntry| {
             let mut named = entries.iter();
             !named.any(|entry| entry.endpoint == known.endpoint)
         };
         let missing: Vec<EndpointEntry> = listed.values().filter(missing).cloned().collect();
         for entry in missing {
-            let listed = &mut self.processes[forwarder as usize].listed;
+            let listed = &mut self.processes[forwarder as usize].known_endpoints;
             listed.remove(&Layout::endpoint_index(entry.endpoint));
             self.notify_oracle(forwarder, &entry, false);
         }
@@ -159,13 +169,13 @@
     fn apply_entries(&mut self, forwarder: u32, entries: &[EndpointEntry]) {
         for entry in entries {
             self.notify_oracle(forwarder, entry, entry.status == EndpointStatus::Ready);
-            let listed = &mut self.processes[forwarder as usize].listed;
+            let listed = &mut self.processes[forwarder as usize].known_endpoints;
             let index = Layout::endpoint_index(entry.endpoint);
             if entry.status != EndpointStatus::Removed {
                 listed.insert(index, entry.clone());
                 continue;
             }
-            // A new holder of the address stays.
+            // The entry of a newer holder of the address stays.
             let known = listed.get(&index);
             if known.is_some_and(|known| known.endpoint == entry.endpoint) {
                 listed.remove(&index);
@@ -173,11 +183,11 @@
         }
     }
 
-    /// Tells the oracle that a forwarder knows now whether an endpoint takes new calls.
+    /// Notifies the oracle that a forwarder knows whether an endpoint takes new calls.
     fn notify_oracle(&mut self, forwarder: u32, entry: &EndpointEntry, ready: bool) {
         let index = Layout::endpoint_index(entry.endpoint);
-        let holder = entry.endpoint.incarnation;
+        let incarnation = entry.endpoint.incarnation;
         self.oracle
-            .endpoint_status_notified(forwarder, index, holder, ready, self.now);
+            .endpoint_status_notified(forwarder, index, incarnation, ready, self.now);
     }
 }
--- a/crates/lab/src/sim/handlers.rs
+++ b/crates/lab/src/sim/handlers.rs
@@ -1,4 +1,4 @@
-//! Hands each simulated event to the part of the world that it concerns.
+//! Dispatches each simulated event to the method that handles it.
 
 use super::event::SimulatedEvent;
 use super::{Sim, SWEEP_INTERVAL};
@@ -28,12 +28,12 @@
             SimulatedEvent::EndpointDrains { endpoint, gone } => {
                 self.endpoint_drains(endpoint, gone)
             }
-            SimulatedEvent::OracleSweep => self.sweep(),
+            SimulatedEvent::OracleSweep => self.sweep_oracle(),
             other => self.handle_for_forwarder(other),
         }
     }
 
-    /// Events that reach one forwarder process.
+    /// Dispatches the events that concern a forwarder process.
     fn handle_for_forwarder(&mut self, event: SimulatedEvent) {
         match event {
             SimulatedEvent::TimerFires {
@@ -65,14 +65,14 @@
         self.deliver_event(to, incarnation, Event::GossipReceived { peer, payload });
     }
 
-    /// Lets the oracle look for what is overdue, and notes how much the tables hold.
-    fn sweep(&mut self) {
+    /// Runs the oracle's check for overdue answers, updates the peak table size, and schedules the next check.
+    fn sweep_oracle(&mut self) {
         self.oracle.sweep(self.now);
-        let held = self.oracle.held()
+        let table_entries = self.oracle.table_entries()
             + self.receivers.entry_count()
             + self.messages.len()
             + self.attempts.len();
-        self.work.most_held = self.work.most_held.max(held);
+        self.stats.peak_table_entries = self.stats.peak_table_entries.max(table_entries);
         self.schedule(self.now + SWEEP_INTERVAL, SimulatedEvent::OracleSweep);
     }
 }
--- a/crates/lab/src/sim/simulated_process.rs
+++ b/crates/lab/src/sim/simulated_process.rs
@@ -1,4 +1,4 @@
-//! One forwarder process of the simulated world: the forwarder under test, its clock, and the messages that it answers for.
+//! A simulated forwarder process: the forwarder under test, its clock, and the messages that it has accepted.
 
 use super::clients::SubmissionAnswer;
 use super::event::SimulatedEvent;
@@ -14,39 +14,39 @@
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Messages just over that are still known: a broken forwarder may send one.
+/// Number of finished messages that are kept, so that the oracle can judge a call with one of them by a faulty forwarder.
 const MAX_RECENTLY_FINISHED: usize = 8;
-/// Every clock starts at this at least, µs: no real one starts at 0.
-const CLOCK_START: Micros = 1_000_000;
+/// Lower bound on the start of a process's clock, µs; a real clock doesn't start at 0.
+const MIN_CLOCK_START: Micros = 1_000_000;
 
-/// A message that the forwarder has accepted.
+/// A message that a forwarder process holds, from its submission until it is finished.
 pub(super) struct HeldMessage {
-    /// The submission as the oracle numbers it.
+    /// The oracle's number of the submission.
     pub submission: u64,
-    /// The message as its client numbers it.
+    /// The client's number of the message.
     pub client_message: u64,
-    /// As it was submitted to the forwarder.
+    /// The message as it was submitted to the forwarder.
     pub message: Submission,
-    pub expires: Micros,
-    /// Attempts so far, without those that were withdrawn.
+    pub deadline: Micros,
+    /// Number of attempts so far, without withdrawn ones.
     pub attempts: u32,
-    /// Attempts in flight: the forwarder's number and the world's.
+    /// Attempts in flight: the attempt index of the forwarder, and the attempt number in `Sim::attempts`.
     pub in_flight: Vec<(u8, u64)>,
-    /// It has its final answer.
+    /// Whether the message has its final answer.
     pub ended: bool,
     pub possible_effect: Option<PossibleEffect>,
 }
 
 impl HeldMessage {
-    /// The world's number of an attempt in flight.
-    pub fn attempt_in_flight(&self, attempt: u8) -> Option<u64> {
+    /// Returns the number in `Sim::attempts` of an attempt in flight.
+    pub fn attempt_in_flight(&self, attempt_index: u8) -> Option<u64> {
         let mut in_flight = self.in_flight.iter();
-        let (_, number) = in_flight.find(|(own, _)| *own == attempt)?;
+        let (_, number) = in_flight.find(|(index, _)| *index == attempt_index)?;
         Some(*number)
     }
 }
 
-/// A message that was over a short time ago.
+/// A message that was finished recently.
 struct FinishedMessage {
     id: MessageId,
     submission: u64,
@@ -54,75 +54,75 @@
 
 /// A message as a client submits it to a forwarder.
 pub(super) struct NewSubmission {
-    /// The submission as the oracle numbers it.
+    /// The oracle's number of the submission.
     pub submission: u64,
-    /// The message as its client numbers it.
+    /// The client's number of the message.
     pub client_message: u64,
-    pub expires: Micros,
-    /// What the forwarder is told; its id is chosen as it is accepted.
+    pub deadline: Micros,
+    /// The message for the forwarder. The process replaces its id.
     pub message: Submission,
 }
 
-/// One forwarder process.
+/// A simulated forwarder process. Owned by `Sim`; outlives kills and restarts.
 pub(super) struct SimulatedProcess {
-    /// The forwarder under test; none while the process is down.
+    /// The forwarder under test; `None` while the process is down.
     pub subject: Option<Box<dyn Subject>>,
-    /// How often it has been killed: events for an earlier incarnation are dropped.
+    /// Number of times that the process was killed. Events for an earlier incarnation are dropped.
     pub incarnation: u32,
-    /// It is stopped.
+    /// Whether the process is paused.
     pub paused: bool,
-    /// Events that wait while it is stopped.
+    /// Events that wait while the process is paused.
     pub inbox: VecDeque<Event>,
-    /// Messages that it answers for. Each leaves with its final answer and the outcome of its last attempt.
-    pub open: BTreeMap<MessageId, HeldMessage>,
+    /// Messages that the process holds. A message is removed once it has its final answer and no attempt in flight.
+    pub open_messages: BTreeMap<MessageId, HeldMessage>,
     recently_finished: VecDeque<FinishedMessage>,
     next_id: u32,
-    /// How far its clock is ahead, µs.
-    pub clock_lead: Micros,
-    /// The list as it knows it, by endpoint.
-    pub listed: BTreeMap<usize, EndpointEntry>,
-    /// Discovery sends it list updates.
+    /// Offset of the process's clock from the simulated clock, µs.
+    pub clock_offset: Micros,
+    /// The endpoint list as the process knows it, by endpoint index.
+    pub known_endpoints: BTreeMap<usize, EndpointEntry>,
+    /// Whether discovery sends list updates to the process.
     pub follows_list: bool,
-    /// When its latest list update arrives: updates stay in order.
-    pub list_update_at: Micros,
+    /// When the latest list update arrives, µs. Later updates don't arrive before it.
+    pub last_list_update_at: Micros,
 }
 
 impl SimulatedProcess {
-    /// A process that is not started yet; its clock is drawn.
+    /// Creates a process that is not started, with a random clock offset.
     pub fn new(scenario: &Scenario, seed: u64, number: u32) -> SimulatedProcess {
-        let max_skew = scenario.forwarders.max_clock_skew.0;
-        let skew = seeded_rng(seed, "clock", u64::from(number)).random_range(0..=max_skew);
+        let max_clock_skew = scenario.forwarders.max_clock_skew.0;
+        let skew = seeded_rng(seed, "clock", u64::from(number)).random_range(0..=max_clock_skew);
         SimulatedProcess {
             subject: None,
             incarnation: 0,
             paused: false,
             inbox: VecDeque::new(),
-            open: BTreeMap::new(),
+            open_messages: BTreeMap::new(),
             recently_finished: VecDeque::new(),
             next_id: 0,
-            clock_lead: CLOCK_START + skew,
-            listed: BTreeMap::new(),
+            clock_offset: MIN_CLOCK_START + skew,
+            known_endpoints: BTreeMap::new(),
             follows_list: false,
-            list_update_at: 0,
+            last_list_update_at: 0,
         }
     }
 
-    /// Whether the process runs, stopped or not.
+    /// Returns whether the process is up, which includes a paused one.
     pub fn is_up(&self) -> bool {
         self.subject.is_some()
     }
 
-    /// The next id that no open message has.
+    /// Returns the next id that no open message has.
     pub fn new_id(&mut self) -> MessageId {
         loop {
             self.next_id = self.next_id.wrapping_add(1);
-            if !self.open.contains_key(&MessageId(self.next_id)) {
+            if !self.open_messages.contains_key(&MessageId(self.next_id)) {
                 return MessageId(self.next_id);
             }
         }
     }
 
-    /// The submission of a message that was over a short time ago.
+    /// Returns the submission of a recently finished message.
     pub fn finished_submission(&self, id: MessageId) -> Option<u64> {
         let mut finished = self.recently_finished.iter();
         let message = finished.find(|message| message.id == id)?;
@@ -131,7 +131,7 @@
 }
 
 impl Sim {
-    /// Starts a process with the list that it had last; the first time with the list as it is.
+    /// Starts a process with the endpoint list that it knew last. A process that knows none gets the current list.
     pub(super) fn start_process(&mut self, forwarder: u32) {
         let incarnation = self.processes[forwarder as usize].incarnation;
         let number = u64::from(forwarder) << 32 | u64::from(incarnation);
@@ -140,16 +140,16 @@
         let process = &mut self.processes[forwarder as usize];
         process.subject = Some(subject);
         process.follows_list = self.scenario.network.polled_discovery.is_none();
-        if process.listed.is_empty() {
+        if process.known_endpoints.is_empty() {
             let list = Sim::complete_list(&self.layout, &self.scenario, &self.listed_endpoints);
-            process.listed = list.into_iter().enumerate().collect();
+            process.known_endpoints = list.into_iter().enumerate().collect();
         }
-        let list = process.listed.values().cloned().collect();
+        let list = process.known_endpoints.values().cloned().collect();
         let cached = Event::EndpointListUpdated(EndpointListUpdate::Cached(list));
         self.run_forwarder(forwarder, cached, None);
     }
 
-    /// A client submits a message to a forwarder that is up; gives the forwarder's answer.
+    /// Submits a message to a forwarder, which must be up and not paused, and returns its answer.
     pub(super) fn accept_submission(
         &mut self,
         forwarder: u32,
@@ -162,21 +162,22 @@
             submission: new.submission,
             client_message: new.client_message,
             message: message.clone(),
-            expires: new.expires,
+            deadline: new.deadline,
             attempts: 0,
             in_flight: Vec::new(),
             ended: false,
             possible_effect: None,
         };
-        process.open.insert(id, held);
+        process.open_messages.insert(id, held);
         let answer = self.run_forwarder(forwarder, Event::MessageSubmitted(message), Some(id));
         if !matches!(answer, SubmissionAnswer::Accepted) {
-            self.processes[forwarder as usize].open.remove(&id);
+            self.processes[forwarder as usize].open_messages.remove(&id);
         }
         answer
     }
 
-    /// Gives an event to one incarnation of a forwarder; it waits while the process is stopped.
+    /// Delivers an event to an incarnation of a forwarder. The event waits while the process is paused, and is dropped if the
+    /// incarnation has ended.
     pub(super) fn deliver_event(&mut self, forwarder: u32, incarnation: u32, event: Event) {
         let process = &mut self.processes[forwarder as usize];
         if process.incarnation != incarnation || !process.is_up() {
@@ -188,8 +189,8 @@
         self.run_forwarder(forwarder, event, None);
     }
 
-    /// Lets the forwarder handle an event and carries out its actions. `submitted` is the message that a client submits just
-    /// now: what the forwarder says of it is the answer to that client.
+    /// Lets the forwarder handle an event and executes its actions. If the event submits a client's message, `submitted` is its
+    /// id, and the returned answer is the answer to the client.
     pub(super) fn run_forwarder(
         &mut self,
         forwarder: u32,
@@ -201,9 +202,9 @@
             return SubmissionAnswer::Accepted;
         };
         let mut actions = Vec::new();
-        subject.handle(self.now + process.clock_lead, event, &mut actions);
-        self.work.core_events += 1;
-        self.work.core_actions += actions.len() as u64;
+        subject.handle(self.now + process.clock_offset, event, &mut actions);
+        self.stats.core_events += 1;
+        self.stats.core_actions += actions.len() as u64;
         let mut answer = SubmissionAnswer::Accepted;
         for action in actions {
             match action {
@@ -211,20 +212,20 @@
                 Action::Reject { id, retry_after } if Some(id) == submitted => {
                     answer = SubmissionAnswer::Rejected(retry_after)
                 }
-                other => self.carry_out(forwarder, other),
+                other => self.execute(forwarder, other),
             }
         }
         answer
     }
 
-    fn carry_out(&mut self, forwarder: u32, action: Action) {
+    fn execute(&mut self, forwarder: u32, action: Action) {
         match action {
             Action::StartAttempt {
                 id,
                 endpoint,
                 timeout,
                 ..
-            } => self.send(forwarder, id, endpoint, timeout),
+            } => self.send_call(forwarder, id, endpoint, timeout),
             Action::Fail { id } => self.finish_message(forwarder, id, FinalAnswer::Failed, None),
             Action::Reject { id, retry_after } => {
                 self.finish_message(forwarder, id, FinalAnswer::Rejected, retry_after)
@@ -239,7 +240,7 @@
             }
             Action::StartHealthCheck { endpoint } => self.send_health_check(forwarder, endpoint),
             Action::CancelAttempt { id, attempt_index } => {
-                self.cancel(forwarder, id, attempt_index)
+                self.cancel_attempt(forwarder, id, attempt_index)
             }
             Action::CloseIdleConnections { endpoint } => {
                 let connections = &mut self.connections[Layout::endpoint_index(endpoint)];
@@ -255,7 +256,7 @@
         }
     }
 
-    /// Sends gossip to one peer, or to all.
+    /// Sends a gossip payload to one peer, or to all peers if `peer` is `None`.
     fn send_gossip(&mut self, from: u32, peer: Option<u16>, payload: Vec<u8>) {
         let arrives_at = self.now + self.scenario.network.delay.0;
         for to in 0..self.processes.len() as u32 {
@@ -267,14 +268,14 @@
         }
     }
 
-    /// Forgets a message that is over and has no attempt in flight.
+    /// Moves a message that has its final answer and no attempt in flight to the recently finished ones.
     pub(super) fn forget_finished(&mut self, forwarder: u32, id: MessageId) {
         let process = &mut self.processes[forwarder as usize];
-        let is_over = |held: &HeldMessage| held.ended && held.in_flight.is_empty();
-        if !process.open.get(&id).is_some_and(is_over) {
+        let is_finished = |held: &HeldMessage| held.ended && held.in_flight.is_empty();
+        if !process.open_messages.get(&id).is_some_and(is_finished) {
             return;
         }
-        if let Some(held) = process.open.remove(&id) {
+        if let Some(held) = process.open_messages.remove(&id) {
             let submission = held.submission;
             let finished = FinishedMessage { id, submission };
             process.recently_finished.push_front(finished);
@@ -282,8 +283,8 @@
         }
     }
 
-    /// A forwarder gives an accepted message its final answer. A second answer, which only a broken forwarder gives, goes to
-    /// the oracle alone.
+    /// Handles a forwarder's final answer to an accepted message. A second answer, which only a faulty forwarder gives, is
+    /// reported to the oracle and not to the client.
     fn finish_message(
         &mut self,
         forwarder: u32,
@@ -292,15 +293,15 @@
         retry_after: Option<Micros>,
     ) {
         let process = &mut self.processes[forwarder as usize];
-        let Some(held) = process.open.get_mut(&id) else {
+        let Some(held) = process.open_messages.get_mut(&id) else {
             if let Some(submission) = process.finished_submission(id) {
-                self.oracle.ended(submission, answer, self.now);
+                self.oracle.message_ended(submission, answer, self.now);
             }
             return;
         };
         let (submission, client_message) = (held.submission, held.client_message);
         if held.ended {
-            return self.oracle.ended(submission, answer, self.now);
+            return self.oracle.message_ended(submission, answer, self.now);
         }
         held.ended = true;
         self.final_answer(client_message, submission, answer, retry_after, 0);
