--- a/crates/forwarder/tests/asked_list.rs
+++ b/crates/forwarder/tests/asked_list.rs
@@ -42,11 +42,11 @@
         let polls: Arc<Mutex<Vec<Instant>>> = Arc::default();
         let (is, log) = (mode.clone(), polls.clone());
         let (address, _) = serve(move |m, _| {
-            if !m.first.contains("/discovery/") {
-                return plain("204 No Content");
+            if !m.first_line.contains("/discovery/") {
+                return empty_response("204 No Content");
             }
             let wait = m
-                .first
+                .first_line
                 .split("wait=")
                 .nth(1)
                 .and_then(|w| w.split(' ').next()?.parse().ok());
@@ -56,7 +56,7 @@
                 return None;
             }
             if before == DiscoveryMode::Rejects as u8 {
-                return plain("503 Busy");
+                return empty_response("503 Busy");
             }
             log.lock().expect("the log").push(Instant::now());
             while Instant::now() < until {
@@ -67,7 +67,7 @@
                 pause(5);
             }
             let whole = wait.is_none();
-            with_body(&list(1, whole, if whole { &members } else { &[] }))
+            ok_response(&endpoint_list(1, whole, if whole { &members } else { &[] }))
         });
         Discovery {
             mode,
@@ -98,14 +98,14 @@
         let mode = Arc::new(AtomicU8::new(DiscoveryMode::Answers as u8));
         let begin = |number: usize| {
             let discovery = Discovery::start(mode.clone(), Vec::new());
-            let (dir, state) = folder();
+            let (dir, state) = state_folder();
             let text = config_file(number, poll_interval);
             let forwarder = start(&state, &text, discovery.address);
             (discovery, forwarder, dir)
         };
         let members: Vec<_> = (0..FORWARDERS).map(begin).collect();
         let fleet = Fleet { mode, members };
-        until("all watch", || {
+        wait_until("all watch", || {
             fleet
                 .members
                 .iter()
@@ -136,7 +136,7 @@
 
 /// The start-up configuration of one of the fleet's forwarders. The poll interval is in seconds.
 fn config_file(number: usize, poll_interval: u64) -> String {
-    config("notice", "free", 200, 3.0)
+    startup_config("notice", "free", 200, 3.0)
         .replace(
             "\"seed\":\"8c1f30d27a5be964\"",
             &format!("\"seed\":\"8c1f30d27a5be9{number:02x}\""),
@@ -187,8 +187,8 @@
     let calls: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let log = calls.clone();
     let (discovery, _) = serve(move |m, _| {
-        if !m.first.contains("/discovery/") {
-            return plain("204 No Content");
+        if !m.first_line.contains("/discovery/") {
+            return empty_response("204 No Content");
         }
         let first = {
             let mut log = log.lock().expect("the log");
@@ -198,19 +198,19 @@
         // Only the first poll is ever answered with the list.
         if first {
             thread::sleep(LATE);
-            return with_body(&list(1, true, &members));
+            return ok_response(&endpoint_list(1, true, &members));
         }
-        if m.first.contains("index=1&") {
+        if m.first_line.contains("index=1&") {
             pause(1_900);
-            return with_body(&list(1, false, &[]));
+            return ok_response(&endpoint_list(1, false, &[]));
         }
         None
     });
-    let (_dir, state) = folder();
+    let (_dir, state) = state_folder();
     let forwarder = start(&state, &config_file(1, 10), discovery);
     let mut tries = 0;
     // Rejected until a list names the destination.
-    until("the list is in", || {
+    wait_until("the list is in", || {
         tries += 1;
         forwarder.submit(&format!("p{tries}"), "notice") == 202
     });
@@ -220,7 +220,7 @@
         "{:?}",
         first.elapsed()
     );
-    until("it is delivered", || {
+    wait_until("it is delivered", || {
         !seen.lock().expect("the log").is_empty()
     });
 }
@@ -238,15 +238,15 @@
 
 /// Where there is no mode, discovery's machine is gone: connections to it do not open.
 fn restart(list_mode: &str, discovery_mode: Option<DiscoveryMode>) {
-    let shut = SlowListener::shut("127.0.0.1");
+    let shut = FullBacklogListener::bind("127.0.0.1");
     let (endpoint, _) = silent_endpoint(); // so that the message is still in flight at the kill
     let mode_now = Arc::new(AtomicU8::new(DiscoveryMode::Answers as u8));
     let discovery = Discovery::start(mode_now, vec![member(endpoint, 7, "Ready")]);
-    let (_dir, state) = folder();
+    let (_dir, state) = state_folder();
     let text = config_file(1, 10).replace("on_request", list_mode);
     let mut forwarder = start(&state, &text, discovery.address);
-    until("the list is in", || discovery.calls() >= 1);
-    until("a message is accepted", || {
+    wait_until("the list is in", || discovery.calls() >= 1);
+    wait_until("a message is accepted", || {
         forwarder.submit("held", "notice") == 202
     });
     kill(&mut forwarder);
--- a/crates/forwarder/tests/common/mod.rs
+++ b/crates/forwarder/tests/common/mod.rs
@@ -36,24 +36,32 @@
 }
 
 /// An endpoint that answers each request with this status.
-pub fn endpoint_with(status: &'static str) -> (SocketAddr, Log) {
-    serve(move |_, _| plain(status))
+pub fn endpoint_with(status: &'static str) -> (SocketAddr, RequestLog) {
+    serve(move |_, _| empty_response(status))
 }
 
 /// An endpoint that takes requests and never answers.
-pub fn silent_endpoint() -> (SocketAddr, Log) {
+pub fn silent_endpoint() -> (SocketAddr, RequestLog) {
     serve(|_, _| None)
 }
 
 /// Gives the platform a change of its list, for the next watch.
 pub fn push_change(platform: &Platform, change: String) {
-    platform.changes.lock().expect("the changes").push(change);
+    platform
+        .pending_changes
+        .lock()
+        .expect("the changes")
+        .push(change);
 }
 
 /// Waits until watches have taken all changes of the platform's list.
 pub fn until_changes_are_sent(platform: &Platform) {
-    until("the change is sent", || {
-        platform.changes.lock().expect("the changes").is_empty()
+    wait_until("the change is sent", || {
+        platform
+            .pending_changes
+            .lock()
+            .expect("the changes")
+            .is_empty()
     });
 }
 
--- a/crates/forwarder/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -94,38 +94,38 @@
     let (gate, back) = (silent.clone(), Arc::new(AtomicBool::new(false)));
     let returned = back.clone();
     let (platform, asked) = serve(move |m, _| {
-        if m.first.contains("/v1/outcomes") {
-            return plain("204 No Content");
+        if m.first_line.contains("/v1/outcomes") {
+            return empty_response("204 No Content");
         }
-        if m.first.contains("index=") && !returned.load(Ordering::Relaxed) {
+        if m.first_line.contains("index=") && !returned.load(Ordering::Relaxed) {
             pause(100);
         }
         if gate.load(Ordering::Relaxed) {
             return None;
         }
-        with_body(&match returned.load(Ordering::Relaxed) {
-            true => list(2, true, &later),
-            false => list(1, true, &members),
+        ok_response(&match returned.load(Ordering::Relaxed) {
+            true => endpoint_list(2, true, &later),
+            false => endpoint_list(1, true, &members),
         })
     });
-    let (_dir, state) = folder();
-    let text = config("notice", "guarded", LIMIT, 3.0)
+    let (_dir, state) = state_folder();
+    let text = startup_config("notice", "guarded", LIMIT, 3.0)
         .replace("ConnIdleUs\":5000000", "ConnIdleUs\":60000000");
     let forwarder = start_limited(&state, &text, platform);
     let submit = |id: &str, cell: u16, time: &str| {
         let head = submission_head(id, "notice", 4)
             .replace("dest=7", &format!("dest={cell}"))
             .replace("20000", time);
-        forwarder.ask(&head, b"body")
+        forwarder.request_status(&head, b"body")
     };
     // The descriptors of idle connections to endpoints and of attempts are taken first.
     for cell in 100..100 + ENDPOINTS {
-        until("it is accepted", || {
+        wait_until("it is accepted", || {
             submit(&format!("t{cell}"), cell, "20000") == 202
         });
     }
     for n in 0..8 {
-        until("it is accepted", || {
+        wait_until("it is accepted", || {
             submit(&format!("m{n}"), 8, "20000") == 202
         });
     }
@@ -135,18 +135,18 @@
         scope.spawn(|| idle_clients(forwarder.listen, &stop));
         // A watch that was open times out within 7 s, and is opened again in vain.
         pause(8_000);
-        let (_, open) = forwarder.holds();
+        let (_, open) = forwarder.resource_usage();
         println!("{open} descriptors");
         assert!(open > LIMIT / 2 && open <= LIMIT, "{open} descriptors");
         back.store(true, Ordering::Relaxed);
         silent.store(false, Ordering::Relaxed);
-        until("the new list counts and a message is accepted", || {
+        wait_until("the new list counts and a message is accepted", || {
             submit("new", 7, "20000") == 202
         });
-        until("it is delivered", || calls(&seen, "new") == 1);
-        until("another is accepted", || submit("end", 9, "600") == 202);
-        until("it is tried", || calls(&refused, "end") > 0);
-        until("it is reported", || {
+        wait_until("it is delivered", || count_calls(&seen, "new") == 1);
+        wait_until("another is accepted", || submit("end", 9, "600") == 202);
+        wait_until("it is tried", || count_calls(&refused, "end") > 0);
+        wait_until("it is reported", || {
             let asked = asked.lock().expect("the log");
             asked
                 .iter()
--- a/crates/forwarder/tests/endings.rs
+++ b/crates/forwarder/tests/endings.rs
@@ -22,30 +22,30 @@
                 .expect("the lock")
                 .recv()
                 .expect("it is released");
-            plain("200 OK")
+            empty_response("200 OK")
         });
-        let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-        let (_dir, state) = folder();
+        let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+        let (_dir, state) = state_folder();
         let forwarder = start(
             &state,
-            &config("notice", effect, 200, 3.0),
+            &startup_config("notice", effect, 200, 3.0),
             platform.address,
         );
         let head = submission_head("late", "notice", 4).replace("20000", "900");
-        assert_eq!(forwarder.ask(&head, b"body"), 202);
-        until("its attempt is out", || calls(&seen, "late") == 1);
+        assert_eq!(forwarder.request_status(&head, b"body"), 202);
+        wait_until("its attempt is out", || count_calls(&seen, "late") == 1);
         forwarder.signal("-STOP");
         pause(1000);
         release.send(()).expect("the endpoint waits");
         pause(50);
         forwarder.signal("-CONT");
-        until("it is reported", || !report_lines(&platform).is_empty());
+        wait_until("it is reported", || !report_lines(&platform).is_empty());
         assert_eq!(
             report_lines(&platform),
             ["{\"id\":\"late\",\"status\":\"undeliverable\"}"],
             "{effect}"
         );
-        assert_eq!(calls(&seen, "late"), 1);
+        assert_eq!(count_calls(&seen, "late"), 1);
     }
 }
 
@@ -55,29 +55,29 @@
 fn the_next_message_of_a_key_waits_until_the_report_before_it_is_acknowledged() {
     const UNACKNOWLEDGED: usize = 12;
     let (endpoint, seen) = serve(|m, _| match m.headers["request-id"].as_str() {
-        "first" => plain("503 Full"),
-        _ => plain("200 OK"),
+        "first" => empty_response("503 Full"),
+        _ => empty_response("200 OK"),
     });
-    let platform = platform(vec![member(endpoint, 7, "Ready")], UNACKNOWLEDGED);
-    let (_dir, state) = folder();
-    let text = config("notice", "guarded", 200, 3.0)
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], UNACKNOWLEDGED);
+    let (_dir, state) = state_folder();
+    let text = startup_config("notice", "guarded", 200, 3.0)
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
     let mut forwarder = start(&state, &text, platform.address);
     let submit = |forwarder: &Forwarder, id: &str, time: &str| {
         let head = submission_head(id, "notice", 4)
             .replace("20000", time)
             .replace("\r\n\r\n", "\r\nAffinity-Key: 000b832b68ec333d\r\n\r\n");
-        assert_eq!(forwarder.ask(&head, b"body"), 202, "{id}");
+        assert_eq!(forwarder.request_status(&head, b"body"), 202, "{id}");
     };
     submit(&forwarder, "first", "700");
     submit(&forwarder, "second", "20000");
-    until("the first is reported", || {
+    wait_until("the first is reported", || {
         report_lines(&platform).len() >= 2
     });
-    assert_eq!(calls(&seen, "second"), 0);
+    assert_eq!(count_calls(&seen, "second"), 0);
     kill(&mut forwarder);
     forwarder = start(&state, &text, platform.address);
-    until("the second follows", || calls(&seen, "second") == 1);
+    wait_until("the second follows", || count_calls(&seen, "second") == 1);
     let reports = report_lines(&platform).len();
     assert!(
         reports > UNACKNOWLEDGED,
@@ -91,29 +91,33 @@
 fn a_report_on_a_connection_that_falls_silent_is_repeated_in_time() {
     let (endpoint, seen) = endpoint_with("503 Full");
     let members = vec![member(endpoint, 7, "Ready")];
-    let (platform, asked) = serve(move |m, _| match m.first.contains("/v1/outcomes") {
+    let (platform, asked) = serve(move |m, _| match m.first_line.contains("/v1/outcomes") {
         true => None, // read, and never answered
-        false if m.first.contains("index=") => {
+        false if m.first_line.contains("index=") => {
             pause(300);
-            with_body(&list(1, false, &[]))
+            ok_response(&endpoint_list(1, false, &[]))
         }
-        false => with_body(&list(1, true, &members)),
+        false => ok_response(&endpoint_list(1, true, &members)),
     });
-    let (_dir, state) = folder();
-    let forwarder = start(&state, &config("notice", "free", 200, 3.0), platform);
+    let (_dir, state) = state_folder();
+    let forwarder = start(
+        &state,
+        &startup_config("notice", "free", 200, 3.0),
+        platform,
+    );
     let head = submission_head("short", "notice", 4).replace("20000", "300");
-    assert_eq!(forwarder.ask(&head, b"body"), 202);
-    until("its attempt is out", || calls(&seen, "short") >= 1);
+    assert_eq!(forwarder.request_status(&head, b"body"), 202);
+    wait_until("its attempt is out", || count_calls(&seen, "short") >= 1);
     let completion_reports = || {
         let asked = asked.lock().expect("the log");
         asked
             .iter()
-            .filter(|m| m.first.contains("/v1/outcomes"))
+            .filter(|m| m.first_line.contains("/v1/outcomes"))
             .count()
     };
-    until("it is reported", || completion_reports() == 1);
+    wait_until("it is reported", || completion_reports() == 1);
     let first = Instant::now();
-    until("it is reported again", || completion_reports() >= 2);
+    wait_until("it is reported again", || completion_reports() >= 2);
     assert!(
         first.elapsed() < Duration::from_millis(300),
         "{:?}",
@@ -129,7 +133,7 @@
         if m.headers["request-id"] == "out" {
             None
         } else {
-            plain("200 OK")
+            empty_response("200 OK")
         }
     });
     let (known, members) = (
@@ -138,35 +142,42 @@
     );
     let listed = known.clone();
     let (platform, asked) = serve(move |m, _| {
-        if m.first.contains("/v1/outcomes") {
-            return plain("204 No Content");
+        if m.first_line.contains("/v1/outcomes") {
+            return empty_response("204 No Content");
         }
-        let (listed, watch) = (listed.load(Ordering::Relaxed), m.first.contains("index="));
+        let (listed, watch) = (
+            listed.load(Ordering::Relaxed),
+            m.first_line.contains("index="),
+        );
         thread::sleep(Duration::from_millis(if watch { 100 } else { 0 }));
         match (listed, watch) {
-            (false, _) => plain("503 Down"),
-            (true, true) => with_body(&list(1, false, &[])),
-            (true, false) => with_body(&list(1, true, &members)),
+            (false, _) => empty_response("503 Down"),
+            (true, true) => ok_response(&endpoint_list(1, false, &[])),
+            (true, false) => ok_response(&endpoint_list(1, true, &members)),
         }
     });
-    let (_dir, state) = folder();
-    let text = config("notice", "single_shot", 200, 3.0)
+    let (_dir, state) = state_folder();
+    let text = startup_config("notice", "single_shot", 200, 3.0)
         .replace("GoalTimeUs\":2500000", "GoalTimeUs\":400000")
         .replace("Workers\":8", "Workers\":1");
     let mut forwarder = start(&state, &text, platform);
     assert_eq!(forwarder.submit("out", "notice"), 202);
-    until("the only permit is in use", || calls(&seen, "out") == 1);
+    wait_until("the only permit is in use", || {
+        count_calls(&seen, "out") == 1
+    });
     assert_eq!(forwarder.submit("untried", "notice"), 202);
     kill(&mut forwarder);
     known.store(false, Ordering::Relaxed);
     let _forwarder = start(&state, &text, platform);
     pause(1500);
     known.store(true, Ordering::Relaxed);
-    until("the list is in", || {
+    wait_until("the list is in", || {
         let asked = asked.lock().expect("the log");
-        asked.last().is_some_and(|m| m.first.contains("index="))
+        asked
+            .last()
+            .is_some_and(|m| m.first_line.contains("index="))
     });
-    until("it is tried", || calls(&seen, "untried") == 1);
+    wait_until("it is tried", || count_calls(&seen, "untried") == 1);
     let asked = asked.lock().expect("the log");
     let sent = asked
         .iter()
@@ -180,7 +191,7 @@
 #[test]
 fn a_late_acknowledgement_of_a_report_counts() {
     let (endpoint, seen) = serve(|m, _| {
-        plain(if m.headers["request-id"] == "first" {
+        empty_response(if m.headers["request-id"] == "first" {
             "503 Full"
         } else {
             "200 OK"
@@ -188,33 +199,35 @@
     });
     let members = vec![member(endpoint, 7, "Ready")];
     let (platform, asked) = serve(move |m, _| {
-        let (completion_report, watch) =
-            (m.first.contains("/v1/outcomes"), m.first.contains("index="));
+        let (completion_report, watch) = (
+            m.first_line.contains("/v1/outcomes"),
+            m.first_line.contains("index="),
+        );
         thread::sleep(Duration::from_millis(
             if completion_report { 450 } else { 0 } + if watch { 300 } else { 0 },
         ));
         match (completion_report, watch) {
-            (true, _) => plain("204 No Content"),
-            (false, true) => with_body(&list(1, false, &[])),
-            (false, false) => with_body(&list(1, true, &members)),
+            (true, _) => empty_response("204 No Content"),
+            (false, true) => ok_response(&endpoint_list(1, false, &[])),
+            (false, false) => ok_response(&endpoint_list(1, true, &members)),
         }
     });
-    let (_dir, state) = folder();
-    let text = config("notice", "guarded", 200, 3.0)
+    let (_dir, state) = state_folder();
+    let text = startup_config("notice", "guarded", 200, 3.0)
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
     let forwarder = start(&state, &text, platform);
     for (id, time) in [("first", "300"), ("second", "20000")] {
         let head = submission_head(id, "notice", 4)
             .replace("20000", time)
             .replace("\r\n\r\n", "\r\nAffinity-Key: 000b832b68ec333d\r\n\r\n");
-        assert_eq!(forwarder.ask(&head, b"body"), 202, "{id}");
+        assert_eq!(forwarder.request_status(&head, b"body"), 202, "{id}");
     }
-    until("the second follows", || calls(&seen, "second") == 1);
+    wait_until("the second follows", || count_calls(&seen, "second") == 1);
     let asked = asked.lock().expect("the log");
     assert!(
         asked
             .iter()
-            .filter(|m| m.first.contains("/v1/outcomes"))
+            .filter(|m| m.first_line.contains("/v1/outcomes"))
             .count()
             > 1,
         "it was slow for the first report"
@@ -228,16 +241,18 @@
     let gate = open.clone();
     let (endpoint, seen) = serve(move |_, _| {
         gate.load(Ordering::Relaxed)
-            .then(|| plain("200 OK"))
+            .then(|| empty_response("200 OK"))
             .flatten()
     });
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
-    let text = config("notice", "single_shot", 200, 3.0).replace("Workers\":8", "Workers\":1");
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
+    let text =
+        startup_config("notice", "single_shot", 200, 3.0).replace("Workers\":8", "Workers\":1");
     let mut forwarder = start(&state, &text, platform.address);
     let body = vec![b'x'; 40_000];
-    let submit =
-        |id: &String| forwarder.ask(&submission_head(id, "notice", body.len()), &body) == 202;
+    let submit = |id: &String| {
+        forwarder.request_status(&submission_head(id, "notice", body.len()), &body) == 202
+    };
     let accepted: Vec<String> = (0..200)
         .map(|n| format!("p{n}"))
         .take_while(submit)
@@ -250,8 +265,8 @@
     kill(&mut forwarder);
     open.store(true, Ordering::Relaxed);
     let _forwarder = start(&state, &text, platform.address); // within ten seconds
-    until("each is tried", || {
-        accepted.iter().all(|id| calls(&seen, id) == 1)
+    wait_until("each is tried", || {
+        accepted.iter().all(|id| count_calls(&seen, id) == 1)
     });
     // The one in flight at the kill may have taken effect, and must not be repeated.
     assert_eq!(
@@ -264,14 +279,14 @@
 #[test]
 fn two_sigterms_before_the_first_list_end_it_in_order() {
     let (platform, _) = silent_endpoint();
-    let (_dir, state) = folder();
+    let (_dir, state) = state_folder();
     let listen = free_address();
-    let text = config("notice", "free", 200, 3.0);
+    let text = startup_config("notice", "free", 200, 3.0);
     let child = command(&state, &text, &listen.to_string(), platform)
         .spawn()
         .expect("it starts");
     let mut forwarder = Forwarder { child, listen };
-    until("it listens", || forwarder.connect().is_ok());
+    wait_until("it listens", || forwarder.connect().is_ok());
     let begun = Instant::now();
     forwarder.signal("-TERM");
     forwarder.signal("-TERM");
@@ -289,10 +304,10 @@
 fn a_reload_that_meets_a_half_written_file_reads_it_again() {
     let (endpoint, seen) = endpoint_with("200 OK");
     let (other, seen_other) = endpoint_with("200 OK");
-    let old = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let new = platform(vec![member(other, 7, "Ready")], 0);
-    let (dir, state) = folder();
-    let text = config("notice", "free", 200, 3.0);
+    let old = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let new = start_platform(vec![member(other, 7, "Ready")], 0);
+    let (dir, state) = state_folder();
+    let text = startup_config("notice", "free", 200, 3.0);
     let mut forwarder = start(&state, &text, old.address);
     let moved = text.replacen('{', &format!("{{\"discovery\":\"{}\",", new.address), 1);
     let config_file = dir.path().join("config.json");
@@ -308,14 +323,14 @@
         pause(2500); // past any time for which it is read again
         let id = format!("before-{n}");
         assert_eq!(forwarder.submit(&id, "notice"), 202);
-        until("it goes on as before", || calls(&seen, &id) == 1);
+        wait_until("it goes on as before", || count_calls(&seen, &id) == 1);
     }
     reload_with(&moved[..moved.len() - 1]);
     pause(500);
     std::fs::write(&config_file, &moved).expect("written");
     let whole = Instant::now();
     let mut tries = 0;
-    until("the new list counts", || {
+    wait_until("the new list counts", || {
         tries += 1;
         forwarder.submit(&format!("after-{tries}"), "notice");
         !seen_other.lock().expect("the log").is_empty()
@@ -342,18 +357,18 @@
             // All but the last attempt before the kill end with an error that comes late: they may have taken effect.
             if n + 1 < attempts {
                 pause(400);
-                return plain("500 Oops");
+                return empty_response("500 Oops");
             }
-            (n >= attempts).then(|| plain("200 OK")).flatten()
+            (n >= attempts).then(|| empty_response("200 OK")).flatten()
         });
-        let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-        let (_dir, state) = folder();
-        let text = config("notice", "guarded", 200, 3.0)
+        let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+        let (_dir, state) = state_folder();
+        let text = startup_config("notice", "guarded", 200, 3.0)
             .replace("WindowUs\":15000000", "WindowUs\":1000000");
         let mut forwarder = start(&state, &text, platform.address);
         assert_eq!(forwarder.submit("out", "notice"), 202);
-        until("the last attempt before the kill is out", || {
-            calls(&seen, "out") == attempts
+        wait_until("the last attempt before the kill is out", || {
+            count_calls(&seen, "out") == attempts
         });
         kill(&mut forwarder);
         let first = begun.lock().expect("the times")[0];
@@ -362,16 +377,18 @@
         );
         let _forwarder = start(&state, &text, platform.address);
         if repeats {
-            until("it is sent again", || calls(&seen, "out") == attempts + 1);
+            wait_until("it is sent again", || {
+                count_calls(&seen, "out") == attempts + 1
+            });
             assert!(begun.lock().expect("the times")[attempts] < first + WINDOW);
         } else {
-            until("it is reported", || !report_lines(&platform).is_empty());
+            wait_until("it is reported", || !report_lines(&platform).is_empty());
             assert_eq!(
                 report_lines(&platform),
                 ["{\"id\":\"out\",\"status\":\"undeliverable\"}"]
             );
             assert_eq!(
-                calls(&seen, "out"),
+                count_calls(&seen, "out"),
                 attempts,
                 "started {down} ms after the first attempt"
             );
--- a/crates/forwarder/tests/golden.rs
+++ b/crates/forwarder/tests/golden.rs
@@ -35,11 +35,11 @@
 }
 
 /// What an endpoint was called with: request ids with idempotency key and body.
-fn called(log: &Log) -> BTreeMap<String, (Option<String>, String)> {
+fn called(log: &RequestLog) -> BTreeMap<String, (Option<String>, String)> {
     let log = log.lock().expect("the log");
     let calls = log
         .iter()
-        .filter(|message| message.first == "POST /inbox HTTP/1.1")
+        .filter(|message| message.first_line == "POST /inbox HTTP/1.1")
         .map(|message| {
             let body = String::from_utf8_lossy(&message.body).into_owned();
             (
@@ -59,16 +59,16 @@
 /// Starts the program on a copy of a stored folder, waits until all recorded calls and reports are there, and compares.
 fn takes_over(stored: &str, effect: &str, expected: &str) {
     let served: Vec<_> = [7, 8, 9, 10, 11, 65_535, 70_000, u32::MAX]
-        .map(|destination| (destination, serve(|_, _| plain("200 OK"))))
+        .map(|destination| (destination, serve(|_, _| empty_response("200 OK"))))
         .into();
     let members = served
         .iter()
         .map(|(destination, (address, _))| member(*address, *destination, "Ready"));
     // The first completion report is not acknowledged, so that it comes again.
-    let platform = platform(members.collect(), 1);
-    let (_dir, state) = folder();
+    let platform = start_platform(members.collect(), 1);
+    let (_dir, state) = state_folder();
     copy(stored, &state);
-    let text = config("notice", effect, 200, 3.0)
+    let text = startup_config("notice", effect, 200, 3.0)
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
     let _forwarder = scripted::start(PROGRAM, &state, &text, platform.address);
     let seen = || {
@@ -88,7 +88,7 @@
     };
     let recorded = recorded(expected);
     assert!(!recorded.is_empty(), "{expected}: there are lines");
-    until("all recorded calls and reports have come", || {
+    wait_until("all recorded calls and reports have come", || {
         seen().is_superset(&recorded)
     });
     thread::sleep(Duration::from_millis(500));
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -23,15 +23,15 @@
             .collect::<Vec<_>>()
     };
     let all = with_endpoint(&mut (0..OTHERS));
-    let half = list(2, true, &with_endpoint(&mut (0..OTHERS).step_by(2)));
+    let half = endpoint_list(2, true, &with_endpoint(&mut (0..OTHERS).step_by(2)));
     let unknown = vec![member(endpoint, 7, "Ready").replace(r#""a""#, r#""nowhere""#)];
-    let whole = list(2, true, &all);
+    let whole = endpoint_list(2, true, &all);
     let cut = whole[..whole.len() / 2].to_owned();
-    let platform = platform(all, 0);
-    let (_dir, state) = folder();
+    let platform = start_platform(all, 0);
+    let (_dir, state) = state_folder();
     let forwarder = start(
         &state,
-        &config("notice", "guarded", 200, 3.0),
+        &startup_config("notice", "guarded", 200, 3.0),
         platform.address,
     );
     let changes = [
@@ -39,7 +39,7 @@
         whole.clone(),
         cut,
         half,
-        list(2, false, &unknown),
+        endpoint_list(2, false, &unknown),
         whole,
     ];
     for (round, text) in changes.into_iter().enumerate() {
@@ -49,12 +49,16 @@
             assert_eq!(forwarder.submit(id, "notice"), 202, "{id}");
             pause(100); // so that the list comes amid them
         }
-        until("each is delivered", || {
-            ids.iter().all(|id| calls(&seen, id) == 1)
+        wait_until("each is delivered", || {
+            ids.iter().all(|id| count_calls(&seen, id) == 1)
         });
     }
     assert!(
-        platform.changes.lock().expect("the changes").is_empty(),
+        platform
+            .pending_changes
+            .lock()
+            .expect("the changes")
+            .is_empty(),
         "a list was not fetched"
     );
     assert!(report_bodies(&platform).is_empty());
@@ -62,7 +66,7 @@
         seen.lock()
             .expect("the log")
             .iter()
-            .filter(|m| m.first.starts_with("POST"))
+            .filter(|m| m.first_line.starts_with("POST"))
             .count(),
         60
     );
--- a/crates/forwarder/tests/program/connections.rs
+++ b/crates/forwarder/tests/program/connections.rs
@@ -11,11 +11,11 @@
 #[test]
 fn an_incomplete_request_is_answered_or_its_connection_closed_in_time() {
     let (endpoint, seen) = endpoint_with("200 OK");
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
     let forwarder = start(
         &state,
-        &config("notice", "free", 200, 3.0),
+        &startup_config("notice", "free", 200, 3.0),
         platform.address,
     );
     let head = submission_head("slow", "notice", 400);
@@ -41,7 +41,7 @@
             });
             scope.spawn(move || {
                 let begun = Instant::now();
-                assert_eq!(status(&mut reader), wanted, "{begin}");
+                assert_eq!(read_status(&mut reader), wanted, "{begin}");
                 assert!(begun.elapsed() < Duration::from_secs(3), "{begin}");
             });
         }
@@ -53,9 +53,13 @@
 #[test]
 fn with_all_connections_taken_requests_are_rejected_and_none_is_left_unanswered() {
     let (endpoint, seen) = endpoint_with("200 OK");
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
-    let forwarder = start(&state, &config("notice", "free", 80, 3.0), platform.address);
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
+    let forwarder = start(
+        &state,
+        &startup_config("notice", "free", 80, 3.0),
+        platform.address,
+    );
     // Connections with half a request: none of them is idle, so none can be closed for others.
     let mut busy: Vec<TcpStream> = (0..120)
         .map(|n| {
@@ -73,7 +77,7 @@
         stream.write_all(b"body").expect("it is still open");
     }
     for stream in &mut busy {
-        *statuses.entry(status(stream)).or_insert(0) += 1;
+        *statuses.entry(read_status(stream)).or_insert(0) += 1;
     }
     assert_eq!(
         statuses.keys().copied().collect::<Vec<_>>(),
@@ -103,25 +107,25 @@
             stream
                 .write_all(&[head.as_bytes(), b"body"].concat())
                 .expect("written");
-            assert!([202, 503].contains(&status(&mut stream)));
+            assert!([202, 503].contains(&read_status(&mut stream)));
             stream
         })
         .collect();
-    until("it accepts messages again", || {
+    wait_until("it accepts messages again", || {
         forwarder.submit("last", "notice") == 202
     });
-    until("it is delivered", || calls(&seen, "last") >= 1);
+    wait_until("it is delivered", || count_calls(&seen, "last") >= 1);
 }
 
 /// Clients may share a bound on connections: those that keep theirs after one request must leave some for the others.
 #[test]
 fn of_many_idle_connections_the_longest_idle_are_closed() {
     let (endpoint, _) = endpoint_with("200 OK");
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
     let forwarder = start(
         &state,
-        &config("notice", "free", 200, 3.0),
+        &startup_config("notice", "free", 200, 3.0),
         platform.address,
     );
     let ask = |n: usize| {
@@ -130,7 +134,7 @@
         stream
             .write_all(&[head.as_bytes(), b"body"].concat())
             .expect("written");
-        assert_eq!(status(&mut stream), 202);
+        assert_eq!(read_status(&mut stream), 202);
         stream
     };
     let mut asked: Vec<TcpStream> = (0..60).map(ask).collect();
@@ -165,15 +169,15 @@
     let members: Vec<String> = served
         .chain((300..1_024).map(|n| other(n, "Ready")))
         .collect();
-    let platform = platform(members.clone(), 0);
-    let (_dir, state) = folder();
+    let platform = start_platform(members.clone(), 0);
+    let (_dir, state) = state_folder();
     let unknown_sender = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let listen = UdpSocket::bind("127.0.0.1:0")
         .and_then(|free| free.local_addr())
         .expect("an address");
     let (peers, known): (Vec<_>, _) = (
         (0..1_024).map(|n| host(8, n)).collect(),
-        list(1, true, &members),
+        endpoint_list(1, true, &members),
     );
     let keys = format!(
         "\"peer_listen\":\"{listen}\",\"peers\":{peers:?},\"peers_all\":{:?},\"known\":{known}",
@@ -181,7 +185,7 @@
     );
     let forwarder = start(
         &state,
-        &with_further_keys(&config("notice", "guarded", 256, 3.0), &keys),
+        &with_further_keys(&startup_config("notice", "guarded", 256, 3.0), &keys),
         platform.address,
     );
     for _ in 0..200 {
@@ -190,24 +194,24 @@
     // The last one is sent first: one that is cut off.
     let mut changes: Vec<String> = (300..1_024)
         .rev()
-        .map(|n| list(n as u64, false, &[other(n, "Gone")]))
+        .map(|n| endpoint_list(n as u64, false, &[other(n, "Gone")]))
         .collect();
     changes.push(known[..known.len() / 2].to_owned());
-    *platform.changes.lock().expect("the changes") = changes;
+    *platform.pending_changes.lock().expect("the changes") = changes;
     for cell in 0..300 {
         let head = submission_head(&format!("p{cell}"), "notice", 4)
             .replace("dest=7", &format!("dest={cell}"));
-        assert_eq!(forwarder.ask(&head, b"body"), 202, "{cell}");
+        assert_eq!(forwarder.request_status(&head, b"body"), 202, "{cell}");
     }
     let delivered = || {
         seens
             .iter()
             .zip(0..)
-            .all(|(seen, n): (_, u32)| calls(seen, &format!("p{n}")) == 1)
+            .all(|(seen, n): (_, u32)| count_calls(seen, &format!("p{n}")) == 1)
     };
-    until("each endpoint got its message, once", delivered);
+    wait_until("each endpoint got its message, once", delivered);
     until_changes_are_sent(&platform);
-    let (memory, open) = forwarder.holds();
+    let (memory, open) = forwarder.resource_usage();
     assert!(
         memory < 64 * 1024 && open < 256,
         "{memory} kB, {open} descriptors"
--- a/crates/forwarder/tests/program/restarts.rs
+++ b/crates/forwarder/tests/program/restarts.rs
@@ -15,18 +15,18 @@
             if hangs {
                 None
             } else {
-                plain("200 OK")
+                empty_response("200 OK")
             }
         });
-        let platform = platform(vec![member(endpoint, 7, "Ready")], 1);
-        let (_dir, state) = folder();
-        let text = config("notice", effect, 200, 3.0);
+        let platform = start_platform(vec![member(endpoint, 7, "Ready")], 1);
+        let (_dir, state) = state_folder();
+        let text = startup_config("notice", effect, 200, 3.0);
         let mut forwarder = start(&state, &text, platform.address);
         assert_eq!(forwarder.submit("done", "notice"), 202);
-        until("one is delivered", || calls(&seen, "done") == 1);
+        wait_until("one is delivered", || count_calls(&seen, "done") == 1);
         pause(50);
         assert_eq!(forwarder.submit("out", "notice"), 202);
-        until("the other is out", || calls(&seen, "out") == 1);
+        wait_until("the other is out", || count_calls(&seen, "out") == 1);
         assert_eq!(
             forwarder.submit("out", "notice"),
             202,
@@ -37,7 +37,7 @@
         if effect == "single_shot" {
             let line = "{\"id\":\"out\",\"status\":\"undeliverable\"}\n";
             // The first report is not acknowledged, so it is repeated.
-            until("it is reported twice", || {
+            wait_until("it is reported twice", || {
                 report_bodies(&platform) == [line, line]
             });
             pause(300);
@@ -46,13 +46,13 @@
                 2,
                 "one acknowledgement is enough"
             );
-            assert_eq!(calls(&seen, "out"), 1);
+            assert_eq!(count_calls(&seen, "out"), 1);
         } else {
-            until("it is sent again", || calls(&seen, "out") == 2);
+            wait_until("it is sent again", || count_calls(&seen, "out") == 2);
             pause(300);
             assert!(report_bodies(&platform).is_empty());
         }
-        assert_eq!(calls(&seen, "done"), 1);
+        assert_eq!(count_calls(&seen, "done"), 1);
     }
 }
 
@@ -63,13 +63,13 @@
             Some("stuck") => None,
             _ => {
                 pause(400);
-                plain("200 OK")
+                empty_response("200 OK")
             }
         },
     );
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
-    let text = config("notice", "free", 200, 3.0);
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
+    let text = startup_config("notice", "free", 200, 3.0);
     let mut forwarder = start(&state, &text, platform.address);
     assert_eq!(forwarder.submit("stuck", "notice"), 202);
     assert_eq!(forwarder.submit("before", "notice"), 202);
@@ -83,11 +83,11 @@
     pause(100);
     assert_eq!(forwarder.submit("after", "notice"), 202);
     half.write_all(b"body").expect("written");
-    assert_eq!(status(&mut half), 202);
+    assert_eq!(read_status(&mut half), 202);
     fresh
         .write_all(&[submission_head("fresh", "notice", 4).as_bytes(), b"body"].concat())
         .expect("written");
-    assert_eq!(status(&mut fresh), 202);
+    assert_eq!(read_status(&mut fresh), 202);
     let code = loop {
         if let Some(code) = forwarder.child.try_wait().expect("its state") {
             break code;
@@ -100,12 +100,12 @@
     };
     assert_eq!(code.code(), Some(0));
     for id in ["before", "after", "half", "fresh"] {
-        assert_eq!(calls(&seen, id), 1, "{id}");
+        assert_eq!(count_calls(&seen, id), 1, "{id}");
     }
-    let before = calls(&seen, "stuck");
+    let before = count_calls(&seen, "stuck");
     let _forwarder = start(&state, &text, platform.address);
-    until("the rest goes on", || calls(&seen, "stuck") > before);
-    assert_eq!(calls(&seen, "before"), 1);
+    wait_until("the rest goes on", || count_calls(&seen, "stuck") > before);
+    assert_eq!(count_calls(&seen, "before"), 1);
 }
 
 /// Rules 1 and 2 for destinations whose number has more than 16 bits: accepted, recovered after a kill, delivered there.
@@ -116,42 +116,42 @@
         if hangs {
             None
         } else {
-            plain("200 OK")
+            empty_response("200 OK")
         }
     });
     // The destination of the number's low 16 bits is another.
     let (other, seen_other) = endpoint_with("200 OK");
-    let platform = platform(
+    let platform = start_platform(
         vec![
             member(endpoint, 70_000, "Ready"),
             member(other, 70_000 - 65_536, "Ready"),
         ],
         0,
     );
-    let (_dir, state) = folder();
-    let text = config("notice", "free", 200, 3.0);
+    let (_dir, state) = state_folder();
+    let text = startup_config("notice", "free", 200, 3.0);
     let mut forwarder = start(&state, &text, platform.address);
     let submit = |forwarder: &Forwarder, id: &str, destination: &str| {
         let head =
             submission_head(id, "notice", 4).replace("dest=7", &format!("dest={destination}"));
-        forwarder.ask(&head, b"body")
+        forwarder.request_status(&head, b"body")
     };
     assert_eq!(submit(&forwarder, "done", "70000"), 202);
-    until("one is delivered", || calls(&seen, "done") == 1);
+    wait_until("one is delivered", || count_calls(&seen, "done") == 1);
     assert_eq!(submit(&forwarder, "out", "70000"), 202);
-    until("the other is out", || calls(&seen, "out") == 1);
+    wait_until("the other is out", || count_calls(&seen, "out") == 1);
     assert_eq!(submit(&forwarder, "none", "70001"), 503);
     assert_eq!(submit(&forwarder, "none", "4294967295"), 503);
     assert_eq!(submit(&forwarder, "none", "4294967296"), 400);
     kill(&mut forwarder);
     let _forwarder = start(&state, &text, platform.address);
-    until("it is sent again", || calls(&seen, "out") == 2);
+    wait_until("it is sent again", || count_calls(&seen, "out") == 2);
     pause(300);
     assert_eq!(
         (
-            calls(&seen, "done"),
-            calls(&seen, "out"),
-            calls(&seen, "none")
+            count_calls(&seen, "done"),
+            count_calls(&seen, "out"),
+            count_calls(&seen, "none")
         ),
         (1, 2, 0)
     );
@@ -165,11 +165,11 @@
     for effect in ["guarded", "single_shot"] {
         let (endpoint, seen) = serve(|_, n| {
             pause(20);
-            plain(if n % 8 == 7 { "503 Full" } else { "200 OK" })
+            empty_response(if n % 8 == 7 { "503 Full" } else { "200 OK" })
         });
-        let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-        let (_dir, state) = folder();
-        let text = config("notice", effect, 200, 3.0);
+        let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+        let (_dir, state) = state_folder();
+        let text = startup_config("notice", effect, 200, 3.0);
         let mut forwarder = start(&state, &text, platform.address);
         let mut accepted = Vec::new();
         for round in 0..3 {
@@ -197,11 +197,11 @@
                 .rposition(|m| m.headers.get("request-id") == Some(id));
             reported(id) || last.is_some_and(|n| n % 8 != 7)
         };
-        until("each message is over", || accepted.iter().all(is_over));
+        wait_until("each message is over", || accepted.iter().all(is_over));
         if effect == "single_shot" {
             let served = |id: &String| {
                 let log = seen.lock().expect("the log");
-                let ran = |(n, m): &(usize, &Message)| {
+                let ran = |(n, m): &(usize, &HttpMessage)| {
                     n % 8 != 7 && m.headers.get("request-id") == Some(id)
                 };
                 log.iter().enumerate().filter(ran).count()
--- a/crates/forwarder/tests/scenarios.rs
+++ b/crates/forwarder/tests/scenarios.rs
@@ -10,8 +10,8 @@
 fn on_sockets(scenario: &Scenario, seed: u64) -> Outcome {
     let options = SocketRunOptions {
         program: env!("CARGO_BIN_EXE_opalpulley-forwarder").into(),
-        logs: None,
-        pin: None,
+        log_folder: None,
+        pinned_core: None,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
--- a/crates/lab/src/capacity/backlog.rs
+++ b/crates/lab/src/capacity/backlog.rs
@@ -9,7 +9,7 @@
 use super::process::startup_config::Shape;
 use super::slope::{show, Row, Table};
 use crate::capacity::error::CapacityError;
-use crate::sockets::run::program_beside;
+use crate::sockets::run::default_forwarder_program;
 use clap::Args;
 use core_point::CorePoint;
 use process_point::ProcessPoint;
@@ -44,7 +44,9 @@
 
 impl Options {
     fn program(&self) -> PathBuf {
-        self.forwarder.clone().unwrap_or_else(program_beside)
+        self.forwarder
+            .clone()
+            .unwrap_or_else(default_forwarder_program)
     }
 
     /// The start-up configuration's figures for so many waiting messages.
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -10,7 +10,7 @@
 use super::outputs::Outputs;
 use super::slope::{show, Row, Table};
 use crate::capacity::error::CapacityError;
-use crate::sockets::run::program_beside;
+use crate::sockets::run::default_forwarder_program;
 use clap::Args;
 use point::{measure, Point};
 use startup_config::Shape;
@@ -67,7 +67,9 @@
 
 impl Options {
     fn program(&self) -> PathBuf {
-        self.forwarder.clone().unwrap_or_else(program_beside)
+        self.forwarder
+            .clone()
+            .unwrap_or_else(default_forwarder_program)
     }
 
     fn shape(&self) -> Shape {
--- a/crates/lab/src/capacity/process/load.rs
+++ b/crates/lab/src/capacity/process/load.rs
@@ -1,6 +1,6 @@
 //! Messages that a measured forwarder gets, at an even pace from a few clients.
 
-use crate::sockets::wire::Conn;
+use crate::sockets::wire::HttpConnection;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -67,7 +67,7 @@
     /// The number of the next message of all clients.
     next: Arc<AtomicUsize>,
     accepted: Arc<AtomicU64>,
-    kept: Option<Conn>,
+    kept: Option<HttpConnection>,
 }
 
 impl Client {
@@ -91,10 +91,10 @@
     async fn submit(&mut self, request: &str) -> io::Result<u16> {
         let mut conn = match self.kept.take() {
             Some(conn) => conn,
-            None => Conn::new(TcpStream::connect(self.listen).await?),
+            None => HttpConnection::new(TcpStream::connect(self.listen).await?),
         };
         conn.write(request.as_bytes()).await?;
-        let answer = conn.answer().await?;
+        let answer = conn.read_response().await?;
         self.kept = Some(conn);
         Ok(answer.status)
     }
--- a/crates/lab/src/capacity/process/standins.rs
+++ b/crates/lab/src/capacity/process/standins.rs
@@ -1,7 +1,7 @@
 //! What stands round the forwarder: targets that answer 200, and discovery that tells one list. All of it listens on
 //! loopback addresses only.
 
-use crate::sockets::wire::Conn;
+use crate::sockets::wire::HttpConnection;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::io;
@@ -54,11 +54,11 @@
         let (listener, calls) = (listen(listed.address(*target).into())?, calls.clone());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (mut conn, calls) = (Conn::new(stream), calls.clone());
+                let (mut conn, calls) = (HttpConnection::new(stream), calls.clone());
                 tokio::spawn(async move {
-                    while let Ok(Some(_)) = conn.request().await {
+                    while let Ok(Some(_)) = conn.read_request().await {
                         calls.fetch_add(1, Ordering::Relaxed);
-                        if conn.reply("200 OK", "", "").await.is_err() {
+                        if conn.respond("200 OK", "", "").await.is_err() {
                             return;
                         }
                     }
@@ -80,9 +80,9 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let (mut conn, list, completion_reports) =
-                (Conn::new(stream), list.clone(), counted.clone());
+                (HttpConnection::new(stream), list.clone(), counted.clone());
             tokio::spawn(async move {
-                while let Ok(Some(asked)) = conn.request().await {
+                while let Ok(Some(asked)) = conn.read_request().await {
                     let wait = asked
                         .path
                         .split_once("wait=")
@@ -90,15 +90,15 @@
                     let answered = match wait {
                         _ if asked.method == "POST" => {
                             completion_reports.fetch_add(1, Ordering::Relaxed);
-                            conn.reply("204 No Content", "", "").await
+                            conn.respond("204 No Content", "", "").await
                         }
                         Some(wait) => {
                             let wait = wait.unwrap_or(0).min(LONGEST_WATCH);
                             tokio::time::sleep(Duration::from_millis(wait)).await;
                             let nothing = r#"{"revision":1,"complete":false,"members":[]}"#;
-                            conn.reply("200 OK", "", nothing).await
+                            conn.respond("200 OK", "", nothing).await
                         }
-                        None => conn.reply("200 OK", "", &list).await,
+                        None => conn.respond("200 OK", "", &list).await,
                     };
                     if answered.is_err() {
                         return;
--- a/crates/lab/src/capacity/process/subject.rs
+++ b/crates/lab/src/capacity/process/subject.rs
@@ -2,7 +2,7 @@
 
 use crate::capacity::error::CapacityError;
 use crate::capacity::usage::Usage;
-use crate::sockets::wire::Conn;
+use crate::sockets::wire::HttpConnection;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -139,9 +139,9 @@
 
     /// The status of one request on a connection of its own; none where there was no answer.
     async fn ask(&self, text: &str) -> Option<u16> {
-        let mut conn = Conn::new(TcpStream::connect(self.listen).await.ok()?);
+        let mut conn = HttpConnection::new(TcpStream::connect(self.listen).await.ok()?);
         conn.write(text.as_bytes()).await.ok()?;
-        conn.answer().await.ok().map(|answer| answer.status)
+        conn.read_response().await.ok().map(|answer| answer.status)
     }
 
     /// Waits until it is up; gives the time since `begun`, s.
--- a/crates/lab/src/commands/compare.rs
+++ b/crates/lab/src/commands/compare.rs
@@ -9,7 +9,7 @@
 use opalpulley_lab::experiments::compare::{compare, Verdict};
 use opalpulley_lab::experiments::{in_parallel, simulate, threads};
 use opalpulley_lab::scenario::Scenario;
-use opalpulley_lab::sockets::run::{program_beside, run, SocketRunOptions};
+use opalpulley_lab::sockets::run::{default_forwarder_program, run, SocketRunOptions};
 use opalpulley_lab::subject::ForwarderVariant;
 use opalpulley_lab::tally::Outcome;
 use std::path::{Path, PathBuf};
@@ -164,9 +164,12 @@
 
     fn play_on_sockets(&self, seed: u64) -> Result<Outcome, CommandError> {
         let means = SocketRunOptions {
-            program: self.forwarder.clone().unwrap_or_else(program_beside),
-            logs: None,
-            pin: None,
+            program: self
+                .forwarder
+                .clone()
+                .unwrap_or_else(default_forwarder_program),
+            log_folder: None,
+            pinned_core: None,
         };
         let played = runtime()?.block_on(run(&self.scenario, seed, &means, |_, _| {}));
         let (outcome, _usage) = played?;
--- a/crates/lab/src/commands/load.rs
+++ b/crates/lab/src/commands/load.rs
@@ -5,7 +5,7 @@
 use super::play::runtime;
 use super::{CommandResult, EXIT_VOID};
 use clap::Args;
-use opalpulley_lab::sockets::without_forwarders::load_only;
+use opalpulley_lab::sockets::without_forwarders::run_load_only;
 use opalpulley_lab::tally::Outcome;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -27,7 +27,7 @@
     let scenario = options.world.load_scenario(&options.scenario)?;
     let bar = progress_bar(&scenario.name);
     let seed = options.world.seed_for(&scenario);
-    let load = load_only(&scenario, seed, &options.to, progress_of(&bar));
+    let load = run_load_only(&scenario, seed, &options.to, progress_of(&bar));
     let outcome = runtime()?.block_on(load)?;
     bar.finish_and_clear();
     print_counts(&outcome);
--- a/crates/lab/src/commands/play.rs
+++ b/crates/lab/src/commands/play.rs
@@ -6,7 +6,7 @@
 use super::EXIT_VOID;
 use opalpulley_lab::scenario::Scenario;
 use opalpulley_lab::sim::Sim;
-use opalpulley_lab::sockets::run::{program_beside, run, SocketRunOptions};
+use opalpulley_lab::sockets::run::{default_forwarder_program, run, SocketRunOptions};
 use opalpulley_lab::tally::Outcome;
 use std::process::ExitCode;
 use std::time::Instant;
@@ -53,7 +53,10 @@
     seed: u64,
     clocks: &ClockOptions,
 ) -> Result<Outcome, CommandError> {
-    let program = clocks.forwarder.clone().unwrap_or_else(program_beside);
+    let program = clocks
+        .forwarder
+        .clone()
+        .unwrap_or_else(default_forwarder_program);
     if !program.is_file() {
         return Err(CommandError::NoForwarderProgram { program });
     }
@@ -62,17 +65,17 @@
     }
     let means = SocketRunOptions {
         program,
-        logs: clocks.logs.clone(),
-        pin: clocks.pin,
+        log_folder: clocks.logs.clone(),
+        pinned_core: clocks.pin,
     };
     let bar = progress_bar(&scenario.name);
     let (outcome, usage) = runtime()?.block_on(run(scenario, seed, &means, progress_of(&bar)))?;
     bar.finish_and_clear();
     eprintln!(
         "forwarders used {:.1} us of CPU a message, {:.2} of a core, {:.1} MB the largest",
-        usage.cpu as f64 / outcome.counts.due.max(1) as f64,
-        usage.cpu as f64 / 1e6 / usage.seconds,
-        usage.memory as f64 / 1e6
+        usage.cpu_micros as f64 / outcome.counts.due.max(1) as f64,
+        usage.cpu_micros as f64 / 1e6 / usage.seconds,
+        usage.peak_memory_bytes as f64 / 1e6
     );
     Ok(outcome)
 }
--- a/crates/lab/src/commands/stand_ins.rs
+++ b/crates/lab/src/commands/stand_ins.rs
@@ -7,7 +7,7 @@
 use super::CommandResult;
 use clap::Args;
 use opalpulley_lab::scenario::Scenario;
-use opalpulley_lab::sockets::without_forwarders::stand_ins;
+use opalpulley_lab::sockets::without_forwarders::start_stand_ins;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -37,7 +37,7 @@
 }
 
 async fn serve(scenario: &Scenario, seed: u64, options: &Options) -> CommandResult {
-    let addresses = stand_ins(scenario, seed, options.discovery_port).await?;
+    let addresses = start_stand_ins(scenario, seed, options.discovery_port).await?;
     let discovery = addresses.discovery;
     if let Some(path) = &options.startup_config {
         write_startup_config(path, scenario, seed, options.listen, discovery)?;
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -18,14 +18,14 @@
 
 /// One message as it came: first line, headers by name in small letters, body.
 #[derive(Clone, Debug, Default)]
-pub struct Message {
-    pub first: String,
+pub struct HttpMessage {
+    pub first_line: String,
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
 }
 
 /// Reads one message; nothing at the end of the connection.
-pub fn read_message(stream: &mut TcpStream) -> Option<Message> {
+pub fn read_http_message(stream: &mut TcpStream) -> Option<HttpMessage> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
@@ -36,52 +36,52 @@
     }
     let text = String::from_utf8(head).expect("a head is text");
     let mut lines = text.lines();
-    let first = lines.next()?.to_owned();
+    let first_line = lines.next()?.to_owned();
     let headers: BTreeMap<String, String> = lines
-        .filter_map(|l| l.split_once(": "))
-        .map(|(n, v)| (n.to_lowercase(), v.to_owned()))
+        .filter_map(|line| line.split_once(": "))
+        .map(|(name, value)| (name.to_lowercase(), value.to_owned()))
         .collect();
     let length = headers
         .get("content-length")
-        .map_or(0, |l| l.parse().expect("a length"));
+        .map_or(0, |length| length.parse().expect("a length"));
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
-    Some(Message {
-        first,
+    Some(HttpMessage {
+        first_line,
         headers,
         body,
     })
 }
 
 /// What came, in order.
-pub type Log = Arc<Mutex<Vec<Message>>>;
+pub type RequestLog = Arc<Mutex<Vec<HttpMessage>>>;
 
 /// A server that logs the requests and answers them by a function; where that gives no answer, the request stays open.
 pub fn serve(
-    answer: impl Fn(&Message, usize) -> Option<String> + Send + Sync + 'static,
-) -> (SocketAddr, Log) {
-    serve_at(TcpListener::bind("127.0.0.1:0").expect("a port"), answer)
+    respond: impl Fn(&HttpMessage, usize) -> Option<String> + Send + Sync + 'static,
+) -> (SocketAddr, RequestLog) {
+    serve_on(TcpListener::bind("127.0.0.1:0").expect("a port"), respond)
 }
 
-fn serve_at(
+fn serve_on(
     listener: TcpListener,
-    answer: impl Fn(&Message, usize) -> Option<String> + Send + Sync + 'static,
-) -> (SocketAddr, Log) {
+    respond: impl Fn(&HttpMessage, usize) -> Option<String> + Send + Sync + 'static,
+) -> (SocketAddr, RequestLog) {
     let address = listener.local_addr().expect("its address");
-    let (log, answer) = (Log::default(), Arc::new(answer));
+    let (log, respond) = (RequestLog::default(), Arc::new(respond));
     let seen = log.clone();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, seen, answer) =
-                (stream.expect("a connection"), seen.clone(), answer.clone());
+            let (mut stream, seen, respond) =
+                (stream.expect("a connection"), seen.clone(), respond.clone());
             thread::spawn(move || {
-                while let Some(message) = read_message(&mut stream) {
-                    let before = {
+                while let Some(message) = read_http_message(&mut stream) {
+                    let request_index = {
                         let mut seen = seen.lock().expect("the log");
                         seen.push(message.clone());
                         seen.len() - 1
                     };
-                    match answer(&message, before) {
+                    match respond(&message, request_index) {
                         Some(text) => stream.write_all(text.as_bytes()).expect("answered"),
                         None => _ = stream.read(&mut [0]), // until the other side gives up
                     }
@@ -94,47 +94,47 @@
 
 /// A listener whose backlog is full, so that connections do not come up until it is opened. Those that were tried
 /// meanwhile come up as the kernel tries again, a second later.
-pub struct SlowListener {
+pub struct FullBacklogListener {
     listener: TcpListener,
-    line: Vec<TcpStream>,
+    filling_connections: Vec<TcpStream>,
     pub address: SocketAddr,
 }
 
-impl SlowListener {
+impl FullBacklogListener {
     /// At a free port of that address of this machine.
-    pub fn shut(host: &str) -> SlowListener {
+    pub fn bind(host: &str) -> FullBacklogListener {
         let listener = TcpListener::bind((host, 0)).expect("a port");
         SockRef::from(&listener).listen(0).expect("a short line");
         let address = listener.local_addr().expect("its address");
-        let join = || TcpStream::connect_timeout(&address, Duration::from_millis(50)).ok();
-        let line = std::iter::from_fn(join).collect();
-        SlowListener {
+        let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(50)).ok();
+        let filling_connections = std::iter::from_fn(connect).collect();
+        FullBacklogListener {
             listener,
-            line,
+            filling_connections,
             address,
         }
     }
 
     /// Serves from now on, as [`serve`] does.
-    pub fn open(
+    pub fn accept_and_serve(
         self,
-        answer: impl Fn(&Message, usize) -> Option<String> + Send + Sync + 'static,
-    ) -> (SocketAddr, Log) {
+        respond: impl Fn(&HttpMessage, usize) -> Option<String> + Send + Sync + 'static,
+    ) -> (SocketAddr, RequestLog) {
         SockRef::from(&self.listener).listen(16).expect("a line");
-        for _ in &self.line {
+        for _ in &self.filling_connections {
             self.listener.accept().expect("one of the line");
         }
-        serve_at(self.listener, answer)
+        serve_on(self.listener, respond)
     }
 }
 
 /// An answer without a body.
-pub fn plain(status: &str) -> Option<String> {
+pub fn empty_response(status: &str) -> Option<String> {
     Some(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n"))
 }
 
 /// 200 with a body.
-pub fn with_body(body: &str) -> Option<String> {
+pub fn ok_response(body: &str) -> Option<String> {
     Some(format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -142,19 +142,24 @@
 }
 
 /// One member of a list, as discovery writes it; it is named by its port.
-pub fn member(target: SocketAddr, cell: u32, phase: &str) -> String {
-    member_named(&format!("s-{}", target.port()), target, cell, phase)
+pub fn member(endpoint: SocketAddr, destination: u32, phase: &str) -> String {
+    member_named(
+        &format!("s-{}", endpoint.port()),
+        endpoint,
+        destination,
+        phase,
+    )
 }
 
 /// One member under a name of its own.
-pub fn member_named(id: &str, target: SocketAddr, cell: u32, phase: &str) -> String {
+pub fn member_named(id: &str, endpoint: SocketAddr, destination: u32, phase: &str) -> String {
     format!(
-        r#"{{"id":"{id}","host_port":"{target}","locality":"a","flavor":"m","cell":{cell},"phase":"{phase}","size":50.0,"up_since_ms":0}}"#
+        r#"{{"id":"{id}","host_port":"{endpoint}","locality":"a","flavor":"m","cell":{destination},"phase":"{phase}","size":50.0,"up_since_ms":0}}"#
     )
 }
 
 /// A list, or changes to it.
-pub fn list(revision: u64, complete: bool, members: &[String]) -> String {
+pub fn endpoint_list(revision: u64, complete: bool, members: &[String]) -> String {
     format!(
         r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#,
         members.join(",")
@@ -165,42 +170,42 @@
 pub struct Platform {
     pub address: SocketAddr,
     /// The requests with completion reports.
-    pub completion_reports: Log,
+    pub completion_reports: RequestLog,
     /// The next watches get these, the last one first.
-    pub changes: Arc<Mutex<Vec<String>>>,
+    pub pending_changes: Arc<Mutex<Vec<String>>>,
 }
 
 /// `deaf` completion reports are answered with an error first.
-pub fn platform(members: Vec<String>, refused_reports: usize) -> Platform {
-    let changes: Arc<Mutex<Vec<String>>> = Arc::default();
-    let completion_reports = Log::default();
-    let (pending, reports) = (changes.clone(), completion_reports.clone());
+pub fn start_platform(members: Vec<String>, refused_reports: usize) -> Platform {
+    let pending_changes: Arc<Mutex<Vec<String>>> = Arc::default();
+    let completion_reports = RequestLog::default();
+    let (changes, reports) = (pending_changes.clone(), completion_reports.clone());
     let (address, _) = serve(move |message, _| {
-        if message.first.starts_with("POST /v1/outcomes") {
+        if message.first_line.starts_with("POST /v1/outcomes") {
             let mut reports = reports.lock().expect("the reports");
             reports.push(message.clone());
-            return plain(if reports.len() > refused_reports {
+            return empty_response(if reports.len() > refused_reports {
                 "204 No Content"
             } else {
                 "500 Oops"
             });
         }
-        if !message.first.contains("index=") {
-            return with_body(&list(1, true, &members));
+        if !message.first_line.contains("index=") {
+            return ok_response(&endpoint_list(1, true, &members));
         }
-        let begun = Instant::now();
-        while begun.elapsed() < Duration::from_millis(300) {
-            if let Some(change) = pending.lock().expect("the changes").pop() {
-                return with_body(&change);
+        let started = Instant::now();
+        while started.elapsed() < Duration::from_millis(300) {
+            if let Some(change) = changes.lock().expect("the changes").pop() {
+                return ok_response(&change);
             }
             thread::sleep(Duration::from_millis(5));
         }
-        with_body(&list(1, false, &[]))
+        ok_response(&endpoint_list(1, false, &[]))
     });
     Platform {
         address,
         completion_reports,
-        changes,
+        pending_changes,
     }
 }
 
@@ -218,7 +223,7 @@
 }
 
 /// Start-up configuration with one profile; effects by their names on the wire.
-pub fn config(profile: &str, effect: &str, sockets: usize, disk_mb: f64) -> String {
+pub fn startup_config(profile: &str, effect: &str, sockets: usize, disk_mb: f64) -> String {
     format!(
         r#"{{"name":"n0","seed":"8c1f30d27a5be964","limits":{{"memory_mb":192,"sockets":{sockets},"disk_mb":{disk_mb}}},
         "settings":{{"Azs":["a"],"Balancers":1,"Me":0,"HostTypes":["m"],"QuantumUs":5000,"Weights":"nominal",
@@ -241,7 +246,7 @@
 pub fn command(
     program: &str,
     state: &Path,
-    text: &str,
+    config: &str,
     listen: &str,
     discovery: SocketAddr,
 ) -> Command {
@@ -249,7 +254,7 @@
         .parent()
         .expect("a folder round it")
         .join("config.json");
-    std::fs::write(&config_file, text).expect("the configuration is written");
+    std::fs::write(&config_file, config).expect("the configuration is written");
     let mut command = Command::new(program);
     command
         .env("GW_CONFIG", config_file)
@@ -265,45 +270,48 @@
 }
 
 /// A folder that lasts as long as the first of these.
-pub fn folder() -> (TempDir, std::path::PathBuf) {
-    let dir = TempDir::new().expect("a folder");
-    let state = dir.path().join("state");
+pub fn state_folder() -> (TempDir, std::path::PathBuf) {
+    let folder = TempDir::new().expect("a folder");
+    let state = folder.path().join("state");
     std::fs::create_dir(&state).expect("a folder in it");
-    (dir, state)
+    (folder, state)
 }
 
 /// An address on which nobody listens, on a loopback host that no other test uses: nobody else
 /// can take the port before the program does.
 fn unused_address() -> SocketAddr {
     static HOSTS: AtomicU32 = AtomicU32::new(0);
-    let number = HOSTS.fetch_add(1, Ordering::Relaxed);
+    let host_number = HOSTS.fetch_add(1, Ordering::Relaxed);
     let [_, process_high, process_low, _] = (std::process::id() << 8).to_be_bytes();
-    let [.., number_low] = number.to_be_bytes();
+    let [.., host_number_low] = host_number.to_be_bytes();
     // Not in 127.0.0.0/16, where scripted peers listen, nor the last address of 127.0.0.0/8.
-    let second = 1 + process_high % 128;
-    let host = Ipv4Addr::new(127, second, process_low, number_low);
+    let second_octet = 1 + process_high % 128;
+    let host = Ipv4Addr::new(127, second_octet, process_low, host_number_low);
     let listener = TcpListener::bind((host, 0)).expect("a port");
     listener.local_addr().expect("its address")
 }
 
 /// Starts the program and waits until it is up.
-pub fn start(program: &str, state: &Path, text: &str, discovery: SocketAddr) -> Forwarder {
+pub fn start(program: &str, state: &Path, config: &str, discovery: SocketAddr) -> Forwarder {
     let listen = unused_address();
-    let child = command(program, state, text, &listen.to_string(), discovery)
+    let child = command(program, state, config, &listen.to_string(), discovery)
         .spawn()
         .expect("the program starts");
     let forwarder = Forwarder { child, listen };
-    until("it is up", || {
-        forwarder.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n", b"") == 200
+    wait_until("it is up", || {
+        forwarder.request_status("GET /up HTTP/1.1\r\nHost: x\r\n\r\n", b"") == 200
     });
     forwarder
 }
 
 /// Waits until something is so; panics where it does not come.
-pub fn until(what: &str, mut done: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !done() {
-        assert!(begun.elapsed() < MAX_WAIT, "waited in vain until {what}");
+pub fn wait_until(condition: &str, mut is_met: impl FnMut() -> bool) {
+    let started = Instant::now();
+    while !is_met() {
+        assert!(
+            started.elapsed() < MAX_WAIT,
+            "waited in vain until {condition}"
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -325,33 +333,34 @@
     }
 
     /// The status of one request on a connection of its own; 0 where none came.
-    pub fn ask(&self, head: &str, body: &[u8]) -> u16 {
+    pub fn request_status(&self, head: &str, body: &[u8]) -> u16 {
         let Ok(mut stream) = self.connect() else {
             return 0;
         };
         // A server that has seen enough may close while the rest is written.
         let _ = stream.write_all(&[head.as_bytes(), body].concat());
-        status(&mut stream)
+        read_status(&mut stream)
     }
 
     /// Submits a message of four bytes and gives the status.
     pub fn submit(&self, id: &str, path: &str) -> u16 {
-        self.ask(&submission_head(id, path, 4), b"body")
+        self.request_status(&submission_head(id, path, 4), b"body")
     }
 
     /// What the process holds now: kilobytes of memory, open descriptors.
-    pub fn holds(&self) -> (u64, usize) {
-        let of = format!("/proc/{}", self.child.id());
-        let status = std::fs::read_to_string(format!("{of}/status")).expect("its status");
+    pub fn resource_usage(&self) -> (u64, usize) {
+        let process_folder = format!("/proc/{}", self.child.id());
+        let status =
+            std::fs::read_to_string(format!("{process_folder}/status")).expect("its status");
         let memory = status
             .lines()
-            .find_map(|l| l.strip_prefix("VmRSS:")?.trim().strip_suffix(" kB"));
-        let open = std::fs::read_dir(format!("{of}/fd"))
+            .find_map(|line| line.strip_prefix("VmRSS:")?.trim().strip_suffix(" kB"));
+        let descriptors = std::fs::read_dir(format!("{process_folder}/fd"))
             .expect("its descriptors")
             .count();
         (
             memory.and_then(|kb| kb.parse().ok()).expect("its memory"),
-            open,
+            descriptors,
         )
     }
 
@@ -367,16 +376,21 @@
 }
 
 /// The status of the next answer; 0 where none comes.
-pub fn status(stream: &mut TcpStream) -> u16 {
-    read_message(stream)
-        .and_then(|m| m.first.split(' ').nth(1)?.parse().ok())
+pub fn read_status(stream: &mut TcpStream) -> u16 {
+    read_http_message(stream)
+        .and_then(|message| message.first_line.split(' ').nth(1)?.parse().ok())
         .unwrap_or(0)
 }
 
 /// Attempts with this message's id.
-pub fn calls(log: &Log, id: &str) -> usize {
+pub fn count_calls(log: &RequestLog, id: &str) -> usize {
     let log = log.lock().expect("the log");
     log.iter()
-        .filter(|m| m.headers.get("request-id").is_some_and(|i| i == id))
+        .filter(|message| {
+            message
+                .headers
+                .get("request-id")
+                .is_some_and(|value| value == id)
+        })
         .count()
 }
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -1,6 +1,6 @@
 //! The clock of sockets: the same world on loopback and in real time, round one or several real forwarder processes.
 //!
-//! `Stage` holds what all stand-ins share; it is locked for a moment at a time and never over a wait. Messages leave it with
+//! `RunContext` holds what all stand-ins share; it is locked for a moment at a time and never over a wait. Messages leave it with
 //! their end.
 
 mod accept_queue;
@@ -35,103 +35,103 @@
 
 /// How much later something may be seen than it was done, beside what the rules allow, µs: 50 ms that the platform's protocol
 /// adds to each limit, and 50 ms for this machine.
-const SLACK: Micros = 100_000;
+const OBSERVATION_SLACK: Micros = 100_000;
 /// A run is void where load tool or receivers were later than that at their 99th percentile, µs.
-pub const MOST_LATE: Micros = 25_000;
+pub const MAX_LATENESS_P99: Micros = 25_000;
 /// A client submits again after so long where no time was named, µs.
 const DEFAULT_RETRY_AFTER: Micros = 1_000_000;
 /// The longest lateness that is told from longer ones, µs.
-const MAX_LATENESS: u64 = 3_600_000_000;
+const LATENESS_HISTOGRAM_MAX: u64 = 3_600_000_000;
 /// Significant digits of a lateness.
-const LATENESS_DIGITS: u8 = 2;
+const LATENESS_HISTOGRAM_DIGITS: u8 = 2;
 
 /// A message as its client knows it.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientMessage {
     pub due: DueMessage,
-    pub expires: Micros,
+    pub deadline: Micros,
     /// How often it may still be submitted again.
-    pub resubmissions: u32,
+    pub resubmissions_left: u32,
     /// It was rejected before.
     pub resubmitted: bool,
     /// A forwarder that it was submitted to died, or did not answer.
-    pub forwarder_lost: bool,
+    pub forwarder_unresponsive: bool,
     /// Submissions so far.
-    pub tries: u32,
+    pub submission_count: u32,
 }
 
 /// A message that is to be submitted again at this time.
 #[derive(Debug)]
 pub(crate) struct Resubmission {
-    pub message: u64,
+    pub message_number: u64,
     pub at: Micros,
 }
 
 /// What all stand-ins change.
-pub(crate) struct State {
+pub(crate) struct RunState {
     pub receivers: Receivers,
     pub oracle: Oracle,
     pub tally: Tally,
     /// Messages that are not over.
     pub messages: HashMap<u64, ClientMessage>,
-    pub next_submission: u64,
-    pub next_message: u64,
+    pub next_submission_number: u64,
+    pub next_message_number: u64,
     /// How late messages were submitted, µs.
-    pub load_late: Histogram<u64>,
+    pub load_lateness: Histogram<u64>,
     /// How late receivers answered, µs.
-    pub receivers_late: Histogram<u64>,
+    pub receiver_lateness: Histogram<u64>,
     /// By delivery class.
-    pub semantics: Vec<DeliverySemantics>,
+    pub semantics_by_class: Vec<DeliverySemantics>,
 }
 
 /// What all stand-ins share.
-pub struct Stage {
+pub struct RunContext {
     /// The scenario that is played.
     pub scenario: Scenario,
     /// Who stands where.
     pub layout: Layout,
-    started: Instant,
-    state: Mutex<State>,
+    started_at: Instant,
+    state: Mutex<RunState>,
     /// Changes each time that an endpoint may have begun or ceased to refuse connections.
-    pub(crate) changed: watch::Sender<u64>,
+    pub(crate) receivers_changed: watch::Sender<u64>,
     resubmissions: mpsc::UnboundedSender<Resubmission>,
     /// Nobody judges: the stand-ins serve a person, who may submit what the laboratory does not know.
-    pub(crate) alone: bool,
+    pub(crate) without_oracle: bool,
 }
 
-impl Stage {
-    /// A stage on which nothing has happened yet, and the messages that are to be submitted again.
+impl RunContext {
+    /// A context on which nothing has happened yet, and the messages that are to be submitted again.
     pub(crate) fn new(
         scenario: &Scenario,
         seed: u64,
-        alone: bool,
-    ) -> (Arc<Stage>, mpsc::UnboundedReceiver<Resubmission>) {
+        without_oracle: bool,
+    ) -> (Arc<RunContext>, mpsc::UnboundedReceiver<Resubmission>) {
         let layout = Layout::new(scenario);
         let (sender, resubmissions) = mpsc::unbounded_channel();
-        let stage = Stage {
-            state: Mutex::new(State::new(scenario, &layout, seed)),
+        let context = RunContext {
+            state: Mutex::new(RunState::new(scenario, &layout, seed)),
             scenario: scenario.clone(),
             layout,
-            started: Instant::now(),
-            changed: watch::Sender::new(0),
+            started_at: Instant::now(),
+            receivers_changed: watch::Sender::new(0),
             resubmissions: sender,
-            alone,
+            without_oracle,
         };
-        (Arc::new(stage), resubmissions)
+        (Arc::new(context), resubmissions)
     }
 
-    /// µs since the stage was set.
+    /// µs since the context was set.
     pub fn now(&self) -> Micros {
-        self.started.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// A time on the stage's clock, for timers.
-    pub(crate) fn at(&self, time: Micros) -> tokio::time::Instant {
-        tokio::time::Instant::from_std(self.started + Duration::from_micros(time))
+    /// A time on the context's clock, for timers.
+    pub(crate) fn instant_at(&self, time: Micros) -> tokio::time::Instant {
+        tokio::time::Instant::from_std(self.started_at + Duration::from_micros(time))
     }
 
     /// The state, which a panic elsewhere leaves as it was.
-    pub(crate) fn lock(&self) -> MutexGuard<'_, State> {
+    pub(crate) fn lock_state(&self) -> MutexGuard<'_, RunState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -141,63 +141,65 @@
     }
 }
 
-impl State {
-    fn new(scenario: &Scenario, layout: &Layout, seed: u64) -> State {
+impl RunState {
+    fn new(scenario: &Scenario, layout: &Layout, seed: u64) -> RunState {
         let classes = scenario.classes.iter();
-        State {
+        RunState {
             receivers: Receivers::new(scenario, layout, seed),
-            oracle: Oracle::new(scenario, SLACK).for_sockets(),
+            oracle: Oracle::new(scenario, OBSERVATION_SLACK).for_sockets(),
             tally: Tally::new(scenario),
             messages: HashMap::new(),
-            next_submission: 0,
-            next_message: 0,
-            load_late: lateness_histogram(),
-            receivers_late: lateness_histogram(),
-            semantics: classes.map(|class| class.semantics).collect(),
+            next_submission_number: 0,
+            next_message_number: 0,
+            load_lateness: lateness_histogram(),
+            receiver_lateness: lateness_histogram(),
+            semantics_by_class: classes.map(|class| class.semantics).collect(),
         }
     }
 
     /// A final answer to a submission, seen now; `attempt` is the number of the one that served it.
-    pub(crate) fn ended(
+    pub(crate) fn submission_ended(
         &mut self,
-        stage: &Stage,
+        context: &RunContext,
         submission: u64,
         answer: FinalAnswer,
         retry_after: Option<Micros>,
         attempt: u32,
         now: Micros,
     ) {
-        let message = self.oracle.record(submission).map(|record| record.message);
+        let message_number = self.oracle.record(submission).map(|record| record.message);
         self.oracle.ended(submission, answer, now);
-        let Some(number) = message else { return };
+        let Some(message_number) = message_number else {
+            return;
+        };
         match answer {
-            FinalAnswer::Served => self.message_served(number, attempt, now),
+            FinalAnswer::Served => self.record_served(message_number, attempt, now),
             FinalAnswer::Rejected => {
                 self.tally.counts.rejections += 1;
-                self.schedule_resubmission(stage, number, retry_after, now);
+                self.schedule_resubmission(context, message_number, retry_after, now);
             }
-            FinalAnswer::Failed => self.fail_message(number, now),
+            FinalAnswer::Failed => self.fail_message(message_number, now),
         }
     }
 
     /// Counts a served message; one served after its deadline counts as failed.
-    fn message_served(&mut self, number: u64, attempt: u32, now: Micros) {
-        let Some(message) = self.messages.remove(&number) else {
+    fn record_served(&mut self, message_number: u64, attempt: u32, now: Micros) {
+        let Some(message) = self.messages.remove(&message_number) else {
             return;
         };
-        if now > message.expires + SLACK {
+        if now > message.deadline + OBSERVATION_SLACK {
             self.tally.counts.failed += 1;
             return;
         }
-        let took = now - message.due.at;
+        let latency = now - message.due.at;
         let class = message.due.class;
         self.tally
-            .served(now, took, class, attempt, message.resubmitted);
+            .served(now, latency, class, attempt, message.resubmitted);
     }
 
     /// Counts a failed message.
-    pub(crate) fn fail_message(&mut self, number: u64, now: Micros) {
-        if self.messages.remove(&number).is_some() {
+    pub(crate) fn fail_message(&mut self, message_number: u64, now: Micros) {
+        if self.messages.remove(&message_number).is_some() {
             self.tally.counts.failed += 1;
             self.tally.tick(now, Tick::MessageFailed);
         }
@@ -206,36 +208,33 @@
     /// The client was asked to submit again later; it gives up where that is too late.
     pub(crate) fn schedule_resubmission(
         &mut self,
-        stage: &Stage,
-        number: u64,
+        context: &RunContext,
+        message_number: u64,
         retry_after: Option<Micros>,
         now: Micros,
     ) {
         self.tally.tick(now, Tick::Rejected);
-        let Some(message) = self.messages.get_mut(&number) else {
+        let Some(message) = self.messages.get_mut(&message_number) else {
             return;
         };
         let at = now + retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
-        if message.resubmissions == 0 || at >= message.expires {
-            return self.given_up(number);
+        if message.resubmissions_left == 0 || at >= message.deadline {
+            return self.give_up_message(message_number);
         }
-        message.resubmissions -= 1;
+        message.resubmissions_left -= 1;
         message.resubmitted = true;
-        stage.resubmit(Resubmission {
-            message: number,
-            at,
-        });
+        context.resubmit(Resubmission { message_number, at });
     }
 
     /// Counts a message that its client has given up.
-    pub(crate) fn given_up(&mut self, number: u64) {
-        if self.messages.remove(&number).is_some() {
+    pub(crate) fn give_up_message(&mut self, message_number: u64) {
+        if self.messages.remove(&message_number).is_some() {
             self.tally.counts.given_up += 1;
         }
     }
 }
 
 fn lateness_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_LATENESS, LATENESS_DIGITS)
+    Histogram::new_with_bounds(1, LATENESS_HISTOGRAM_MAX, LATENESS_HISTOGRAM_DIGITS)
         .unwrap_or_else(|_| unreachable!("the bounds are constants within the library's range"))
 }
--- a/crates/lab/src/sockets/agents.rs
+++ b/crates/lab/src/sockets/agents.rs
@@ -1,8 +1,8 @@
 //! The platform as a forwarder sees it: an agent for each, which serves the endpoint list and takes completion reports.
 
-use super::endpoints::StandIn;
-use super::wire::{Conn, HttpMessage, Port};
-use super::Stage;
+use super::endpoints::StandInEndpoint;
+use super::wire::{HttpConnection, HttpMessage, ReservedPort};
+use super::RunContext;
 use crate::oracle::FinalAnswer;
 use opalpulley::Micros;
 use serde::Deserialize;
@@ -16,11 +16,11 @@
 use tokio::sync::watch;
 
 /// Changes that are kept for watches; a forwarder that is further behind gets the complete list.
-const KEPT_CHANGES: usize = 256;
+const MAX_KEPT_CHANGES: usize = 256;
 /// The longest wait of a watch, ms.
-const LONGEST_WATCH_MS: u64 = 60_000;
+const MAX_WATCH_MS: u64 = 60_000;
 /// The names of the zones.
-const ZONES: [&str; 2] = ["a", "b"];
+const ZONE_NAMES: [&str; 2] = ["a", "b"];
 
 /// What the list says of an endpoint. The names are those of the platform's protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,18 +33,18 @@
     Gone,
 }
 
-/// What the list says of one holder of an endpoint's address.
+/// What the list says of one incarnation of an endpoint's address.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
     /// The endpoint.
-    pub endpoint: usize,
-    /// The number of the holder.
-    pub holder: u32,
+    pub endpoint_index: usize,
+    /// The number of the incarnation.
+    pub incarnation: u32,
     /// Its phase.
     pub phase: Phase,
 }
 
-/// Phases by endpoint and holder.
+/// Phases by endpoint and incarnation.
 pub type ListMembers = BTreeMap<(usize, u32), Phase>;
 
 /// The list as one agent serves it.
@@ -61,7 +61,7 @@
     fn add_changes(&mut self, changes: &[ListChange]) {
         self.revision += 1;
         for change in changes {
-            let key = (change.endpoint, change.holder);
+            let key = (change.endpoint_index, change.incarnation);
             if change.phase == Phase::Gone {
                 self.members.remove(&key);
             } else {
@@ -69,7 +69,7 @@
             }
         }
         self.changes.push((self.revision, changes.to_vec()));
-        if self.changes.len() > KEPT_CHANGES {
+        if self.changes.len() > MAX_KEPT_CHANGES {
             let (oldest, _) = self.changes.remove(0);
             self.complete_from = oldest;
         }
@@ -83,27 +83,30 @@
     }
 
     /// Every member.
-    fn all(&self) -> Vec<ListChange> {
+    fn all_entries(&self) -> Vec<ListChange> {
         let members = self.members.iter();
         members
-            .map(|((endpoint, holder), phase)| ListChange {
-                endpoint: *endpoint,
-                holder: *holder,
+            .map(|((endpoint_index, incarnation), phase)| ListChange {
+                endpoint_index: *endpoint_index,
+                incarnation: *incarnation,
                 phase: *phase,
             })
             .collect()
     }
 
     /// What has changed since a revision.
-    fn since(&self, from: u64) -> Vec<ListChange> {
-        let later = self.changes.iter().filter(|(made, _)| *made > from);
+    fn changes_since(&self, from_revision: u64) -> Vec<ListChange> {
+        let later = self
+            .changes
+            .iter()
+            .filter(|(revision, _)| *revision > from_revision);
         later.flat_map(|(_, changes)| changes.clone()).collect()
     }
 }
 
 /// Why completion reports were not accepted; the text is the body of the answer.
 #[derive(Debug, thiserror::Error)]
-enum BadReport {
+enum ReportError {
     /// A line is no completion report as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
@@ -116,14 +119,14 @@
 }
 
 /// The agent of one forwarder.
-pub struct Agent {
+pub struct PlatformAgent {
     /// Where it listens.
     pub address: SocketAddr,
     forwarder: u32,
     list: Mutex<ListState>,
     /// The list's revision, for watches.
     revision: watch::Sender<u64>,
-    stand_ins: Vec<Arc<StandIn>>,
+    stand_ins: Vec<Arc<StandInEndpoint>>,
 }
 
 /// A completion report as the platform's protocol has it.
@@ -137,19 +140,19 @@
 
 impl CompletionReport {
     /// The submission that it is about, by the oracle's number.
-    fn submission(&self) -> Result<u64, BadReport> {
+    fn submission(&self) -> Result<u64, ReportError> {
         let number = self.id.strip_prefix('p');
         let number = number.and_then(|number| number.parse().ok());
-        number.ok_or_else(|| BadReport::UnknownMessage {
+        number.ok_or_else(|| ReportError::UnknownMessage {
             id: self.id.clone(),
         })
     }
 
-    fn answer(&self) -> Result<FinalAnswer, BadReport> {
+    fn final_answer(&self) -> Result<FinalAnswer, ReportError> {
         match self.status.as_str() {
             "undeliverable" => Ok(FinalAnswer::Failed),
             "deferred" => Ok(FinalAnswer::Rejected),
-            other => Err(BadReport::UnknownStatus {
+            other => Err(ReportError::UnknownStatus {
                 status: other.to_owned(),
             }),
         }
@@ -160,19 +163,19 @@
     }
 }
 
-impl Agent {
+impl PlatformAgent {
     /// Starts the agent of a forwarder at this port; 0 for any free one.
     pub async fn start(
-        stage: &Arc<Stage>,
+        context: &Arc<RunContext>,
         forwarder: u32,
-        stand_ins: &[Arc<StandIn>],
+        stand_ins: &[Arc<StandInEndpoint>],
         port: u16,
-    ) -> io::Result<Arc<Agent>> {
-        let port = Port::hold(port)?;
+    ) -> io::Result<Arc<PlatformAgent>> {
+        let port = ReservedPort::reserve(port)?;
         let listener = port.listen()?;
         let members = stand_ins.iter().enumerate();
-        let members = members.map(|(endpoint, stand_in)| {
-            let key = (endpoint, stand_in.holder());
+        let members = members.map(|(endpoint_index, stand_in)| {
+            let key = (endpoint_index, stand_in.incarnation());
             (key, Phase::Ready)
         });
         let list = ListState {
@@ -181,161 +184,179 @@
             changes: Vec::new(),
             complete_from: 1,
         };
-        let agent = Arc::new(Agent {
+        let agent = Arc::new(PlatformAgent {
             address: port.address,
             forwarder,
             list: Mutex::new(list),
             revision: watch::Sender::new(1),
             stand_ins: stand_ins.to_vec(),
         });
-        tokio::spawn(agent.clone().accept(stage.clone(), listener));
+        tokio::spawn(agent.clone().accept_connections(context.clone(), listener));
         Ok(agent)
     }
 
-    async fn accept(self: Arc<Agent>, stage: Arc<Stage>, listener: TcpListener) {
+    async fn accept_connections(
+        self: Arc<PlatformAgent>,
+        context: Arc<RunContext>,
+        listener: TcpListener,
+    ) {
         while let Ok((stream, _)) = listener.accept().await {
-            let conn = Conn::new(stream);
-            tokio::spawn(self.clone().serve(stage.clone(), conn));
+            let conn = HttpConnection::new(stream);
+            tokio::spawn(self.clone().serve_connection(context.clone(), conn));
         }
     }
 
-    async fn serve(self: Arc<Agent>, stage: Arc<Stage>, mut conn: Conn) {
-        while let Ok(Some(request)) = conn.request().await {
-            if self.answer(&stage, &mut conn, request).await.is_err() {
+    async fn serve_connection(
+        self: Arc<PlatformAgent>,
+        context: Arc<RunContext>,
+        mut conn: HttpConnection,
+    ) {
+        while let Ok(Some(request)) = conn.read_request().await {
+            if self.respond(&context, &mut conn, request).await.is_err() {
                 return;
             }
         }
     }
 
-    fn list(&self) -> MutexGuard<'_, ListState> {
+    fn lock_list(&self) -> MutexGuard<'_, ListState> {
         self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Discovery sends changes of the list.
     pub fn apply_changes(&self, changes: &[ListChange]) {
-        let mut list = self.list();
+        let mut list = self.lock_list();
         list.add_changes(changes);
         self.revision.send_replace(list.revision);
     }
 
     /// Discovery sends the complete list.
     pub fn replace_list(&self, members: ListMembers) {
-        let mut list = self.list();
+        let mut list = self.lock_list();
         list.replace(members);
         self.revision.send_replace(list.revision);
     }
 
     /// A member of the list as the platform's protocol has it.
-    fn member(&self, stage: &Stage, change: &ListChange) -> Value {
+    fn member(&self, context: &RunContext, change: &ListChange) -> Value {
         let ListChange {
-            endpoint,
-            holder,
+            endpoint_index,
+            incarnation,
             phase,
         } = change;
-        let place = stage.layout.endpoints[*endpoint];
-        let group = &stage.scenario.destinations[place.group_index];
-        let zone = ZONES[usize::from(place.zone) % ZONES.len()];
-        let kind = match group.independent_limits {
+        let layout_endpoint = context.layout.endpoints[*endpoint_index];
+        let group = &context.scenario.destinations[layout_endpoint.group_index];
+        let zone = ZONE_NAMES[usize::from(layout_endpoint.zone) % ZONE_NAMES.len()];
+        let limits_scope = match group.independent_limits {
             true => "apart",
             false => "shared",
         };
-        let address = self.stand_ins[*endpoint].address.to_string();
-        json!({"id": format!("t{endpoint}-{holder}"), "host_port": address, "locality": zone, "flavor": kind,
-            "cell": place.destination, "phase": format!("{phase:?}"), "size": group.rate, "up_since_ms": 0})
+        let address = self.stand_ins[*endpoint_index].address.to_string();
+        json!({"id": format!("t{endpoint_index}-{incarnation}"), "host_port": address, "locality": zone, "flavor": limits_scope,
+            "cell": layout_endpoint.destination, "phase": format!("{phase:?}"), "size": group.rate, "up_since_ms": 0})
     }
 
     /// The answer to a watch from a revision on. The oracle notes that the forwarder knows it from now on.
-    fn list_since(&self, stage: &Stage, from: Option<u64>) -> String {
-        let list = self.list();
-        let complete = from.is_none_or(|from| from < list.complete_from);
+    fn list_response(&self, context: &RunContext, from_revision: Option<u64>) -> String {
+        let list = self.lock_list();
+        let complete = from_revision.is_none_or(|revision| revision < list.complete_from);
         let entries = match complete {
-            true => list.all(),
-            false => list.since(from.unwrap_or(0)),
+            true => list.all_entries(),
+            false => list.changes_since(from_revision.unwrap_or(0)),
         };
-        let members = entries.iter().map(|entry| self.member(stage, entry));
+        let members = entries.iter().map(|entry| self.member(context, entry));
         let members: Vec<Value> = members.collect();
-        let answer = json!({"revision": list.revision, "complete": complete, "members": members});
+        let response = json!({"revision": list.revision, "complete": complete, "members": members});
         drop(list);
-        if complete && from.is_some() {
-            self.notify_missing(stage, &entries);
+        if complete && from_revision.is_some() {
+            self.notify_oracle_of_removed(context, &entries);
         }
-        self.notify_oracle(stage, &entries);
-        answer.to_string()
+        self.notify_oracle(context, &entries);
+        response.to_string()
     }
 
     /// The forwarder knows from now on that holders which a complete list does not name are gone.
-    fn notify_missing(&self, stage: &Stage, entries: &[ListChange]) {
-        let mut missing = Vec::new();
-        for (endpoint, stand_in) in self.stand_ins.iter().enumerate() {
-            for holder in 0..=stand_in.holder() {
-                let is_this =
-                    |entry: &ListChange| entry.endpoint == endpoint && entry.holder == holder;
-                if !entries.iter().any(is_this) {
-                    missing.push(ListChange {
-                        endpoint,
-                        holder,
+    fn notify_oracle_of_removed(&self, context: &RunContext, entries: &[ListChange]) {
+        let mut removed = Vec::new();
+        for (endpoint_index, stand_in) in self.stand_ins.iter().enumerate() {
+            for incarnation in 0..=stand_in.incarnation() {
+                let is_same = |entry: &ListChange| {
+                    entry.endpoint_index == endpoint_index && entry.incarnation == incarnation
+                };
+                if !entries.iter().any(is_same) {
+                    removed.push(ListChange {
+                        endpoint_index,
+                        incarnation,
                         phase: Phase::Gone,
                     });
                 }
             }
         }
-        self.notify_oracle(stage, &missing);
+        self.notify_oracle(context, &removed);
     }
 
-    fn notify_oracle(&self, stage: &Stage, entries: &[ListChange]) {
-        let now = stage.now();
-        let mut state = stage.lock();
+    fn notify_oracle(&self, context: &RunContext, entries: &[ListChange]) {
+        let now = context.now();
+        let mut state = context.lock_state();
         for entry in entries {
             let ready = entry.phase == Phase::Ready;
-            let (endpoint, holder) = (entry.endpoint, entry.holder);
-            state
-                .oracle
-                .endpoint_status_notified(self.forwarder, endpoint, holder, ready, now);
+            let (endpoint_index, incarnation) = (entry.endpoint_index, entry.incarnation);
+            state.oracle.endpoint_status_notified(
+                self.forwarder,
+                endpoint_index,
+                incarnation,
+                ready,
+                now,
+            );
         }
     }
 
-    async fn answer(&self, stage: &Stage, conn: &mut Conn, request: HttpMessage) -> io::Result<()> {
+    async fn respond(
+        &self,
+        context: &RunContext,
+        conn: &mut HttpConnection,
+        request: HttpMessage,
+    ) -> io::Result<()> {
         if request.method == "POST" && request.path == "/v1/outcomes" {
-            return match self.take_reports(stage, &request.body) {
-                Ok(()) => conn.reply("204 No Content", "", "").await,
-                Err(problem) => {
-                    let problem = problem.to_string();
-                    conn.reply("400 Bad Request", "", &problem).await
+            return match self.record_reports(context, &request.body) {
+                Ok(()) => conn.respond("204 No Content", "", "").await,
+                Err(error) => {
+                    let error = error.to_string();
+                    conn.respond("400 Bad Request", "", &error).await
                 }
             };
         }
         let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
         if request.method != "GET" || path != "/discovery/hosts" {
-            return conn.reply("404 Not Found", "", "").await;
+            return conn.respond("404 Not Found", "", "").await;
         }
-        let from = query_number(query, "index=");
-        if let Some(from) = from {
-            let wait = query_number(query, "wait=").unwrap_or(0);
-            self.wait_for_change(from, wait).await;
+        let from_revision = query_parameter(query, "index=");
+        if let Some(from_revision) = from_revision {
+            let wait_ms = query_parameter(query, "wait=").unwrap_or(0);
+            self.wait_for_change(from_revision, wait_ms).await;
         }
-        let list = self.list_since(stage, from);
-        conn.reply("200 OK", "", &list).await
+        let list = self.list_response(context, from_revision);
+        conn.respond("200 OK", "", &list).await
     }
 
     /// Waits until the list has changed since a revision, for so long at most.
-    async fn wait_for_change(&self, from: u64, wait_ms: u64) {
-        let wait = Duration::from_millis(wait_ms.min(LONGEST_WATCH_MS));
+    async fn wait_for_change(&self, from_revision: u64, wait_ms: u64) {
+        let timeout = Duration::from_millis(wait_ms.min(MAX_WATCH_MS));
         let mut revision = self.revision.subscribe();
-        let changed = revision.wait_for(|revision| *revision > from);
+        let changed = revision.wait_for(|revision| *revision > from_revision);
         // Without a change the answer has no members.
-        let _ = tokio::time::timeout(wait, changed).await;
+        let _ = tokio::time::timeout(timeout, changed).await;
     }
 
     /// Takes the completion reports of a request, a line each; none of them where a line is no report.
-    fn take_reports(&self, stage: &Stage, body: &[u8]) -> Result<(), BadReport> {
+    fn record_reports(&self, context: &RunContext, body: &[u8]) -> Result<(), ReportError> {
         let lines = body.split(|byte| *byte == b'\n');
         let reports: Vec<CompletionReport> = lines
             .filter(|line| !line.is_empty())
             .map(serde_json::from_slice)
             .collect::<Result<_, _>>()?;
-        let now = stage.now();
+        let now = context.now();
         for report in reports {
-            if stage.alone {
+            if context.without_oracle {
                 println!(
                     "notice to forwarder {}: {} {}",
                     self.forwarder, report.id, report.status
@@ -343,11 +364,11 @@
                 continue;
             }
             let submission = report.submission()?;
-            let answer = report.answer()?;
-            let mut state = stage.lock();
+            let answer = report.final_answer()?;
+            let mut state = context.lock_state();
             // The same report comes again where its first answer was lost.
             if !state.oracle.already_reported(submission, answer) {
-                state.ended(stage, submission, answer, report.retry_after(), 0, now);
+                state.submission_ended(context, submission, answer, report.retry_after(), 0, now);
             }
         }
         Ok(())
@@ -355,7 +376,7 @@
 }
 
 /// The number after a name in a query.
-fn query_number(query: &str, name: &str) -> Option<u64> {
+fn query_parameter(query: &str, name: &str) -> Option<u64> {
     let mut parts = query.split('&');
     parts.find_map(|part| part.strip_prefix(name))?.parse().ok()
 }
--- a/crates/lab/src/sockets/endpoints.rs
+++ b/crates/lab/src/sockets/endpoints.rs
@@ -1,9 +1,9 @@
 //! Stand-in endpoints: a listener each, which takes connections while the receivers' model does.
 
 use super::accept_queue::AcceptQueue;
-use super::calls::answer;
-use super::wire::{Conn, Port};
-use super::Stage;
+use super::calls::respond;
+use super::wire::{HttpConnection, ReservedPort};
+use super::RunContext;
 use crate::scenario::FaultKind;
 use std::io;
 use std::net::SocketAddr;
@@ -13,60 +13,65 @@
 use tokio::net::TcpListener;
 
 /// Time between two looks at an endpoint that flaps, or that does not listen.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What is known of one stand-in.
-pub struct StandIn {
+pub struct StandInEndpoint {
     /// Where it listens.
     pub address: SocketAddr,
-    port: Port,
+    port: ReservedPort,
     /// The number of the holder of the address that answers now.
-    holder: AtomicU32,
+    incarnation: AtomicU32,
     /// Open connections.
-    open: AtomicU32,
+    open_connections: AtomicU32,
 }
 
-impl StandIn {
+impl StandInEndpoint {
     /// The number of the holder of the address that answers now.
-    pub fn holder(&self) -> u32 {
-        self.holder.load(Ordering::Relaxed)
+    pub fn incarnation(&self) -> u32 {
+        self.incarnation.load(Ordering::Relaxed)
     }
 
     /// A new holder answers from now on.
-    pub(crate) fn replaced(&self) {
-        self.holder.fetch_add(1, Ordering::Relaxed);
+    pub(crate) fn start_new_incarnation(&self) {
+        self.incarnation.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 /// Starts all of them, on free ports of loopback.
-pub async fn start(stage: &Arc<Stage>) -> io::Result<Vec<Arc<StandIn>>> {
+pub async fn start(context: &Arc<RunContext>) -> io::Result<Vec<Arc<StandInEndpoint>>> {
     let mut stand_ins = Vec::new();
-    for endpoint in 0..stage.layout.endpoints.len() {
-        let port = Port::hold(0)?;
+    for endpoint_index in 0..context.layout.endpoints.len() {
+        let port = ReservedPort::reserve(0)?;
         let listener = port.listen()?;
-        let stand_in = Arc::new(StandIn {
+        let stand_in = Arc::new(StandInEndpoint {
             address: port.address,
             port,
-            holder: AtomicU32::new(0),
-            open: AtomicU32::new(0),
+            incarnation: AtomicU32::new(0),
+            open_connections: AtomicU32::new(0),
         });
         stand_ins.push(stand_in.clone());
-        tokio::spawn(listen(stage.clone(), endpoint, stand_in, listener));
+        tokio::spawn(listen(context.clone(), endpoint_index, stand_in, listener));
     }
     Ok(stand_ins)
 }
 
 /// Listens while the endpoint takes connections, and not while it refuses them.
-async fn listen(stage: Arc<Stage>, endpoint: usize, stand_in: Arc<StandIn>, listener: TcpListener) {
+async fn listen(
+    context: Arc<RunContext>,
+    endpoint_index: usize,
+    stand_in: Arc<StandInEndpoint>,
+    listener: TcpListener,
+) {
     let mut listener = Some(listener);
-    let mut changed = stage.changed.subscribe();
-    let mut accept_queue = AcceptQueue::new(&stage);
-    let flaps = has_flapping(&stage);
+    let mut changed = context.receivers_changed.subscribe();
+    let mut accept_queue = AcceptQueue::new(&context);
+    let polls_flapping = has_flapping_fault(&context);
     loop {
-        let refuses = stage
-            .lock()
+        let refuses = context
+            .lock_state()
             .receivers
-            .refuses_connections(stage.now(), endpoint);
+            .refuses_connections(context.now(), endpoint_index);
         match (refuses, &listener) {
             (true, Some(_)) => listener = None,
             (false, None) => listener = stand_in.port.listen().ok(),
@@ -82,60 +87,66 @@
         tokio::select! {
             accepted = accept => match accepted {
                 Ok((stream, _)) => {
-                    let conn = Conn::new(stream);
-                    tokio::spawn(serve(stage.clone(), endpoint, stand_in.clone(), conn));
+                    let conn = HttpConnection::new(stream);
+                    tokio::spawn(serve_connection(context.clone(), endpoint_index, stand_in.clone(), conn));
                 }
                 // Out of descriptors: some come free.
-                Err(_) => tokio::time::sleep(LOOK_INTERVAL).await,
+                Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             },
             _ = changed.changed() => {}
-            turned = async { accept_queue.change(listener.as_ref()?).await.ok() }, if accept_queue.is_used() => {
-                if turned.is_none() {
+            toggled = async { accept_queue.toggle_when_due(listener.as_ref()?).await.ok() }, if accept_queue.is_enabled() => {
+                if toggled.is_none() {
                     // It does not listen now.
-                    tokio::time::sleep(LOOK_INTERVAL).await;
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
             }
-            () = tokio::time::sleep(LOOK_INTERVAL), if flaps || listener.is_none() => {}
+            () = tokio::time::sleep(POLL_INTERVAL), if polls_flapping || listener.is_none() => {}
         }
     }
 }
 
-fn has_flapping(stage: &Stage) -> bool {
-    let mut faults = stage.scenario.faults.iter();
+fn has_flapping_fault(context: &RunContext) -> bool {
+    let mut faults = context.scenario.faults.iter();
     faults.any(|fault| matches!(fault.kind, FaultKind::Flapping { .. }))
 }
 
 /// Serves one connection to its end, unless the endpoint has too many.
-async fn serve(stage: Arc<Stage>, endpoint: usize, stand_in: Arc<StandIn>, conn: Conn) {
-    let group = &stage.scenario.destinations[stage.layout.endpoints[endpoint].group_index];
-    let open = stand_in.open.fetch_add(1, Ordering::Relaxed) + 1;
-    if group.max_connections > 0 && open > group.max_connections {
+async fn serve_connection(
+    context: Arc<RunContext>,
+    endpoint_index: usize,
+    stand_in: Arc<StandInEndpoint>,
+    conn: HttpConnection,
+) {
+    let group =
+        &context.scenario.destinations[context.layout.endpoints[endpoint_index].group_index];
+    let open_connections = stand_in.open_connections.fetch_add(1, Ordering::Relaxed) + 1;
+    if group.max_connections > 0 && open_connections > group.max_connections {
         conn.reset();
     } else {
         if group.handshake.0 > 0 {
             tokio::time::sleep(Duration::from_micros(group.handshake.0)).await;
         }
         let idle_timeout = Duration::from_micros(group.idle_timeout.0);
-        answer_requests(&stage, endpoint, &stand_in, conn, idle_timeout).await;
+        respond_to_requests(&context, endpoint_index, &stand_in, conn, idle_timeout).await;
     }
-    stand_in.open.fetch_sub(1, Ordering::Relaxed);
+    stand_in.open_connections.fetch_sub(1, Ordering::Relaxed);
 }
 
 /// Answers requests until the connection is closed, idle for too long, or the endpoint goes down.
-async fn answer_requests(
-    stage: &Arc<Stage>,
-    endpoint: usize,
-    stand_in: &StandIn,
-    mut conn: Conn,
+async fn respond_to_requests(
+    context: &Arc<RunContext>,
+    endpoint_index: usize,
+    stand_in: &StandInEndpoint,
+    mut conn: HttpConnection,
     idle_timeout: Duration,
 ) {
-    let mut changed = stage.changed.subscribe();
+    let mut changed = context.receivers_changed.subscribe();
     loop {
         let request = tokio::select! {
-            request = tokio::time::timeout(idle_timeout, conn.request()) => request,
+            request = tokio::time::timeout(idle_timeout, conn.read_request()) => request,
             _ = changed.changed() => {
                 // An endpoint that is down holds no idle connection.
-                if stage.lock().receivers.refuses_connections(stage.now(), endpoint) {
+                if context.lock_state().receivers.refuses_connections(context.now(), endpoint_index) {
                     return;
                 }
                 continue;
@@ -144,8 +155,8 @@
         let Ok(Ok(Some(request))) = request else {
             return;
         };
-        match answer(stage, endpoint, stand_in, conn, request).await {
-            Some(usable) => conn = usable,
+        match respond(context, endpoint_index, stand_in, conn, request).await {
+            Some(reusable_conn) => conn = reusable_conn,
             None => return,
         }
     }
--- a/crates/lab/src/sockets/error.rs
+++ b/crates/lab/src/sockets/error.rs
@@ -11,10 +11,10 @@
 pub enum SocketsError {
     /// The stand-ins could not be started.
     #[error("the stage could not be set: {0}")]
-    Stage(#[source] io::Error),
+    Setup(#[source] io::Error),
     /// The load tool could not be started.
     #[error("the load tool could not start: {0}")]
-    LoadTool(#[source] io::Error),
+    LoadGenerator(#[source] io::Error),
     /// The load can't be replayed from its file.
     #[error(transparent)]
     Replay(#[from] ReplayError),
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/lab/src/sockets/processes.rs
@@ -12,13 +12,13 @@
 use tokio::process::{Child, Command};
 
 /// A forwarder answers `GET /up` in that time.
-const READY: Duration = Duration::from_secs(10);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between two looks whether a forwarder is up.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// A tick of the kernel's account, µs, on every Linux that this runs on.
-const TICK: u64 = 10_000;
+const CLOCK_TICK_MICROS: u64 = 10_000;
 /// A page of memory, bytes, on every Linux that this runs on.
-const PAGE: u64 = 4096;
+const PAGE_BYTES: u64 = 4096;
 
 /// What a forwarder process is started with.
 pub struct ProcessSetup {
@@ -27,7 +27,7 @@
     /// Its own folder.
     pub folder: PathBuf,
     /// Its number in the fleet.
-    pub number: u32,
+    pub forwarder: u32,
     /// Where it listens.
     pub listen: SocketAddr,
     /// Where discovery listens.
@@ -37,34 +37,34 @@
     /// The seed of the run.
     pub seed: u64,
     /// The file of its log; none is kept if it is not named.
-    pub log: Option<PathBuf>,
+    pub log_file: Option<PathBuf>,
     /// The core that it is bound to (by `taskset`).
-    pub pin: Option<usize>,
+    pub pinned_core: Option<usize>,
 }
 
 /// What a process has used.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessUsage {
     /// CPU time, user and system, µs.
-    pub cpu: u64,
+    pub cpu_micros: u64,
     /// Resident memory, bytes.
-    pub memory: u64,
+    pub memory_bytes: u64,
 }
 
 /// One forwarder process, which may be down.
-pub struct Process {
+pub struct ForwarderProcess {
     setup: ProcessSetup,
     /// How often it was started.
-    starts: u64,
+    start_count: u64,
     child: Option<Child>,
 }
 
-impl Process {
+impl ForwarderProcess {
     /// A process that is not started yet.
-    pub fn new(setup: ProcessSetup) -> Process {
-        Process {
+    pub fn new(setup: ProcessSetup) -> ForwarderProcess {
+        ForwarderProcess {
             setup,
-            starts: 0,
+            start_count: 0,
             child: None,
         }
     }
@@ -76,21 +76,21 @@
             program: self.setup.program.clone(),
             source,
         })?);
-        self.starts += 1;
+        self.start_count += 1;
         self.wait_until_up().await
     }
 
     fn spawn(&self) -> io::Result<Child> {
-        let state = self.setup.folder.join("state");
-        std::fs::create_dir_all(&state)?;
-        let config = self.setup.folder.join("papers.json");
-        std::fs::write(&config, self.startup_config())?;
+        let state_folder = self.setup.folder.join("state");
+        std::fs::create_dir_all(&state_folder)?;
+        let config_path = self.setup.folder.join("papers.json");
+        std::fs::write(&config_path, self.startup_config())?;
         self.command()
-            .env("GW_CONFIG", &config)
-            .env("GW_STATE", &state)
+            .env("GW_CONFIG", &config_path)
+            .env("GW_STATE", &state_folder)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(self.log()?)
+            .stderr(self.log_output()?)
             .kill_on_drop(true)
             .spawn()
     }
@@ -101,15 +101,15 @@
         let seed = setup
             .seed
             .wrapping_mul(1000)
-            .wrapping_add(u64::from(setup.number) + 100 * self.starts);
-        let mut config = setup.scenario.startup_config(setup.number, seed);
+            .wrapping_add(u64::from(setup.forwarder) + 100 * self.start_count);
+        let mut config = setup.scenario.startup_config(setup.forwarder, seed);
         config["listen"] = setup.listen.to_string().into();
         config["discovery"] = setup.discovery.to_string().into();
         config.to_string()
     }
 
-    fn log(&self) -> io::Result<Stdio> {
-        let Some(path) = &self.setup.log else {
+    fn log_output(&self) -> io::Result<Stdio> {
+        let Some(path) = &self.setup.log_file else {
             return Ok(Stdio::null());
         };
         let log = std::fs::File::options()
@@ -120,7 +120,7 @@
     }
 
     fn command(&self) -> Command {
-        let Some(core) = self.setup.pin else {
+        let Some(core) = self.setup.pinned_core else {
             return Command::new(&self.setup.program);
         };
         let mut command = Command::new("taskset");
@@ -132,32 +132,33 @@
     }
 
     async fn wait_until_up(&mut self) -> Result<(), SocketsError> {
-        let forwarder = self.setup.number;
+        let forwarder = self.setup.forwarder;
         let started = Instant::now();
-        while !self.up().await {
+        while !self.is_up().await {
             if let Some(Ok(Some(status))) = self.child.as_mut().map(Child::try_wait) {
                 return Err(SocketsError::EndedAtStart { forwarder, status });
             }
-            if started.elapsed() > READY {
+            if started.elapsed() > STARTUP_TIMEOUT {
                 return Err(SocketsError::NotUp {
                     forwarder,
-                    waited: READY,
+                    waited: STARTUP_TIMEOUT,
                 });
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    async fn up(&self) -> bool {
-        let ask = async {
-            let mut conn =
-                super::wire::Conn::new(tokio::net::TcpStream::connect(self.setup.listen).await?);
+    async fn is_up(&self) -> bool {
+        let exchange = async {
+            let mut conn = super::wire::HttpConnection::new(
+                tokio::net::TcpStream::connect(self.setup.listen).await?,
+            );
             conn.write(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                 .await?;
-            conn.answer().await
+            conn.read_response().await
         };
-        matches!(tokio::time::timeout(Duration::from_millis(500), ask).await, Ok(Ok(answer)) if answer.status == 200)
+        matches!(tokio::time::timeout(Duration::from_millis(500), exchange).await, Ok(Ok(answer)) if answer.status == 200)
     }
 
     /// Its id while it runs.
@@ -172,27 +173,27 @@
     }
 
     /// Stops it: it does nothing until it goes on.
-    pub fn stop(&self) {
+    pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
     /// Lets it go on.
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
     /// Kills it outright; without the folder, that is emptied too.
-    pub async fn kill(&mut self, folder: bool) {
+    pub async fn kill(&mut self, folder_kept: bool) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill().await; // one that has ended is gone as well
         }
-        if !folder {
+        if !folder_kept {
             let _ = std::fs::remove_dir_all(self.setup.folder.join("state")); // made anew at the start
         }
     }
 
     /// Whether it has ended by itself, and how.
-    pub fn ended(&mut self) -> Option<String> {
+    pub fn exit_status(&mut self) -> Option<String> {
         match self.child.as_mut().map(Child::try_wait) {
             Some(Ok(Some(status))) => Some(status.to_string()),
             _ => None,
@@ -208,8 +209,8 @@
             fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
         let pages: u64 = fields.get(21)?.parse().ok()?;
         Some(ProcessUsage {
-            cpu: ticks * TICK,
-            memory: pages * PAGE,
+            cpu_micros: ticks * CLOCK_TICK_MICROS,
+            memory_bytes: pages * PAGE_BYTES,
         })
     }
 }
--- a/crates/lab/src/sockets/replies.rs
+++ b/crates/lab/src/sockets/replies.rs
@@ -1,7 +1,7 @@
 //! What a stand-in writes for the fate of a call.
 
-use super::wire::Conn;
-use super::Stage;
+use super::wire::HttpConnection;
+use super::RunContext;
 use crate::receivers::{CallResult, ReceiverReply};
 use opalpulley::Micros;
 use std::io;
@@ -13,44 +13,49 @@
 /// The head of an answer that never ends.
 const ENDLESS_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n";
 /// Time between a part of an answer and what follows.
-const PART_INTERVAL: Duration = Duration::from_millis(2);
+const WRITE_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Writes what the fate says; gives the connection back where it can serve again.
-pub(super) async fn write_reply(stage: &Stage, mut conn: Conn, fate: CallResult) -> Option<Conn> {
-    if stage.alone && fate.reply != ReceiverReply::Silent {
-        tokio::time::sleep_until(stage.at(fate.reply_at)).await;
+pub(super) async fn write_response(
+    context: &RunContext,
+    mut conn: HttpConnection,
+    result: CallResult,
+) -> Option<HttpConnection> {
+    if context.without_oracle && result.reply != ReceiverReply::Silent {
+        tokio::time::sleep_until(context.instant_at(result.reply_at)).await;
     }
-    let written = match fate.reply {
-        ReceiverReply::Served => conn.reply("200 OK", "", "").await,
-        ReceiverReply::InternalError => conn.reply("500 Internal Server Error", "", "").await,
-        ReceiverReply::Overloaded => conn.reply("503 Service Unavailable", "", "").await,
-        ReceiverReply::TooManyRequests { retry_after: wait } => {
-            let retry_after = retry_after_line(wait);
-            conn.reply(TOO_MANY_REQUESTS, &retry_after, "").await
+    let write_result = match result.reply {
+        ReceiverReply::Served => conn.respond("200 OK", "", "").await,
+        ReceiverReply::InternalError => conn.respond("500 Internal Server Error", "", "").await,
+        ReceiverReply::Overloaded => conn.respond("503 Service Unavailable", "", "").await,
+        ReceiverReply::TooManyRequests { retry_after } => {
+            let header = retry_after_header(retry_after);
+            conn.respond(TOO_MANY_REQUESTS, &header, "").await
         }
-        spoilt => {
-            write_spoilt(conn, spoilt).await;
+        faulty => {
+            write_faulty_response(conn, faulty).await;
             return None;
         }
     };
-    written.ok().map(|()| conn)
+    write_result.ok().map(|()| conn)
 }
 
 /// Writes a reply after which the connection can't be used. That the forwarder has closed it meanwhile is no error.
-async fn write_spoilt(mut conn: Conn, reply: ReceiverReply) {
+async fn write_faulty_response(mut conn: HttpConnection, reply: ReceiverReply) {
     let _ = match reply {
-        ReceiverReply::ServedThenReset => conn.reply("200 OK", "", "").await,
-        ReceiverReply::TooManyRequestsTruncated { retry_after: wait } => {
-            conn.write(truncated_refusal(wait).as_bytes()).await
+        ReceiverReply::ServedThenReset => conn.respond("200 OK", "", "").await,
+        ReceiverReply::TooManyRequestsTruncated { retry_after } => {
+            conn.write(truncated_too_many_requests(retry_after).as_bytes())
+                .await
         }
         ReceiverReply::Garbled => conn.write(GARBLED).await,
         ReceiverReply::Endless => write_endless(&mut conn).await,
         _ => Ok(()),
     };
     match reply {
-        ReceiverReply::Silent | ReceiverReply::Garbled => conn.closed().await,
+        ReceiverReply::Silent | ReceiverReply::Garbled => conn.wait_for_close().await,
         ReceiverReply::ServedThenReset | ReceiverReply::TooManyRequestsTruncated { .. } => {
-            tokio::time::sleep(PART_INTERVAL).await;
+            tokio::time::sleep(WRITE_INTERVAL).await;
             conn.reset();
         }
         ReceiverReply::Endless => {}
@@ -59,22 +64,22 @@
 }
 
 /// Writes an answer that never ends, until the forwarder closes the connection.
-async fn write_endless(conn: &mut Conn) -> io::Result<()> {
+async fn write_endless(conn: &mut HttpConnection) -> io::Result<()> {
     conn.write(ENDLESS_HEAD).await?;
     loop {
-        tokio::time::sleep(PART_INTERVAL).await;
+        tokio::time::sleep(WRITE_INTERVAL).await;
         conn.write(&[b'x'; 512]).await?;
     }
 }
 
 /// The head of a 429, and less of its body than it names.
-fn truncated_refusal(retry_after: Option<Micros>) -> String {
-    let retry_after = retry_after_line(retry_after);
-    format!("HTTP/1.1 {TOO_MANY_REQUESTS}\r\n{retry_after}Content-Length: 5\r\n\r\nno")
+fn truncated_too_many_requests(retry_after: Option<Micros>) -> String {
+    let header = retry_after_header(retry_after);
+    format!("HTTP/1.1 {TOO_MANY_REQUESTS}\r\n{header}Content-Length: 5\r\n\r\nno")
 }
 
 /// The line of a head that holds a retry-after time, as the platform's protocol names it.
-fn retry_after_line(retry_after: Option<Micros>) -> String {
+fn retry_after_header(retry_after: Option<Micros>) -> String {
     retry_after.map_or(String::new(), |time| {
         format!("Wait-Ms: {}\r\n", time.div_ceil(1000))
     })
--- a/crates/lab/src/sockets/run.rs
+++ b/crates/lab/src/sockets/run.rs
@@ -1,12 +1,12 @@
-//! One run on sockets: the stage is set, the forwarders are started, the timeline plays, the tally is closed.
+//! One run on sockets: the context is set, the forwarders are started, the timeline plays, the tally is closed.
 
-use super::agents::Agent;
+use super::agents::PlatformAgent;
 use super::clients::ForwarderClient;
-use super::endpoints::{self, StandIn};
-use super::processes::{Process, ProcessSetup};
-use super::timeline::{locked, Fleet, Timeline};
-use super::wire::Port;
-use super::{load_thread, SocketsError, Stage, MOST_LATE};
+use super::endpoints::{self, StandInEndpoint};
+use super::processes::{ForwarderProcess, ProcessSetup};
+use super::timeline::{lock, FaultTimeline, Fleet};
+use super::wire::ReservedPort;
+use super::{load_thread, RunContext, SocketsError, MAX_LATENESS_P99};
 use crate::load::Loads;
 use crate::scenario::Scenario;
 use crate::tally::{Clock, Outcome, Tally};
@@ -21,27 +21,27 @@
 /// Time between the oracle's looks for what is overdue.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// The run goes on so long after the last deadline, µs.
-const AFTER_LAST_DEADLINE: Micros = 3_000_000;
+const MAX_TIME_AFTER_LAST_DEADLINE: Micros = 3_000_000;
 /// The first message may be due so long after the forwarders are up, µs.
-const LOAD_BEGINS_AFTER: Micros = 200_000;
+const LOAD_START_DELAY: Micros = 200_000;
 
 /// How a run on sockets is done.
 pub struct SocketRunOptions {
     /// The forwarder's program.
     pub program: PathBuf,
     /// The folder of the forwarders' logs; none are kept if it is not named.
-    pub logs: Option<PathBuf>,
+    pub log_folder: Option<PathBuf>,
     /// The core that the forwarders are bound to (by `taskset`).
-    pub pin: Option<usize>,
+    pub pinned_core: Option<usize>,
 }
 
 /// What the forwarders used, over the time in which messages were due.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Usage {
+pub struct FleetUsage {
     /// CPU µs of all forwarders, from the first message due to the last.
-    pub cpu: u64,
+    pub cpu_micros: u64,
     /// Resident bytes of the largest, at most.
-    pub memory: u64,
+    pub peak_memory_bytes: u64,
     /// For how long messages were due, s.
     pub seconds: f64,
 }
@@ -52,59 +52,67 @@
     seed: u64,
     options: &SocketRunOptions,
     progress: impl FnMut(Micros, Micros),
-) -> Result<(Outcome, Usage), SocketsError> {
-    let folder = tempfile::tempdir().map_err(SocketsError::Stage)?;
-    let (stage, resubmissions) = Stage::new(scenario, seed, false);
-    let stand_ins = endpoints::start(&stage)
+) -> Result<(Outcome, FleetUsage), SocketsError> {
+    let folder = tempfile::tempdir().map_err(SocketsError::Setup)?;
+    let (context, resubmissions) = RunContext::new(scenario, seed, false);
+    let stand_ins = endpoints::start(&context)
         .await
-        .map_err(SocketsError::Stage)?;
+        .map_err(SocketsError::Setup)?;
     let mut ports = Vec::new(); // kept until the end, so that a forwarder finds its own again
-    let fleet = start_fleet(&stage, &stand_ins, seed, options, folder.path(), &mut ports).await?;
-    let begin = stage.now() + LOAD_BEGINS_AFTER;
+    let fleet = start_fleet(
+        &context,
+        &stand_ins,
+        seed,
+        options,
+        folder.path(),
+        &mut ports,
+    )
+    .await?;
+    let begins_at = context.now() + LOAD_START_DELAY;
     let clients = fleet.clients.clone();
-    let timeline = Timeline::new(stage.clone(), stand_ins, fleet, seed, begin);
-    stage.lock().tally.begins(begin);
-    let loads = Loads::new(scenario, &stage.layout, seed)?;
-    let load = load_thread::start(stage.clone(), clients, loads, resubmissions, begin)
-        .map_err(SocketsError::Stage)?;
-    let faults = (0..scenario.faults.len())
-        .map(|number| tokio::spawn(timeline.clone().play_fault(number)))
+    let timeline = FaultTimeline::new(context.clone(), stand_ins, fleet, seed, begins_at);
+    context.lock_state().tally.begins(begins_at);
+    let loads = Loads::new(scenario, &context.layout, seed)?;
+    let load_thread = load_thread::start(context.clone(), clients, loads, resubmissions, begins_at)
+        .map_err(SocketsError::Setup)?;
+    let fault_tasks = (0..scenario.faults.len())
+        .map(|fault_index| tokio::spawn(timeline.clone().play_fault(fault_index)))
         .collect();
-    let usage = play(&timeline, faults, progress).await;
-    drop(load);
+    let usage = wait_until_over(&timeline, fault_tasks, progress).await;
+    drop(load_thread);
     for process in &timeline.fleet.processes {
         process.lock().await.kill(true).await;
     }
-    Ok((close(&timeline), usage))
+    Ok((finish_outcome(&timeline), usage))
 }
 
 /// Starts the forwarders of a run one after the other, each with its agent.
 async fn start_fleet(
-    stage: &Arc<Stage>,
-    stand_ins: &[Arc<StandIn>],
+    context: &Arc<RunContext>,
+    stand_ins: &[Arc<StandInEndpoint>],
     seed: u64,
     options: &SocketRunOptions,
     folder: &Path,
-    ports: &mut Vec<Port>,
+    ports: &mut Vec<ReservedPort>,
 ) -> Result<Fleet, SocketsError> {
     let mut fleet = Fleet::default();
-    for number in 0..stage.scenario.forwarders.count {
-        let agent = Agent::start(stage, number, stand_ins, 0)
+    for forwarder in 0..context.scenario.forwarders.count {
+        let agent = PlatformAgent::start(context, forwarder, stand_ins, 0)
             .await
-            .map_err(SocketsError::Stage)?;
-        let port = Port::hold(0).map_err(SocketsError::Stage)?;
+            .map_err(SocketsError::Setup)?;
+        let port = ReservedPort::reserve(0).map_err(SocketsError::Setup)?;
         let listen = port.address;
         ports.push(port);
-        let mut process = Process::new(ProcessSetup {
+        let mut process = ForwarderProcess::new(ProcessSetup {
             program: options.program.clone(),
-            folder: folder.join(format!("forwarder-{number}")),
-            number,
+            folder: folder.join(format!("forwarder-{forwarder}")),
+            forwarder,
             listen,
             discovery: agent.address,
-            scenario: stage.scenario.clone(),
+            scenario: context.scenario.clone(),
             seed,
-            log: log_of(options, number),
-            pin: options.pin,
+            log_file: log_path(options, forwarder),
+            pinned_core: options.pinned_core,
         });
         process.start().await?;
         fleet.agents.push(agent);
@@ -114,92 +122,103 @@
     Ok(fleet)
 }
 
-fn log_of(options: &SocketRunOptions, forwarder: u32) -> Option<PathBuf> {
-    let logs = options.logs.as_ref()?;
-    Some(logs.join(format!("forwarder-{forwarder}.log")))
+fn log_path(options: &SocketRunOptions, forwarder: u32) -> Option<PathBuf> {
+    let log_folder = options.log_folder.as_ref()?;
+    Some(log_folder.join(format!("forwarder-{forwarder}.log")))
 }
 
 /// Waits until the run is over; gives what the forwarders used while messages were due.
-async fn play(
-    timeline: &Timeline,
-    faults: Vec<JoinHandle<()>>,
+async fn wait_until_over(
+    timeline: &FaultTimeline,
+    fault_tasks: Vec<JoinHandle<()>>,
     mut progress: impl FnMut(Micros, Micros),
-) -> Usage {
-    let scenario = &timeline.stage.scenario;
-    let load_ends = timeline.begin + scenario.lasts.0;
-    let last = load_ends + scenario.max_time_to_live() + AFTER_LAST_DEADLINE;
-    let mut usage = Usage {
+) -> FleetUsage {
+    let scenario = &timeline.context.scenario;
+    let load_ends_at = timeline.begins_at + scenario.lasts.0;
+    let ends_at = load_ends_at + scenario.max_time_to_live() + MAX_TIME_AFTER_LAST_DEADLINE;
+    let mut usage = FleetUsage {
         seconds: scenario.lasts.seconds(),
-        ..Usage::default()
+        ..FleetUsage::default()
     };
-    let cpu_before = timeline.usage().await.cpu;
+    let cpu_before = timeline.usage().await.cpu_micros;
     let mut load_has_ended = false;
     let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
     loop {
         sweep.tick().await;
-        let now = timeline.stage.now();
-        progress(now.saturating_sub(timeline.begin), last - timeline.begin);
-        let open = sweep_oracle(&timeline.stage, now);
-        timeline.look_for_crashes().await;
+        let now = timeline.context.now();
+        progress(
+            now.saturating_sub(timeline.begins_at),
+            ends_at - timeline.begins_at,
+        );
+        let open_messages = sweep_oracle(&timeline.context, now);
+        timeline.record_crashes().await;
         if !load_has_ended {
             let used = timeline.usage().await;
-            usage.memory = usage.memory.max(used.memory);
-            if now >= load_ends {
-                usage.cpu = used.cpu.saturating_sub(cpu_before);
+            usage.peak_memory_bytes = usage.peak_memory_bytes.max(used.memory_bytes);
+            if now >= load_ends_at {
+                usage.cpu_micros = used.cpu_micros.saturating_sub(cpu_before);
                 load_has_ended = true;
             }
         }
-        let is_over = now > load_ends && open == 0 && faults.iter().all(JoinHandle::is_finished);
-        if is_over || now > last {
+        let is_over = now > load_ends_at
+            && open_messages == 0
+            && fault_tasks.iter().all(JoinHandle::is_finished);
+        if is_over || now > ends_at {
             return usage;
         }
     }
 }
 
 /// Lets the oracle look for what is overdue; gives the number of messages that are not over.
-fn sweep_oracle(stage: &Stage, now: Micros) -> usize {
-    let mut state = stage.lock();
+fn sweep_oracle(context: &RunContext, now: Micros) -> usize {
+    let mut state = context.lock_state();
     state.oracle.sweep(now);
     state.messages.len()
 }
 
 /// Closes tally and oracle.
-fn close(timeline: &Timeline) -> Outcome {
-    let stage = &timeline.stage;
-    let now = stage.now();
-    let mut state = stage.lock();
-    let falls = state.receivers.overload_failures.clone();
-    state.oracle.judge_falls(&falls);
+fn finish_outcome(timeline: &FaultTimeline) -> Outcome {
+    let context = &timeline.context;
+    let now = context.now();
+    let mut state = context.lock_state();
+    let overload_failures = state.receivers.overload_failures.clone();
+    state.oracle.judge_falls(&overload_failures);
     state.tally.counts.open = state.messages.len() as u64;
-    let load_late = percentile_99(&state.load_late);
-    let receivers_late = percentile_99(&state.receivers_late);
-    let tally = std::mem::replace(&mut state.tally, Tally::new(&stage.scenario));
-    let mut outcome = tally.close(now, &stage.scenario, Clock::Sockets, timeline.seed, "True");
+    let load_lateness = percentile_99(&state.load_lateness);
+    let receiver_lateness = percentile_99(&state.receiver_lateness);
+    let tally = std::mem::replace(&mut state.tally, Tally::new(&context.scenario));
+    let mut outcome = tally.close(
+        now,
+        &context.scenario,
+        Clock::Sockets,
+        timeline.seed,
+        "True",
+    );
     outcome.broken = state.oracle.counts_by_name();
     outcome.breaks = state.oracle.breaks.clone();
     for broken in &mut outcome.breaks {
-        broken.at = broken.at.saturating_sub(timeline.begin);
+        broken.at = broken.at.saturating_sub(timeline.begins_at);
     }
-    outcome.falls = falls.len() as u64;
-    outcome.load_late = load_late;
-    outcome.receivers_late = receivers_late;
-    outcome.void = void_reason(&locked(&timeline.crashes), load_late, receivers_late);
+    outcome.falls = overload_failures.len() as u64;
+    outcome.load_late = load_lateness;
+    outcome.receivers_late = receiver_lateness;
+    outcome.void = void_reason(&lock(&timeline.crashes), load_lateness, receiver_lateness);
     outcome
 }
 
 /// Why a run shows nothing, if it does not.
-fn void_reason(crashes: &[String], load_late: u64, receivers_late: u64) -> Option<String> {
+fn void_reason(crashes: &[String], load_lateness: u64, receiver_lateness: u64) -> Option<String> {
     if !crashes.is_empty() {
         return Some(crashes.join("; "));
     }
-    if load_late > MOST_LATE {
+    if load_lateness > MAX_LATENESS_P99 {
         return Some(format!(
-            "the load tool was {load_late} us late at p99, {MOST_LATE} are allowed"
+            "the load tool was {load_lateness} us late at p99, {MAX_LATENESS_P99} are allowed"
         ));
     }
-    if receivers_late > MOST_LATE {
+    if receiver_lateness > MAX_LATENESS_P99 {
         return Some(format!(
-            "the receivers were {receivers_late} us late at p99, {MOST_LATE} are allowed"
+            "the receivers were {receiver_lateness} us late at p99, {MAX_LATENESS_P99} are allowed"
         ));
     }
     None
@@ -214,7 +233,7 @@
 }
 
 /// Where a forwarder's program lies if none is named: beside this one.
-pub fn program_beside() -> PathBuf {
+pub fn default_forwarder_program() -> PathBuf {
     let here = std::env::current_exe().unwrap_or_default();
     here.parent()
         .unwrap_or(Path::new("."))
--- a/crates/lab/src/sockets/timeline.rs
+++ b/crates/lab/src/sockets/timeline.rs
@@ -1,10 +1,10 @@
 //! The timeline of a run on sockets: each fault from its beginning to its end.
 
-use super::agents::{Agent, ListChange, Phase};
+use super::agents::{ListChange, Phase, PlatformAgent};
 use super::clients::ForwarderClient;
-use super::endpoints::StandIn;
-use super::processes::{Process, ProcessUsage};
-use super::Stage;
+use super::endpoints::StandInEndpoint;
+use super::processes::{ForwarderProcess, ProcessUsage};
+use super::RunContext;
 use crate::random::seeded_rng;
 use crate::scenario::{Fault, FaultKind};
 use crate::world::Layout;
@@ -17,26 +17,26 @@
 use tokio::sync::Mutex as AsyncMutex;
 
 /// After a restart: from then on a final answer may be overdue, µs.
-const READY_AFTER: Micros = 1_500_000;
+const RESTART_GRACE: Micros = 1_500_000;
 
 /// The forwarders of a run, each with its agent and its clients; empty where no forwarder is run.
 #[derive(Default)]
 pub(super) struct Fleet {
-    pub agents: Vec<Arc<Agent>>,
+    pub agents: Vec<Arc<PlatformAgent>>,
     pub clients: Vec<Arc<ForwarderClient>>,
-    pub processes: Vec<Arc<AsyncMutex<Process>>>,
+    pub processes: Vec<Arc<AsyncMutex<ForwarderProcess>>>,
 }
 
 /// Plays the faults of a run.
-pub(super) struct Timeline {
-    pub stage: Arc<Stage>,
-    stand_ins: Vec<Arc<StandIn>>,
+pub(super) struct FaultTimeline {
+    pub context: Arc<RunContext>,
+    stand_ins: Vec<Arc<StandInEndpoint>>,
     pub fleet: Fleet,
     pub seed: u64,
-    /// When the first message may be due, µs on the stage's clock.
-    pub begin: Micros,
+    /// When the first message may be due, µs on the context's clock.
+    pub begins_at: Micros,
     /// Chance of discovery: lags, and what a partial list lacks.
-    lags: Mutex<Pcg64Mcg>,
+    discovery_rng: Mutex<Pcg64Mcg>,
     /// The phase of each endpoint in the list.
     phases: Mutex<Vec<Phase>>,
     /// Until when discovery sends nothing.
@@ -44,81 +44,84 @@
     /// Forwarders that ended by themselves, in words.
     pub crashes: Mutex<Vec<String>>,
     /// Forwarders that are killed now: any other that has ended has crashed.
-    down: Mutex<BTreeSet<u32>>,
+    down_forwarders: Mutex<BTreeSet<u32>>,
 }
 
 /// What a mutex holds, which a panic elsewhere leaves as it was.
-pub(super) fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Timeline {
+impl FaultTimeline {
     /// A timeline on which nothing has happened yet.
     pub fn new(
-        stage: Arc<Stage>,
-        stand_ins: Vec<Arc<StandIn>>,
+        context: Arc<RunContext>,
+        stand_ins: Vec<Arc<StandInEndpoint>>,
         fleet: Fleet,
         seed: u64,
-        begin: Micros,
-    ) -> Arc<Timeline> {
-        Arc::new(Timeline {
+        begins_at: Micros,
+    ) -> Arc<FaultTimeline> {
+        Arc::new(FaultTimeline {
             phases: Mutex::new(vec![Phase::Ready; stand_ins.len()]),
-            stage,
+            context,
             stand_ins,
             fleet,
             seed,
-            begin,
-            lags: Mutex::new(seeded_rng(seed, "lags", 0)),
+            begins_at,
+            discovery_rng: Mutex::new(seeded_rng(seed, "lags", 0)),
             stale_until: Mutex::default(),
             crashes: Mutex::default(),
-            down: Mutex::default(),
+            down_forwarders: Mutex::default(),
         })
     }
 
     /// CPU time of all forwarders and the memory of the largest; those that are being killed or started are left out.
     pub async fn usage(&self) -> ProcessUsage {
-        let mut sum = ProcessUsage::default();
+        let mut total = ProcessUsage::default();
         for process in &self.fleet.processes {
             let Ok(process) = process.try_lock() else {
                 continue;
             };
             if let Some(usage) = process.usage() {
-                sum.cpu += usage.cpu;
-                sum.memory = sum.memory.max(usage.memory);
+                total.cpu_micros += usage.cpu_micros;
+                total.memory_bytes = total.memory_bytes.max(usage.memory_bytes);
             }
         }
-        sum
+        total
     }
 
     /// Notes forwarders that ended by themselves.
-    pub async fn look_for_crashes(&self) {
-        for (number, process) in self.fleet.processes.iter().enumerate() {
+    pub async fn record_crashes(&self) {
+        for (forwarder, process) in self.fleet.processes.iter().enumerate() {
             let Ok(mut process) = process.try_lock() else {
                 continue;
             };
-            if locked(&self.down).contains(&(number as u32)) {
+            if lock(&self.down_forwarders).contains(&(forwarder as u32)) {
                 continue;
             }
-            if let Some(how) = process.ended() {
-                locked(&self.crashes).push(format!("forwarder {number} ended by itself: {how}"));
-                locked(&self.down).insert(number as u32);
+            if let Some(exit_status) = process.exit_status() {
+                lock(&self.crashes).push(format!(
+                    "forwarder {forwarder} ended by itself: {exit_status}"
+                ));
+                lock(&self.down_forwarders).insert(forwarder as u32);
             }
         }
     }
 
     /// Waits until this time of the scenario.
-    async fn until(&self, at: Micros) {
-        tokio::time::sleep_until(self.stage.at(self.begin + at)).await;
+    async fn sleep_until(&self, at: Micros) {
+        tokio::time::sleep_until(self.context.instant_at(self.begins_at + at)).await;
     }
 
     /// Plays one fault, by its place in the scenario.
-    pub async fn play_fault(self: Arc<Timeline>, number: usize) {
-        let scenario = &self.stage.scenario;
-        let fault = scenario.faults[number].clone();
-        let forwarders = Layout::affected_forwarders(scenario, &fault.scope, self.seed, number);
-        let layout = &self.stage.layout;
-        let endpoints = layout.affected_endpoints(scenario, &fault.scope, self.seed, number);
-        self.until(fault.at.0).await;
+    pub async fn play_fault(self: Arc<FaultTimeline>, fault_index: usize) {
+        let scenario = &self.context.scenario;
+        let fault = scenario.faults[fault_index].clone();
+        let forwarders =
+            Layout::affected_forwarders(scenario, &fault.scope, self.seed, fault_index);
+        let layout = &self.context.layout;
+        let endpoints = layout.affected_endpoints(scenario, &fault.scope, self.seed, fault_index);
+        self.sleep_until(fault.at.0).await;
         match &fault.kind {
             FaultKind::Killed { folder_kept } => {
                 self.play_kill(&fault, &forwarders, *folder_kept).await
@@ -126,38 +129,46 @@
             FaultKind::Paused => self.play_pause(&fault, &forwarders).await,
             FaultKind::Drain => self.play_drain(&fault, &endpoints).await,
             FaultKind::Stale => {
-                let mut until = locked(&self.stale_until);
-                *until = (*until).max(self.begin + fault.ends_at());
+                let mut until = lock(&self.stale_until);
+                *until = (*until).max(self.begins_at + fault.ends_at());
             }
             FaultKind::Partial { missing } => {
                 self.send_partial_list(*missing);
-                self.until(fault.ends_at()).await;
+                self.sleep_until(fault.ends_at()).await;
                 self.send_partial_list(0.0);
             }
             _ => {
-                self.set_receiver_fault(number, &fault, &endpoints, true);
-                self.until(fault.ends_at()).await;
-                self.set_receiver_fault(number, &fault, &endpoints, false);
+                self.set_receiver_fault(fault_index, &fault, &endpoints, true);
+                self.sleep_until(fault.ends_at()).await;
+                self.set_receiver_fault(fault_index, &fault, &endpoints, false);
             }
         }
     }
 
-    fn set_receiver_fault(&self, number: usize, fault: &Fault, endpoints: &[usize], begins: bool) {
-        let now = self.stage.now();
-        let until = self.begin + fault.ends_at();
-        let mut state = self.stage.lock();
+    fn set_receiver_fault(
+        &self,
+        fault_index: usize,
+        fault: &Fault,
+        endpoints: &[usize],
+        is_active: bool,
+    ) {
+        let now = self.context.now();
+        let until = self.begins_at + fault.ends_at();
+        let mut state = self.context.lock_state();
         state
             .receivers
-            .set_fault(now, number, &fault.kind, until, endpoints, begins);
+            .set_fault(now, fault_index, &fault.kind, until, endpoints, is_active);
         drop(state);
-        self.stage.changed.send_modify(|changes| *changes += 1);
+        self.context
+            .receivers_changed
+            .send_modify(|changes| *changes += 1);
     }
 
     async fn play_kill(&self, fault: &Fault, forwarders: &[u32], folder_kept: bool) {
         for forwarder in forwarders {
             self.kill_process(*forwarder, folder_kept).await;
         }
-        self.until(fault.ends_at()).await;
+        self.sleep_until(fault.ends_at()).await;
         for forwarder in forwarders {
             self.restart_process(*forwarder).await;
         }
@@ -165,50 +176,56 @@
 
     async fn play_pause(&self, fault: &Fault, forwarders: &[u32]) {
         for forwarder in forwarders {
-            self.stage.lock().oracle.excuse(*forwarder, Micros::MAX);
-            self.process(*forwarder).lock().await.stop();
+            self.context
+                .lock_state()
+                .oracle
+                .excuse(*forwarder, Micros::MAX);
+            self.process(*forwarder).lock().await.pause();
         }
-        self.until(fault.ends_at()).await;
+        self.sleep_until(fault.ends_at()).await;
         for forwarder in forwarders {
-            self.process(*forwarder).lock().await.go_on();
-            self.excuse_until_ready(*forwarder);
+            self.process(*forwarder).lock().await.resume();
+            self.excuse_during_restart(*forwarder);
         }
     }
 
     /// One endpoint after the other drains, each for the same part of the fault's time.
     async fn play_drain(&self, fault: &Fault, endpoints: &[usize]) {
-        let each = fault.lasts.0 / endpoints.len().max(1) as u64;
+        let drain_time = fault.lasts.0 / endpoints.len().max(1) as u64;
         for (position, endpoint) in endpoints.iter().enumerate() {
-            let begins_at = fault.at.0 + each * position as u64;
-            self.until(begins_at).await;
-            self.endpoint_drains(*endpoint);
-            self.until(begins_at + each).await;
-            self.endpoint_replaced(*endpoint);
+            let drain_start = fault.at.0 + drain_time * position as u64;
+            self.sleep_until(drain_start).await;
+            self.start_drain(*endpoint);
+            self.sleep_until(drain_start + drain_time).await;
+            self.replace_endpoint(*endpoint);
         }
     }
 
-    fn process(&self, forwarder: u32) -> &AsyncMutex<Process> {
+    fn process(&self, forwarder: u32) -> &AsyncMutex<ForwarderProcess> {
         &self.fleet.processes[forwarder as usize]
     }
 
-    fn set_open(&self, forwarder: u32, open: bool) {
+    fn set_available(&self, forwarder: u32, available: bool) {
         let client = &self.fleet.clients[forwarder as usize];
-        client.open.store(open, Ordering::Relaxed);
+        client.available.store(available, Ordering::Relaxed);
     }
 
-    fn excuse_until_ready(&self, forwarder: u32) {
-        let now = self.stage.now();
-        let mut state = self.stage.lock();
-        state.oracle.excuse(forwarder, now + READY_AFTER);
+    fn excuse_during_restart(&self, forwarder: u32) {
+        let now = self.context.now();
+        let mut state = self.context.lock_state();
+        state.oracle.excuse(forwarder, now + RESTART_GRACE);
     }
 
     async fn kill_process(&self, forwarder: u32, folder_kept: bool) {
-        locked(&self.down).insert(forwarder);
-        self.set_open(forwarder, false);
-        self.stage.lock().oracle.excuse(forwarder, Micros::MAX);
+        lock(&self.down_forwarders).insert(forwarder);
+        self.set_available(forwarder, false);
+        self.context
+            .lock_state()
+            .oracle
+            .excuse(forwarder, Micros::MAX);
         self.process(forwarder).lock().await.kill(folder_kept).await;
-        let now = self.stage.now();
-        let mut state = self.stage.lock();
+        let now = self.context.now();
+        let mut state = self.context.lock_state();
         state.oracle.process_ended(forwarder);
         if folder_kept {
             return;
@@ -224,60 +241,63 @@
         let started = self.process(forwarder).lock().await.start().await;
         match started {
             Ok(()) => {
-                self.excuse_until_ready(forwarder);
-                self.set_open(forwarder, true);
-                locked(&self.down).remove(&forwarder);
+                self.excuse_during_restart(forwarder);
+                self.set_available(forwarder, true);
+                lock(&self.down_forwarders).remove(&forwarder);
             }
-            Err(error) => locked(&self.crashes).push(error.to_string()),
+            Err(error) => lock(&self.crashes).push(error.to_string()),
         }
     }
 
-    fn endpoint_drains(&self, endpoint: usize) {
-        locked(&self.phases)[endpoint] = Phase::Terminating;
-        let holder = self.stand_ins[endpoint].holder();
+    fn start_drain(&self, endpoint_index: usize) {
+        lock(&self.phases)[endpoint_index] = Phase::Terminating;
+        let incarnation = self.stand_ins[endpoint_index].incarnation();
         let phase = Phase::Terminating;
         self.send_changes(vec![ListChange {
-            endpoint,
-            holder,
+            endpoint_index,
+            incarnation,
             phase,
         }]);
     }
 
-    /// The endpoint is gone, and a new holder of its address is ready.
-    fn endpoint_replaced(&self, endpoint: usize) {
-        let old = self.stand_ins[endpoint].holder();
-        let now = self.stage.now();
-        self.stage.lock().receivers.replace(now, endpoint);
-        self.stand_ins[endpoint].replaced();
-        locked(&self.phases)[endpoint] = Phase::Ready;
-        let change = |holder, phase| ListChange {
-            endpoint,
-            holder,
+    /// The endpoint is gone, and a new incarnation of its address is ready.
+    fn replace_endpoint(&self, endpoint_index: usize) {
+        let old_incarnation = self.stand_ins[endpoint_index].incarnation();
+        let now = self.context.now();
+        self.context
+            .lock_state()
+            .receivers
+            .replace(now, endpoint_index);
+        self.stand_ins[endpoint_index].start_new_incarnation();
+        lock(&self.phases)[endpoint_index] = Phase::Ready;
+        let change = |incarnation, phase| ListChange {
+            endpoint_index,
+            incarnation,
             phase,
         };
         self.send_changes(vec![
-            change(old, Phase::Gone),
-            change(old + 1, Phase::Ready),
+            change(old_incarnation, Phase::Gone),
+            change(old_incarnation + 1, Phase::Ready),
         ]);
     }
 
     /// When each agent gets what discovery sends now.
     fn arrival_times(&self) -> Vec<Micros> {
-        let max_lag = self.stage.scenario.network.list_lag.0;
-        let from = self.stage.now().max(*locked(&self.stale_until));
-        let mut lags = locked(&self.lags);
+        let max_lag = self.context.scenario.network.list_lag.0;
+        let earliest = self.context.now().max(*lock(&self.stale_until));
+        let mut rng = lock(&self.discovery_rng);
         let agents = self.fleet.agents.iter();
         agents
-            .map(|_| from + lags.random_range(0..=max_lag))
+            .map(|_| earliest + rng.random_range(0..=max_lag))
             .collect()
     }
 
     fn send_changes(&self, changes: Vec<ListChange>) {
-        for (agent, arrives_at) in self.fleet.agents.iter().zip(self.arrival_times()) {
+        for (agent, arrival_time) in self.fleet.agents.iter().zip(self.arrival_times()) {
             let (agent, changes) = (agent.clone(), changes.clone());
-            let arrives_at = self.stage.at(arrives_at);
+            let arrival_time = self.context.instant_at(arrival_time);
             tokio::spawn(async move {
-                tokio::time::sleep_until(arrives_at).await;
+                tokio::time::sleep_until(arrival_time).await;
                 agent.apply_changes(&changes);
             });
         }
@@ -285,18 +305,21 @@
 
     /// Sends the whole list without a part of it that is drawn by chance.
     fn send_partial_list(&self, missing_share: f64) {
-        let phases = locked(&self.phases).clone();
+        let phases = lock(&self.phases).clone();
         let mut members = BTreeMap::new();
-        for (endpoint, phase) in phases.into_iter().enumerate() {
-            if !locked(&self.lags).random_bool(missing_share) {
-                members.insert((endpoint, self.stand_ins[endpoint].holder()), phase);
+        for (endpoint_index, phase) in phases.into_iter().enumerate() {
+            if !lock(&self.discovery_rng).random_bool(missing_share) {
+                members.insert(
+                    (endpoint_index, self.stand_ins[endpoint_index].incarnation()),
+                    phase,
+                );
             }
         }
-        for (agent, arrives_at) in self.fleet.agents.iter().zip(self.arrival_times()) {
+        for (agent, arrival_time) in self.fleet.agents.iter().zip(self.arrival_times()) {
             let (agent, members) = (agent.clone(), members.clone());
-            let arrives_at = self.stage.at(arrives_at);
+            let arrival_time = self.context.instant_at(arrival_time);
             tokio::spawn(async move {
-                tokio::time::sleep_until(arrives_at).await;
+                tokio::time::sleep_until(arrival_time).await;
                 agent.replace_list(members);
             });
         }
--- a/crates/lab/src/sockets/wire.rs
+++ b/crates/lab/src/sockets/wire.rs
@@ -6,13 +6,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-const MOST_HEAD: usize = 64 * 1024;
-const MOST_HEADERS: usize = 64;
-const MOST_BODY: usize = 4 * 1024 * 1024;
-const MAX_TRIES: u32 = 100; // for a free port
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+const MAX_HEADERS: usize = 64;
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+const MAX_PORT_ATTEMPTS: u32 = 100; // for a free port
 
 /// A connection with what was read ahead of it.
-pub struct Conn {
+pub struct HttpConnection {
     pub stream: TcpStream,
     buffer: Vec<u8>,
 }
@@ -32,52 +32,52 @@
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
-            .find(|(n, _)| n == name)
-            .map(|(_, v)| v.as_str())
+            .find(|(key, _)| key == name)
+            .map(|(_, value)| value.as_str())
     }
 }
 
-impl Conn {
+impl HttpConnection {
     /// A connection that nothing was read from.
-    pub fn new(stream: TcpStream) -> Conn {
+    pub fn new(stream: TcpStream) -> HttpConnection {
         let _ = stream.set_nodelay(true); // without it an answer may be late, no more
-        Conn {
+        HttpConnection {
             stream,
             buffer: Vec::with_capacity(2048),
         }
     }
 
     /// The next request; nothing at the end of the connection.
-    pub async fn request(&mut self) -> io::Result<Option<HttpMessage>> {
-        self.message(true).await
+    pub async fn read_request(&mut self) -> io::Result<Option<HttpMessage>> {
+        self.read_message(true).await
     }
 
     /// The next answer.
-    pub async fn answer(&mut self) -> io::Result<HttpMessage> {
-        self.message(false)
+    pub async fn read_response(&mut self) -> io::Result<HttpMessage> {
+        self.read_message(false)
             .await?
             .ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     }
 
-    async fn message(&mut self, request: bool) -> io::Result<Option<HttpMessage>> {
+    async fn read_message(&mut self, is_request: bool) -> io::Result<Option<HttpMessage>> {
         loop {
-            if let Some((message, head, length)) = self.head(request)? {
-                if length > MOST_BODY {
+            if let Some((message, head_length, body_length)) = self.parse_head(is_request)? {
+                if body_length > MAX_BODY_BYTES {
                     return Err(io::Error::new(
                         io::ErrorKind::InvalidData,
                         "the body is too long",
                     ));
                 }
-                while self.buffer.len() < head + length {
+                while self.buffer.len() < head_length + body_length {
                     if self.stream.read_buf(&mut self.buffer).await? == 0 {
                         return Err(io::ErrorKind::UnexpectedEof.into());
                     }
                 }
-                let body = self.buffer[head..head + length].to_vec();
-                self.buffer.drain(..head + length);
+                let body = self.buffer[head_length..head_length + body_length].to_vec();
+                self.buffer.drain(..head_length + body_length);
                 return Ok(Some(HttpMessage { body, ..message }));
             }
-            if self.buffer.len() > MOST_HEAD {
+            if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(io::Error::new(
                     io::ErrorKind::InvalidData,
                     "the head is too long",
@@ -94,35 +94,36 @@
     }
 
     /// A head that is whole, its length, and that of the body behind it.
-    fn head(&self, request: bool) -> io::Result<Option<(HttpMessage, usize, usize)>> {
-        let bad = |e: httparse::Error| io::Error::new(io::ErrorKind::InvalidData, e.to_string());
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    fn parse_head(&self, is_request: bool) -> io::Result<Option<(HttpMessage, usize, usize)>> {
+        let invalid_data =
+            |error: httparse::Error| io::Error::new(io::ErrorKind::InvalidData, error.to_string());
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut message = HttpMessage::default();
-        let (status, headers) = if request {
+        let (status, headers) = if is_request {
             let mut parsed = httparse::Request::new(&mut headers);
-            let status = parsed.parse(&self.buffer).map_err(bad)?;
+            let status = parsed.parse(&self.buffer).map_err(invalid_data)?;
             message.method = parsed.method.unwrap_or("").into();
             message.path = parsed.path.unwrap_or("").into();
             (status, parsed.headers)
         } else {
             let mut parsed = httparse::Response::new(&mut headers);
-            let status = parsed.parse(&self.buffer).map_err(bad)?;
+            let status = parsed.parse(&self.buffer).map_err(invalid_data)?;
             message.status = parsed.code.unwrap_or(0);
             (status, parsed.headers)
         };
-        let httparse::Status::Complete(head) = status else {
+        let httparse::Status::Complete(head_length) = status else {
             return Ok(None);
         };
-        for h in headers.iter() {
+        for header in headers.iter() {
             message.headers.push((
-                h.name.to_ascii_lowercase(),
-                String::from_utf8_lossy(h.value).into_owned(),
+                header.name.to_ascii_lowercase(),
+                String::from_utf8_lossy(header.value).into_owned(),
             ));
         }
-        let length = message.header("content-length").map_or(Ok(0), str::parse);
-        let length = length
+        let content_length = message.header("content-length").map_or(Ok(0), str::parse);
+        let body_length = content_length
             .map_err(|_| io::Error::new(io::ErrorKind::InvalidData, "the length is no number"))?;
-        Ok(Some((message, head, length)))
+        Ok(Some((message, head_length, body_length)))
     }
 
     /// Writes bytes as they are.
@@ -131,20 +132,25 @@
     }
 
     /// Answers a request; `more` holds further lines of the head.
-    pub async fn reply(&mut self, status: &str, more: &str, body: &str) -> io::Result<()> {
+    pub async fn respond(
+        &mut self,
+        status: &str,
+        extra_headers: &str,
+        body: &str,
+    ) -> io::Result<()> {
         let text = format!(
-            "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}",
+            "HTTP/1.1 {status}\r\n{extra_headers}Content-Length: {}\r\n\r\n{body}",
             body.len()
         );
         self.write(text.as_bytes()).await
     }
 
     /// Waits until the other side has closed. What it sends meanwhile stays in the buffer.
-    pub async fn closed(&mut self) {
+    pub async fn wait_for_close(&mut self) {
         loop {
             match self.stream.read_buf(&mut self.buffer).await {
                 Ok(0) | Err(_) => return,
-                Ok(_) if self.buffer.len() > MOST_HEAD => return,
+                Ok(_) if self.buffer.len() > MAX_HEAD_BYTES => return,
                 Ok(_) => {}
             }
         }
@@ -156,37 +162,39 @@
     }
 }
 
-static CHOOSING: Mutex<()> = Mutex::new(()); // held by whoever chooses a port, until it is kept
+static PORT_CHOICE: Mutex<()> = Mutex::new(()); // held by whoever chooses a port, until it is kept
 
 /// A port of loopback that is kept while nobody listens there: another world on this machine must not get it meanwhile,
 /// nor what is sent to it.
-pub struct Port {
+pub struct ReservedPort {
     pub address: SocketAddr,
-    _held: socket2::Socket,
+    _reservation: socket2::Socket,
 }
 
-impl Port {
+impl ReservedPort {
     /// A free one; `port` where it is named.
-    pub fn hold(port: u16) -> io::Result<Port> {
+    pub fn reserve(port: u16) -> io::Result<ReservedPort> {
         // Guards against two worlds of one process that choose the same port before either keeps it: both could share it.
-        let _one = CHOOSING.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut tries = 0;
+        let _guard = PORT_CHOICE.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut attempts = 0;
         loop {
             // Between choosing and keeping, somebody else may have got it: then another will do.
-            let held = Port::choose(port)
-                .and_then(Port::keep)
-                .and_then(|p| p.listen().map(|_| p));
-            tries += 1;
-            match held {
-                Err(e)
-                    if e.kind() == io::ErrorKind::AddrInUse && port == 0 && tries < MAX_TRIES => {}
-                held => return held,
+            let reserved = ReservedPort::choose_address(port)
+                .and_then(ReservedPort::bind_reservation)
+                .and_then(|port| port.listen().map(|_| port));
+            attempts += 1;
+            match reserved {
+                Err(error)
+                    if error.kind() == io::ErrorKind::AddrInUse
+                        && port == 0
+                        && attempts < MAX_PORT_ATTEMPTS => {}
+                reserved => return reserved,
             }
         }
     }
 
     /// Chosen without the right to share, for what others keep must not be chosen.
-    fn choose(port: u16) -> io::Result<SocketAddr> {
+    fn choose_address(port: u16) -> io::Result<SocketAddr> {
         let socket = tokio::net::TcpSocket::new_v4()?;
         if port == 0 {
             socket.bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
@@ -196,13 +204,13 @@
     }
 
     /// Kept with the right to share, so that a listener can stand beside it.
-    fn keep(address: SocketAddr) -> io::Result<Port> {
-        let held = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
-        held.set_reuse_address(true)?;
-        held.bind(&address.into())?;
-        Ok(Port {
+    fn bind_reservation(address: SocketAddr) -> io::Result<ReservedPort> {
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
+        socket.set_reuse_address(true)?;
+        socket.bind(&address.into())?;
+        Ok(ReservedPort {
             address,
-            _held: held,
+            _reservation: socket,
         })
     }
 
