--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -1,6 +1,6 @@
-//! Scripted peers, for tests that need an exact answer at an exact moment: blocking servers of a few lines that answer as a
-//! closure says and log what came, a platform, and the forwarder's process between them. They panic where something that must
-//! work does not: that is the failure of the test that uses them. What follows a model, see `sockets`.
+//! Scripted peers for tests that need an exact response at an exact moment: blocking servers that log requests and respond as a
+//! closure determines, a platform, and the forwarder's process between them. They panic on unexpected errors, which fails the
+//! test that uses them. The peers in `sockets` respond according to the receiver model instead.
 
 use socket2::SockRef;
 use std::collections::BTreeMap;
@@ -14,9 +14,9 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-const MAX_WAIT: Duration = Duration::from_secs(10); // of whoever waits for something that must come
+const MAX_WAIT: Duration = Duration::from_secs(10); // for a condition or a response that a test requires
 
-/// One message as it came: first line, headers by name in small letters, body.
+/// A request or a response as it was received. Header names are in lower case.
 #[derive(Clone, Debug, Default)]
 pub struct HttpMessage {
     pub first_line: String,
@@ -24,7 +24,7 @@
     pub body: Vec<u8>,
 }
 
-/// Reads one message; nothing at the end of the connection.
+/// Reads a request or a response; none if the connection ends or fails before it is complete. Panics if the head is malformed.
 pub fn read_http_message(stream: &mut TcpStream) -> Option<HttpMessage> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -34,16 +34,18 @@
             _ => return None,
         }
     }
-    let text = String::from_utf8(head).expect("a head is text");
+    let text = String::from_utf8(head).expect("the HTTP head should be UTF-8");
     let mut lines = text.lines();
     let first_line = lines.next()?.to_owned();
     let headers: BTreeMap<String, String> = lines
         .filter_map(|line| line.split_once(": "))
         .map(|(name, value)| (name.to_lowercase(), value.to_owned()))
         .collect();
-    let length = headers
-        .get("content-length")
-        .map_or(0, |length| length.parse().expect("a length"));
+    let length = headers.get("content-length").map_or(0, |length| {
+        length
+            .parse()
+            .expect("the content length should be a number")
+    });
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
     Some(HttpMessage {
@@ -53,37 +55,48 @@
     })
 }
 
-/// What came, in order.
+/// Received requests, oldest first.
 pub type RequestLog = Arc<Mutex<Vec<HttpMessage>>>;
 
-/// A server that logs the requests and answers them by a function; where that gives no answer, the request stays open.
+/// Starts a server on a free loopback port that logs its requests. `respond` gets a request and its index in the log, and
+/// returns the response; if it returns none, the request stays unanswered until the client closes the connection.
 pub fn serve(
     respond: impl Fn(&HttpMessage, usize) -> Option<String> + Send + Sync + 'static,
 ) -> (SocketAddr, RequestLog) {
-    serve_on(TcpListener::bind("127.0.0.1:0").expect("a port"), respond)
+    serve_on(
+        TcpListener::bind("127.0.0.1:0").expect("a loopback port should be free"),
+        respond,
+    )
 }
 
 fn serve_on(
     listener: TcpListener,
     respond: impl Fn(&HttpMessage, usize) -> Option<String> + Send + Sync + 'static,
 ) -> (SocketAddr, RequestLog) {
-    let address = listener.local_addr().expect("its address");
+    let address = listener
+        .local_addr()
+        .expect("the listener should have an address");
     let (log, respond) = (RequestLog::default(), Arc::new(respond));
     let seen = log.clone();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, seen, respond) =
-                (stream.expect("a connection"), seen.clone(), respond.clone());
+            let (mut stream, seen, respond) = (
+                stream.expect("the connection should be accepted"),
+                seen.clone(),
+                respond.clone(),
+            );
             thread::spawn(move || {
                 while let Some(message) = read_http_message(&mut stream) {
                     let request_index = {
-                        let mut seen = seen.lock().expect("the log");
+                        let mut seen = seen.lock().expect("the request log should not be poisoned");
                         seen.push(message.clone());
                         seen.len() - 1
                     };
                     match respond(&message, request_index) {
-                        Some(text) => stream.write_all(text.as_bytes()).expect("answered"),
-                        None => _ = stream.read(&mut [0]), // until the other side gives up
+                        Some(text) => stream
+                            .write_all(text.as_bytes())
+                            .expect("the response should be written"),
+                        None => _ = stream.read(&mut [0]), // until the client closes the connection
                     }
                 }
             });
@@ -92,8 +105,8 @@
     (address, log)
 }
 
-/// A listener whose backlog is full, so that connections do not come up until it is opened. Those that were tried
-/// meanwhile come up as the kernel tries again, a second later.
+/// A listener whose backlog is full, so that no connection is established until [`FullBacklogListener::accept_and_serve`]. The
+/// kernel of the client retries connections that were attempted before, about 1 s after the attempt.
 pub struct FullBacklogListener {
     listener: TcpListener,
     filling_connections: Vec<TcpStream>,
@@ -101,11 +114,15 @@
 }
 
 impl FullBacklogListener {
-    /// At a free port of that address of this machine.
+    /// Binds to a free port of a local address and fills the backlog.
     pub fn bind(host: &str) -> FullBacklogListener {
-        let listener = TcpListener::bind((host, 0)).expect("a port");
-        SockRef::from(&listener).listen(0).expect("a short line");
-        let address = listener.local_addr().expect("its address");
+        let listener = TcpListener::bind((host, 0)).expect("a port of the host should be free");
+        SockRef::from(&listener)
+            .listen(0)
+            .expect("the backlog should be shortened");
+        let address = listener
+            .local_addr()
+            .expect("the listener should have an address");
         let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(50)).ok();
         let filling_connections = std::iter::from_fn(connect).collect();
         FullBacklogListener {
@@ -115,25 +132,29 @@
         }
     }
 
-    /// Serves from now on, as [`serve`] does.
+    /// Accepts the connections that fill the backlog, then serves as [`serve`] does.
     pub fn accept_and_serve(
         self,
         respond: impl Fn(&HttpMessage, usize) -> Option<String> + Send + Sync + 'static,
     ) -> (SocketAddr, RequestLog) {
-        SockRef::from(&self.listener).listen(16).expect("a line");
+        SockRef::from(&self.listener)
+            .listen(16)
+            .expect("the backlog should be extended");
         for _ in &self.filling_connections {
-            self.listener.accept().expect("one of the line");
+            self.listener
+                .accept()
+                .expect("a connection of the backlog should be accepted");
         }
         serve_on(self.listener, respond)
     }
 }
 
-/// An answer without a body.
+/// Returns a response without a body; `status` holds the code and the reason phrase.
 pub fn empty_response(status: &str) -> Option<String> {
     Some(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n"))
 }
 
-/// 200 with a body.
+/// Returns a 200 response with a body.
 pub fn ok_response(body: &str) -> Option<String> {
     Some(format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -141,7 +162,7 @@
     ))
 }
 
-/// One member of a list, as discovery writes it; it is named by its port.
+/// Returns a member of the endpoint list in the format of discovery. Its id is derived from its port.
 pub fn member(endpoint: SocketAddr, destination: u32, phase: &str) -> String {
     member_named(
         &format!("s-{}", endpoint.port()),
@@ -151,14 +172,14 @@
     )
 }
 
-/// One member under a name of its own.
+/// Returns a member of the endpoint list with the given id.
 pub fn member_named(id: &str, endpoint: SocketAddr, destination: u32, phase: &str) -> String {
     format!(
         r#"{{"id":"{id}","host_port":"{endpoint}","locality":"a","flavor":"m","cell":{destination},"phase":"{phase}","size":50.0,"up_since_ms":0}}"#
     )
 }
 
-/// A list, or changes to it.
+/// Returns a response body of discovery: the complete list, or changes of it.
 pub fn endpoint_list(revision: u64, complete: bool, members: &[String]) -> String {
     format!(
         r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#,
@@ -166,23 +187,25 @@
     )
 }
 
-/// A platform: its list, the changes for the next watches, and the completion reports that it gets.
+/// A platform that serves an endpoint list and records the completion reports.
 pub struct Platform {
     pub address: SocketAddr,
-    /// The requests with completion reports.
+    /// Requests with completion reports, including the refused ones.
     pub completion_reports: RequestLog,
-    /// The next watches get these, the last one first.
+    /// Response bodies for the next watches. The last one is sent first.
     pub pending_changes: Arc<Mutex<Vec<String>>>,
 }
 
-/// `deaf` completion reports are answered with an error first.
+/// Starts a platform with a list of `members`. The first `refused_reports` requests with completion reports get a 500 response.
 pub fn start_platform(members: Vec<String>, refused_reports: usize) -> Platform {
     let pending_changes: Arc<Mutex<Vec<String>>> = Arc::default();
     let completion_reports = RequestLog::default();
     let (changes, reports) = (pending_changes.clone(), completion_reports.clone());
     let (address, _) = serve(move |message, _| {
         if message.first_line.starts_with("POST /v1/outcomes") {
-            let mut reports = reports.lock().expect("the reports");
+            let mut reports = reports
+                .lock()
+                .expect("the completion reports should not be poisoned");
             reports.push(message.clone());
             return empty_response(if reports.len() > refused_reports {
                 "204 No Content"
@@ -195,7 +218,11 @@
         }
         let started = Instant::now();
         while started.elapsed() < Duration::from_millis(300) {
-            if let Some(change) = changes.lock().expect("the changes").pop() {
+            if let Some(change) = changes
+                .lock()
+                .expect("the pending changes should not be poisoned")
+                .pop()
+            {
                 return ok_response(&change);
             }
             thread::sleep(Duration::from_millis(5));
@@ -209,7 +236,7 @@
     }
 }
 
-/// A forwarder process; it is killed as this is dropped.
+/// A forwarder process, which is killed on drop.
 pub struct Forwarder {
     pub child: Child,
     pub listen: SocketAddr,
@@ -222,7 +249,7 @@
     }
 }
 
-/// Start-up configuration with one profile; effects by their names on the wire.
+/// Returns a start-up configuration with one delivery class. `effect` is the value of its delivery semantics in the settings.
 pub fn startup_config(profile: &str, effect: &str, sockets: usize, disk_mb: f64) -> String {
     format!(
         r#"{{"name":"n0","seed":"8c1f30d27a5be964","limits":{{"memory_mb":192,"sockets":{sockets},"disk_mb":{disk_mb}}},
@@ -237,12 +264,13 @@
     )
 }
 
-/// This configuration with further keys, a JSON text of pairs.
+/// Returns a start-up configuration with further top-level keys; `pairs` holds them as JSON without the outer braces.
 pub fn with_further_keys(config: &str, pairs: &str) -> String {
     config.replacen("\"settings\"", &format!("{pairs},\"settings\""), 1)
 }
 
-/// The program with this configuration, not started yet. `SHOW` in the environment shows its log.
+/// Returns the command that starts a forwarder, and writes its configuration beside the folder `state`. The log is discarded
+/// unless the environment variable `SHOW` is set.
 pub fn command(
     program: &str,
     state: &Path,
@@ -252,9 +280,9 @@
 ) -> Command {
     let config_file = state
         .parent()
-        .expect("a folder round it")
+        .expect("the state folder should have a parent")
         .join("config.json");
-    std::fs::write(&config_file, config).expect("the configuration is written");
+    std::fs::write(&config_file, config).expect("the configuration should be written");
     let mut command = Command::new(program);
     command
         .env("GW_CONFIG", config_file)
@@ -269,54 +297,57 @@
     command
 }
 
-/// A folder that lasts as long as the first of these.
+/// Creates an empty state folder. It is deleted when the returned temporary folder is dropped.
 pub fn state_folder() -> (TempDir, std::path::PathBuf) {
-    let folder = TempDir::new().expect("a folder");
+    let folder = TempDir::new().expect("a temporary folder should be created");
     let state = folder.path().join("state");
-    std::fs::create_dir(&state).expect("a folder in it");
+    std::fs::create_dir(&state).expect("the state folder should be created");
     (folder, state)
 }
 
-/// An address on which nobody listens, on a loopback host that no other test uses: nobody else
-/// can take the port before the program does.
+/// Returns an address without a listener, on a loopback host that no other test uses. No other test can therefore take the
+/// port before the forwarder does.
 fn unused_address() -> SocketAddr {
     static HOSTS: AtomicU32 = AtomicU32::new(0);
     let host_number = HOSTS.fetch_add(1, Ordering::Relaxed);
     let [_, process_high, process_low, _] = (std::process::id() << 8).to_be_bytes();
     let [.., host_number_low] = host_number.to_be_bytes();
-    // Not in 127.0.0.0/16, where scripted peers listen, nor the last address of 127.0.0.0/8.
+    // The host is outside 127.0.0.0/16, where scripted peers listen, and isn't the last address of 127.0.0.0/8.
     let second_octet = 1 + process_high % 128;
     let host = Ipv4Addr::new(127, second_octet, process_low, host_number_low);
-    let listener = TcpListener::bind((host, 0)).expect("a port");
-    listener.local_addr().expect("its address")
+    let listener = TcpListener::bind((host, 0)).expect("a port of the host should be free");
+    listener
+        .local_addr()
+        .expect("the listener should have an address")
 }
 
-/// Starts the program and waits until it is up.
+/// Starts a forwarder and waits until it is up. Panics if it isn't up within 10 s.
 pub fn start(program: &str, state: &Path, config: &str, discovery: SocketAddr) -> Forwarder {
     let listen = unused_address();
     let child = command(program, state, config, &listen.to_string(), discovery)
         .spawn()
-        .expect("the program starts");
+        .expect("the forwarder should start");
     let forwarder = Forwarder { child, listen };
-    wait_until("it is up", || {
+    wait_until("the forwarder is up", || {
         forwarder.request_status("GET /up HTTP/1.1\r\nHost: x\r\n\r\n", b"") == 200
     });
     forwarder
 }
 
-/// Waits until something is so; panics where it does not come.
+/// Waits until a condition is met. Panics with its description if it isn't met within 10 s.
 pub fn wait_until(condition: &str, mut is_met: impl FnMut() -> bool) {
     let started = Instant::now();
     while !is_met() {
         assert!(
             started.elapsed() < MAX_WAIT,
-            "waited in vain until {condition}"
+            "timed out waiting until {condition}"
         );
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// The head of a request that submits a message for destination 7.
+/// Returns the head of a request that submits a message for destination 7. `path` is the delivery class, `length` the size of
+/// the body in bytes.
 pub fn submission_head(id: &str, path: &str, length: usize) -> String {
     format!(
         "POST /{path} HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nRequest-Class: {path}\r\n\
@@ -325,66 +356,68 @@
 }
 
 impl Forwarder {
-    /// A new connection to it.
+    /// Opens a connection to the forwarder, with a read timeout of 10 s.
     pub fn connect(&self) -> std::io::Result<TcpStream> {
         let stream = TcpStream::connect(self.listen)?;
         stream.set_read_timeout(Some(MAX_WAIT))?;
         Ok(stream)
     }
 
-    /// The status of one request on a connection of its own; 0 where none came.
+    /// Sends a request on a new connection and returns the status of the answer; 0 if there is none.
     pub fn request_status(&self, head: &str, body: &[u8]) -> u16 {
         let Ok(mut stream) = self.connect() else {
             return 0;
         };
-        // A server that has seen enough may close while the rest is written.
+        // The forwarder may respond and close the connection before it has read the whole request.
         let _ = stream.write_all(&[head.as_bytes(), body].concat());
         read_status(&mut stream)
     }
 
-    /// Submits a message of four bytes and gives the status.
+    /// Submits a message with a body of 4 bytes and returns the status of the answer.
     pub fn submit(&self, id: &str, path: &str) -> u16 {
         self.request_status(&submission_head(id, path, 4), b"body")
     }
 
-    /// What the process holds now: kilobytes of memory, open descriptors.
+    /// Returns the resident memory of the process, in kB, and the number of its open file descriptors.
     pub fn resource_usage(&self) -> (u64, usize) {
         let process_folder = format!("/proc/{}", self.child.id());
-        let status =
-            std::fs::read_to_string(format!("{process_folder}/status")).expect("its status");
+        let status = std::fs::read_to_string(format!("{process_folder}/status"))
+            .expect("the process status should be readable");
         let memory = status
             .lines()
             .find_map(|line| line.strip_prefix("VmRSS:")?.trim().strip_suffix(" kB"));
         let descriptors = std::fs::read_dir(format!("{process_folder}/fd"))
-            .expect("its descriptors")
+            .expect("the file descriptors should be readable")
             .count();
         (
-            memory.and_then(|kb| kb.parse().ok()).expect("its memory"),
+            memory
+                .and_then(|kb| kb.parse().ok())
+                .expect("the process status should hold the resident memory"),
             descriptors,
         )
     }
 
-    /// Sends it a signal, by name, as in `-HUP`.
+    /// Sends a signal to the process. `name` is an option of `kill`, as in `-HUP`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill")
             .args([name, &pid])
             .status()
-            .expect("kill runs")
+            .expect("kill should run")
             .success());
     }
 }
 
-/// The status of the next answer; 0 where none comes.
+/// Reads the next response and returns its status; 0 if there is none.
 pub fn read_status(stream: &mut TcpStream) -> u16 {
     read_http_message(stream)
         .and_then(|message| message.first_line.split(' ').nth(1)?.parse().ok())
         .unwrap_or(0)
 }
 
-/// Attempts with this message's id.
+/// Returns the number of logged calls with a message's id.
 pub fn count_calls(log: &RequestLog, id: &str) -> usize {
-    let log = log.lock().expect("the log");
+    let log = log.lock().expect("the request log should not be poisoned");
     log.iter()
         .filter(|message| {
             message
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -1,7 +1,7 @@
-//! The clock of sockets: the same world on loopback and in real time, round one or several real forwarder processes.
+//! Plays a scenario in real time on loopback sockets, against one or several real forwarder processes.
 //!
-//! `RunContext` holds what all stand-ins share; it is locked for a moment at a time and never over a wait. Messages leave it with
-//! their end.
+//! All stand-ins (receivers, platform agents, clients) share a `RunContext`. The lock on its state is never held across an
+//! await. A message is removed from the state when it is over.
 
 mod accept_queue;
 pub mod agents;
@@ -33,74 +33,77 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// How much later something may be seen than it was done, beside what the rules allow, µs: 50 ms that the platform's protocol
-/// adds to each limit, and 50 ms for this machine.
+/// Tolerance for the delay between an event and its observation, in µs, on top of what the rules allow: 50 ms that the
+/// platform's protocol adds to each limit, and 50 ms for scheduling delays of this machine.
 const OBSERVATION_SLACK: Micros = 100_000;
-/// A run is void where load tool or receivers were later than that at their 99th percentile, µs.
+/// Upper bound on the 99th percentile of the lateness of the load generator and of the receivers, in µs. A run that exceeds it
+/// is void.
 pub const MAX_LATENESS_P99: Micros = 25_000;
-/// A client submits again after so long where no time was named, µs.
+/// Delay before a client resubmits a rejected message if the rejection has no retry-after time, in µs.
 const DEFAULT_RETRY_AFTER: Micros = 1_000_000;
-/// The longest lateness that is told from longer ones, µs.
+/// Highest value that the lateness histograms distinguish, in µs; longer ones are counted as this one.
 const LATENESS_HISTOGRAM_MAX: u64 = 3_600_000_000;
-/// Significant digits of a lateness.
+/// Significant decimal digits that the lateness histograms keep.
 const LATENESS_HISTOGRAM_DIGITS: u8 = 2;
 
-/// A message as its client knows it.
+/// The client's view of a message that is not over. Owned by [`RunState`].
 #[derive(Clone, Debug)]
 pub(crate) struct ClientMessage {
     pub due: DueMessage,
+    /// Time at which the message expires, in µs on the run's clock.
     pub deadline: Micros,
-    /// How often it may still be submitted again.
+    /// Number of resubmissions after a rejection that the client still makes.
     pub resubmissions_left: u32,
-    /// It was rejected before.
+    /// Whether a submission has been rejected or has got no answer.
     pub resubmitted: bool,
-    /// A forwarder that it was submitted to died, or did not answer.
+    /// Whether a forwarder refused the connection or gave no answer in time.
     pub forwarder_unresponsive: bool,
-    /// Submissions so far.
+    /// Number of submissions so far.
     pub submission_count: u32,
 }
 
-/// A message that is to be submitted again at this time.
+/// A message that is to be submitted again at `at`, in µs on the run's clock.
 #[derive(Debug)]
 pub(crate) struct Resubmission {
     pub message_number: u64,
     pub at: Micros,
 }
 
-/// What all stand-ins change.
+/// The mutable state of a run, shared by all stand-ins.
 pub(crate) struct RunState {
     pub receivers: Receivers,
     pub oracle: Oracle,
     pub tally: Tally,
-    /// Messages that are not over.
+    /// Messages that are not over, by message number.
     pub messages: HashMap<u64, ClientMessage>,
     pub next_submission_number: u64,
     pub next_message_number: u64,
-    /// How late messages were submitted, µs.
+    /// Delay between the due time of a message and its first submission, in µs.
     pub load_lateness: Histogram<u64>,
-    /// How late receivers answered, µs.
+    /// Delay between the scheduled time of a response and its sending, in µs.
     pub receiver_lateness: Histogram<u64>,
-    /// By delivery class.
+    /// Delivery semantics, indexed by delivery class.
     pub semantics_by_class: Vec<DeliverySemantics>,
 }
 
-/// What all stand-ins share.
+/// The context of one run, shared by all stand-ins.
 pub struct RunContext {
-    /// The scenario that is played.
+    /// Scenario of the run.
     pub scenario: Scenario,
-    /// Who stands where.
+    /// Destinations and endpoints of the scenario.
     pub layout: Layout,
     started_at: Instant,
     state: Mutex<RunState>,
-    /// Changes each time that an endpoint may have begun or ceased to refuse connections.
+    /// Counter that is incremented whenever an endpoint may have started or stopped refusing connections.
     pub(crate) receivers_changed: watch::Sender<u64>,
     resubmissions: mpsc::UnboundedSender<Resubmission>,
-    /// Nobody judges: the stand-ins serve a person, who may submit what the laboratory does not know.
+    /// Whether the oracle is disabled: the stand-ins serve an interactive user or the load generator alone, so that calls may
+    /// carry messages that the laboratory has not submitted.
     pub(crate) without_oracle: bool,
 }
 
 impl RunContext {
-    /// A context on which nothing has happened yet, and the messages that are to be submitted again.
+    /// Creates the context of a run that starts now, and the channel of the messages that are to be resubmitted.
     pub(crate) fn new(
         scenario: &Scenario,
         seed: u64,
@@ -120,22 +123,22 @@
         (Arc::new(context), resubmissions)
     }
 
-    /// µs since the context was set.
+    /// Returns the time since the context was created, in µs.
     pub fn now(&self) -> Micros {
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// A time on the context's clock, for timers.
+    /// Converts a time on the run's clock, in µs, into an instant for timers.
     pub(crate) fn instant_at(&self, time: Micros) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.started_at + Duration::from_micros(time))
     }
 
-    /// The state, which a panic elsewhere leaves as it was.
+    /// Locks the state, also if a holder of the lock has panicked. The guard must not be held across an await.
     pub(crate) fn lock_state(&self) -> MutexGuard<'_, RunState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Has a message submitted again. Once the load tool has stopped, nobody does.
+    /// Schedules a resubmission. It is dropped if the load generator has stopped.
     pub(crate) fn resubmit(&self, resubmission: Resubmission) {
         let _ = self.resubmissions.send(resubmission);
     }
@@ -157,7 +160,7 @@
         }
     }
 
-    /// A final answer to a submission, seen now; `attempt` is the number of the one that served it.
+    /// Records the final answer to a submission, observed at `now`. `attempt` is the index of the attempt that was served.
     pub(crate) fn submission_ended(
         &mut self,
         context: &RunContext,
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Counts a served message; one served after its deadline counts as failed.
+    /// Counts a served message; a message that is served after its deadline counts as failed.
     fn record_served(&mut self, message_number: u64, attempt: u32, now: Micros) {
         let Some(message) = self.messages.remove(&message_number) else {
             return;
@@ -205,7 +208,8 @@
         }
     }
 
-    /// The client was asked to submit again later; it gives up where that is too late.
+    /// Schedules the resubmission of a rejected message. The client gives up if it has no resubmission left or if the message
+    /// expires before the resubmission.
     pub(crate) fn schedule_resubmission(
         &mut self,
         context: &RunContext,
@@ -226,7 +230,7 @@
         context.resubmit(Resubmission { message_number, at });
     }
 
-    /// Counts a message that its client has given up.
+    /// Counts a message that its client gives up.
     pub(crate) fn give_up_message(&mut self, message_number: u64) {
         if self.messages.remove(&message_number).is_some() {
             self.tally.counts.given_up += 1;
@@ -235,6 +239,7 @@
 }
 
 fn lateness_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LATENESS_HISTOGRAM_MAX, LATENESS_HISTOGRAM_DIGITS)
-        .unwrap_or_else(|_| unreachable!("the bounds are constants within the library's range"))
+    Histogram::new_with_bounds(1, LATENESS_HISTOGRAM_MAX, LATENESS_HISTOGRAM_DIGITS).unwrap_or_else(
+        |_| unreachable!("the bounds are constants within the range of the histogram"),
+    )
 }
--- a/crates/lab/src/sockets/accept_queue.rs
+++ b/crates/lab/src/sockets/accept_queue.rs
@@ -1,4 +1,4 @@
-//! Connections that come up late on sockets.
+//! Simulates late connections by filling the accept queue of a listener.
 
 use super::RunContext;
 use socket2::SockRef;
@@ -7,27 +7,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// An accept queue is full for a share of each such span. It is longer than a second: clients that were kept out try again
-/// after one, and must not always find it full.
+/// Cycle in which the accept queue is full for a share of the time. It is longer than 1 s because the kernel of a
+/// client retries a connection that was not established after 1 s, and the retry must not find the queue full each time.
 const CYCLE: Duration = Duration::from_millis(1300);
-/// Connections that wait to be accepted while the queue is open.
+/// Backlog of the listener while the queue is open, in connections.
 const OPEN_BACKLOG: i32 = 1024;
-/// Time to fill the queue, and until the next try where another connection was first.
+/// Timeout of an attempt to fill the queue, and the delay before the next attempt if another connection took the place.
 const FILL_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// Makes connections come up late. On sockets only a full accept queue does that: the kernel of a client that is kept out
-/// tries again a second later. So for a share of each span the queue has room for one connection, which is taken.
+/// Delays the establishment of connections to one listener. On sockets only a full accept queue does so: the kernel of the
+/// client retries the connection 1 s later. For a share of each cycle the queue therefore has room for one connection, and a
+/// connection of its own takes that place.
 pub(super) struct AcceptQueue {
-    /// The part of each span for which the queue is full.
+    /// Share of each cycle for which the queue is full, from 0 to 1.
     full_share: f64,
-    /// When it is filled or opened next.
+    /// Time at which the queue is filled or opened next.
     next_change_at: Instant,
-    /// The connection that fills it.
+    /// Connection that fills the queue; none while the queue is open.
     filler: Option<TcpStream>,
 }
 
 impl AcceptQueue {
-    /// An open queue.
+    /// Creates an open queue with the share of late connections that the scenario sets.
     pub fn new(context: &RunContext) -> AcceptQueue {
         let late_connections = context.scenario.network.late_connections.as_ref();
         AcceptQueue {
@@ -37,30 +38,31 @@
         }
     }
 
-    /// Whether the scenario has late connections.
+    /// Returns whether the scenario has late connections.
     pub fn is_enabled(&self) -> bool {
         self.full_share > 0.0
     }
 
-    /// Whether the queue is full.
+    /// Returns whether the queue is full.
     pub fn is_full(&self) -> bool {
         self.filler.is_some()
     }
 
-    /// Waits for its time and fills or opens the queue. Dropped before its end, it has done nothing or is done again.
+    /// Waits until the next change is due, then fills or opens the queue. Cancel safe: if the future is dropped, the queue is
+    /// unchanged or the next call repeats the change. Fails if the backlog can't be changed or the queue can't be filled.
     pub async fn toggle_when_due(&mut self, listener: &TcpListener) -> io::Result<()> {
         tokio::time::sleep_until(self.next_change_at).await;
         let is_filling = !self.is_full();
         let backlog = if is_filling { 0 } else { OPEN_BACKLOG };
         SockRef::from(listener).listen(backlog)?;
-        // The connection that filled the queue is accepted, found closed and forgotten.
+        // The listener accepts the connection that filled the queue, finds it closed and drops it.
         self.filler = None;
         if is_filling {
             let connecting = TcpStream::connect(listener.local_addr()?);
             let connected = tokio::time::timeout(FILL_TIMEOUT, connecting).await;
             self.filler = connected.ok().transpose()?;
         }
-        // Another connection may have the one place: it is accepted first, since its call may be on its way.
+        // Another connection may have taken the only place. It is accepted first, since its call may be in transit.
         let fill_failed = is_filling && !self.is_full();
         let share = if is_filling {
             self.full_share
--- a/crates/lab/src/sockets/agents.rs
+++ b/crates/lab/src/sockets/agents.rs
@@ -1,4 +1,4 @@
-//! The platform as a forwarder sees it: an agent for each, which serves the endpoint list and takes completion reports.
+//! Simulates the platform. Each forwarder has an agent that serves the endpoint list and receives completion reports.
 
 use super::endpoints::StandInEndpoint;
 use super::wire::{HttpConnection, HttpMessage, ReservedPort};
@@ -15,45 +15,45 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Changes that are kept for watches; a forwarder that is further behind gets the complete list.
+/// Number of changes of the list that are kept for watches. A forwarder that is further behind gets the complete list.
 const MAX_KEPT_CHANGES: usize = 256;
-/// The longest wait of a watch, ms.
+/// Upper bound on the wait of a watch, in ms.
 const MAX_WATCH_MS: u64 = 60_000;
-/// The names of the zones.
+/// Names of the zones in the endpoint list, by zone number.
 const ZONE_NAMES: [&str; 2] = ["a", "b"];
 
-/// What the list says of an endpoint. The names are those of the platform's protocol.
+/// The phase of an endpoint in the endpoint list. The names of the variants are the values in the platform's protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes calls.
+    /// The endpoint accepts calls.
     Ready,
-    /// It drains.
+    /// The endpoint drains.
     Terminating,
-    /// It is not there any more.
+    /// The endpoint has been removed from the list.
     Gone,
 }
 
-/// What the list says of one incarnation of an endpoint's address.
+/// An entry of the endpoint list, or a change of it.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
-    /// The endpoint.
+    /// Index of the endpoint in the layout.
     pub endpoint_index: usize,
-    /// The number of the incarnation.
+    /// Incarnation of the endpoint at its address, from 0.
     pub incarnation: u32,
-    /// Its phase.
+    /// Phase of the endpoint from this change on.
     pub phase: Phase,
 }
 
-/// Phases by endpoint and incarnation.
+/// Phases by endpoint index and incarnation.
 pub type ListMembers = BTreeMap<(usize, u32), Phase>;
 
-/// The list as one agent serves it.
+/// The endpoint list that one agent serves.
 struct ListState {
     revision: u64,
     members: ListMembers,
-    /// The latest changes, each with the revision that it made.
+    /// Latest changes, oldest first, each with the revision that resulted from it. At most `MAX_KEPT_CHANGES`.
     changes: Vec<(u64, Vec<ListChange>)>,
-    /// The revision from which on the kept changes tell everything.
+    /// Oldest revision from which the kept changes lead to the present list.
     complete_from: u64,
 }
 
@@ -82,7 +82,7 @@
         self.changes.clear();
     }
 
-    /// Every member.
+    /// Returns an entry for each member of the list.
     fn all_entries(&self) -> Vec<ListChange> {
         let members = self.members.iter();
         members
@@ -94,7 +94,7 @@
             .collect()
     }
 
-    /// What has changed since a revision.
+    /// Returns the kept changes that were made after a revision.
     fn changes_since(&self, from_revision: u64) -> Vec<ListChange> {
         let later = self
             .changes
@@ -104,32 +104,32 @@
     }
 }
 
-/// Why completion reports were not accepted; the text is the body of the answer.
+/// An error in a request with completion reports. Its text is the body of the response.
 #[derive(Debug, thiserror::Error)]
 enum ReportError {
-    /// A line is no completion report as JSON.
+    /// A line could not be parsed as a completion report.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The report names a message that was never submitted.
+    /// The id of the report doesn't belong to a submission of the laboratory.
     #[error("{id}: nobody handed that in")]
     UnknownMessage { id: String },
-    /// The report's status is none that the platform knows.
+    /// The status of the report is unknown to the platform.
     #[error("{status}: no such status")]
     UnknownStatus { status: String },
 }
 
-/// The agent of one forwarder.
+/// The platform's agent for one forwarder: discovery, and the receiver of completion reports.
 pub struct PlatformAgent {
-    /// Where it listens.
+    /// Address at which the agent listens.
     pub address: SocketAddr,
     forwarder: u32,
     list: Mutex<ListState>,
-    /// The list's revision, for watches.
+    /// Revision of the list, on which watches wait.
     revision: watch::Sender<u64>,
     stand_ins: Vec<Arc<StandInEndpoint>>,
 }
 
-/// A completion report as the platform's protocol has it.
+/// A completion report in the format of the platform's protocol.
 #[derive(Deserialize)]
 struct CompletionReport {
     id: String,
@@ -139,7 +139,7 @@
 }
 
 impl CompletionReport {
-    /// The submission that it is about, by the oracle's number.
+    /// Returns the number of the submission that the report is about. Fails if the laboratory did not assign the id.
     fn submission(&self) -> Result<u64, ReportError> {
         let number = self.id.strip_prefix('p');
         let number = number.and_then(|number| number.parse().ok());
@@ -164,7 +164,7 @@
 }
 
 impl PlatformAgent {
-    /// Starts the agent of a forwarder at this port; 0 for any free one.
+    /// Starts the agent of a forwarder on a loopback port; port 0 selects a free one. Fails if the port can't be reserved.
     pub async fn start(
         context: &Arc<RunContext>,
         forwarder: u32,
@@ -222,21 +222,21 @@
         self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Discovery sends changes of the list.
+    /// Applies changes to the list and wakes the watches.
     pub fn apply_changes(&self, changes: &[ListChange]) {
         let mut list = self.lock_list();
         list.add_changes(changes);
         self.revision.send_replace(list.revision);
     }
 
-    /// Discovery sends the complete list.
+    /// Replaces the complete list and wakes the watches.
     pub fn replace_list(&self, members: ListMembers) {
         let mut list = self.lock_list();
         list.replace(members);
         self.revision.send_replace(list.revision);
     }
 
-    /// A member of the list as the platform's protocol has it.
+    /// Returns a member of the list in the format of the platform's protocol.
     fn member(&self, context: &RunContext, change: &ListChange) -> Value {
         let ListChange {
             endpoint_index,
@@ -255,7 +255,8 @@
             "cell": layout_endpoint.destination, "phase": format!("{phase:?}"), "size": group.rate, "up_since_ms": 0})
     }
 
-    /// The answer to a watch from a revision on. The oracle notes that the forwarder knows it from now on.
+    /// Returns the response to a request for the list, or to a watch from a revision on. The oracle records that the forwarder
+    /// knows these entries from now on.
     fn list_response(&self, context: &RunContext, from_revision: Option<u64>) -> String {
         let list = self.lock_list();
         let complete = from_revision.is_none_or(|revision| revision < list.complete_from);
@@ -274,7 +275,7 @@
         response.to_string()
     }
 
-    /// The forwarder knows from now on that holders which a complete list does not name are gone.
+    /// Notifies the oracle that the forwarder now knows of the removal of each incarnation that the complete list lacks.
     fn notify_oracle_of_removed(&self, context: &RunContext, entries: &[ListChange]) {
         let mut removed = Vec::new();
         for (endpoint_index, stand_in) in self.stand_ins.iter().enumerate() {
@@ -338,16 +339,17 @@
         conn.respond("200 OK", "", &list).await
     }
 
-    /// Waits until the list has changed since a revision, for so long at most.
+    /// Waits until the list has changed since a revision, for at most `wait_ms` and at most [`MAX_WATCH_MS`].
     async fn wait_for_change(&self, from_revision: u64, wait_ms: u64) {
         let timeout = Duration::from_millis(wait_ms.min(MAX_WATCH_MS));
         let mut revision = self.revision.subscribe();
         let changed = revision.wait_for(|revision| *revision > from_revision);
-        // Without a change the answer has no members.
+        // On a timeout the response has no members.
         let _ = tokio::time::timeout(timeout, changed).await;
     }
 
-    /// Takes the completion reports of a request, a line each; none of them where a line is no report.
+    /// Records the completion reports of a request, one per line. Records none of them if a line can't be parsed; fails at the
+    /// first report with an unknown id or status.
     fn record_reports(&self, context: &RunContext, body: &[u8]) -> Result<(), ReportError> {
         let lines = body.split(|byte| *byte == b'\n');
         let reports: Vec<CompletionReport> = lines
@@ -358,7 +360,7 @@
         for report in reports {
             if context.without_oracle {
                 println!(
-                    "notice to forwarder {}: {} {}",
+                    "completion report received: forwarder {} id {} status {}",
                     self.forwarder, report.id, report.status
                 );
                 continue;
@@ -366,7 +368,7 @@
             let submission = report.submission()?;
             let answer = report.final_answer()?;
             let mut state = context.lock_state();
-            // The same report comes again where its first answer was lost.
+            // A forwarder repeats a report if it did not get the response to the first one.
             if !state.oracle.already_reported(submission, answer) {
                 state.submission_ended(context, submission, answer, report.retry_after(), 0, now);
             }
@@ -375,7 +377,7 @@
     }
 }
 
-/// The number after a name in a query.
+/// Returns the numeric value of a query parameter; `name` includes the equals sign.
 fn query_parameter(query: &str, name: &str) -> Option<u64> {
     let mut parts = query.split('&');
     parts.find_map(|part| part.strip_prefix(name))?.parse().ok()
--- a/crates/lab/src/sockets/calls.rs
+++ b/crates/lab/src/sockets/calls.rs
@@ -1,4 +1,5 @@
-//! Calls and health checks as a stand-in answers them: judged by the oracle, with the fate that the receivers' model tells.
+//! Handles the calls and health checks that reach a stand-in endpoint. The receiver model determines the result, and the oracle
+//! judges the call.
 
 use super::endpoints::StandInEndpoint;
 use super::replies::write_response;
@@ -12,27 +13,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two looks whether the call before has ended.
+/// Interval at which the end of the previous call with the same submission is polled.
 const PREVIOUS_CALL_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// So many looks: then two calls are in flight.
+/// Number of polls after which the previous call counts as still in flight.
 const MAX_PREVIOUS_CALL_POLLS: usize = 25;
-/// Half of a timer's grain, µs: what is due within it is not waited for.
+/// Half of the timer resolution, in µs. No timer is set for a response that is due within it.
 const HALF_TIMER_RESOLUTION: Micros = 500;
-/// No forwarder: health checks of several can't be told apart.
+/// Forwarder number of a health check whose sender is unknown: with several forwarders their health checks can't be told
+/// apart.
 const UNKNOWN_FORWARDER: u32 = u32::MAX;
 
-/// A call that is in.
+/// A call that has been received completely.
 struct ReceivedCall {
     submission: u64,
     forwarder: u32,
     endpoint_index: usize,
-    /// Which attempt of its message this is, from 0.
+    /// Index of the attempt of the submission, from 0.
     attempt: u32,
     received_at: Micros,
     result: CallResult,
 }
 
-/// Answers one request; gives the connection back where it can serve again.
+/// Responds to one request. Returns the connection if it can be reused.
 pub(super) async fn respond(
     context: &Arc<RunContext>,
     endpoint_index: usize,
@@ -55,7 +57,7 @@
     }
 }
 
-/// Answers a call that the laboratory did not submit; where nobody judges, it is shown.
+/// Responds to a call that the oracle does not judge, and prints the call if the oracle is disabled.
 async fn respond_without_oracle(
     context: &RunContext,
     endpoint_index: usize,
@@ -80,7 +82,8 @@
     write_response(context, conn, result).await
 }
 
-/// A call that its forwarder has cancelled may be seen to end later than the next one comes.
+/// Waits for a limited time until the previous call with the submission has ended. The end of a call that its forwarder has
+/// cancelled may be observed after the arrival of the next one.
 async fn wait_for_previous_call(context: &RunContext, submission: u64) {
     for _ in 0..MAX_PREVIOUS_CALL_POLLS {
         if !context.lock_state().oracle.is_out(submission) {
@@ -90,7 +93,7 @@
     }
 }
 
-/// A call's last byte is in.
+/// Records that the last byte of a call has been received, and determines its result.
 fn begin_call(
     context: &RunContext,
     endpoint_index: usize,
@@ -140,7 +143,8 @@
     }
 }
 
-/// Answers a call when its fate says, unless its forwarder closes the connection before.
+/// Responds to a call at the time that its result sets, unless its forwarder closes the connection first. Returns the
+/// connection if it can be reused.
 async fn respond_to_call(
     context: &Arc<RunContext>,
     mut conn: HttpConnection,
@@ -157,7 +161,7 @@
     }
     let silent = result.reply == ReceiverReply::Silent;
     let closed = tokio::select! {
-        // A forwarder that has closed the connection gets no answer that is due at the same moment.
+        // The close is polled first: a response that is due at the same moment is not sent.
         biased;
         () = conn.wait_for_close() => true,
         () = wait_until(context, result.reply_at), if !silent => false,
@@ -174,7 +178,7 @@
     write_response(context, conn, result).await
 }
 
-/// Waits until then; what is due within a timer's grain is not waited for.
+/// Waits until `at`, in µs on the run's clock. Returns at once if `at` is within [`HALF_TIMER_RESOLUTION`].
 async fn wait_until(context: &RunContext, at: Micros) {
     if at > context.now() + HALF_TIMER_RESOLUTION {
         tokio::time::sleep_until(context.instant_at(at)).await;
@@ -191,7 +195,7 @@
         );
     }
 
-    /// The answer leaves now: tells tally and oracle.
+    /// Records in the tally and the oracle that the response is sent at `now`.
     fn record_response(&self, context: &RunContext, now: Micros) {
         let mut state = context.lock_state();
         let lateness = now.saturating_sub(self.result.reply_at);
@@ -220,7 +224,8 @@
     }
 }
 
-/// How a reply is counted, and what its forwarder can know of the call's effect.
+/// Returns the outcome and the tick under which a reply is counted, and what the forwarder can know about the effect of the
+/// call.
 fn classify_reply(reply: ReceiverReply) -> (&'static str, Tick, TookEffect) {
     match reply {
         ReceiverReply::Served | ReceiverReply::ServedThenReset | ReceiverReply::Endless => {
@@ -260,8 +265,8 @@
     sent.ok().map(|()| conn)
 }
 
-/// Judges a health check; gives what the endpoint answers. The platform's protocol names no forwarder in it: where there is
-/// only one it is that one, else the health check counts for none.
+/// Judges a health check and returns the reply of the endpoint. A health check of the platform's protocol does not name its
+/// forwarder. If the scenario has a single forwarder, it is the sender; otherwise the sender is unknown.
 fn health_check_reply(context: &RunContext, endpoint_index: usize) -> ReceiverReply {
     let now = context.now();
     let forwarder = match context.scenario.forwarders.count {
--- a/crates/lab/src/sockets/clients.rs
+++ b/crates/lab/src/sockets/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of one forwarder: requests and answers on kept connections.
+//! HTTP clients of the forwarders, which reuse idle connections.
 
 use super::wire::{HttpConnection, HttpMessage};
 use std::io;
@@ -7,19 +7,19 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::net::TcpStream;
 
-/// Connections that clients keep to a forwarder at most.
+/// Upper bound on the idle connections to a forwarder that are kept for reuse.
 const MAX_IDLE_CONNECTIONS: usize = 512;
 
-/// The clients of one forwarder, and the connections that they keep to it.
+/// An HTTP client of one forwarder, with a pool of idle connections.
 pub struct ForwarderClient {
     address: SocketAddr,
-    /// Clients go there: the forwarder is not known to be down.
+    /// Whether messages are submitted to the forwarder; false while it is known to be down.
     pub available: AtomicBool,
     idle: Mutex<Vec<HttpConnection>>,
 }
 
 impl ForwarderClient {
-    /// Clients without connections yet.
+    /// Creates a client without connections, for an available forwarder.
     pub fn new(address: SocketAddr) -> Arc<ForwarderClient> {
         Arc::new(ForwarderClient {
             address,
@@ -42,11 +42,12 @@
         }
     }
 
-    /// One exchange; a kept connection that was closed meanwhile is replaced once.
+    /// Sends a request and returns the answer. A reused connection that was closed in the meantime is replaced once. Fails if
+    /// the connection can't be established or breaks, or if the answer is malformed.
     pub(super) async fn exchange(&self, request: &[u8]) -> io::Result<HttpMessage> {
         if let Some(conn) = self.take_idle() {
             match self.exchange_on(conn, request).await {
-                // The request crossed the close: it is sent once more, under the same id.
+                // The forwarder closed the connection while the request was sent. The request is sent again with the same id.
                 ExchangeResult::Closed => {}
                 ExchangeResult::Completed(answer) => return answer,
             }
@@ -76,11 +77,11 @@
     }
 }
 
-/// What became of a request on a kept connection.
+/// The result of a request on a reused connection.
 enum ExchangeResult {
-    /// The connection was closed meanwhile.
+    /// The forwarder closed the connection.
     Closed,
-    /// An answer, or another error.
+    /// The answer, or an error other than a closed connection.
     Completed(io::Result<HttpMessage>),
 }
 
--- a/crates/lab/src/sockets/endpoints.rs
+++ b/crates/lab/src/sockets/endpoints.rs
@@ -1,4 +1,4 @@
-//! Stand-in endpoints: a listener each, which takes connections while the receivers' model does.
+//! Stand-in endpoints. Each has a listener that accepts connections while the receiver model does.
 
 use super::accept_queue::AcceptQueue;
 use super::calls::respond;
@@ -12,33 +12,33 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Time between two looks at an endpoint that flaps, or that does not listen.
+/// Interval at which the state of an endpoint is polled while it flaps or does not listen.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What is known of one stand-in.
+/// An endpoint that the laboratory serves on a loopback port.
 pub struct StandInEndpoint {
-    /// Where it listens.
+    /// Address at which the endpoint listens.
     pub address: SocketAddr,
     port: ReservedPort,
-    /// The number of the holder of the address that answers now.
+    /// Present incarnation of the endpoint, from 0.
     incarnation: AtomicU32,
-    /// Open connections.
+    /// Number of open connections.
     open_connections: AtomicU32,
 }
 
 impl StandInEndpoint {
-    /// The number of the holder of the address that answers now.
+    /// Returns the present incarnation of the endpoint, from 0.
     pub fn incarnation(&self) -> u32 {
         self.incarnation.load(Ordering::Relaxed)
     }
 
-    /// A new holder answers from now on.
+    /// Replaces the endpoint by its next incarnation at the same address.
     pub(crate) fn start_new_incarnation(&self) {
         self.incarnation.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Starts all of them, on free ports of loopback.
+/// Starts all endpoints of the layout, in its order, on free loopback ports. Fails if a port can't be reserved.
 pub async fn start(context: &Arc<RunContext>) -> io::Result<Vec<Arc<StandInEndpoint>>> {
     let mut stand_ins = Vec::new();
     for endpoint_index in 0..context.layout.endpoints.len() {
@@ -56,7 +56,7 @@
     Ok(stand_ins)
 }
 
-/// Listens while the endpoint takes connections, and not while it refuses them.
+/// Accepts connections of an endpoint. Closes the listener while the receiver model refuses connections.
 async fn listen(
     context: Arc<RunContext>,
     endpoint_index: usize,
@@ -90,13 +90,13 @@
                     let conn = HttpConnection::new(stream);
                     tokio::spawn(serve_connection(context.clone(), endpoint_index, stand_in.clone(), conn));
                 }
-                // Out of descriptors: some come free.
+                // The process is out of file descriptors; some become free soon.
                 Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             },
             _ = changed.changed() => {}
             toggled = async { accept_queue.toggle_when_due(listener.as_ref()?).await.ok() }, if accept_queue.is_enabled() => {
                 if toggled.is_none() {
-                    // It does not listen now.
+                    // The endpoint does not listen at present.
                     tokio::time::sleep(POLL_INTERVAL).await;
                 }
             }
@@ -110,7 +110,7 @@
     faults.any(|fault| matches!(fault.kind, FaultKind::Flapping { .. }))
 }
 
-/// Serves one connection to its end, unless the endpoint has too many.
+/// Serves a connection until it is closed. Resets it if the endpoint has reached its connection limit.
 async fn serve_connection(
     context: Arc<RunContext>,
     endpoint_index: usize,
@@ -132,7 +132,7 @@
     stand_in.open_connections.fetch_sub(1, Ordering::Relaxed);
 }
 
-/// Answers requests until the connection is closed, idle for too long, or the endpoint goes down.
+/// Responds to requests until the connection is closed, the idle timeout expires or the endpoint goes down.
 async fn respond_to_requests(
     context: &Arc<RunContext>,
     endpoint_index: usize,
@@ -145,7 +145,7 @@
         let request = tokio::select! {
             request = tokio::time::timeout(idle_timeout, conn.read_request()) => request,
             _ = changed.changed() => {
-                // An endpoint that is down holds no idle connection.
+                // An endpoint that goes down closes its idle connections.
                 if context.lock_state().receivers.refuses_connections(context.now(), endpoint_index) {
                     return;
                 }
--- a/crates/lab/src/sockets/load_thread.rs
+++ b/crates/lab/src/sockets/load_thread.rs
@@ -1,5 +1,5 @@
-//! The load tool: an open loop. A message is submitted when it is due, whatever became of those before; how late that was is
-//! part of the result.
+//! The thread of the open-loop load generator. A message is submitted when it is due, independent of the outcome of earlier
+//! messages. The lateness of the submissions is part of the result of a run.
 
 use super::clients::ForwarderClient;
 use super::submissions::{submit, ClientPool};
@@ -13,15 +13,17 @@
 use tokio::runtime::Handle;
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages that are submitted before other tasks run.
+/// Number of submissions after which the load generator yields to other tasks.
 const SUBMISSIONS_PER_YIELD: usize = 32;
 
-/// The load tool's own thread: submissions under way can't keep it from the next message's time. Dropped, it stops.
+/// The thread of the load generator, which stops when this handle is dropped. It is separate from the runtime of the
+/// submissions, so that submissions in progress can't delay the next message.
 pub(crate) struct LoadThread {
     _stop: oneshot::Sender<()>,
 }
 
-/// Starts the thread. What it submits goes on in the runtime that this is called from.
+/// Starts the thread of the load generator. The submissions run in the caller's runtime, so the caller must be inside one.
+/// `begins_at` is the start of the load in µs on the run's clock. Fails if the thread or its runtime can't be created.
 pub(crate) fn start(
     context: Arc<RunContext>,
     clients: Vec<Arc<ForwarderClient>>,
@@ -56,24 +58,24 @@
     Ok(LoadThread { _stop: stop })
 }
 
-/// What is to be submitted, and when.
+/// The schedule of submissions and resubmissions, owned by the thread of the load generator.
 struct SubmissionSchedule {
     context: Arc<RunContext>,
     clients: Arc<ClientPool>,
     loads: Loads,
-    /// The next message of the load.
+    /// Next message of the load; its time is relative to the start of the load.
     next_due: Option<DueMessage>,
     resubmissions: mpsc::UnboundedReceiver<Resubmission>,
-    /// Messages to submit again, by time.
+    /// Messages to resubmit, as time in µs and message number, earliest first.
     pending_resubmissions: BinaryHeap<Reverse<(Micros, u64)>>,
-    /// When the load begins.
+    /// Start of the load, in µs on the run's clock.
     begins_at: Micros,
-    /// The runtime in which submissions go on.
+    /// Runtime in which the submissions run.
     submission_runtime: Handle,
 }
 
 impl SubmissionSchedule {
-    /// Submits every message when it is due, and again those that were rejected.
+    /// Submits each message when it is due, and resubmits rejected messages.
     async fn run(mut self) {
         let mut submitted_count = 0;
         self.next_due = self.loads.next();
@@ -100,7 +102,7 @@
         }
     }
 
-    /// When the next message is due, or is to be submitted again.
+    /// Returns the time of the next submission or resubmission, in µs on the run's clock.
     fn next_due_time(&self) -> Option<Micros> {
         let due = self.next_due.as_ref().map(|due| due.at + self.begins_at);
         due.into_iter().chain(self.next_resubmission()).min()
@@ -117,7 +119,7 @@
             .push(Reverse((at, message_number)));
     }
 
-    /// Waits until then, or until a message is rejected: it may have to be submitted before.
+    /// Waits until `at` or until a resubmission is scheduled, which may be due earlier.
     async fn wait_until(&mut self, at: Micros) {
         tokio::select! {
             () = tokio::time::sleep_until(self.context.instant_at(at)) => {}
@@ -125,7 +127,8 @@
         }
     }
 
-    /// The message that is due at this time: one to submit again, else the next of the load.
+    /// Takes the message that is due at `at`: a resubmission if one is due, otherwise the next message of the load. Returns its
+    /// number.
     fn take_due(&mut self, at: Micros) -> Option<u64> {
         if self.next_resubmission().is_some_and(|time| time <= at) {
             let Reverse((_, message_number)) = self.pending_resubmissions.pop()?;
@@ -138,7 +141,7 @@
     }
 }
 
-/// Notes a message that is due; gives its number.
+/// Records a message that is due, and its lateness. Returns its number.
 fn record_due_message(context: &RunContext, due: DueMessage) -> u64 {
     let now = context.now();
     let mut state = context.lock_state();
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/lab/src/sockets/processes.rs
@@ -1,4 +1,4 @@
-//! Forwarder processes: started with the configuration of the scenario, killed, stopped, continued and started again.
+//! Controls the forwarder processes of a run: starts, pauses, resumes, kills and restarts them.
 
 use super::SocketsError;
 use crate::scenario::Scenario;
@@ -11,56 +11,56 @@
 use std::time::{Duration, Instant};
 use tokio::process::{Child, Command};
 
-/// A forwarder answers `GET /up` in that time.
+/// Time within which a started forwarder must answer `GET /up`.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between two looks whether a forwarder is up.
+/// Interval at which a started forwarder is asked whether it is up.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// A tick of the kernel's account, µs, on every Linux that this runs on.
+/// Clock tick of the CPU times in `/proc/PID/stat`, in µs, on every Linux that the laboratory runs on.
 const CLOCK_TICK_MICROS: u64 = 10_000;
-/// A page of memory, bytes, on every Linux that this runs on.
+/// Memory page, in bytes, on every Linux that the laboratory runs on.
 const PAGE_BYTES: u64 = 4096;
 
-/// What a forwarder process is started with.
+/// The parameters with which a forwarder process is started.
 pub struct ProcessSetup {
-    /// The forwarder's program.
+    /// Executable of the forwarder.
     pub program: PathBuf,
-    /// Its own folder.
+    /// Folder of the process, for its configuration and its state.
     pub folder: PathBuf,
-    /// Its number in the fleet.
+    /// Number of the forwarder in the fleet, from 0.
     pub forwarder: u32,
-    /// Where it listens.
+    /// Address at which the forwarder listens.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The scenario that configures it.
+    /// Scenario from which the start-up configuration is derived.
     pub scenario: Scenario,
-    /// The seed of the run.
+    /// Seed of the run.
     pub seed: u64,
-    /// The file of its log; none is kept if it is not named.
+    /// File to which the log is appended; if none, the log is discarded.
     pub log_file: Option<PathBuf>,
-    /// The core that it is bound to (by `taskset`).
+    /// Core to which the process is bound (by `taskset`).
     pub pinned_core: Option<usize>,
 }
 
-/// What a process has used.
+/// The resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessUsage {
-    /// CPU time, user and system, µs.
+    /// User and system CPU time since the start of the process, in µs.
     pub cpu_micros: u64,
-    /// Resident memory, bytes.
+    /// Resident memory, in bytes.
     pub memory_bytes: u64,
 }
 
-/// One forwarder process, which may be down.
+/// A forwarder that runs as a process of its own and can be killed and restarted. The process is killed on drop.
 pub struct ForwarderProcess {
     setup: ProcessSetup,
-    /// How often it was started.
+    /// Number of times that the process has been started; part of the seed of the next start.
     start_count: u64,
     child: Option<Child>,
 }
 
 impl ForwarderProcess {
-    /// A process that is not started yet.
+    /// Creates a forwarder whose process is not started yet.
     pub fn new(setup: ProcessSetup) -> ForwarderProcess {
         ForwarderProcess {
             setup,
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Starts it and waits until it accepts messages.
+    /// Starts the process and waits until it accepts messages. Fails if the program can't be started, exits, or isn't up within
+    /// 10 s.
     pub async fn start(&mut self) -> Result<(), SocketsError> {
         let spawned = self.spawn();
         self.child = Some(spawned.map_err(|source| SocketsError::Program {
@@ -95,7 +96,7 @@
             .spawn()
     }
 
-    /// Its start-up configuration; the seed differs from start to start.
+    /// Returns the start-up configuration as JSON. The seed differs from start to start.
     fn startup_config(&self) -> String {
         let setup = &self.setup;
         let seed = setup
@@ -161,38 +162,38 @@
         matches!(tokio::time::timeout(Duration::from_millis(500), exchange).await, Ok(Ok(answer)) if answer.status == 200)
     }
 
-    /// Its id while it runs.
+    /// Returns the process id while the process runs.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
-            let _ = kill(Pid::from_raw(pid as i32), signal); // one that has ended needs none
+            let _ = kill(Pid::from_raw(pid as i32), signal); // the process may have exited already
         }
     }
 
-    /// Stops it: it does nothing until it goes on.
+    /// Pauses the process by SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets it go on.
+    /// Resumes a paused process by SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Kills it outright; without the folder, that is emptied too.
+    /// Kills the process by SIGKILL and waits for its exit. Deletes its state unless `folder_kept`.
     pub async fn kill(&mut self, folder_kept: bool) {
         if let Some(mut child) = self.child.take() {
-            let _ = child.kill().await; // one that has ended is gone as well
+            let _ = child.kill().await; // the process may have exited already
         }
         if !folder_kept {
-            let _ = std::fs::remove_dir_all(self.setup.folder.join("state")); // made anew at the start
+            let _ = std::fs::remove_dir_all(self.setup.folder.join("state")); // the next start creates it again
         }
     }
 
-    /// Whether it has ended by itself, and how.
+    /// Returns the exit status if the process has exited without having been killed by [`ForwarderProcess::kill`].
     pub fn exit_status(&mut self) -> Option<String> {
         match self.child.as_mut().map(Child::try_wait) {
             Some(Ok(Some(status))) => Some(status.to_string()),
@@ -200,7 +201,7 @@
         }
     }
 
-    /// CPU time that it has used, µs (user and system), and its resident memory, bytes; from the kernel's own account.
+    /// Returns the CPU time and the resident memory of the process, from `/proc`; none if the process doesn't run.
     pub fn usage(&self) -> Option<ProcessUsage> {
         let pid = self.pid()?;
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
--- a/crates/lab/src/sockets/replies.rs
+++ b/crates/lab/src/sockets/replies.rs
@@ -1,4 +1,4 @@
-//! What a stand-in writes for the fate of a call.
+//! Writes the responses of a stand-in endpoint, including faulty ones.
 
 use super::wire::HttpConnection;
 use super::RunContext;
@@ -8,14 +8,15 @@
 use std::time::Duration;
 
 const TOO_MANY_REQUESTS: &str = "429 Too Many Requests";
-/// Bytes that are no HTTP.
+/// Response that is not valid HTTP.
 const GARBLED: &[u8] = b"\x16\x03\x01 not what was asked for \xff\xfe\r\n\r\n";
-/// The head of an answer that never ends.
+/// Head of a response whose body never ends.
 const ENDLESS_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n";
-/// Time between a part of an answer and what follows.
+/// Delay between a part of a faulty response and the next part, or the reset of the connection.
 const WRITE_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Writes what the fate says; gives the connection back where it can serve again.
+/// Writes the response that a call's result sets. Returns the connection if it can be reused. Without the oracle, waits until
+/// the response is due; otherwise the caller must have waited.
 pub(super) async fn write_response(
     context: &RunContext,
     mut conn: HttpConnection,
@@ -40,7 +41,8 @@
     write_result.ok().map(|()| conn)
 }
 
-/// Writes a reply after which the connection can't be used. That the forwarder has closed it meanwhile is no error.
+/// Writes a response after which the connection can't be reused. Write errors are ignored, since the forwarder may have closed
+/// the connection.
 async fn write_faulty_response(mut conn: HttpConnection, reply: ReceiverReply) {
     let _ = match reply {
         ReceiverReply::ServedThenReset => conn.respond("200 OK", "", "").await,
@@ -63,7 +65,7 @@
     }
 }
 
-/// Writes an answer that never ends, until the forwarder closes the connection.
+/// Writes a response whose body never ends, until the forwarder closes the connection.
 async fn write_endless(conn: &mut HttpConnection) -> io::Result<()> {
     conn.write(ENDLESS_HEAD).await?;
     loop {
@@ -72,13 +74,13 @@
     }
 }
 
-/// The head of a 429, and less of its body than it names.
+/// Returns the head of a 429 response and a body that is shorter than its content length.
 fn truncated_too_many_requests(retry_after: Option<Micros>) -> String {
     let header = retry_after_header(retry_after);
     format!("HTTP/1.1 {TOO_MANY_REQUESTS}\r\n{header}Content-Length: 5\r\n\r\nno")
 }
 
-/// The line of a head that holds a retry-after time, as the platform's protocol names it.
+/// Returns the header line of a retry-after time in the platform's protocol, rounded up to ms; empty if there is none.
 fn retry_after_header(retry_after: Option<Micros>) -> String {
     retry_after.map_or(String::new(), |time| {
         format!("Wait-Ms: {}\r\n", time.div_ceil(1000))
--- a/crates/lab/src/sockets/run.rs
+++ b/crates/lab/src/sockets/run.rs
@@ -1,4 +1,4 @@
-//! One run on sockets: the context is set, the forwarders are started, the timeline plays, the tally is closed.
+//! Plays one run on sockets: starts the stand-ins and the forwarders, plays the faults and the load, and determines the outcome.
 
 use super::agents::PlatformAgent;
 use super::clients::ForwarderClient;
@@ -18,35 +18,36 @@
 use tokio::sync::Mutex as AsyncMutex;
 use tokio::task::JoinHandle;
 
-/// Time between the oracle's looks for what is overdue.
+/// Interval at which the oracle checks for overdue final answers.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// The run goes on so long after the last deadline, µs.
+/// Upper bound on the duration of a run after the deadline of the last message, in µs.
 const MAX_TIME_AFTER_LAST_DEADLINE: Micros = 3_000_000;
-/// The first message may be due so long after the forwarders are up, µs.
+/// Delay between the start of the last forwarder and the start of the load, in µs.
 const LOAD_START_DELAY: Micros = 200_000;
 
-/// How a run on sockets is done.
+/// The options of a run on sockets.
 pub struct SocketRunOptions {
-    /// The forwarder's program.
+    /// Executable of the forwarder.
     pub program: PathBuf,
-    /// The folder of the forwarders' logs; none are kept if it is not named.
+    /// Folder for the logs of the forwarders; if none, the logs are discarded.
     pub log_folder: Option<PathBuf>,
-    /// The core that the forwarders are bound to (by `taskset`).
+    /// Core to which the forwarders are bound (by `taskset`).
     pub pinned_core: Option<usize>,
 }
 
-/// What the forwarders used, over the time in which messages were due.
+/// The resource usage of all forwarders while the load ran.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetUsage {
-    /// CPU µs of all forwarders, from the first message due to the last.
+    /// CPU time of all forwarders from the start to the end of the load, in µs.
     pub cpu_micros: u64,
-    /// Resident bytes of the largest, at most.
+    /// Highest resident memory of a single forwarder, in bytes.
     pub peak_memory_bytes: u64,
-    /// For how long messages were due, s.
+    /// Duration of the load, in s.
     pub seconds: f64,
 }
 
-/// Plays a scenario in real time; `progress` is told the time that has passed and the length of the run, µs.
+/// Plays a scenario in real time and returns its outcome. Calls `progress` with the elapsed time and the longest possible
+/// duration of the run, in µs. Fails if the run can't be set up or a forwarder can't be started.
 pub async fn run(
     scenario: &Scenario,
     seed: u64,
@@ -58,7 +59,7 @@
     let stand_ins = endpoints::start(&context)
         .await
         .map_err(SocketsError::Setup)?;
-    let mut ports = Vec::new(); // kept until the end, so that a forwarder finds its own again
+    let mut ports = Vec::new(); // reserved until the end, so that a restarted forwarder gets the same port
     let fleet = start_fleet(
         &context,
         &stand_ins,
@@ -86,7 +87,8 @@
     Ok((finish_outcome(&timeline), usage))
 }
 
-/// Starts the forwarders of a run one after the other, each with its agent.
+/// Starts the forwarders of a run one after the other, each with its agent. Adds their reserved ports to `ports`, which the
+/// caller must keep until the end of the run.
 async fn start_fleet(
     context: &Arc<RunContext>,
     stand_ins: &[Arc<StandInEndpoint>],
@@ -127,7 +129,8 @@
     Some(log_folder.join(format!("forwarder-{forwarder}.log")))
 }
 
-/// Waits until the run is over; gives what the forwarders used while messages were due.
+/// Waits until all messages and faults are over, or the time limit of the run is reached. Returns the resource usage of the
+/// forwarders while the load ran.
 async fn wait_until_over(
     timeline: &FaultTimeline,
     fault_tasks: Vec<JoinHandle<()>>,
@@ -169,14 +172,14 @@
     }
 }
 
-/// Lets the oracle look for what is overdue; gives the number of messages that are not over.
+/// Lets the oracle check for overdue final answers. Returns the number of messages that are not over.
 fn sweep_oracle(context: &RunContext, now: Micros) -> usize {
     let mut state = context.lock_state();
     state.oracle.sweep(now);
     state.messages.len()
 }
 
-/// Closes tally and oracle.
+/// Returns the outcome of a finished run from the tally and the oracle.
 fn finish_outcome(timeline: &FaultTimeline) -> Outcome {
     let context = &timeline.context;
     let now = context.now();
@@ -206,7 +209,8 @@
     outcome
 }
 
-/// Why a run shows nothing, if it does not.
+/// Returns the reason why a run is void: a crashed forwarder, or a late load generator or receiver. The latenesses are 99th
+/// percentiles in µs.
 fn void_reason(crashes: &[String], load_lateness: u64, receiver_lateness: u64) -> Option<String> {
     if !crashes.is_empty() {
         return Some(crashes.join("; "));
@@ -224,7 +228,7 @@
     None
 }
 
-/// The 99th percentile; 0 where nothing was recorded.
+/// Returns the 99th percentile of the recorded values; 0 if there are none.
 pub(super) fn percentile_99(values: &Histogram<u64>) -> u64 {
     if values.is_empty() {
         return 0;
@@ -232,7 +236,7 @@
     values.value_at_quantile(0.99)
 }
 
-/// Where a forwarder's program lies if none is named: beside this one.
+/// Returns the default path of the forwarder's executable, which is in the same folder as the running program.
 pub fn default_forwarder_program() -> PathBuf {
     let here = std::env::current_exe().unwrap_or_default();
     here.parent()
--- a/crates/lab/src/sockets/submissions.rs
+++ b/crates/lab/src/sockets/submissions.rs
@@ -1,4 +1,4 @@
-//! One submission: a client's request to a forwarder, and what its answer means.
+//! Submits messages to forwarders and applies the answers.
 
 use super::clients::ForwarderClient;
 use super::wire::HttpMessage;
@@ -12,23 +12,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A client waits so long for the answer to its request.
+/// Time within which a client expects the answer to its request.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
-/// A client goes to another forwarder so long after a connection was refused, µs.
+/// Delay before a client submits to another forwarder after a refused connection or a missing answer, in µs.
 const FAILOVER_DELAY: Micros = 50_000;
-/// Tries of a client that finds no forwarder.
+/// Number of submissions of a message after which a client gives up if the last one got no answer.
 const MAX_SUBMISSIONS: u32 = 20;
-/// A message with less time than this is not submitted, µs: the protocol counts in milliseconds.
+/// Lower bound on the time to the deadline of a message that is submitted, in µs. The protocol has a resolution of 1 ms.
 const MIN_TIME_LEFT: Micros = 1_000;
 
-/// The clients of all forwarders, used in turn.
+/// The clients of all forwarders, selected round robin.
 pub(super) struct ClientPool {
     clients: Vec<Arc<ForwarderClient>>,
     next_index: AtomicUsize,
 }
 
 impl ClientPool {
-    /// Begins with the first.
+    /// Creates a pool that starts with the first client.
     pub fn new(clients: Vec<Arc<ForwarderClient>>) -> Arc<ClientPool> {
         Arc::new(ClientPool {
             clients,
@@ -36,7 +36,7 @@
         })
     }
 
-    /// The number of the next forwarder, past those that are known to be down.
+    /// Returns the number of the next forwarder. Skips unavailable forwarders unless all of them are unavailable.
     fn next_forwarder(&self) -> usize {
         let first = self.next_index.fetch_add(1, Ordering::Relaxed);
         let count = self.clients.len();
@@ -47,14 +47,14 @@
     }
 }
 
-/// A request to a forwarder that is to be sent.
+/// A request to a forwarder, ready to be sent.
 struct SubmissionRequest {
-    /// The submission as the oracle numbers it.
+    /// Number of the submission in the oracle.
     submission: u64,
     bytes: Vec<u8>,
 }
 
-/// Submits a message to the next forwarder and takes its answer.
+/// Submits a message to the next forwarder and applies its answer.
 pub(super) async fn submit(
     context: Arc<RunContext>,
     clients: Arc<ClientPool>,
@@ -89,7 +89,8 @@
     }
 }
 
-/// Notes a submission and writes its request; none where the message is over, or its time is up.
+/// Records a submission and returns its request. Returns none if the message is over or about to expire; in the latter case
+/// the client gives it up.
 fn begin_submission(
     context: &RunContext,
     forwarder: u32,
@@ -107,7 +108,7 @@
     let submission = state.next_submission_number;
     state.next_submission_number += 1;
     state.tally.counts.submissions += 1;
-    // Where nobody judges, nothing is kept for the oracle.
+    // A disabled oracle must not accumulate submissions.
     if !context.without_oracle {
         state.oracle.submitted(SubmissionRecord {
             submission,
@@ -127,7 +128,7 @@
     })
 }
 
-/// What a forwarder's answer means for a message.
+/// Applies the answer of a forwarder to a message and its submission.
 fn apply_answer(
     state: &mut RunState,
     context: &RunContext,
@@ -140,7 +141,7 @@
         200 | 202 => {
             state.oracle.accepted(submission);
             if context.without_oracle {
-                // What becomes of it is not seen from here.
+                // The outcome of the message can't be observed without the oracle.
                 state.messages.remove(&message_number);
             }
             state.tally.outcome("hand-in: taken");
@@ -167,7 +168,8 @@
     Some((seconds * 1e6) as Micros)
 }
 
-/// A forwarder is not there, or did not answer in time: the client submits to another one, under another id.
+/// Records that a forwarder was unreachable or gave no answer in time. The client submits the message to another forwarder,
+/// with another id.
 fn record_unanswered(
     state: &mut RunState,
     context: &RunContext,
@@ -190,7 +192,7 @@
     }
 }
 
-/// The head of a request, as the platform's protocol has it.
+/// Returns the head of a submission in the format of the platform's protocol.
 fn request_head(
     context: &RunContext,
     message: &ClientMessage,
@@ -223,7 +225,7 @@
     head + "\r\n"
 }
 
-/// A request with the body of a message.
+/// Returns a request with the head and a body of the message's size.
 fn append_body(head: String, due: &DueMessage) -> Vec<u8> {
     let mut request = head.into_bytes();
     request.resize(request.len() + due.body_bytes, b'.');
--- a/crates/lab/src/sockets/timeline.rs
+++ b/crates/lab/src/sockets/timeline.rs
@@ -1,4 +1,4 @@
-//! The timeline of a run on sockets: each fault from its beginning to its end.
+//! Plays the faults of a run on sockets.
 
 use super::agents::{ListChange, Phase, PlatformAgent};
 use super::clients::ForwarderClient;
@@ -16,10 +16,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Mutex as AsyncMutex;
 
-/// After a restart: from then on a final answer may be overdue, µs.
+/// Time after a restart or a pause for which a forwarder may be late with final answers, in µs.
 const RESTART_GRACE: Micros = 1_500_000;
 
-/// The forwarders of a run, each with its agent and its clients; empty where no forwarder is run.
+/// The forwarders of a run with their agents and clients, indexed by forwarder number. Without forwarder processes, `clients`
+/// and `processes` are empty.
 #[derive(Default)]
 pub(super) struct Fleet {
     pub agents: Vec<Arc<PlatformAgent>>,
@@ -27,33 +28,33 @@
     pub processes: Vec<Arc<AsyncMutex<ForwarderProcess>>>,
 }
 
-/// Plays the faults of a run.
+/// Plays the faults of a run against its stand-ins and forwarders. Shared by the tasks of all faults.
 pub(super) struct FaultTimeline {
     pub context: Arc<RunContext>,
     stand_ins: Vec<Arc<StandInEndpoint>>,
     pub fleet: Fleet,
     pub seed: u64,
-    /// When the first message may be due, µs on the context's clock.
+    /// Start of the load, in µs on the run's clock. The times of the faults are relative to it.
     pub begins_at: Micros,
-    /// Chance of discovery: lags, and what a partial list lacks.
+    /// Random numbers of discovery: lags, and the endpoints that a partial list lacks.
     discovery_rng: Mutex<Pcg64Mcg>,
-    /// The phase of each endpoint in the list.
+    /// Phase of each endpoint in the list, by endpoint index.
     phases: Mutex<Vec<Phase>>,
-    /// Until when discovery sends nothing.
+    /// Time until which discovery sends no updates, in µs on the run's clock.
     stale_until: Mutex<Micros>,
-    /// Forwarders that ended by themselves, in words.
+    /// Descriptions of crashes and failed restarts of forwarders. The run is void if there are any.
     pub crashes: Mutex<Vec<String>>,
-    /// Forwarders that are killed now: any other that has ended has crashed.
+    /// Forwarders that are known to be down, killed or crashed. Any other forwarder that has exited has crashed.
     down_forwarders: Mutex<BTreeSet<u32>>,
 }
 
-/// What a mutex holds, which a panic elsewhere leaves as it was.
+/// Locks a mutex, also if a holder of the lock has panicked.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl FaultTimeline {
-    /// A timeline on which nothing has happened yet.
+    /// Creates a timeline with all endpoints ready and no active fault.
     pub fn new(
         context: Arc<RunContext>,
         stand_ins: Vec<Arc<StandInEndpoint>>,
@@ -75,7 +76,8 @@
         })
     }
 
-    /// CPU time of all forwarders and the memory of the largest; those that are being killed or started are left out.
+    /// Returns the total CPU time of the forwarders and the memory of the largest one. Forwarders that are being killed or
+    /// started are omitted.
     pub async fn usage(&self) -> ProcessUsage {
         let mut total = ProcessUsage::default();
         for process in &self.fleet.processes {
@@ -90,7 +92,7 @@
         total
     }
 
-    /// Notes forwarders that ended by themselves.
+    /// Records forwarders that exited without having been killed.
     pub async fn record_crashes(&self) {
         for (forwarder, process) in self.fleet.processes.iter().enumerate() {
             let Ok(mut process) = process.try_lock() else {
@@ -108,12 +110,12 @@
         }
     }
 
-    /// Waits until this time of the scenario.
+    /// Sleeps until a time of the scenario, in µs from the start of the load.
     async fn sleep_until(&self, at: Micros) {
         tokio::time::sleep_until(self.context.instant_at(self.begins_at + at)).await;
     }
 
-    /// Plays one fault, by its place in the scenario.
+    /// Plays one fault from its start to its end, by its index in the scenario.
     pub async fn play_fault(self: Arc<FaultTimeline>, fault_index: usize) {
         let scenario = &self.context.scenario;
         let fault = scenario.faults[fault_index].clone();
@@ -189,7 +191,7 @@
         }
     }
 
-    /// One endpoint after the other drains, each for the same part of the fault's time.
+    /// Drains the endpoints one after the other, each for the same share of the fault's duration.
     async fn play_drain(&self, fault: &Fault, endpoints: &[usize]) {
         let drain_time = fault.lasts.0 / endpoints.len().max(1) as u64;
         for (position, endpoint) in endpoints.iter().enumerate() {
@@ -260,7 +262,7 @@
         }]);
     }
 
-    /// The endpoint is gone, and a new incarnation of its address is ready.
+    /// Removes an endpoint and announces its next incarnation at the same address as ready.
     fn replace_endpoint(&self, endpoint_index: usize) {
         let old_incarnation = self.stand_ins[endpoint_index].incarnation();
         let now = self.context.now();
@@ -281,7 +283,7 @@
         ]);
     }
 
-    /// When each agent gets what discovery sends now.
+    /// Draws the time at which each agent receives an update that discovery sends now, in µs on the run's clock.
     fn arrival_times(&self) -> Vec<Micros> {
         let max_lag = self.context.scenario.network.list_lag.0;
         let earliest = self.context.now().max(*lock(&self.stale_until));
@@ -303,7 +305,7 @@
         }
     }
 
-    /// Sends the whole list without a part of it that is drawn by chance.
+    /// Sends a complete list that lacks each endpoint with the probability `missing_share`.
     fn send_partial_list(&self, missing_share: f64) {
         let phases = lock(&self.phases).clone();
         let mut members = BTreeMap::new();
--- a/crates/lab/src/sockets/wire.rs
+++ b/crates/lab/src/sockets/wire.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 as the stand-ins read and write it: by hand where it must be spoilt on purpose, its heads read by `httparse`.
+//! HTTP/1.1 connections and reserved ports of the stand-ins. Messages are written by hand, since some must be malformed on
+//! purpose; heads are parsed by `httparse`.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -9,15 +10,15 @@
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 const MAX_HEADERS: usize = 64;
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-const MAX_PORT_ATTEMPTS: u32 = 100; // for a free port
+const MAX_PORT_ATTEMPTS: u32 = 100; // to reserve a free port
 
-/// A connection with what was read ahead of it.
+/// An HTTP/1.1 connection with the bytes that have been read but not consumed.
 pub struct HttpConnection {
     pub stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-/// A request or an answer: its first line in parts, its headers by name in small letters, its body.
+/// A request or a response. Fields that it doesn't have are empty or 0; header names are in lower case.
 #[derive(Debug, Default)]
 pub struct HttpMessage {
     pub method: String,
@@ -28,7 +29,7 @@
 }
 
 impl HttpMessage {
-    /// The value of a header, by its name in small letters.
+    /// Returns the value of a header; `name` must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -38,21 +39,22 @@
 }
 
 impl HttpConnection {
-    /// A connection that nothing was read from.
+    /// Wraps a stream from which nothing has been read.
     pub fn new(stream: TcpStream) -> HttpConnection {
-        let _ = stream.set_nodelay(true); // without it an answer may be late, no more
+        let _ = stream.set_nodelay(true); // a failure only delays small writes
         HttpConnection {
             stream,
             buffer: Vec::with_capacity(2048),
         }
     }
 
-    /// The next request; nothing at the end of the connection.
+    /// Reads the next request; none if the peer closes the connection before it. Fails if the request is malformed, too long or
+    /// incomplete.
     pub async fn read_request(&mut self) -> io::Result<Option<HttpMessage>> {
         self.read_message(true).await
     }
 
-    /// The next answer.
+    /// Reads the next response. Fails if the peer closes the connection, or if the response is malformed or too long.
     pub async fn read_response(&mut self) -> io::Result<HttpMessage> {
         self.read_message(false)
             .await?
@@ -65,7 +67,7 @@
                 if body_length > MAX_BODY_BYTES {
                     return Err(io::Error::new(
                         io::ErrorKind::InvalidData,
-                        "the body is too long",
+                        "the HTTP body exceeds 4 MiB",
                     ));
                 }
                 while self.buffer.len() < head_length + body_length {
@@ -80,7 +82,7 @@
             if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(io::Error::new(
                     io::ErrorKind::InvalidData,
-                    "the head is too long",
+                    "the HTTP head exceeds 64 KiB",
                 ));
             }
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// A head that is whole, its length, and that of the body behind it.
+    /// Parses a head and returns it with its length and the content length, in bytes; none if the head is incomplete.
     fn parse_head(&self, is_request: bool) -> io::Result<Option<(HttpMessage, usize, usize)>> {
         let invalid_data =
             |error: httparse::Error| io::Error::new(io::ErrorKind::InvalidData, error.to_string());
@@ -121,17 +123,21 @@
             ));
         }
         let content_length = message.header("content-length").map_or(Ok(0), str::parse);
-        let body_length = content_length
-            .map_err(|_| io::Error::new(io::ErrorKind::InvalidData, "the length is no number"))?;
+        let body_length = content_length.map_err(|_| {
+            io::Error::new(
+                io::ErrorKind::InvalidData,
+                "the content length is not a number",
+            )
+        })?;
         Ok(Some((message, head_length, body_length)))
     }
 
-    /// Writes bytes as they are.
+    /// Writes bytes unchanged.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Answers a request; `more` holds further lines of the head.
+    /// Writes a response. `extra_headers` holds further header lines, each with its line break.
     pub async fn respond(
         &mut self,
         status: &str,
@@ -145,7 +151,8 @@
         self.write(text.as_bytes()).await
     }
 
-    /// Waits until the other side has closed. What it sends meanwhile stays in the buffer.
+    /// Waits until the peer closes the connection or the buffer exceeds the limit of a head. Bytes that arrive in the meantime
+    /// stay in the buffer.
     pub async fn wait_for_close(&mut self) {
         loop {
             match self.stream.read_buf(&mut self.buffer).await {
@@ -156,29 +163,29 @@
         }
     }
 
-    /// Closes with a reset.
+    /// Closes the connection with a TCP reset.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
 }
 
-static PORT_CHOICE: Mutex<()> = Mutex::new(()); // held by whoever chooses a port, until it is kept
+static PORT_CHOICE: Mutex<()> = Mutex::new(()); // held from the choice of a port until it is reserved
 
-/// A port of loopback that is kept while nobody listens there: another world on this machine must not get it meanwhile,
-/// nor what is sent to it.
+/// A loopback port that stays reserved while no listener uses it, so that no other run on this machine gets the port or the
+/// traffic to it.
 pub struct ReservedPort {
     pub address: SocketAddr,
     _reservation: socket2::Socket,
 }
 
 impl ReservedPort {
-    /// A free one; `port` where it is named.
+    /// Reserves a port; 0 selects a free one. Fails if the port is in use, or if no free port is found in 100 attempts.
     pub fn reserve(port: u16) -> io::Result<ReservedPort> {
-        // Guards against two worlds of one process that choose the same port before either keeps it: both could share it.
+        // Two runs in one process could choose the same port before either reserves it, and would then share it.
         let _guard = PORT_CHOICE.lock().unwrap_or_else(PoisonError::into_inner);
         let mut attempts = 0;
         loop {
-            // Between choosing and keeping, somebody else may have got it: then another will do.
+            // Another process may take the port between the choice and the reservation. Another port is chosen then.
             let reserved = ReservedPort::choose_address(port)
                 .and_then(ReservedPort::bind_reservation)
                 .and_then(|port| port.listen().map(|_| port));
@@ -193,7 +200,7 @@
         }
     }
 
-    /// Chosen without the right to share, for what others keep must not be chosen.
+    /// Chooses an address without `SO_REUSEADDR`, so that no port is chosen that another run has reserved.
     fn choose_address(port: u16) -> io::Result<SocketAddr> {
         let socket = tokio::net::TcpSocket::new_v4()?;
         if port == 0 {
@@ -203,7 +210,7 @@
         Ok(SocketAddr::from((Ipv4Addr::LOCALHOST, port)))
     }
 
-    /// Kept with the right to share, so that a listener can stand beside it.
+    /// Reserves an address with `SO_REUSEADDR`, so that a listener can bind to it as well.
     fn bind_reservation(address: SocketAddr) -> io::Result<ReservedPort> {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
@@ -214,7 +221,7 @@
         })
     }
 
-    /// Listens at the port.
+    /// Starts to listen on the reserved port. Fails if another listener uses it.
     pub fn listen(&self) -> io::Result<tokio::net::TcpListener> {
         let socket = tokio::net::TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
--- a/crates/lab/src/sockets/without_forwarders.rs
+++ b/crates/lab/src/sockets/without_forwarders.rs
@@ -1,4 +1,4 @@
-//! Parts of the laboratory on sockets that start no forwarder: the world alone, and the load tool alone.
+//! Runs the stand-ins alone, or the load generator alone, without starting a forwarder.
 
 use super::agents::PlatformAgent;
 use super::clients::ForwarderClient;
@@ -12,21 +12,21 @@
 use opalpulley::Micros;
 use std::net::SocketAddr;
 
-/// The load begins so long after the context is set, µs.
+/// Delay between the creation of the context and the start of the load, in µs.
 const LOAD_START_DELAY: Micros = 100_000;
-/// The load tool waits so long for the last answers, µs.
+/// Time after the end of the load for which the load generator waits for answers, in µs.
 const LAST_ANSWERS_WAIT: Micros = 1_000_000;
 
-/// Where the stand-ins of a world listen.
+/// The addresses at which the stand-ins listen.
 pub struct StandInAddresses {
-    /// Discovery, and the platform's address for completion reports.
+    /// Address of discovery, which also receives completion reports.
     pub discovery: SocketAddr,
-    /// The endpoints, in their order.
+    /// Addresses of the endpoints, in the order of the layout.
     pub endpoints: Vec<SocketAddr>,
 }
 
-/// The world alone, for a person: receivers, and an agent for one forwarder at this port. Plays the scenario's faults once,
-/// and goes on until the process ends.
+/// Starts the receivers and a platform agent for one forwarder, for interactive use. The agent listens on `port`. Plays the
+/// faults of the scenario once; the stand-ins run until the process exits. Fails if a port can't be reserved.
 pub async fn start_stand_ins(
     scenario: &Scenario,
     seed: u64,
@@ -50,7 +50,7 @@
     let begins_at = context.now();
     let timeline = FaultTimeline::new(context, stand_ins, fleet, seed, begins_at);
     for (fault_index, fault) in scenario.faults.iter().enumerate() {
-        // There is no forwarder process that these could strike.
+        // Kills and pauses need a forwarder process, and there is none.
         if !matches!(fault.kind, FaultKind::Killed { .. } | FaultKind::Paused) {
             tokio::spawn(timeline.clone().play_fault(fault_index));
         }
@@ -58,7 +58,8 @@
     Ok(addresses)
 }
 
-/// The load of a scenario alone, at forwarders that run already. What becomes of the messages there is not known.
+/// Submits the load of a scenario to forwarders that run already, and returns the outcome of the submissions. The final
+/// answers are not observed. Calls `progress` with the elapsed time and the duration of the run, in µs.
 pub async fn run_load_only(
     scenario: &Scenario,
     seed: u64,
