--- a/crates/forwarder/src/startup.rs
+++ b/crates/forwarder/src/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the actors of a forwarder, in order, and runs the dispatcher to its end.
+//! Starts the actors of a forwarder in order, and runs the dispatcher until it ends.
 
 use crate::clients::{ClientListener, SubmissionService};
 use crate::clock::Clock;
@@ -29,33 +29,36 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{mpsc, watch, Semaphore};
 
-/// Commands that wait for the dispatcher. Actors that send more wait.
-const DISPATCHER_MAILBOX: usize = 1024;
-/// Submissions that wait for the dispatcher, some milliseconds' work. More are rejected.
-const SUBMISSION_MAILBOX: usize = 256;
-/// Commands that wait for the endpoint list's actor.
-const ENDPOINT_LIST_MAILBOX: usize = 16;
-/// Datagrams that wait for the gossip socket.
-const GOSSIP_MAILBOX: usize = 256;
-/// Connections of clients that wait to be accepted. A client that finds the backlog full waits a second.
+/// Capacity of the dispatcher's mailbox, in commands. Actors that find it full wait.
+const DISPATCHER_MAILBOX_CAPACITY: usize = 1024;
+/// Capacity of the dispatcher's mailbox for submissions, which corresponds to some milliseconds of work. Submissions
+/// that find it full are rejected.
+const SUBMISSION_MAILBOX_CAPACITY: usize = 256;
+/// Capacity of the mailbox of the endpoint-list watch, in commands.
+const ENDPOINT_LIST_MAILBOX_CAPACITY: usize = 16;
+/// Capacity of the mailbox of the gossip socket, in datagrams.
+const GOSSIP_MAILBOX_CAPACITY: usize = 256;
+/// Upper bound on the number of client connections that wait to be accepted. A client that finds the backlog full waits
+/// for one second.
 const ACCEPT_BACKLOG: u32 = 1024;
-/// The service rules count the forwarder as informed 6 s after a change, if the platform had the change and could be
-/// reached. In µs.
-const NOTIFIED_WITHIN: Micros = 6_000_000;
-/// For answers on their way when the process ends.
-const LAST_ANSWERS_TIME: Duration = Duration::from_millis(50);
+/// Time in µs after which the service rules count the forwarder as notified of a change of the endpoint list: 6 s, if
+/// the platform knew of the change and could be reached.
+const LIST_NOTIFICATION_DELAY: Micros = 6_000_000;
+/// Time between the end of the dispatcher and the end of the process, in which the last answers are written.
+const FINAL_ANSWERS_PERIOD: Duration = Duration::from_millis(50);
 
-/// How the program controls a running forwarder.
+/// Controls a running forwarder. Created by the program that starts it.
 pub struct ProcessControl {
-    /// Resolves when the forwarder is to end. The dispatcher ends 3.3 s later at the latest, and the process 50 ms after it.
+    /// Resolves when the forwarder must shut down. The dispatcher ends at most 3.3 s later, and the process 50 ms after
+    /// the dispatcher.
     pub terminate: Pin<Box<dyn Future<Output = ()> + Send>>,
-    /// One value for each time that the start-up configuration is to be read again.
+    /// Yields one value for each time that the startup configuration must be read again.
     pub reload: mpsc::Receiver<()>,
-    /// Reads the start-up configuration again.
+    /// Reads the startup configuration again.
     pub read_config: ReadConfig,
 }
 
-/// The sending ends of the actors' mailboxes.
+/// The sending halves of the actors' mailboxes.
 struct Senders {
     dispatcher: mpsc::Sender<DispatcherCommand>,
     submissions: mpsc::Sender<SubmissionRequest>,
@@ -64,7 +67,7 @@
     gossip: mpsc::Sender<GossipDatagram>,
 }
 
-/// The receiving ends of the actors' mailboxes.
+/// The receiving halves of the actors' mailboxes.
 struct Receivers {
     dispatcher: mpsc::Receiver<DispatcherCommand>,
     submissions: mpsc::Receiver<SubmissionRequest>,
@@ -73,12 +76,12 @@
     gossip: mpsc::Receiver<GossipDatagram>,
 }
 
-fn mailboxes() -> (Senders, Receivers) {
-    let (dispatcher, dispatcher_receiver) = mpsc::channel(DISPATCHER_MAILBOX);
-    let (submissions, submissions_receiver) = mpsc::channel(SUBMISSION_MAILBOX);
-    let (endpoint_list, endpoint_list_receiver) = mpsc::channel(ENDPOINT_LIST_MAILBOX);
+fn create_mailboxes() -> (Senders, Receivers) {
+    let (dispatcher, dispatcher_receiver) = mpsc::channel(DISPATCHER_MAILBOX_CAPACITY);
+    let (submissions, submissions_receiver) = mpsc::channel(SUBMISSION_MAILBOX_CAPACITY);
+    let (endpoint_list, endpoint_list_receiver) = mpsc::channel(ENDPOINT_LIST_MAILBOX_CAPACITY);
     let (completion_reports, completion_reports_receiver) = mpsc::unbounded_channel();
-    let (gossip, gossip_receiver) = mpsc::channel(GOSSIP_MAILBOX);
+    let (gossip, gossip_receiver) = mpsc::channel(GOSSIP_MAILBOX_CAPACITY);
     let senders = Senders {
         dispatcher,
         submissions,
@@ -96,7 +99,7 @@
     (senders, receivers)
 }
 
-/// Runs one forwarder to its end. Fails where its address or its state directory can't be used.
+/// Runs one forwarder until it has shut down. Fails if its address or its state directory cannot be used.
 pub async fn run(
     mut startup: StartupConfig,
     control: ProcessControl,
@@ -105,13 +108,13 @@
     let clock = Clock::start();
     let cached_list = startup.cached_list.take();
     let gossip_peers = std::mem::take(&mut startup.gossip_peers);
-    let (senders, receivers) = mailboxes();
-    let (shutdown_stage, shutdown_stages) = watch::channel(ShutdownStage::Running);
+    let (senders, receivers) = create_mailboxes();
+    let (stage_sender, stage_receiver) = watch::channel(ShutdownStage::Running);
     let starter = ActorStarter::new(&startup, &senders.dispatcher, &log);
-    let submission_service = starter.start_clients(senders.submissions, shutdown_stages)?;
+    let submission_service = starter.start_clients(senders.submissions, stage_receiver)?;
 
-    let (journal, messages) = Journal::open(&startup.state_dir, startup.journal_bytes)?;
-    starter.log_start(messages.len());
+    let (journal, recovered_messages) = Journal::open(&startup.state_dir, startup.journal_bytes)?;
+    starter.log_start(recovered_messages.len());
     let handles = ActorHandles {
         context: starter.endpoint_context(),
         list_watch: senders.endpoint_list,
@@ -120,25 +123,30 @@
         ready: submission_service.ready.clone(),
     };
     let mut dispatcher = starter.create_dispatcher(clock, journal, handles);
-    let endpoints = starter.restore_cached_list(cached_list, &mut dispatcher);
-    dispatcher.restore_previous_run(messages);
+    let endpoint_table = starter.restore_cached_list(cached_list, &mut dispatcher);
+    dispatcher.restore_previous_run(recovered_messages);
 
     let discovery = starter.start_reload(control.reload, control.read_config);
-    starter.start_list_watch(endpoints, discovery.clone(), receivers.endpoint_list);
+    starter.start_list_watch(endpoint_table, discovery.clone(), receivers.endpoint_list);
     starter.start_completion_reports(discovery, receivers.completion_reports);
     starter.start_gossip(gossip_peers, receivers.gossip);
-    let end = starter.run_shutdown(control.terminate, &shutdown_stage);
+    let shutdown_sequence = starter.run_shutdown(control.terminate, &stage_sender);
     dispatcher
-        .run(receivers.dispatcher, receivers.submissions, end)
+        .run(
+            receivers.dispatcher,
+            receivers.submissions,
+            shutdown_sequence,
+        )
         .await;
-    tokio::time::sleep(LAST_ANSWERS_TIME).await;
-    info!(log, "ended");
+    tokio::time::sleep(FINAL_ANSWERS_PERIOD).await;
+    info!(log, "forwarder stopped");
     Ok(())
 }
 
 /// Starts the actors around the dispatcher.
 struct ActorStarter<'a> {
     startup: &'a StartupConfig,
+    /// Configuration of the decision core, with [`LIST_NOTIFICATION_DELAY`] set.
     config: Config,
     dispatcher: &'a mpsc::Sender<DispatcherCommand>,
     log: &'a Logger,
@@ -151,7 +159,7 @@
         log: &'a Logger,
     ) -> ActorStarter<'a> {
         let mut config = startup.settings.config.clone();
-        config.list_notification_delay = Some(NOTIFIED_WITHIN);
+        config.list_notification_delay = Some(LIST_NOTIFICATION_DELAY);
         ActorStarter {
             startup,
             config,
@@ -178,11 +186,12 @@
         })
     }
 
-    /// Accepts clients from now on. Until `ready` is set, they are answered that the forwarder is not ready.
+    /// Starts to accept clients. Until `ready` is set, each client is answered that the forwarder is not ready. Fails
+    /// if the address cannot be used.
     fn start_clients(
         &self,
         submissions: mpsc::Sender<SubmissionRequest>,
-        shutdown_stages: watch::Receiver<ShutdownStage>,
+        stage_receiver: watch::Receiver<ShutdownStage>,
     ) -> io::Result<Arc<SubmissionService>> {
         let listener = listen(self.startup.listen)?;
         let submission_service = Arc::new(SubmissionService::new(
@@ -194,7 +203,7 @@
         let clients = ClientListener {
             submission_service: submission_service.clone(),
             max_connections: self.startup.max_client_connections,
-            shutdown: shutdown_stages,
+            shutdown: stage_receiver,
         };
         tokio::spawn(clients.run(listener));
         Ok(submission_service)
@@ -202,7 +211,7 @@
 
     fn log_start(&self, recovered_messages: usize) {
         let startup = self.startup;
-        info!(self.log, "started"; "name" => &startup.name, "messages" => recovered_messages,
+        info!(self.log, "forwarder started"; "name" => &startup.name, "messages" => recovered_messages,
             "listen" => %startup.listen, "discovery" => %startup.discovery);
     }
 
@@ -217,7 +226,7 @@
         Dispatcher::new(config, self.startup.seed, clock, journal, handles, log)
     }
 
-    /// Waits for `terminate`, and then until the dispatcher is to end.
+    /// Waits for `terminate`, and then until the dispatcher must end.
     async fn run_shutdown(
         &self,
         terminate: impl Future<Output = ()>,
@@ -226,24 +235,26 @@
         shutdown::run(terminate, stage, self.dispatcher.clone(), self.log.clone()).await;
     }
 
-    /// Gives the dispatcher the list of the start-up configuration, if there is one. Returns the endpoints of that list.
+    /// Passes the endpoint list of the startup configuration to the dispatcher, if there is one. Returns the table of
+    /// its endpoints.
     fn restore_cached_list(
         &self,
         cached_list: Option<EndpointListDocument>,
         dispatcher: &mut Dispatcher,
     ) -> EndpointTable {
-        let mut endpoints = EndpointTable::default();
-        let update = cached_list.and_then(|list| endpoints.apply(list, &self.names()));
+        let mut endpoint_table = EndpointTable::default();
+        let cached_update = cached_list.and_then(|list| endpoint_table.apply(list, &self.names()));
         if let Some(EndpointListUpdate::Complete(entries) | EndpointListUpdate::Changes(entries)) =
-            update
+            cached_update
         {
-            let cached = Event::EndpointListUpdated(EndpointListUpdate::Cached(entries));
-            dispatcher.handle_command(DispatcherCommand::Event(cached));
+            let cached_list_event = Event::EndpointListUpdated(EndpointListUpdate::Cached(entries));
+            dispatcher.handle_command(DispatcherCommand::Event(cached_list_event));
         }
-        endpoints
+        endpoint_table
     }
 
-    /// Returns the address of the platform, which a reload may change.
+    /// Starts the actor that reloads the configuration. Returns the address of the platform's agent, which a reload may
+    /// change.
     fn start_reload(
         &self,
         reload_requests: mpsc::Receiver<()>,
@@ -262,20 +273,20 @@
 
     fn start_list_watch(
         &self,
-        endpoints: EndpointTable,
+        endpoint_table: EndpointTable,
         discovery: watch::Receiver<SocketAddr>,
         commands: mpsc::Receiver<EndpointListCommand>,
     ) {
-        let list = EndpointListWatch {
+        let list_watch = EndpointListWatch {
             platform: self.platform(),
             discovery,
             names: self.names(),
-            table: endpoints,
+            table: endpoint_table,
             must_be_polled: self.config.list_poll_interval.is_some(),
             dispatcher: self.dispatcher.clone(),
             log: self.log.clone(),
         };
-        tokio::spawn(list.run(commands));
+        tokio::spawn(list_watch.run(commands));
     }
 
     fn start_completion_reports(
@@ -294,16 +305,17 @@
 
     fn start_gossip(&self, peers: GossipPeers, datagrams: mpsc::Receiver<GossipDatagram>) {
         let log = self.log.clone();
-        let gossip = gossip_socket::run(peers, datagrams, self.dispatcher.clone(), log.clone());
+        let socket_task =
+            gossip_socket::run(peers, datagrams, self.dispatcher.clone(), log.clone());
         tokio::spawn(async move {
-            if let Err(problem) = gossip.await {
-                error!(log, "gossip socket failed"; "problem" => %problem);
+            if let Err(error) = socket_task.await {
+                error!(log, "gossip socket failed"; "problem" => %error);
             }
         });
     }
 }
 
-/// Opens the listener of the clients.
+/// Opens the listener of the clients. Fails if the address cannot be used.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
