--- a/crates/forwarder/tests/common/mod.rs
+++ b/crates/forwarder/tests/common/mod.rs
@@ -38,19 +38,19 @@
 }
 
 /// Starts an endpoint that responds to each request with this status.
-pub fn endpoint_responding_with(status: &'static str) -> (SocketAddr, Log) {
-    serve(move |_, _| plain(status))
+pub fn endpoint_responding_with(status: &'static str) -> (SocketAddr, RequestLog) {
+    serve(move |_, _| empty_response(status))
 }
 
 /// Starts an endpoint that accepts requests and never responds.
-pub fn silent_endpoint() -> (SocketAddr, Log) {
+pub fn silent_endpoint() -> (SocketAddr, RequestLog) {
     serve(|_, _| None)
 }
 
 /// Queues a change of the platform's list for the next watch.
 pub fn push_change(platform: &Platform, change: String) {
     platform
-        .changes
+        .pending_changes
         .lock()
         .expect("the changes are not poisoned")
         .push(change);
@@ -58,9 +58,9 @@
 
 /// Waits until watches have taken all queued changes of the platform's list.
 pub fn wait_until_changes_are_sent(platform: &Platform) {
-    until("all changes of the list are sent", || {
+    wait_until("all changes of the list are sent", || {
         platform
-            .changes
+            .pending_changes
             .lock()
             .expect("the changes are not poisoned")
             .is_empty()
--- a/crates/forwarder/tests/descriptors.rs
+++ b/crates/forwarder/tests/descriptors.rs
@@ -101,38 +101,38 @@
     let (is_silent, list_updated) = (silent.clone(), Arc::new(AtomicBool::new(false)));
     let updated = list_updated.clone();
     let (platform, platform_requests) = serve(move |request, _| {
-        if request.first.contains("/v1/outcomes") {
-            return plain("204 No Content");
+        if request.first_line.contains("/v1/outcomes") {
+            return empty_response("204 No Content");
         }
-        if request.first.contains("index=") && !updated.load(Ordering::Relaxed) {
+        if request.first_line.contains("index=") && !updated.load(Ordering::Relaxed) {
             sleep_ms(100);
         }
         if is_silent.load(Ordering::Relaxed) {
             return None;
         }
-        with_body(&match updated.load(Ordering::Relaxed) {
-            true => list(2, true, &updated_members),
-            false => list(1, true, &members),
+        ok_response(&match updated.load(Ordering::Relaxed) {
+            true => endpoint_list(2, true, &updated_members),
+            false => endpoint_list(1, true, &members),
         })
     });
-    let (_dir, state) = folder();
-    let config_text = config("notice", "guarded", DESCRIPTOR_LIMIT, 3.0)
+    let (_dir, state) = state_folder();
+    let config_text = startup_config("notice", "guarded", DESCRIPTOR_LIMIT, 3.0)
         .replace("ConnIdleUs\":5000000", "ConnIdleUs\":60000000");
     let forwarder = start_limited(&state, &config_text, platform);
     let submit = |id: &str, cell: u16, time_left_ms: &str| {
         let head = submission_head(id, "notice", 4)
             .replace("dest=7", &format!("dest={cell}"))
             .replace("20000", time_left_ms);
-        forwarder.ask(&head, b"body")
+        forwarder.request_status(&head, b"body")
     };
     // First use up the descriptors for idle connections to endpoints and for attempts.
     for cell in 100..100 + ENDPOINT_COUNT {
-        until("the message is accepted", || {
+        wait_until("the message is accepted", || {
             submit(&format!("t{cell}"), cell, "20000") == 202
         });
     }
     for n in 0..8 {
-        until("the message is accepted", || {
+        wait_until("the message is accepted", || {
             submit(&format!("m{n}"), 8, "20000") == 202
         });
     }
@@ -142,7 +142,7 @@
         scope.spawn(|| keep_idle_clients_connected(forwarder.listen, &stop));
         // The open watch times out within 7 s, and is then reopened in vain.
         sleep_ms(8_000);
-        let (_, open_descriptors) = forwarder.holds();
+        let (_, open_descriptors) = forwarder.resource_usage();
         println!("{open_descriptors} descriptors");
         assert!(
             open_descriptors > DESCRIPTOR_LIMIT / 2 && open_descriptors <= DESCRIPTOR_LIMIT,
@@ -150,20 +150,20 @@
         );
         list_updated.store(true, Ordering::Relaxed);
         silent.store(false, Ordering::Relaxed);
-        until(
+        wait_until(
             "the new list takes effect and a message is accepted",
             || submit("new", 7, "20000") == 202,
         );
-        until("the message is delivered", || {
-            calls(&request_log, "new") == 1
+        wait_until("the message is delivered", || {
+            count_calls(&request_log, "new") == 1
         });
-        until("another message is accepted", || {
+        wait_until("another message is accepted", || {
             submit("end", 9, "600") == 202
         });
-        until("the message is tried", || {
-            calls(&rejected_request_log, "end") > 0
+        wait_until("the message is tried", || {
+            count_calls(&rejected_request_log, "end") > 0
         });
-        until("a completion report arrives", || {
+        wait_until("a completion report arrives", || {
             let platform_requests = platform_requests
                 .lock()
                 .expect("the request log is not poisoned");
--- a/crates/forwarder/tests/endings.rs
+++ b/crates/forwarder/tests/endings.rs
@@ -23,18 +23,20 @@
                 .expect("the receiver is not poisoned")
                 .recv()
                 .expect("the test releases the endpoint");
-            plain("200 OK")
+            empty_response("200 OK")
         });
-        let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-        let (_dir, state) = folder();
+        let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+        let (_dir, state) = state_folder();
         let forwarder = start(
             &state,
-            &config("notice", effect, 200, 3.0),
+            &startup_config("notice", effect, 200, 3.0),
             platform.address,
         );
         let head = submission_head("late", "notice", 4).replace("20000", "900");
-        assert_eq!(forwarder.ask(&head, b"body"), 202);
-        until("the attempt is sent", || calls(&request_log, "late") == 1);
+        assert_eq!(forwarder.request_status(&head, b"body"), 202);
+        wait_until("the attempt is sent", || {
+            count_calls(&request_log, "late") == 1
+        });
         forwarder.signal("-STOP");
         sleep_ms(1000);
         release_sender
@@ -42,7 +44,7 @@
             .expect("the endpoint waits for the release");
         sleep_ms(50);
         forwarder.signal("-CONT");
-        until("a completion report arrives", || {
+        wait_until("a completion report arrives", || {
             !report_lines(&platform).is_empty()
         });
         assert_eq!(
@@ -50,7 +52,7 @@
             ["{\"id\":\"late\",\"status\":\"undeliverable\"}"],
             "{effect}"
         );
-        assert_eq!(calls(&request_log, "late"), 1);
+        assert_eq!(count_calls(&request_log, "late"), 1);
     }
 }
 
@@ -61,30 +63,30 @@
     const UNACKNOWLEDGED: usize = 12;
     let (endpoint, request_log) =
         serve(|request, _| match request.headers["request-id"].as_str() {
-            "first" => plain("503 Full"),
-            _ => plain("200 OK"),
+            "first" => empty_response("503 Full"),
+            _ => empty_response("200 OK"),
         });
-    let platform = platform(vec![member(endpoint, 7, "Ready")], UNACKNOWLEDGED);
-    let (_dir, state) = folder();
-    let config_text = config("notice", "guarded", 200, 3.0)
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], UNACKNOWLEDGED);
+    let (_dir, state) = state_folder();
+    let config_text = startup_config("notice", "guarded", 200, 3.0)
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
     let mut forwarder = start(&state, &config_text, platform.address);
     let submit = |forwarder: &Forwarder, id: &str, time_left_ms: &str| {
         let head = submission_head(id, "notice", 4)
             .replace("20000", time_left_ms)
             .replace("\r\n\r\n", "\r\nAffinity-Key: 000b832b68ec333d\r\n\r\n");
-        assert_eq!(forwarder.ask(&head, b"body"), 202, "{id}");
+        assert_eq!(forwarder.request_status(&head, b"body"), 202, "{id}");
     };
     submit(&forwarder, "first", "700");
     submit(&forwarder, "second", "20000");
-    until("the first message is reported repeatedly", || {
+    wait_until("the first message is reported repeatedly", || {
         report_lines(&platform).len() >= 2
     });
-    assert_eq!(calls(&request_log, "second"), 0);
+    assert_eq!(count_calls(&request_log, "second"), 0);
     kill_and_wait(&mut forwarder);
     forwarder = start(&state, &config_text, platform.address);
-    until("the second message is sent", || {
-        calls(&request_log, "second") == 1
+    wait_until("the second message is sent", || {
+        count_calls(&request_log, "second") == 1
     });
     let reports = report_lines(&platform).len();
     assert!(
@@ -102,32 +104,38 @@
     let members = vec![member(endpoint, 7, "Ready")];
     let (platform, platform_requests) =
         serve(
-            move |request, _| match request.first.contains("/v1/outcomes") {
+            move |request, _| match request.first_line.contains("/v1/outcomes") {
                 true => None, // the request is read and never answered
-                false if request.first.contains("index=") => {
+                false if request.first_line.contains("index=") => {
                     sleep_ms(300);
-                    with_body(&list(1, false, &[]))
+                    ok_response(&endpoint_list(1, false, &[]))
                 }
-                false => with_body(&list(1, true, &members)),
+                false => ok_response(&endpoint_list(1, true, &members)),
             },
         );
-    let (_dir, state) = folder();
-    let forwarder = start(&state, &config("notice", "free", 200, 3.0), platform);
+    let (_dir, state) = state_folder();
+    let forwarder = start(
+        &state,
+        &startup_config("notice", "free", 200, 3.0),
+        platform,
+    );
     let head = submission_head("short", "notice", 4).replace("20000", "300");
-    assert_eq!(forwarder.ask(&head, b"body"), 202);
-    until("the attempt is sent", || calls(&request_log, "short") >= 1);
+    assert_eq!(forwarder.request_status(&head, b"body"), 202);
+    wait_until("the attempt is sent", || {
+        count_calls(&request_log, "short") >= 1
+    });
     let completion_reports = || {
         let platform_requests = platform_requests
             .lock()
             .expect("the request log is not poisoned");
         platform_requests
             .iter()
-            .filter(|request| request.first.contains("/v1/outcomes"))
+            .filter(|request| request.first_line.contains("/v1/outcomes"))
             .count()
     };
-    until("a completion report arrives", || completion_reports() == 1);
+    wait_until("a completion report arrives", || completion_reports() == 1);
     let first_report_at = Instant::now();
-    until("the completion report arrives again", || {
+    wait_until("the completion report arrives again", || {
         completion_reports() >= 2
     });
     assert!(
@@ -145,7 +153,7 @@
         if request.headers["request-id"] == "out" {
             None
         } else {
-            plain("200 OK")
+            empty_response("200 OK")
         }
     });
     let (list_available, members) = (
@@ -154,28 +162,28 @@
     );
     let available = list_available.clone();
     let (platform, platform_requests) = serve(move |request, _| {
-        if request.first.contains("/v1/outcomes") {
-            return plain("204 No Content");
+        if request.first_line.contains("/v1/outcomes") {
+            return empty_response("204 No Content");
         }
         let (listed, watch) = (
             available.load(Ordering::Relaxed),
-            request.first.contains("index="),
+            request.first_line.contains("index="),
         );
         thread::sleep(Duration::from_millis(if watch { 100 } else { 0 }));
         match (listed, watch) {
-            (false, _) => plain("503 Down"),
-            (true, true) => with_body(&list(1, false, &[])),
-            (true, false) => with_body(&list(1, true, &members)),
+            (false, _) => empty_response("503 Down"),
+            (true, true) => ok_response(&endpoint_list(1, false, &[])),
+            (true, false) => ok_response(&endpoint_list(1, true, &members)),
         }
     });
-    let (_dir, state) = folder();
-    let config_text = config("notice", "single_shot", 200, 3.0)
+    let (_dir, state) = state_folder();
+    let config_text = startup_config("notice", "single_shot", 200, 3.0)
         .replace("GoalTimeUs\":2500000", "GoalTimeUs\":400000")
         .replace("Workers\":8", "Workers\":1");
     let mut forwarder = start(&state, &config_text, platform);
     assert_eq!(forwarder.submit("out", "notice"), 202);
-    until("the only permit is in use", || {
-        calls(&request_log, "out") == 1
+    wait_until("the only permit is in use", || {
+        count_calls(&request_log, "out") == 1
     });
     assert_eq!(forwarder.submit("untried", "notice"), 202);
     kill_and_wait(&mut forwarder);
@@ -183,16 +191,16 @@
     let _forwarder = start(&state, &config_text, platform);
     sleep_ms(1500);
     list_available.store(true, Ordering::Relaxed);
-    until("the list is received", || {
+    wait_until("the list is received", || {
         let platform_requests = platform_requests
             .lock()
             .expect("the request log is not poisoned");
         platform_requests
             .last()
-            .is_some_and(|request| request.first.contains("index="))
+            .is_some_and(|request| request.first_line.contains("index="))
     });
-    until("the message is tried", || {
-        calls(&request_log, "untried") == 1
+    wait_until("the message is tried", || {
+        count_calls(&request_log, "untried") == 1
     });
     let platform_requests = platform_requests
         .lock()
@@ -209,7 +217,7 @@
 #[test]
 fn accepts_a_late_report_acknowledgement() {
     let (endpoint, request_log) = serve(|request, _| {
-        plain(if request.headers["request-id"] == "first" {
+        empty_response(if request.headers["request-id"] == "first" {
             "503 Full"
         } else {
             "200 OK"
@@ -218,30 +226,30 @@
     let members = vec![member(endpoint, 7, "Ready")];
     let (platform, platform_requests) = serve(move |request, _| {
         let (completion_report, watch) = (
-            request.first.contains("/v1/outcomes"),
-            request.first.contains("index="),
+            request.first_line.contains("/v1/outcomes"),
+            request.first_line.contains("index="),
         );
         thread::sleep(Duration::from_millis(
             if completion_report { 450 } else { 0 } + if watch { 300 } else { 0 },
         ));
         match (completion_report, watch) {
-            (true, _) => plain("204 No Content"),
-            (false, true) => with_body(&list(1, false, &[])),
-            (false, false) => with_body(&list(1, true, &members)),
+            (true, _) => empty_response("204 No Content"),
+            (false, true) => ok_response(&endpoint_list(1, false, &[])),
+            (false, false) => ok_response(&endpoint_list(1, true, &members)),
         }
     });
-    let (_dir, state) = folder();
-    let config_text = config("notice", "guarded", 200, 3.0)
+    let (_dir, state) = state_folder();
+    let config_text = startup_config("notice", "guarded", 200, 3.0)
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
     let forwarder = start(&state, &config_text, platform);
     for (id, time_left_ms) in [("first", "300"), ("second", "20000")] {
         let head = submission_head(id, "notice", 4)
             .replace("20000", time_left_ms)
             .replace("\r\n\r\n", "\r\nAffinity-Key: 000b832b68ec333d\r\n\r\n");
-        assert_eq!(forwarder.ask(&head, b"body"), 202, "{id}");
+        assert_eq!(forwarder.request_status(&head, b"body"), 202, "{id}");
     }
-    until("the second message is sent", || {
-        calls(&request_log, "second") == 1
+    wait_until("the second message is sent", || {
+        count_calls(&request_log, "second") == 1
     });
     let platform_requests = platform_requests
         .lock()
@@ -249,7 +257,7 @@
     assert!(
         platform_requests
             .iter()
-            .filter(|request| request.first.contains("/v1/outcomes"))
+            .filter(|request| request.first_line.contains("/v1/outcomes"))
             .count()
             > 1,
         "the first report is repeated before it is acknowledged"
@@ -264,17 +272,18 @@
     let (endpoint, request_log) = serve(move |_, _| {
         accepts
             .load(Ordering::Relaxed)
-            .then(|| plain("200 OK"))
+            .then(|| empty_response("200 OK"))
             .flatten()
     });
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
     let config_text =
-        config("notice", "single_shot", 200, 3.0).replace("Workers\":8", "Workers\":1");
+        startup_config("notice", "single_shot", 200, 3.0).replace("Workers\":8", "Workers\":1");
     let mut forwarder = start(&state, &config_text, platform.address);
     let body = vec![b'x'; 40_000];
-    let submit =
-        |id: &String| forwarder.ask(&submission_head(id, "notice", body.len()), &body) == 202;
+    let submit = |id: &String| {
+        forwarder.request_status(&submission_head(id, "notice", body.len()), &body) == 202
+    };
     let accepted: Vec<String> = (0..200)
         .map(|n| format!("p{n}"))
         .take_while(submit)
@@ -287,8 +296,8 @@
     kill_and_wait(&mut forwarder);
     endpoint_accepts.store(true, Ordering::Relaxed);
     let _forwarder = start(&state, &config_text, platform.address); // ready within ten seconds
-    until("each message is tried once", || {
-        accepted.iter().all(|id| calls(&request_log, id) == 1)
+    wait_until("each message is tried once", || {
+        accepted.iter().all(|id| count_calls(&request_log, id) == 1)
     });
     // The message in flight at the kill may have taken effect, and must not be repeated.
     assert_eq!(
@@ -301,14 +310,14 @@
 #[test]
 fn exits_cleanly_on_two_sigterms_before_the_first_list() {
     let (platform, _) = silent_endpoint();
-    let (_dir, state) = folder();
+    let (_dir, state) = state_folder();
     let listen = free_address();
-    let config_text = config("notice", "free", 200, 3.0);
+    let config_text = startup_config("notice", "free", 200, 3.0);
     let child = command(&state, &config_text, &listen.to_string(), platform)
         .spawn()
         .expect("the process starts");
     let mut forwarder = Forwarder { child, listen };
-    until("the process listens", || forwarder.connect().is_ok());
+    wait_until("the process listens", || forwarder.connect().is_ok());
     let started_at = Instant::now();
     forwarder.signal("-TERM");
     forwarder.signal("-TERM");
@@ -326,10 +335,10 @@
 fn reload_rereads_a_partially_written_file() {
     let (endpoint, request_log) = endpoint_responding_with("200 OK");
     let (other, other_request_log) = endpoint_responding_with("200 OK");
-    let old_platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let new_platform = platform(vec![member(other, 7, "Ready")], 0);
-    let (dir, state) = folder();
-    let config_text = config("notice", "free", 200, 3.0);
+    let old_platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let new_platform = start_platform(vec![member(other, 7, "Ready")], 0);
+    let (dir, state) = state_folder();
+    let config_text = startup_config("notice", "free", 200, 3.0);
     let mut forwarder = start(&state, &config_text, old_platform.address);
     let new_config = config_text.replacen(
         '{',
@@ -349,8 +358,8 @@
         sleep_ms(2500); // longer than the file is read again
         let id = format!("before-{n}");
         assert_eq!(forwarder.submit(&id, "notice"), 202);
-        until("the old endpoint receives the message", || {
-            calls(&request_log, &id) == 1
+        wait_until("the old endpoint receives the message", || {
+            count_calls(&request_log, &id) == 1
         });
     }
     reload_with(&new_config[..new_config.len() - 1]);
@@ -358,7 +367,7 @@
     std::fs::write(&config_file, &new_config).expect("the write succeeds");
     let file_completed_at = Instant::now();
     let mut tries = 0;
-    until("the new list takes effect", || {
+    wait_until("the new list takes effect", || {
         tries += 1;
         forwarder.submit(&format!("after-{tries}"), "notice");
         !other_request_log
@@ -397,20 +406,20 @@
             // All attempts but the last one before the kill end with a late error: they may have taken effect.
             if n + 1 < attempts_before_kill {
                 sleep_ms(400);
-                return plain("500 Oops");
+                return empty_response("500 Oops");
             }
             (n >= attempts_before_kill)
-                .then(|| plain("200 OK"))
+                .then(|| empty_response("200 OK"))
                 .flatten()
         });
-        let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-        let (_dir, state) = folder();
-        let config_text = config("notice", "guarded", 200, 3.0)
+        let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+        let (_dir, state) = state_folder();
+        let config_text = startup_config("notice", "guarded", 200, 3.0)
             .replace("WindowUs\":15000000", "WindowUs\":1000000");
         let mut forwarder = start(&state, &config_text, platform.address);
         assert_eq!(forwarder.submit("out", "notice"), 202);
-        until("the last attempt before the kill is sent", || {
-            calls(&request_log, "out") == attempts_before_kill
+        wait_until("the last attempt before the kill is sent", || {
+            count_calls(&request_log, "out") == attempts_before_kill
         });
         kill_and_wait(&mut forwarder);
         let first_start = attempt_starts.lock().expect("the times are not poisoned")[0];
@@ -420,15 +429,15 @@
         );
         let _forwarder = start(&state, &config_text, platform.address);
         if repeats {
-            until("the message is sent again", || {
-                calls(&request_log, "out") == attempts_before_kill + 1
+            wait_until("the message is sent again", || {
+                count_calls(&request_log, "out") == attempts_before_kill + 1
             });
             assert!(
                 attempt_starts.lock().expect("the times are not poisoned")[attempts_before_kill]
                     < first_start + WINDOW
             );
         } else {
-            until("a completion report arrives", || {
+            wait_until("a completion report arrives", || {
                 !report_lines(&platform).is_empty()
             });
             assert_eq!(
@@ -436,7 +445,7 @@
                 ["{\"id\":\"out\",\"status\":\"undeliverable\"}"]
             );
             assert_eq!(
-                calls(&request_log, "out"),
+                count_calls(&request_log, "out"),
                 attempts_before_kill,
                 "started {restart_after_ms} ms after the first attempt"
             );
--- a/crates/forwarder/tests/golden.rs
+++ b/crates/forwarder/tests/golden.rs
@@ -40,11 +40,11 @@
 }
 
 /// Returns the calls that an endpoint received: idempotency key and body by request id.
-fn calls_by_id(log: &Log) -> BTreeMap<String, (Option<String>, String)> {
+fn calls_by_id(log: &RequestLog) -> BTreeMap<String, (Option<String>, String)> {
     let log = log.lock().expect("the request log is not poisoned");
     let calls = log
         .iter()
-        .filter(|message| message.first == "POST /inbox HTTP/1.1")
+        .filter(|message| message.first_line == "POST /inbox HTTP/1.1")
         .map(|message| {
             let body = String::from_utf8_lossy(&message.body).into_owned();
             (
@@ -65,16 +65,16 @@
 /// are no others.
 fn assert_recovers(stored_folder: &str, effect: &str, expected: &str) {
     let endpoints: Vec<_> = [7, 8, 9, 10, 11, 65_535, 70_000, u32::MAX]
-        .map(|destination| (destination, serve(|_, _| plain("200 OK"))))
+        .map(|destination| (destination, serve(|_, _| empty_response("200 OK"))))
         .into();
     let members = endpoints
         .iter()
         .map(|(destination, (address, _))| member(*address, *destination, "Ready"));
     // The platform does not acknowledge the first completion report, so that it is repeated.
-    let platform = platform(members.collect(), 1);
-    let (_dir, state) = folder();
+    let platform = start_platform(members.collect(), 1);
+    let (_dir, state) = state_folder();
     copy_stored_state(stored_folder, &state);
-    let config_text = config("notice", effect, 200, 3.0)
+    let config_text = startup_config("notice", effect, 200, 3.0)
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
     let _forwarder = scripted::start(PROGRAM, &state, &config_text, platform.address);
     let received_lines = || {
@@ -97,7 +97,7 @@
         !recorded.is_empty(),
         "{expected}: the golden file is not empty"
     );
-    until("all recorded calls and reports arrive", || {
+    wait_until("all recorded calls and reports arrive", || {
         received_lines().is_superset(&recorded)
     });
     thread::sleep(Duration::from_millis(500));
--- a/crates/forwarder/tests/large_lists.rs
+++ b/crates/forwarder/tests/large_lists.rs
@@ -23,15 +23,15 @@
             .collect::<Vec<_>>()
     };
     let all = with_endpoint(&mut (0..OTHERS));
-    let half_of_list = list(2, true, &with_endpoint(&mut (0..OTHERS).step_by(2)));
+    let half_of_list = endpoint_list(2, true, &with_endpoint(&mut (0..OTHERS).step_by(2)));
     let unknown = vec![member(endpoint, 7, "Ready").replace(r#""a""#, r#""nowhere""#)];
-    let whole = list(2, true, &all);
+    let whole = endpoint_list(2, true, &all);
     let truncated = whole[..whole.len() / 2].to_owned();
-    let platform = platform(all, 0);
-    let (_dir, state) = folder();
+    let platform = start_platform(all, 0);
+    let (_dir, state) = state_folder();
     let forwarder = start(
         &state,
-        &config("notice", "guarded", 200, 3.0),
+        &startup_config("notice", "guarded", 200, 3.0),
         platform.address,
     );
     let changes = [
@@ -39,7 +39,7 @@
         whole.clone(),
         truncated,
         half_of_list,
-        list(2, false, &unknown),
+        endpoint_list(2, false, &unknown),
         whole,
     ];
     for (round, change) in changes.into_iter().enumerate() {
@@ -49,13 +49,13 @@
             assert_eq!(forwarder.submit(id, "notice"), 202, "{id}");
             sleep_ms(100); // the list is received between the submissions
         }
-        until("each message is delivered once", || {
-            ids.iter().all(|id| calls(&request_log, id) == 1)
+        wait_until("each message is delivered once", || {
+            ids.iter().all(|id| count_calls(&request_log, id) == 1)
         });
     }
     assert!(
         platform
-            .changes
+            .pending_changes
             .lock()
             .expect("the changes are not poisoned")
             .is_empty(),
@@ -67,7 +67,7 @@
             .lock()
             .expect("the request log is not poisoned")
             .iter()
-            .filter(|request| request.first.starts_with("POST"))
+            .filter(|request| request.first_line.starts_with("POST"))
             .count(),
         60
     );
--- a/crates/forwarder/tests/polled_list.rs
+++ b/crates/forwarder/tests/polled_list.rs
@@ -43,11 +43,11 @@
         let polls: Arc<Mutex<Vec<Instant>>> = Arc::default();
         let (current_mode, log) = (mode.clone(), polls.clone());
         let (address, _) = serve(move |request, _| {
-            if !request.first.contains("/discovery/") {
-                return plain("204 No Content");
+            if !request.first_line.contains("/discovery/") {
+                return empty_response("204 No Content");
             }
             let wait_ms = request
-                .first
+                .first_line
                 .split("wait=")
                 .nth(1)
                 .and_then(|w| w.split(' ').next()?.parse().ok());
@@ -57,7 +57,7 @@
                 return None;
             }
             if initial_mode == DiscoveryMode::Rejects as u8 {
-                return plain("503 Busy");
+                return empty_response("503 Busy");
             }
             log.lock()
                 .expect("the request log is not poisoned")
@@ -70,7 +70,11 @@
                 sleep_ms(5);
             }
             let complete = wait_ms.is_none();
-            with_body(&list(1, complete, if complete { &members } else { &[] }))
+            ok_response(&endpoint_list(
+                1,
+                complete,
+                if complete { &members } else { &[] },
+            ))
         });
         Discovery {
             mode,
@@ -104,14 +108,14 @@
         let mode = Arc::new(AtomicU8::new(DiscoveryMode::Answers as u8));
         let start_forwarder = |number: usize| {
             let discovery = Discovery::start(mode.clone(), Vec::new());
-            let (dir, state) = folder();
+            let (dir, state) = state_folder();
             let config_text = config_file(number, poll_interval_s);
             let forwarder = start(&state, &config_text, discovery.address);
             (discovery, forwarder, dir)
         };
         let members: Vec<_> = (0..FORWARDERS).map(start_forwarder).collect();
         let fleet = Fleet { mode, members };
-        until("all forwarders have a watch open", || {
+        wait_until("all forwarders have a watch open", || {
             fleet
                 .members
                 .iter()
@@ -148,7 +152,7 @@
 
 /// Returns the start-up configuration of one forwarder of the fleet. The poll interval is in seconds.
 fn config_file(number: usize, poll_interval_s: u64) -> String {
-    config("notice", "free", 200, 3.0)
+    startup_config("notice", "free", 200, 3.0)
         .replace(
             "\"seed\":\"8c1f30d27a5be964\"",
             &format!("\"seed\":\"8c1f30d27a5be9{number:02x}\""),
@@ -203,8 +207,8 @@
     let poll_times: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let log = poll_times.clone();
     let (discovery, _) = serve(move |request, _| {
-        if !request.first.contains("/discovery/") {
-            return plain("204 No Content");
+        if !request.first_line.contains("/discovery/") {
+            return empty_response("204 No Content");
         }
         let first = {
             let mut log = log.lock().expect("the request log is not poisoned");
@@ -214,19 +218,19 @@
         // Only the first poll is ever answered with the list.
         if first {
             thread::sleep(RESPONSE_DELAY);
-            return with_body(&list(1, true, &members));
+            return ok_response(&endpoint_list(1, true, &members));
         }
-        if request.first.contains("index=1&") {
+        if request.first_line.contains("index=1&") {
             sleep_ms(1_900);
-            return with_body(&list(1, false, &[]));
+            return ok_response(&endpoint_list(1, false, &[]));
         }
         None
     });
-    let (_dir, state) = folder();
+    let (_dir, state) = state_folder();
     let forwarder = start(&state, &config_file(1, 10), discovery);
     let mut tries = 0;
     // Submissions are rejected until a list contains the destination.
-    until("the list is received", || {
+    wait_until("the list is received", || {
         tries += 1;
         forwarder.submit(&format!("p{tries}"), "notice") == 202
     });
@@ -236,7 +240,7 @@
         "the list was received after {:?}",
         first_poll_at.elapsed()
     );
-    until("the message is delivered", || {
+    wait_until("the message is delivered", || {
         !request_log
             .lock()
             .expect("the request log is not poisoned")
@@ -258,15 +262,15 @@
 /// Restarts a forwarder and checks that it is ready in time. Without a mode, the machine of discovery is unreachable:
 /// connections to it do not open.
 fn assert_ready_after_restart(list_mode: &str, discovery_mode: Option<DiscoveryMode>) {
-    let unreachable = SlowListener::shut("127.0.0.1");
+    let unreachable = FullBacklogListener::bind("127.0.0.1");
     let (endpoint, _) = silent_endpoint(); // keeps the message in flight until the kill
     let mode = Arc::new(AtomicU8::new(DiscoveryMode::Answers as u8));
     let discovery = Discovery::start(mode, vec![member(endpoint, 7, "Ready")]);
-    let (_dir, state) = folder();
+    let (_dir, state) = state_folder();
     let config_text = config_file(1, 10).replace("on_request", list_mode);
     let mut forwarder = start(&state, &config_text, discovery.address);
-    until("the list is received", || discovery.polls_received() >= 1);
-    until("a message is accepted", || {
+    wait_until("the list is received", || discovery.polls_received() >= 1);
+    wait_until("a message is accepted", || {
         forwarder.submit("held", "notice") == 202
     });
     kill_and_wait(&mut forwarder);
--- a/crates/forwarder/tests/program/configuration.rs
+++ b/crates/forwarder/tests/program/configuration.rs
@@ -9,28 +9,28 @@
     let (endpoint, request_log) = endpoint_responding_with("200 OK");
     let (other, other_request_log) = endpoint_responding_with("200 OK");
     let (silent_address, _) = silent_endpoint();
-    let old_platform = platform(
+    let old_platform = start_platform(
         vec![
             member(endpoint, 7, "Ready"),
             member(silent_address, 9, "Ready"),
         ],
         usize::MAX,
     ); // the old platform acknowledges no report
-    let new_platform = platform(vec![member(other, 7, "Ready")], 0);
-    let (dir, state) = folder();
-    let config_text = config("notice", "free", 200, 3.0);
+    let new_platform = start_platform(vec![member(other, 7, "Ready")], 0);
+    let (dir, state) = state_folder();
+    let config_text = startup_config("notice", "free", 200, 3.0);
     // The revisions of the new platform start at a lower number.
     push_change(
         &old_platform,
-        list(90, false, &[member(endpoint, 7, "Ready")]),
+        endpoint_list(90, false, &[member(endpoint, 7, "Ready")]),
     );
     let mut forwarder = start(&state, &config_text, old_platform.address);
     wait_until_changes_are_sent(&old_platform);
     let short_submission = submission_head("short", "notice", 4)
         .replace("20000", "300")
         .replace("dest=7", "dest=9");
-    assert_eq!(forwarder.ask(&short_submission, b"body"), 202);
-    until("a completion report arrives at the old platform", || {
+    assert_eq!(forwarder.request_status(&short_submission, b"body"), 202);
+    wait_until("a completion report arrives at the old platform", || {
         !report_bodies(&old_platform).is_empty()
     });
     let config_file = dir.path().join("config.json");
@@ -38,8 +38,8 @@
     forwarder.signal("-HUP");
     sleep_ms(200);
     assert_eq!(forwarder.submit("one", "notice"), 202);
-    until("the old endpoint receives the message", || {
-        calls(&request_log, "one") == 1
+    wait_until("the old endpoint receives the message", || {
+        count_calls(&request_log, "one") == 1
     });
     let new_config = config_text.replacen(
         '{',
@@ -48,19 +48,19 @@
     );
     std::fs::write(&config_file, new_config).expect("the write succeeds");
     forwarder.signal("-HUP");
-    until("the report is repeated to the new platform", || {
+    wait_until("the report is repeated to the new platform", || {
         !report_bodies(&new_platform).is_empty()
     });
     // A watch of the new platform follows its complete list: from now on the list of the old platform must not be used.
-    push_change(&new_platform, list(1, false, &[]));
+    push_change(&new_platform, endpoint_list(1, false, &[]));
     wait_until_changes_are_sent(&new_platform);
-    until("the new list takes effect", || {
-        forwarder.submit("two", "notice") == 202 && calls(&other_request_log, "two") > 0
+    wait_until("the new list takes effect", || {
+        forwarder.submit("two", "notice") == 202 && count_calls(&other_request_log, "two") > 0
     });
-    assert_eq!(calls(&request_log, "two"), 0);
+    assert_eq!(count_calls(&request_log, "two"), 0);
     push_change(
         &new_platform,
-        list(2, false, &[member(endpoint, 7, "Terminating")]),
+        endpoint_list(2, false, &[member(endpoint, 7, "Terminating")]),
     );
     wait_until_changes_are_sent(&new_platform);
     assert!(forwarder
@@ -72,8 +72,8 @@
 
 #[test]
 fn exits_with_one_line_naming_the_invalid_key() {
-    let (_dir, state) = folder();
-    let valid_config = config("notice", "free", 200, 3.0);
+    let (_dir, state) = state_folder();
+    let valid_config = startup_config("notice", "free", 200, 3.0);
     let discovery = "127.0.0.1:1".parse().expect("the address is valid");
     let cases = [
         (
--- a/crates/forwarder/tests/program/connections.rs
+++ b/crates/forwarder/tests/program/connections.rs
@@ -11,11 +11,11 @@
 #[test]
 fn answers_or_closes_incomplete_requests_within_3s() {
     let (endpoint, request_log) = endpoint_responding_with("200 OK");
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
     let forwarder = start(
         &state,
-        &config("notice", "free", 200, 3.0),
+        &startup_config("notice", "free", 200, 3.0),
         platform.address,
     );
     let head = submission_head("slow", "notice", 400);
@@ -45,7 +45,7 @@
             });
             scope.spawn(move || {
                 let started_at = Instant::now();
-                assert_eq!(status(&mut reader), expected_status, "{begin}");
+                assert_eq!(read_status(&mut reader), expected_status, "{begin}");
                 assert!(started_at.elapsed() < Duration::from_secs(3), "{begin}");
             });
         }
@@ -60,9 +60,13 @@
 #[test]
 fn answers_every_request_at_the_connection_limit() {
     let (endpoint, request_log) = endpoint_responding_with("200 OK");
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
-    let forwarder = start(&state, &config("notice", "free", 80, 3.0), platform.address);
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
+    let forwarder = start(
+        &state,
+        &startup_config("notice", "free", 80, 3.0),
+        platform.address,
+    );
     // Connections with a partial request are not idle, so that none can be closed in favour of others.
     let mut busy: Vec<TcpStream> = (0..120)
         .map(|n| {
@@ -84,7 +88,7 @@
             .expect("the connection is still open");
     }
     for stream in &mut busy {
-        *statuses.entry(status(stream)).or_insert(0) += 1;
+        *statuses.entry(read_status(stream)).or_insert(0) += 1;
     }
     assert_eq!(
         statuses.keys().copied().collect::<Vec<_>>(),
@@ -114,15 +118,15 @@
             stream
                 .write_all(&[head.as_bytes(), b"body"].concat())
                 .expect("the write succeeds");
-            assert!([202, 503].contains(&status(&mut stream)));
+            assert!([202, 503].contains(&read_status(&mut stream)));
             stream
         })
         .collect();
-    until("messages are accepted again", || {
+    wait_until("messages are accepted again", || {
         forwarder.submit("last", "notice") == 202
     });
-    until("the message is delivered", || {
-        calls(&request_log, "last") >= 1
+    wait_until("the message is delivered", || {
+        count_calls(&request_log, "last") >= 1
     });
 }
 
@@ -130,11 +134,11 @@
 #[test]
 fn closes_the_longest_idle_client_connections_first() {
     let (endpoint, _) = endpoint_responding_with("200 OK");
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
     let forwarder = start(
         &state,
-        &config("notice", "free", 200, 3.0),
+        &startup_config("notice", "free", 200, 3.0),
         platform.address,
     );
     let connect_and_submit = |n: usize| {
@@ -143,7 +147,7 @@
         stream
             .write_all(&[head.as_bytes(), b"body"].concat())
             .expect("the write succeeds");
-        assert_eq!(status(&mut stream), 202);
+        assert_eq!(read_status(&mut stream), 202);
         stream
     };
     let mut connections: Vec<TcpStream> = (0..60).map(connect_and_submit).collect();
@@ -179,15 +183,15 @@
     let members: Vec<String> = served
         .chain((300..1_024).map(|n| other(n, "Ready")))
         .collect();
-    let platform = platform(members.clone(), 0);
-    let (_dir, state) = folder();
+    let platform = start_platform(members.clone(), 0);
+    let (_dir, state) = state_folder();
     let unknown_sender = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     let listen = UdpSocket::bind("127.0.0.1:0")
         .and_then(|free| free.local_addr())
         .expect("the address is valid");
     let (peers, known): (Vec<_>, _) = (
         (0..1_024).map(|n| host(8, n)).collect(),
-        list(1, true, &members),
+        endpoint_list(1, true, &members),
     );
     let keys = format!(
         "\"peer_listen\":\"{listen}\",\"peers\":{peers:?},\"peers_all\":{:?},\"known\":{known}",
@@ -195,7 +199,7 @@
     );
     let forwarder = start(
         &state,
-        &with_further_keys(&config("notice", "guarded", 256, 3.0), &keys),
+        &with_further_keys(&startup_config("notice", "guarded", 256, 3.0), &keys),
         platform.address,
     );
     for _ in 0..200 {
@@ -206,27 +210,27 @@
     // Changes are sent from the end of the list. The first one to be sent is truncated.
     let mut changes: Vec<String> = (300..1_024)
         .rev()
-        .map(|n| list(n as u64, false, &[other(n, "Gone")]))
+        .map(|n| endpoint_list(n as u64, false, &[other(n, "Gone")]))
         .collect();
     changes.push(known[..known.len() / 2].to_owned());
     *platform
-        .changes
+        .pending_changes
         .lock()
         .expect("the changes are not poisoned") = changes;
     for cell in 0..300 {
         let head = submission_head(&format!("p{cell}"), "notice", 4)
             .replace("dest=7", &format!("dest={cell}"));
-        assert_eq!(forwarder.ask(&head, b"body"), 202, "{cell}");
+        assert_eq!(forwarder.request_status(&head, b"body"), 202, "{cell}");
     }
     let delivered = || {
         request_logs
             .iter()
             .zip(0..)
-            .all(|(request_log, n): (_, u32)| calls(request_log, &format!("p{n}")) == 1)
+            .all(|(request_log, n): (_, u32)| count_calls(request_log, &format!("p{n}")) == 1)
     };
-    until("each endpoint receives its message once", delivered);
+    wait_until("each endpoint receives its message once", delivered);
     wait_until_changes_are_sent(&platform);
-    let (memory, open) = forwarder.holds();
+    let (memory, open) = forwarder.resource_usage();
     assert!(
         memory < 64 * 1024 && open < 256,
         "{memory} kB, {open} descriptors"
--- a/crates/forwarder/tests/program/endpoint_list.rs
+++ b/crates/forwarder/tests/program/endpoint_list.rs
@@ -7,18 +7,18 @@
 fn sends_no_new_message_to_a_draining_endpoint() {
     let (old_endpoint, old_request_log) = endpoint_responding_with("200 OK");
     let (new_endpoint, new_request_log) = endpoint_responding_with("200 OK");
-    let platform = platform(vec![member(old_endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
+    let platform = start_platform(vec![member(old_endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
     let forwarder = start(
         &state,
-        &config("notice", "free", 200, 3.0),
+        &startup_config("notice", "free", 200, 3.0),
         platform.address,
     );
     assert_eq!(forwarder.submit("first", "notice"), 202);
-    until("the old endpoint receives the message", || {
-        calls(&old_request_log, "first") == 1
+    wait_until("the old endpoint receives the message", || {
+        count_calls(&old_request_log, "first") == 1
     });
-    let change = list(
+    let change = endpoint_list(
         2,
         false,
         &[
@@ -32,8 +32,8 @@
     for n in 0..10 {
         assert_eq!(forwarder.submit(&format!("n{n}"), "notice"), 202);
     }
-    until("the new endpoint receives the messages", || {
-        (0..10).all(|n| calls(&new_request_log, &format!("n{n}")) == 1)
+    wait_until("the new endpoint receives the messages", || {
+        (0..10).all(|n| count_calls(&new_request_log, &format!("n{n}")) == 1)
     });
     assert_eq!(
         old_request_log
@@ -50,38 +50,41 @@
 fn treats_a_new_process_at_an_address_as_a_new_endpoint() {
     // The first process always rejects, with a long retry-after.
     let (endpoint, request_log) = serve(|request, _| {
-        plain(if request.headers["request-id"].starts_with("old") {
+        empty_response(if request.headers["request-id"].starts_with("old") {
             "429 Wait\r\nWait-Ms: 9000"
         } else {
             "200 OK"
         })
     });
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
     let forwarder = start(
         &state,
-        &config("notice", "free", 200, 3.0),
+        &startup_config("notice", "free", 200, 3.0),
         platform.address,
     );
     assert_eq!(forwarder.submit("old", "notice"), 202);
-    until("the old process rejects the message", || {
-        calls(&request_log, "old") == 1
+    wait_until("the old process rejects the message", || {
+        count_calls(&request_log, "old") == 1
     });
     let new_endpoint = member(endpoint, 8, "Ready").replace("s-", "t-");
-    push_change(&platform, list(2, false, &[new_endpoint]));
+    push_change(&platform, endpoint_list(2, false, &[new_endpoint]));
     wait_until_changes_are_sent(&platform);
     sleep_ms(100);
     assert_eq!(
-        forwarder.ask(&submission_head("lost", "notice", 4), b"body"),
+        forwarder.request_status(&submission_head("lost", "notice", 4), b"body"),
         202
     ); // destination 7 has no endpoint any more
     let head = submission_head("new", "notice", 4).replace("dest=7", "dest=8");
-    assert_eq!(forwarder.ask(&head, b"body"), 202);
-    until("the new endpoint receives the messages", || {
-        calls(&request_log, "new") == 1
+    assert_eq!(forwarder.request_status(&head, b"body"), 202);
+    wait_until("the new endpoint receives the messages", || {
+        count_calls(&request_log, "new") == 1
     });
     assert_eq!(
-        (calls(&request_log, "old"), calls(&request_log, "lost")),
+        (
+            count_calls(&request_log, "old"),
+            count_calls(&request_log, "lost")
+        ),
         (1, 0)
     );
 }
--- a/crates/forwarder/tests/program/restarts.rs
+++ b/crates/forwarder/tests/program/restarts.rs
@@ -19,21 +19,21 @@
             if hangs {
                 None
             } else {
-                plain("200 OK")
+                empty_response("200 OK")
             }
         });
-        let platform = platform(vec![member(endpoint, 7, "Ready")], 1);
-        let (_dir, state) = folder();
-        let config_text = config("notice", effect, 200, 3.0);
+        let platform = start_platform(vec![member(endpoint, 7, "Ready")], 1);
+        let (_dir, state) = state_folder();
+        let config_text = startup_config("notice", effect, 200, 3.0);
         let mut forwarder = start(&state, &config_text, platform.address);
         assert_eq!(forwarder.submit("done", "notice"), 202);
-        until("the message `done` is delivered", || {
-            calls(&request_log, "done") == 1
+        wait_until("the message `done` is delivered", || {
+            count_calls(&request_log, "done") == 1
         });
         sleep_ms(50);
         assert_eq!(forwarder.submit("out", "notice"), 202);
-        until("the message `out` is sent", || {
-            calls(&request_log, "out") == 1
+        wait_until("the message `out` is sent", || {
+            count_calls(&request_log, "out") == 1
         });
         assert_eq!(
             forwarder.submit("out", "notice"),
@@ -45,7 +45,7 @@
         if effect == "single_shot" {
             let line = "{\"id\":\"out\",\"status\":\"undeliverable\"}\n";
             // The first report is not acknowledged, so that it is repeated.
-            until("the completion report arrives twice", || {
+            wait_until("the completion report arrives twice", || {
                 report_bodies(&platform) == [line, line]
             });
             sleep_ms(300);
@@ -54,15 +54,15 @@
                 2,
                 "the report is not repeated after an acknowledgement"
             );
-            assert_eq!(calls(&request_log, "out"), 1);
+            assert_eq!(count_calls(&request_log, "out"), 1);
         } else {
-            until("the message is sent again", || {
-                calls(&request_log, "out") == 2
+            wait_until("the message is sent again", || {
+                count_calls(&request_log, "out") == 2
             });
             sleep_ms(300);
             assert!(report_bodies(&platform).is_empty());
         }
-        assert_eq!(calls(&request_log, "done"), 1);
+        assert_eq!(count_calls(&request_log, "done"), 1);
     }
 }
 
@@ -74,13 +74,13 @@
                 Some("stuck") => None,
                 _ => {
                     sleep_ms(400);
-                    plain("200 OK")
+                    empty_response("200 OK")
                 }
             },
         );
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
-    let config_text = config("notice", "free", 200, 3.0);
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
+    let config_text = startup_config("notice", "free", 200, 3.0);
     let mut forwarder = start(&state, &config_text, platform.address);
     assert_eq!(forwarder.submit("stuck", "notice"), 202);
     assert_eq!(forwarder.submit("before", "notice"), 202);
@@ -94,11 +94,11 @@
     sleep_ms(100);
     assert_eq!(forwarder.submit("after", "notice"), 202);
     half.write_all(b"body").expect("the write succeeds");
-    assert_eq!(status(&mut half), 202);
+    assert_eq!(read_status(&mut half), 202);
     fresh
         .write_all(&[submission_head("fresh", "notice", 4).as_bytes(), b"body"].concat())
         .expect("the write succeeds");
-    assert_eq!(status(&mut fresh), 202);
+    assert_eq!(read_status(&mut fresh), 202);
     let code = loop {
         if let Some(code) = forwarder
             .child
@@ -115,14 +115,14 @@
     };
     assert_eq!(code.code(), Some(0));
     for id in ["before", "after", "half", "fresh"] {
-        assert_eq!(calls(&request_log, id), 1, "{id}");
+        assert_eq!(count_calls(&request_log, id), 1, "{id}");
     }
-    let before = calls(&request_log, "stuck");
+    let before = count_calls(&request_log, "stuck");
     let _forwarder = start(&state, &config_text, platform.address);
-    until("the message `stuck` is sent again", || {
-        calls(&request_log, "stuck") > before
+    wait_until("the message `stuck` is sent again", || {
+        count_calls(&request_log, "stuck") > before
     });
-    assert_eq!(calls(&request_log, "before"), 1);
+    assert_eq!(count_calls(&request_log, "before"), 1);
 }
 
 /// A message to a destination whose number has more than 16 bits is accepted, recovered after a kill and delivered there.
@@ -137,48 +137,48 @@
         if hangs {
             None
         } else {
-            plain("200 OK")
+            empty_response("200 OK")
         }
     });
     // Another destination has the number's low 16 bits.
     let (other, other_request_log) = endpoint_responding_with("200 OK");
-    let platform = platform(
+    let platform = start_platform(
         vec![
             member(endpoint, 70_000, "Ready"),
             member(other, 70_000 - 65_536, "Ready"),
         ],
         0,
     );
-    let (_dir, state) = folder();
-    let config_text = config("notice", "free", 200, 3.0);
+    let (_dir, state) = state_folder();
+    let config_text = startup_config("notice", "free", 200, 3.0);
     let mut forwarder = start(&state, &config_text, platform.address);
     let submit = |forwarder: &Forwarder, id: &str, destination: &str| {
         let head =
             submission_head(id, "notice", 4).replace("dest=7", &format!("dest={destination}"));
-        forwarder.ask(&head, b"body")
+        forwarder.request_status(&head, b"body")
     };
     assert_eq!(submit(&forwarder, "done", "70000"), 202);
-    until("the message `done` is delivered", || {
-        calls(&request_log, "done") == 1
+    wait_until("the message `done` is delivered", || {
+        count_calls(&request_log, "done") == 1
     });
     assert_eq!(submit(&forwarder, "out", "70000"), 202);
-    until("the message `out` is sent", || {
-        calls(&request_log, "out") == 1
+    wait_until("the message `out` is sent", || {
+        count_calls(&request_log, "out") == 1
     });
     assert_eq!(submit(&forwarder, "none", "70001"), 503);
     assert_eq!(submit(&forwarder, "none", "4294967295"), 503);
     assert_eq!(submit(&forwarder, "none", "4294967296"), 400);
     kill_and_wait(&mut forwarder);
     let _forwarder = start(&state, &config_text, platform.address);
-    until("the message is sent again", || {
-        calls(&request_log, "out") == 2
+    wait_until("the message is sent again", || {
+        count_calls(&request_log, "out") == 2
     });
     sleep_ms(300);
     assert_eq!(
         (
-            calls(&request_log, "done"),
-            calls(&request_log, "out"),
-            calls(&request_log, "none")
+            count_calls(&request_log, "done"),
+            count_calls(&request_log, "out"),
+            count_calls(&request_log, "none")
         ),
         (1, 2, 0)
     );
@@ -196,11 +196,11 @@
     for effect in ["guarded", "single_shot"] {
         let (endpoint, request_log) = serve(|_, n| {
             sleep_ms(20);
-            plain(if n % 8 == 7 { "503 Full" } else { "200 OK" })
+            empty_response(if n % 8 == 7 { "503 Full" } else { "200 OK" })
         });
-        let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-        let (_dir, state) = folder();
-        let config_text = config("notice", effect, 200, 3.0);
+        let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+        let (_dir, state) = state_folder();
+        let config_text = startup_config("notice", effect, 200, 3.0);
         let mut forwarder = start(&state, &config_text, platform.address);
         let mut accepted = Vec::new();
         for round in 0..3 {
@@ -232,13 +232,13 @@
                 .rposition(|request| request.headers.get("request-id") == Some(id));
             reported(id) || last.is_some_and(|n| n % 8 != 7)
         };
-        until("each message is delivered or reported", || {
+        wait_until("each message is delivered or reported", || {
             accepted.iter().all(is_over)
         });
         if effect == "single_shot" {
             let served = |id: &String| {
                 let log = request_log.lock().expect("the request log is not poisoned");
-                let ran = |(n, request): &(usize, &Message)| {
+                let ran = |(n, request): &(usize, &HttpMessage)| {
                     n % 8 != 7 && request.headers.get("request-id") == Some(id)
                 };
                 log.iter().enumerate().filter(ran).count()
--- a/crates/forwarder/tests/program/submissions.rs
+++ b/crates/forwarder/tests/program/submissions.rs
@@ -7,20 +7,20 @@
 #[test]
 fn delivers_a_message_once_and_rejects_invalid_submissions() {
     let (endpoint, request_log) = endpoint_responding_with("200 OK");
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
     let forwarder = start(
         &state,
-        &config("notice", "guarded", 200, 3.0),
+        &startup_config("notice", "guarded", 200, 3.0),
         platform.address,
     );
     assert_eq!(forwarder.submit("a1", "notice"), 202);
-    until("the message is delivered", || {
-        calls(&request_log, "a1") == 1
+    wait_until("the message is delivered", || {
+        count_calls(&request_log, "a1") == 1
     });
     let request = request_log.lock().expect("the request log is not poisoned")[0].clone();
     assert_eq!(
-        (request.first.as_str(), request.body.as_slice()),
+        (request.first_line.as_str(), request.body.as_slice()),
         ("POST /inbox HTTP/1.1", b"body".as_slice())
     );
     assert_eq!(request.headers["idempotency-key"], "k-a1");
@@ -54,7 +54,11 @@
         ("POST /up HTTP/1.1\r\nHost: x\r\n\r\n".to_owned(), 405),
     ];
     for (head, expected_status) in invalid_requests {
-        assert_eq!(forwarder.ask(&head, b"body"), expected_status, "{head}");
+        assert_eq!(
+            forwarder.request_status(&head, b"body"),
+            expected_status,
+            "{head}"
+        );
     }
     // A length in addition to chunks may hide a request in the body. Neither the message nor the hidden request may be
     // forwarded.
@@ -68,7 +72,7 @@
         b"body",
     ]
     .concat();
-    assert_eq!(forwarder.ask(&chunked, &hidden), 411);
+    assert_eq!(forwarder.request_status(&chunked, &hidden), 411);
     let chunked = head.replace("Content-Length: 4", "Transfer-Encoding: chunked");
     let body = [
         b"20000\r\n".as_slice(),
@@ -76,12 +80,15 @@
         b"\r\n0\r\n\r\n",
     ]
     .concat();
-    assert_eq!(forwarder.ask(&chunked, &body), 411);
-    assert_eq!(forwarder.ask(&head, b"bo"), 408); // the rest of the body is never sent
-    assert_eq!(calls(&request_log, "b1") + calls(&request_log, "b2"), 0);
+    assert_eq!(forwarder.request_status(&chunked, &body), 411);
+    assert_eq!(forwarder.request_status(&head, b"bo"), 408); // the rest of the body is never sent
+    assert_eq!(
+        count_calls(&request_log, "b1") + count_calls(&request_log, "b2"),
+        0
+    );
     assert_eq!(forwarder.submit("a2", "notice"), 202);
-    until("the next message is delivered", || {
-        calls(&request_log, "a2") == 1
+    wait_until("the next message is delivered", || {
+        count_calls(&request_log, "a2") == 1
     });
 }
 
@@ -89,15 +96,15 @@
 #[test]
 fn rejects_an_id_in_flight_with_different_content() {
     let (endpoint, _) = silent_endpoint();
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
     let forwarder = start(
         &state,
-        &config("notice", "free", 200, 3.0),
+        &startup_config("notice", "free", 200, 3.0),
         platform.address,
     );
     let head = submission_head("one", "notice", 4);
-    let answers = [b"body", b"body", b"ydob"].map(|body| forwarder.ask(&head, body));
+    let answers = [b"body", b"body", b"ydob"].map(|body| forwarder.request_status(&head, body));
     assert_eq!(answers, [202, 202, 409]);
 }
 
@@ -106,19 +113,19 @@
     let endpoint_accepts = Arc::new(AtomicBool::new(false));
     let accepts = endpoint_accepts.clone();
     let (endpoint, _) = serve(move |_, _| match accepts.load(Ordering::Relaxed) {
-        true => plain("200 OK"),
-        false => plain("429 Wait\r\nWait-Ms: 300"),
+        true => empty_response("200 OK"),
+        false => empty_response("429 Wait\r\nWait-Ms: 300"),
     });
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
     let forwarder = start(
         &state,
-        &config("notice", "free", 200, 0.4),
+        &startup_config("notice", "free", 200, 0.4),
         platform.address,
     );
     let body = vec![b'x'; 40_000];
     let submit = |n: usize| {
-        forwarder.ask(
+        forwarder.request_status(
             &submission_head(&format!("p{n}"), "notice", body.len()),
             &body,
         )
@@ -136,7 +143,7 @@
         .sum();
     assert!(used_bytes <= 400_000, "{used_bytes}");
     endpoint_accepts.store(true, Ordering::Relaxed);
-    until("messages are accepted again", || submit(99) == 202);
+    wait_until("messages are accepted again", || submit(99) == 202);
 }
 
 /// The order of a key also holds across a kill with its first message in flight: the second is sent once the first is
@@ -147,41 +154,41 @@
     let accepts = endpoint_accepts.clone();
     let (endpoint, request_log) = serve(move |request, _| {
         let hangs = request.headers["request-id"] == "first" && !accepts.load(Ordering::Relaxed);
-        (!hangs).then(|| plain("200 OK")).flatten()
+        (!hangs).then(|| empty_response("200 OK")).flatten()
     });
-    let platform = platform(vec![member(endpoint, 7, "Ready")], 0);
-    let (_dir, state) = folder();
-    let config_text = config("notice", "guarded", 200, 3.0)
+    let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
+    let config_text = startup_config("notice", "guarded", 200, 3.0)
         .replace("\"Points\":1.0", "\"Points\":1.0,\"SerialByKey\":true");
     let mut forwarder = start(&state, &config_text, platform.address);
     let submit = |forwarder: &Forwarder, id: &str, key: &str| {
         let head = submission_head(id, "notice", 4)
             .replace("\r\n\r\n", &format!("\r\nAffinity-Key: {key}\r\n\r\n"));
-        assert_eq!(forwarder.ask(&head, b"body"), 202, "{id}");
+        assert_eq!(forwarder.request_status(&head, b"body"), 202, "{id}");
     };
     submit(&forwarder, "first", "000b832b68ec333d");
-    until("the first message is sent", || {
-        calls(&request_log, "first") == 1
+    wait_until("the first message is sent", || {
+        count_calls(&request_log, "first") == 1
     });
     submit(&forwarder, "second", "000b832b68ec333d");
     submit(&forwarder, "other", "00026d498200dd15");
-    until("a message with another key is delivered", || {
-        calls(&request_log, "other") == 1
+    wait_until("a message with another key is delivered", || {
+        count_calls(&request_log, "other") == 1
     });
-    assert_eq!(calls(&request_log, "second"), 0);
+    assert_eq!(count_calls(&request_log, "second"), 0);
     kill_and_wait(&mut forwarder);
     forwarder = start(&state, &config_text, platform.address);
-    until("the first message is sent again", || {
-        calls(&request_log, "first") >= 2
+    wait_until("the first message is sent again", || {
+        count_calls(&request_log, "first") >= 2
     });
     submit(&forwarder, "last", "00026d498200dd15");
-    until("another message with another key is delivered", || {
-        calls(&request_log, "last") == 1
+    wait_until("another message with another key is delivered", || {
+        count_calls(&request_log, "last") == 1
     });
-    assert_eq!(calls(&request_log, "second"), 0);
+    assert_eq!(count_calls(&request_log, "second"), 0);
     endpoint_accepts.store(true, Ordering::Relaxed);
-    until("the second message is sent", || {
-        calls(&request_log, "second") == 1
+    wait_until("the second message is sent", || {
+        count_calls(&request_log, "second") == 1
     });
     let log = request_log.lock().expect("the request log is not poisoned");
     let ids: Vec<&str> = log
@@ -195,27 +202,30 @@
 /// the connection was being opened. Seen in a full fleet of an operator.
 #[test]
 fn honours_retry_after_received_while_a_connection_opens() {
-    let slow = SlowListener::shut("127.0.0.2");
+    let slow = FullBacklogListener::bind("127.0.0.2");
     let (quick, quick_request_log) = serve(|_, n| {
-        plain(if n == 0 {
+        empty_response(if n == 0 {
             "429 Wait\r\nWait-Ms: 2500"
         } else {
             "200 OK"
         })
     });
-    let platform = platform(vec![member(slow.address, 7, "Ready")], 0);
-    let (_dir, state) = folder();
-    let config_text =
-        config("notice", "guarded", 200, 3.0).replace("TimeoutUs\":1000000", "TimeoutUs\":5000000");
+    let platform = start_platform(vec![member(slow.address, 7, "Ready")], 0);
+    let (_dir, state) = state_folder();
+    let config_text = startup_config("notice", "guarded", 200, 3.0)
+        .replace("TimeoutUs\":1000000", "TimeoutUs\":5000000");
     let forwarder = start(&state, &config_text, platform.address);
     assert_eq!(forwarder.submit("slow", "notice"), 202);
-    push_change(&platform, list(2, false, &[member(quick, 7, "Ready")]));
+    push_change(
+        &platform,
+        endpoint_list(2, false, &[member(quick, 7, "Ready")]),
+    );
     sleep_ms(400);
     assert_eq!(forwarder.submit("quick", "notice"), 202);
-    until("a retry-after is sent", || {
-        calls(&quick_request_log, "quick") == 1
+    wait_until("a retry-after is sent", || {
+        count_calls(&quick_request_log, "quick") == 1
     });
-    let (_, slow_request_log) = slow.open(|_, _| plain("200 OK"));
+    let (_, slow_request_log) = slow.accept_and_serve(|_, _| empty_response("200 OK"));
     sleep_ms(2300);
     let requests_seen = || {
         [&slow_request_log, &quick_request_log]
@@ -226,7 +236,7 @@
         [0, 1],
         "no request is sent within the retry-after"
     );
-    until("both messages are delivered after the retry-after", || {
+    wait_until("both messages are delivered after the retry-after", || {
         requests_seen().iter().sum::<usize>() == 3
     });
 }
--- a/crates/lab/src/commands/compare.rs
+++ b/crates/lab/src/commands/compare.rs
@@ -9,7 +9,7 @@
 use opalpulley_lab::experiments::compare::{compare, Verdict};
 use opalpulley_lab::experiments::{parallelism, run_in_parallel, simulate};
 use opalpulley_lab::scenario::Scenario;
-use opalpulley_lab::sockets::run::{program_beside, run, SocketRunOptions};
+use opalpulley_lab::sockets::run::{default_forwarder_program, run, SocketRunOptions};
 use opalpulley_lab::subject::ForwarderVariant;
 use opalpulley_lab::tally::Outcome;
 use std::path::{Path, PathBuf};
@@ -176,9 +176,12 @@
 
     fn run_on_sockets(&self, seed: u64) -> Result<Outcome, CommandError> {
         let socket_options = SocketRunOptions {
-            program: self.forwarder.clone().unwrap_or_else(program_beside),
-            logs: None,
-            pin: None,
+            program: self
+                .forwarder
+                .clone()
+                .unwrap_or_else(default_forwarder_program),
+            log_folder: None,
+            pinned_core: None,
         };
         let result =
             build_runtime()?.block_on(run(&self.scenario, seed, &socket_options, |_, _| {}));
--- a/crates/lab/src/sockets/processes.rs
+++ b/crates/lab/src/sockets/processes.rs
@@ -1,4 +1,4 @@
-//! Forwarder processes: started with the configuration of the scenario, killed, stopped, continued and started again.
+//! Controls the forwarder processes of a run: starts, pauses, resumes, kills and restarts them.
 
 use super::SocketsError;
 use crate::scenario::Scenario;
@@ -11,105 +11,106 @@
 use std::time::{Duration, Instant};
 use tokio::process::{Child, Command};
 
-/// A forwarder answers `GET /up` in that time.
-const READY: Duration = Duration::from_secs(10);
-/// Time between two looks whether a forwarder is up.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// A tick of the kernel's account, µs, on every Linux that this runs on.
-const TICK: u64 = 10_000;
-/// A page of memory, bytes, on every Linux that this runs on.
-const PAGE: u64 = 4096;
+/// Time within which a started forwarder must answer `GET /up`.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which a started forwarder is asked whether it is up.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Clock tick of the CPU times in `/proc/PID/stat`, in µs, on every Linux that the laboratory runs on.
+const CLOCK_TICK_MICROS: u64 = 10_000;
+/// Memory page, in bytes, on every Linux that the laboratory runs on.
+const PAGE_BYTES: u64 = 4096;
 
-/// What a forwarder process is started with.
+/// The parameters with which a forwarder process is started.
 pub struct ProcessSetup {
-    /// The forwarder's program.
+    /// Executable of the forwarder.
     pub program: PathBuf,
-    /// Its own folder.
+    /// Folder of the process, for its configuration and its state.
     pub folder: PathBuf,
-    /// Its number in the fleet.
-    pub number: u32,
-    /// Where it listens.
+    /// Number of the forwarder in the fleet, from 0.
+    pub forwarder: u32,
+    /// Address at which the forwarder listens.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The scenario that configures it.
+    /// Scenario from which the start-up configuration is derived.
     pub scenario: Scenario,
-    /// The seed of the run.
+    /// Seed of the run.
     pub seed: u64,
-    /// The file of its log; none is kept if it is not named.
-    pub log: Option<PathBuf>,
-    /// The core that it is bound to (by `taskset`).
-    pub pin: Option<usize>,
+    /// File to which the log is appended; if none, the log is discarded.
+    pub log_file: Option<PathBuf>,
+    /// Core to which the process is bound (by `taskset`).
+    pub pinned_core: Option<usize>,
 }
 
-/// What a process has used.
+/// The resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessUsage {
-    /// CPU time, user and system, µs.
-    pub cpu: u64,
-    /// Resident memory, bytes.
-    pub memory: u64,
+    /// User and system CPU time since the start of the process, in µs.
+    pub cpu_micros: u64,
+    /// Resident memory, in bytes.
+    pub memory_bytes: u64,
 }
 
-/// One forwarder process, which may be down.
-pub struct Process {
+/// A forwarder that runs as a process of its own and can be killed and restarted. The process is killed on drop.
+pub struct ForwarderProcess {
     setup: ProcessSetup,
-    /// How often it was started.
-    starts: u64,
+    /// Number of times that the process has been started; part of the seed of the next start.
+    start_count: u64,
     child: Option<Child>,
 }
 
-impl Process {
-    /// A process that is not started yet.
-    pub fn new(setup: ProcessSetup) -> Process {
-        Process {
+impl ForwarderProcess {
+    /// Creates a forwarder whose process is not started yet.
+    pub fn new(setup: ProcessSetup) -> ForwarderProcess {
+        ForwarderProcess {
             setup,
-            starts: 0,
+            start_count: 0,
             child: None,
         }
     }
 
-    /// Starts it and waits until it accepts messages.
+    /// Starts the process and waits until it accepts messages. Fails if the program can't be started, exits, or isn't up within
+    /// 10 s.
     pub async fn start(&mut self) -> Result<(), SocketsError> {
         let spawned = self.spawn();
         self.child = Some(spawned.map_err(|source| SocketsError::Program {
             program: self.setup.program.clone(),
             source,
         })?);
-        self.starts += 1;
+        self.start_count += 1;
         self.wait_until_up().await
     }
 
     fn spawn(&self) -> io::Result<Child> {
-        let state = self.setup.folder.join("state");
-        std::fs::create_dir_all(&state)?;
-        let config = self.setup.folder.join("papers.json");
-        std::fs::write(&config, self.startup_config())?;
+        let state_folder = self.setup.folder.join("state");
+        std::fs::create_dir_all(&state_folder)?;
+        let config_path = self.setup.folder.join("papers.json");
+        std::fs::write(&config_path, self.startup_config())?;
         self.command()
-            .env("GW_CONFIG", &config)
-            .env("GW_STATE", &state)
+            .env("GW_CONFIG", &config_path)
+            .env("GW_STATE", &state_folder)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(self.log()?)
+            .stderr(self.log_output()?)
             .kill_on_drop(true)
             .spawn()
     }
 
-    /// Its start-up configuration; the seed differs from start to start.
+    /// Returns the start-up configuration as JSON. The seed differs from start to start.
     fn startup_config(&self) -> String {
         let setup = &self.setup;
         let seed = setup
             .seed
             .wrapping_mul(1000)
-            .wrapping_add(u64::from(setup.number) + 100 * self.starts);
-        let mut config = setup.scenario.startup_config(setup.number, seed);
+            .wrapping_add(u64::from(setup.forwarder) + 100 * self.start_count);
+        let mut config = setup.scenario.startup_config(setup.forwarder, seed);
         config["listen"] = setup.listen.to_string().into();
         config["discovery"] = setup.discovery.to_string().into();
         config.to_string()
     }
 
-    fn log(&self) -> io::Result<Stdio> {
-        let Some(path) = &self.setup.log else {
+    fn log_output(&self) -> io::Result<Stdio> {
+        let Some(path) = &self.setup.log_file else {
             return Ok(Stdio::null());
         };
         let log = std::fs::File::options()
@@ -120,7 +121,7 @@
     }
 
     fn command(&self) -> Command {
-        let Some(core) = self.setup.pin else {
+        let Some(core) = self.setup.pinned_core else {
             return Command::new(&self.setup.program);
         };
         let mut command = Command::new("taskset");
@@ -132,74 +133,75 @@
     }
 
     async fn wait_until_up(&mut self) -> Result<(), SocketsError> {
-        let forwarder = self.setup.number;
+        let forwarder = self.setup.forwarder;
         let started = Instant::now();
-        while !self.up().await {
+        while !self.is_up().await {
             if let Some(Ok(Some(status))) = self.child.as_mut().map(Child::try_wait) {
                 return Err(SocketsError::EndedAtStart { forwarder, status });
             }
-            if started.elapsed() > READY {
+            if started.elapsed() > STARTUP_TIMEOUT {
                 return Err(SocketsError::NotUp {
                     forwarder,
-                    waited: READY,
+                    waited: STARTUP_TIMEOUT,
                 });
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    async fn up(&self) -> bool {
-        let ask = async {
-            let mut conn =
-                super::wire::Conn::new(tokio::net::TcpStream::connect(self.setup.listen).await?);
+    async fn is_up(&self) -> bool {
+        let exchange = async {
+            let mut conn = super::wire::HttpConnection::new(
+                tokio::net::TcpStream::connect(self.setup.listen).await?,
+            );
             conn.write(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                 .await?;
-            conn.answer().await
+            conn.read_response().await
         };
-        matches!(tokio::time::timeout(Duration::from_millis(500), ask).await, Ok(Ok(answer)) if answer.status == 200)
+        matches!(tokio::time::timeout(Duration::from_millis(500), exchange).await, Ok(Ok(answer)) if answer.status == 200)
     }
 
-    /// Its id while it runs.
+    /// Returns the process id while the process runs.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
-            let _ = kill(Pid::from_raw(pid as i32), signal); // one that has ended needs none
+            let _ = kill(Pid::from_raw(pid as i32), signal); // the process may have exited already
         }
     }
 
-    /// Stops it: it does nothing until it goes on.
-    pub fn stop(&self) {
+    /// Pauses the process by SIGSTOP.
+    pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets it go on.
-    pub fn go_on(&self) {
+    /// Resumes a paused process by SIGCONT.
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Kills it outright; without the folder, that is emptied too.
-    pub async fn kill(&mut self, folder: bool) {
+    /// Kills the process by SIGKILL and waits for its exit. Deletes its state unless `folder_kept`.
+    pub async fn kill(&mut self, folder_kept: bool) {
         if let Some(mut child) = self.child.take() {
-            let _ = child.kill().await; // one that has ended is gone as well
+            let _ = child.kill().await; // the process may have exited already
         }
-        if !folder {
-            let _ = std::fs::remove_dir_all(self.setup.folder.join("state")); // made anew at the start
+        if !folder_kept {
+            let _ = std::fs::remove_dir_all(self.setup.folder.join("state")); // the next start creates it again
         }
     }
 
-    /// Whether it has ended by itself, and how.
-    pub fn ended(&mut self) -> Option<String> {
+    /// Returns the exit status if the process has exited without having been killed by [`ForwarderProcess::kill`].
+    pub fn exit_status(&mut self) -> Option<String> {
         match self.child.as_mut().map(Child::try_wait) {
             Some(Ok(Some(status))) => Some(status.to_string()),
             _ => None,
         }
     }
 
-    /// CPU time that it has used, µs (user and system), and its resident memory, bytes; from the kernel's own account.
+    /// Returns the CPU time and the resident memory of the process, from `/proc`; none if the process doesn't run.
     pub fn usage(&self) -> Option<ProcessUsage> {
         let pid = self.pid()?;
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
@@ -208,8 +210,8 @@
             fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
         let pages: u64 = fields.get(21)?.parse().ok()?;
         Some(ProcessUsage {
-            cpu: ticks * TICK,
-            memory: pages * PAGE,
+            cpu_micros: ticks * CLOCK_TICK_MICROS,
+            memory_bytes: pages * PAGE_BYTES,
         })
     }
 }
