--- a/crates/lab/src/capacity/error.rs
+++ b/crates/lab/src/capacity/error.rs
@@ -1,6 +1,6 @@
 //! Why a capacity measurement could not be carried out.
 
-use super::fleet::plan::BadPlan;
+use super::fleet::plan::PlanError;
 use crate::report::PlotError;
 use std::io;
 use std::path::PathBuf;
@@ -46,7 +46,7 @@
     Plot(#[from] PlotError),
     /// The plan of a fleet can't be run.
     #[error(transparent)]
-    Plan(#[from] BadPlan),
+    Plan(#[from] PlanError),
     /// The skew of the traffic can't be drawn from.
     #[error(transparent)]
     Skew(#[from] rand_distr::ZipfError),
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -7,63 +7,63 @@
 //! the same whatever the number of threads.
 
 pub mod config_changes;
+pub mod counters;
+pub mod destination_states;
 pub mod discovery;
-mod exchange;
+pub mod event_queue;
 mod figures;
-pub mod hollow;
+pub mod forwarder_io;
 mod incidents;
 pub mod layout;
-pub mod messages;
-pub mod onlooker;
+pub mod network;
+pub mod observer;
 pub mod options;
 pub mod outages;
 pub mod plan;
 mod plots;
-pub mod queue;
 pub mod receivers;
 pub mod report;
-pub mod states;
-pub mod tally;
-pub mod wire;
+pub mod simulated_forwarder;
+mod transport;
 
 use config_changes::ConfigChanges;
 use discovery::{Discovery, DiscoveryEvent};
-use exchange::{arrived, outcome_of};
-use hollow::HollowForwarder;
+use event_queue::EventQueue;
+use forwarder_io::ForwarderInput;
 use layout::Layout;
-use messages::Incoming;
+use network::{Network, MIN_DELAY};
 use opalpulley::{EndpointId, MessageId, Micros};
 use outages::Outages;
-use plan::{BadPlan, Plan, SECOND};
-use queue::TimedQueue;
+use plan::{Plan, PlanError, SECOND};
 use receivers::Receivers;
-use report::{counts, Column, Counts, FleetOutcome, Measured};
+use report::{collect_counts, Counts, FleetOutcome, Measurements, SecondCounts};
+use simulated_forwarder::SimulatedForwarder;
 use std::time::Instant;
-use wire::{Wire, LEAST_DELAY};
+use transport::{new_arrival, response_outcome};
 
 /// Time that is handled at once: under the least delay.
-const WINDOW: Micros = LEAST_DELAY - 1_000;
+const TIME_STEP: Micros = MIN_DELAY - 1_000;
 /// What happens in the world outside the forwarders.
-enum WorldEvent {
+enum ExternalEvent {
     Call {
         forwarder: u32,
-        sent: Micros,
+        sent_at: Micros,
         id: MessageId,
         attempt: u8,
-        target: EndpointId,
+        endpoint: EndpointId,
     },
-    Probe {
+    HealthCheck {
         forwarder: u32,
-        sent: Micros,
-        target: EndpointId,
+        sent_at: Micros,
+        endpoint: EndpointId,
     },
     Outage {
         destination: u32,
         begins: bool,
     },
     Discovery(DiscoveryEvent),
-    Change {
-        drawn: bool,
+    ConfigChange {
+        is_random: bool,
     },
     Incident {
         begins: bool,
@@ -73,62 +73,62 @@
 struct Fleet<'a> {
     plan: &'a Plan,
     layout: Layout,
-    forwarders: Vec<HollowForwarder>,
+    forwarders: Vec<SimulatedForwarder>,
     receivers: Receivers,
     outages: Outages,
     discovery: Discovery,
-    wire: Wire,
-    events: TimedQueue<WorldEvent>,
+    network: Network,
+    events: EventQueue<ExternalEvent>,
     changes: ConfigChanges,
 }
 
 /// Plays a plan with so many threads.
-pub fn run(plan: &Plan, threads: usize) -> Result<FleetOutcome, BadPlan> {
+pub fn run(plan: &Plan, threads: usize) -> Result<FleetOutcome, PlanError> {
     plan.check()?;
-    let (began, before) = (Instant::now(), report::resident_bytes());
+    let (started_at, resident_before) = (Instant::now(), report::resident_bytes());
     let mut fleet = Fleet::new(plan);
-    in_parallel(&mut fleet.forwarders, threads, |forwarder| {
-        forwarder.start(fleet.discovery.whole_list())
+    for_each_parallel(&mut fleet.forwarders, threads, |forwarder| {
+        forwarder.load_initial_list(fleet.discovery.complete_list())
     });
-    fleet.begin();
-    let (started, resident_at_start) = (began.elapsed(), report::resident_bytes());
-    let columns = fleet.play(threads);
-    let measured = Measured::new(
+    fleet.schedule_initial_events();
+    let (start_time, resident_at_start) = (started_at.elapsed(), report::resident_bytes());
+    let per_second_counts = fleet.run_to_end(threads);
+    let measured = Measurements::new(
         plan,
         &fleet.forwarders,
-        before,
+        resident_before,
         resident_at_start,
-        started,
-        began.elapsed(),
+        start_time,
+        started_at.elapsed(),
     );
-    let counts: Counts = counts(
+    let counts: Counts = collect_counts(
         plan,
         &fleet.forwarders,
-        &fleet.wire,
+        &fleet.network,
         &fleet.receivers,
         &fleet.discovery,
     );
     Ok(FleetOutcome {
         plan: plan.clone(),
         counts,
-        columns,
+        per_second_counts,
         measured,
     })
 }
 
 /// Has each forwarder do its part, on so many threads.
-fn in_parallel(
-    forwarders: &mut [HollowForwarder],
+fn for_each_parallel(
+    forwarders: &mut [SimulatedForwarder],
     threads: usize,
-    work: impl Fn(&mut HollowForwarder) + Sync,
+    work: impl Fn(&mut SimulatedForwarder) + Sync,
 ) {
-    let part = forwarders.len().div_ceil(threads.max(1)).max(1);
-    if part >= forwarders.len() {
+    let chunk_len = forwarders.len().div_ceil(threads.max(1)).max(1);
+    if chunk_len >= forwarders.len() {
         return forwarders.iter_mut().for_each(work);
     }
     std::thread::scope(|scope| {
-        for part in forwarders.chunks_mut(part) {
-            scope.spawn(|| part.iter_mut().for_each(&work));
+        for chunk in forwarders.chunks_mut(chunk_len) {
+            scope.spawn(|| chunk.iter_mut().for_each(&work));
         }
     });
 }
@@ -139,181 +139,185 @@
         Fleet {
             plan,
             forwarders: (0..plan.forwarders)
-                .map(|number| HollowForwarder::new(plan, number))
+                .map(|id| SimulatedForwarder::new(plan, id))
                 .collect(),
             receivers: Receivers::new(plan, &layout),
             outages: Outages::new(plan),
             discovery: Discovery::new(plan.seed, plan.forwarders, &layout),
-            wire: Wire::new(plan.seed, plan.forwarders),
-            events: TimedQueue::default(),
+            network: Network::new(plan.seed, plan.forwarders),
+            events: EventQueue::default(),
             changes: ConfigChanges::new(plan),
             layout,
         }
     }
 
     /// Whatever is under way from the first moment on.
-    fn begin(&mut self) {
-        let bytes = discovery::answer_bytes(0, true, self.discovery.whole_list());
-        self.wire
+    fn schedule_initial_events(&mut self) {
+        let bytes = discovery::response_bytes(0, true, self.discovery.complete_list());
+        self.network
             .control
             .iter_mut()
-            .for_each(|control| control.first_list_in.http(bytes));
-        let each = self.plan.events_a_second / f64::from(self.plan.forwarders);
+            .for_each(|control| control.first_list_in.add_http_message(bytes));
+        let per_forwarder = self.plan.events_a_second / f64::from(self.plan.forwarders);
         self.forwarders
             .iter_mut()
-            .for_each(|forwarder| forwarder.set_arrivals(0, each));
-        for (at, event) in self.discovery.first_watches() {
-            self.events.push(at, WorldEvent::Discovery(event));
+            .for_each(|forwarder| forwarder.set_arrival_rate(0, per_forwarder));
+        for (at, event) in self.discovery.initial_watches() {
+            self.events.push(at, ExternalEvent::Discovery(event));
         }
         for destination in 0..self.plan.destinations {
-            if let Some(at) = self.outages.first() {
+            if let Some(at) = self.outages.first_start() {
                 self.events.push(
                     at,
-                    WorldEvent::Outage {
+                    ExternalEvent::Outage {
                         destination,
                         begins: true,
                     },
                 );
             }
         }
-        self.schedule_change(0);
+        self.schedule_config_change(0);
         self.schedule_incident();
     }
 
     /// Plays the run window by window; gives what happened in each second.
-    fn play(&mut self, threads: usize) -> Vec<Column> {
-        let mut columns = Vec::new();
-        let mut base = None;
-        let (mut window, end) = (0, self.plan.end());
-        while window < end {
-            let until = (window + WINDOW).min(end);
-            self.handle_world(until);
+    fn run_to_end(&mut self, threads: usize) -> Vec<SecondCounts> {
+        let mut per_second_counts = Vec::new();
+        let mut totals = None;
+        let (mut step_start, end) = (0, self.plan.end());
+        while step_start < end {
+            let step_end = (step_start + TIME_STEP).min(end);
+            self.handle_external_events(step_end);
             let (layout, receivers) = (&self.layout, &self.receivers);
-            in_parallel(&mut self.forwarders, threads, |forwarder| {
-                forwarder.advance(until, layout, receivers)
+            for_each_parallel(&mut self.forwarders, threads, |forwarder| {
+                forwarder.advance(step_end, layout, receivers)
             });
-            self.carry();
-            if until / SECOND > window / SECOND {
-                let (wire, receivers) = (&self.wire, &self.receivers);
-                let column = Column::since(&mut base, &self.forwarders, wire, receivers);
-                columns.push(column);
+            self.transmit_outboxes();
+            if step_end / SECOND > step_start / SECOND {
+                let (network, receivers) = (&self.network, &self.receivers);
+                let second = SecondCounts::since(&mut totals, &self.forwarders, network, receivers);
+                per_second_counts.push(second);
             }
-            window = until;
+            step_start = step_end;
         }
-        columns
+        per_second_counts
     }
 
-    fn schedule_change(&mut self, now: Micros) {
-        if let Some(gap) = self.changes.next_after() {
+    fn schedule_config_change(&mut self, now: Micros) {
+        if let Some(gap) = self.changes.draw_delay() {
             self.events
-                .push(now + gap, WorldEvent::Change { drawn: true });
+                .push(now + gap, ExternalEvent::ConfigChange { is_random: true });
         }
     }
 
     /// Handles all that happens outside the forwarders before `until`.
-    fn handle_world(&mut self, until: Micros) {
-        while let Some((now, event)) = self.events.pop_before(until) {
+    fn handle_external_events(&mut self, step_end: Micros) {
+        while let Some((now, event)) = self.events.pop_before(step_end) {
             match event {
-                WorldEvent::Call {
+                ExternalEvent::Call {
                     forwarder,
-                    sent,
+                    sent_at,
                     id,
                     attempt,
-                    target,
+                    endpoint,
                 } => {
-                    let arrived = arrived(now, forwarder, sent, target);
-                    let reply = self.receivers.call(arrived, target.incarnation);
-                    if let Some((after, outcome)) = outcome_of(reply) {
-                        let answer = Incoming::Answer {
+                    let arrival = new_arrival(now, forwarder, sent_at, endpoint);
+                    let response = self.receivers.call(arrival, endpoint.incarnation);
+                    if let Some((after, outcome)) = response_outcome(response) {
+                        let input = ForwarderInput::AttemptEnded {
                             id,
                             attempt,
                             outcome,
                         };
-                        self.reply(now + after, forwarder, target, answer);
+                        self.send_response(now + after, forwarder, endpoint, input);
                     }
                 }
-                WorldEvent::Probe {
+                ExternalEvent::HealthCheck {
                     forwarder,
-                    sent,
-                    target,
-                } => self.health_check_arrives(now, forwarder, sent, target),
-                WorldEvent::Outage {
+                    sent_at,
+                    endpoint,
+                } => self.handle_health_check(now, forwarder, sent_at, endpoint),
+                ExternalEvent::Outage {
                     destination,
                     begins,
-                } => self.outage_changes(now, destination, begins),
-                WorldEvent::Discovery(event) => self.handle_discovery(now, event),
-                WorldEvent::Change { drawn } => self.change_configuration(now, drawn),
-                WorldEvent::Incident { begins } => self.incident(now, begins),
+                } => self.toggle_outage(now, destination, begins),
+                ExternalEvent::Discovery(event) => self.handle_discovery(now, event),
+                ExternalEvent::ConfigChange { is_random } => {
+                    self.apply_config_change(now, is_random)
+                }
+                ExternalEvent::Incident { begins } => self.apply_incident(now, begins),
             }
         }
     }
 
     /// A health check reaches its destination.
-    fn health_check_arrives(
+    fn handle_health_check(
         &mut self,
         now: Micros,
         forwarder: u32,
-        sent: Micros,
-        target: EndpointId,
+        sent_at: Micros,
+        endpoint: EndpointId,
     ) {
-        let arrived = arrived(now, forwarder, sent, target);
-        let reply = self.receivers.health_check(arrived, target.incarnation);
-        if let Some((after, outcome)) = outcome_of(reply) {
-            let answer = Incoming::ProbeAnswer {
-                target,
-                sent,
+        let arrival = new_arrival(now, forwarder, sent_at, endpoint);
+        let response = self.receivers.health_check(arrival, endpoint.incarnation);
+        if let Some((after, outcome)) = response_outcome(response) {
+            let input = ForwarderInput::HealthCheckEnded {
+                endpoint,
+                sent_at,
                 outcome,
             };
-            self.reply(now + after, forwarder, target, answer);
+            self.send_response(now + after, forwarder, endpoint, input);
         }
     }
 
     /// An outage begins or ends; the next change of the same destination is drawn.
-    fn outage_changes(&mut self, now: Micros, destination: u32, begins: bool) {
+    fn toggle_outage(&mut self, now: Micros, destination: u32, begins: bool) {
         if begins {
-            self.receivers.fail(destination);
+            self.receivers.start_outage(destination);
         } else {
-            self.receivers.recover(now, destination);
+            self.receivers.end_outage(now, destination);
         }
-        let next = WorldEvent::Outage {
+        let next = ExternalEvent::Outage {
             destination,
             begins: !begins,
         };
-        self.events.push(now + self.outages.lasts(begins), next);
+        self.events
+            .push(now + self.outages.draw_duration(begins), next);
     }
 
     /// The configuration changes; where the change was drawn by chance, the next one is drawn.
-    fn change_configuration(&mut self, now: Micros, drawn: bool) {
-        if drawn {
-            self.schedule_change(now);
+    fn apply_config_change(&mut self, now: Micros, is_random: bool) {
+        if is_random {
+            self.schedule_config_change(now);
         }
-        let listings = self.changes.draw(&self.layout, &mut self.receivers);
-        let reaching = self.discovery.change(now, listings);
-        self.later(reaching);
+        let entries = self.changes.draw_change(&self.layout, &mut self.receivers);
+        let propagations = self.discovery.apply_change(now, entries);
+        self.schedule_discovery(propagations);
     }
 
-    fn later(&mut self, events: Vec<(Micros, DiscoveryEvent)>) {
+    fn schedule_discovery(&mut self, events: Vec<(Micros, DiscoveryEvent)>) {
         for (at, event) in events {
-            self.events.push(at, WorldEvent::Discovery(event));
+            self.events.push(at, ExternalEvent::Discovery(event));
         }
     }
 
     fn handle_discovery(&mut self, now: Micros, event: DiscoveryEvent) {
-        let mut later = Vec::new();
-        let answer = self
+        let mut follow_ups = Vec::new();
+        let response = self
             .discovery
-            .handle(now, event, &mut self.wire, &mut later);
-        self.later(later);
-        if let Some((forwarder, answer)) = answer {
-            let (whole, revision, listings) = (answer.whole, answer.revision, answer.listings);
-            let list = Incoming::List {
-                whole,
+            .handle(now, event, &mut self.network, &mut follow_ups);
+        self.schedule_discovery(follow_ups);
+        if let Some((forwarder, response)) = response {
+            let (complete, revision, entries) =
+                (response.complete, response.revision, response.entries);
+            let list = ForwarderInput::EndpointList {
+                complete,
                 revision,
-                listings,
+                entries,
             };
             self.forwarders[forwarder as usize]
                 .inbox
-                .push(answer.arrives, list);
+                .push(response.arrives_at, list);
         }
     }
 }
--- a/crates/lab/src/capacity/fleet/config_changes.rs
+++ b/crates/lab/src/capacity/fleet/config_changes.rs
@@ -9,15 +9,15 @@
 use rand_pcg::Pcg64Mcg;
 
 /// The part of the changes that move a destination to another address; the others tell another rate.
-const MOVES: f64 = 0.3;
+const MOVE_SHARE: f64 = 0.3;
 /// A told rate becomes so many times what it was.
-const RATE_CHANGE: std::ops::Range<f64> = 0.5..2.0;
+const RATE_FACTOR: std::ops::Range<f64> = 0.5..2.0;
 /// Seconds.
-const DAY: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
 /// Draws the changes of configuration.
 pub struct ConfigChanges {
-    a_day: f64,
+    changes_per_day: f64,
     destinations: u32,
     rng: Pcg64Mcg,
 }
@@ -27,32 +27,37 @@
     pub fn new(plan: &Plan) -> ConfigChanges {
         let rng = seeded_rng(plan.seed, "changes", 0);
         ConfigChanges {
-            a_day: plan.changes_a_day,
+            changes_per_day: plan.changes_a_day,
             destinations: plan.destinations,
             rng,
         }
     }
 
     /// How long it is until the next one; none where none comes by itself.
-    pub fn next_after(&mut self) -> Option<Micros> {
-        let mean = DAY / self.a_day * SECOND as f64;
-        (self.a_day > 0.0).then(|| (exponential(&mut self.rng) * mean) as Micros + 1)
+    pub fn draw_delay(&mut self) -> Option<Micros> {
+        let mean = SECONDS_PER_DAY / self.changes_per_day * SECOND as f64;
+        (self.changes_per_day > 0.0).then(|| (exponential(&mut self.rng) * mean) as Micros + 1)
     }
 
     /// Draws one and has the destination follow it: another rate, or another address. Gives the lines of the list.
-    pub fn draw(&mut self, layout: &Layout, receivers: &mut Receivers) -> Vec<EndpointEntry> {
+    pub fn draw_change(
+        &mut self,
+        layout: &Layout,
+        receivers: &mut Receivers,
+    ) -> Vec<EndpointEntry> {
         let destination = self.rng.random_range(0..self.destinations);
-        let (holder, rate) = receivers.place(destination);
-        if self.rng.random_bool(MOVES) {
+        let (incarnation, rate) = receivers.address_and_rate(destination);
+        if self.rng.random_bool(MOVE_SHARE) {
             let new = receivers.relocate(destination);
-            let gone = layout.listing(destination, holder, rate, EndpointStatus::Removed);
+            let removed =
+                layout.list_entry(destination, incarnation, rate, EndpointStatus::Removed);
             return vec![
-                gone,
-                layout.listing(destination, new, rate, EndpointStatus::Ready),
+                removed,
+                layout.list_entry(destination, new, rate, EndpointStatus::Ready),
             ];
         }
-        let rate = rate * self.rng.random_range(RATE_CHANGE);
+        let rate = rate * self.rng.random_range(RATE_FACTOR);
         receivers.set_rate(destination, rate);
-        vec![layout.listing(destination, holder, rate, EndpointStatus::Ready)]
+        vec![layout.list_entry(destination, incarnation, rate, EndpointStatus::Ready)]
     }
 }
--- a/crates/lab/src/capacity/fleet/tally.rs
+++ b/crates/lab/src/capacity/fleet/counters.rs
@@ -7,7 +7,7 @@
 /// Kinds of events, by which the core's work is booked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Work {
+pub enum EventKind {
     Message,
     Tick,
     Probe,
@@ -17,20 +17,20 @@
 }
 
 /// All kinds, in the order of their figures.
-pub const WORK_KINDS: [Work; 6] = [
-    Work::Message,
-    Work::Tick,
-    Work::Probe,
-    Work::Gossip,
-    Work::List,
-    Work::FirstList,
+pub const EVENT_KINDS: [EventKind; 6] = [
+    EventKind::Message,
+    EventKind::Tick,
+    EventKind::Probe,
+    EventKind::Gossip,
+    EventKind::List,
+    EventKind::FirstList,
 ];
 
 /// Events handled and the processor time that it took.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct WorkDone {
+pub struct EventCost {
     pub events: u64,
-    pub time: Duration,
+    pub cpu_time: Duration,
 }
 
 /// What became of messages and attempts at one forwarder.
@@ -41,18 +41,25 @@
     pub failed: u64,
     pub rejected: u64,
     pub attempts: u64,
-    pub probes: u64,
-    pub called_off: u64,
+    #[serde(rename = "probes")]
+    pub health_checks: u64,
+    #[serde(rename = "called_off")]
+    pub cancelled: u64,
     pub timed_out: u64,
     pub no_connection: u64,
     /// Messages that could use their whole latency target within the run, to destinations up at their arrival.
-    pub due_to_up: u64,
-    pub in_time_to_up: u64,
+    #[serde(rename = "due_to_up")]
+    pub eligible_while_up: u64,
+    #[serde(rename = "in_time_to_up")]
+    pub on_time_while_up: u64,
     /// The same to destinations that were down at their arrival.
-    pub due_to_down: u64,
-    pub in_time_to_down: u64,
+    #[serde(rename = "due_to_down")]
+    pub eligible_while_down: u64,
+    #[serde(rename = "in_time_to_down")]
+    pub on_time_while_down: u64,
     /// Faults that the core reported; none is expected.
-    pub faults: u64,
+    #[serde(rename = "faults")]
+    pub core_errors: u64,
 }
 
 impl std::ops::AddAssign for MessageCounts {
@@ -62,29 +69,29 @@
         self.failed += other.failed;
         self.rejected += other.rejected;
         self.attempts += other.attempts;
-        self.probes += other.probes;
-        self.called_off += other.called_off;
+        self.health_checks += other.health_checks;
+        self.cancelled += other.cancelled;
         self.timed_out += other.timed_out;
         self.no_connection += other.no_connection;
-        self.due_to_up += other.due_to_up;
-        self.in_time_to_up += other.in_time_to_up;
-        self.due_to_down += other.due_to_down;
-        self.in_time_to_down += other.in_time_to_down;
-        self.faults += other.faults;
+        self.eligible_while_up += other.eligible_while_up;
+        self.on_time_while_up += other.on_time_while_up;
+        self.eligible_while_down += other.eligible_while_down;
+        self.on_time_while_down += other.on_time_while_down;
+        self.core_errors += other.core_errors;
     }
 }
 
-impl WorkDone {
+impl EventCost {
     /// Does some work and books it.
     pub fn measure(&mut self, work: impl FnOnce()) {
-        let began = thread_time();
+        let began = thread_cpu_time();
         work();
         self.events += 1;
-        self.time += thread_time().saturating_sub(began);
+        self.cpu_time += thread_cpu_time().saturating_sub(began);
     }
 }
 
 /// Processor time of this thread so far: other work on the machine does not count. Zero where the system does not tell.
-fn thread_time() -> Duration {
+fn thread_cpu_time() -> Duration {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map_or(Duration::ZERO, Duration::from)
 }
--- a/crates/lab/src/capacity/fleet/states.rs
+++ b/crates/lab/src/capacity/fleet/destination_states.rs
@@ -1,13 +1,13 @@
 //! How much of its destinations a forwarder held in full and how much as summaries, as the run ended.
 
-use super::hollow::HollowForwarder;
 use super::report::MeanAndWorst;
+use super::simulated_forwarder::SimulatedForwarder;
 use opalpulley::StateCounts;
 use serde::Serialize;
 
 /// One value a forwarder each, over the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct States {
+pub struct DestinationStates {
     /// Destinations held in full at the end.
     pub full: MeanAndWorst,
     /// Most destinations held in full at once.
@@ -21,15 +21,15 @@
     pub summarised: MeanAndWorst,
 }
 
-impl States {
+impl DestinationStates {
     /// What these forwarders hold.
-    pub fn of(forwarders: &[HollowForwarder]) -> States {
+    pub fn of(forwarders: &[SimulatedForwarder]) -> DestinationStates {
         let counts: Vec<StateCounts> = forwarders
             .iter()
-            .map(HollowForwarder::state_counts)
+            .map(SimulatedForwarder::state_counts)
             .collect();
         let over = |of: fn(&StateCounts) -> f64| MeanAndWorst::of(counts.iter().map(of));
-        States {
+        DestinationStates {
             full: over(|c| c.full as f64),
             most_full: over(|c| c.most_full as f64),
             summaries: over(|c| c.summaries as f64),
--- a/crates/lab/src/capacity/fleet/queue.rs
+++ b/crates/lab/src/capacity/fleet/event_queue.rs
@@ -5,61 +5,61 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-struct Timed<T> {
+struct TimedEvent<T> {
     at: Micros,
-    order: u64,
-    what: T,
+    sequence: u64,
+    event: T,
 }
 
-impl<T> Timed<T> {
+impl<T> TimedEvent<T> {
     fn key(&self) -> (Micros, u64) {
-        (self.at, self.order)
+        (self.at, self.sequence)
     }
 }
 
-impl<T> PartialEq for Timed<T> {
+impl<T> PartialEq for TimedEvent<T> {
     fn eq(&self, other: &Self) -> bool {
         self.key() == other.key()
     }
 }
 
-impl<T> Eq for Timed<T> {}
+impl<T> Eq for TimedEvent<T> {}
 
-impl<T> PartialOrd for Timed<T> {
+impl<T> PartialOrd for TimedEvent<T> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T> Ord for Timed<T> {
+impl<T> Ord for TimedEvent<T> {
     fn cmp(&self, other: &Self) -> Ordering {
         self.key().cmp(&other.key())
     }
 }
 
 /// Things by time; those at one time in the order in which they were added.
-pub struct TimedQueue<T> {
-    heap: BinaryHeap<Reverse<Timed<T>>>,
+pub struct EventQueue<T> {
+    heap: BinaryHeap<Reverse<TimedEvent<T>>>,
     pushed: u64,
 }
 
-impl<T> Default for TimedQueue<T> {
+impl<T> Default for EventQueue<T> {
     fn default() -> Self {
-        TimedQueue {
+        EventQueue {
             heap: BinaryHeap::new(),
             pushed: 0,
         }
     }
 }
 
-impl<T> TimedQueue<T> {
+impl<T> EventQueue<T> {
     /// Adds a thing that is due at a time.
-    pub fn push(&mut self, at: Micros, what: T) {
+    pub fn push(&mut self, at: Micros, event: T) {
         self.pushed += 1;
-        self.heap.push(Reverse(Timed {
+        self.heap.push(Reverse(TimedEvent {
             at,
-            order: self.pushed,
-            what,
+            sequence: self.pushed,
+            event,
         }));
     }
 
@@ -72,6 +72,6 @@
         {
             return None;
         }
-        self.heap.pop().map(|Reverse(next)| (next.at, next.what))
+        self.heap.pop().map(|Reverse(next)| (next.at, next.event))
     }
 }
--- a/crates/lab/src/capacity/fleet/figures.rs
+++ b/crates/lab/src/capacity/fleet/figures.rs
@@ -1,11 +1,11 @@
 //! The figures of a run, a line each, as a table.
 
-use super::report::{Counts, FleetOutcome, MeanAndWorst, Measured};
+use super::report::{Counts, FleetOutcome, MeanAndWorst, Measurements};
 use crate::capacity::slope::{Row, Table};
 
 /// The part of a whole; of nothing it is 0.
-fn ratio(part: u64, whole: u64) -> f64 {
-    part as f64 / whole.max(1) as f64
+fn ratio(part: u64, total: u64) -> f64 {
+    part as f64 / total.max(1) as f64
 }
 
 /// One figure.
@@ -31,7 +31,7 @@
     }
 
     /// Adds the mean over the forwarders and the worst of them.
-    fn add_both(&mut self, name: &str, unit: &'static str, value: MeanAndWorst) {
+    fn add_mean_and_worst(&mut self, name: &str, unit: &'static str, value: MeanAndWorst) {
         self.add(&format!("{name}, mean"), unit, value.mean);
         self.add(&format!("{name}, worst forwarder"), unit, value.worst);
     }
@@ -82,21 +82,21 @@
 /// Control traffic, and what the cores hold.
 fn add_control(figures: &mut Figures, counts: &Counts) {
     let rates = &counts.control_bytes_a_second;
-    figures.add_both("control, in and out", "bytes a second", rates.all);
-    figures.add_both("gossip in", "bytes a second", rates.gossip_in);
-    figures.add_both("gossip out", "bytes a second", rates.gossip_out);
-    figures.add_both("list in", "bytes a second", rates.list_in);
-    figures.add_both("list out", "bytes a second", rates.list_out);
+    figures.add_mean_and_worst("control, in and out", "bytes a second", rates.all);
+    figures.add_mean_and_worst("gossip in", "bytes a second", rates.gossip_in);
+    figures.add_mean_and_worst("gossip out", "bytes a second", rates.gossip_out);
+    figures.add_mean_and_worst("list in", "bytes a second", rates.list_in);
+    figures.add_mean_and_worst("list out", "bytes a second", rates.list_out);
     let states = &counts.states;
-    figures.add_both("destinations held in full", "at the end", states.full);
-    figures.add_both("most held in full at once", "", states.most_full);
-    figures.add_both(
+    figures.add_mean_and_worst("destinations held in full", "at the end", states.full);
+    figures.add_mean_and_worst("most held in full at once", "", states.most_full);
+    figures.add_mean_and_worst(
         "idle targets held as summaries",
         "at the end",
         states.summaries,
     );
-    figures.add_both("  of these with a bound in force", "", states.bounds);
-    figures.add_both("destinations restored", "each", states.restored);
+    figures.add_mean_and_worst("  of these with a bound in force", "", states.bounds);
+    figures.add_mean_and_worst("destinations restored", "each", states.restored);
 }
 
 /// What a cut kept from passing.
@@ -110,7 +110,7 @@
 }
 
 /// Resident memory.
-fn add_memory(figures: &mut Figures, measured: &Measured) {
+fn add_memory(figures: &mut Figures, measured: &Measurements) {
     figures.add(
         "resident after the start",
         "bytes, each",
@@ -124,12 +124,12 @@
 }
 
 /// Processor time by kind of event.
-fn add_work(figures: &mut Figures, measured: &Measured) {
+fn add_work(figures: &mut Figures, measured: &Measurements) {
     for work in &measured.work {
         let kind = format!("{:?}", work.kind).to_lowercase();
         let what = format!("processor, {kind} events");
         if work.events_a_second > 0.0 {
-            figures.add_both(&what, "of a core", work.core_share);
+            figures.add_mean_and_worst(&what, "of a core", work.core_share);
         }
     }
     for work in &measured.work {
@@ -158,12 +158,12 @@
     figures.add(
         "probes",
         "a second, each",
-        messages.probes as f64 / forwarder_seconds,
+        messages.health_checks as f64 / forwarder_seconds,
     );
-    let down = receivers.calls_while_down + receivers.probes_while_down;
-    let another = receivers.calls_another_knew + receivers.probes_another_knew;
-    let only_others = receivers.calls_only_others_knew + receivers.probes_only_others_knew;
-    let sent = receivers.calls + receivers.probes;
+    let down = receivers.calls_while_down + receivers.health_checks_while_down;
+    let another = receivers.calls_another_knew + receivers.health_checks_another_knew;
+    let only_others = receivers.calls_only_others_knew + receivers.health_checks_only_others_knew;
+    let sent = receivers.calls + receivers.health_checks;
     figures.add(
         "of attempts and probes: to ones that are down",
         "share",
@@ -182,7 +182,7 @@
     figures.add(
         "attempts refused with retry-after",
         "share",
-        ratio(receivers.refused_full, receivers.calls),
+        ratio(receivers.calls_rate_limited, receivers.calls),
     );
     figures.add(
         "calls to an address that was left",
@@ -194,22 +194,22 @@
 /// What became of the messages.
 fn add_messages(figures: &mut Figures, counts: &Counts) {
     let messages = &counts.messages;
-    let due = messages.due_to_up + messages.due_to_down;
-    let in_time = messages.in_time_to_up + messages.in_time_to_down;
+    let eligible = messages.eligible_while_up + messages.eligible_while_down;
+    let on_time = messages.on_time_while_up + messages.on_time_while_down;
     figures.add(
         "within the latency target, of all",
         "share",
-        ratio(in_time, due),
+        ratio(on_time, eligible),
     );
     figures.add(
         "  to ones that were up",
         "share",
-        ratio(messages.in_time_to_up, messages.due_to_up),
+        ratio(messages.on_time_while_up, messages.eligible_while_up),
     );
     figures.add(
         "  to ones that were down",
         "share",
-        ratio(messages.in_time_to_down, messages.due_to_down),
+        ratio(messages.on_time_while_down, messages.eligible_while_down),
     );
     figures.add("failed", "share", ratio(messages.failed, messages.arrived));
     figures.add(
@@ -217,28 +217,32 @@
         "share",
         ratio(messages.rejected, messages.arrived),
     );
-    figures.add("faults of the core", "", messages.faults as f64);
+    figures.add("faults of the core", "", messages.core_errors as f64);
 }
 
 /// Destinations that came back, and what they got against their budget.
 fn add_returns(figures: &mut Figures, counts: &Counts) {
     let receivers = &counts.receivers;
     let worst = receivers.worst;
-    figures.add("destinations that came back", "", receivers.returns as f64);
+    figures.add(
+        "destinations that came back",
+        "",
+        receivers.recoveries as f64,
+    );
     figures.add(
         "  over their budget N",
         "",
-        receivers.returns_over_budget as f64,
+        receivers.recoveries_over_budget as f64,
     );
     figures.add(
         "  over N + 2 sqrt(N) + 2",
         "",
-        receivers.returns_over_allowed as f64,
+        receivers.recoveries_over_limit as f64,
     );
     figures.add(
         "    and two thirds from ones that had met the outage",
         "",
-        receivers.returns_pushed_over as f64,
+        receivers.recoveries_overloaded_by_witnesses as f64,
     );
     figures.add(
         "  the worst of them: calls",
--- a/crates/lab/src/capacity/fleet/messages.rs
+++ b/crates/lab/src/capacity/fleet/forwarder_io.rs
@@ -4,51 +4,51 @@
 use std::sync::Arc;
 
 /// What comes to a forwarder at a time.
-pub enum Incoming {
+pub enum ForwarderInput {
     /// The next message of its stream arrives; void if the stream has been set anew.
     Message {
-        stream: u32,
+        generation: u32,
     },
-    Alarm(TimerToken),
-    Answer {
+    Timer(TimerToken),
+    AttemptEnded {
         id: MessageId,
         attempt: u8,
         outcome: Outcome,
     },
-    ProbeAnswer {
-        target: EndpointId,
-        sent: Micros,
+    HealthCheckEnded {
+        endpoint: EndpointId,
+        sent_at: Micros,
         outcome: Outcome,
     },
     Gossip {
         peer: u16,
-        message: Arc<[u8]>,
+        payload: Arc<[u8]>,
     },
-    List {
-        whole: bool,
+    EndpointList {
+        complete: bool,
         revision: usize,
-        listings: Arc<Vec<EndpointEntry>>,
+        entries: Arc<Vec<EndpointEntry>>,
     },
 }
 
 /// What a forwarder gives to the wire, or to the onlooker.
-pub enum Outgoing {
+pub enum ForwarderOutput {
     Call {
         id: MessageId,
         attempt: u8,
-        target: EndpointId,
+        endpoint: EndpointId,
     },
-    Probe {
-        target: EndpointId,
+    HealthCheck {
+        endpoint: EndpointId,
     },
     Gossip {
         to: Option<u16>,
-        message: Arc<[u8]>,
+        payload: Arc<[u8]>,
     },
     /// For the onlooker: it has seen a call or probe fail that was sent at `tried`.
-    MetFailure {
+    FailureSeen {
         destination: u32,
-        tried: Micros,
+        attempt_sent_at: Micros,
     },
     /// For the onlooker: what a list answer told is in force.
     ListInForce {
--- a/crates/lab/src/capacity/fleet/incidents.rs
+++ b/crates/lab/src/capacity/fleet/incidents.rs
@@ -1,66 +1,76 @@
 //! What happens to the whole fleet at once: a zone or the way between the regions is cut, and back.
 
-use super::plan::{Incident, SECOND, ZONES};
-use super::wire::Cut;
-use super::{Fleet, WorldEvent};
+use super::network::Partition;
+use super::plan::{Incident, SECOND, ZONE_COUNT};
+use super::{ExternalEvent, Fleet};
 use opalpulley::Micros;
 
 /// The zone that is cut off: not one of discovery's.
-const CUT_ZONE: u16 = ZONES - 1;
+const ISOLATED_ZONE: u16 = ZONE_COUNT - 1;
 impl Fleet<'_> {
     /// Plans the incident of the run, if one is asked for.
     pub(super) fn schedule_incident(&mut self) {
         let (from, until) = self.plan.incident_span();
         match self.plan.incident {
             Incident::None => {}
-            Incident::Change => self.events.push(from, WorldEvent::Change { drawn: false }),
+            Incident::Change => self
+                .events
+                .push(from, ExternalEvent::ConfigChange { is_random: false }),
             Incident::ZoneCut | Incident::RegionCut => {
                 self.events
-                    .push(from, WorldEvent::Incident { begins: true });
+                    .push(from, ExternalEvent::Incident { begins: true });
                 // One change in the midst of it, one just after it: who has them when?
+                self.events.push(
+                    (from + until) / 2,
+                    ExternalEvent::ConfigChange { is_random: false },
+                );
                 self.events
-                    .push((from + until) / 2, WorldEvent::Change { drawn: false });
-                self.events
-                    .push(until, WorldEvent::Incident { begins: false });
-                self.events
-                    .push(until + SECOND, WorldEvent::Change { drawn: false });
+                    .push(until, ExternalEvent::Incident { begins: false });
+                self.events.push(
+                    until + SECOND,
+                    ExternalEvent::ConfigChange { is_random: false },
+                );
             }
         }
     }
 
     /// The incident begins or ends.
-    pub(super) fn incident(&mut self, now: Micros, begins: bool) {
-        let was = self.wire.cut;
-        self.wire.cut = match (self.plan.incident, begins) {
-            (Incident::ZoneCut, true) => Cut::Zone(CUT_ZONE),
-            (Incident::RegionCut, true) => Cut::Regions,
-            _ => Cut::None,
+    pub(super) fn apply_incident(&mut self, now: Micros, begins: bool) {
+        let previous = self.network.partition;
+        self.network.partition = match (self.plan.incident, begins) {
+            (Incident::ZoneCut, true) => Partition::Zone(ISOLATED_ZONE),
+            (Incident::RegionCut, true) => Partition::Regions,
+            _ => Partition::None,
         };
         if !begins {
-            let reaching = self.discovery.heal(now, was);
-            self.later(reaching);
+            let propagations = self.discovery.propagate_after_partition(now, previous);
+            self.schedule_discovery(propagations);
         }
         if self.plan.incident == Incident::ZoneCut {
             let (layout, receivers) = (&self.layout, &mut self.receivers);
             let all = layout.destinations.iter().zip(0..);
-            all.filter(|(d, _)| d.zone == CUT_ZONE)
-                .for_each(|(_, n)| receivers.cut_zone(now, n, begins));
-            self.share_arrivals(now, |zone| !begins || zone != CUT_ZONE);
+            all.filter(|(d, _)| d.zone == ISOLATED_ZONE)
+                .for_each(|(_, n)| receivers.set_zone_isolated(now, n, begins));
+            self.distribute_arrivals(now, |zone| !begins || zone != ISOLATED_ZONE);
         }
     }
 
     /// Clients give their messages to the forwarders of these zones, evenly.
-    fn share_arrivals(&mut self, now: Micros, takes: impl Fn(u16) -> bool) {
-        let taking = self
+    fn distribute_arrivals(&mut self, now: Micros, accepts: impl Fn(u16) -> bool) {
+        let accepting = self
             .forwarders
             .iter()
-            .filter(|f| takes(f.zone))
+            .filter(|f| accepts(f.zone))
             .count()
             .max(1);
-        let each = self.plan.events_a_second / taking as f64;
+        let per_forwarder = self.plan.events_a_second / accepting as f64;
         for forwarder in &mut self.forwarders {
-            let a_second = if takes(forwarder.zone) { each } else { 0.0 };
-            forwarder.set_arrivals(now, a_second);
+            let per_second = if accepts(forwarder.zone) {
+                per_forwarder
+            } else {
+                0.0
+            };
+            forwarder.set_arrival_rate(now, per_second);
         }
     }
 }
--- a/crates/lab/src/capacity/fleet/wire.rs
+++ b/crates/lab/src/capacity/fleet/network.rs
@@ -10,21 +10,21 @@
 use std::ops::Range;
 
 /// One way, between any two; nothing is faster. Time windows of the run are shorter than that.
-pub const LEAST_DELAY: Micros = 5_000;
+pub const MIN_DELAY: Micros = 5_000;
 /// One way of calls and of discovery's answers.
-const CALL_DELAY: Range<Micros> = LEAST_DELAY..15_000;
+const CALL_DELAY: Range<Micros> = MIN_DELAY..15_000;
 /// One way of gossip.
-const GOSSIP_DELAY: Range<Micros> = LEAST_DELAY..28_000;
+const GOSSIP_DELAY: Range<Micros> = MIN_DELAY..28_000;
 /// UDP and IPv4 headers of a datagram.
-const DATAGRAM_HEADERS: u64 = 28;
+const DATAGRAM_HEADER_BYTES: u64 = 28;
 /// TCP and IPv4 headers of a segment without options; acknowledgements alone are not counted.
-const SEGMENT_HEADERS: u64 = 40;
+const SEGMENT_HEADER_BYTES: u64 = 40;
 /// Payload of a full segment.
-const SEGMENT: u64 = 1_460;
+const MAX_SEGMENT_PAYLOAD_BYTES: u64 = 1_460;
 
 /// What does not pass.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Cut {
+pub enum Partition {
     #[default]
     None,
     /// This zone is alone.
@@ -33,13 +33,13 @@
     Regions,
 }
 
-impl Cut {
+impl Partition {
     /// Whether something gets from one zone to another.
-    pub fn passes(self, from_zone: u16, to_zone: u16) -> bool {
+    pub fn connects(self, from_zone: u16, to_zone: u16) -> bool {
         match self {
-            Cut::None => true,
-            Cut::Zone(zone) => (from_zone == zone) == (to_zone == zone),
-            Cut::Regions => region(from_zone) == region(to_zone),
+            Partition::None => true,
+            Partition::Zone(zone) => (from_zone == zone) == (to_zone == zone),
+            Partition::Regions => region(from_zone) == region(to_zone),
         }
     }
 }
@@ -55,23 +55,24 @@
 
 impl Traffic {
     /// Counts one datagram.
-    pub fn datagram(&mut self, payload: usize) {
-        let payload = payload as u64;
-        self.add(payload, payload + DATAGRAM_HEADERS);
+    pub fn add_datagram(&mut self, payload_bytes: usize) {
+        let payload_bytes = payload_bytes as u64;
+        self.add(payload_bytes, payload_bytes + DATAGRAM_HEADER_BYTES);
     }
 
     /// Counts one HTTP message, head and body.
-    pub fn http(&mut self, payload: u64) {
+    pub fn add_http_message(&mut self, payload_bytes: u64) {
         self.add(
-            payload,
-            payload + SEGMENT_HEADERS * payload.div_ceil(SEGMENT),
+            payload_bytes,
+            payload_bytes
+                + SEGMENT_HEADER_BYTES * payload_bytes.div_ceil(MAX_SEGMENT_PAYLOAD_BYTES),
         );
     }
 
-    fn add(&mut self, payload: u64, wire: u64) {
+    fn add(&mut self, payload_bytes: u64, wire_bytes: u64) {
         self.messages += 1;
-        self.payload_bytes += payload;
-        self.wire_bytes += wire;
+        self.payload_bytes += payload_bytes;
+        self.wire_bytes += wire_bytes;
     }
 }
 
@@ -99,7 +100,7 @@
 
 impl ControlTraffic {
     /// Bytes on the wire after the start, both directions.
-    pub fn running_bytes(&self) -> u64 {
+    pub fn bytes_after_start(&self) -> u64 {
         [self.gossip_out, self.gossip_in, self.list_out, self.list_in]
             .iter()
             .map(|t| t.wire_bytes)
@@ -118,8 +119,8 @@
 }
 
 /// The ways between forwarders, destinations and discovery.
-pub struct Wire {
-    pub cut: Cut,
+pub struct Network {
+    pub partition: Partition,
     /// By forwarder.
     pub control: Vec<ControlTraffic>,
     /// Calls and probes that a cut kept from arriving.
@@ -129,11 +130,11 @@
     rng: Pcg64Mcg,
 }
 
-impl Wire {
+impl Network {
     /// Ways without a cut.
-    pub fn new(seed: u64, forwarders: u32) -> Wire {
-        Wire {
-            cut: Cut::None,
+    pub fn new(seed: u64, forwarders: u32) -> Network {
+        Network {
+            partition: Partition::None,
             control: vec![ControlTraffic::default(); forwarders as usize],
             attempts_lost: 0,
             gossip_lost: 0,
--- a/crates/lab/src/capacity/fleet/onlooker.rs
+++ b/crates/lab/src/capacity/fleet/observer.rs
@@ -10,98 +10,98 @@
 #[derive(Default)]
 pub struct Outage {
     /// Forwarders that have met it, with the time at which each learned of it; one entry a forwarder at most.
-    met_by: BTreeMap<u32, Micros>,
+    learned_at: BTreeMap<u32, Micros>,
     /// The first two of them in time.
-    first: Option<(u32, Micros)>,
-    second: Option<(u32, Micros)>,
+    first_learned: Option<(u32, Micros)>,
+    second_learned: Option<(u32, Micros)>,
 }
 
 impl Outage {
     /// A forwarder has met the outage.
-    pub fn learn(&mut self, forwarder: u32, at: Micros) {
-        if self.met_by.contains_key(&forwarder) {
+    pub fn record_failure(&mut self, forwarder: u32, at: Micros) {
+        if self.learned_at.contains_key(&forwarder) {
             return;
         }
-        self.met_by.insert(forwarder, at);
-        match (self.first, self.second) {
-            (None, _) => self.first = Some((forwarder, at)),
-            (_, None) => self.second = Some((forwarder, at)),
+        self.learned_at.insert(forwarder, at);
+        match (self.first_learned, self.second_learned) {
+            (None, _) => self.first_learned = Some((forwarder, at)),
+            (_, None) => self.second_learned = Some((forwarder, at)),
             _ => {}
         }
     }
 
     /// Whether a forwarder other than this one had met it by then.
     pub fn known_to_another(&self, forwarder: u32, at: Micros) -> bool {
-        [self.first, self.second]
+        [self.first_learned, self.second_learned]
             .into_iter()
             .flatten()
-            .any(|(who, since)| who != forwarder && since <= at)
+            .any(|(other, since)| other != forwarder && since <= at)
     }
 
     /// Whether this forwarder had met it by then.
     pub fn known_to(&self, forwarder: u32, at: Micros) -> bool {
-        self.met_by
+        self.learned_at
             .get(&forwarder)
             .is_some_and(|since| *since <= at)
     }
 }
 
 /// Part of the calls to a returning destination from which on the forwarders that had met the outage are to blame.
-const BLAME: (usize, usize) = (2, 3);
+const WITNESS_SHARE: (usize, usize) = (2, 3);
 
 /// What came to a destination since it came back, while it is cold.
-pub struct Return {
-    since: Micros,
+pub struct Recovery {
+    recovered_at: Micros,
     /// Forwarders that met the outage, with the time at which each learned of it; one entry a forwarder at most.
-    met_by: BTreeMap<u32, Micros>,
+    learned_at: BTreeMap<u32, Micros>,
     /// Calls and probes within the last overload window: when, and whether the sender had met the outage by then.
     recent: VecDeque<(Micros, bool)>,
     over_budget: bool,
-    over_allowed: bool,
+    over_limit: bool,
 }
 
 /// A call or probe as the onlooker sees it arrive.
 #[derive(Clone, Copy)]
-pub struct Arrived {
+pub struct Arrival {
     pub now: Micros,
     pub destination: u32,
     pub forwarder: u32,
-    pub sent: Micros,
+    pub sent_at: Micros,
 }
 
-impl Return {
+impl Recovery {
     /// The destination of this outage is back.
-    pub fn after(outage: Outage, since: Micros) -> Return {
-        let Outage { met_by, .. } = outage;
-        Return {
-            since,
-            met_by,
+    pub fn after(outage: Outage, recovered_at: Micros) -> Recovery {
+        let Outage { learned_at, .. } = outage;
+        Recovery {
+            recovered_at,
+            learned_at,
             recent: VecDeque::new(),
             over_budget: false,
-            over_allowed: false,
+            over_limit: false,
         }
     }
 
     /// A call or probe that was sent at `tried` has failed: it met the outage if that was before the return.
-    pub fn learn(&mut self, forwarder: u32, tried: Micros, at: Micros) {
-        if tried < self.since {
-            self.met_by.entry(forwarder).or_insert(at);
+    pub fn record_failure(&mut self, forwarder: u32, attempt_sent_at: Micros, at: Micros) {
+        if attempt_sent_at < self.recovered_at {
+            self.learned_at.entry(forwarder).or_insert(at);
         }
     }
 
     /// Takes one call or probe in; `capacity` is what the destination takes at this moment, calls a second.
-    pub fn take(&mut self, arrived: Arrived, capacity: f64) -> Overshoot {
-        let Arrived {
+    pub fn record_arrival(&mut self, arrival: Arrival, capacity: f64) -> WindowLoad {
+        let Arrival {
             now,
             destination,
             forwarder,
-            sent,
-        } = arrived;
+            sent_at,
+        } = arrival;
         let rules = rules();
         let witness = self
-            .met_by
+            .learned_at
             .get(&forwarder)
-            .is_some_and(|since| *since <= sent);
+            .is_some_and(|since| *since <= sent_at);
         self.recent.push_back((now, witness));
         while self
             .recent
@@ -114,7 +114,7 @@
             rules.overload_multiple * capacity * rules.overload_window as f64 / SECOND as f64;
         let allowed = budget + 2.0 * budget.sqrt() + 2.0;
         let from_witnesses = self.recent.iter().filter(|(_, witness)| *witness).count();
-        Overshoot {
+        WindowLoad {
             destination,
             calls: self.recent.len(),
             from_witnesses,
@@ -126,20 +126,21 @@
 
 impl ReceiverCounts {
     /// Books what one call more has made of a return.
-    pub fn note_return(&mut self, back: &mut Return, seen: Overshoot) {
-        let over_budget = seen.calls as f64 > seen.budget;
-        let over_allowed = seen.excess() > 0.0;
-        self.returns_over_budget += u64::from(over_budget && !back.over_budget);
-        let falls = over_allowed && !back.over_allowed;
-        self.returns_over_allowed += u64::from(falls);
-        self.returns_pushed_over += u64::from(falls && seen.is_from_witnesses());
-        back.over_budget |= over_budget;
-        back.over_allowed |= over_allowed;
+    pub fn record_recovery_load(&mut self, recovery: &mut Recovery, load: WindowLoad) {
+        let over_budget = load.calls as f64 > load.budget;
+        let over_limit = load.excess() > 0.0;
+        self.recoveries_over_budget += u64::from(over_budget && !recovery.over_budget);
+        let newly_over = over_limit && !recovery.over_limit;
+        self.recoveries_over_limit += u64::from(newly_over);
+        self.recoveries_overloaded_by_witnesses +=
+            u64::from(newly_over && load.is_from_witnesses());
+        recovery.over_budget |= over_budget;
+        recovery.over_limit |= over_limit;
         if self
             .worst
-            .is_none_or(|worst| worst.excess() < seen.excess())
+            .is_none_or(|worst| worst.excess() < load.excess())
         {
-            self.worst = Some(seen);
+            self.worst = Some(load);
         }
     }
 }
@@ -148,33 +149,42 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ReceiverCounts {
     pub calls: u64,
-    pub probes: u64,
-    pub refused_full: u64,
+    #[serde(rename = "probes")]
+    pub health_checks: u64,
+    #[serde(rename = "refused_full")]
+    pub calls_rate_limited: u64,
     /// Calls to an address that the destination has left.
     pub calls_to_old_address: u64,
     pub calls_while_down: u64,
-    pub probes_while_down: u64,
+    #[serde(rename = "probes_while_down")]
+    pub health_checks_while_down: u64,
     /// Of these calls, those sent when another forwarder had met the outage.
     pub calls_another_knew: u64,
     /// Of those, the ones whose sender had not: what telling could save.
     pub calls_only_others_knew: u64,
-    pub probes_another_knew: u64,
-    pub probes_only_others_knew: u64,
+    #[serde(rename = "probes_another_knew")]
+    pub health_checks_another_knew: u64,
+    #[serde(rename = "probes_only_others_knew")]
+    pub health_checks_only_others_knew: u64,
     /// Destinations that came back cold.
-    pub returns: u64,
+    #[serde(rename = "returns")]
+    pub recoveries: u64,
     /// Of these, where the calls and probes within an overload window passed the budget N of that moment.
-    pub returns_over_budget: u64,
+    #[serde(rename = "returns_over_budget")]
+    pub recoveries_over_budget: u64,
     /// Where they passed N + 2 x root of N + 2.
-    pub returns_over_allowed: u64,
+    #[serde(rename = "returns_over_allowed")]
+    pub recoveries_over_limit: u64,
     /// Of these, where two thirds of that came from forwarders that had met the outage as they sent it: the rule is broken.
-    pub returns_pushed_over: u64,
+    #[serde(rename = "returns_pushed_over")]
+    pub recoveries_overloaded_by_witnesses: u64,
     /// The largest excess over N + 2 x root of N + 2; negative where none passed it.
-    pub worst: Option<Overshoot>,
+    pub worst: Option<WindowLoad>,
 }
 
 /// The calls that came to a returning destination within one overload window.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Overshoot {
+pub struct WindowLoad {
     pub destination: u32,
     pub calls: usize,
     /// Of these, from forwarders that had met the outage as they sent them.
@@ -183,12 +193,12 @@
     pub allowed: f64,
 }
 
-impl Overshoot {
+impl WindowLoad {
     fn excess(&self) -> f64 {
         self.calls as f64 - self.allowed
     }
 
     fn is_from_witnesses(&self) -> bool {
-        self.from_witnesses * BLAME.1 >= self.calls * BLAME.0
+        self.from_witnesses * WITNESS_SHARE.1 >= self.calls * WITNESS_SHARE.0
     }
 }
--- a/crates/lab/src/capacity/fleet/options.rs
+++ b/crates/lab/src/capacity/fleet/options.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 
 /// Messages a second of one forwarder where the fleet's are not named.
-const EVENTS_A_FORWARDER: f64 = 200.0;
+const DEFAULT_MESSAGES_PER_FORWARDER: f64 = 200.0;
 
 /// Options of `capacity fleet`.
 #[derive(Args, Clone, Debug)]
@@ -62,12 +62,12 @@
 impl Options {
     /// The plan of a run with these options.
     pub fn plan(&self) -> Plan {
-        let each = EVENTS_A_FORWARDER * f64::from(self.forwarders);
+        let default_rate = DEFAULT_MESSAGES_PER_FORWARDER * f64::from(self.forwarders);
         Plan {
             forwarders: self.forwarders,
             destinations: self.destinations,
             seconds: self.seconds,
-            events_a_second: self.events_a_second.unwrap_or(each),
+            events_a_second: self.events_a_second.unwrap_or(default_rate),
             down_share: self.down_share,
             outage_seconds: self.outage_seconds,
             at_limit_share: self.at_limit_share,
@@ -89,7 +89,7 @@
         "  held in full before idle ones are summarised: {}",
         outcome.plan.full_destinations
     );
-    show_changes(&outcome);
+    print_changes(&outcome);
     let write =
         |path: &Path, text: String| std::fs::write(path, text).map_err(CapacityError::file(path));
     if let Some(path) = &options.outputs.json {
@@ -101,16 +101,17 @@
     Ok(())
 }
 
-fn show_changes(outcome: &FleetOutcome) {
-    let say = |value: Option<f64>| value.map_or("-".to_owned(), |seconds| format!("{seconds:.2}"));
+fn print_changes(outcome: &FleetOutcome) {
+    let format_seconds =
+        |value: Option<f64>| value.map_or("-".to_owned(), |seconds| format!("{seconds:.2}"));
     for change in &outcome.counts.changes {
         println!(
             "  change made at {:.2} s: in force after {} s at half, {} s at the last (first region {}, second {}), missing at {}",
             change.made_at,
-            say(change.median),
-            say(change.last),
-            say(change.last_by_region[0]),
-            say(change.last_by_region[1]),
+            format_seconds(change.median),
+            format_seconds(change.last),
+            format_seconds(change.last_by_region[0]),
+            format_seconds(change.last_by_region[1]),
             change.missing
         );
     }
--- a/crates/lab/src/capacity/fleet/plan.rs
+++ b/crates/lab/src/capacity/fleet/plan.rs
@@ -9,20 +9,20 @@
 /// A second, µs.
 pub const SECOND: Micros = 1_000_000;
 /// Regions x zones of the deployment that is sized.
-pub const ZONES: u16 = 8;
+pub const ZONE_COUNT: u16 = 8;
 /// Zones of each region.
-pub const ZONES_A_REGION: u16 = 4;
+pub const ZONES_PER_REGION: u16 = 4;
 /// Time from the arrival of a message to the end of its latency target.
 pub const LATENCY_TARGET: Micros = 2_500_000;
 /// Time from the arrival of a message to its deadline.
 const DEADLINE: Micros = 28_000_000;
 /// Calls out at once: what 256 descriptors leave for targets.
-const CONCURRENCY: u32 = 116;
+const CONCURRENCY_LIMIT: u32 = 116;
 /// Messages held at once.
-const ROOM: u32 = 4_000;
+const MAX_MESSAGES: u32 = 4_000;
 const MAX_ATTEMPTS: u32 = 6;
 /// Three bytes of an address name the destination.
-const MOST_DESTINATIONS: u32 = 1 << 24;
+const MAX_DESTINATIONS: u32 = 1 << 24;
 
 /// Something that happens to the whole fleet a quarter into the run and, where it lasts, ends at half of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, clap::ValueEnum)]
@@ -48,7 +48,7 @@
 
 impl FullDestinations {
     /// As the settings of a forwarder have it.
-    pub fn setting(self) -> Option<u32> {
+    pub fn limit(self) -> Option<u32> {
         match self {
             FullDestinations::All => None,
             FullDestinations::Beyond(full) => Some(full),
@@ -104,66 +104,68 @@
 
 /// Why a plan can't be run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum BadPlan {
+pub enum PlanError {
     /// None, or more than addresses.
-    Destinations { asked: u32 },
+    Destinations { requested: u32 },
     /// More forwarders than numbers, or fewer than two.
-    Forwarders { asked: u32 },
+    Forwarders { requested: u32 },
     /// A share outside 0 to 1, or a rate or time that is not positive.
     OutOfRange { option: &'static str, value: f64 },
 }
 
-impl std::fmt::Display for BadPlan {
+impl std::fmt::Display for PlanError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            BadPlan::Destinations { asked } => {
+            PlanError::Destinations { requested } => {
                 write!(
                     f,
-                    "--destinations {asked}: 1 to {MOST_DESTINATIONS} can run"
+                    "--destinations {requested}: 1 to {MAX_DESTINATIONS} can run"
                 )
             }
-            BadPlan::Forwarders { asked } => {
-                write!(f, "--forwarders {asked}: 2 to {} can run", u16::MAX)
+            PlanError::Forwarders { requested } => {
+                write!(f, "--forwarders {requested}: 2 to {} can run", u16::MAX)
+            }
+            PlanError::OutOfRange { option, value } => {
+                write!(f, "{option} {value} is out of range")
             }
-            BadPlan::OutOfRange { option, value } => write!(f, "{option} {value} is out of range"),
         }
     }
 }
 
-impl std::error::Error for BadPlan {}
+impl std::error::Error for PlanError {}
 
 impl Plan {
     /// Whether the plan can be run.
-    pub fn check(&self) -> Result<(), BadPlan> {
-        if !(1..=MOST_DESTINATIONS).contains(&self.destinations) {
-            return Err(BadPlan::Destinations {
-                asked: self.destinations,
+    pub fn check(&self) -> Result<(), PlanError> {
+        if !(1..=MAX_DESTINATIONS).contains(&self.destinations) {
+            return Err(PlanError::Destinations {
+                requested: self.destinations,
             });
         }
         if !(2..=u32::from(u16::MAX)).contains(&self.forwarders) {
-            return Err(BadPlan::Forwarders {
-                asked: self.forwarders,
+            return Err(PlanError::Forwarders {
+                requested: self.forwarders,
             });
         }
-        let share = |value: f64| (0.0..=0.9).contains(&value);
-        let positive = |value: f64| value > 0.0 && value.is_finite();
+        let is_share = |value: f64| (0.0..=0.9).contains(&value);
+        let is_positive = |value: f64| value > 0.0 && value.is_finite();
         let checks = [
             ("--seconds", f64::from(self.seconds), self.seconds >= 4),
             (
                 "--events-a-second",
                 self.events_a_second,
-                positive(self.events_a_second),
+                is_positive(self.events_a_second),
             ),
-            ("--down-share", self.down_share, share(self.down_share)),
+            ("--down-share", self.down_share, is_share(self.down_share)),
             (
                 "--outage-seconds",
                 self.outage_seconds,
-                positive(self.outage_seconds),
+                is_positive(self.outage_seconds),
             ),
             (
                 "--at-limit-share",
                 self.at_limit_share,
-                share(self.at_limit_share),
+                is_share(self.at_limit_share),
             ),
             ("--skew", self.skew, (0.0..=3.0).contains(&self.skew)),
             (
@@ -172,8 +174,8 @@
                 self.changes_a_day >= 0.0,
             ),
         ];
-        match checks.into_iter().find(|(_, _, fits)| !fits) {
-            Some((option, value, _)) => Err(BadPlan::OutOfRange { option, value }),
+        match checks.into_iter().find(|(_, _, is_valid)| !is_valid) {
+            Some((option, value, _)) => Err(PlanError::OutOfRange { option, value }),
             None => Ok(()),
         }
     }
@@ -189,19 +191,19 @@
     }
 
     /// Messages that arrive earlier meet forwarders that have only begun.
-    pub fn judged_from(&self) -> Micros {
+    pub fn measured_from(&self) -> Micros {
         (10 * SECOND).min(self.end() / 4)
     }
 
     /// Messages that arrive later have not had their whole latency target before the end.
-    pub fn judged_until(&self) -> Micros {
+    pub fn measured_until(&self) -> Micros {
         self.end().saturating_sub(LATENCY_TARGET + SECOND / 2)
     }
 
     /// The settings of one forwarder: those of a deployment that delivers to outside receivers.
-    pub fn settings(&self, forwarder: u32) -> Config {
-        let class = |effect| DeliveryClassConfig {
-            semantics: effect,
+    pub fn forwarder_config(&self, forwarder: u32) -> Config {
+        let class = |semantics| DeliveryClassConfig {
+            semantics,
             latency_objective: LATENCY_TARGET,
             time_to_live: DEADLINE,
             priority_weight: 1.0,
@@ -215,8 +217,8 @@
         Config {
             forwarder_id: forwarder as u16,
             fleet_size: self.configured_forwarders.unwrap_or(self.forwarders),
-            concurrency_limit: CONCURRENCY,
-            max_messages: ROOM,
+            concurrency_limit: CONCURRENCY_LIMIT,
+            max_messages: MAX_MESSAGES,
             max_attempts: MAX_ATTEMPTS,
             order_release: OrderRelease::OnFinalAnswer,
             may_health_check: true,
@@ -233,11 +235,11 @@
                 has_independent_limits: false,
                 max_batch_size: 1,
             }],
-            zone_costs: vec![0.0; usize::from(ZONES)],
+            zone_costs: vec![0.0; usize::from(ZONE_COUNT)],
             list_poll_interval: None,
             rules: rules(),
             min_tick_interval: 5_000,
-            full_destinations: self.full_destinations.setting(),
+            full_destinations: self.full_destinations.limit(),
             list_notification_delay: None,
         }
     }
--- a/crates/lab/src/capacity/fleet/plots.rs
+++ b/crates/lab/src/capacity/fleet/plots.rs
@@ -1,42 +1,45 @@
 //! Plots over the time of a run, as SVG.
 
 use super::plan::SECOND;
-use super::report::{Column, FleetOutcome};
+use super::report::{FleetOutcome, SecondCounts};
 use crate::report::PlotError;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-/// Width and height of each of the two plots, pixels.
-const SIZE: (u32, u32) = (900, 240);
+/// Width and height of per_forwarder of the two plots, pixels.
+const PLOT_SIZE: (u32, u32) = (900, 240);
 
 /// One line of a plot.
 struct Series<'a> {
     name: &'a str,
     colour: RGBColor,
     /// Its value in a second of the run.
-    value: Box<dyn Fn(&Column) -> f64 + 'a>,
+    value: Box<dyn Fn(&SecondCounts) -> f64 + 'a>,
 }
 
 /// Two plots: control bytes that a forwarder takes in, and what becomes of the messages.
 pub(super) fn plot(outcome: &FleetOutcome) -> Result<String, PlotError> {
     let forwarders = f64::from(outcome.plan.forwarders);
-    let each = |bytes: u64| bytes as f64 / forwarders;
+    let per_forwarder = |bytes: u64| bytes as f64 / forwarders;
     let control = [
-        series("gossip in", BLUE, |column| each(column.gossip_in_bytes)),
-        series("list in", RED, |column| each(column.list_in_bytes)),
+        series("gossip in", BLUE, |counts| {
+            per_forwarder(counts.gossip_in_bytes)
+        }),
+        series("list in", RED, |counts| per_forwarder(counts.list_in_bytes)),
     ];
     let messages = [
-        series("arrived", BLACK, |column| column.arrived as f64),
-        series("delivered", BLUE, |column| column.delivered as f64),
-        series("attempts on ones that are down", RED, |column| {
-            column.attempts_while_down as f64
+        series("arrived", BLACK, |counts| counts.arrived as f64),
+        series("delivered", BLUE, |counts| counts.delivered as f64),
+        series("attempts on ones that are down", RED, |counts| {
+            counts.attempts_while_down as f64
         }),
     ];
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, (SIZE.0, 2 * SIZE.1)).into_drawing_area();
+        let area =
+            SVGBackend::with_string(&mut svg, (PLOT_SIZE.0, 2 * PLOT_SIZE.1)).into_drawing_area();
         area.fill(&WHITE)?;
-        let (upper, lower) = area.split_vertically(SIZE.1);
+        let (upper, lower) = area.split_vertically(PLOT_SIZE.1);
         let caption = "control of one forwarder (bytes a second)";
         draw(&upper, outcome, caption, &control)?;
         draw(&lower, outcome, "the fleet (a second)", &messages)?;
@@ -45,7 +48,11 @@
     Ok(svg)
 }
 
-fn series<'a>(name: &'a str, colour: RGBColor, value: impl Fn(&Column) -> f64 + 'a) -> Series<'a> {
+fn series<'a>(
+    name: &'a str,
+    colour: RGBColor,
+    value: impl Fn(&SecondCounts) -> f64 + 'a,
+) -> Series<'a> {
     Series {
         name,
         colour,
@@ -60,18 +67,20 @@
     caption: &str,
     series: &[Series],
 ) -> Result<(), PlotError> {
-    let columns = &outcome.columns;
-    let values = series
-        .iter()
-        .flat_map(|series| columns.iter().map(|column| (series.value)(column)));
-    let most = values.fold(1.0, f64::max) * 1.1;
-    let ends = outcome.plan.end() as f64 / SECOND as f64;
+    let per_second_counts = &outcome.per_second_counts;
+    let values = series.iter().flat_map(|series| {
+        per_second_counts
+            .iter()
+            .map(|counts| (series.value)(counts))
+    });
+    let max_value = values.fold(1.0, f64::max) * 1.1;
+    let end_seconds = outcome.plan.end() as f64 / SECOND as f64;
     let mut chart = ChartBuilder::on(area)
         .caption(caption, ("sans-serif", 14))
         .margin(6)
         .x_label_area_size(26)
         .y_label_area_size(62)
-        .build_cartesian_2d(0.0..ends, 0.0..most)?;
+        .build_cartesian_2d(0.0..end_seconds, 0.0..max_value)?;
     chart
         .configure_mesh()
         .x_desc("s")
@@ -83,8 +92,8 @@
         value,
     } in series
     {
-        let points = columns.iter().enumerate();
-        let points = points.map(|(second, column)| ((second + 1) as f64, value(column)));
+        let points = per_second_counts.iter().enumerate();
+        let points = points.map(|(second, counts)| ((second + 1) as f64, value(counts)));
         chart
             .draw_series(LineSeries::new(points, colour.stroke_width(1)))?
             .label(*name)
--- a/crates/lab/src/capacity/fleet/receivers.rs
+++ b/crates/lab/src/capacity/fleet/receivers.rs
@@ -2,7 +2,7 @@
 //! come back cold.
 
 use super::layout::Layout;
-use super::onlooker::{Arrived, Outage, ReceiverCounts, Return};
+use super::observer::{Arrival, Outage, ReceiverCounts, Recovery};
 use super::plan::{rules, Plan, SECOND};
 use crate::random::seeded_rng;
 use opalpulley::Micros;
@@ -11,21 +11,21 @@
 use rand_pcg::Pcg64Mcg;
 
 /// Mean of the answer times, µs.
-const ANSWER_TIME: f64 = 60_000.0;
+const MEAN_RESPONSE_TIME: f64 = 60_000.0;
 /// Their spread: standard deviation of the logarithm.
-const ANSWER_SPREAD: f64 = 0.5;
+const RESPONSE_TIME_SIGMA: f64 = 0.5;
 /// Told with a refusal above the rate.
 const RETRY_AFTER: Micros = 400_000;
 /// Calls over the rate that may come at once, in seconds of the rate.
-const BURST: f64 = 1.0;
+const BURST_SECONDS: f64 = 1.0;
 /// Of outages, the part in which connections are refused; in the others nothing is answered.
 const REFUSING_SHARE: f64 = 0.5;
 /// Least part of the rate that a cold destination takes.
-const LEAST_PART: f64 = 0.05;
+const MIN_CAPACITY_SHARE: f64 = 0.05;
 
 /// How a destination is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Down {
+pub enum OutageKind {
     /// Connections are refused.
     Refusing,
     /// Nothing is answered.
@@ -34,27 +34,27 @@
 
 /// What comes back for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reply {
+pub enum ReceiverResponse {
     /// After this time.
     Served(Micros),
     /// Above its rate.
-    Full { retry_after: Micros },
+    RateLimited { retry_after: Micros },
     /// No connection comes up.
     Refused,
     /// Nothing is answered.
-    Nothing,
+    NoResponse,
 }
 
 /// Whether it takes its whole rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Temperature {
+enum WarmUpState {
     Warm,
     Cold { since: Micros },
 }
 
 /// What a call or health check meets at a destination that is down.
-struct MetOutage {
-    reply: Reply,
+struct ArrivalDuringOutage {
+    response: ReceiverResponse,
     /// Another forwarder had met the outage as it was sent.
     another_knew: bool,
     /// And its sender had not.
@@ -64,24 +64,24 @@
 struct Receiver {
     rate: f64,
     tokens: f64,
-    filled: Micros,
-    temperature: Temperature,
+    refilled_at: Micros,
+    warm_up: WarmUpState,
     /// Its own outage.
-    down: Option<Down>,
+    own_outage: Option<OutageKind>,
     /// Its zone is cut off.
-    zone_gone: bool,
+    zone_isolated: bool,
     /// Counts its addresses; calls to an older one are refused.
-    holder: u32,
+    incarnation: u32,
     outage: Option<Box<Outage>>,
-    back: Option<Box<Return>>,
+    recovery: Option<Box<Recovery>>,
 }
 
 /// All destinations of the fleet.
 pub struct Receivers {
-    all: Vec<Receiver>,
+    receivers: Vec<Receiver>,
     /// What an onlooker counts.
     pub counts: ReceiverCounts,
-    answer_times: Option<LogNormal<f64>>,
+    response_times: Option<LogNormal<f64>>,
     rng: Pcg64Mcg,
 }
 
@@ -90,168 +90,179 @@
     pub fn new(plan: &Plan, layout: &Layout) -> Receivers {
         let receiver = |rate: f64| Receiver {
             rate,
-            tokens: (rate * BURST).max(1.0),
-            filled: 0,
-            temperature: Temperature::Warm,
-            down: None,
-            zone_gone: false,
-            holder: 0,
+            tokens: (rate * BURST_SECONDS).max(1.0),
+            refilled_at: 0,
+            warm_up: WarmUpState::Warm,
+            own_outage: None,
+            zone_isolated: false,
+            incarnation: 0,
             outage: None,
-            back: None,
+            recovery: None,
         };
-        let mean = ANSWER_TIME.ln() - ANSWER_SPREAD * ANSWER_SPREAD / 2.0;
+        let mean = MEAN_RESPONSE_TIME.ln() - RESPONSE_TIME_SIGMA * RESPONSE_TIME_SIGMA / 2.0;
         Receivers {
-            all: layout
+            receivers: layout
                 .destinations
                 .iter()
                 .map(|d| receiver(d.rate))
                 .collect(),
             counts: ReceiverCounts::default(),
-            answer_times: LogNormal::new(mean, ANSWER_SPREAD).ok(),
+            response_times: LogNormal::new(mean, RESPONSE_TIME_SIGMA).ok(),
             rng: seeded_rng(plan.seed, "receivers", 0),
         }
     }
 
     /// Whether a destination is down, by an outage of its own or of its zone.
     pub fn is_down(&self, destination: u32) -> bool {
-        self.all[destination as usize].condition().is_some()
+        self.receivers[destination as usize].outage_kind().is_some()
     }
 
     /// The destination's own outage begins.
-    pub fn fail(&mut self, destination: u32) {
-        let how = if self.rng.random_bool(REFUSING_SHARE) {
-            Down::Refusing
+    pub fn start_outage(&mut self, destination: u32) {
+        let kind = if self.rng.random_bool(REFUSING_SHARE) {
+            OutageKind::Refusing
         } else {
-            Down::Silent
+            OutageKind::Silent
         };
-        self.all[destination as usize].change(0, |r| r.down = Some(how));
+        self.receivers[destination as usize].update_outage(0, |r| r.own_outage = Some(kind));
     }
 
     /// The destination's own outage ends.
-    pub fn recover(&mut self, now: Micros, destination: u32) {
-        let back = self.all[destination as usize].change(now, |r| r.down = None);
-        self.counts.returns += u64::from(back);
+    pub fn end_outage(&mut self, now: Micros, destination: u32) {
+        let recovered =
+            self.receivers[destination as usize].update_outage(now, |r| r.own_outage = None);
+        self.counts.recoveries += u64::from(recovered);
     }
 
     /// Its zone is cut off, or back.
-    pub fn cut_zone(&mut self, now: Micros, destination: u32, gone: bool) {
-        let back = self.all[destination as usize].change(now, |r| r.zone_gone = gone);
-        self.counts.returns += u64::from(back);
+    pub fn set_zone_isolated(&mut self, now: Micros, destination: u32, isolated: bool) {
+        let recovered =
+            self.receivers[destination as usize].update_outage(now, |r| r.zone_isolated = isolated);
+        self.counts.recoveries += u64::from(recovered);
     }
 
     /// The destination has another rate from now on.
     pub fn set_rate(&mut self, destination: u32, rate: f64) {
-        self.all[destination as usize].rate = rate;
+        self.receivers[destination as usize].rate = rate;
     }
 
     /// The destination moves to another address; gives its number.
     pub fn relocate(&mut self, destination: u32) -> u32 {
-        let receiver = &mut self.all[destination as usize];
-        receiver.holder += 1;
-        receiver.holder
+        let receiver = &mut self.receivers[destination as usize];
+        receiver.incarnation += 1;
+        receiver.incarnation
     }
 
     /// The number of its address, and its rate.
-    pub fn place(&self, destination: u32) -> (u32, f64) {
-        let receiver = &self.all[destination as usize];
-        (receiver.holder, receiver.rate)
+    pub fn address_and_rate(&self, destination: u32) -> (u32, f64) {
+        let receiver = &self.receivers[destination as usize];
+        (receiver.incarnation, receiver.rate)
     }
 
     /// A forwarder has seen a call or health check fail there that was sent at `tried`.
-    pub fn met(&mut self, destination: u32, forwarder: u32, tried: Micros, at: Micros) {
-        let Receiver { outage, back, .. } = &mut self.all[destination as usize];
+    pub fn record_failed_attempt(
+        &mut self,
+        destination: u32,
+        forwarder: u32,
+        attempt_sent_at: Micros,
+        at: Micros,
+    ) {
+        let Receiver {
+            outage, recovery, ..
+        } = &mut self.receivers[destination as usize];
         if let Some(outage) = outage {
-            outage.learn(forwarder, at);
+            outage.record_failure(forwarder, at);
         }
-        if let Some(back) = back {
-            back.learn(forwarder, tried, at);
+        if let Some(recovery) = recovery {
+            recovery.record_failure(forwarder, attempt_sent_at, at);
         }
     }
 
     /// A call arrives at the address of this holder.
-    pub fn call(&mut self, arrived: Arrived, holder: u32) -> Reply {
+    pub fn call(&mut self, arrival: Arrival, incarnation: u32) -> ReceiverResponse {
         self.counts.calls += 1;
-        let receiver = &self.all[arrived.destination as usize];
-        if let Some(met) = receiver.met_outage(arrived) {
+        let receiver = &self.receivers[arrival.destination as usize];
+        if let Some(during_outage) = receiver.arrival_during_outage(arrival) {
             self.counts.calls_while_down += 1;
-            self.counts.calls_another_knew += u64::from(met.another_knew);
-            self.counts.calls_only_others_knew += u64::from(met.only_others_knew);
-            return met.reply;
+            self.counts.calls_another_knew += u64::from(during_outage.another_knew);
+            self.counts.calls_only_others_knew += u64::from(during_outage.only_others_knew);
+            return during_outage.response;
         }
-        if holder != receiver.holder {
+        if incarnation != receiver.incarnation {
             self.counts.calls_to_old_address += 1;
-            return Reply::Refused;
+            return ReceiverResponse::Refused;
         }
-        self.count_arrival(arrived);
-        if !self.all[arrived.destination as usize].take(arrived.now) {
-            self.counts.refused_full += 1;
-            return Reply::Full {
+        self.count_arrival(arrival);
+        if !self.receivers[arrival.destination as usize].try_take_token(arrival.now) {
+            self.counts.calls_rate_limited += 1;
+            return ReceiverResponse::RateLimited {
                 retry_after: RETRY_AFTER,
             };
         }
-        Reply::Served(self.draw_answer_time())
+        ReceiverResponse::Served(self.draw_response_time())
     }
 
-    fn draw_answer_time(&mut self) -> Micros {
-        let times = self.answer_times;
-        let time = times.map_or(ANSWER_TIME, |times| times.sample(&mut self.rng));
+    fn draw_response_time(&mut self) -> Micros {
+        let times = self.response_times;
+        let time = times.map_or(MEAN_RESPONSE_TIME, |times| times.sample(&mut self.rng));
         time.max(1.0) as Micros
     }
 
     /// A health check arrives at the address of this holder.
-    pub fn health_check(&mut self, arrived: Arrived, holder: u32) -> Reply {
-        self.counts.probes += 1;
-        let receiver = &self.all[arrived.destination as usize];
-        if let Some(met) = receiver.met_outage(arrived) {
-            self.counts.probes_while_down += 1;
-            self.counts.probes_another_knew += u64::from(met.another_knew);
-            self.counts.probes_only_others_knew += u64::from(met.only_others_knew);
-            return met.reply;
+    pub fn health_check(&mut self, arrival: Arrival, incarnation: u32) -> ReceiverResponse {
+        self.counts.health_checks += 1;
+        let receiver = &self.receivers[arrival.destination as usize];
+        if let Some(during_outage) = receiver.arrival_during_outage(arrival) {
+            self.counts.health_checks_while_down += 1;
+            self.counts.health_checks_another_knew += u64::from(during_outage.another_knew);
+            self.counts.health_checks_only_others_knew += u64::from(during_outage.only_others_knew);
+            return during_outage.response;
         }
-        if holder != receiver.holder {
-            return Reply::Refused;
+        if incarnation != receiver.incarnation {
+            return ReceiverResponse::Refused;
         }
-        self.count_arrival(arrived);
-        Reply::Served(0)
+        self.count_arrival(arrival);
+        ReceiverResponse::Served(0)
     }
 
     /// Counts what reaches a destination that is not warm yet against its budget.
-    fn count_arrival(&mut self, arrived: Arrived) {
-        let receiver = &mut self.all[arrived.destination as usize];
-        let part = receiver.part(arrived.now);
+    fn count_arrival(&mut self, arrival: Arrival) {
+        let receiver = &mut self.receivers[arrival.destination as usize];
+        let capacity_share = receiver.capacity_share(arrival.now);
         let rate = receiver.rate;
-        if let Some(back) = receiver.back.as_mut() {
-            let seen = back.take(arrived, part * rate);
-            self.counts.note_return(back, seen);
+        if let Some(recovery) = receiver.recovery.as_mut() {
+            let load = recovery.record_arrival(arrival, capacity_share * rate);
+            self.counts.record_recovery_load(recovery, load);
         }
     }
 }
 
-impl Down {
-    fn reply(self) -> Reply {
+impl OutageKind {
+    fn response(self) -> ReceiverResponse {
         match self {
-            Down::Refusing => Reply::Refused,
-            Down::Silent => Reply::Nothing,
+            OutageKind::Refusing => ReceiverResponse::Refused,
+            OutageKind::Silent => ReceiverResponse::NoResponse,
         }
     }
 }
 
 impl Receiver {
-    fn condition(&self) -> Option<Down> {
-        self.down.or(self.zone_gone.then_some(Down::Silent))
+    fn outage_kind(&self) -> Option<OutageKind> {
+        self.own_outage
+            .or(self.zone_isolated.then_some(OutageKind::Silent))
     }
 
     /// Changes what keeps it down; says whether it has come back by that.
-    fn change(&mut self, now: Micros, change: impl FnOnce(&mut Receiver)) -> bool {
-        let before = self.condition().is_some();
+    fn update_outage(&mut self, now: Micros, change: impl FnOnce(&mut Receiver)) -> bool {
+        let before = self.outage_kind().is_some();
         change(self);
-        let after = self.condition().is_some();
+        let after = self.outage_kind().is_some();
         match (before, after) {
-            (false, true) => (self.outage, self.back) = (Some(Box::default()), None),
+            (false, true) => (self.outage, self.recovery) = (Some(Box::default()), None),
             (true, false) => {
                 let outage = self.outage.take().map(|outage| *outage).unwrap_or_default();
-                self.back = Some(Box::new(Return::after(outage, now)));
-                self.temperature = Temperature::Cold { since: now };
+                self.recovery = Some(Box::new(Recovery::after(outage, now)));
+                self.warm_up = WarmUpState::Cold { since: now };
             }
             _ => {}
         }
@@ -259,41 +270,42 @@
     }
 
     /// What a call or health check meets while it is down; none while it is up.
-    fn met_outage(&self, arrived: Arrived) -> Option<MetOutage> {
-        let reply = self.condition()?.reply();
-        let (forwarder, sent) = (arrived.forwarder, arrived.sent);
+    fn arrival_during_outage(&self, arrival: Arrival) -> Option<ArrivalDuringOutage> {
+        let response = self.outage_kind()?.response();
+        let (forwarder, sent_at) = (arrival.forwarder, arrival.sent_at);
         let outage = self.outage.as_ref();
-        let another = outage.is_some_and(|outage| outage.known_to_another(forwarder, sent));
-        let own = outage.is_some_and(|outage| outage.known_to(forwarder, sent));
-        Some(MetOutage {
-            reply,
+        let another = outage.is_some_and(|outage| outage.known_to_another(forwarder, sent_at));
+        let own = outage.is_some_and(|outage| outage.known_to(forwarder, sent_at));
+        Some(ArrivalDuringOutage {
+            response,
             another_knew: another,
             only_others_knew: another && !own,
         })
     }
 
     /// The part of its rate that it takes now; from the end of its warm-up on it is warm.
-    fn part(&mut self, now: Micros) -> f64 {
-        let Temperature::Cold { since } = self.temperature else {
+    fn capacity_share(&mut self, now: Micros) -> f64 {
+        let WarmUpState::Cold { since } = self.warm_up else {
             return 1.0;
         };
         let rules = rules();
         let warmth = (now - since) as f64 / rules.warm_up_time as f64;
         if warmth >= 1.0 {
-            (self.temperature, self.back) = (Temperature::Warm, None);
+            (self.warm_up, self.recovery) = (WarmUpState::Warm, None);
             return 1.0;
         }
         rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warmth
     }
 
     /// Whether its rate allows one more call.
-    fn take(&mut self, now: Micros) -> bool {
-        let rate = self.rate * self.part(now).max(LEAST_PART);
-        let passed = now.saturating_sub(self.filled) as f64 / SECOND as f64;
-        self.tokens = (self.tokens + passed * rate).min((self.rate * BURST).max(1.0));
-        self.filled = now;
-        let room = self.tokens >= 1.0;
-        self.tokens -= f64::from(u8::from(room));
-        room
+    fn try_take_token(&mut self, now: Micros) -> bool {
+        let rate = self.rate * self.capacity_share(now).max(MIN_CAPACITY_SHARE);
+        let elapsed_seconds = now.saturating_sub(self.refilled_at) as f64 / SECOND as f64;
+        self.tokens =
+            (self.tokens + elapsed_seconds * rate).min((self.rate * BURST_SECONDS).max(1.0));
+        self.refilled_at = now;
+        let has_token = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(has_token));
+        has_token
     }
 }
--- a/crates/lab/src/capacity/fleet/report.rs
+++ b/crates/lab/src/capacity/fleet/report.rs
@@ -1,14 +1,14 @@
 //! What a run has shown: counts, which its plan decides alone, and what was measured on this machine. As text, JSON and plot.
 
+use super::counters::{EventKind, MessageCounts, EVENT_KINDS};
+use super::destination_states::DestinationStates;
 use super::discovery::{ConfigChange, Discovery};
-use super::hollow::HollowForwarder;
 use super::layout::{forwarder_zone, region};
-use super::onlooker::ReceiverCounts;
+use super::network::{ControlTraffic, Network};
+use super::observer::ReceiverCounts;
 use super::plan::{Plan, SECOND};
 use super::receivers::Receivers;
-use super::states::States;
-use super::tally::{MessageCounts, Work, WORK_KINDS};
-use super::wire::{ControlTraffic, Wire};
+use super::simulated_forwarder::SimulatedForwarder;
 use opalpulley::Micros;
 use serde::Serialize;
 use std::time::Duration;
@@ -26,8 +26,8 @@
     /// Calls and probes, and datagrams, that a cut kept from arriving.
     pub attempts_lost: u64,
     pub gossip_lost: u64,
-    pub changes: Vec<ChangeInForce>,
-    pub states: States,
+    pub changes: Vec<ChangePropagation>,
+    pub states: DestinationStates,
 }
 
 /// Bytes a second on the wire at one forwarder, after the start.
@@ -63,7 +63,7 @@
 
 /// When a change of configuration was in force, in seconds after it was made.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct ChangeInForce {
+pub struct ChangePropagation {
     pub made_at: f64,
     pub lines: usize,
     /// Half of the forwarders had it, of those that had it at the end.
@@ -76,53 +76,61 @@
     pub missing: usize,
 }
 
-impl ChangeInForce {
-    fn of(change: &ConfigChange) -> ChangeInForce {
-        let after = |at: &Micros| (at - change.made) as f64 / SECOND as f64;
-        let mut times: Vec<f64> = change.in_force.iter().flatten().map(after).collect();
+impl ChangePropagation {
+    fn of(change: &ConfigChange) -> ChangePropagation {
+        let seconds_after = |at: &Micros| (at - change.made_at) as f64 / SECOND as f64;
+        let mut times: Vec<f64> = change
+            .in_force_at
+            .iter()
+            .flatten()
+            .map(seconds_after)
+            .collect();
         times.sort_by(f64::total_cmp);
         let last_in = |wanted: u16| {
-            let there = |(at, forwarder): (&Option<Micros>, u32)| {
+            let in_region = |(at, forwarder): (&Option<Micros>, u32)| {
                 at.filter(|_| region(forwarder_zone(forwarder)) == wanted)
             };
             change
-                .in_force
+                .in_force_at
                 .iter()
                 .zip(0..)
-                .filter_map(there)
+                .filter_map(in_region)
                 .max()
-                .map(|at| after(&at))
+                .map(|at| seconds_after(&at))
         };
-        ChangeInForce {
-            made_at: change.made as f64 / SECOND as f64,
-            lines: change.listings.len(),
+        ChangePropagation {
+            made_at: change.made_at as f64 / SECOND as f64,
+            lines: change.entries.len(),
             median: times.get(times.len() / 2).copied(),
             last: times.last().copied(),
             last_by_region: [last_in(0), last_in(1)],
-            missing: change.in_force.len() - times.len(),
+            missing: change.in_force_at.len() - times.len(),
         }
     }
 }
 
 /// Counts of a finished run.
-pub fn counts(
+pub fn collect_counts(
     plan: &Plan,
-    forwarders: &[HollowForwarder],
-    wire: &Wire,
+    forwarders: &[SimulatedForwarder],
+    network: &Network,
     receivers: &Receivers,
     discovery: &Discovery,
 ) -> Counts {
     let mut messages = MessageCounts::default();
     forwarders.iter().for_each(|f| messages += f.counts);
     let mut control = ControlTraffic::default();
-    wire.control.iter().for_each(|c| control += *c);
+    network.control.iter().for_each(|c| control += *c);
     let seconds = f64::from(plan.seconds);
     let rate = |bytes: fn(&ControlTraffic) -> u64| {
-        MeanAndWorst::of(wire.control.iter().map(|c| bytes(c) as f64 / seconds))
+        MeanAndWorst::of(network.control.iter().map(|c| bytes(c) as f64 / seconds))
     };
     Counts {
         messages,
-        open: forwarders.iter().map(|f| f.open() as u64).sum(),
+        open: forwarders
+            .iter()
+            .map(|f| f.open_message_count() as u64)
+            .sum(),
         receivers: receivers.counts,
         control,
         control_bytes_a_second: ControlRates {
@@ -130,18 +138,22 @@
             gossip_in: rate(|c| c.gossip_in.wire_bytes),
             list_out: rate(|c| c.list_out.wire_bytes),
             list_in: rate(|c| c.list_in.wire_bytes),
-            all: rate(ControlTraffic::running_bytes),
+            all: rate(ControlTraffic::bytes_after_start),
         },
-        attempts_lost: wire.attempts_lost,
-        gossip_lost: wire.gossip_lost,
-        changes: discovery.changes.iter().map(ChangeInForce::of).collect(),
-        states: States::of(forwarders),
+        attempts_lost: network.attempts_lost,
+        gossip_lost: network.gossip_lost,
+        changes: discovery
+            .changes
+            .iter()
+            .map(ChangePropagation::of)
+            .collect(),
+        states: DestinationStates::of(forwarders),
     }
 }
 
 /// One second of the run, over the whole fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Column {
+pub struct SecondCounts {
     pub arrived: u64,
     pub delivered: u64,
     pub gossip_in_bytes: u64,
@@ -149,25 +161,25 @@
     pub attempts_while_down: u64,
 }
 
-impl Column {
+impl SecondCounts {
     /// What has come since the last column; `base` holds the sums up to it.
     pub fn since(
-        base: &mut Option<Column>,
-        forwarders: &[HollowForwarder],
-        wire: &Wire,
+        totals: &mut Option<SecondCounts>,
+        forwarders: &[SimulatedForwarder],
+        network: &Network,
         receivers: &Receivers,
-    ) -> Column {
-        let sum = |of: fn(&ControlTraffic) -> u64| wire.control.iter().map(of).sum();
-        let now = Column {
+    ) -> SecondCounts {
+        let sum = |of: fn(&ControlTraffic) -> u64| network.control.iter().map(of).sum();
+        let now = SecondCounts {
             arrived: forwarders.iter().map(|f| f.counts.arrived).sum(),
             delivered: forwarders.iter().map(|f| f.counts.delivered).sum(),
             gossip_in_bytes: sum(|c| c.gossip_in.wire_bytes),
             list_in_bytes: sum(|c| c.list_in.wire_bytes),
             attempts_while_down: receivers.counts.calls_while_down
-                + receivers.counts.probes_while_down,
+                + receivers.counts.health_checks_while_down,
         };
-        let before = base.replace(now).unwrap_or_default();
-        Column {
+        let before = totals.replace(now).unwrap_or_default();
+        SecondCounts {
             arrived: now.arrived - before.arrived,
             delivered: now.delivered - before.delivered,
             gossip_in_bytes: now.gossip_in_bytes - before.gossip_in_bytes,
@@ -179,8 +191,8 @@
 
 /// The core's work of one kind at one forwarder.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct WorkMeasured {
-    pub kind: Work,
+pub struct EventKindCost {
+    pub kind: EventKind,
     pub events_a_second: f64,
     pub microseconds_an_event: f64,
     /// Part of one core.
@@ -189,44 +201,45 @@
 
 /// What this machine spent. It differs from run to run and is never compared.
 #[derive(Clone, Debug, Serialize)]
-pub struct Measured {
+pub struct Measurements {
     pub wall_seconds: f64,
     pub start_seconds: f64,
     /// Resident memory that the run took, over the forwarders: with the lists in, and at the end.
     pub resident_a_forwarder_at_start: f64,
     pub resident_a_forwarder_at_end: f64,
-    pub work: Vec<WorkMeasured>,
+    pub work: Vec<EventKindCost>,
 }
 
-impl Measured {
+impl Measurements {
     /// What was measured of a run.
     pub fn new(
         plan: &Plan,
-        forwarders: &[HollowForwarder],
-        before: u64,
-        at_start: u64,
-        start: Duration,
-        wall: Duration,
-    ) -> Measured {
+        forwarders: &[SimulatedForwarder],
+        resident_before: u64,
+        resident_at_start: u64,
+        start_time: Duration,
+        wall_time: Duration,
+    ) -> Measurements {
         let seconds = f64::from(plan.seconds);
-        let share = |bytes: u64| bytes.saturating_sub(before) as f64 / forwarders.len() as f64;
-        let of = |kind: Work| {
-            let done = || forwarders.iter().map(|f| f.work[kind as usize]);
-            let events: u64 = done().map(|d| d.events).sum();
-            let time: f64 = done().map(|d| d.time.as_secs_f64()).sum();
-            WorkMeasured {
+        let bytes_per_forwarder =
+            |bytes: u64| bytes.saturating_sub(resident_before) as f64 / forwarders.len() as f64;
+        let cost_of = |kind: EventKind| {
+            let costs = || forwarders.iter().map(|f| f.costs[kind as usize]);
+            let events: u64 = costs().map(|d| d.events).sum();
+            let time: f64 = costs().map(|d| d.cpu_time.as_secs_f64()).sum();
+            EventKindCost {
                 kind,
                 events_a_second: events as f64 / seconds / forwarders.len() as f64,
                 microseconds_an_event: time * 1e6 / events.max(1) as f64,
-                core_share: MeanAndWorst::of(done().map(|d| d.time.as_secs_f64() / seconds)),
+                core_share: MeanAndWorst::of(costs().map(|d| d.cpu_time.as_secs_f64() / seconds)),
             }
         };
-        Measured {
-            wall_seconds: wall.as_secs_f64(),
-            start_seconds: start.as_secs_f64(),
-            resident_a_forwarder_at_start: share(at_start),
-            resident_a_forwarder_at_end: share(resident_bytes()),
-            work: WORK_KINDS.into_iter().map(of).collect(),
+        Measurements {
+            wall_seconds: wall_time.as_secs_f64(),
+            start_seconds: start_time.as_secs_f64(),
+            resident_a_forwarder_at_start: bytes_per_forwarder(resident_at_start),
+            resident_a_forwarder_at_end: bytes_per_forwarder(resident_bytes()),
+            work: EVENT_KINDS.into_iter().map(cost_of).collect(),
         }
     }
 }
@@ -236,8 +249,9 @@
 pub struct FleetOutcome {
     pub plan: Plan,
     pub counts: Counts,
-    pub columns: Vec<Column>,
-    pub measured: Measured,
+    #[serde(rename = "columns")]
+    pub per_second_counts: Vec<SecondCounts>,
+    pub measured: Measurements,
 }
 
 /// Resident memory of this process; 0 where the system does not tell.
--- /dev/null
+++ b/crates/lab/src/capacity/fleet/simulated_forwarder.rs
@@ -0,0 +1,384 @@
+//! A hollow forwarder: the real decision core with its gossip codec, between an inbox of timed events and an outbox for the
+//! wire. It takes its own stream of messages, keeps the time-outs of attempts and probes, and counts what becomes of each
+//! message and what the core's work costs by kind of event.
+
+use super::counters::{EventCost, EventKind, MessageCounts, EVENT_KINDS};
+use super::event_queue::EventQueue;
+use super::forwarder_io::{ForwarderInput, ForwarderOutput};
+use super::layout::{destination_of, forwarder_zone, Layout};
+use super::plan::{Plan, LATENCY_TARGET, SECOND};
+use super::receivers::Receivers;
+use crate::random::{exponential, seeded_rng};
+use opalpulley::{
+    Action, AttemptHistory, DeliveryClassId, DestinationId, EndpointEntry, EndpointId,
+    EndpointListUpdate, Event, Forwarder, MessageId, Micros, Outcome, StateCounts, Submission,
+    TenantId,
+};
+use rand::Rng;
+use rand_pcg::Pcg64Mcg;
+use std::collections::HashMap;
+
+/// A health check without answer has failed after this time, µs.
+const HEALTH_CHECK_TIMEOUT: Micros = 1_500_000;
+/// The deadline of a message, as the delivery classes have it, µs.
+const DEADLINE: Micros = 28 * SECOND;
+
+struct OpenMessage {
+    arrived_at: Micros,
+    destination_was_down: bool,
+    measured: bool,
+    /// Attempts so far.
+    attempts: u8,
+    /// The attempt that is out: its target and when it was sent.
+    in_flight: Option<(EndpointId, Micros)>,
+}
+
+/// A core with its inbox, its outbox and its counts.
+pub struct SimulatedForwarder {
+    pub id: u32,
+    pub zone: u16,
+    pub inbox: EventQueue<ForwarderInput>,
+    pub outbox: Vec<(Micros, ForwarderOutput)>,
+    pub counts: MessageCounts,
+    pub costs: [EventCost; EVENT_KINDS.len()],
+    core: Forwarder,
+    actions: Vec<Action>,
+    open_messages: HashMap<MessageId, OpenMessage>, // a message leaves with its end
+    health_checks: HashMap<EndpointId, Micros>,     // a probe leaves with its answer or time-out
+    rng: Pcg64Mcg,
+    /// Messages a second that arrive here.
+    arrival_rate: f64,
+    generation: u32,
+    measured_arrivals: std::ops::Range<Micros>,
+}
+
+impl SimulatedForwarder {
+    /// A forwarder that knows no endpoint yet.
+    pub fn new(plan: &Plan, id: u32) -> SimulatedForwarder {
+        SimulatedForwarder {
+            id,
+            zone: forwarder_zone(id),
+            inbox: EventQueue::default(),
+            outbox: Vec::new(),
+            counts: MessageCounts::default(),
+            costs: Default::default(),
+            core: Forwarder::new(plan.forwarder_config(id), plan.seed << 20 ^ u64::from(id)),
+            actions: Vec::new(),
+            open_messages: HashMap::new(),
+            health_checks: HashMap::new(),
+            rng: seeded_rng(plan.seed, "messages", u64::from(id)),
+            arrival_rate: 0.0,
+            generation: 0,
+            measured_arrivals: plan.measured_from()..plan.measured_until(),
+        }
+    }
+
+    /// The whole list as it stands at the start.
+    pub fn load_initial_list(&mut self, list: &[EndpointEntry]) {
+        self.handle_event(
+            0,
+            EventKind::FirstList,
+            Event::EndpointListUpdated(EndpointListUpdate::Complete(list.to_vec())),
+        );
+    }
+
+    /// From now on so many messages a second arrive here.
+    pub fn set_arrival_rate(&mut self, now: Micros, per_second: f64) {
+        self.arrival_rate = per_second;
+        self.generation += 1;
+        self.schedule_next_message(now);
+    }
+
+    fn schedule_next_message(&mut self, now: Micros) {
+        if self.arrival_rate > 0.0 {
+            let gap = exponential(&mut self.rng) / self.arrival_rate * SECOND as f64;
+            self.inbox.push(
+                now + gap.max(1.0) as Micros,
+                ForwarderInput::Message {
+                    generation: self.generation,
+                },
+            );
+        }
+    }
+
+    /// Handles all that comes before `until`. What is sent by that lies in the outbox.
+    pub fn advance(&mut self, until: Micros, layout: &Layout, receivers: &Receivers) {
+        while let Some((now, incoming)) = self.inbox.pop_before(until) {
+            self.handle_input(now, incoming, layout, receivers);
+        }
+    }
+
+    fn handle_input(
+        &mut self,
+        now: Micros,
+        incoming: ForwarderInput,
+        layout: &Layout,
+        receivers: &Receivers,
+    ) {
+        match incoming {
+            ForwarderInput::Message { generation } if generation == self.generation => {
+                self.schedule_next_message(now);
+                self.submit_message(now, layout, receivers);
+            }
+            ForwarderInput::Message { .. } => {}
+            ForwarderInput::Timer(token) => {
+                self.handle_event(now, EventKind::Tick, Event::TimerFired { token })
+            }
+            ForwarderInput::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+            } => self.end_attempt(now, id, attempt, outcome),
+            ForwarderInput::HealthCheckEnded {
+                endpoint,
+                sent_at,
+                outcome,
+            } => self.end_health_check(now, endpoint, sent_at, outcome),
+            ForwarderInput::Gossip { peer, payload } => {
+                let payload = payload.to_vec();
+                self.handle_event(
+                    now,
+                    EventKind::Gossip,
+                    Event::GossipReceived { peer, payload },
+                );
+            }
+            ForwarderInput::EndpointList {
+                complete,
+                revision,
+                entries,
+            } => {
+                let entries = entries.to_vec();
+                let update = match complete {
+                    true => EndpointListUpdate::Complete(entries),
+                    false => EndpointListUpdate::Changes(entries),
+                };
+                self.handle_event(now, EventKind::List, Event::EndpointListUpdated(update));
+                self.outbox
+                    .push((now, ForwarderOutput::ListInForce { revision }));
+            }
+        }
+    }
+
+    /// A health check is answered or has failed; one that was answered before, or given up, counts for nothing.
+    fn end_health_check(
+        &mut self,
+        now: Micros,
+        endpoint: EndpointId,
+        sent_at: Micros,
+        outcome: Outcome,
+    ) {
+        if self.health_checks.get(&endpoint) != Some(&sent_at) {
+            return;
+        }
+        self.health_checks.remove(&endpoint);
+        if outcome != Outcome::Delivered {
+            self.report_failure(now, endpoint, sent_at);
+        }
+        let event = Event::HealthCheckEnded {
+            endpoint,
+            outcome,
+            elapsed: now - sent_at,
+            load_metrics: Vec::new(),
+        };
+        self.handle_event(now, EventKind::Probe, event);
+    }
+
+    fn submit_message(&mut self, now: Micros, layout: &Layout, receivers: &Receivers) {
+        let destination = layout.draw_destination(&mut self.rng);
+        let id = MessageId(self.counts.arrived as u32);
+        let (measured, destination_was_down) = (
+            self.measured_arrivals.contains(&now),
+            receivers.is_down(destination),
+        );
+        self.counts.arrived += 1;
+        self.counts.eligible_while_down += u64::from(measured && destination_was_down);
+        self.counts.eligible_while_up += u64::from(measured && !destination_was_down);
+        self.open_messages.insert(
+            id,
+            OpenMessage {
+                arrived_at: now,
+                destination_was_down,
+                measured,
+                attempts: 0,
+                in_flight: None,
+            },
+        );
+        let submission = Submission {
+            id,
+            class: DeliveryClassId(self.rng.random_range(0..2)),
+            tenant: TenantId(0),
+            order_key: None,
+            time_left: DEADLINE,
+            destination: DestinationId(destination),
+            resubmitted: false,
+            history: AttemptHistory::default(),
+        };
+        self.handle_event(now, EventKind::Message, Event::MessageSubmitted(submission));
+    }
+
+    fn end_attempt(&mut self, now: Micros, id: MessageId, attempt_index: u8, outcome: Outcome) {
+        let Some(message) = self
+            .open_messages
+            .get_mut(&id)
+            .filter(|m| m.attempts == attempt_index + 1)
+        else {
+            return;
+        };
+        let Some((endpoint, sent_at)) = message.in_flight.take() else {
+            return;
+        };
+        let (on_time, destination_was_down) = (
+            now <= message.arrived_at + LATENCY_TARGET,
+            message.destination_was_down,
+        );
+        let counted = message.measured && on_time;
+        match outcome {
+            Outcome::Delivered => {
+                self.open_messages.remove(&id);
+                self.counts.delivered += 1;
+                self.counts.on_time_while_up += u64::from(counted && !destination_was_down);
+                self.counts.on_time_while_down += u64::from(counted && destination_was_down);
+            }
+            Outcome::Timeout => self.counts.timed_out += 1,
+            Outcome::NoConnection => self.counts.no_connection += 1,
+            Outcome::Cancelled => self.counts.cancelled += 1,
+            _ => {}
+        }
+        if matches!(
+            outcome,
+            Outcome::Timeout | Outcome::NoConnection | Outcome::Cancelled
+        ) {
+            self.report_failure(now, endpoint, sent_at);
+        }
+        let (elapsed, completed) = (now - sent_at, outcome == Outcome::Delivered);
+        let event = Event::AttemptEnded {
+            id,
+            attempt_index,
+            endpoint,
+            outcome,
+            elapsed,
+            message_completed: completed,
+            load_metrics: Vec::new(),
+        };
+        self.handle_event(now, EventKind::Message, event);
+    }
+
+    /// A call or probe has failed: where that was by an outage of the destination, the forwarder has met it.
+    fn report_failure(&mut self, now: Micros, endpoint: EndpointId, attempt_sent_at: Micros) {
+        self.outbox.push((
+            now,
+            ForwarderOutput::FailureSeen {
+                destination: destination_of(endpoint),
+                attempt_sent_at,
+            },
+        ));
+    }
+
+    /// Has the core handle one event, books the time, and carries out its actions.
+    fn handle_event(&mut self, now: Micros, kind: EventKind, event: Event) {
+        let SimulatedForwarder { core, actions, .. } = self;
+        self.costs[kind as usize].measure(|| core.handle(now, event, actions));
+        let mut actions = std::mem::take(&mut self.actions);
+        for action in actions.drain(..) {
+            self.perform(now, action);
+        }
+        self.actions = actions;
+    }
+
+    fn perform(&mut self, now: Micros, action: Action) {
+        match action {
+            Action::StartAttempt {
+                id,
+                endpoint,
+                timeout,
+                ..
+            } => self.start_attempt(now, id, endpoint, timeout),
+            Action::CancelAttempt { id, attempt_index } => {
+                self.schedule_attempt_end(now, id, attempt_index, Outcome::Cancelled);
+            }
+            Action::StartHealthCheck { endpoint } => self.start_health_check(now, endpoint),
+            Action::Fail { id } => {
+                if self.open_messages.remove(&id).is_some() {
+                    self.counts.failed += 1;
+                }
+            }
+            Action::Reject { id, .. } => {
+                if self.open_messages.remove(&id).is_some() {
+                    self.counts.rejected += 1;
+                }
+            }
+            Action::SetTimer { delay, token } => {
+                self.inbox.push(now + delay, ForwarderInput::Timer(token))
+            }
+            Action::SendGossip { peer, payload } => {
+                let payload = payload.into();
+                let gossip = ForwarderOutput::Gossip { to: peer, payload };
+                self.outbox.push((now, gossip));
+            }
+            Action::LogError(_) => self.counts.core_errors += 1,
+            // A call goes whole as it is sent, and discovery holds a watch open for each forwarder.
+            Action::WithdrawUnsent { .. }
+            | Action::CloseIdleConnections { .. }
+            | Action::WatchEndpointList { .. } => {}
+            Action::FetchEndpointList | Action::Log(_) => {}
+        }
+    }
+
+    fn start_attempt(
+        &mut self,
+        now: Micros,
+        id: MessageId,
+        endpoint: EndpointId,
+        timeout: Option<Micros>,
+    ) {
+        let Some(message) = self.open_messages.get_mut(&id) else {
+            return;
+        };
+        let attempt = message.attempts;
+        message.attempts += 1;
+        message.in_flight = Some((endpoint, now));
+        self.counts.attempts += 1;
+        let call = ForwarderOutput::Call {
+            id,
+            attempt,
+            endpoint,
+        };
+        self.outbox.push((now, call));
+        if let Some(timeout) = timeout {
+            self.schedule_attempt_end(now + timeout, id, attempt, Outcome::Timeout);
+        }
+    }
+
+    /// Has an attempt end with an outcome at a time.
+    fn schedule_attempt_end(&mut self, at: Micros, id: MessageId, attempt: u8, outcome: Outcome) {
+        let input = ForwarderInput::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+        };
+        self.inbox.push(at, input);
+    }
+
+    fn start_health_check(&mut self, now: Micros, endpoint: EndpointId) {
+        self.counts.health_checks += 1;
+        self.health_checks.insert(endpoint, now);
+        self.outbox
+            .push((now, ForwarderOutput::HealthCheck { endpoint }));
+        let failed = ForwarderInput::HealthCheckEnded {
+            endpoint,
+            sent_at: now,
+            outcome: Outcome::Timeout,
+        };
+        self.inbox.push(now + HEALTH_CHECK_TIMEOUT, failed);
+    }
+
+    /// How much the core holds in full and as summaries.
+    pub fn state_counts(&self) -> StateCounts {
+        self.core.state_counts()
+    }
+
+    /// Messages that have no end yet.
+    pub fn open_message_count(&self) -> usize {
+        self.open_messages.len()
+    }
+}
--- a/crates/lab/src/capacity/fleet/tests.rs
+++ b/crates/lab/src/capacity/fleet/tests.rs
@@ -1,13 +1,13 @@
-use super::plan::{BadPlan, FullDestinations, Incident, Plan};
+use super::network::Partition;
+use super::plan::{FullDestinations, Incident, Plan, PlanError};
 use super::report::{Counts, FleetOutcome};
 use super::run;
-use super::wire::Cut;
 
 /// One is enough for so few forwarders.
 const THREADS: usize = 1;
 
 /// Twelve forwarders and three hundred destinations: the small twin of a fleet run.
-fn small(seed: u64) -> Plan {
+fn small_plan(seed: u64) -> Plan {
     Plan {
         forwarders: 12,
         destinations: 300,
@@ -25,20 +25,20 @@
     }
 }
 
-fn played(plan: &Plan) -> Counts {
+fn run_counts(plan: &Plan) -> Counts {
     run(plan, THREADS).expect("the plan can be run").counts
 }
 
 /// What holds of every run: no message is without an end or twice ended, and all bytes are accounted for.
 fn assert_accounts_balance(plan: &Plan, counts: &Counts) {
     let messages = &counts.messages;
-    assert_eq!(messages.faults, 0);
+    assert_eq!(messages.core_errors, 0);
     let ended = messages.delivered + messages.failed + messages.rejected;
     assert_eq!(messages.arrived, ended + counts.open);
     let control = &counts.control;
-    let heard = control.gossip_in.messages + counts.gossip_lost;
+    let received_or_lost = control.gossip_in.messages + counts.gossip_lost;
     assert_eq!(
-        heard,
+        received_or_lost,
         control.gossip_out.messages * u64::from(plan.forwarders - 1),
         "all peers but oneself"
     );
@@ -54,30 +54,34 @@
     }
     assert_eq!(control.first_list_in.messages, u64::from(plan.forwarders));
     let receivers = &counts.receivers;
-    assert!(receivers.calls <= messages.attempts && receivers.probes <= messages.probes);
+    assert!(
+        receivers.calls <= messages.attempts && receivers.health_checks <= messages.health_checks
+    );
     assert!(receivers.calls_only_others_knew <= receivers.calls_another_knew);
     assert!(receivers.calls_another_knew <= receivers.calls_while_down);
-    assert!(receivers.returns_over_allowed <= receivers.returns_over_budget);
-    assert!(receivers.returns_pushed_over <= receivers.returns_over_allowed);
+    assert!(receivers.recoveries_over_limit <= receivers.recoveries_over_budget);
+    assert!(receivers.recoveries_overloaded_by_witnesses <= receivers.recoveries_over_limit);
 }
 
 #[test]
-fn seeds_reproduce_a_run_with_any_number_of_threads() {
-    let of = |seed, threads| {
+fn same_seed_gives_same_counts_with_any_number_of_threads() {
+    let counts_of = |seed, threads| {
         let FleetOutcome {
-            counts, columns, ..
-        } = run(&small(seed), threads).expect("the plan can be run");
-        (counts, columns)
+            counts,
+            per_second_counts,
+            ..
+        } = run(&small_plan(seed), threads).expect("the plan can be run");
+        (counts, per_second_counts)
     };
-    let first = of(1, 1);
-    assert_eq!(first, of(1, 3));
-    assert_ne!(first, of(2, 2));
+    let first = counts_of(1, 1);
+    assert_eq!(first, counts_of(1, 3));
+    assert_ne!(first, counts_of(2, 2));
 }
 
 #[test]
-fn a_run_accounts_for_each_message_and_byte() {
-    let plan = small(3);
-    let counts = played(&plan);
+fn accounts_for_each_message_and_byte() {
+    let plan = small_plan(3);
+    let counts = run_counts(&plan);
     assert_accounts_balance(&plan, &counts);
     let (messages, receivers) = (&counts.messages, &counts.receivers);
     let expected = plan.events_a_second * f64::from(plan.seconds);
@@ -94,44 +98,44 @@
         receivers.calls_while_down > 0 && receivers.calls_another_knew > 0,
         "some are down"
     );
-    assert!(receivers.returns > 0, "some have come back");
+    assert!(receivers.recoveries > 0, "some have come back");
     // A watch is answered twelve times a minute where nothing changes: the least that a list costs.
     let watches = u64::from(plan.forwarders * plan.seconds / 5);
-    let asked = counts.control.list_out.messages;
+    let requests = counts.control.list_out.messages;
     assert!(
-        asked >= watches - u64::from(plan.forwarders),
-        "{asked} requests, {watches} expected at least"
+        requests >= watches - u64::from(plan.forwarders),
+        "{requests} requests, {watches} expected at least"
     );
     assert!(
-        messages.in_time_to_up as f64 >= 0.95 * messages.due_to_up as f64,
+        messages.on_time_while_up as f64 >= 0.95 * messages.eligible_while_up as f64,
         "{messages:?}"
     );
 }
 
 #[test]
-fn budgets_by_a_wrong_count_of_forwarders_push_a_returning_destination_over() {
+fn overloads_recovering_destination_when_configured_fleet_size_is_wrong() {
     let busy = Plan {
         events_a_second: 600.0,
         changes_a_day: 0.0,
-        ..small(4)
+        ..small_plan(4)
     };
-    let right = played(&busy);
+    let correct = run_counts(&busy);
     assert_eq!(
-        right.receivers.returns_over_allowed, 0,
+        correct.receivers.recoveries_over_limit, 0,
         "{:?}",
-        right.receivers
+        correct.receivers
     );
-    let wrong = played(&Plan {
+    let wrong = run_counts(&Plan {
         configured_forwarders: Some(1),
         ..busy
     });
     assert!(
-        wrong.receivers.returns_over_allowed > 0,
+        wrong.receivers.recoveries_over_limit > 0,
         "{:?}",
         wrong.receivers
     );
     assert!(
-        wrong.receivers.returns_pushed_over > 0,
+        wrong.receivers.recoveries_overloaded_by_witnesses > 0,
         "by ones that knew: {:?}",
         wrong.receivers
     );
@@ -140,29 +144,29 @@
 }
 
 #[test]
-fn idle_destinations_held_as_summaries_change_nothing_that_a_destination_could_complain_of() {
+fn recovering_destinations_stay_within_limit_when_idle_destinations_are_summarised() {
     let busy = Plan {
         events_a_second: 600.0,
-        ..small(8)
+        ..small_plan(8)
     };
-    let held = |full_destinations| {
+    let counts_with = |full_destinations| {
         let plan = Plan {
             full_destinations,
             ..busy.clone()
         };
-        let counts = played(&plan);
+        let counts = run_counts(&plan);
         assert_accounts_balance(&plan, &counts);
         counts
     };
     let (all, none) = (
-        held(FullDestinations::All),
-        held(FullDestinations::Beyond(0)),
+        counts_with(FullDestinations::All),
+        counts_with(FullDestinations::Beyond(0)),
     );
     assert_eq!(all.messages.arrived, none.messages.arrived);
     for counts in [&all, &none] {
-        assert!(counts.receivers.returns > 0, "some have come back");
+        assert!(counts.receivers.recoveries > 0, "some have come back");
         assert_eq!(
-            counts.receivers.returns_over_allowed, 0,
+            counts.receivers.recoveries_over_limit, 0,
             "{:?}",
             counts.receivers
         );
@@ -185,25 +189,25 @@
 }
 
 #[test]
-fn full_destinations_are_named_by_number_or_all() {
-    for (text, setting) in [("all", None), ("0", Some(0)), ("1024", Some(1_024))] {
+fn parses_full_destinations_from_number_or_all() {
+    for (text, limit) in [("all", None), ("0", Some(0)), ("1024", Some(1_024))] {
         let parsed: FullDestinations = text.parse().expect(text);
         assert_eq!(
-            (parsed.setting(), parsed.to_string()),
-            (setting, text.to_owned())
+            (parsed.limit(), parsed.to_string()),
+            (limit, text.to_owned())
         );
     }
     assert!("most".parse::<FullDestinations>().is_err());
 }
 
 #[test]
-fn a_change_is_in_force_everywhere_within_its_spread_and_the_way() {
+fn change_is_in_force_on_all_forwarders_within_propagation_delay() {
     let plan = Plan {
         incident: Incident::Change,
         changes_a_day: 0.0,
-        ..small(5)
+        ..small_plan(5)
     };
-    let counts = played(&plan);
+    let counts = run_counts(&plan);
     assert_accounts_balance(&plan, &counts);
     let [change] = counts.changes.as_slice() else {
         panic!("one change: {:?}", counts.changes)
@@ -218,13 +222,13 @@
 }
 
 #[test]
-fn a_zone_that_is_cut_off_gets_changes_after_it_is_back() {
+fn isolated_zone_receives_changes_after_partition_heals() {
     let plan = Plan {
         incident: Incident::ZoneCut,
         changes_a_day: 0.0,
-        ..small(6)
+        ..small_plan(6)
     };
-    let counts = played(&plan);
+    let counts = run_counts(&plan);
     assert_accounts_balance(&plan, &counts);
     assert!(
         counts.attempts_lost > 0 && counts.gossip_lost > 0,
@@ -234,93 +238,97 @@
         panic!("two changes: {:?}", counts.changes)
     };
     // Made at 7.5 s, healed at 10 s; the watches of the cut zone are opened again 7.15 s after they were lost at the latest.
-    let [first, second] = during
+    let [first_region, second_region] = during
         .last_by_region
         .map(|last| last.expect("both regions have it"));
     assert!(
-        first < 2.3 && (2.5..2.5 + 7.2 + 2.3).contains(&second),
+        first_region < 2.3 && (2.5..2.5 + 7.2 + 2.3).contains(&second_region),
         "{during:?}"
     );
     assert_eq!((during.missing, after.missing), (0, 0));
-    let untouched = played(&Plan {
+    let without_partition = run_counts(&Plan {
         incident: Incident::None,
         ..plan
     });
     assert!(
-        counts.receivers.returns > untouched.receivers.returns + 30,
+        counts.receivers.recoveries > without_partition.receivers.recoveries + 30,
         "an eighth came back cold"
     );
 }
 
 #[test]
-fn a_region_that_is_cut_off_gets_changes_after_it_is_back() {
+fn isolated_region_receives_changes_after_partition_heals() {
     let plan = Plan {
         incident: Incident::RegionCut,
         changes_a_day: 0.0,
-        ..small(7)
+        ..small_plan(7)
     };
-    let counts = played(&plan);
+    let counts = run_counts(&plan);
     assert_accounts_balance(&plan, &counts);
     let during = &counts.changes[0];
-    let [first, second] = during
+    let [first_region, second_region] = during
         .last_by_region
         .map(|last| last.expect("both regions have it"));
-    assert!(first < 2.3 && second > 2.5, "{during:?}");
+    assert!(first_region < 2.3 && second_region > 2.5, "{during:?}");
     assert!(counts.gossip_lost > 0 && counts.attempts_lost > 0);
 }
 
 #[test]
-fn a_cut_keeps_apart_what_it_should() {
-    let passes = |cut: Cut| [(7, 7), (7, 6), (0, 3), (3, 4)].map(|(from, to)| cut.passes(from, to));
-    assert_eq!(passes(Cut::None), [true; 4]);
-    assert_eq!(passes(Cut::Zone(7)), [true, false, true, true]);
-    assert_eq!(passes(Cut::Regions), [true, true, true, false]);
+fn partition_blocks_only_traffic_that_crosses_it() {
+    let connections = |partition: Partition| {
+        [(7, 7), (7, 6), (0, 3), (3, 4)].map(|(from, to)| partition.connects(from, to))
+    };
+    assert_eq!(connections(Partition::None), [true; 4]);
+    assert_eq!(connections(Partition::Zone(7)), [true, false, true, true]);
+    assert_eq!(connections(Partition::Regions), [true, true, true, false]);
 }
 
 #[test]
-fn plans_that_cannot_be_run_are_refused_with_the_option_to_mend() {
-    let says = |plan: Plan| run(&plan, 1).map(|_| ()).expect_err("refused");
+fn rejects_invalid_plan_and_names_the_option() {
+    let plan_error = |plan: Plan| run(&plan, 1).map(|_| ()).expect_err("refused");
     assert_eq!(
-        says(Plan {
+        plan_error(Plan {
             destinations: 0,
-            ..small(1)
+            ..small_plan(1)
         }),
-        BadPlan::Destinations { asked: 0 }
+        PlanError::Destinations { requested: 0 }
     );
-    let beyond = (1 << 24) + 1;
+    let too_many = (1 << 24) + 1;
     assert_eq!(
-        says(Plan {
-            destinations: beyond,
-            ..small(1)
+        plan_error(Plan {
+            destinations: too_many,
+            ..small_plan(1)
         }),
-        BadPlan::Destinations { asked: beyond }
+        PlanError::Destinations {
+            requested: too_many
+        }
     );
     assert_eq!(
-        says(Plan {
+        plan_error(Plan {
             forwarders: 1,
-            ..small(1)
+            ..small_plan(1)
         }),
-        BadPlan::Forwarders { asked: 1 }
+        PlanError::Forwarders { requested: 1 }
     );
-    let bad = says(Plan {
+    let error = plan_error(Plan {
         down_share: 1.0,
-        ..small(1)
+        ..small_plan(1)
     });
     assert_eq!(
-        bad,
-        BadPlan::OutOfRange {
+        error,
+        PlanError::OutOfRange {
             option: "--down-share",
             value: 1.0
         }
     );
-    assert_eq!(bad.to_string(), "--down-share 1 is out of range");
-    let bad = says(Plan {
+    assert_eq!(error.to_string(), "--down-share 1 is out of range");
+    let error = plan_error(Plan {
         events_a_second: f64::NAN,
-        ..small(1)
+        ..small_plan(1)
     });
     assert!(matches!(
-        bad,
-        BadPlan::OutOfRange {
+        error,
+        PlanError::OutOfRange {
             option: "--events-a-second",
             ..
         }
