--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -1,10 +1,11 @@
-//! A fleet of hollow forwarders in one process: the real decision core and gossip codec of each, an in-memory wire that counts
-//! bytes, simple receivers, a discovery, and one simulated clock. It measures what control costs a forwarder, and what the
-//! fleet as a whole does to destinations that are down or have just come back.
+//! Simulates a fleet of forwarders in one process: the real decision core and gossip codec of each forwarder, an in-memory
+//! network that counts bytes, simple receivers, service discovery and one simulated clock. It measures what control traffic
+//! and control work cost a forwarder, and the load that the whole fleet puts on destinations that are down or have just
+//! recovered.
 //!
-//! The run goes by short windows of time. Nothing on the wire is faster than a window, so within one the forwarders can't
-//! influence each other and are handled side by side; what they send is carried on in a fixed order afterwards. A run is
-//! the same whatever the number of threads.
+//! A run advances in short time steps. No network delay is shorter than a step, so the forwarders can't influence each other
+//! within a step and are handled in parallel. What they send is transmitted after the step, in the order of the forwarders'
+//! numbers, so the outcome of a run does not depend on the number of threads.
 
 pub mod config_changes;
 pub mod counters;
@@ -41,48 +42,57 @@
 use std::time::Instant;
 use transport::{new_arrival, response_outcome};
 
-/// Time that is handled at once: under the least delay.
+/// Length of a time step, in µs. It is shorter than [`MIN_DELAY`], so nothing sent within a step arrives within it.
 const TIME_STEP: Micros = MIN_DELAY - 1_000;
-/// What happens in the world outside the forwarders.
+/// An event outside the forwarders: at a destination, in discovery or in the network.
 enum ExternalEvent {
+    /// A call reaches its endpoint.
     Call {
         forwarder: u32,
         sent_at: Micros,
         id: MessageId,
+        /// Index of the attempt among those of the message, from 0.
         attempt: u8,
         endpoint: EndpointId,
     },
+    /// A health check reaches its endpoint.
     HealthCheck {
         forwarder: u32,
         sent_at: Micros,
         endpoint: EndpointId,
     },
+    /// An outage of one destination begins or ends.
     Outage {
         destination: u32,
         begins: bool,
     },
     Discovery(DiscoveryEvent),
+    /// The configuration changes. A random change schedules its successor; a change that belongs to an incident doesn't.
     ConfigChange {
         is_random: bool,
     },
+    /// The incident of the plan begins or ends.
     Incident {
         begins: bool,
     },
 }
 
+/// The state of one run.
 struct Fleet<'a> {
     plan: &'a Plan,
     layout: Layout,
+    /// Indexed by the forwarder's number.
     forwarders: Vec<SimulatedForwarder>,
     receivers: Receivers,
     outages: Outages,
     discovery: Discovery,
     network: Network,
+    /// Pending events outside the forwarders; each forwarder has a queue of its own.
     events: EventQueue<ExternalEvent>,
     changes: ConfigChanges,
 }
 
-/// Plays a plan with so many threads.
+/// Runs a plan on `threads` threads. Returns an error if the plan is invalid.
 pub fn run(plan: &Plan, threads: usize) -> Result<FleetOutcome, PlanError> {
     plan.check()?;
     let (started_at, resident_before) = (Instant::now(), report::resident_bytes());
@@ -116,7 +126,7 @@
     })
 }
 
-/// Has each forwarder do its part, on so many threads.
+/// Calls `work` once for each forwarder, in up to `threads` threads, and returns when all calls have returned.
 fn for_each_parallel(
     forwarders: &mut [SimulatedForwarder],
     threads: usize,
@@ -151,7 +161,7 @@
         }
     }
 
-    /// Whatever is under way from the first moment on.
+    /// Schedules the events that the run starts with: message arrivals, watches, outages, changes and the incident.
     fn schedule_initial_events(&mut self) {
         let bytes = discovery::response_bytes(0, true, self.discovery.complete_list());
         self.network
@@ -180,7 +190,7 @@
         self.schedule_incident();
     }
 
-    /// Plays the run window by window; gives what happened in each second.
+    /// Advances the run step by step to its end. Returns the counts of each simulated second.
     fn run_to_end(&mut self, threads: usize) -> Vec<SecondCounts> {
         let mut per_second_counts = Vec::new();
         let mut totals = None;
@@ -203,6 +213,7 @@
         per_second_counts
     }
 
+    /// Schedules the next random change of configuration, if the plan has any.
     fn schedule_config_change(&mut self, now: Micros) {
         if let Some(gap) = self.changes.draw_delay() {
             self.events
@@ -210,7 +221,7 @@
         }
     }
 
-    /// Handles all that happens outside the forwarders before `until`.
+    /// Handles the events outside the forwarders that are due before `step_end`.
     fn handle_external_events(&mut self, step_end: Micros) {
         while let Some((now, event)) = self.events.pop_before(step_end) {
             match event {
@@ -250,7 +261,7 @@
         }
     }
 
-    /// A health check reaches its destination.
+    /// Handles a health check that reaches its destination.
     fn handle_health_check(
         &mut self,
         now: Micros,
@@ -270,7 +281,7 @@
         }
     }
 
-    /// An outage begins or ends; the next change of the same destination is drawn.
+    /// Begins or ends an outage, and schedules the opposite change of the same destination.
     fn toggle_outage(&mut self, now: Micros, destination: u32, begins: bool) {
         if begins {
             self.receivers.start_outage(destination);
@@ -285,7 +296,7 @@
             .push(now + self.outages.draw_duration(begins), next);
     }
 
-    /// The configuration changes; where the change was drawn by chance, the next one is drawn.
+    /// Draws and publishes a change of configuration. A random change also schedules the next one.
     fn apply_config_change(&mut self, now: Micros, is_random: bool) {
         if is_random {
             self.schedule_config_change(now);
@@ -295,12 +306,14 @@
         self.schedule_discovery(propagations);
     }
 
+    /// Schedules events of discovery at their times.
     fn schedule_discovery(&mut self, events: Vec<(Micros, DiscoveryEvent)>) {
         for (at, event) in events {
             self.events.push(at, ExternalEvent::Discovery(event));
         }
     }
 
+    /// Handles an event of discovery, and delivers the response that it may produce to the forwarder.
     fn handle_discovery(&mut self, now: Micros, event: DiscoveryEvent) {
         let mut follow_ups = Vec::new();
         let response = self
--- a/crates/lab/src/capacity/fleet/config_changes.rs
+++ b/crates/lab/src/capacity/fleet/config_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration: when the next one comes, and what it changes.
+//! Random changes of the endpoint list: when the next change occurs and what it changes.
 
 use super::layout::Layout;
 use super::plan::{Plan, SECOND};
@@ -8,22 +8,23 @@
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-/// The part of the changes that move a destination to another address; the others tell another rate.
+/// Share of the changes that move a destination to another address. The other changes list another rate for it.
 const MOVE_SHARE: f64 = 0.3;
-/// A told rate becomes so many times what it was.
+/// Range of the factor by which a change of rate multiplies the rate of a destination.
 const RATE_FACTOR: std::ops::Range<f64> = 0.5..2.0;
-/// Seconds.
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Draws the changes of configuration.
+/// Draws the random changes of a run.
 pub struct ConfigChanges {
+    /// Mean number of changes in a simulated day; 0 for none.
     changes_per_day: f64,
+    /// Number of destinations, each equally likely to change.
     destinations: u32,
     rng: Pcg64Mcg,
 }
 
 impl ConfigChanges {
-    /// The changes of a plan.
+    /// Creates the generator with the plan's rate and seed.
     pub fn new(plan: &Plan) -> ConfigChanges {
         let rng = seeded_rng(plan.seed, "changes", 0);
         ConfigChanges {
@@ -33,13 +34,14 @@
         }
     }
 
-    /// How long it is until the next one; none where none comes by itself.
+    /// Draws the delay until the next change, in µs; the delays are exponentially distributed. Returns `None` if the plan
+    /// has no random changes.
     pub fn draw_delay(&mut self) -> Option<Micros> {
         let mean = SECONDS_PER_DAY / self.changes_per_day * SECOND as f64;
         (self.changes_per_day > 0.0).then(|| (exponential(&mut self.rng) * mean) as Micros + 1)
     }
 
-    /// Draws one and has the destination follow it: another rate, or another address. Gives the lines of the list.
+    /// Draws a change and applies it to the receiver of the destination. Returns the changed entries of the endpoint list.
     pub fn draw_change(
         &mut self,
         layout: &Layout,
--- a/crates/lab/src/capacity/fleet/counters.rs
+++ b/crates/lab/src/capacity/fleet/counters.rs
@@ -1,22 +1,27 @@
-//! What a hollow forwarder counts of its messages, and what the core's work costs by kind of event.
+//! Counters of a simulated forwarder: outcomes of its messages, and the processor time of its core by kind of event.
 
 use nix::time::{clock_gettime, ClockId};
 use serde::Serialize;
 use std::time::Duration;
 
-/// Kinds of events, by which the core's work is booked.
+/// The kinds of events that a core handles, by which its processor time is accounted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EventKind {
+    /// The submission of a message or the end of an attempt.
     Message,
+    /// A timer of the core.
     Tick,
+    /// The end of a health check.
     Probe,
     Gossip,
+    /// A response of discovery after the start.
     List,
+    /// The complete endpoint list at the start.
     FirstList,
 }
 
-/// All kinds, in the order of their figures.
+/// All kinds, in the order in which their figures are printed. The position of a kind is its discriminant.
 pub const EVENT_KINDS: [EventKind; 6] = [
     EventKind::Message,
     EventKind::Tick,
@@ -26,38 +31,46 @@
     EventKind::FirstList,
 ];
 
-/// Events handled and the processor time that it took.
+/// Number of events of one kind and the processor time that the core spent on them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventCost {
     pub events: u64,
     pub cpu_time: Duration,
 }
 
-/// What became of messages and attempts at one forwarder.
+/// Counts of messages and attempts at one forwarder over the whole run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct MessageCounts {
+    /// Messages submitted to the core.
     pub arrived: u64,
     pub delivered: u64,
+    /// Messages that the core gave up.
     pub failed: u64,
+    /// Messages that the core refused to take.
     pub rejected: u64,
+    /// Attempts started; health checks are counted apart.
     pub attempts: u64,
     #[serde(rename = "probes")]
     pub health_checks: u64,
+    /// Attempts that the core cancelled.
     #[serde(rename = "called_off")]
     pub cancelled: u64,
     pub timed_out: u64,
     pub no_connection: u64,
-    /// Messages that could use their whole latency target within the run, to destinations up at their arrival.
+    /// Messages to destinations that were up at the message's arrival, of the messages that arrived after the start-up phase
+    /// and whose whole latency target lies within the run.
     #[serde(rename = "due_to_up")]
     pub eligible_while_up: u64,
+    /// Of the messages of `eligible_while_up`, those delivered within the latency target.
     #[serde(rename = "in_time_to_up")]
     pub on_time_while_up: u64,
-    /// The same to destinations that were down at their arrival.
+    /// The eligible messages to destinations that were down at the message's arrival.
     #[serde(rename = "due_to_down")]
     pub eligible_while_down: u64,
+    /// Of the messages of `eligible_while_down`, those delivered within the latency target.
     #[serde(rename = "in_time_to_down")]
     pub on_time_while_down: u64,
-    /// Faults that the core reported; none is expected.
+    /// Errors that the core logged. A correct run has none.
     #[serde(rename = "faults")]
     pub core_errors: u64,
 }
@@ -82,7 +95,7 @@
 }
 
 impl EventCost {
-    /// Does some work and books it.
+    /// Calls `work`, and counts it as one event with the processor time that this thread spent in it.
     pub fn measure(&mut self, work: impl FnOnce()) {
         let began = thread_cpu_time();
         work();
@@ -91,7 +104,8 @@
     }
 }
 
-/// Processor time of this thread so far: other work on the machine does not count. Zero where the system does not tell.
+/// Returns the processor time that this thread has used, so that other work on the machine is not counted. Returns zero if
+/// the system can't report it.
 fn thread_cpu_time() -> Duration {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map_or(Duration::ZERO, Duration::from)
 }
--- a/crates/lab/src/capacity/fleet/destination_states.rs
+++ b/crates/lab/src/capacity/fleet/destination_states.rs
@@ -1,28 +1,29 @@
-//! How much of its destinations a forwarder held in full and how much as summaries, as the run ended.
+//! How many destinations the forwarders held in full and how many as summaries.
 
 use super::report::MeanAndWorst;
 use super::simulated_forwarder::SimulatedForwarder;
 use opalpulley::StateCounts;
 use serde::Serialize;
 
-/// One value a forwarder each, over the fleet.
+/// Mean and worst forwarder of each count that the cores report of their destinations, taken at the end of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct DestinationStates {
     /// Destinations held in full at the end.
     pub full: MeanAndWorst,
-    /// Most destinations held in full at once.
+    /// Highest number of destinations held in full at one time during the run.
     pub most_full: MeanAndWorst,
-    /// Idle targets at the end, each a summary.
+    /// Endpoints of idle destinations at the end, each held as a summary.
     pub summaries: MeanAndWorst,
-    /// Idle targets with something that binds.
+    /// Of these endpoints, those whose summary carries a bound in force.
     pub bounds: MeanAndWorst,
-    /// Destinations restored, and summarised, in the whole run.
+    /// Number of times that a destination was restored from summaries to its full state, over the whole run.
     pub restored: MeanAndWorst,
+    /// Number of times that an idle destination was reduced to summaries, over the whole run.
     pub summarised: MeanAndWorst,
 }
 
 impl DestinationStates {
-    /// What these forwarders hold.
+    /// Collects the counts of these forwarders.
     pub fn of(forwarders: &[SimulatedForwarder]) -> DestinationStates {
         let counts: Vec<StateCounts> = forwarders
             .iter()
--- a/crates/lab/src/capacity/fleet/discovery.rs
+++ b/crates/lab/src/capacity/fleet/discovery.rs
@@ -1,6 +1,7 @@
-//! Discovery as the forwarders ask it: each holds one watch open, which is answered when something has changed or its time
-//! is over. A change is made at one place and is known to the machine that answers a forwarder after a drawn delay. Bytes
-//! are those of the protocol's JSON and HTTP heads. The whole of it stands in the first region.
+//! Simulated service discovery. Each forwarder holds one watch (a long poll) open, which is answered when the endpoint list
+//! has changed or the watch times out. A change is made in one place and reaches the discovery server of each forwarder
+//! after a random delay. Bytes are counted as those of the protocol's JSON bodies and HTTP heads. All discovery servers are
+//! in the first region.
 
 use super::layout::{forwarder_zone, region, Layout};
 use super::network::{Network, Partition};
@@ -13,73 +14,76 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// From the making of a change until the machine that answers a forwarder has it.
+/// Range of the delay from the making of a change until the discovery server of a forwarder has it, in µs.
 const PROPAGATION_DELAY: Range<Micros> = 350_000..2_200_000;
-/// How long a watch stays open where nothing changes; as the forwarder's program asks for.
+/// Time for which a watch stays open if nothing changes, in µs, as the forwarder requests it.
 const WATCH_TIMEOUT: Micros = 5_000_000;
-/// Beyond that, how long the program waits for an answer.
+/// Time beyond [`WATCH_TIMEOUT`] for which the forwarder waits for the response, in µs.
 const RESPONSE_GRACE: Micros = 2_000_000;
-/// Between two tries of the program.
+/// Delay of the forwarder between a failed request and the next one, in µs.
 const RETRY_DELAY: Micros = 150_000;
-/// Changes that are kept: whoever is further behind gets the whole list.
+/// Number of changes that discovery retains. A forwarder that is further behind receives the complete list.
 const MAX_RETAINED_CHANGES: usize = 256;
 
-/// One change of configuration; its revision is its place among all, from 1 on.
+/// One change of the endpoint list. Its revision is its position among all changes, counted from 1.
 pub struct ConfigChange {
+    /// Simulated time at which discovery accepted the change, in µs.
     pub made_at: Micros,
+    /// The entries that the change adds, replaces or removes.
     pub entries: Vec<EndpointEntry>,
-    /// When it was in force, by forwarder.
+    /// Simulated time at which the core of each forwarder had applied the change, in µs, indexed by the forwarder's number;
+    /// `None` until it has.
     pub in_force_at: Vec<Option<Micros>>,
 }
 
-/// The watch of one forwarder.
+/// The watch of one forwarder, as its discovery server keeps it.
 #[derive(Clone, Default)]
 struct Watch {
-    /// The revision that its machine has.
+    /// Latest revision that has reached the server.
     available_revision: usize,
-    /// The revision that it has been told.
+    /// Latest revision that a response to the forwarder has included.
     sent_revision: usize,
-    /// Counts its watches; what concerns an earlier one is void.
+    /// Number of watches that the forwarder has opened. Timeouts of earlier watches are ignored.
     sequence: u32,
+    /// Whether a request awaits its response.
     open: bool,
 }
 
-/// What discovery has to do later.
+/// A scheduled event of discovery.
 #[derive(Clone, Copy, Debug)]
 pub enum DiscoveryEvent {
-    /// The machine that answers this forwarder has all changes up to a revision.
-    ChangeAvailable {
-        forwarder: u32,
-        revision: usize,
-    },
-    WatchOpens {
-        forwarder: u32,
-    },
-    WatchTimesOut {
-        forwarder: u32,
-        sequence: u32,
-    },
+    /// The discovery server of this forwarder has received all changes up to a revision.
+    ChangeAvailable { forwarder: u32, revision: usize },
+    /// The forwarder sends its next request.
+    WatchOpens { forwarder: u32 },
+    /// The watch with this sequence number has been open for [`WATCH_TIMEOUT`].
+    WatchTimesOut { forwarder: u32, sequence: u32 },
 }
 
-/// An answer on its way to a forwarder.
+/// A response in transit to a forwarder.
 pub struct ListResponse {
+    /// Simulated time of its arrival, in µs.
     pub arrives_at: Micros,
+    /// Whether `entries` is the complete list instead of the changed entries.
     pub complete: bool,
+    /// Latest revision that the entries include.
     pub revision: usize,
     pub entries: Arc<Vec<EndpointEntry>>,
 }
 
-/// The list, its changes, and a watch for each forwarder.
+/// The endpoint list, its changes, and the watch of each forwarder.
 pub struct Discovery {
+    /// All changes of the run, in order.
     pub changes: Vec<ConfigChange>,
+    /// Indexed by the forwarder's number.
     watches: Vec<Watch>,
-    /// Everything there is, one line a destination.
+    /// The complete list: one entry for each destination, indexed by its number.
     current_entries: Vec<EndpointEntry>,
     rng: Pcg64Mcg,
 }
 
 impl Discovery {
-    /// The list as it stands at the start.
+    /// Creates the list of the layout at revision 0, with no watch open.
     pub fn new(seed: u64, forwarders: u32, layout: &Layout) -> Discovery {
         let all = layout.destinations.iter().zip(0..);
         Discovery {
@@ -92,12 +96,13 @@
         }
     }
 
-    /// The whole list, as each forwarder gets it at its start.
+    /// Returns the complete list, which each forwarder receives at its start.
     pub fn complete_list(&self) -> &[EndpointEntry] {
         &self.current_entries
     }
 
-    /// When the first watch of each forwarder opens: they have not started together.
+    /// Draws the time at which each forwarder opens its first watch. The times differ because the forwarders of a fleet
+    /// don't start at the same time.
     pub fn initial_watches(&mut self) -> Vec<(Micros, DiscoveryEvent)> {
         let forwarders = 0..self.watches.len() as u32;
         forwarders
@@ -110,7 +115,7 @@
             .collect()
     }
 
-    /// A change is made; gives when it reaches whom.
+    /// Applies a change to the list. Returns the events by which it reaches the discovery server of each forwarder.
     pub fn apply_change(
         &mut self,
         now: Micros,
@@ -132,7 +137,8 @@
         self.propagate(now, |_| true)
     }
 
-    /// What stands now is on its way to those that a cut kept from it.
+    /// Sends the current revision to the discovery servers of the forwarders that a healed partition had separated. Returns
+    /// the events by which it reaches them.
     pub fn propagate_after_partition(
         &mut self,
         now: Micros,
@@ -141,6 +147,7 @@
         self.propagate(now, |forwarder| !is_reachable(healed, forwarder))
     }
 
+    /// Draws the time at which the current revision reaches the discovery server of each included forwarder.
     fn propagate(
         &mut self,
         now: Micros,
@@ -163,7 +170,8 @@
             .collect()
     }
 
-    /// A moment of discovery's has come: perhaps an answer goes to the forwarder, perhaps more is to be done later.
+    /// Handles an event that is due, and adds the events that follow from it to `follow_ups`. Returns a forwarder and the
+    /// response in transit to it, if the event causes a response with changes.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -177,7 +185,8 @@
                 revision,
             } => {
                 let watch = &mut self.watches[forwarder as usize];
-                // A cut keeps the change from it: `heal` sends what stands then.
+                // The partition keeps the change from this forwarder's server; `propagate_after_partition` sends the then
+                // current revision.
                 if !is_reachable(network.partition, forwarder) {
                     return None;
                 }
@@ -203,7 +212,8 @@
         }
     }
 
-    /// A forwarder opens a watch: it is answered at once where there is something new, else it stays open.
+    /// Opens a watch for a forwarder. It is answered at once if there is a newer revision, and otherwise stays open until
+    /// there is one or it times out. A request that a partition loses is repeated after the forwarder's timeout.
     fn open_watch(
         &mut self,
         now: Micros,
@@ -234,7 +244,8 @@
         None
     }
 
-    /// Answers the open watch with what is new, or with nothing.
+    /// Answers the open watch with the changes since the last response, or with none if it has timed out. Returns the
+    /// response only if it holds changes.
     fn respond(
         &mut self,
         now: Micros,
@@ -270,12 +281,13 @@
         (revision > from).then_some((forwarder, response))
     }
 
+    /// Returns the entries of the changes after revision `from` up to `revision`.
     fn entries_between(&self, from: usize, revision: usize) -> Vec<EndpointEntry> {
         let changes = self.changes[from..revision].iter();
         changes.flat_map(|change| change.entries.clone()).collect()
     }
 
-    /// All changes up to a revision are in force at a forwarder.
+    /// Records that all changes up to a revision are in force at a forwarder.
     pub fn mark_in_force(&mut self, now: Micros, forwarder: u32, revision: usize) {
         for change in self.changes[..revision].iter_mut().rev() {
             let at = &mut change.in_force_at[forwarder as usize];
@@ -287,7 +299,7 @@
     }
 }
 
-/// Whether discovery reaches a forwarder.
+/// Returns whether a forwarder can exchange data with discovery during a partition.
 fn is_reachable(partition: Partition, forwarder: u32) -> bool {
     match partition {
         Partition::None => true,
@@ -296,7 +308,7 @@
     }
 }
 
-/// Bytes of the request for what comes after a revision.
+/// Returns the size of a request for the changes after a revision, in bytes.
 fn request_bytes(sent_revision: usize) -> u64 {
     let wait = WATCH_TIMEOUT / 1_000;
     let head = format!(
@@ -305,7 +317,7 @@
     head.len() as u64
 }
 
-/// Bytes of an answer, head and body.
+/// Returns the size of a response with its head and body, in bytes.
 pub fn response_bytes(revision: usize, complete: bool, entries: &[EndpointEntry]) -> u64 {
     let frame = json!({"revision": revision, "complete": complete, "members": []})
         .to_string()
@@ -318,7 +330,7 @@
     (head.len() + body) as u64
 }
 
-/// A line of the list in the protocol's JSON.
+/// Formats an entry of the list as a member in the protocol's JSON.
 fn member_json(entry: &EndpointEntry) -> String {
     let destination = super::layout::destination_of(entry.endpoint);
     let phase = match entry.status {
--- a/crates/lab/src/capacity/fleet/event_queue.rs
+++ b/crates/lab/src/capacity/fleet/event_queue.rs
@@ -1,12 +1,15 @@
-//! A queue of things that happen at a time: in the order of their times, and of those at one time in the order of their
-//! coming, so that a run has one order only.
+//! A queue of events that are due at simulated times. Events with equal times keep the order in which they were pushed, so
+//! the order of a run is deterministic.
 
 use opalpulley::Micros;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
+/// An event in the queue with its time and position.
 struct TimedEvent<T> {
+    /// Simulated time at which the event is due, in µs.
     at: Micros,
+    /// Position among all pushed events; it orders events with equal times.
     sequence: u64,
     event: T,
 }
@@ -37,9 +40,10 @@
     }
 }
 
-/// Things by time; those at one time in the order in which they were added.
+/// Holds events in the order of their times, and events with equal times in the order in which they were pushed.
 pub struct EventQueue<T> {
     heap: BinaryHeap<Reverse<TimedEvent<T>>>,
+    /// Number of events pushed so far.
     pushed: u64,
 }
 
@@ -53,7 +57,7 @@
 }
 
 impl<T> EventQueue<T> {
-    /// Adds a thing that is due at a time.
+    /// Adds an event that is due at `at`, in µs of simulated time.
     pub fn push(&mut self, at: Micros, event: T) {
         self.pushed += 1;
         self.heap.push(Reverse(TimedEvent {
@@ -63,7 +67,7 @@
         }));
     }
 
-    /// The next thing that happens before `until`.
+    /// Removes the next event and returns it with its time, or `None` if no event is due before `until`.
     pub fn pop_before(&mut self, until: Micros) -> Option<(Micros, T)> {
         if self
             .heap
--- a/crates/lab/src/capacity/fleet/figures.rs
+++ b/crates/lab/src/capacity/fleet/figures.rs
@@ -1,27 +1,30 @@
-//! The figures of a run, a line each, as a table.
+//! Formats the figures of a run as a table with one line for each figure.
 
 use super::report::{Counts, FleetOutcome, MeanAndWorst, Measurements};
 use crate::capacity::slope::{Row, Table};
 
-/// The part of a whole; of nothing it is 0.
+/// Returns `part` as a fraction of `total`, or 0 if both are 0.
 fn ratio(part: u64, total: u64) -> f64 {
     part as f64 / total.max(1) as f64
 }
 
-/// One figure.
+/// One line of the table.
 struct Figure {
+    /// Leading spaces mark a figure that details an earlier one.
     name: String,
+    /// Empty for a plain count.
     unit: &'static str,
     value: f64,
 }
 
-/// Figures in the order of the table.
+/// Collects the figures in the order in which the table shows them.
 #[derive(Default)]
 struct Figures {
     all: Vec<Figure>,
 }
 
 impl Figures {
+    /// Adds one figure.
     fn add(&mut self, name: &str, unit: &'static str, value: f64) {
         self.all.push(Figure {
             name: name.into(),
@@ -30,14 +33,14 @@
         });
     }
 
-    /// Adds the mean over the forwarders and the worst of them.
+    /// Adds two figures: the mean over the forwarders and the value of the worst forwarder.
     fn add_mean_and_worst(&mut self, name: &str, unit: &'static str, value: MeanAndWorst) {
         self.add(&format!("{name}, mean"), unit, value.mean);
         self.add(&format!("{name}, worst forwarder"), unit, value.worst);
     }
 }
 
-/// The figures of a run, one line each.
+/// Builds the table of a run's figures.
 pub fn table(outcome: &FleetOutcome) -> Table {
     let (plan, counts, measured) = (&outcome.plan, &outcome.counts, &outcome.measured);
     let mut figures = Figures::default();
@@ -79,7 +82,7 @@
     )
 }
 
-/// Control traffic, and what the cores hold.
+/// Adds the control traffic of a forwarder and the number of destinations that its core holds.
 fn add_control(figures: &mut Figures, counts: &Counts) {
     let rates = &counts.control_bytes_a_second;
     figures.add_mean_and_worst("control, in and out", "bytes a second", rates.all);
@@ -99,7 +102,7 @@
     figures.add_mean_and_worst("destinations restored", "each", states.restored);
 }
 
-/// What a cut kept from passing.
+/// Adds the attempts and the gossip that a partition lost.
 fn add_losses(figures: &mut Figures, counts: &Counts) {
     figures.add("attempts lost in a cut", "", counts.attempts_lost as f64);
     figures.add(
@@ -109,7 +112,7 @@
     );
 }
 
-/// Resident memory.
+/// Adds the resident memory for each forwarder.
 fn add_memory(figures: &mut Figures, measured: &Measurements) {
     figures.add(
         "resident after the start",
@@ -123,7 +126,7 @@
     );
 }
 
-/// Processor time by kind of event.
+/// Adds the number of events and the processor time by kind of event.
 fn add_work(figures: &mut Figures, measured: &Measurements) {
     for work in &measured.work {
         let kind = format!("{:?}", work.kind).to_lowercase();
@@ -147,7 +150,7 @@
     }
 }
 
-/// Attempts and health checks, and those that were sent to destinations that are down.
+/// Adds the rates of attempts and health checks, and the shares of them that reached destinations that were down.
 fn add_attempts(figures: &mut Figures, counts: &Counts, forwarder_seconds: f64) {
     let (messages, receivers) = (&counts.messages, &counts.receivers);
     figures.add(
@@ -191,7 +194,7 @@
     );
 }
 
-/// What became of the messages.
+/// Adds the outcomes of the messages and the shares delivered within the latency target.
 fn add_messages(figures: &mut Figures, counts: &Counts) {
     let messages = &counts.messages;
     let eligible = messages.eligible_while_up + messages.eligible_while_down;
@@ -220,7 +223,7 @@
     figures.add("faults of the core", "", messages.core_errors as f64);
 }
 
-/// Destinations that came back, and what they got against their budget.
+/// Adds the recoveries of destinations and the load that they received, compared with their budget.
 fn add_returns(figures: &mut Figures, counts: &Counts) {
     let receivers = &counts.receivers;
     let worst = receivers.worst;
--- a/crates/lab/src/capacity/fleet/forwarder_io.rs
+++ b/crates/lab/src/capacity/fleet/forwarder_io.rs
@@ -1,40 +1,49 @@
-//! What goes into a hollow forwarder and what comes out of it: plain data.
+//! Inputs and outputs of a simulated forwarder.
 
 use opalpulley::{EndpointEntry, EndpointId, MessageId, Micros, Outcome, TimerToken};
 use std::sync::Arc;
 
-/// What comes to a forwarder at a time.
+/// An input of a forwarder that is due at a simulated time.
 pub enum ForwarderInput {
-    /// The next message of its stream arrives; void if the stream has been set anew.
-    Message {
-        generation: u32,
-    },
+    /// A client submits the next message. The input is ignored if the arrival rate has been set again since it was
+    /// scheduled, which `generation` tells.
+    Message { generation: u32 },
+    /// A timer that the core has set fires.
     Timer(TimerToken),
+    /// An attempt ends: with a response, by its timeout or by cancellation. Only the first end of an attempt counts.
     AttemptEnded {
         id: MessageId,
+        /// Index of the attempt among those of the message, from 0.
         attempt: u8,
         outcome: Outcome,
     },
+    /// A health check ends with a response or by its timeout. Only the first end counts.
     HealthCheckEnded {
         endpoint: EndpointId,
+        /// Time at which it was sent, in µs; it tells the health checks of one endpoint apart.
         sent_at: Micros,
         outcome: Outcome,
     },
     Gossip {
+        /// Number of the forwarder that sent the datagram.
         peer: u16,
         payload: Arc<[u8]>,
     },
+    /// A response of discovery arrives.
     EndpointList {
+        /// Whether `entries` is the complete list instead of the changed entries.
         complete: bool,
+        /// Latest revision that the entries include.
         revision: usize,
         entries: Arc<Vec<EndpointEntry>>,
     },
 }
 
-/// What a forwarder gives to the wire, or to the onlooker.
+/// An output of a forwarder: something to transmit, or an observation about the forwarder that has no effect on the run.
 pub enum ForwarderOutput {
     Call {
         id: MessageId,
+        /// Index of the attempt among those of the message, from 0.
         attempt: u8,
         endpoint: EndpointId,
     },
@@ -42,15 +51,16 @@
         endpoint: EndpointId,
     },
     Gossip {
+        /// Number of the receiving forwarder, or `None` for all peers.
         to: Option<u16>,
         payload: Arc<[u8]>,
     },
-    /// For the onlooker: it has seen a call or probe fail that was sent at `tried`.
+    /// For the observer: the forwarder has seen the failure of a call or health check that was sent at `attempt_sent_at`.
     FailureSeen {
         destination: u32,
         attempt_sent_at: Micros,
     },
-    /// For the onlooker: what a list answer told is in force.
+    /// For the observer: the core has applied all changes of the endpoint list up to a revision.
     ListInForce {
         revision: usize,
     },
--- a/crates/lab/src/capacity/fleet/incidents.rs
+++ b/crates/lab/src/capacity/fleet/incidents.rs
@@ -1,14 +1,14 @@
-//! What happens to the whole fleet at once: a zone or the way between the regions is cut, and back.
+//! Incidents that concern the whole fleet: a network partition that isolates a zone or separates the regions, and its end.
 
 use super::network::Partition;
 use super::plan::{Incident, SECOND, ZONE_COUNT};
 use super::{ExternalEvent, Fleet};
 use opalpulley::Micros;
 
-/// The zone that is cut off: not one of discovery's.
+/// The zone that [`Incident::ZoneCut`] isolates. It is not in the region of discovery, so the other zones keep discovery.
 const ISOLATED_ZONE: u16 = ZONE_COUNT - 1;
 impl Fleet<'_> {
-    /// Plans the incident of the run, if one is asked for.
+    /// Schedules the incident of the plan, if it has one.
     pub(super) fn schedule_incident(&mut self) {
         let (from, until) = self.plan.incident_span();
         match self.plan.incident {
@@ -19,7 +19,7 @@
             Incident::ZoneCut | Incident::RegionCut => {
                 self.events
                     .push(from, ExternalEvent::Incident { begins: true });
-                // One change in the midst of it, one just after it: who has them when?
+                // One change is made during the partition and one just after it, to see when each forwarder has them.
                 self.events.push(
                     (from + until) / 2,
                     ExternalEvent::ConfigChange { is_random: false },
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The incident begins or ends.
+    /// Begins or ends the incident.
     pub(super) fn apply_incident(&mut self, now: Micros, begins: bool) {
         let previous = self.network.partition;
         self.network.partition = match (self.plan.incident, begins) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Clients give their messages to the forwarders of these zones, evenly.
+    /// Spreads the message rate of the fleet evenly over the forwarders in the zones that `accepts` selects.
     fn distribute_arrivals(&mut self, now: Micros, accepts: impl Fn(u16) -> bool) {
         let accepting = self
             .forwarders
--- a/crates/lab/src/capacity/fleet/layout.rs
+++ b/crates/lab/src/capacity/fleet/layout.rs
@@ -1,4 +1,5 @@
-//! Who stands where: the destinations with their rates, zones and part of the traffic, drawn once from the seed.
+//! The layout of a run: zones of the forwarders, and the destinations with their rates, zones and shares of the traffic,
+//! drawn once from the seed.
 
 use super::plan::{Plan, ZONES_PER_REGION, ZONE_COUNT};
 use crate::random::seeded_rng;
@@ -10,36 +11,39 @@
 use rand_distr::{Distribution, Zipf};
 use rand_pcg::Pcg64Mcg;
 
-/// Calls a second that the smallest destination takes.
+/// Lower bound on the rate of a destination that is not at its limit, in calls per second.
 const MIN_RATE: f64 = 5.0;
-/// What a destination takes, as a multiple of what is sent to it in the mean.
+/// Rate of a destination as a multiple of the mean rate of the messages to it.
 const HEADROOM: f64 = 2.5;
-/// The same for one at its limit.
+/// Rate of a destination at its limit as a multiple of the mean rate of the messages to it.
 const HEADROOM_AT_LIMIT: f64 = 0.8;
-/// One in so many destinations, the busiest, of which those at their limit are drawn: few calls meet no limit.
+/// The destinations at their limit are drawn from the busiest `1 / BUSIEST_DIVISOR` of all destinations, because the calls
+/// to a rarely used destination would not reach a limit.
 const BUSIEST_DIVISOR: usize = 10;
 const HTTPS_PORT: u16 = 443;
-/// First byte of all addresses.
+/// First byte of all endpoint addresses; the other three hold the number of the destination.
 const ADDRESS_PREFIX: u8 = 10;
 
-/// One destination; it has one target.
+/// The fixed properties of a destination, which has a single endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct DestinationSpec {
     pub zone: u16,
-    /// Calls a second that it takes from all forwarders together.
+    /// Calls per second that it accepts from all forwarders together, at the start of the run.
     pub rate: f64,
 }
 
-/// All destinations, and how often each is drawn.
+/// All destinations, and the distribution of the messages over them.
 pub struct Layout {
+    /// Indexed by the destination's number.
     pub destinations: Vec<DestinationSpec>,
-    /// The destination at each place of Zipf's law, the busiest first.
+    /// Number of the destination at each rank of Zipf's law, the busiest first.
     destinations_by_rank: Vec<u32>,
+    /// Ranks from 1; `None`, where every message goes to the busiest destination, if the distribution can't be built.
     rank_distribution: Option<Zipf<f64>>,
 }
 
 impl Layout {
-    /// The destinations of a plan.
+    /// Draws the destinations of a plan.
     pub fn new(plan: &Plan) -> Layout {
         let mut rng = seeded_rng(plan.seed, "layout", 0);
         let mut destinations_by_rank: Vec<u32> = (0..plan.destinations).collect();
@@ -74,7 +78,7 @@
         }
     }
 
-    /// The destination of the next message.
+    /// Draws the destination of a message.
     pub fn draw_destination(&self, rng: &mut Pcg64Mcg) -> u32 {
         let rank = self.rank_distribution.map_or(0, |rank_distribution| {
             rank_distribution.sample(rng) as usize - 1
@@ -82,7 +86,8 @@
         self.destinations_by_rank[rank.min(self.destinations_by_rank.len() - 1)]
     }
 
-    /// The line of the list for a destination; `holder` counts its addresses so far, `rate` is what is told of it.
+    /// Builds the endpoint list entry of a destination. `incarnation` counts its moves to another address, and `rate` is the
+    /// listed rate in calls per second.
     pub fn list_entry(
         &self,
         destination: u32,
@@ -102,7 +107,7 @@
     }
 }
 
-/// The target of a destination: its address, in the net 10, names the destination.
+/// Returns the endpoint of a destination, whose address in 10.0.0.0/8 encodes the destination's number.
 pub fn endpoint_of(destination: u32, incarnation: u32) -> EndpointId {
     let [_, high, middle, low] = destination.to_be_bytes();
     EndpointId {
@@ -112,18 +117,18 @@
     }
 }
 
-/// The destination whose target this is.
+/// Returns the destination of an endpoint: the inverse of [`endpoint_of`].
 pub fn destination_of(endpoint: EndpointId) -> u32 {
     let [_, high, middle, low] = endpoint.address;
     u32::from_be_bytes([0, high, middle, low])
 }
 
-/// The zone of a forwarder.
+/// Returns the zone of a forwarder; the forwarders are spread over the zones in turn.
 pub fn forwarder_zone(forwarder: u32) -> u16 {
     (forwarder % u32::from(ZONE_COUNT)) as u16
 }
 
-/// The region of a zone.
+/// Returns the region of a zone.
 pub fn region(zone: u16) -> u16 {
     zone / ZONES_PER_REGION
 }
--- a/crates/lab/src/capacity/fleet/network.rs
+++ b/crates/lab/src/capacity/fleet/network.rs
@@ -1,5 +1,4 @@
-//! The wire in memory: how long things are under way, what a cut keeps from passing, and the bytes of control that each
-//! forwarder sends and receives.
+//! The in-memory network: delays, network partitions, and the control traffic that each forwarder sends and receives.
 
 use super::layout::region;
 use crate::random::seeded_rng;
@@ -9,32 +8,32 @@
 use serde::Serialize;
 use std::ops::Range;
 
-/// One way, between any two; nothing is faster. Time windows of the run are shorter than that.
+/// Lower bound on the one-way delay between any two nodes, in µs. The time steps of a run are shorter.
 pub const MIN_DELAY: Micros = 5_000;
-/// One way of calls and of discovery's answers.
+/// Range of the one-way delay of calls, their responses and the responses of discovery, in µs.
 const CALL_DELAY: Range<Micros> = MIN_DELAY..15_000;
-/// One way of gossip.
+/// Range of the one-way delay of gossip, in µs.
 const GOSSIP_DELAY: Range<Micros> = MIN_DELAY..28_000;
-/// UDP and IPv4 headers of a datagram.
+/// Size of the UDP and IPv4 headers of a datagram, in bytes.
 const DATAGRAM_HEADER_BYTES: u64 = 28;
-/// TCP and IPv4 headers of a segment without options; acknowledgements alone are not counted.
+/// Size of the TCP and IPv4 headers of a segment without options, in bytes. Segments that only acknowledge are not counted.
 const SEGMENT_HEADER_BYTES: u64 = 40;
-/// Payload of a full segment.
+/// Payload of a full TCP segment, in bytes.
 const MAX_SEGMENT_PAYLOAD_BYTES: u64 = 1_460;
 
-/// What does not pass.
+/// A network partition: which zones can't reach each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Partition {
     #[default]
     None,
-    /// This zone is alone.
+    /// This zone is isolated from all other zones.
     Zone(u16),
-    /// The regions are apart.
+    /// The two regions can't reach each other.
     Regions,
 }
 
 impl Partition {
-    /// Whether something gets from one zone to another.
+    /// Returns whether traffic passes from one zone to another.
     pub fn connects(self, from_zone: u16, to_zone: u16) -> bool {
         match self {
             Partition::None => true,
@@ -44,23 +43,25 @@
     }
 }
 
-/// Messages of one kind in one direction.
+/// Number and size of the datagrams or HTTP messages of one kind in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Traffic {
+    /// Datagrams or HTTP messages.
     pub messages: u64,
+    /// Bytes of UDP payload or of HTTP heads and bodies.
     pub payload_bytes: u64,
-    /// With the headers below the payload.
+    /// Payload bytes plus the UDP or TCP headers and the IPv4 headers.
     pub wire_bytes: u64,
 }
 
 impl Traffic {
-    /// Counts one datagram.
+    /// Counts one datagram with its headers.
     pub fn add_datagram(&mut self, payload_bytes: usize) {
         let payload_bytes = payload_bytes as u64;
         self.add(payload_bytes, payload_bytes + DATAGRAM_HEADER_BYTES);
     }
 
-    /// Counts one HTTP message, head and body.
+    /// Counts one HTTP message; `payload_bytes` is the size of its head and body.
     pub fn add_http_message(&mut self, payload_bytes: u64) {
         self.add(
             payload_bytes,
@@ -84,22 +85,23 @@
     }
 }
 
-/// What a forwarder spends on control, by kind and direction.
+/// Control traffic of a forwarder by kind and direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ControlTraffic {
-    /// As sent: one datagram to the address of all, or to one peer.
+    /// Datagrams as sent: a datagram to all peers goes to one multicast address and counts once.
     pub gossip_out: Traffic,
+    /// Datagrams that arrived.
     pub gossip_in: Traffic,
-    /// Requests for the list.
+    /// Requests for the endpoint list.
     pub list_out: Traffic,
-    /// Answers with changes, and empty ones.
+    /// Responses of discovery after the start, with or without changes.
     pub list_in: Traffic,
-    /// The whole list at the start.
+    /// The response with the complete list at the start.
     pub first_list_in: Traffic,
 }
 
 impl ControlTraffic {
-    /// Bytes on the wire after the start, both directions.
+    /// Returns the bytes on the wire in both directions, without the complete list at the start.
     pub fn bytes_after_start(&self) -> u64 {
         [self.gossip_out, self.gossip_in, self.list_out, self.list_in]
             .iter()
@@ -118,20 +120,21 @@
     }
 }
 
-/// The ways between forwarders, destinations and discovery.
+/// The network between forwarders, destinations and discovery.
 pub struct Network {
+    /// The partition in force; an incident sets it.
     pub partition: Partition,
-    /// By forwarder.
+    /// Indexed by the forwarder's number.
     pub control: Vec<ControlTraffic>,
-    /// Calls and probes that a cut kept from arriving.
+    /// Calls, health checks and their responses that a partition lost.
     pub attempts_lost: u64,
-    /// Datagrams that a cut kept from arriving.
+    /// Datagrams that a partition lost, counted once for each peer.
     pub gossip_lost: u64,
     rng: Pcg64Mcg,
 }
 
 impl Network {
-    /// Ways without a cut.
+    /// Creates a network without a partition.
     pub fn new(seed: u64, forwarders: u32) -> Network {
         Network {
             partition: Partition::None,
@@ -142,12 +145,12 @@
         }
     }
 
-    /// How long a call or its answer is under way, µs.
+    /// Draws the one-way delay of a call or a response, in µs.
     pub fn call_delay(&mut self) -> Micros {
         self.rng.random_range(CALL_DELAY)
     }
 
-    /// How long gossip is under way, µs.
+    /// Draws the one-way delay of a gossip datagram, in µs.
     pub fn gossip_delay(&mut self) -> Micros {
         self.rng.random_range(GOSSIP_DELAY)
     }
--- a/crates/lab/src/capacity/fleet/observer.rs
+++ b/crates/lab/src/capacity/fleet/observer.rs
@@ -1,23 +1,27 @@
-//! What only an onlooker can know of a fleet: which forwarders have met an outage and since when, and what all of them
-//! together send to a destination that has just come back, against its budget.
+//! An observer with global knowledge of the fleet. It tracks which forwarders have noticed an outage and since when, and
+//! compares the load that all forwarders together put on a recovering destination with its budget. No forwarder sees what
+//! the observer knows.
 
 use super::plan::{rules, SECOND};
 use opalpulley::Micros;
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
-/// An outage, from its beginning until the destination is back.
+/// An outage of one destination, from its beginning until the destination recovers.
 #[derive(Default)]
 pub struct Outage {
-    /// Forwarders that have met it, with the time at which each learned of it; one entry a forwarder at most.
+    /// Time at which each forwarder noticed the outage, in µs, by the forwarder's number. It has no entry for a forwarder
+    /// that has not noticed.
     learned_at: BTreeMap<u32, Micros>,
-    /// The first two of them in time.
+    /// The first forwarder that noticed, with the time.
     first_learned: Option<(u32, Micros)>,
+    /// The second forwarder that noticed, with the time. Two are enough to decide whether a forwarder other than a given one
+    /// has noticed.
     second_learned: Option<(u32, Micros)>,
 }
 
 impl Outage {
-    /// A forwarder has met the outage.
+    /// Records that a forwarder has noticed the outage; only its first time counts.
     pub fn record_failure(&mut self, forwarder: u32, at: Micros) {
         if self.learned_at.contains_key(&forwarder) {
             return;
@@ -30,7 +34,7 @@
         }
     }
 
-    /// Whether a forwarder other than this one had met it by then.
+    /// Returns whether a forwarder other than this one had noticed the outage by `at`.
     pub fn known_to_another(&self, forwarder: u32, at: Micros) -> bool {
         [self.first_learned, self.second_learned]
             .into_iter()
@@ -38,7 +42,7 @@
             .any(|(other, since)| other != forwarder && since <= at)
     }
 
-    /// Whether this forwarder had met it by then.
+    /// Returns whether this forwarder had noticed the outage by `at`.
     pub fn known_to(&self, forwarder: u32, at: Micros) -> bool {
         self.learned_at
             .get(&forwarder)
@@ -46,31 +50,40 @@
     }
 }
 
-/// Part of the calls to a returning destination from which on the forwarders that had met the outage are to blame.
+/// Fraction (numerator, denominator) of the calls to a recovering destination from which on the overload is attributed to
+/// the witnesses: the forwarders that had noticed the outage.
 const WITNESS_SHARE: (usize, usize) = (2, 3);
 
-/// What came to a destination since it came back, while it is cold.
+/// Tracks the load on a destination since it recovered, until its warm-up ends.
 pub struct Recovery {
+    /// Simulated time of the recovery, in µs.
     recovered_at: Micros,
-    /// Forwarders that met the outage, with the time at which each learned of it; one entry a forwarder at most.
+    /// Time at which each forwarder noticed the outage, in µs, by the forwarder's number. It has no entry for a forwarder
+    /// that has not noticed.
     learned_at: BTreeMap<u32, Micros>,
-    /// Calls and probes within the last overload window: when, and whether the sender had met the outage by then.
+    /// Calls and health checks within the last overload window: the time of arrival, and whether the sender was a witness
+    /// when it sent.
     recent: VecDeque<(Micros, bool)>,
+    /// Whether the load has exceeded the budget since the recovery.
     over_budget: bool,
+    /// Whether the load has exceeded [`WindowLoad::allowed`] since the recovery.
     over_limit: bool,
 }
 
-/// A call or probe as the onlooker sees it arrive.
+/// A call or health check that reaches its destination.
 #[derive(Clone, Copy)]
 pub struct Arrival {
+    /// Simulated time of the arrival, in µs.
     pub now: Micros,
     pub destination: u32,
+    /// Number of the sender.
     pub forwarder: u32,
+    /// Simulated time at which the forwarder sent it, in µs.
     pub sent_at: Micros,
 }
 
 impl Recovery {
-    /// The destination of this outage is back.
+    /// Starts tracking a destination whose outage has ended.
     pub fn after(outage: Outage, recovered_at: Micros) -> Recovery {
         let Outage { learned_at, .. } = outage;
         Recovery {
@@ -82,14 +95,16 @@
         }
     }
 
-    /// A call or probe that was sent at `tried` has failed: it met the outage if that was before the return.
+    /// Records that a forwarder saw the failure of a call or health check sent at `attempt_sent_at`. The failure
+    /// counts as noticing the outage only if the attempt was sent before the recovery.
     pub fn record_failure(&mut self, forwarder: u32, attempt_sent_at: Micros, at: Micros) {
         if attempt_sent_at < self.recovered_at {
             self.learned_at.entry(forwarder).or_insert(at);
         }
     }
 
-    /// Takes one call or probe in; `capacity` is what the destination takes at this moment, calls a second.
+    /// Records the arrival of a call or health check. `capacity` is the rate that the destination accepts now, in calls per
+    /// second. Returns the load of the overload window that ends now.
     pub fn record_arrival(&mut self, arrival: Arrival, capacity: f64) -> WindowLoad {
         let Arrival {
             now,
@@ -125,7 +140,8 @@
 }
 
 impl ReceiverCounts {
-    /// Books what one call more has made of a return.
+    /// Updates the counts of recoveries with the load after one more arrival. Each recovery is counted at
+    /// most once in each of them.
     pub fn record_recovery_load(&mut self, recovery: &mut Recovery, load: WindowLoad) {
         let over_budget = load.calls as f64 > load.budget;
         let over_limit = load.excess() > 0.0;
@@ -145,59 +161,72 @@
     }
 }
 
-/// What the onlooker counts.
+/// Counts over all destinations and the whole run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ReceiverCounts {
+    /// Calls that arrived, including those to destinations that were down.
     pub calls: u64,
+    /// Health checks that arrived, including those to destinations that were down.
     #[serde(rename = "probes")]
     pub health_checks: u64,
+    /// Calls refused with a retry-after because the destination's rate was exceeded.
     #[serde(rename = "refused_full")]
     pub calls_rate_limited: u64,
-    /// Calls to an address that the destination has left.
+    /// Calls to an address from which the destination has moved.
     pub calls_to_old_address: u64,
     pub calls_while_down: u64,
     #[serde(rename = "probes_while_down")]
     pub health_checks_while_down: u64,
-    /// Of these calls, those sent when another forwarder had met the outage.
+    /// Of `calls_while_down`, those sent when a forwarder other than the sender had noticed the outage.
     pub calls_another_knew: u64,
-    /// Of those, the ones whose sender had not: what telling could save.
+    /// Of `calls_another_knew`, those whose sender had not noticed the outage: the calls that sharing the knowledge could
+    /// save.
     pub calls_only_others_knew: u64,
+    /// As `calls_another_knew`, for health checks.
     #[serde(rename = "probes_another_knew")]
     pub health_checks_another_knew: u64,
+    /// As `calls_only_others_knew`, for health checks.
     #[serde(rename = "probes_only_others_knew")]
     pub health_checks_only_others_knew: u64,
-    /// Destinations that came back cold.
+    /// Recoveries of destinations. Each begins a warm-up.
     #[serde(rename = "returns")]
     pub recoveries: u64,
-    /// Of these, where the calls and probes within an overload window passed the budget N of that moment.
+    /// Recoveries in which the calls and health checks of an overload window exceeded the budget N of that time.
     #[serde(rename = "returns_over_budget")]
     pub recoveries_over_budget: u64,
-    /// Where they passed N + 2 x root of N + 2.
+    /// Recoveries in which the load of an overload window exceeded N + 2·√N + 2.
     #[serde(rename = "returns_over_allowed")]
     pub recoveries_over_limit: u64,
-    /// Of these, where two thirds of that came from forwarders that had met the outage as they sent it: the rule is broken.
+    /// Of `recoveries_over_limit`, those in which at least two thirds of the load came from witnesses: forwarders that had
+    /// noticed the outage when they sent. These recoveries violate the overload rule.
     #[serde(rename = "returns_pushed_over")]
     pub recoveries_overloaded_by_witnesses: u64,
-    /// The largest excess over N + 2 x root of N + 2; negative where none passed it.
+    /// The load with the largest excess over N + 2·√N + 2. The excess is negative if no load exceeded it; `None` if no
+    /// recovering destination received a call or health check.
     pub worst: Option<WindowLoad>,
 }
 
-/// The calls that came to a returning destination within one overload window.
+/// The load on a recovering destination within one overload window.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct WindowLoad {
     pub destination: u32,
+    /// Calls and health checks in the window.
     pub calls: usize,
-    /// Of these, from forwarders that had met the outage as they sent them.
+    /// Of `calls`, those from forwarders that had noticed the outage when they sent.
     pub from_witnesses: usize,
+    /// Budget N: the overload multiple of what the destination accepts in a window, in calls.
     pub budget: f64,
+    /// Limit N + 2·√N + 2, in calls: the budget with room for the random variation of the arrivals.
     pub allowed: f64,
 }
 
 impl WindowLoad {
+    /// Returns the calls beyond `allowed`; negative if there are fewer.
     fn excess(&self) -> f64 {
         self.calls as f64 - self.allowed
     }
 
+    /// Returns whether the witnesses sent at least [`WITNESS_SHARE`] of the load.
     fn is_from_witnesses(&self) -> bool {
         self.from_witnesses * WITNESS_SHARE.1 >= self.calls * WITNESS_SHARE.0
     }
--- a/crates/lab/src/capacity/fleet/options.rs
+++ b/crates/lab/src/capacity/fleet/options.rs
@@ -1,4 +1,4 @@
-//! The command line of `capacity fleet`, and how one run is shown.
+//! The command line of `capacity fleet`, and the output of a run.
 
 use super::figures::table;
 use super::plan::{FullDestinations, Incident, Plan};
@@ -9,50 +9,52 @@
 use clap::Args;
 use std::path::Path;
 
-/// Messages a second of one forwarder where the fleet's are not named.
+/// Messages per second for each forwarder if the options don't give the rate of the fleet.
 const DEFAULT_MESSAGES_PER_FORWARDER: f64 = 200.0;
 
 /// Options of `capacity fleet`.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
+    /// Number of forwarders
     #[arg(long, default_value_t = 400)]
     pub forwarders: u32,
-    /// Each with one target
+    /// Number of destinations, each with one endpoint
     #[arg(long, default_value_t = 8_000)]
     pub destinations: u32,
     /// Simulated time, s
     #[arg(long, default_value_t = 60)]
     pub seconds: u32,
-    /// Messages a second for the whole fleet; 200 a forwarder where it is not named
+    /// Messages per second for the whole fleet [default: 200 for each forwarder]
     #[arg(long)]
     pub events_a_second: Option<f64>,
-    /// Part of the destinations that is down at any time
+    /// Share of the destinations that is down at any time
     #[arg(long, default_value_t = 0.041)]
     pub down_share: f64,
-    /// Mean length of an outage, s
+    /// Mean duration of an outage, s
     #[arg(long, default_value_t = 60.0)]
     pub outage_seconds: f64,
-    /// Part of the destinations that gets more than it takes
+    /// Share of the destinations that is sent more than its rate
     #[arg(long, default_value_t = 0.004)]
     pub at_limit_share: f64,
-    /// Exponent of Zipf's law over the destinations
+    /// Exponent of the Zipf distribution of the messages over the destinations
     #[arg(long, default_value_t = 0.8)]
     pub skew: f64,
-    /// Changes of configuration
+    /// Mean number of random changes of configuration in a simulated day
     #[arg(long, default_value_t = 430.0)]
     pub changes_a_day: f64,
-    /// From a quarter to half of the run
+    /// Incident that lasts from a quarter to half of the run
     #[arg(long, value_enum, default_value_t = Incident::None)]
     pub event: Incident,
+    /// Seed of all random streams; the same seed reproduces the counts of a run
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Destinations that a forwarder holds in full before it holds idle ones as summaries; `all` for no such bound
+    /// Destinations that a forwarder holds in full before it holds idle ones as summaries; `all` for no limit
     #[arg(long, value_name = "all|N", default_value_t = FullDestinations::Beyond(1_024))]
     pub full_destinations: FullDestinations,
-    /// Forwarders that the settings name, to see the measurement fail
+    /// Fleet size in the forwarders' configuration, to check that the measurement detects a wrong one
     #[arg(long)]
     pub configured_forwarders: Option<u32>,
-    /// The run is the same with any number
+    /// Number of threads; it does not change the counts of a run
     #[arg(long, default_value_t = 2)]
     pub threads: usize,
     #[command(flatten)]
@@ -60,7 +62,7 @@
 }
 
 impl Options {
-    /// The plan of a run with these options.
+    /// Builds the plan of a run with these options.
     pub fn plan(&self) -> Plan {
         let default_rate = DEFAULT_MESSAGES_PER_FORWARDER * f64::from(self.forwarders);
         Plan {
@@ -81,7 +83,8 @@
     }
 }
 
-/// Plays one run and shows it. The error is told to the person in these words.
+/// Runs the plan of the options, prints its figures and writes the requested files. Fails if the plan is invalid or a file
+/// can't be written; the error's text is meant for the user.
 pub fn run(options: &Options) -> Result<(), CapacityError> {
     let outcome = super::run(&options.plan(), options.threads)?;
     println!("{}", table(&outcome));
@@ -101,6 +104,7 @@
     Ok(())
 }
 
+/// Prints when each change of configuration was in force.
 fn print_changes(outcome: &FleetOutcome) {
     let format_seconds =
         |value: Option<f64>| value.map_or("-".to_owned(), |seconds| format!("{seconds:.2}"));
--- a/crates/lab/src/capacity/fleet/outages.rs
+++ b/crates/lab/src/capacity/fleet/outages.rs
@@ -1,4 +1,5 @@
-//! When destinations are down: each by itself, so that a fixed part of all is down at any time.
+//! Random outages of the destinations. Outages of different destinations are independent, and on average a fixed share of
+//! all destinations is down at any time.
 
 use super::plan::{Plan, SECOND};
 use crate::random::{exponential, seeded_rng};
@@ -6,15 +7,17 @@
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-/// Draws the outages of destinations.
+/// Draws the times of outages.
 pub struct Outages {
+    /// Mean share of the destinations that is down, 0 to 1.
     down_share: f64,
-    mean_outage: f64, // µs
+    /// Mean duration of an outage, in µs.
+    mean_outage: f64,
     rng: Pcg64Mcg,
 }
 
 impl Outages {
-    /// The outages of a plan.
+    /// Creates the generator with the plan's shares and seed.
     pub fn new(plan: &Plan) -> Outages {
         Outages {
             down_share: plan.down_share,
@@ -23,7 +26,8 @@
         }
     }
 
-    /// When the first outage of a destination begins: at the first moment where one lasts from before the run.
+    /// Draws the time at which the first outage of a destination begins, in µs; it is 0 for an outage that began before the
+    /// run. Returns `None` if the plan has no outages.
     pub fn first_start(&mut self) -> Option<Micros> {
         if self.down_share <= 0.0 {
             return None;
@@ -32,7 +36,8 @@
         Some(if down { 0 } else { self.draw_duration(false) })
     }
 
-    /// How long an outage lasts that begins now, or how long it is until the next where one has ended.
+    /// Draws an exponentially distributed duration, in µs: that of an outage if `down`, or else of the time between two
+    /// outages of a destination.
     pub fn draw_duration(&mut self, down: bool) -> Micros {
         let mean = if down {
             self.mean_outage
--- a/crates/lab/src/capacity/fleet/plan.rs
+++ b/crates/lab/src/capacity/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! What a fleet run is asked to do, and the fixed figures that all runs share.
+//! The plan of a fleet run, and the parameters that all runs share.
 
 use opalpulley::{
     Config, DeduplicationScope, DeliveryClassConfig, DeliverySemantics, EndpointKindConfig,
@@ -6,48 +6,52 @@
 };
 use serde::Serialize;
 
-/// A second, µs.
+/// One second, in µs.
 pub const SECOND: Micros = 1_000_000;
-/// Regions x zones of the deployment that is sized.
+/// Number of zones over both regions, as in the deployment whose capacity is planned.
 pub const ZONE_COUNT: u16 = 8;
-/// Zones of each region.
 pub const ZONES_PER_REGION: u16 = 4;
-/// Time from the arrival of a message to the end of its latency target.
+/// Latency target: time from the arrival of a message within which it should be delivered, in µs.
 pub const LATENCY_TARGET: Micros = 2_500_000;
-/// Time from the arrival of a message to its deadline.
+/// Time from the arrival of a message to its deadline, in µs.
 const DEADLINE: Micros = 28_000_000;
-/// Calls out at once: what 256 descriptors leave for targets.
+/// Calls in flight at a forwarder at most: the number of connections to endpoints that a limit of 256 file descriptors
+/// allows.
 const CONCURRENCY_LIMIT: u32 = 116;
-/// Messages held at once.
+/// Messages that a forwarder holds at most.
 const MAX_MESSAGES: u32 = 4_000;
 const MAX_ATTEMPTS: u32 = 6;
-/// Three bytes of an address name the destination.
+/// Upper bound on the number of destinations, because three bytes of an endpoint's address encode the destination.
 const MAX_DESTINATIONS: u32 = 1 << 24;
 
-/// Something that happens to the whole fleet a quarter into the run and, where it lasts, ends at half of it.
+/// An event that concerns the whole fleet. It begins after a quarter of the run; a partition ends at half of the run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Incident {
     #[default]
     None,
-    /// One zone is gone: an eighth of the forwarders and destinations. Its destinations come back cold.
+    /// One zone is isolated: an eighth of the forwarders and destinations. Its destinations are cold when the partition
+    /// heals.
     ZoneCut,
-    /// The two regions lose each other: calls, gossip and discovery (which stands in the first) do not pass.
+    /// The two regions are separated: calls and gossip between them are lost, and the second region has no discovery, which
+    /// runs in the first.
     RegionCut,
-    /// One change of configuration beside those that are drawn.
+    /// One change of configuration in addition to the random ones.
     Change,
 }
 
-/// How many destinations a forwarder holds in full before it holds idle ones as summaries.
+/// Number of destinations that a forwarder holds in full before it holds idle ones as summaries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FullDestinations {
+    /// Holds all destinations in full.
     All,
+    /// Holds idle destinations beyond this number as summaries.
     Beyond(u32),
 }
 
 impl FullDestinations {
-    /// As the settings of a forwarder have it.
+    /// Returns the value of [`Config::full_destinations`]: `None` for no limit.
     pub fn limit(self) -> Option<u32> {
         match self {
             FullDestinations::All => None,
@@ -76,40 +80,45 @@
     }
 }
 
-/// What a run is asked to do. The same plan gives the same counts.
+/// The parameters of a run. The same plan gives the same counts.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Plan {
+    /// At least 2, and at most as many as forwarder ids allow.
     pub forwarders: u32,
+    /// At least 1, and at most as many as endpoint addresses allow.
     pub destinations: u32,
-    /// Simulated time.
+    /// Simulated duration of the run, in s; at least 4.
     pub seconds: u32,
-    /// Messages a second that the whole fleet takes.
+    /// Messages per second that clients submit to the whole fleet.
     pub events_a_second: f64,
-    /// Part of the destinations that is down at any time.
+    /// Mean share of the destinations that is down at any time, 0 to 0.9.
     pub down_share: f64,
-    /// Mean length of an outage, seconds.
+    /// Mean duration of an outage, in s.
     pub outage_seconds: f64,
-    /// Part of the destinations whose rate is under what is sent to them.
+    /// Share of the destinations whose rate is lower than the rate of the messages to them, 0 to 0.9.
     pub at_limit_share: f64,
-    /// Exponent of Zipf's law over the destinations.
+    /// Exponent of the Zipf distribution of the messages over the destinations, 0 to 3.
     pub skew: f64,
-    /// Changes of configuration, a day.
+    /// Mean number of random changes of configuration in a simulated day; 0 for none.
     pub changes_a_day: f64,
     pub incident: Incident,
+    /// Seed of all random streams of the run.
     pub seed: u64,
     pub full_destinations: FullDestinations,
-    /// The number of forwarders that the settings name, where it is to be wrong: a check of the measurement.
+    /// Fleet size in the forwarders' configuration, if it differs from the true one. A wrong size checks that the
+    /// measurement detects overload.
     pub configured_forwarders: Option<u32>,
 }
 
-/// Why a plan can't be run.
+/// The reason why a plan is invalid.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PlanError {
-    /// None, or more than addresses.
+    /// There are no destinations, or more than endpoint addresses.
     Destinations { requested: u32 },
-    /// More forwarders than numbers, or fewer than two.
+    /// There are fewer than two forwarders, or more than forwarder ids.
     Forwarders { requested: u32 },
-    /// A share outside 0 to 1, or a rate or time that is not positive.
+    /// The value of another option is out of range: a share outside 0 to 0.9, a skew outside 0 to 3, a run shorter than 4 s,
+    /// a rate or duration that is not positive and finite, or a negative number of changes.
     OutOfRange { option: &'static str, value: f64 },
 }
 
@@ -135,7 +144,7 @@
 impl std::error::Error for PlanError {}
 
 impl Plan {
-    /// Whether the plan can be run.
+    /// Checks the plan. Returns an error that names the first option that is out of range.
     pub fn check(&self) -> Result<(), PlanError> {
         if !(1..=MAX_DESTINATIONS).contains(&self.destinations) {
             return Err(PlanError::Destinations {
@@ -180,27 +189,29 @@
         }
     }
 
-    /// When the run ends, µs.
+    /// Returns the simulated time at which the run ends, in µs.
     pub fn end(&self) -> Micros {
         Micros::from(self.seconds) * SECOND
     }
 
-    /// When the incident begins and ends.
+    /// Returns the simulated times at which the incident begins and ends, in µs.
     pub fn incident_span(&self) -> (Micros, Micros) {
         (self.end() / 4, self.end() / 2)
     }
 
-    /// Messages that arrive earlier meet forwarders that have only begun.
+    /// Returns the simulated time, in µs, from which on arriving messages count towards the share delivered on time. Earlier
+    /// messages meet forwarders that have only just started.
     pub fn measured_from(&self) -> Micros {
         (10 * SECOND).min(self.end() / 4)
     }
 
-    /// Messages that arrive later have not had their whole latency target before the end.
+    /// Returns the simulated time, in µs, until which arriving messages count towards the share delivered on time. The
+    /// latency target of later messages may end after the run.
     pub fn measured_until(&self) -> Micros {
         self.end().saturating_sub(LATENCY_TARGET + SECOND / 2)
     }
 
-    /// The settings of one forwarder: those of a deployment that delivers to outside receivers.
+    /// Returns the configuration of one forwarder: that of a deployment that delivers to outside receivers.
     pub fn forwarder_config(&self, forwarder: u32) -> Config {
         let class = |semantics| DeliveryClassConfig {
             semantics,
@@ -245,7 +256,7 @@
     }
 }
 
-/// The figures of the rules, as forwarders are told them and as receivers are judged by them.
+/// Returns the parameters of the service rules, which configure the forwarders and by which the load on receivers is judged.
 pub fn rules() -> ServiceRuleConfig {
     ServiceRuleConfig {
         answer_slack: 20_000,
--- a/crates/lab/src/capacity/fleet/plots.rs
+++ b/crates/lab/src/capacity/fleet/plots.rs
@@ -1,4 +1,4 @@
-//! Plots over the time of a run, as SVG.
+//! Plots of a run over simulated time, as SVG.
 
 use super::plan::SECOND;
 use super::report::{FleetOutcome, SecondCounts};
@@ -6,18 +6,19 @@
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-/// Width and height of per_forwarder of the two plots, pixels.
+/// Width and height of each of the two plots, in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 240);
 
-/// One line of a plot.
+/// One line of a plot, with its name in the legend.
 struct Series<'a> {
     name: &'a str,
     colour: RGBColor,
-    /// Its value in a second of the run.
+    /// Returns the value of the line for one second of the run.
     value: Box<dyn Fn(&SecondCounts) -> f64 + 'a>,
 }
 
-/// Two plots: control bytes that a forwarder takes in, and what becomes of the messages.
+/// Draws two plots: the control bytes that a forwarder receives, and the arrivals, deliveries and attempts on destinations
+/// that are down, over the whole fleet. Returns the text of the SVG file.
 pub(super) fn plot(outcome: &FleetOutcome) -> Result<String, PlotError> {
     let forwarders = f64::from(outcome.plan.forwarders);
     let per_forwarder = |bytes: u64| bytes as f64 / forwarders;
@@ -60,7 +61,7 @@
     }
 }
 
-/// Draws one plot.
+/// Draws one plot into `area`.
 fn draw(
     area: &DrawingArea<SVGBackend, Shift>,
     outcome: &FleetOutcome,
--- a/crates/lab/src/capacity/fleet/receivers.rs
+++ b/crates/lab/src/capacity/fleet/receivers.rs
@@ -1,5 +1,5 @@
-//! The destinations as the fleet meets them: they answer after a drawn time, take calls up to a rate, are down at times, and
-//! come back cold.
+//! Simulated receivers at the destinations. A receiver responds after a random time, accepts calls up to its rate, has
+//! outages, and is cold when it recovers from one.
 
 use super::layout::Layout;
 use super::observer::{Arrival, Outage, ReceiverCounts, Recovery};
@@ -10,20 +10,20 @@
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64Mcg;
 
-/// Mean of the answer times, µs.
+/// Mean of the log-normally distributed response times, in µs.
 const MEAN_RESPONSE_TIME: f64 = 60_000.0;
-/// Their spread: standard deviation of the logarithm.
+/// Standard deviation of the natural logarithm of the response times.
 const RESPONSE_TIME_SIGMA: f64 = 0.5;
-/// Told with a refusal above the rate.
+/// Retry-after sent with the refusal of a call that exceeds the rate, in µs.
 const RETRY_AFTER: Micros = 400_000;
-/// Calls over the rate that may come at once, in seconds of the rate.
+/// Capacity of a receiver's token bucket, in seconds of its rate: a burst of this size is accepted at once.
 const BURST_SECONDS: f64 = 1.0;
-/// Of outages, the part in which connections are refused; in the others nothing is answered.
+/// Share of the outages in which connections are refused. In the other outages nothing is answered.
 const REFUSING_SHARE: f64 = 0.5;
-/// Least part of the rate that a cold destination takes.
+/// Lower bound on the share of its rate that a cold receiver accepts.
 const MIN_CAPACITY_SHARE: f64 = 0.05;
 
-/// How a destination is down.
+/// How a receiver behaves during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageKind {
     /// Connections are refused.
@@ -32,61 +32,72 @@
     Silent,
 }
 
-/// What comes back for a call.
+/// The response of a receiver to a call or health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceiverResponse {
-    /// After this time.
+    /// The call is accepted and answered after this time, in µs.
     Served(Micros),
-    /// Above its rate.
+    /// The call is refused because it exceeds the receiver's rate. `retry_after` is in µs.
     RateLimited { retry_after: Micros },
-    /// No connection comes up.
+    /// The connection is refused.
     Refused,
     /// Nothing is answered.
     NoResponse,
 }
 
-/// Whether it takes its whole rate.
+/// Whether a receiver accepts its full rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WarmUpState {
     Warm,
-    Cold { since: Micros },
+    /// The receiver recovered at `since`, in µs, and accepts a rising share of its rate until its warm-up ends.
+    Cold {
+        since: Micros,
+    },
 }
 
-/// What a call or health check meets at a destination that is down.
+/// The outcome of a call or health check that arrives at a receiver during an outage.
 struct ArrivalDuringOutage {
     response: ReceiverResponse,
-    /// Another forwarder had met the outage as it was sent.
+    /// Whether a forwarder other than the sender had noticed the outage when it was sent.
     another_knew: bool,
-    /// And its sender had not.
+    /// Whether `another_knew` holds and the sender itself had not noticed the outage.
     only_others_knew: bool,
 }
 
+/// The receiver at one destination.
 struct Receiver {
+    /// Calls per second that it accepts when warm.
     rate: f64,
+    /// Level of its token bucket, in calls.
     tokens: f64,
+    /// Simulated time of the last refill of the bucket, in µs.
     refilled_at: Micros,
     warm_up: WarmUpState,
-    /// Its own outage.
+    /// The outage of this receiver alone, if it has one now.
     own_outage: Option<OutageKind>,
-    /// Its zone is cut off.
+    /// Whether a partition isolates its zone, which counts as an outage.
     zone_isolated: bool,
-    /// Counts its addresses; calls to an older one are refused.
+    /// Number of its moves to another address. Calls to an earlier address are refused.
     incarnation: u32,
+    /// What the observer knows of the current outage; `None` while the receiver is up.
     outage: Option<Box<Outage>>,
+    /// What the observer knows of the recovery; `None` unless the receiver warms up.
     recovery: Option<Box<Recovery>>,
 }
 
-/// All destinations of the fleet.
+/// The receivers of all destinations.
 pub struct Receivers {
+    /// Indexed by the destination's number.
     receivers: Vec<Receiver>,
-    /// What an onlooker counts.
+    /// Counts of the observer.
     pub counts: ReceiverCounts,
+    /// `None`, where every response takes the mean time, if the distribution can't be built.
     response_times: Option<LogNormal<f64>>,
     rng: Pcg64Mcg,
 }
 
 impl Receivers {
-    /// All destinations, up and warm.
+    /// Creates a receiver for each destination of the layout. All are up and warm.
     pub fn new(plan: &Plan, layout: &Layout) -> Receivers {
         let receiver = |rate: f64| Receiver {
             rate,
@@ -112,12 +123,12 @@
         }
     }
 
-    /// Whether a destination is down, by an outage of its own or of its zone.
+    /// Returns whether a destination is down, by an outage of its own or because its zone is isolated.
     pub fn is_down(&self, destination: u32) -> bool {
         self.receivers[destination as usize].outage_kind().is_some()
     }
 
-    /// The destination's own outage begins.
+    /// Begins an outage of the destination alone, of a random kind.
     pub fn start_outage(&mut self, destination: u32) {
         let kind = if self.rng.random_bool(REFUSING_SHARE) {
             OutageKind::Refusing
@@ -127,39 +138,39 @@
         self.receivers[destination as usize].update_outage(0, |r| r.own_outage = Some(kind));
     }
 
-    /// The destination's own outage ends.
+    /// Ends the outage of the destination alone. The destination recovers unless its zone is isolated.
     pub fn end_outage(&mut self, now: Micros, destination: u32) {
         let recovered =
             self.receivers[destination as usize].update_outage(now, |r| r.own_outage = None);
         self.counts.recoveries += u64::from(recovered);
     }
 
-    /// Its zone is cut off, or back.
+    /// Begins or ends the isolation of the destination's zone.
     pub fn set_zone_isolated(&mut self, now: Micros, destination: u32, isolated: bool) {
         let recovered =
             self.receivers[destination as usize].update_outage(now, |r| r.zone_isolated = isolated);
         self.counts.recoveries += u64::from(recovered);
     }
 
-    /// The destination has another rate from now on.
+    /// Sets the rate of the destination, in calls per second.
     pub fn set_rate(&mut self, destination: u32, rate: f64) {
         self.receivers[destination as usize].rate = rate;
     }
 
-    /// The destination moves to another address; gives its number.
+    /// Moves the destination to another address. Returns the new incarnation.
     pub fn relocate(&mut self, destination: u32) -> u32 {
         let receiver = &mut self.receivers[destination as usize];
         receiver.incarnation += 1;
         receiver.incarnation
     }
 
-    /// The number of its address, and its rate.
+    /// Returns the incarnation of the destination's address, and its rate in calls per second.
     pub fn address_and_rate(&self, destination: u32) -> (u32, f64) {
         let receiver = &self.receivers[destination as usize];
         (receiver.incarnation, receiver.rate)
     }
 
-    /// A forwarder has seen a call or health check fail there that was sent at `tried`.
+    /// Records that a forwarder saw at `at` the failure of a call or health check that it had sent at `attempt_sent_at`.
     pub fn record_failed_attempt(
         &mut self,
         destination: u32,
@@ -178,7 +189,7 @@
         }
     }
 
-    /// A call arrives at the address of this holder.
+    /// Handles a call that arrives at the address of this incarnation.
     pub fn call(&mut self, arrival: Arrival, incarnation: u32) -> ReceiverResponse {
         self.counts.calls += 1;
         let receiver = &self.receivers[arrival.destination as usize];
@@ -202,13 +213,14 @@
         ReceiverResponse::Served(self.draw_response_time())
     }
 
+    /// Draws a response time, in µs.
     fn draw_response_time(&mut self) -> Micros {
         let times = self.response_times;
         let time = times.map_or(MEAN_RESPONSE_TIME, |times| times.sample(&mut self.rng));
         time.max(1.0) as Micros
     }
 
-    /// A health check arrives at the address of this holder.
+    /// Handles a health check that arrives at the address of this incarnation. Health checks use no tokens.
     pub fn health_check(&mut self, arrival: Arrival, incarnation: u32) -> ReceiverResponse {
         self.counts.health_checks += 1;
         let receiver = &self.receivers[arrival.destination as usize];
@@ -225,7 +237,7 @@
         ReceiverResponse::Served(0)
     }
 
-    /// Counts what reaches a destination that is not warm yet against its budget.
+    /// Counts an arrival against the budget of the destination if it is still warming up.
     fn count_arrival(&mut self, arrival: Arrival) {
         let receiver = &mut self.receivers[arrival.destination as usize];
         let capacity_share = receiver.capacity_share(arrival.now);
@@ -238,6 +250,7 @@
 }
 
 impl OutageKind {
+    /// Returns the response to any call or health check during an outage of this kind.
     fn response(self) -> ReceiverResponse {
         match self {
             OutageKind::Refusing => ReceiverResponse::Refused,
@@ -247,12 +260,14 @@
 }
 
 impl Receiver {
+    /// Returns how the receiver is down, or `None` while it is up. An isolated zone looks like a silent outage.
     fn outage_kind(&self) -> Option<OutageKind> {
         self.own_outage
             .or(self.zone_isolated.then_some(OutageKind::Silent))
     }
 
-    /// Changes what keeps it down; says whether it has come back by that.
+    /// Applies `change` to the causes of an outage, and updates the observer and the warm-up accordingly. Returns whether
+    /// the receiver has recovered by the change.
     fn update_outage(&mut self, now: Micros, change: impl FnOnce(&mut Receiver)) -> bool {
         let before = self.outage_kind().is_some();
         change(self);
@@ -269,7 +284,7 @@
         before && !after
     }
 
-    /// What a call or health check meets while it is down; none while it is up.
+    /// Returns the outcome of a call or health check that arrives during an outage, or `None` while the receiver is up.
     fn arrival_during_outage(&self, arrival: Arrival) -> Option<ArrivalDuringOutage> {
         let response = self.outage_kind()?.response();
         let (forwarder, sent_at) = (arrival.forwarder, arrival.sent_at);
@@ -283,7 +298,7 @@
         })
     }
 
-    /// The part of its rate that it takes now; from the end of its warm-up on it is warm.
+    /// Returns the share of its rate that the receiver accepts now. Ends the warm-up when its time is over.
     fn capacity_share(&mut self, now: Micros) -> f64 {
         let WarmUpState::Cold { since } = self.warm_up else {
             return 1.0;
@@ -297,7 +312,7 @@
         rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warmth
     }
 
-    /// Whether its rate allows one more call.
+    /// Refills the token bucket and takes one token. Returns whether there was one.
     fn try_take_token(&mut self, now: Micros) -> bool {
         let rate = self.rate * self.capacity_share(now).max(MIN_CAPACITY_SHARE);
         let elapsed_seconds = now.saturating_sub(self.refilled_at) as f64 / SECOND as f64;
--- a/crates/lab/src/capacity/fleet/report.rs
+++ b/crates/lab/src/capacity/fleet/report.rs
@@ -1,4 +1,5 @@
-//! What a run has shown: counts, which its plan decides alone, and what was measured on this machine. As text, JSON and plot.
+//! The results of a run: counts, which depend on the plan alone, and measurements of time and memory on this machine. They
+//! are written as text, JSON and plot.
 
 use super::counters::{EventKind, MessageCounts, EVENT_KINDS};
 use super::destination_states::DestinationStates;
@@ -13,42 +14,47 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Everything that the plan decides: two runs of one plan give the same.
+/// The results that depend on the plan alone. Two runs of one plan give equal counts.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Counts {
+    /// Sums over the fleet.
     pub messages: MessageCounts,
-    /// Messages without an end as the run ended.
+    /// Messages neither delivered, failed nor rejected by the end of the run.
     pub open: u64,
     pub receivers: ReceiverCounts,
     /// Sums over the fleet.
     pub control: ControlTraffic,
     pub control_bytes_a_second: ControlRates,
-    /// Calls and probes, and datagrams, that a cut kept from arriving.
+    /// Calls, health checks and their responses that a partition lost.
     pub attempts_lost: u64,
+    /// Datagrams that a partition lost, counted once for each peer.
     pub gossip_lost: u64,
+    /// All changes of configuration, in order.
     pub changes: Vec<ChangePropagation>,
     pub states: DestinationStates,
 }
 
-/// Bytes a second on the wire at one forwarder, after the start.
+/// Control traffic of a forwarder after the start, in bytes per second on the wire, averaged over the whole run.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ControlRates {
     pub gossip_out: MeanAndWorst,
     pub gossip_in: MeanAndWorst,
     pub list_out: MeanAndWorst,
     pub list_in: MeanAndWorst,
+    /// The four kinds together.
     pub all: MeanAndWorst,
 }
 
-/// A figure over the forwarders.
+/// A figure that each forwarder has, over the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct MeanAndWorst {
     pub mean: f64,
+    /// The highest value of a forwarder, at least 0.
     pub worst: f64,
 }
 
 impl MeanAndWorst {
-    /// Over these values, one a forwarder.
+    /// Computes the mean and the maximum of the values of the forwarders. Both are 0 without values.
     pub fn of(values: impl Iterator<Item = f64>) -> MeanAndWorst {
         let (mut sum, mut count, mut worst) = (0.0, 0u32, 0.0);
         for value in values {
@@ -61,18 +67,20 @@
     }
 }
 
-/// When a change of configuration was in force, in seconds after it was made.
+/// How long a change of configuration took to be in force at the forwarders, in seconds after it was made.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ChangePropagation {
+    /// Simulated time at which the change was made, in s.
     pub made_at: f64,
+    /// Number of changed entries of the endpoint list.
     pub lines: usize,
-    /// Half of the forwarders had it, of those that had it at the end.
+    /// Median over the forwarders that had the change by the end of the run.
     pub median: Option<f64>,
-    /// All that had it at the end.
+    /// Maximum over the forwarders that had the change by the end of the run.
     pub last: Option<f64>,
-    /// The same in each region.
+    /// `last` for each region.
     pub last_by_region: [Option<f64>; 2],
-    /// Forwarders that did not have it at the end.
+    /// Number of forwarders that did not have the change by the end of the run.
     pub missing: usize,
 }
 
@@ -109,7 +117,7 @@
     }
 }
 
-/// Counts of a finished run.
+/// Collects the counts of a finished run.
 pub fn collect_counts(
     plan: &Plan,
     forwarders: &[SimulatedForwarder],
@@ -151,18 +159,24 @@
     }
 }
 
-/// One second of the run, over the whole fleet.
+/// Counts of one second of the run, summed over the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct SecondCounts {
+    /// Messages submitted.
     pub arrived: u64,
+    /// Messages delivered.
     pub delivered: u64,
+    /// Bytes on the wire.
     pub gossip_in_bytes: u64,
+    /// Bytes on the wire, without the complete list at the start.
     pub list_in_bytes: u64,
+    /// Calls and health checks that arrived at destinations that were down.
     pub attempts_while_down: u64,
 }
 
 impl SecondCounts {
-    /// What has come since the last column; `base` holds the sums up to it.
+    /// Computes the counts since the previous call. `totals` holds the sums up to it and is updated; it is `None` before the
+    /// first call.
     pub fn since(
         totals: &mut Option<SecondCounts>,
         forwarders: &[SimulatedForwarder],
@@ -189,29 +203,37 @@
     }
 }
 
-/// The core's work of one kind at one forwarder.
+/// The cost of one kind of events in the core of a forwarder, averaged over the fleet.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct EventKindCost {
     pub kind: EventKind,
+    /// Events of one forwarder per simulated second.
     pub events_a_second: f64,
+    /// Processor time of one event, in µs.
     pub microseconds_an_event: f64,
-    /// Part of one core.
+    /// Processor time of a forwarder as a fraction of simulated time: the share of one processor core that it would use.
     pub core_share: MeanAndWorst,
 }
 
-/// What this machine spent. It differs from run to run and is never compared.
+/// Time and memory that the run took on this machine. They differ from run to run and are never compared.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measurements {
+    /// Wall-clock time of the run with its start, in s.
     pub wall_seconds: f64,
+    /// Wall-clock time until all forwarders had applied the complete list, in s.
     pub start_seconds: f64,
-    /// Resident memory that the run took, over the forwarders: with the lists in, and at the end.
+    /// Resident memory added since before the run, divided by the number of forwarders, once all have applied the complete
+    /// list; in bytes.
     pub resident_a_forwarder_at_start: f64,
+    /// The resident memory at the end of the run, computed in the same way.
     pub resident_a_forwarder_at_end: f64,
+    /// One entry for each kind of events, in the order of [`EVENT_KINDS`].
     pub work: Vec<EventKindCost>,
 }
 
 impl Measurements {
-    /// What was measured of a run.
+    /// Computes the measurements of a finished run. `resident_before` and `resident_at_start` are the resident memory of the
+    /// process before the run and after its start, in bytes.
     pub fn new(
         plan: &Plan,
         forwarders: &[SimulatedForwarder],
@@ -244,17 +266,18 @@
     }
 }
 
-/// What a run came to.
+/// The complete results of a run, as they are written to JSON.
 #[derive(Clone, Debug, Serialize)]
 pub struct FleetOutcome {
     pub plan: Plan,
     pub counts: Counts,
+    /// One entry for each complete simulated second, in order.
     #[serde(rename = "columns")]
     pub per_second_counts: Vec<SecondCounts>,
     pub measured: Measurements,
 }
 
-/// Resident memory of this process; 0 where the system does not tell.
+/// Returns the resident memory of this process in bytes, or 0 if the system can't report it.
 pub fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/lab/src/capacity/fleet/simulated_forwarder.rs
+++ b/crates/lab/src/capacity/fleet/simulated_forwarder.rs
@@ -1,6 +1,6 @@
-//! A hollow forwarder: the real decision core with its gossip codec, between an inbox of timed events and an outbox for the
-//! wire. It takes its own stream of messages, keeps the time-outs of attempts and probes, and counts what becomes of each
-//! message and what the core's work costs by kind of event.
+//! A simulated forwarder: the real decision core with its gossip codec, between an inbox of timed inputs and an outbox for
+//! the network. It generates the messages that clients submit to it, keeps the timeouts of attempts and health checks, and
+//! counts the outcomes of the messages and the processor time of the core by kind of event.
 
 use super::counters::{EventCost, EventKind, MessageCounts, EVENT_KINDS};
 use super::event_queue::EventQueue;
@@ -18,42 +18,55 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
 
-/// A health check without answer has failed after this time, µs.
+/// Time after which a health check without a response has failed, in µs.
 const HEALTH_CHECK_TIMEOUT: Micros = 1_500_000;
-/// The deadline of a message, as the delivery classes have it, µs.
+/// Time from the arrival of a message to its deadline, in µs, equal to the time to live of the delivery classes.
 const DEADLINE: Micros = 28 * SECOND;
 
+/// A message that the core holds.
 struct OpenMessage {
+    /// Simulated time of its submission, in µs.
     arrived_at: Micros,
+    /// Whether its destination was down when it was submitted.
     destination_was_down: bool,
+    /// Whether it counts towards the share delivered on time.
     measured: bool,
-    /// Attempts so far.
+    /// Number of attempts started.
     attempts: u8,
-    /// The attempt that is out: its target and when it was sent.
+    /// Endpoint and start, in µs, of the attempt in flight.
     in_flight: Option<(EndpointId, Micros)>,
 }
 
-/// A core with its inbox, its outbox and its counts.
+/// A decision core with its inbox, outbox and counts.
 pub struct SimulatedForwarder {
+    /// Number of the forwarder in the fleet, from 0.
     pub id: u32,
     pub zone: u16,
+    /// Inputs that are due at simulated times.
     pub inbox: EventQueue<ForwarderInput>,
+    /// Outputs of the current time step with the time of each in µs, in the order in which the forwarder produced them.
     pub outbox: Vec<(Micros, ForwarderOutput)>,
     pub counts: MessageCounts,
+    /// Indexed by [`EventKind`].
     pub costs: [EventCost; EVENT_KINDS.len()],
     core: Forwarder,
+    /// Buffer for the core's actions, empty between events.
     actions: Vec<Action>,
-    open_messages: HashMap<MessageId, OpenMessage>, // a message leaves with its end
-    health_checks: HashMap<EndpointId, Micros>,     // a probe leaves with its answer or time-out
+    /// Messages that the core holds, until they are delivered, failed or rejected.
+    open_messages: HashMap<MessageId, OpenMessage>,
+    /// Start of the health check in flight at each endpoint, in µs, until its response or timeout.
+    health_checks: HashMap<EndpointId, Micros>,
     rng: Pcg64Mcg,
-    /// Messages a second that arrive here.
+    /// Mean number of messages per second that clients submit here.
     arrival_rate: f64,
+    /// Counts the changes of `arrival_rate`, so that an arrival scheduled at an earlier rate is ignored.
     generation: u32,
+    /// Simulated times, in µs, at which an arriving message counts towards the share delivered on time.
     measured_arrivals: std::ops::Range<Micros>,
 }
 
 impl SimulatedForwarder {
-    /// A forwarder that knows no endpoint yet.
+    /// Creates a forwarder that knows no endpoints and receives no messages.
     pub fn new(plan: &Plan, id: u32) -> SimulatedForwarder {
         SimulatedForwarder {
             id,
@@ -73,7 +86,7 @@
         }
     }
 
-    /// The whole list as it stands at the start.
+    /// Has the core apply the complete endpoint list at the start of the run.
     pub fn load_initial_list(&mut self, list: &[EndpointEntry]) {
         self.handle_event(
             0,
@@ -82,13 +95,14 @@
         );
     }
 
-    /// From now on so many messages a second arrive here.
+    /// Sets the mean number of messages per second that arrive from now on, and replaces the scheduled arrival.
     pub fn set_arrival_rate(&mut self, now: Micros, per_second: f64) {
         self.arrival_rate = per_second;
         self.generation += 1;
         self.schedule_next_message(now);
     }
 
+    /// Schedules the next arrival after an exponentially distributed gap, unless the rate is 0.
     fn schedule_next_message(&mut self, now: Micros) {
         if self.arrival_rate > 0.0 {
             let gap = exponential(&mut self.rng) / self.arrival_rate * SECOND as f64;
@@ -101,13 +115,14 @@
         }
     }
 
-    /// Handles all that comes before `until`. What is sent by that lies in the outbox.
+    /// Handles all inputs that are due before `until`. What the forwarder sends is left in the outbox.
     pub fn advance(&mut self, until: Micros, layout: &Layout, receivers: &Receivers) {
         while let Some((now, incoming)) = self.inbox.pop_before(until) {
             self.handle_input(now, incoming, layout, receivers);
         }
     }
 
+    /// Handles one input that is due now.
     fn handle_input(
         &mut self,
         now: Micros,
@@ -159,7 +174,8 @@
         }
     }
 
-    /// A health check is answered or has failed; one that was answered before, or given up, counts for nothing.
+    /// Handles the end of a health check. An end is ignored if the health check has ended before or was replaced by a newer
+    /// one.
     fn end_health_check(
         &mut self,
         now: Micros,
@@ -183,6 +199,7 @@
         self.handle_event(now, EventKind::Probe, event);
     }
 
+    /// Submits a message to a random destination to the core.
     fn submit_message(&mut self, now: Micros, layout: &Layout, receivers: &Receivers) {
         let destination = layout.draw_destination(&mut self.rng);
         let id = MessageId(self.counts.arrived as u32);
@@ -216,6 +233,8 @@
         self.handle_event(now, EventKind::Message, Event::MessageSubmitted(submission));
     }
 
+    /// Handles the end of an attempt. An end is ignored if the attempt has ended before, a later one has started, or the
+    /// message is no longer open.
     fn end_attempt(&mut self, now: Micros, id: MessageId, attempt_index: u8, outcome: Outcome) {
         let Some(message) = self
             .open_messages
@@ -263,7 +282,8 @@
         self.handle_event(now, EventKind::Message, event);
     }
 
-    /// A call or probe has failed: where that was by an outage of the destination, the forwarder has met it.
+    /// Reports to the observer that a call or health check has failed. If an outage of the destination was the cause, the
+    /// forwarder has noticed the outage by it.
     fn report_failure(&mut self, now: Micros, endpoint: EndpointId, attempt_sent_at: Micros) {
         self.outbox.push((
             now,
@@ -274,7 +294,7 @@
         ));
     }
 
-    /// Has the core handle one event, books the time, and carries out its actions.
+    /// Has the core handle one event, accounts the processor time, and performs the core's actions.
     fn handle_event(&mut self, now: Micros, kind: EventKind, event: Event) {
         let SimulatedForwarder { core, actions, .. } = self;
         self.costs[kind as usize].measure(|| core.handle(now, event, actions));
@@ -285,6 +305,7 @@
         self.actions = actions;
     }
 
+    /// Performs one action of the core.
     fn perform(&mut self, now: Micros, action: Action) {
         match action {
             Action::StartAttempt {
@@ -316,7 +337,8 @@
                 self.outbox.push((now, gossip));
             }
             Action::LogError(_) => self.counts.core_errors += 1,
-            // A call goes whole as it is sent, and discovery holds a watch open for each forwarder.
+            // A call is sent completely at its start, so nothing is left to withdraw. Discovery holds a watch open for each
+            // forwarder without being asked.
             Action::WithdrawUnsent { .. }
             | Action::CloseIdleConnections { .. }
             | Action::WatchEndpointList { .. } => {}
@@ -324,6 +346,7 @@
         }
     }
 
+    /// Starts an attempt of an open message: transmits the call and schedules its timeout, if it has one.
     fn start_attempt(
         &mut self,
         now: Micros,
@@ -349,7 +372,7 @@
         }
     }
 
-    /// Has an attempt end with an outcome at a time.
+    /// Schedules the end of an attempt. It has no effect if the attempt ends earlier.
     fn schedule_attempt_end(&mut self, at: Micros, id: MessageId, attempt: u8, outcome: Outcome) {
         let input = ForwarderInput::AttemptEnded {
             id,
@@ -359,6 +382,7 @@
         self.inbox.push(at, input);
     }
 
+    /// Starts a health check and schedules its timeout.
     fn start_health_check(&mut self, now: Micros, endpoint: EndpointId) {
         self.counts.health_checks += 1;
         self.health_checks.insert(endpoint, now);
@@ -372,12 +396,12 @@
         self.inbox.push(now + HEALTH_CHECK_TIMEOUT, failed);
     }
 
-    /// How much the core holds in full and as summaries.
+    /// Returns the numbers of destinations and endpoints that the core holds in full and as summaries.
     pub fn state_counts(&self) -> StateCounts {
         self.core.state_counts()
     }
 
-    /// Messages that have no end yet.
+    /// Returns the number of messages that are not yet delivered, failed or rejected.
     pub fn open_message_count(&self) -> usize {
         self.open_messages.len()
     }
--- a/crates/lab/src/capacity/fleet/tests.rs
+++ b/crates/lab/src/capacity/fleet/tests.rs
@@ -3,10 +3,10 @@
 use super::report::{Counts, FleetOutcome};
 use super::run;
 
-/// One is enough for so few forwarders.
+/// One thread is enough for so few forwarders.
 const THREADS: usize = 1;
 
-/// Twelve forwarders and three hundred destinations: the small twin of a fleet run.
+/// Returns a plan with 12 forwarders and 300 destinations, small enough for a test.
 fn small_plan(seed: u64) -> Plan {
     Plan {
         forwarders: 12,
@@ -25,11 +25,12 @@
     }
 }
 
+/// Runs a plan and returns its counts.
 fn run_counts(plan: &Plan) -> Counts {
-    run(plan, THREADS).expect("the plan can be run").counts
+    run(plan, THREADS).expect("the plan should be valid").counts
 }
 
-/// What holds of every run: no message is without an end or twice ended, and all bytes are accounted for.
+/// Asserts what holds for every run: each message ends exactly once or is still open, and all bytes are accounted for.
 fn assert_accounts_balance(plan: &Plan, counts: &Counts) {
     let messages = &counts.messages;
     assert_eq!(messages.core_errors, 0);
@@ -40,7 +41,7 @@
     assert_eq!(
         received_or_lost,
         control.gossip_out.messages * u64::from(plan.forwarders - 1),
-        "all peers but oneself"
+        "each datagram should reach or be lost to all peers of its sender"
     );
     for gossip in [control.gossip_out, control.gossip_in] {
         assert_eq!(
@@ -70,7 +71,7 @@
             counts,
             per_second_counts,
             ..
-        } = run(&small_plan(seed), threads).expect("the plan can be run");
+        } = run(&small_plan(seed), threads).expect("the plan should be valid");
         (counts, per_second_counts)
     };
     let first = counts_of(1, 1);
@@ -92,19 +93,19 @@
     );
     assert!(
         counts.control.gossip_out.messages > 0,
-        "some destinations are at their limit"
+        "destinations at their limit should cause gossip"
     );
     assert!(
         receivers.calls_while_down > 0 && receivers.calls_another_knew > 0,
-        "some are down"
+        "some calls should reach destinations that are down"
     );
-    assert!(receivers.recoveries > 0, "some have come back");
-    // A watch is answered twelve times a minute where nothing changes: the least that a list costs.
+    assert!(receivers.recoveries > 0, "some destinations should recover");
+    // A watch is answered after 5 s if nothing changes, twelve times a minute, which is the minimum of requests.
     let watches = u64::from(plan.forwarders * plan.seconds / 5);
     let requests = counts.control.list_out.messages;
     assert!(
         requests >= watches - u64::from(plan.forwarders),
-        "{requests} requests, {watches} expected at least"
+        "{requests} requests, expected at least {watches} less one for each forwarder"
     );
     assert!(
         messages.on_time_while_up as f64 >= 0.95 * messages.eligible_while_up as f64,
@@ -136,10 +137,13 @@
     );
     assert!(
         wrong.receivers.recoveries_overloaded_by_witnesses > 0,
-        "by ones that knew: {:?}",
+        "some overload should come from forwarders that had noticed the outage: {:?}",
         wrong.receivers
     );
-    let worst = wrong.receivers.worst.expect("destinations came back");
+    let worst = wrong
+        .receivers
+        .worst
+        .expect("some destinations should recover");
     assert!(worst.calls as f64 > worst.allowed);
 }
 
@@ -164,7 +168,10 @@
     );
     assert_eq!(all.messages.arrived, none.messages.arrived);
     for counts in [&all, &none] {
-        assert!(counts.receivers.recoveries > 0, "some have come back");
+        assert!(
+            counts.receivers.recoveries > 0,
+            "some destinations should recover"
+        );
         assert_eq!(
             counts.receivers.recoveries_over_limit, 0,
             "{:?}",
@@ -210,11 +217,11 @@
     let counts = run_counts(&plan);
     assert_accounts_balance(&plan, &counts);
     let [change] = counts.changes.as_slice() else {
-        panic!("one change: {:?}", counts.changes)
+        panic!("expected one change, got {:?}", counts.changes)
     };
     assert_eq!((change.made_at, change.missing), (5.0, 0));
-    let last = change.last.expect("all have it");
-    // 2.2 s of spreading, and a watch that is just being opened anew.
+    let last = change.last.expect("the change should be in force");
+    // The propagation takes up to 2.2 s; the remainder allows for a watch that is just being opened again.
     assert!(
         last < 2.3 && change.median.is_some_and(|median| median < last),
         "{change:?}"
@@ -235,12 +242,13 @@
         "{counts:?}"
     );
     let [during, after] = counts.changes.as_slice() else {
-        panic!("two changes: {:?}", counts.changes)
+        panic!("expected two changes, got {:?}", counts.changes)
     };
-    // Made at 7.5 s, healed at 10 s; the watches of the cut zone are opened again 7.15 s after they were lost at the latest.
+    // The change is made at 7.5 s and the partition heals at 10 s. The forwarders of the isolated zone open their watches
+    // again at most 7.15 s after these were lost.
     let [first_region, second_region] = during
         .last_by_region
-        .map(|last| last.expect("both regions have it"));
+        .map(|last| last.expect("the change should be in force in both regions"));
     assert!(
         first_region < 2.3 && (2.5..2.5 + 7.2 + 2.3).contains(&second_region),
         "{during:?}"
@@ -252,7 +260,7 @@
     });
     assert!(
         counts.receivers.recoveries > without_partition.receivers.recoveries + 30,
-        "an eighth came back cold"
+        "the destinations of the isolated zone, an eighth of all, should recover"
     );
 }
 
@@ -268,7 +276,7 @@
     let during = &counts.changes[0];
     let [first_region, second_region] = during
         .last_by_region
-        .map(|last| last.expect("both regions have it"));
+        .map(|last| last.expect("the change should be in force in both regions"));
     assert!(first_region < 2.3 && second_region > 2.5, "{during:?}");
     assert!(counts.gossip_lost > 0 && counts.attempts_lost > 0);
 }
@@ -285,7 +293,11 @@
 
 #[test]
 fn rejects_invalid_plan_and_names_the_option() {
-    let plan_error = |plan: Plan| run(&plan, 1).map(|_| ()).expect_err("refused");
+    let plan_error = |plan: Plan| {
+        run(&plan, 1)
+            .map(|_| ())
+            .expect_err("the plan should be rejected")
+    };
     assert_eq!(
         plan_error(Plan {
             destinations: 0,
--- a/crates/lab/src/capacity/fleet/transport.rs
+++ b/crates/lab/src/capacity/fleet/transport.rs
@@ -1,4 +1,5 @@
-//! What forwarders and destinations send each other: calls, health checks, answers and gossip, unless a cut is in their way.
+//! Transport between forwarders and destinations: calls, health checks, their responses and gossip, each of which is
+//! delayed, or lost to a network partition.
 
 use super::forwarder_io::{ForwarderInput, ForwarderOutput};
 use super::layout::{destination_of, forwarder_zone};
@@ -9,7 +10,7 @@
 use std::sync::Arc;
 
 impl Fleet<'_> {
-    /// An answer goes back, unless a cut is in its way.
+    /// Sends a response of an endpoint to a forwarder at `at`, unless a partition loses it.
     pub(super) fn send_response(
         &mut self,
         at: Micros,
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Takes what the forwarders have sent to where it goes, in the order of their numbers.
+    /// Transmits the outputs of all forwarders, in the order of the forwarders' numbers, and empties their outboxes.
     pub(super) fn transmit_outboxes(&mut self) {
         for sender in 0..self.forwarders.len() {
             let mut outbox = std::mem::take(&mut self.forwarders[sender].outbox);
@@ -43,7 +44,7 @@
         }
     }
 
-    /// What a forwarder has sent goes on its way.
+    /// Transmits one output of a forwarder, or hands it to the observer.
     fn transmit(&mut self, forwarder: u32, sent_at: Micros, output: ForwarderOutput) {
         match output {
             ForwarderOutput::Call {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Gossip goes to one peer, or to all; a cut loses what would cross it.
+    /// Sends a gossip datagram to one peer, or to all if `to` is `None`. A partition loses the copies that would cross it.
     fn transmit_gossip(
         &mut self,
         from: u32,
@@ -124,6 +125,7 @@
         }
     }
 
+    /// Schedules the arrival of a call or health check at its endpoint, unless a partition loses it.
     fn transmit_attempt(
         &mut self,
         forwarder: u32,
@@ -145,7 +147,7 @@
     }
 }
 
-/// A call or health check that reaches its destination now.
+/// Builds the arrival of a call or health check that reaches its destination now.
 pub(super) fn new_arrival(
     now: Micros,
     forwarder: u32,
@@ -160,7 +162,8 @@
     }
 }
 
-/// What the forwarder sees of a reply, and after how long; none where nothing comes back.
+/// Returns the outcome that the forwarder sees of a response, and the delay of the response in µs; `None` if nothing is
+/// answered.
 pub(super) fn response_outcome(response: ReceiverResponse) -> Option<(Micros, Outcome)> {
     match response {
         ReceiverResponse::Served(after) => Some((after, Outcome::Delivered)),
