--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -62,7 +62,7 @@
     let context = Arc::new(EndpointContext {
         config: connections,
         names,
-        idle,
+        idle_permits: idle,
         dispatcher,
         log: log.clone(),
     });
--- a/crates/forwarder/src/endpoints/stream.rs
+++ b/crates/forwarder/src/endpoints/stream.rs
@@ -1,9 +1,9 @@
 //! The stream under a connection to an endpoint.
 //!
-//! It counts the bytes written, passes what comes through the response filter, and fails where bytes come that belong to no
-//! request: they must not be taken for the answer to the next one.
+//! It counts the bytes written, passes received bytes through the response filter, and fails on bytes that belong to no
+//! request, because they must not be taken for the response to the next request.
 
-use super::response_filter::{ResponseFilter, MAX_FIRST_LINE_BYTES};
+use super::response_filter::{ResponseFilter, MAX_STATUS_LINE_BYTES};
 use socket2::SockRef;
 use std::io::{self, Read};
 use std::pin::Pin;
@@ -15,34 +15,37 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Bytes read at once while a first line is awaited. Most answers fit whole.
-const READ_BYTES: usize = 2048;
+/// Upper bound on the bytes read at once while a status line is awaited. Most responses fit.
+const READ_CHUNK_BYTES: usize = 2048;
 
-/// How far the answer to the present request has come.
+/// How much of the response to the current request has been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerProgress {
-    /// No request is in flight: bytes that come now belong to none.
+pub enum ResponseProgress {
+    /// No request is in flight. Bytes that are received now belong to none.
     NoRequest,
-    /// A request is in flight. Nothing of its answer is in, or 1xx heads alone.
+    /// A request is in flight. No byte of its response has been received, apart from 1xx heads.
     Awaited,
-    /// The first bytes of the answer are in.
+    /// The first bytes of the response have been received.
     Started,
-    /// The first line is in and has this status. What follows may still be invalid.
+    /// The status line has been received and has this status. The rest of the response may still be invalid.
     Status(u16),
 }
 
-impl AnswerProgress {
+impl ResponseProgress {
     fn has_started(self) -> bool {
-        matches!(self, AnswerProgress::Started | AnswerProgress::Status(_))
+        matches!(
+            self,
+            ResponseProgress::Started | ResponseProgress::Status(_)
+        )
     }
 }
 
-/// What is known of the bytes on a stream, shared with the attempt that uses its connection.
+/// State of a stream, shared between the stream and the attempt that uses its connection.
 pub struct StreamState {
     bytes_written: AtomicU64,
-    /// Bytes written before the present request.
+    /// Number of bytes written before the current request.
     bytes_before_request: AtomicU64,
-    answer: watch::Sender<AnswerProgress>,
+    response: watch::Sender<ResponseProgress>,
 }
 
 impl StreamState {
@@ -50,38 +53,42 @@
         StreamState {
             bytes_written: AtomicU64::new(0),
             bytes_before_request: AtomicU64::new(0),
-            answer: watch::Sender::new(AnswerProgress::NoRequest),
+            response: watch::Sender::new(ResponseProgress::NoRequest),
         }
     }
 
-    /// Bytes of the present request that were written to the socket.
+    /// Returns the number of bytes of the current request that were written to the socket.
     pub fn request_bytes_written(&self) -> u64 {
         let before = self.bytes_before_request.load(Ordering::Relaxed);
         self.bytes_written.load(Ordering::Relaxed) - before
     }
 
-    /// How far the answer has come.
-    pub fn answer_progress(&self) -> AnswerProgress {
-        *self.answer.borrow()
+    /// Returns how much of the response has been received.
+    pub fn response_progress(&self) -> ResponseProgress {
+        *self.response.borrow()
     }
 
-    /// Returns once an answer has been in progress for `timeout`; the caller drops this future when the head is complete.
-    /// A 1xx head starts the wait anew.
-    pub async fn answer_head_stalled(&self, timeout: Duration) {
-        let mut answer = self.answer.subscribe();
-        while answer.wait_for(|now| now.has_started()).await.is_ok() {
-            let back = answer.wait_for(|now| !now.has_started());
-            if tokio::time::timeout(timeout, back).await.is_err() {
+    /// Waits until a response has been in progress for `timeout`. The caller must drop this future when the response head is
+    /// complete. A 1xx head restarts the wait.
+    pub async fn wait_for_stalled_head(&self, timeout: Duration) {
+        let mut response = self.response.subscribe();
+        while response
+            .wait_for(|current| current.has_started())
+            .await
+            .is_ok()
+        {
+            let restarted = response.wait_for(|current| !current.has_started());
+            if tokio::time::timeout(timeout, restarted).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Marks the present exchange as over.
+    /// Marks the current exchange as complete.
     pub fn end_exchange(&self) {
         let written = self.bytes_written.load(Ordering::Relaxed);
         self.bytes_before_request.store(written, Ordering::Relaxed);
-        self.answer.send_replace(AnswerProgress::NoRequest);
+        self.response.send_replace(ResponseProgress::NoRequest);
     }
 
     fn add_bytes_written(&self, count: usize) {
@@ -89,17 +96,17 @@
             .fetch_add(count as u64, Ordering::Relaxed);
     }
 
-    /// Records a step of the answer. Further bytes of a first line that has started already notify no waiter.
-    fn set_answer_progress(&self, progress: AnswerProgress) {
-        self.answer.send_if_modified(|now| {
-            let again = *now == progress && progress == AnswerProgress::Started;
-            *now = progress;
-            !again
+    /// Records the progress of the response. Further bytes of a status line that has already started do not wake waiters.
+    fn set_response_progress(&self, progress: ResponseProgress) {
+        self.response.send_if_modified(|current| {
+            let unchanged = *current == progress && progress == ResponseProgress::Started;
+            *current = progress;
+            !unchanged
         });
     }
 }
 
-/// A stream to an endpoint.
+/// A stream to an endpoint, owned by the HTTP library.
 pub struct EndpointStream {
     socket: TcpStream,
     state: Arc<StreamState>,
@@ -107,7 +114,7 @@
 }
 
 impl EndpointStream {
-    /// A stream over a new connection, and its state.
+    /// Wraps a new connection. Returns the stream and its shared state.
     pub fn new(socket: TcpStream) -> (EndpointStream, Arc<StreamState>) {
         let state = Arc::new(StreamState::new());
         let stream = EndpointStream {
@@ -118,18 +125,18 @@
         (stream, state)
     }
 
-    /// Starts an exchange with the first byte of a request. Fails where bytes lie in the socket that belong to no request.
-    /// The socket itself is asked, because the runtime may not have read it yet.
+    /// Starts an exchange at the first byte of a request. Fails with `ConnectionReset` if the socket holds bytes that belong
+    /// to no request or has ended. Reads the socket directly, because the runtime may not have noticed the bytes yet.
     fn begin_exchange(&mut self) -> io::Result<()> {
-        if self.state.answer_progress() != AnswerProgress::NoRequest {
+        if self.state.response_progress() != ResponseProgress::NoRequest {
             return Ok(());
         }
         match (&*SockRef::from(&self.socket)).read(&mut [0]) {
-            Err(problem) if problem.kind() == io::ErrorKind::WouldBlock => {}
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             _ => return Err(io::ErrorKind::ConnectionReset.into()),
         }
-        self.state.set_answer_progress(AnswerProgress::Awaited);
-        self.filter.expect_answer();
+        self.state.set_response_progress(ResponseProgress::Awaited);
+        self.filter.expect_response();
         Ok(())
     }
 
@@ -140,33 +147,34 @@
         written
     }
 
-    /// Reads bytes of an answer after its first line, straight to the library.
-    fn poll_read_through(
+    /// Passes bytes of a response after its status line directly to the library. Fails with `InvalidData` if they belong to
+    /// no request.
+    fn poll_read_unfiltered(
         &mut self,
         cx: &mut Context<'_>,
         output: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = output.filled().len();
         ready!(Pin::new(&mut self.socket).poll_read(cx, output))?;
-        let bytes_came = output.filled().len() > before;
-        if bytes_came && self.state.answer_progress() == AnswerProgress::NoRequest {
+        let bytes_received = output.filled().len() > before;
+        if bytes_received && self.state.response_progress() == ResponseProgress::NoRequest {
             return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
         }
         Poll::Ready(Ok(()))
     }
 
-    /// Reads until the filter lets bytes through to the library, or to the end of the stream. A first line that the end
-    /// cuts off is dropped.
+    /// Reads until the filter passes bytes to the library, or to the end of the stream. Drops a status line that is cut off
+    /// by the end of the stream.
     fn poll_read_filtered(
         &mut self,
         cx: &mut Context<'_>,
         output: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         loop {
-            // What was kept back of a first line must fit beside what comes now.
-            let space = output.remaining().saturating_sub(MAX_FIRST_LINE_BYTES);
-            let mut buffer = [0; READ_BYTES];
-            let mut input = ReadBuf::new(&mut buffer[..space.clamp(1, READ_BYTES)]);
+            // The withheld bytes of a status line must fit into `output` in addition to the bytes read now.
+            let read_limit = output.remaining().saturating_sub(MAX_STATUS_LINE_BYTES);
+            let mut buffer = [0; READ_CHUNK_BYTES];
+            let mut input = ReadBuf::new(&mut buffer[..read_limit.clamp(1, READ_CHUNK_BYTES)]);
             ready!(Pin::new(&mut self.socket).poll_read(cx, &mut input))?;
             if input.filled().is_empty() {
                 return Poll::Ready(Ok(()));
@@ -174,7 +182,7 @@
             let before = output.filled().len();
             let state = &self.state;
             self.filter.push(input.filled(), output, |progress| {
-                state.set_answer_progress(progress);
+                state.set_response_progress(progress);
             })?;
             if output.filled().len() > before {
                 return Poll::Ready(Ok(()));
@@ -190,7 +198,7 @@
         output: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.filter.passes_through() {
-            self.poll_read_through(cx, output)
+            self.poll_read_unfiltered(cx, output)
         } else {
             self.poll_read_filtered(cx, output)
         }
--- a/crates/forwarder/tests/program/configuration.rs
+++ b/crates/forwarder/tests/program/configuration.rs
@@ -1,102 +1,126 @@
-//! The start-up configuration, at the start and at a reload.
+//! The start-up configuration at start-up and after a reload.
 
 use crate::common::*;
 use std::process::Stdio;
 
-/// After SIGHUP the list comes from the new address and reports go there. An invalid file changes nothing.
+/// After SIGHUP the list is fetched from the new platform and reports are sent to it. An invalid file changes nothing.
 #[test]
-fn a_reload_moves_to_the_new_platform_and_an_invalid_file_changes_nothing() {
-    let (endpoint, seen) = endpoint_with("200 OK");
-    let (other, seen_other) = endpoint_with("200 OK");
-    let (mute, _) = silent_endpoint();
-    let old = platform(
-        vec![member(endpoint, 7, "Ready"), member(mute, 9, "Ready")],
+fn reload_switches_platform_and_ignores_an_invalid_file() {
+    let (endpoint, request_log) = endpoint_responding_with("200 OK");
+    let (other, other_request_log) = endpoint_responding_with("200 OK");
+    let (silent_address, _) = silent_endpoint();
+    let old_platform = platform(
+        vec![
+            member(endpoint, 7, "Ready"),
+            member(silent_address, 9, "Ready"),
+        ],
         usize::MAX,
-    ); // it acknowledges no report
-    let new = platform(vec![member(other, 7, "Ready")], 0);
+    ); // the old platform acknowledges no report
+    let new_platform = platform(vec![member(other, 7, "Ready")], 0);
     let (dir, state) = folder();
-    let text = config("notice", "free", 200, 3.0);
-    // Revisions start lower at the new one.
-    push_change(&old, list(90, false, &[member(endpoint, 7, "Ready")]));
-    let mut forwarder = start(&state, &text, old.address);
-    until_changes_are_sent(&old);
-    let short = submission_head("short", "notice", 4)
+    let config_text = config("notice", "free", 200, 3.0);
+    // The revisions of the new platform start at a lower number.
+    push_change(
+        &old_platform,
+        list(90, false, &[member(endpoint, 7, "Ready")]),
+    );
+    let mut forwarder = start(&state, &config_text, old_platform.address);
+    wait_until_changes_are_sent(&old_platform);
+    let short_submission = submission_head("short", "notice", 4)
         .replace("20000", "300")
         .replace("dest=7", "dest=9");
-    assert_eq!(forwarder.ask(&short, b"body"), 202);
-    until("it is reported without an acknowledgement", || {
-        !report_bodies(&old).is_empty()
+    assert_eq!(forwarder.ask(&short_submission, b"body"), 202);
+    until("a completion report arrives at the old platform", || {
+        !report_bodies(&old_platform).is_empty()
     });
     let config_file = dir.path().join("config.json");
-    std::fs::write(&config_file, "{\"name\":").expect("written");
+    std::fs::write(&config_file, "{\"name\":").expect("the write succeeds");
     forwarder.signal("-HUP");
-    pause(200);
+    sleep_ms(200);
     assert_eq!(forwarder.submit("one", "notice"), 202);
-    until("it goes on as before", || calls(&seen, "one") == 1);
-    let moved = text.replacen('{', &format!("{{\"discovery\":\"{}\",", new.address), 1);
-    std::fs::write(&config_file, moved).expect("written");
+    until("the old endpoint receives the message", || {
+        calls(&request_log, "one") == 1
+    });
+    let new_config = config_text.replacen(
+        '{',
+        &format!("{{\"discovery\":\"{}\",", new_platform.address),
+        1,
+    );
+    std::fs::write(&config_file, new_config).expect("the write succeeds");
     forwarder.signal("-HUP");
-    until("the report is repeated at the new one", || {
-        !report_bodies(&new).is_empty()
+    until("the report is repeated to the new platform", || {
+        !report_bodies(&new_platform).is_empty()
     });
-    // A watch there comes after the new list: from now on nothing goes by the old one.
-    push_change(&new, list(1, false, &[]));
-    until_changes_are_sent(&new);
-    until("the new list counts", || {
-        forwarder.submit("two", "notice") == 202 && calls(&seen_other, "two") > 0
+    // A watch of the new platform follows its complete list: from now on the list of the old platform must not be used.
+    push_change(&new_platform, list(1, false, &[]));
+    wait_until_changes_are_sent(&new_platform);
+    until("the new list takes effect", || {
+        forwarder.submit("two", "notice") == 202 && calls(&other_request_log, "two") > 0
     });
-    assert_eq!(calls(&seen, "two"), 0);
-    push_change(&new, list(2, false, &[member(endpoint, 7, "Terminating")]));
-    until_changes_are_sent(&new);
-    assert!(forwarder.child.try_wait().expect("its state").is_none());
+    assert_eq!(calls(&request_log, "two"), 0);
+    push_change(
+        &new_platform,
+        list(2, false, &[member(endpoint, 7, "Terminating")]),
+    );
+    wait_until_changes_are_sent(&new_platform);
+    assert!(forwarder
+        .child
+        .try_wait()
+        .expect("the process state is readable")
+        .is_none());
 }
 
 #[test]
-fn an_invalid_configuration_ends_it_with_one_line_that_names_the_key() {
+fn exits_with_one_line_naming_the_invalid_key() {
     let (_dir, state) = folder();
-    let good = config("notice", "free", 200, 3.0);
-    let discovery = "127.0.0.1:1".parse().expect("an address");
+    let valid_config = config("notice", "free", 200, 3.0);
+    let discovery = "127.0.0.1:1".parse().expect("the address is valid");
     let cases = [
         (
-            good.replace("\"Workers\":8", "\"Workers\":\"many\""),
+            valid_config.replace("\"Workers\":8", "\"Workers\":\"many\""),
             "settings.Domain.Workers",
         ),
         (
-            good.replace("\"Workers\":8", "\"Workers\":0"),
+            valid_config.replace("\"Workers\":8", "\"Workers\":0"),
             "Domain.Workers",
         ),
-        (good.replace("\"MaxOpen\":400,", ""), "MaxOpen"),
+        (valid_config.replace("\"MaxOpen\":400,", ""), "MaxOpen"),
         (
-            good.replace("\"sockets\":200", "\"sockets\":20"),
+            valid_config.replace("\"sockets\":200", "\"sockets\":20"),
             "limits.sockets",
         ),
         (
-            good.replace("\"disk_mb\":3", "\"disk_mb\":0"),
+            valid_config.replace("\"disk_mb\":3", "\"disk_mb\":0"),
             "limits.disk_mb",
         ),
         (
-            good.replace("\"memory_mb\":192", "\"memory_mb\":0"),
+            valid_config.replace("\"memory_mb\":192", "\"memory_mb\":0"),
             "limits.memory_mb",
         ),
-        (good.replace("8c1f30d27a5be964", "seed"), "seed"),
-        (good[..good.len() - 2].to_owned(), "GW_CONFIG"),
+        (valid_config.replace("8c1f30d27a5be964", "seed"), "seed"),
+        (
+            valid_config[..valid_config.len() - 2].to_owned(),
+            "GW_CONFIG",
+        ),
     ];
-    for (text, key) in cases {
-        let ended = command(&state, &text, "127.0.0.1:0", discovery)
+    for (config_text, key) in cases {
+        let output = command(&state, &config_text, "127.0.0.1:0", discovery)
             .stderr(Stdio::piped())
             .output();
-        let ended = ended.expect("it runs");
-        let words = String::from_utf8_lossy(&ended.stderr).into_owned();
+        let output = output.expect("the program starts");
+        let error_output = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            !ended.status.success() && words.contains(key) && words.lines().count() == 1,
-            "{key}: {words}"
+            !output.status.success()
+                && error_output.contains(key)
+                && error_output.lines().count() == 1,
+            "{key}: {error_output}"
         );
     }
-    let ended = command(&state, &good, "nowhere", discovery)
+    let output = command(&state, &valid_config, "nowhere", discovery)
         .stderr(Stdio::piped())
         .output()
-        .expect("it runs");
+        .expect("the program starts");
     assert!(
-        !ended.status.success() && String::from_utf8_lossy(&ended.stderr).contains("GW_LISTEN")
+        !output.status.success() && String::from_utf8_lossy(&output.stderr).contains("GW_LISTEN")
     );
 }
--- a/crates/lab/src/experiments/compare.rs
+++ b/crates/lab/src/experiments/compare.rs
@@ -1,4 +1,5 @@
-//! Two variants under the same seeds: differences pair by pair, bootstrap intervals, and a plain verdict.
+//! Compares two variants that ran with the same seeds: the differences of each pair, bootstrap confidence intervals of their
+//! means, and a verdict.
 
 use crate::random::seeded_rng;
 use crate::tally::Outcome;
@@ -6,12 +7,12 @@
 use serde::Serialize;
 use std::fmt;
 
-/// Resamples of the pairs for an interval.
-const RESAMPLES: usize = 4000;
-/// Of the figure, a difference that nobody would see: the same to four places.
-const UNSEEN: f64 = 1e-4;
+/// Number of bootstrap resamples for a confidence interval.
+const BOOTSTRAP_RESAMPLES: usize = 4000;
+/// Smallest mean difference that can decide a verdict, as a share of the mean of A. Smaller ones don't show in four digits.
+const MIN_RELATIVE_DIFFERENCE: f64 = 1e-4;
 
-/// How B stands against A.
+/// The result of comparing B with A.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
@@ -19,7 +20,7 @@
     Better,
     /// B is worse.
     Worse,
-    /// The runs don't tell.
+    /// The runs don't show a difference.
     CantTell,
 }
 
@@ -33,100 +34,110 @@
     }
 }
 
-/// One figure of both variants: means, the mean difference B - A, and its interval.
+/// One figure of both variants, with the confidence interval of their difference.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Figure {
     pub name: String,
+    /// The mean over the runs of A.
     pub a: f64,
+    /// The mean over the runs of B.
     pub b: f64,
+    /// The mean of the differences B - A.
     pub difference: f64,
+    /// The lower end of the 95 % confidence interval of the difference.
     pub low: f64,
+    /// The upper end of the 95 % confidence interval of the difference.
     pub high: f64,
+    /// The verdict from this figure alone.
     pub verdict: Verdict,
 }
 
-/// Two variants compared.
+/// The comparison of two variants.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Comparison {
-    /// Pairs of runs.
+    /// Number of pairs of runs.
     pub pairs: usize,
-    /// The figures of both.
+    /// The figures of both variants, the share of the weight first.
     pub figures: Vec<Figure>,
-    /// Rules broken by A and by B, over all runs.
+    /// How many times A and B broke a rule, over all runs.
     pub broken: [u64; 2],
-    /// B against A, by the share of the weight that was delivered; a broken rule comes before all figures.
+    /// Whether B is better than A. If one variant alone broke rules, it is the worse one; otherwise the share of the weight
+    /// that was delivered decides.
     pub verdict: Verdict,
 }
 
-struct Measure {
+/// A figure of an outcome that is compared.
+struct Metric {
     name: &'static str,
-    of: fn(&Outcome) -> f64,
+    value_of: fn(&Outcome) -> f64,
     more_is_better: bool,
 }
 
-const MEASURES: [Measure; 6] = [
-    Measure {
+/// The compared figures. The first one decides the verdict of the comparison. Their names are values in the JSON.
+const METRICS: [Metric; 6] = [
+    Metric {
         name: "service",
-        of: |o| o.service,
+        value_of: |outcome| outcome.service,
         more_is_better: true,
     },
-    Measure {
+    Metric {
         name: "served",
-        of: Outcome::served_share,
+        value_of: Outcome::served_share,
         more_is_better: true,
     },
-    Measure {
+    Metric {
         name: "p50 ms",
-        of: |o| o.latency.p50 as f64 / 1e3,
+        value_of: |outcome| outcome.latency.p50 as f64 / 1e3,
         more_is_better: false,
     },
-    Measure {
+    Metric {
         name: "p99 ms",
-        of: |o| o.latency.p99 as f64 / 1e3,
+        value_of: |outcome| outcome.latency.p99 as f64 / 1e3,
         more_is_better: false,
     },
-    Measure {
+    Metric {
         name: "calls a packet",
-        of: Outcome::calls_per_message,
+        value_of: Outcome::calls_per_message,
         more_is_better: false,
     },
-    Measure {
+    Metric {
         name: "falls",
-        of: |o| o.falls as f64,
+        value_of: |outcome| outcome.falls as f64,
         more_is_better: false,
     },
 ];
 
-/// The 95 % interval of the mean of the differences, by resampling the pairs.
-pub fn interval(differences: &[f64], seed: u64) -> (f64, f64) {
+/// Returns the 95 % bootstrap confidence interval of the mean of the differences. The resamples depend on the seed alone.
+pub fn confidence_interval(differences: &[f64], seed: u64) -> (f64, f64) {
     if differences.is_empty() {
         return (0.0, 0.0);
     }
     let mut rng = seeded_rng(seed, "bootstrap", 0);
-    let n = differences.len();
+    let pair_count = differences.len();
     let mut resampled_mean = || {
-        let drawn = (0..n).map(|_| differences[rng.random_range(0..n)]);
-        drawn.sum::<f64>() / n as f64
+        let resample = (0..pair_count).map(|_| differences[rng.random_range(0..pair_count)]);
+        resample.sum::<f64>() / pair_count as f64
     };
-    let mut means: Vec<f64> = (0..RESAMPLES).map(|_| resampled_mean()).collect();
+    let mut means: Vec<f64> = (0..BOOTSTRAP_RESAMPLES).map(|_| resampled_mean()).collect();
     means.sort_by(f64::total_cmp);
     (
-        means[RESAMPLES * 25 / 1000],
-        means[RESAMPLES * 975 / 1000 - 1],
+        means[BOOTSTRAP_RESAMPLES * 25 / 1000],
+        means[BOOTSTRAP_RESAMPLES * 975 / 1000 - 1],
     )
 }
 
-/// Compares runs of A and of B, paired by their places.
+/// Compares runs of A and B. Runs at the same index form a pair, so both slices must be in the same order of seeds. A run
+/// without a partner counts only in `broken`.
 pub fn compare(a: &[Outcome], b: &[Outcome]) -> Comparison {
     let pairs = a.len().min(b.len());
-    let figures: Vec<Figure> = MEASURES
+    let figures: Vec<Figure> = METRICS
         .iter()
-        .map(|measure| measure.compare(&a[..pairs], &b[..pairs]))
+        .map(|metric| metric.compare(&a[..pairs], &b[..pairs]))
         .collect();
-    let broken = [a, b].map(count_broken);
+    let broken = [a, b].map(count_broken_rules);
     let verdict = match broken {
-        [0, in_b] if in_b > 0 => Verdict::Worse,
-        [in_a, 0] if in_a > 0 => Verdict::Better,
+        [0, broken_by_b] if broken_by_b > 0 => Verdict::Worse,
+        [broken_by_a, 0] if broken_by_a > 0 => Verdict::Better,
         _ => figures[0].verdict,
     };
     Comparison {
@@ -137,7 +148,7 @@
     }
 }
 
-fn count_broken(outcomes: &[Outcome]) -> u64 {
+fn count_broken_rules(outcomes: &[Outcome]) -> u64 {
     let counts = outcomes.iter().flat_map(|outcome| outcome.broken.values());
     counts.sum()
 }
@@ -146,17 +157,17 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-impl Measure {
-    /// Compares this figure of paired runs.
+impl Metric {
+    /// Compares this figure in paired runs.
     fn compare(&self, a: &[Outcome], b: &[Outcome]) -> Figure {
-        let a: Vec<f64> = a.iter().map(self.of).collect();
-        let b: Vec<f64> = b.iter().map(self.of).collect();
+        let a: Vec<f64> = a.iter().map(self.value_of).collect();
+        let b: Vec<f64> = b.iter().map(self.value_of).collect();
         let differences: Vec<f64> = a.iter().zip(&b).map(|(a, b)| b - a).collect();
         let difference = mean(&differences);
-        let (low, high) = interval(&differences, 1);
-        let unseen = difference.abs() < UNSEEN * mean(&a).abs();
-        // One pair shows no spread: nothing is told by it.
-        let verdict = match a.len() < 2 || unseen {
+        let (low, high) = confidence_interval(&differences, 1);
+        let negligible = difference.abs() < MIN_RELATIVE_DIFFERENCE * mean(&a).abs();
+        // A single pair has no spread, so its interval says nothing about chance.
+        let verdict = match a.len() < 2 || negligible {
             true => Verdict::CantTell,
             false => self.verdict(low, high),
         };
@@ -171,7 +182,7 @@
         }
     }
 
-    /// What the interval of the difference B - A says.
+    /// Returns the verdict for a confidence interval of the difference B - A.
     fn verdict(&self, low: f64, high: f64) -> Verdict {
         let sign = if self.more_is_better { 1.0 } else { -1.0 };
         let (low, high) = (low * sign, high * sign);
@@ -192,18 +203,18 @@
             "{:<16}{:>12}{:>12}{:>12}   {:<26}B is",
             "", "A", "B", "B - A", "95 % interval"
         )?;
-        for x in &self.figures {
-            let interval = format!("{:+.4} to {:+.4}", x.low, x.high);
-            let verdict = x.verdict;
+        for figure in &self.figures {
+            let interval = format!("{:+.4} to {:+.4}", figure.low, figure.high);
+            let verdict = figure.verdict;
             writeln!(
                 f,
                 "{:<16}{:>12.4}{:>12.4}{:>+12.4}   {interval:<26}{verdict}",
-                x.name, x.a, x.b, x.difference
+                figure.name, figure.a, figure.b, figure.difference
             )?;
         }
         writeln!(
             f,
-            "rules broken: A {}, B {}; {} pairs by seed",
+            "rules broken: A {} times, B {} times; {} pairs of runs with equal seeds",
             self.broken[0], self.broken[1], self.pairs
         )?;
         write!(
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -1,219 +1,231 @@
-//! Clients: they submit a message when it is due, submit it again after a rejection, and go to another forwarder when one is
-//! not there.
+//! Simulated clients. A client submits a message when it is due, submits it again after a rejection, and tries another forwarder
+//! when one is unreachable.
 
 use super::event::SimulatedEvent;
 use super::simulated_process::NewSubmission;
 use super::Sim;
 use crate::load::DueMessage;
 use crate::oracle::{FinalAnswer, SubmissionRecord};
-use crate::tally::Tick;
+use crate::tally::BucketEvent;
 use opalpulley::{
     AttemptHistory, DeliveryClassId, DestinationId, MessageId, Micros, OrderKey, Submission,
     TenantId,
 };
 use rand::Rng;
 
-/// A client goes to another forwarder so long after a connection was refused, µs.
+/// Delay before a client tries another forwarder after a refused connection, µs.
 const OTHER_FORWARDER_DELAY: Micros = 50_000;
-/// A client waits so long for the answer to its request, µs.
+/// Time for which a client waits for the answer to a request, µs.
 const ANSWER_TIMEOUT: Micros = 400_000;
-/// A client submits again after so long where no time was named, µs.
+/// Delay before a resubmission if the rejection gave no retry-after time, µs.
 const DEFAULT_RETRY_AFTER: Micros = 1_000_000;
-/// Tries of a client that finds no forwarder.
-const MAX_TRIES: u32 = 20;
-/// A client submits again up to this part of the named time later, by chance: clients do not all keep the same time.
+/// Number of unreachable forwarders after which a client gives up.
+const MAX_UNREACHABLE_FORWARDERS: u32 = 20;
+/// Upper bound on the random delay of a resubmission, as a share of the retry-after time. It spreads the resubmissions of
+/// clients that were rejected at the same time.
 const RETRY_JITTER: f64 = 0.1;
 
-/// No tenant: the core finds no quota for it.
+/// The id that stands for no tenant; the core has no quota for it.
 const NO_TENANT: TenantId = TenantId(u32::MAX);
 
-/// A message as its client knows it.
+/// The state of an open message at its client.
 pub(super) struct ClientMessage {
     due: DueMessage,
-    expires: Micros,
-    /// How often it may still be submitted again.
-    resubmissions: u32,
-    /// It was rejected before.
+    deadline: Micros,
+    /// Number of resubmissions that are left.
+    resubmissions_left: u32,
+    /// Whether the message was rejected before.
     resubmitted: bool,
-    /// Forwarders that were not there.
-    tries: u32,
+    /// Number of tries that found their forwarder unreachable.
+    unreachable_forwarders: u32,
 }
 
-/// What a forwarder answers to a submission at once.
+/// A forwarder's immediate answer to a submission.
 pub(super) enum SubmissionAnswer {
     Accepted,
-    /// Rejected, with the retry-after time where there is one, µs.
+    /// The message was rejected, with the retry-after time if there is one, µs.
     Rejected(Option<Micros>),
     Failed,
 }
 
 impl Sim {
-    /// A message of the load is due: its client submits it.
+    /// Creates the client of a message that is due, and submits the message.
     pub(super) fn message_due(&mut self, due: DueMessage) {
-        let number = self.next_message;
+        let message_number = self.next_message;
         self.next_message += 1;
-        self.tally.due(self.now, due.class);
+        self.tally.message_due(self.now, due.class);
         let message = ClientMessage {
-            expires: self.now + due.time_left,
-            resubmissions: due.resubmissions,
+            deadline: self.now + due.time_left,
+            resubmissions_left: due.resubmissions,
             resubmitted: false,
-            tries: 0,
+            unreachable_forwarders: 0,
             due,
         };
-        self.messages.insert(number, message);
-        self.submit(number);
+        self.messages.insert(message_number, message);
+        self.submit(message_number);
     }
 
-    /// The client of a message submits it to a forwarder drawn by chance.
-    pub(super) fn submit(&mut self, number: u64) {
-        let Some(message) = self.messages.get(&number) else {
+    /// Submits a message to a randomly chosen forwarder, or gives it up at its deadline. If the forwarder is unreachable or
+    /// at its message capacity, the client submits the message again later.
+    pub(super) fn submit(&mut self, message_number: u64) {
+        let Some(message) = self.messages.get(&message_number) else {
             return;
         };
-        if self.now >= message.expires {
-            return self.give_up(number);
+        if self.now >= message.deadline {
+            return self.give_up(message_number);
         }
-        let forwarder = self.clients.random_range(0..self.processes.len());
+        let forwarder = self.client_rng.random_range(0..self.processes.len());
         let process = &self.processes[forwarder];
         if !process.is_up() {
-            return self.try_another_forwarder(number, OTHER_FORWARDER_DELAY);
+            return self.try_another_forwarder(message_number, OTHER_FORWARDER_DELAY);
         }
         if process.paused {
-            return self.try_another_forwarder(number, ANSWER_TIMEOUT);
+            return self.try_another_forwarder(message_number, ANSWER_TIMEOUT);
         }
         self.tally.counts.submissions += 1;
-        if process.open.len() >= self.scenario.forwarders.message_capacity as usize {
+        if process.open_messages.len() >= self.scenario.forwarders.message_capacity as usize {
             self.tally.counts.turned_away += 1;
-            return self.schedule_resubmission(number, None);
+            return self.schedule_resubmission(message_number, None);
         }
-        self.submit_to(forwarder as u32, number);
+        self.submit_to(forwarder as u32, message_number);
     }
 
-    /// A forwarder was not there: the client tries another after some time.
-    fn try_another_forwarder(&mut self, number: u64, after: Micros) {
+    /// Schedules a try with another forwarder `after` µs from now, because one was unreachable.
+    fn try_another_forwarder(&mut self, message_number: u64, after: Micros) {
         self.tally.counts.turned_away += 1;
-        let Some(message) = self.messages.get_mut(&number) else {
+        let Some(message) = self.messages.get_mut(&message_number) else {
             return;
         };
-        message.tries += 1;
-        if message.tries >= MAX_TRIES {
-            return self.give_up(number);
+        message.unreachable_forwarders += 1;
+        if message.unreachable_forwarders >= MAX_UNREACHABLE_FORWARDERS {
+            return self.give_up(message_number);
         }
-        self.schedule(self.now + after, SimulatedEvent::Submit { message: number });
+        self.schedule(
+            self.now + after,
+            SimulatedEvent::Submit {
+                message: message_number,
+            },
+        );
     }
 
-    /// Submits a message to a forwarder that has room for it, and takes its answer.
-    fn submit_to(&mut self, forwarder: u32, number: u64) {
+    /// Submits a message to a forwarder that is below its message capacity, and handles its answer.
+    fn submit_to(&mut self, forwarder: u32, message_number: u64) {
         let submission = self.next_submission;
         self.next_submission += 1;
-        let message = &self.messages[&number];
+        let message = &self.messages[&message_number];
         let ordered = self.scenario.classes[usize::from(message.due.class)].ordered;
         let key = ordered.then_some(message.due.order_key);
         let record = SubmissionRecord {
             submission,
-            message: number,
+            message: message_number,
             forwarder,
-            expires: message.expires,
+            deadline: message.deadline,
             class: message.due.class,
             destination: message.due.destination,
-            key,
+            order_key: key,
         };
         let new = NewSubmission {
             submission,
-            client_message: number,
-            expires: message.expires,
+            client_message: message_number,
+            deadline: message.deadline,
             message: message.as_submitted(key, self.now),
         };
-        self.oracle.submitted(record);
+        self.oracle.message_submitted(record);
         match self.accept_submission(forwarder, new) {
-            SubmissionAnswer::Accepted => self.oracle.accepted(submission),
+            SubmissionAnswer::Accepted => self.oracle.submission_accepted(submission),
             SubmissionAnswer::Rejected(retry_after) => {
-                self.oracle.refused(submission, self.now);
+                self.oracle.submission_refused(submission, self.now);
                 self.tally.counts.rejections += 1;
-                self.schedule_resubmission(number, retry_after);
+                self.schedule_resubmission(message_number, retry_after);
             }
             SubmissionAnswer::Failed => {
-                self.oracle.refused(submission, self.now);
-                self.fail_message(number);
+                self.oracle.submission_refused(submission, self.now);
+                self.fail_message(message_number);
             }
         }
     }
 
-    /// The client was asked to submit again later; it gives up where that is too late.
-    fn schedule_resubmission(&mut self, number: u64, retry_after: Option<Micros>) {
-        self.tally.tick(self.now, Tick::Rejected);
-        let Some(message) = self.messages.get_mut(&number) else {
+    /// Schedules a resubmission of a rejected message, or gives the message up if none is left or its deadline is too near.
+    fn schedule_resubmission(&mut self, message_number: u64, retry_after: Option<Micros>) {
+        self.tally.count(self.now, BucketEvent::Rejected);
+        let Some(message) = self.messages.get_mut(&message_number) else {
             return;
         };
-        let wait = retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
-        if message.resubmissions == 0 || self.now + wait >= message.expires {
-            return self.give_up(number);
+        let delay = retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
+        if message.resubmissions_left == 0 || self.now + delay >= message.deadline {
+            return self.give_up(message_number);
         }
-        message.resubmissions -= 1;
+        message.resubmissions_left -= 1;
         message.resubmitted = true;
-        let jitter = (wait as f64 * RETRY_JITTER * self.clients.random::<f64>()) as Micros;
-        let at = self.now + wait + jitter;
-        self.schedule(at, SimulatedEvent::Submit { message: number });
+        let jitter = (delay as f64 * RETRY_JITTER * self.client_rng.random::<f64>()) as Micros;
+        let at = self.now + delay + jitter;
+        self.schedule(
+            at,
+            SimulatedEvent::Submit {
+                message: message_number,
+            },
+        );
     }
 
-    fn give_up(&mut self, number: u64) {
-        if self.messages.remove(&number).is_some() {
+    fn give_up(&mut self, message_number: u64) {
+        if self.messages.remove(&message_number).is_some() {
             self.tally.counts.given_up += 1;
         }
     }
 
-    fn fail_message(&mut self, number: u64) {
-        if self.messages.remove(&number).is_some() {
+    fn fail_message(&mut self, message_number: u64) {
+        if self.messages.remove(&message_number).is_some() {
             self.tally.counts.failed += 1;
-            self.tally.tick(self.now, Tick::MessageFailed);
+            self.tally.count(self.now, BucketEvent::MessageFailed);
         }
     }
 
-    /// The client gets the final answer to a message that was accepted; `attempt` is the number of the one that served it.
+    /// Handles the final answer to an accepted message at its client. `attempt` is the index of the attempt that served it.
     pub(super) fn final_answer(
         &mut self,
-        number: u64,
+        message_number: u64,
         submission: u64,
         answer: FinalAnswer,
         retry_after: Option<Micros>,
         attempt: u32,
     ) {
-        self.oracle.ended(submission, answer, self.now);
+        self.oracle.message_ended(submission, answer, self.now);
         match answer {
-            FinalAnswer::Served => self.message_served(number, attempt),
+            FinalAnswer::Served => self.message_served(message_number, attempt),
             FinalAnswer::Rejected => {
                 self.tally.counts.rejections += 1;
-                self.schedule_resubmission(number, retry_after);
+                self.schedule_resubmission(message_number, retry_after);
             }
-            FinalAnswer::Failed => self.fail_message(number),
+            FinalAnswer::Failed => self.fail_message(message_number),
         }
     }
 
-    /// Counts a served message; one served after its deadline counts as failed.
-    fn message_served(&mut self, number: u64, attempt: u32) {
-        let Some(message) = self.messages.remove(&number) else {
+    /// Counts a served message, or a failed one if it was served after its deadline.
+    fn message_served(&mut self, message_number: u64, attempt: u32) {
+        let Some(message) = self.messages.remove(&message_number) else {
             return;
         };
-        if self.now > message.expires {
+        if self.now > message.deadline {
             self.tally.counts.failed += 1;
             return;
         }
-        let took = self.now - message.due.at;
+        let latency = self.now - message.due.at;
         let class = message.due.class;
         let resubmitted = message.resubmitted;
         self.tally
-            .served(self.now, took, class, attempt, resubmitted);
+            .message_served(self.now, latency, class, attempt, resubmitted);
     }
 }
 
 impl ClientMessage {
-    /// The message as it is submitted now; the forwarder chooses its id.
+    /// Returns the message as it is submitted at `now`. Its id is a placeholder: the forwarder process assigns the id.
     fn as_submitted(&self, key: Option<u64>, now: Micros) -> Submission {
         Submission {
             id: MessageId(0),
             class: DeliveryClassId(self.due.class),
             tenant: self.due.tenant.map_or(NO_TENANT, TenantId),
             order_key: key.map(|key| OrderKey(key + 1)),
-            time_left: self.expires - now,
+            time_left: self.deadline - now,
             destination: DestinationId(self.due.destination),
             resubmitted: self.resubmitted,
             history: AttemptHistory::default(),
