--- a/crates/lab/src/capacity/fleet/incidents.rs
+++ b/crates/lab/src/capacity/fleet/incidents.rs
@@ -1,66 +1,76 @@
-//! What happens to the whole fleet at once: a zone or the way between the regions is cut, and back.
+//! Incidents that concern the whole fleet: a network partition that isolates a zone or separates the regions, and its end.
 
-use super::plan::{Incident, SECOND, ZONES};
-use super::wire::Cut;
-use super::{Fleet, WorldEvent};
+use super::network::Partition;
+use super::plan::{Incident, SECOND, ZONE_COUNT};
+use super::{ExternalEvent, Fleet};
 use opalpulley::Micros;
 
-/// The zone that is cut off: not one of discovery's.
-const CUT_ZONE: u16 = ZONES - 1;
+/// The zone that [`Incident::ZoneCut`] isolates. It is not in the region of discovery, so the other zones keep discovery.
+const ISOLATED_ZONE: u16 = ZONE_COUNT - 1;
 impl Fleet<'_> {
-    /// Plans the incident of the run, if one is asked for.
+    /// Schedules the incident of the plan, if it has one.
     pub(super) fn schedule_incident(&mut self) {
         let (from, until) = self.plan.incident_span();
         match self.plan.incident {
             Incident::None => {}
-            Incident::Change => self.events.push(from, WorldEvent::Change { drawn: false }),
+            Incident::Change => self
+                .events
+                .push(from, ExternalEvent::ConfigChange { is_random: false }),
             Incident::ZoneCut | Incident::RegionCut => {
                 self.events
-                    .push(from, WorldEvent::Incident { begins: true });
-                // One change in the midst of it, one just after it: who has them when?
+                    .push(from, ExternalEvent::Incident { begins: true });
+                // One change is made during the partition and one just after it, to see when each forwarder has them.
+                self.events.push(
+                    (from + until) / 2,
+                    ExternalEvent::ConfigChange { is_random: false },
+                );
                 self.events
-                    .push((from + until) / 2, WorldEvent::Change { drawn: false });
-                self.events
-                    .push(until, WorldEvent::Incident { begins: false });
-                self.events
-                    .push(until + SECOND, WorldEvent::Change { drawn: false });
+                    .push(until, ExternalEvent::Incident { begins: false });
+                self.events.push(
+                    until + SECOND,
+                    ExternalEvent::ConfigChange { is_random: false },
+                );
             }
         }
     }
 
-    /// The incident begins or ends.
-    pub(super) fn incident(&mut self, now: Micros, begins: bool) {
-        let was = self.wire.cut;
-        self.wire.cut = match (self.plan.incident, begins) {
-            (Incident::ZoneCut, true) => Cut::Zone(CUT_ZONE),
-            (Incident::RegionCut, true) => Cut::Regions,
-            _ => Cut::None,
+    /// Begins or ends the incident.
+    pub(super) fn apply_incident(&mut self, now: Micros, begins: bool) {
+        let previous = self.network.partition;
+        self.network.partition = match (self.plan.incident, begins) {
+            (Incident::ZoneCut, true) => Partition::Zone(ISOLATED_ZONE),
+            (Incident::RegionCut, true) => Partition::Regions,
+            _ => Partition::None,
         };
         if !begins {
-            let reaching = self.discovery.heal(now, was);
-            self.later(reaching);
+            let propagations = self.discovery.propagate_after_partition(now, previous);
+            self.schedule_discovery(propagations);
         }
         if self.plan.incident == Incident::ZoneCut {
             let (layout, receivers) = (&self.layout, &mut self.receivers);
             let all = layout.destinations.iter().zip(0..);
-            all.filter(|(d, _)| d.zone == CUT_ZONE)
-                .for_each(|(_, n)| receivers.cut_zone(now, n, begins));
-            self.share_arrivals(now, |zone| !begins || zone != CUT_ZONE);
+            all.filter(|(d, _)| d.zone == ISOLATED_ZONE)
+                .for_each(|(_, n)| receivers.set_zone_isolated(now, n, begins));
+            self.distribute_arrivals(now, |zone| !begins || zone != ISOLATED_ZONE);
         }
     }
 
-    /// Clients give their messages to the forwarders of these zones, evenly.
-    fn share_arrivals(&mut self, now: Micros, takes: impl Fn(u16) -> bool) {
-        let taking = self
+    /// Spreads the message rate of the fleet evenly over the forwarders in the zones that `accepts` selects.
+    fn distribute_arrivals(&mut self, now: Micros, accepts: impl Fn(u16) -> bool) {
+        let accepting = self
             .forwarders
             .iter()
-            .filter(|f| takes(f.zone))
+            .filter(|f| accepts(f.zone))
             .count()
             .max(1);
-        let each = self.plan.events_a_second / taking as f64;
+        let per_forwarder = self.plan.events_a_second / accepting as f64;
         for forwarder in &mut self.forwarders {
-            let a_second = if takes(forwarder.zone) { each } else { 0.0 };
-            forwarder.set_arrivals(now, a_second);
+            let per_second = if accepts(forwarder.zone) {
+                per_forwarder
+            } else {
+                0.0
+            };
+            forwarder.set_arrival_rate(now, per_second);
         }
     }
 }
--- a/crates/lab/src/capacity/fleet/layout.rs
+++ b/crates/lab/src/capacity/fleet/layout.rs
@@ -1,6 +1,7 @@
-//! Who stands where: the destinations with their rates, zones and part of the traffic, drawn once from the seed.
+//! The layout of a run: zones of the forwarders, and the destinations with their rates, zones and shares of the traffic,
+//! drawn once from the seed.
 
-use super::plan::{Plan, ZONES, ZONES_A_REGION};
+use super::plan::{Plan, ZONES_PER_REGION, ZONE_COUNT};
 use crate::random::seeded_rng;
 use opalpulley::{
     DestinationId, EndpointEntry, EndpointId, EndpointKindId, EndpointStatus, ZoneId,
@@ -10,89 +11,95 @@
 use rand_distr::{Distribution, Zipf};
 use rand_pcg::Pcg64Mcg;
 
-/// Calls a second that the smallest destination takes.
-const LEAST_RATE: f64 = 5.0;
-/// What a destination takes, as a multiple of what is sent to it in the mean.
+/// Lower bound on the rate of a destination that is not at its limit, in calls per second.
+const MIN_RATE: f64 = 5.0;
+/// Rate of a destination as a multiple of the mean rate of the messages to it.
 const HEADROOM: f64 = 2.5;
-/// The same for one at its limit.
+/// Rate of a destination at its limit as a multiple of the mean rate of the messages to it.
 const HEADROOM_AT_LIMIT: f64 = 0.8;
-/// One in so many destinations, the busiest, of which those at their limit are drawn: few calls meet no limit.
-const BUSIEST: usize = 10;
-const HTTPS: u16 = 443;
-/// First byte of all addresses.
-const NET: u8 = 10;
+/// The destinations at their limit are drawn from the busiest `1 / BUSIEST_DIVISOR` of all destinations, because the calls
+/// to a rarely used destination would not reach a limit.
+const BUSIEST_DIVISOR: usize = 10;
+const HTTPS_PORT: u16 = 443;
+/// First byte of all endpoint addresses; the other three hold the number of the destination.
+const ADDRESS_PREFIX: u8 = 10;
 
-/// One destination; it has one target.
+/// The fixed properties of a destination, which has a single endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct DestinationPlan {
+pub struct DestinationSpec {
     pub zone: u16,
-    /// Calls a second that it takes from all forwarders together.
+    /// Calls per second that it accepts from all forwarders together, at the start of the run.
     pub rate: f64,
 }
 
-/// All destinations, and how often each is drawn.
+/// All destinations, and the distribution of the messages over them.
 pub struct Layout {
-    pub destinations: Vec<DestinationPlan>,
-    /// The destination at each place of Zipf's law, the busiest first.
-    by_rank: Vec<u32>,
-    ranks: Option<Zipf<f64>>,
+    /// Indexed by the destination's number.
+    pub destinations: Vec<DestinationSpec>,
+    /// Number of the destination at each rank of Zipf's law, the busiest first.
+    destinations_by_rank: Vec<u32>,
+    /// Ranks from 1; `None`, where every message goes to the busiest destination, if the distribution can't be built.
+    rank_distribution: Option<Zipf<f64>>,
 }
 
 impl Layout {
-    /// The destinations of a plan.
+    /// Draws the destinations of a plan.
     pub fn new(plan: &Plan) -> Layout {
         let mut rng = seeded_rng(plan.seed, "layout", 0);
-        let mut by_rank: Vec<u32> = (0..plan.destinations).collect();
-        by_rank.shuffle(&mut rng);
+        let mut destinations_by_rank: Vec<u32> = (0..plan.destinations).collect();
+        destinations_by_rank.shuffle(&mut rng);
         let weight = |rank: usize| ((rank + 1) as f64).powf(-plan.skew);
-        let sum: f64 = (0..by_rank.len()).map(weight).sum();
-        let busiest = (by_rank.len() / BUSIEST).max(1);
-        let at_limit = plan.at_limit_share * by_rank.len() as f64 / busiest as f64;
+        let sum: f64 = (0..destinations_by_rank.len()).map(weight).sum();
+        let busiest = (destinations_by_rank.len() / BUSIEST_DIVISOR).max(1);
+        let at_limit = plan.at_limit_share * destinations_by_rank.len() as f64 / busiest as f64;
         let mut destinations = vec![
-            DestinationPlan {
+            DestinationSpec {
                 zone: 0,
-                rate: LEAST_RATE
+                rate: MIN_RATE
             };
-            by_rank.len()
+            destinations_by_rank.len()
         ];
-        for (rank, destination) in by_rank.iter().enumerate() {
-            let sent = plan.events_a_second * weight(rank) / sum;
+        for (rank, destination) in destinations_by_rank.iter().enumerate() {
+            let sent_rate = plan.events_a_second * weight(rank) / sum;
             let limited = rank < busiest && rng.random_bool(at_limit.min(1.0));
             let rate = if limited {
-                sent * HEADROOM_AT_LIMIT
+                sent_rate * HEADROOM_AT_LIMIT
             } else {
-                (sent * HEADROOM).max(LEAST_RATE)
+                (sent_rate * HEADROOM).max(MIN_RATE)
             };
-            let zone = (destination % u32::from(ZONES)) as u16;
-            destinations[*destination as usize] = DestinationPlan { zone, rate };
+            let zone = (destination % u32::from(ZONE_COUNT)) as u16;
+            destinations[*destination as usize] = DestinationSpec { zone, rate };
         }
-        let ranks = Zipf::new(by_rank.len() as f64, plan.skew).ok();
+        let rank_distribution = Zipf::new(destinations_by_rank.len() as f64, plan.skew).ok();
         Layout {
             destinations,
-            by_rank,
-            ranks,
+            destinations_by_rank,
+            rank_distribution,
         }
     }
 
-    /// The destination of the next message.
-    pub fn draw(&self, rng: &mut Pcg64Mcg) -> u32 {
-        let rank = self.ranks.map_or(0, |ranks| ranks.sample(rng) as usize - 1);
-        self.by_rank[rank.min(self.by_rank.len() - 1)]
+    /// Draws the destination of a message.
+    pub fn draw_destination(&self, rng: &mut Pcg64Mcg) -> u32 {
+        let rank = self.rank_distribution.map_or(0, |rank_distribution| {
+            rank_distribution.sample(rng) as usize - 1
+        });
+        self.destinations_by_rank[rank.min(self.destinations_by_rank.len() - 1)]
     }
 
-    /// The line of the list for a destination; `holder` counts its addresses so far, `rate` is what is told of it.
-    pub fn listing(
+    /// Builds the endpoint list entry of a destination. `incarnation` counts its moves to another address, and `rate` is the
+    /// listed rate in calls per second.
+    pub fn list_entry(
         &self,
         destination: u32,
-        holder: u32,
+        incarnation: u32,
         rate: f64,
-        standing: EndpointStatus,
+        status: EndpointStatus,
     ) -> EndpointEntry {
         EndpointEntry {
-            endpoint: target(destination, holder),
+            endpoint: endpoint_of(destination, incarnation),
             zone: ZoneId(self.destinations[destination as usize].zone),
             up_since: 0,
-            status: standing,
+            status,
             rate: rate as f32,
             destination: DestinationId(destination),
             kind: EndpointKindId(0),
@@ -100,28 +107,28 @@
     }
 }
 
-/// The target of a destination: its address, in the net 10, names the destination.
-pub fn target(destination: u32, holder: u32) -> EndpointId {
+/// Returns the endpoint of a destination, whose address in 10.0.0.0/8 encodes the destination's number.
+pub fn endpoint_of(destination: u32, incarnation: u32) -> EndpointId {
     let [_, high, middle, low] = destination.to_be_bytes();
     EndpointId {
-        address: [NET, high, middle, low],
-        port: HTTPS,
-        incarnation: holder,
+        address: [ADDRESS_PREFIX, high, middle, low],
+        port: HTTPS_PORT,
+        incarnation,
     }
 }
 
-/// The destination whose target this is.
-pub fn destination_of(target: EndpointId) -> u32 {
-    let [_, high, middle, low] = target.address;
+/// Returns the destination of an endpoint: the inverse of [`endpoint_of`].
+pub fn destination_of(endpoint: EndpointId) -> u32 {
+    let [_, high, middle, low] = endpoint.address;
     u32::from_be_bytes([0, high, middle, low])
 }
 
-/// The zone of a forwarder.
+/// Returns the zone of a forwarder; the forwarders are spread over the zones in turn.
 pub fn forwarder_zone(forwarder: u32) -> u16 {
-    (forwarder % u32::from(ZONES)) as u16
+    (forwarder % u32::from(ZONE_COUNT)) as u16
 }
 
-/// The region of a zone.
+/// Returns the region of a zone.
 pub fn region(zone: u16) -> u16 {
-    zone / ZONES_A_REGION
+    zone / ZONES_PER_REGION
 }
--- a/crates/lab/src/capacity/fleet/receivers.rs
+++ b/crates/lab/src/capacity/fleet/receivers.rs
@@ -1,8 +1,8 @@
-//! The destinations as the fleet meets them: they answer after a drawn time, take calls up to a rate, are down at times, and
-//! come back cold.
+//! Simulated receivers at the destinations. A receiver responds after a random time, accepts calls up to its rate, has
+//! outages, and is cold when it recovers from one.
 
 use super::layout::Layout;
-use super::onlooker::{Arrived, Outage, ReceiverCounts, Return};
+use super::observer::{Arrival, Outage, ReceiverCounts, Recovery};
 use super::plan::{rules, Plan, SECOND};
 use crate::random::seeded_rng;
 use opalpulley::Micros;
@@ -10,290 +10,317 @@
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64Mcg;
 
-/// Mean of the answer times, µs.
-const ANSWER_TIME: f64 = 60_000.0;
-/// Their spread: standard deviation of the logarithm.
-const ANSWER_SPREAD: f64 = 0.5;
-/// Told with a refusal above the rate.
+/// Mean of the log-normally distributed response times, in µs.
+const MEAN_RESPONSE_TIME: f64 = 60_000.0;
+/// Standard deviation of the natural logarithm of the response times.
+const RESPONSE_TIME_SIGMA: f64 = 0.5;
+/// Retry-after sent with the refusal of a call that exceeds the rate, in µs.
 const RETRY_AFTER: Micros = 400_000;
-/// Calls over the rate that may come at once, in seconds of the rate.
-const BURST: f64 = 1.0;
-/// Of outages, the part in which connections are refused; in the others nothing is answered.
+/// Capacity of a receiver's token bucket, in seconds of its rate: a burst of this size is accepted at once.
+const BURST_SECONDS: f64 = 1.0;
+/// Share of the outages in which connections are refused. In the other outages nothing is answered.
 const REFUSING_SHARE: f64 = 0.5;
-/// Least part of the rate that a cold destination takes.
-const LEAST_PART: f64 = 0.05;
+/// Lower bound on the share of its rate that a cold receiver accepts.
+const MIN_CAPACITY_SHARE: f64 = 0.05;
 
-/// How a destination is down.
+/// How a receiver behaves during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Down {
+pub enum OutageKind {
     /// Connections are refused.
     Refusing,
     /// Nothing is answered.
     Silent,
 }
 
-/// What comes back for a call.
+/// The response of a receiver to a call or health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reply {
-    /// After this time.
+pub enum ReceiverResponse {
+    /// The call is accepted and answered after this time, in µs.
     Served(Micros),
-    /// Above its rate.
-    Full { retry_after: Micros },
-    /// No connection comes up.
+    /// The call is refused because it exceeds the receiver's rate. `retry_after` is in µs.
+    RateLimited { retry_after: Micros },
+    /// The connection is refused.
     Refused,
     /// Nothing is answered.
-    Nothing,
+    NoResponse,
 }
 
-/// Whether it takes its whole rate.
+/// Whether a receiver accepts its full rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Temperature {
+enum WarmUpState {
     Warm,
-    Cold { since: Micros },
+    /// The receiver recovered at `since`, in µs, and accepts a rising share of its rate until its warm-up ends.
+    Cold {
+        since: Micros,
+    },
 }
 
-/// What a call or health check meets at a destination that is down.
-struct MetOutage {
-    reply: Reply,
-    /// Another forwarder had met the outage as it was sent.
+/// The outcome of a call or health check that arrives at a receiver during an outage.
+struct ArrivalDuringOutage {
+    response: ReceiverResponse,
+    /// Whether a forwarder other than the sender had noticed the outage when it was sent.
     another_knew: bool,
-    /// And its sender had not.
+    /// Whether `another_knew` holds and the sender itself had not noticed the outage.
     only_others_knew: bool,
 }
 
+/// The receiver at one destination.
 struct Receiver {
+    /// Calls per second that it accepts when warm.
     rate: f64,
+    /// Level of its token bucket, in calls.
     tokens: f64,
-    filled: Micros,
-    temperature: Temperature,
-    /// Its own outage.
-    down: Option<Down>,
-    /// Its zone is cut off.
-    zone_gone: bool,
-    /// Counts its addresses; calls to an older one are refused.
-    holder: u32,
+    /// Simulated time of the last refill of the bucket, in µs.
+    refilled_at: Micros,
+    warm_up: WarmUpState,
+    /// The outage of this receiver alone, if it has one now.
+    own_outage: Option<OutageKind>,
+    /// Whether a partition isolates its zone, which counts as an outage.
+    zone_isolated: bool,
+    /// Number of its moves to another address. Calls to an earlier address are refused.
+    incarnation: u32,
+    /// What the observer knows of the current outage; `None` while the receiver is up.
     outage: Option<Box<Outage>>,
-    back: Option<Box<Return>>,
+    /// What the observer knows of the recovery; `None` unless the receiver warms up.
+    recovery: Option<Box<Recovery>>,
 }
 
-/// All destinations of the fleet.
+/// The receivers of all destinations.
 pub struct Receivers {
-    all: Vec<Receiver>,
-    /// What an onlooker counts.
+    /// Indexed by the destination's number.
+    receivers: Vec<Receiver>,
+    /// Counts of the observer.
     pub counts: ReceiverCounts,
-    answer_times: Option<LogNormal<f64>>,
+    /// `None`, where every response takes the mean time, if the distribution can't be built.
+    response_times: Option<LogNormal<f64>>,
     rng: Pcg64Mcg,
 }
 
 impl Receivers {
-    /// All destinations, up and warm.
+    /// Creates a receiver for each destination of the layout. All are up and warm.
     pub fn new(plan: &Plan, layout: &Layout) -> Receivers {
         let receiver = |rate: f64| Receiver {
             rate,
-            tokens: (rate * BURST).max(1.0),
-            filled: 0,
-            temperature: Temperature::Warm,
-            down: None,
-            zone_gone: false,
-            holder: 0,
+            tokens: (rate * BURST_SECONDS).max(1.0),
+            refilled_at: 0,
+            warm_up: WarmUpState::Warm,
+            own_outage: None,
+            zone_isolated: false,
+            incarnation: 0,
             outage: None,
-            back: None,
+            recovery: None,
         };
-        let mean = ANSWER_TIME.ln() - ANSWER_SPREAD * ANSWER_SPREAD / 2.0;
+        let mean = MEAN_RESPONSE_TIME.ln() - RESPONSE_TIME_SIGMA * RESPONSE_TIME_SIGMA / 2.0;
         Receivers {
-            all: layout
+            receivers: layout
                 .destinations
                 .iter()
                 .map(|d| receiver(d.rate))
                 .collect(),
             counts: ReceiverCounts::default(),
-            answer_times: LogNormal::new(mean, ANSWER_SPREAD).ok(),
+            response_times: LogNormal::new(mean, RESPONSE_TIME_SIGMA).ok(),
             rng: seeded_rng(plan.seed, "receivers", 0),
         }
     }
 
-    /// Whether a destination is down, by an outage of its own or of its zone.
+    /// Returns whether a destination is down, by an outage of its own or because its zone is isolated.
     pub fn is_down(&self, destination: u32) -> bool {
-        self.all[destination as usize].condition().is_some()
+        self.receivers[destination as usize].outage_kind().is_some()
     }
 
-    /// The destination's own outage begins.
-    pub fn fail(&mut self, destination: u32) {
-        let how = if self.rng.random_bool(REFUSING_SHARE) {
-            Down::Refusing
+    /// Begins an outage of the destination alone, of a random kind.
+    pub fn start_outage(&mut self, destination: u32) {
+        let kind = if self.rng.random_bool(REFUSING_SHARE) {
+            OutageKind::Refusing
         } else {
-            Down::Silent
+            OutageKind::Silent
         };
-        self.all[destination as usize].change(0, |r| r.down = Some(how));
+        self.receivers[destination as usize].update_outage(0, |r| r.own_outage = Some(kind));
     }
 
-    /// The destination's own outage ends.
-    pub fn recover(&mut self, now: Micros, destination: u32) {
-        let back = self.all[destination as usize].change(now, |r| r.down = None);
-        self.counts.returns += u64::from(back);
+    /// Ends the outage of the destination alone. The destination recovers unless its zone is isolated.
+    pub fn end_outage(&mut self, now: Micros, destination: u32) {
+        let recovered =
+            self.receivers[destination as usize].update_outage(now, |r| r.own_outage = None);
+        self.counts.recoveries += u64::from(recovered);
     }
 
-    /// Its zone is cut off, or back.
-    pub fn cut_zone(&mut self, now: Micros, destination: u32, gone: bool) {
-        let back = self.all[destination as usize].change(now, |r| r.zone_gone = gone);
-        self.counts.returns += u64::from(back);
+    /// Begins or ends the isolation of the destination's zone.
+    pub fn set_zone_isolated(&mut self, now: Micros, destination: u32, isolated: bool) {
+        let recovered =
+            self.receivers[destination as usize].update_outage(now, |r| r.zone_isolated = isolated);
+        self.counts.recoveries += u64::from(recovered);
     }
 
-    /// The destination has another rate from now on.
+    /// Sets the rate of the destination, in calls per second.
     pub fn set_rate(&mut self, destination: u32, rate: f64) {
-        self.all[destination as usize].rate = rate;
+        self.receivers[destination as usize].rate = rate;
     }
 
-    /// The destination moves to another address; gives its number.
+    /// Moves the destination to another address. Returns the new incarnation.
     pub fn relocate(&mut self, destination: u32) -> u32 {
-        let receiver = &mut self.all[destination as usize];
-        receiver.holder += 1;
-        receiver.holder
+        let receiver = &mut self.receivers[destination as usize];
+        receiver.incarnation += 1;
+        receiver.incarnation
     }
 
-    /// The number of its address, and its rate.
-    pub fn place(&self, destination: u32) -> (u32, f64) {
-        let receiver = &self.all[destination as usize];
-        (receiver.holder, receiver.rate)
+    /// Returns the incarnation of the destination's address, and its rate in calls per second.
+    pub fn address_and_rate(&self, destination: u32) -> (u32, f64) {
+        let receiver = &self.receivers[destination as usize];
+        (receiver.incarnation, receiver.rate)
     }
 
-    /// A forwarder has seen a call or health check fail there that was sent at `tried`.
-    pub fn met(&mut self, destination: u32, forwarder: u32, tried: Micros, at: Micros) {
-        let Receiver { outage, back, .. } = &mut self.all[destination as usize];
+    /// Records that a forwarder saw at `at` the failure of a call or health check that it had sent at `attempt_sent_at`.
+    pub fn record_failed_attempt(
+        &mut self,
+        destination: u32,
+        forwarder: u32,
+        attempt_sent_at: Micros,
+        at: Micros,
+    ) {
+        let Receiver {
+            outage, recovery, ..
+        } = &mut self.receivers[destination as usize];
         if let Some(outage) = outage {
-            outage.learn(forwarder, at);
+            outage.record_failure(forwarder, at);
         }
-        if let Some(back) = back {
-            back.learn(forwarder, tried, at);
+        if let Some(recovery) = recovery {
+            recovery.record_failure(forwarder, attempt_sent_at, at);
         }
     }
 
-    /// A call arrives at the address of this holder.
-    pub fn call(&mut self, arrived: Arrived, holder: u32) -> Reply {
+    /// Handles a call that arrives at the address of this incarnation.
+    pub fn call(&mut self, arrival: Arrival, incarnation: u32) -> ReceiverResponse {
         self.counts.calls += 1;
-        let receiver = &self.all[arrived.destination as usize];
-        if let Some(met) = receiver.met_outage(arrived) {
+        let receiver = &self.receivers[arrival.destination as usize];
+        if let Some(during_outage) = receiver.arrival_during_outage(arrival) {
             self.counts.calls_while_down += 1;
-            self.counts.calls_another_knew += u64::from(met.another_knew);
-            self.counts.calls_only_others_knew += u64::from(met.only_others_knew);
-            return met.reply;
+            self.counts.calls_another_knew += u64::from(during_outage.another_knew);
+            self.counts.calls_only_others_knew += u64::from(during_outage.only_others_knew);
+            return during_outage.response;
         }
-        if holder != receiver.holder {
+        if incarnation != receiver.incarnation {
             self.counts.calls_to_old_address += 1;
-            return Reply::Refused;
+            return ReceiverResponse::Refused;
         }
-        self.count_arrival(arrived);
-        if !self.all[arrived.destination as usize].take(arrived.now) {
-            self.counts.refused_full += 1;
-            return Reply::Full {
+        self.count_arrival(arrival);
+        if !self.receivers[arrival.destination as usize].try_take_token(arrival.now) {
+            self.counts.calls_rate_limited += 1;
+            return ReceiverResponse::RateLimited {
                 retry_after: RETRY_AFTER,
             };
         }
-        Reply::Served(self.draw_answer_time())
+        ReceiverResponse::Served(self.draw_response_time())
     }
 
-    fn draw_answer_time(&mut self) -> Micros {
-        let times = self.answer_times;
-        let time = times.map_or(ANSWER_TIME, |times| times.sample(&mut self.rng));
+    /// Draws a response time, in µs.
+    fn draw_response_time(&mut self) -> Micros {
+        let times = self.response_times;
+        let time = times.map_or(MEAN_RESPONSE_TIME, |times| times.sample(&mut self.rng));
         time.max(1.0) as Micros
     }
 
-    /// A health check arrives at the address of this holder.
-    pub fn health_check(&mut self, arrived: Arrived, holder: u32) -> Reply {
-        self.counts.probes += 1;
-        let receiver = &self.all[arrived.destination as usize];
-        if let Some(met) = receiver.met_outage(arrived) {
-            self.counts.probes_while_down += 1;
-            self.counts.probes_another_knew += u64::from(met.another_knew);
-            self.counts.probes_only_others_knew += u64::from(met.only_others_knew);
-            return met.reply;
+    /// Handles a health check that arrives at the address of this incarnation. Health checks use no tokens.
+    pub fn health_check(&mut self, arrival: Arrival, incarnation: u32) -> ReceiverResponse {
+        self.counts.health_checks += 1;
+        let receiver = &self.receivers[arrival.destination as usize];
+        if let Some(during_outage) = receiver.arrival_during_outage(arrival) {
+            self.counts.health_checks_while_down += 1;
+            self.counts.health_checks_another_knew += u64::from(during_outage.another_knew);
+            self.counts.health_checks_only_others_knew += u64::from(during_outage.only_others_knew);
+            return during_outage.response;
         }
-        if holder != receiver.holder {
-            return Reply::Refused;
+        if incarnation != receiver.incarnation {
+            return ReceiverResponse::Refused;
         }
-        self.count_arrival(arrived);
-        Reply::Served(0)
+        self.count_arrival(arrival);
+        ReceiverResponse::Served(0)
     }
 
-    /// Counts what reaches a destination that is not warm yet against its budget.
-    fn count_arrival(&mut self, arrived: Arrived) {
-        let receiver = &mut self.all[arrived.destination as usize];
-        let part = receiver.part(arrived.now);
+    /// Counts an arrival against the budget of the destination if it is still warming up.
+    fn count_arrival(&mut self, arrival: Arrival) {
+        let receiver = &mut self.receivers[arrival.destination as usize];
+        let capacity_share = receiver.capacity_share(arrival.now);
         let rate = receiver.rate;
-        if let Some(back) = receiver.back.as_mut() {
-            let seen = back.take(arrived, part * rate);
-            self.counts.note_return(back, seen);
+        if let Some(recovery) = receiver.recovery.as_mut() {
+            let load = recovery.record_arrival(arrival, capacity_share * rate);
+            self.counts.record_recovery_load(recovery, load);
         }
     }
 }
 
-impl Down {
-    fn reply(self) -> Reply {
+impl OutageKind {
+    /// Returns the response to any call or health check during an outage of this kind.
+    fn response(self) -> ReceiverResponse {
         match self {
-            Down::Refusing => Reply::Refused,
-            Down::Silent => Reply::Nothing,
+            OutageKind::Refusing => ReceiverResponse::Refused,
+            OutageKind::Silent => ReceiverResponse::NoResponse,
         }
     }
 }
 
 impl Receiver {
-    fn condition(&self) -> Option<Down> {
-        self.down.or(self.zone_gone.then_some(Down::Silent))
+    /// Returns how the receiver is down, or `None` while it is up. An isolated zone looks like a silent outage.
+    fn outage_kind(&self) -> Option<OutageKind> {
+        self.own_outage
+            .or(self.zone_isolated.then_some(OutageKind::Silent))
     }
 
-    /// Changes what keeps it down; says whether it has come back by that.
-    fn change(&mut self, now: Micros, change: impl FnOnce(&mut Receiver)) -> bool {
-        let before = self.condition().is_some();
+    /// Applies `change` to the causes of an outage, and updates the observer and the warm-up accordingly. Returns whether
+    /// the receiver has recovered by the change.
+    fn update_outage(&mut self, now: Micros, change: impl FnOnce(&mut Receiver)) -> bool {
+        let before = self.outage_kind().is_some();
         change(self);
-        let after = self.condition().is_some();
+        let after = self.outage_kind().is_some();
         match (before, after) {
-            (false, true) => (self.outage, self.back) = (Some(Box::default()), None),
+            (false, true) => (self.outage, self.recovery) = (Some(Box::default()), None),
             (true, false) => {
                 let outage = self.outage.take().map(|outage| *outage).unwrap_or_default();
-                self.back = Some(Box::new(Return::after(outage, now)));
-                self.temperature = Temperature::Cold { since: now };
+                self.recovery = Some(Box::new(Recovery::after(outage, now)));
+                self.warm_up = WarmUpState::Cold { since: now };
             }
             _ => {}
         }
         before && !after
     }
 
-    /// What a call or health check meets while it is down; none while it is up.
-    fn met_outage(&self, arrived: Arrived) -> Option<MetOutage> {
-        let reply = self.condition()?.reply();
-        let (forwarder, sent) = (arrived.forwarder, arrived.sent);
+    /// Returns the outcome of a call or health check that arrives during an outage, or `None` while the receiver is up.
+    fn arrival_during_outage(&self, arrival: Arrival) -> Option<ArrivalDuringOutage> {
+        let response = self.outage_kind()?.response();
+        let (forwarder, sent_at) = (arrival.forwarder, arrival.sent_at);
         let outage = self.outage.as_ref();
-        let another = outage.is_some_and(|outage| outage.known_to_another(forwarder, sent));
-        let own = outage.is_some_and(|outage| outage.known_to(forwarder, sent));
-        Some(MetOutage {
-            reply,
+        let another = outage.is_some_and(|outage| outage.known_to_another(forwarder, sent_at));
+        let own = outage.is_some_and(|outage| outage.known_to(forwarder, sent_at));
+        Some(ArrivalDuringOutage {
+            response,
             another_knew: another,
             only_others_knew: another && !own,
         })
     }
 
-    /// The part of its rate that it takes now; from the end of its warm-up on it is warm.
-    fn part(&mut self, now: Micros) -> f64 {
-        let Temperature::Cold { since } = self.temperature else {
+    /// Returns the share of its rate that the receiver accepts now. Ends the warm-up when its time is over.
+    fn capacity_share(&mut self, now: Micros) -> f64 {
+        let WarmUpState::Cold { since } = self.warm_up else {
             return 1.0;
         };
         let rules = rules();
         let warmth = (now - since) as f64 / rules.warm_up_time as f64;
         if warmth >= 1.0 {
-            (self.temperature, self.back) = (Temperature::Warm, None);
+            (self.warm_up, self.recovery) = (WarmUpState::Warm, None);
             return 1.0;
         }
         rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warmth
     }
 
-    /// Whether its rate allows one more call.
-    fn take(&mut self, now: Micros) -> bool {
-        let rate = self.rate * self.part(now).max(LEAST_PART);
-        let passed = now.saturating_sub(self.filled) as f64 / SECOND as f64;
-        self.tokens = (self.tokens + passed * rate).min((self.rate * BURST).max(1.0));
-        self.filled = now;
-        let room = self.tokens >= 1.0;
-        self.tokens -= f64::from(u8::from(room));
-        room
+    /// Refills the token bucket and takes one token. Returns whether there was one.
+    fn try_take_token(&mut self, now: Micros) -> bool {
+        let rate = self.rate * self.capacity_share(now).max(MIN_CAPACITY_SHARE);
+        let elapsed_seconds = now.saturating_sub(self.refilled_at) as f64 / SECOND as f64;
+        self.tokens =
+            (self.tokens + elapsed_seconds * rate).min((self.rate * BURST_SECONDS).max(1.0));
+        self.refilled_at = now;
+        let has_token = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(has_token));
+        has_token
     }
 }
