--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -10,5 +10,5 @@
 pub mod fresh_process;
 pub mod outputs;
 pub mod process;
-pub mod slope;
+pub mod table;
 pub mod usage;
--- a/crates/lab/src/capacity/backlog.rs
+++ b/crates/lab/src/capacity/backlog.rs
@@ -1,22 +1,22 @@
 //! A backlog: what a message that waits takes in the core, and in one real forwarder its memory, its journal and what a
 //! restart has to read. The destinations refuse connections all the while, so that every message waits.
 
-pub mod core_point;
-pub mod process_point;
+pub mod core_measurement;
+pub mod process_measurement;
 
 use super::fresh_process::measure_in_fresh_process;
 use super::outputs::Outputs;
-use super::process::startup_config::Shape;
-use super::slope::{show, Row, Table};
+use super::process::startup_config::StartupOptions;
+use super::table::{write_tables, Row, Table};
 use crate::capacity::error::CapacityError;
 use crate::sockets::run::program_beside;
 use clap::Args;
-use core_point::CorePoint;
-use process_point::ProcessPoint;
+use core_measurement::CoreBacklogMeasurement;
+use process_measurement::ProcessBacklogMeasurement;
 use std::path::PathBuf;
 
 /// The part of its memory that the program lets the journal take at most.
-const JOURNAL_PART: f64 = 0.25;
+const MAX_JOURNAL_MEMORY_SHARE: f64 = 0.25;
 
 /// Options of `capacity backlog`.
 #[derive(Args, Clone, Debug)]
@@ -48,32 +48,32 @@
     }
 
     /// The start-up configuration's figures for so many waiting messages.
-    fn shape(&self, messages: u32) -> Shape {
-        Shape {
+    fn startup_options(&self, messages: u32) -> StartupOptions {
+        StartupOptions {
             seed: self.seed,
             disk_mb: self.disk_mb,
-            memory_mb: self.disk_mb / JOURNAL_PART,
-            room: 2 * messages,
-            expiry: process_point::EXPIRY,
-            ..Shape::default()
+            memory_mb: self.disk_mb / MAX_JOURNAL_MEMORY_SHARE,
+            max_messages: 2 * messages,
+            time_to_live: process_measurement::TIME_TO_LIVE,
+            ..StartupOptions::default()
         }
     }
 }
 
-fn core_in_fresh_process(options: &Options, messages: u32) -> Result<CorePoint, CapacityError> {
-    let measured = [
+fn measure_core(options: &Options, messages: u32) -> Result<CoreBacklogMeasurement, CapacityError> {
+    let arguments = [
         ("--messages", messages.to_string()),
         ("--destinations", options.destinations.to_string()),
         ("--rate", options.rate.to_string()),
         ("--seed", options.seed.to_string()),
     ];
-    measure_in_fresh_process("backlog-point", &measured)
+    measure_in_fresh_process("backlog-point", &arguments)
 }
 
 /// A figure of a point: its name, its unit and its value.
-type FigureOf<P> = (&'static str, &'static str, fn(&P) -> f64);
+type FigureDefinition<P> = (&'static str, &'static str, fn(&P) -> f64);
 
-const CORE_FIGURES: [FigureOf<CorePoint>; 5] = [
+const CORE_FIGURES: [FigureDefinition<CoreBacklogMeasurement>; 5] = [
     ("messages handed in", "messages", |p| p.messages),
     ("memory", "bytes", |p| p.memory),
     ("memory a waiting message", "bytes", |p| {
@@ -87,34 +87,39 @@
     }),
 ];
 
-const PROCESS_FIGURES: [FigureOf<ProcessPoint>; 12] = [
+const PROCESS_FIGURES: [FigureDefinition<ProcessBacklogMeasurement>; 12] = [
     ("messages handed in", "messages", |p| p.submitted as f64),
     ("notices of an end, before the kill", "notices", |p| {
         p.completion_reports as f64
     }),
     ("memory before the messages", "bytes", |p| {
-        p.before.memory as f64
+        p.usage_before.resident_bytes as f64
     }),
     ("memory with them", "bytes", |p| {
-        p.with_backlog.memory as f64
+        p.usage_with_backlog.resident_bytes as f64
     }),
     ("memory a waiting message", "bytes", |p| {
-        (p.with_backlog.memory as f64 - p.before.memory as f64) / p.waiting()
+        (p.usage_with_backlog.resident_bytes as f64 - p.usage_before.resident_bytes as f64)
+            / p.waiting()
     }),
-    ("journal", "bytes", |p| p.journal as f64),
+    ("journal", "bytes", |p| p.journal_bytes as f64),
     ("journal a waiting message", "bytes", |p| {
-        p.journal as f64 / p.waiting()
+        p.journal_bytes as f64 / p.waiting()
+    }),
+    ("time to ready, nothing journalled", "s", |p| {
+        p.ready_empty_s
+    }),
+    ("time to ready after the kill", "s", |p| {
+        p.ready_after_restart_s
     }),
-    ("time to ready, nothing journalled", "s", |p| p.ready_empty),
-    ("time to ready after the kill", "s", |p| p.ready_again),
     ("time to ready a waiting message", "us", |p| {
-        (p.ready_again - p.ready_empty) * 1e6 / p.waiting()
+        (p.ready_after_restart_s - p.ready_empty_s) * 1e6 / p.waiting()
     }),
     ("processor time at ready after the kill", "s", |p| {
-        p.at_ready_again.processor.as_secs_f64()
+        p.usage_after_restart.processor_time.as_secs_f64()
     }),
     ("memory at ready after the kill", "bytes", |p| {
-        p.at_ready_again.memory as f64
+        p.usage_after_restart.resident_bytes as f64
     }),
 ];
 
@@ -123,41 +128,46 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
-    let mut core = Vec::new();
-    let mut process = Vec::new();
+    let mut core_rows = Vec::new();
+    let mut process_rows = Vec::new();
     for messages in &options.sizes {
-        let point = core_in_fresh_process(options, *messages)?;
-        core.push(row(point.waiting, &CORE_FIGURES, &point));
-        let setup = process_point::Setup {
+        let measurement = measure_core(options, *messages)?;
+        core_rows.push(row(measurement.waiting, &CORE_FIGURES, &measurement));
+        let case = process_measurement::BacklogCase {
             program: options.program(),
             messages: *messages,
             destinations: options.destinations,
             rate: options.rate,
         };
-        let shape = options.shape(*messages);
-        let point = runtime.block_on(process_point::measure(&setup, &shape))?;
-        process.push(row(point.waiting(), &PROCESS_FIGURES, &point));
+        let startup_options = options.startup_options(*messages);
+        let measurement =
+            runtime.block_on(process_measurement::measure(&case, &startup_options))?;
+        process_rows.push(row(measurement.waiting(), &PROCESS_FIGURES, &measurement));
     }
     Ok(vec![
-        table("the core alone, messages that wait", &CORE_FIGURES, core),
+        table(
+            "the core alone, messages that wait",
+            &CORE_FIGURES,
+            core_rows,
+        ),
         table(
             "one forwarder, messages that wait",
             &PROCESS_FIGURES,
-            process,
+            process_rows,
         ),
     ])
 }
 
 /// The figures of one point, by its size.
-fn row<P>(size: f64, figures: &[FigureOf<P>], point: &P) -> Row {
-    let values = figures.iter().map(|(_, _, value)| value(point));
+fn row<P>(size: f64, figures: &[FigureDefinition<P>], measurement: &P) -> Row {
+    let values = figures.iter().map(|(_, _, value_of)| value_of(measurement));
     Row {
         size,
         values: values.collect(),
     }
 }
 
-fn table<P>(title: &str, figures: &[FigureOf<P>], rows: Vec<Row>) -> Table {
+fn table<P>(title: &str, figures: &[FigureDefinition<P>], rows: Vec<Row>) -> Table {
     let names: Vec<(&str, &str)> = figures
         .iter()
         .map(|(name, unit, _)| (*name, *unit))
@@ -171,5 +181,5 @@
     if !program.is_file() {
         return Err(CapacityError::NoForwarderProgram { program });
     }
-    show(&tables(options)?, &options.outputs)
+    write_tables(&tables(options)?, &options.outputs)
 }
--- a/crates/lab/src/capacity/command.rs
+++ b/crates/lab/src/capacity/command.rs
@@ -11,14 +11,14 @@
     Core(core::Options),
     /// One size of `core`, as JSON: run by `core` itself, each in a fresh process
     #[command(hide = true)]
-    CorePoint(core::point::Setup),
+    CorePoint(core::measurement::CoreOptions),
     /// One real forwarder on loopback sockets
     Process(process::Options),
     /// Messages that wait: in the core, and in one real forwarder that is killed and started again
     Backlog(backlog::Options),
     /// One size of `backlog` in the core, as JSON: run by `backlog` itself, each in a fresh process
     #[command(hide = true)]
-    BacklogPoint(backlog::core_point::Setup),
+    BacklogPoint(backlog::core_measurement::CoreBacklogOptions),
     /// A fleet of hollow forwarders in one process, on a simulated clock
     Fleet(fleet::options::Options),
 }
@@ -27,10 +27,10 @@
 pub fn run(command: Command) -> Result<(), CapacityError> {
     match command {
         Command::Core(options) => core::run(&options),
-        Command::CorePoint(setup) => print_json(&core::point::measure(&setup)?),
+        Command::CorePoint(setup) => print_json(&core::measurement::measure(&setup)?),
         Command::Process(options) => process::run(&options),
         Command::Backlog(options) => backlog::run(&options),
-        Command::BacklogPoint(setup) => print_json(&backlog::core_point::measure(&setup)?),
+        Command::BacklogPoint(setup) => print_json(&backlog::core_measurement::measure(&setup)?),
         Command::Fleet(options) => fleet::options::run(&options),
     }
 }
--- a/crates/lab/src/capacity/core.rs
+++ b/crates/lab/src/capacity/core.rs
@@ -1,19 +1,19 @@
 //! The core alone: `opalpulley::Forwarder` without sockets, on a simulated clock. Each size is measured in a fresh process of
 //! this program; see [`point`].
 
-pub mod point;
+pub mod environment;
+pub mod measurement;
 mod settings;
-pub mod world;
 
 use super::fresh_process::measure_in_fresh_process;
 use super::outputs::Outputs;
-use super::slope::{show, Row, Table};
+use super::table::{write_tables, Row, Table};
 use crate::capacity::error::CapacityError;
 use clap::Args;
-use point::{Point, Stretch};
+use environment::Spread;
+use measurement::{CoreMeasurement, Phase};
 use std::fmt;
 use std::str::FromStr;
-use world::Spread;
 
 /// How many destinations the core holds in full before idle ones are summarised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,18 +35,18 @@
 /// A text that is neither `all` nor a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`all` or a number")]
-pub struct BadFullDestinations;
+pub struct ParseFullDestinationsError;
 
 impl FromStr for FullDestinations {
-    type Err = BadFullDestinations;
+    type Err = ParseFullDestinationsError;
 
-    fn from_str(text: &str) -> Result<Self, BadFullDestinations> {
+    fn from_str(text: &str) -> Result<Self, ParseFullDestinationsError> {
         match text {
             "all" => Ok(FullDestinations::All),
             number => number
                 .parse()
                 .map(FullDestinations::UpTo)
-                .map_err(|_| BadFullDestinations),
+                .map_err(|_| ParseFullDestinationsError),
         }
     }
 }
@@ -86,51 +86,55 @@
 
 /// What one size is measured with beside the options.
 #[derive(Clone, Copy)]
-struct Case {
+struct CoreCase {
     targets_each: u32,
     spread: Spread,
-    full: FullDestinations,
+    full_destinations: FullDestinations,
 }
 
 /// Measured beside one target a destination, to tell what a target takes from what a destination takes.
-const MORE_TARGETS: u32 = 3;
+const MULTIPLE_TARGETS: u32 = 3;
 
-fn fresh(options: &Options, destinations: u32, case: Case) -> Result<Point, CapacityError> {
+fn measure_size(
+    options: &Options,
+    destinations: u32,
+    case: CoreCase,
+) -> Result<CoreMeasurement, CapacityError> {
     let spread = match case.spread {
         Spread::Uniform => "uniform",
         Spread::Skewed => "skewed",
     };
-    let measured = [
+    let arguments = [
         ("--spread", spread.to_owned()),
         ("--destinations", destinations.to_string()),
         ("--targets-each", case.targets_each.to_string()),
-        ("--full-destinations", case.full.to_string()),
+        ("--full-destinations", case.full_destinations.to_string()),
         ("--rate", options.rate.to_string()),
         ("--seconds", options.seconds.to_string()),
         ("--down", options.down.to_string()),
         ("--seed", options.seed.to_string()),
     ];
-    let figures = measure_in_fresh_process("core-point", &measured);
-    figures.map_err(|error| CapacityError::AtCoreSize {
+    let measured_figures = measure_in_fresh_process("core-point", &arguments);
+    measured_figures.map_err(|error| CapacityError::AtCoreSize {
         destinations,
-        full_destinations: case.full.to_string(),
-        endpoints_each: case.targets_each,
+        full_destinations: case.full_destinations.to_string(),
+        targets_each: case.targets_each,
         source: Box::new(error),
     })
 }
 
-type FigureOf = (&'static str, &'static str, fn(&Point) -> f64);
+type FigureDefinition = (&'static str, &'static str, fn(&CoreMeasurement) -> f64);
 
-fn a_message(stretch: &Stretch, value: f64) -> f64 {
-    value / stretch.messages
+fn per_message(phase: &Phase, value: f64) -> f64 {
+    value / phase.messages
 }
 
 /// Part of a core.
-fn of_a_core(stretch: &Stretch) -> f64 {
-    stretch.processor / (stretch.seconds * 1e6)
+fn core_fraction(phase: &Phase) -> f64 {
+    phase.processor / (phase.seconds * 1e6)
 }
 
-const LIST_FIGURES: [FigureOf; 5] = [
+const LIST_FIGURES: [FigureDefinition; 5] = [
     ("memory, list taken in by steps", "bytes", |p| {
         p.memory_listed
     }),
@@ -142,7 +146,7 @@
     ("processor time, one changed line", "us", |p| p.one_change),
 ];
 
-const TRAFFIC_FIGURES: [FigureOf; 22] = [
+const TRAFFIC_FIGURES: [FigureDefinition; 22] = [
     ("memory after traffic", "bytes", |p| p.traffic.memory),
     ("memory after all", "bytes", |p| p.down_rest.memory),
     ("in full after traffic", "destinations", |p| {
@@ -158,16 +162,16 @@
         p.down.held.bounds
     }),
     ("traffic: events a message", "events", |p| {
-        a_message(&p.traffic, p.traffic.events)
+        per_message(&p.traffic, p.traffic.events)
     }),
     ("traffic: delivered in the stretch", "part", |p| {
-        a_message(&p.traffic, p.traffic.delivered)
+        per_message(&p.traffic, p.traffic.delivered)
     }),
     ("traffic: calls a message", "calls", |p| {
-        a_message(&p.traffic, p.traffic.calls)
+        per_message(&p.traffic, p.traffic.calls)
     }),
     ("traffic: processor time a message", "us", |p| {
-        a_message(&p.traffic, p.traffic.processor)
+        per_message(&p.traffic, p.traffic.processor)
     }),
     ("traffic: processor time an event", "us", |p| {
         p.traffic.processor / p.traffic.events
@@ -178,29 +182,31 @@
         |p| p.traffic.events * 1e6 / p.traffic.processor,
     ),
     ("traffic: part of a core", "cores", |p| {
-        of_a_core(&p.traffic)
+        core_fraction(&p.traffic)
+    }),
+    ("at rest: part of a core", "cores", |p| {
+        core_fraction(&p.rest)
     }),
-    ("at rest: part of a core", "cores", |p| of_a_core(&p.rest)),
     ("at rest: events a second", "events", |p| {
         p.rest.events / p.rest.seconds
     }),
     ("share down: processor time a message", "us", |p| {
-        a_message(&p.down, p.down.processor)
+        per_message(&p.down, p.down.processor)
     }),
     ("share down: part of a core", "cores", |p| {
-        of_a_core(&p.down)
+        core_fraction(&p.down)
     }),
     ("share down: calls a message", "calls", |p| {
-        a_message(&p.down, p.down.calls)
+        per_message(&p.down, p.down.calls)
     }),
     ("share down: probes a second", "probes", |p| {
         p.down.probes / p.down.seconds
     }),
     ("share down: delivered in the stretch", "part", |p| {
-        a_message(&p.down, p.down.delivered)
+        per_message(&p.down, p.down.delivered)
     }),
     ("share down, at rest: part of a core", "cores", |p| {
-        of_a_core(&p.down_rest)
+        core_fraction(&p.down_rest)
     }),
     ("share down, at rest: probes a second", "probes", |p| {
         p.down_rest.probes / p.down_rest.seconds
@@ -208,7 +214,7 @@
 ];
 
 /// The figures that are shown side by side for all destinations in full and for a limit.
-const PAIRED: [FigureOf; 10] = [
+const PAIRED_FIGURES: [FigureDefinition; 10] = [
     ("bytes a destination, list in", "bytes", |p| {
         p.memory_listed / f64::from(p.destinations)
     }),
@@ -222,48 +228,57 @@
     }),
     ("one changed line", "us", |p| p.one_change),
     ("a message", "us", |p| {
-        a_message(&p.traffic, p.traffic.processor)
+        per_message(&p.traffic, p.traffic.processor)
     }),
     ("a message, share down", "us", |p| {
-        a_message(&p.down, p.down.processor)
+        per_message(&p.down, p.down.processor)
+    }),
+    ("share down", "cores", |p| core_fraction(&p.down)),
+    ("share down, at rest", "cores", |p| {
+        core_fraction(&p.down_rest)
     }),
-    ("share down", "cores", |p| of_a_core(&p.down)),
-    ("share down, at rest", "cores", |p| of_a_core(&p.down_rest)),
 ];
 
 /// Both sides of each figure, one under the other; the sizes and seeds are the same.
-fn paired(all: &[Point], limited: &[Point], limit: FullDestinations) -> Table {
-    let named = |(name, unit, _): &FigureOf| {
+fn paired_table(
+    all: &[CoreMeasurement],
+    limited: &[CoreMeasurement],
+    limit: FullDestinations,
+) -> Table {
+    let named = |(name, unit, _): &FigureDefinition| {
         [
             (format!("all in full: {name}"), *unit),
             (format!("{limit} in full: {name}"), *unit),
         ]
     };
-    let names: Vec<(String, &str)> = PAIRED.iter().flat_map(named).collect();
+    let names: Vec<(String, &str)> = PAIRED_FIGURES.iter().flat_map(named).collect();
     let names: Vec<(&str, &str)> = names
         .iter()
         .map(|(name, unit)| (name.as_str(), *unit))
         .collect();
     let rows = all.iter().zip(limited).map(|(all, limited)| Row {
         size: all.destinations.into(),
-        values: PAIRED
+        values: PAIRED_FIGURES
             .iter()
-            .flat_map(|(_, _, of)| [of(all), of(limited)])
+            .flat_map(|(_, _, value_of)| [value_of(all), value_of(limited)])
             .collect(),
     });
     let title = format!("the core alone, all destinations in full against {limit}");
     Table::new(&title, "destinations", &names, rows.collect())
 }
 
-fn table(title: &str, points: &[Point], figures: &[&[FigureOf]]) -> Table {
-    let figures: Vec<FigureOf> = figures.concat();
+fn table(title: &str, measurements: &[CoreMeasurement], figures: &[&[FigureDefinition]]) -> Table {
+    let figures: Vec<FigureDefinition> = figures.concat();
     let names: Vec<(&str, &str)> = figures
         .iter()
         .map(|(name, unit, _)| (*name, *unit))
         .collect();
-    let rows = points.iter().map(|point| Row {
-        size: point.destinations.into(),
-        values: figures.iter().map(|(_, _, of)| of(point)).collect(),
+    let rows = measurements.iter().map(|measurement| Row {
+        size: measurement.destinations.into(),
+        values: figures
+            .iter()
+            .map(|(_, _, value_of)| value_of(measurement))
+            .collect(),
     });
     Table::new(title, "destinations", &names, rows.collect())
 }
@@ -272,37 +287,42 @@
 /// summarised the same once more beside all of them in full.
 pub fn tables(options: &Options) -> Result<Vec<Table>, CapacityError> {
     let full = options.full_destinations;
-    let points = |targets_each, spread, full| -> Result<Vec<Point>, CapacityError> {
-        let case = Case {
-            targets_each,
-            spread,
-            full,
+    let measurements =
+        |targets_each, spread, full_destinations| -> Result<Vec<CoreMeasurement>, CapacityError> {
+            let case = CoreCase {
+                targets_each,
+                spread,
+                full_destinations,
+            };
+            options
+                .sizes
+                .iter()
+                .map(|size| measure_size(options, *size, case))
+                .collect()
         };
-        options
-            .sizes
-            .iter()
-            .map(|size| fresh(options, *size, case))
-            .collect()
-    };
     let title = |what: &str| format!("the core alone, {full} destinations in full, {what}");
-    let uniform = points(1, Spread::Uniform, full)?;
-    let both: [&[FigureOf]; 2] = [&LIST_FIGURES, &TRAFFIC_FIGURES];
+    let uniform = measurements(1, Spread::Uniform, full)?;
+    let list_and_traffic: [&[FigureDefinition]; 2] = [&LIST_FIGURES, &TRAFFIC_FIGURES];
     let mut tables = vec![
-        table(&title("one target each, uniform traffic"), &uniform, &both),
+        table(
+            &title("one target each, uniform traffic"),
+            &uniform,
+            &list_and_traffic,
+        ),
         table(
             &title("one target each, skewed traffic"),
-            &points(1, Spread::Skewed, full)?,
+            &measurements(1, Spread::Skewed, full)?,
             &[&TRAFFIC_FIGURES],
         ),
         table(
-            &title(&format!("{MORE_TARGETS} targets each")),
-            &points(MORE_TARGETS, Spread::Uniform, full)?,
+            &title(&format!("{MULTIPLE_TARGETS} targets each")),
+            &measurements(MULTIPLE_TARGETS, Spread::Uniform, full)?,
             &[&LIST_FIGURES],
         ),
     ];
     if full != FullDestinations::All {
-        let all = points(1, Spread::Uniform, FullDestinations::All)?;
-        tables.push(paired(&all, &uniform, full));
+        let all = measurements(1, Spread::Uniform, FullDestinations::All)?;
+        tables.push(paired_table(&all, &uniform, full));
     }
     Ok(tables)
 }
@@ -310,13 +330,13 @@
 /// Measures, prints the tables and what an endpoint takes, and writes what was asked for.
 pub fn run(options: &Options) -> Result<(), CapacityError> {
     let tables = tables(options)?;
-    show(&tables, &options.outputs)?;
+    write_tables(&tables, &options.outputs)?;
     let name = LIST_FIGURES[0].0;
     if let (Some(one), Some(several)) = (tables[0].slope(name), tables[2].slope(name)) {
-        let target = (several.slope - one.slope) / f64::from(MORE_TARGETS - 1);
+        let target_bytes = (several.slope - one.slope) / f64::from(MULTIPLE_TARGETS - 1);
         println!(
-            "bytes a target {target:.0}, a destination without its targets {:.0}",
-            one.slope - target
+            "bytes a target {target_bytes:.0}, a destination without its targets {:.0}",
+            one.slope - target_bytes
         );
     }
     Ok(())
--- a/crates/lab/src/capacity/core/settings.rs
+++ b/crates/lab/src/capacity/core/settings.rs
@@ -8,22 +8,22 @@
 /// A second, µs.
 pub const SECOND: Micros = 1_000_000;
 /// Forwarders of the operators' fleet.
-pub(super) const FORWARDERS: u32 = 400;
+pub(super) const FLEET_SIZE: u32 = 400;
 /// Calls that a forwarder has in flight at once.
 const CONCURRENCY_LIMIT: u32 = 116;
 /// Receivers know repeats for so long, µs.
 const DEDUPLICATION_WINDOW: Micros = 15 * SECOND;
-const ZONES: usize = 4;
+const ZONE_COUNT: usize = 4;
 
 /// The configuration of one forwarder.
-pub(super) fn config(
+pub(super) fn forwarder_config(
     max_messages: u32,
     time_to_live: Micros,
     full_destinations: Option<u32>,
 ) -> Config {
     Config {
         forwarder_id: 0,
-        fleet_size: FORWARDERS,
+        fleet_size: FLEET_SIZE,
         concurrency_limit: CONCURRENCY_LIMIT,
         max_messages,
         max_attempts: 6,
@@ -39,7 +39,7 @@
             has_independent_limits: false,
             max_batch_size: 1,
         }],
-        zone_costs: vec![0.0; ZONES],
+        zone_costs: vec![0.0; ZONE_COUNT],
         rules: rules(),
         full_destinations,
         ..Config::default()
@@ -48,7 +48,7 @@
 
 /// One delivery class for each kind of repeat, the heavier the less a message may be repeated.
 fn classes(time_to_live: Micros) -> Vec<DeliveryClassConfig> {
-    let class = |semantics, priority_weight| DeliveryClassConfig {
+    let class_config = |semantics, priority_weight| DeliveryClassConfig {
         semantics,
         latency_objective: 2_500_000,
         time_to_live,
@@ -56,14 +56,14 @@
         late_weight_share: 0.5,
         ordered: false,
     };
-    let keyed = DeliverySemantics::IdempotencyKeyed {
+    let idempotency_keyed = DeliverySemantics::IdempotencyKeyed {
         scope: DeduplicationScope::AllEndpoints,
         window: DEDUPLICATION_WINDOW,
     };
     vec![
-        class(DeliverySemantics::Idempotent, 1.0),
-        class(keyed, 2.0),
-        class(DeliverySemantics::AtMostOnce, 4.0),
+        class_config(DeliverySemantics::Idempotent, 1.0),
+        class_config(idempotency_keyed, 2.0),
+        class_config(DeliverySemantics::AtMostOnce, 4.0),
     ]
 }
 
--- a/crates/lab/src/capacity/error.rs
+++ b/crates/lab/src/capacity/error.rs
@@ -16,11 +16,11 @@
     #[error("{stderr}")]
     FreshProcess { stderr: String },
     /// The core could not be measured at one size.
-    #[error("{destinations} destinations, {full_destinations} in full, {endpoints_each} targets each: {source}")]
+    #[error("{destinations} destinations, {full_destinations} in full, {targets_each} targets each: {source}")]
     AtCoreSize {
         destinations: u32,
         full_destinations: String,
-        endpoints_each: u32,
+        targets_each: u32,
         source: Box<CapacityError>,
     },
     /// A socket, a process or the runtime can't be used.
@@ -34,10 +34,10 @@
     File { path: PathBuf, source: io::Error },
     /// The kernel's account of a process lacks a value.
     #[error("{path}: {text}")]
-    Account { path: String, text: String },
+    MalformedProcFile { path: String, text: String },
     /// The kernel's account of a process has no such line.
     #[error("/proc/{pid}/status has no {name}")]
-    NoStatusLine { pid: u32, name: String },
+    MissingStatusLine { pid: u32, name: String },
     /// The processor time of this process can't be read.
     #[error("the processor time can't be read: {0}")]
     ProcessorTime(#[source] nix::Error),
@@ -49,7 +49,7 @@
     Plan(#[from] BadPlan),
     /// The skew of the traffic can't be drawn from.
     #[error(transparent)]
-    Skew(#[from] rand_distr::ZipfError),
+    Zipf(#[from] rand_distr::ZipfError),
     /// The forwarder's program is not there.
     #[error("{}: no such program; build it, or name one with --forwarder", program.display())]
     NoForwarderProgram { program: PathBuf },
@@ -58,14 +58,14 @@
     Program { program: PathBuf, source: io::Error },
     /// The forwarder's process ended at once.
     #[error("{}: ended at once", program.display())]
-    EndedAtOnce { program: PathBuf },
+    ExitedAtStart { program: PathBuf },
     /// The forwarder did not answer `GET /up` in time.
-    #[error("not up within {within:?}; its log: {log}")]
-    NotUp { within: Duration, log: String },
+    #[error("not up within {timeout:?}; its log: {log}")]
+    NotReady { timeout: Duration, log: String },
     /// The forwarder did not come up with a list of this length.
-    #[error("{listed} targets: {source}")]
+    #[error("{listed_targets} targets: {source}")]
     AtListLength {
-        listed: u32,
+        listed_targets: u32,
         source: Box<CapacityError>,
     },
 }
--- a/crates/lab/src/capacity/fleet/figures.rs
+++ b/crates/lab/src/capacity/fleet/figures.rs
@@ -1,7 +1,7 @@
 //! The figures of a run, a line each, as a table.
 
 use super::report::{Counts, FleetOutcome, MeanAndWorst, Measured};
-use crate::capacity::slope::{Row, Table};
+use crate::capacity::table::{Row, Table};
 
 /// The part of a whole; of nothing it is 0.
 fn ratio(part: u64, whole: u64) -> f64 {
--- a/crates/lab/src/capacity/fresh_process.rs
+++ b/crates/lab/src/capacity/fresh_process.rs
@@ -15,11 +15,11 @@
     for (name, value) in options {
         command.args([name, value.as_str()]);
     }
-    let ended = command.output()?;
-    if !ended.status.success() {
+    let output = command.output()?;
+    if !output.status.success() {
         return Err(CapacityError::FreshProcess {
-            stderr: String::from_utf8_lossy(&ended.stderr).trim().to_owned(),
+            stderr: String::from_utf8_lossy(&output.stderr).trim().to_owned(),
         });
     }
-    Ok(serde_json::from_slice(&ended.stdout)?)
+    Ok(serde_json::from_slice(&output.stdout)?)
 }
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -1,24 +1,24 @@
 //! One real forwarder process on loopback sockets: what it holds and uses with so many listed targets, and what comes on
 //! top for those that get messages; see [`point`].
 
+pub mod forwarder_process;
 pub mod load;
-pub mod point;
-pub mod standins;
+pub mod measurement;
+pub mod mock_servers;
 pub mod startup_config;
-pub mod subject;
 
 use super::outputs::Outputs;
-use super::slope::{show, Row, Table};
+use super::table::{write_tables, Row, Table};
 use crate::capacity::error::CapacityError;
 use crate::sockets::run::program_beside;
 use clap::Args;
-use point::{measure, Point};
-use startup_config::Shape;
+use measurement::{measure, ProcessMeasurement};
+use startup_config::StartupOptions;
 use std::path::PathBuf;
 
 /// Where the forwarder has its list from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum ListFrom {
+pub enum ListSource {
     /// Its start object; discovery can't be reached.
     Known,
     /// Discovery, which tells the whole list when it is asked.
@@ -70,77 +70,96 @@
         self.forwarder.clone().unwrap_or_else(program_beside)
     }
 
-    fn shape(&self) -> Shape {
-        Shape {
+    fn startup_options(&self) -> StartupOptions {
+        StartupOptions {
             seed: self.seed,
             forwarders: self.forwarders,
             memory_mb: self.memory_mb,
             descriptors: self.descriptors,
-            ..Shape::default()
+            ..StartupOptions::default()
         }
     }
 }
 
-type FigureOf = (&'static str, &'static str, fn(&Point) -> f64);
+type FigureDefinition = (&'static str, &'static str, fn(&ProcessMeasurement) -> f64);
 
-const FIGURES: [FigureOf; 18] = [
-    ("time to ready", "s", |p| p.ready),
+const FIGURES: [FigureDefinition; 18] = [
+    ("time to ready", "s", |p| p.ready_s),
     ("time until the last destination is taken", "s", |p| {
-        p.last_taken
+        p.last_destination_accepted_s
     }),
     ("processor time at ready", "s", |p| {
-        p.at_ready.processor.as_secs_f64()
+        p.usage_at_ready.processor_time.as_secs_f64()
+    }),
+    ("memory at ready", "bytes", |p| {
+        p.usage_at_ready.resident_bytes as f64
+    }),
+    ("memory at rest", "bytes", |p| {
+        p.usage_after_first_rest.resident_bytes as f64
+    }),
+    ("memory after load", "bytes", |p| {
+        p.usage_after_load.resident_bytes as f64
     }),
-    ("memory at ready", "bytes", |p| p.at_ready.memory as f64),
-    ("memory at rest", "bytes", |p| p.at_rest.memory as f64),
-    ("memory after load", "bytes", |p| p.after_load.memory as f64),
     ("memory, at rest after load", "bytes", |p| {
-        p.after_rest.memory as f64
+        p.usage_after_second_rest.resident_bytes as f64
     }),
     ("memory, highest", "bytes", |p| {
-        p.after_rest.memory_peak as f64
+        p.usage_after_second_rest.peak_resident_bytes as f64
+    }),
+    ("at rest: part of a core", "cores", |p| {
+        p.first_rest.core_fraction()
     }),
-    ("at rest: part of a core", "cores", |p| p.rest.of_a_core()),
     ("under load: part of a core", "cores", |p| {
-        p.load.of_a_core()
+        p.under_load.core_fraction()
     }),
     ("under load: processor time a message", "us", |p| {
-        p.load.processor.as_secs_f64() * 1e6 / p.submitted as f64
+        p.under_load.processor_time.as_secs_f64() * 1e6 / p.submitted as f64
     }),
     ("at rest after load: part of a core", "cores", |p| {
-        p.rest_after.of_a_core()
+        p.second_rest.core_fraction()
+    }),
+    ("distinct targets in use", "targets", |p| {
+        p.distinct_targets.into()
     }),
-    ("distinct targets in use", "targets", |p| p.used.into()),
     ("messages handed in", "messages", |p| p.submitted as f64),
-    ("messages taken", "messages", |p| p.taken as f64),
-    ("calls answered", "calls", |p| p.calls as f64),
+    ("messages taken", "messages", |p| p.accepted as f64),
+    ("calls answered", "calls", |p| p.calls_answered as f64),
     ("descriptors, most under load", "descriptors", |p| {
-        p.most_descriptors as f64
+        p.max_descriptors as f64
     }),
     ("descriptors, at rest after load", "descriptors", |p| {
-        p.after_rest.descriptors as f64
+        p.usage_after_second_rest.descriptors as f64
     }),
 ];
 
-fn table(title: &str, size: &str, points: &[Point], size_of: fn(&Point) -> f64) -> Table {
+fn table(
+    title: &str,
+    size: &str,
+    points: &[ProcessMeasurement],
+    size_of: fn(&ProcessMeasurement) -> f64,
+) -> Table {
     let names: Vec<(&str, &str)> = FIGURES
         .iter()
         .map(|(name, unit, _)| (*name, *unit))
         .collect();
-    let row = |p: &Point| Row {
+    let row = |p: &ProcessMeasurement| Row {
         size: size_of(p),
-        values: FIGURES.iter().map(|(_, _, of)| of(p)).collect(),
+        values: FIGURES.iter().map(|(_, _, value_of)| value_of(p)).collect(),
     };
     Table::new(title, size, &names, points.iter().map(row).collect())
 }
 
 /// One after the other, so that none disturbs another. A size that fails is told, and left out of the table.
-async fn points(options: &Options, cases: &[(u32, u32)], from: ListFrom) -> Vec<Point> {
+async fn measure_cases(
+    options: &Options,
+    cases: &[(u32, u32)],
+    source: ListSource,
+) -> Vec<ProcessMeasurement> {
     let mut points = Vec::new();
     for (listed, in_use) in cases {
-        match measure(options, *listed, *in_use, from).await {
+        match measure(options, *listed, *in_use, source).await {
             Ok(point) => points.push(point),
-            Err(problem) => eprintln!("not measured, list from {from:?}: {problem}"),
+            Err(error) => eprintln!("not measured, list from {source:?}: {error}"),
         }
     }
     points
@@ -158,28 +177,35 @@
         .iter()
         .map(|listed| (*listed, options.in_use))
         .collect();
-    let by_use: Vec<(u32, u32)> = options
+    let by_targets_in_use: Vec<(u32, u32)> = options
         .in_use_sizes
         .iter()
-        .map(|n| (options.listed, *n))
+        .map(|in_use| (options.listed, *in_use))
         .collect();
-    let listed =
-        |points: &[Point], title: &str| table(title, "listed targets", points, |p| p.listed.into());
+    let by_listed_targets = |points: &[ProcessMeasurement], title: &str| {
+        table(title, "listed targets", points, |p| p.listed_targets.into())
+    };
     // A runtime each: the stand-ins of one end with it.
-    let known = runtime()?.block_on(points(options, &by_size, ListFrom::Known));
-    let told = runtime()?.block_on(points(options, &by_size, ListFrom::Discovery));
-    let used = runtime()?.block_on(points(options, &by_use, ListFrom::Known));
+    let known = runtime()?.block_on(measure_cases(options, &by_size, ListSource::Known));
+    let discovered = runtime()?.block_on(measure_cases(options, &by_size, ListSource::Discovery));
+    let in_use = runtime()?.block_on(measure_cases(
+        options,
+        &by_targets_in_use,
+        ListSource::Known,
+    ));
     let title = format!(
         "one forwarder, {} targets known at start, by those in use",
         options.listed
     );
     Ok(vec![
-        listed(
+        by_listed_targets(
             &known,
             "one forwarder, list known at start, discovery out of reach",
         ),
-        listed(&told, "one forwarder, list told by discovery"),
-        table(&title, "targets in use", &used, |p| p.used.into()),
+        by_listed_targets(&discovered, "one forwarder, list told by discovery"),
+        table(&title, "targets in use", &in_use, |p| {
+            p.distinct_targets.into()
+        }),
     ])
 }
 
@@ -189,5 +215,5 @@
     if !program.is_file() {
         return Err(CapacityError::NoForwarderProgram { program });
     }
-    show(&tables(options)?, &options.outputs)
+    write_tables(&tables(options)?, &options.outputs)
 }
--- a/crates/lab/src/capacity/process/load.rs
+++ b/crates/lab/src/capacity/process/load.rs
@@ -10,18 +10,18 @@
 use tokio::time::Instant;
 
 /// The delivery class of the messages.
-pub const CLASS: &str = "notice";
+pub const DELIVERY_CLASS: &str = "notice";
 /// Connections that messages are submitted on: few beside the forwarder's descriptors.
-const CLIENTS: u32 = 16;
+const CLIENT_COUNT: u32 = 16;
 /// Bytes of a message.
 const BODY_BYTES: usize = 512;
 
 /// The request that submits a message.
-pub fn submission(id: &str, destination: u32, time_to_live: Duration) -> String {
-    let time = time_to_live.as_millis();
+pub fn submission_request(id: &str, destination: u32, time_to_live: Duration) -> String {
+    let time_to_live_ms = time_to_live.as_millis();
     format!(
-        "POST /{CLASS} HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nRequest-Class: {CLASS}\r\n\
-         Request-Timeout-Ms: {time}\r\nIdempotency-Key: k-{id}\r\nEnvelope: dest={destination}\r\n\
+        "POST /{DELIVERY_CLASS} HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nRequest-Class: {DELIVERY_CLASS}\r\n\
+         Request-Timeout-Ms: {time_to_live_ms}\r\nIdempotency-Key: k-{id}\r\nEnvelope: dest={destination}\r\n\
          Content-Length: {BODY_BYTES}\r\n\r\n{:b<BODY_BYTES$}",
         ""
     )
@@ -29,29 +29,29 @@
 
 /// Messages that are submitted.
 #[derive(Clone)]
-pub struct Load {
+pub struct MessageLoad {
     /// Their destinations, in order.
-    pub draws: Arc<[u32]>,
+    pub destinations: Arc<[u32]>,
     /// How many a second.
     pub rate: u64,
     /// The time to live of each.
-    pub time: Duration,
+    pub time_to_live: Duration,
 }
 
 /// Submits the messages at an even pace; counts those that were accepted.
-pub async fn load(messages: Load, listen: SocketAddr, accepted: Arc<AtomicU64>) {
-    let next = Arc::new(AtomicUsize::new(0));
-    let begin = Instant::now();
-    let clients: Vec<_> = (0..CLIENTS)
+pub async fn submit_all(messages: MessageLoad, listen: SocketAddr, accepted: Arc<AtomicU64>) {
+    let next_index = Arc::new(AtomicUsize::new(0));
+    let load_start = Instant::now();
+    let clients: Vec<_> = (0..CLIENT_COUNT)
         .map(|_| {
             let client = Client {
                 messages: messages.clone(),
                 listen,
-                next: next.clone(),
+                next_index: next_index.clone(),
                 accepted: accepted.clone(),
-                kept: None,
+                idle_connection: None,
             };
-            tokio::spawn(client.run(begin))
+            tokio::spawn(client.run(load_start))
         })
         .collect();
     for client in clients {
@@ -62,24 +62,28 @@
 
 /// One client, with the connection that it keeps.
 struct Client {
-    messages: Load,
+    messages: MessageLoad,
     listen: SocketAddr,
     /// The number of the next message of all clients.
-    next: Arc<AtomicUsize>,
+    next_index: Arc<AtomicUsize>,
     accepted: Arc<AtomicU64>,
-    kept: Option<Conn>,
+    idle_connection: Option<Conn>,
 }
 
 impl Client {
-    async fn run(mut self, begin: Instant) {
+    async fn run(mut self, load_start: Instant) {
         loop {
-            let number = self.next.fetch_add(1, Ordering::Relaxed);
-            let Some(destination) = self.messages.draws.get(number).copied() else {
+            let index = self.next_index.fetch_add(1, Ordering::Relaxed);
+            let Some(destination) = self.messages.destinations.get(index).copied() else {
                 return;
             };
-            let after = number as f64 / self.messages.rate as f64;
-            tokio::time::sleep_until(begin + Duration::from_secs_f64(after)).await;
-            let request = submission(&format!("m{number}"), destination, self.messages.time);
+            let offset_s = index as f64 / self.messages.rate as f64;
+            tokio::time::sleep_until(load_start + Duration::from_secs_f64(offset_s)).await;
+            let request = submission_request(
+                &format!("m{index}"),
+                destination,
+                self.messages.time_to_live,
+            );
             // One that fails is a message that was not accepted: it is counted as that.
             if matches!(self.submit(&request).await, Ok(202)) {
                 self.accepted.fetch_add(1, Ordering::Relaxed);
@@ -89,13 +93,13 @@
 
     /// The status of the answer.
     async fn submit(&mut self, request: &str) -> io::Result<u16> {
-        let mut conn = match self.kept.take() {
+        let mut conn = match self.idle_connection.take() {
             Some(conn) => conn,
             None => Conn::new(TcpStream::connect(self.listen).await?),
         };
         conn.write(request.as_bytes()).await?;
         let answer = conn.answer().await?;
-        self.kept = Some(conn);
+        self.idle_connection = Some(conn);
         Ok(answer.status)
     }
 }
--- a/crates/lab/src/capacity/process/standins.rs
+++ b/crates/lab/src/capacity/process/mock_servers.rs
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket};
 
-const BACKLOG: u32 = 64; // connections that wait at one stand-in: one forwarder opens few
-const LONGEST_WATCH: u64 = 60_000; // ms
-const RATE: f64 = 50.0; // calls a second that the list tells of each destination
+const LISTEN_BACKLOG: u32 = 64; // connections that wait at one stand-in: one forwarder opens few
+const MAX_WATCH_MS: u64 = 60_000; // ms
+const LISTED_RATE: f64 = 50.0; // calls a second that the list tells of each destination
 
 /// The list: so many targets, each at a loopback address of its own and at one port, and with a destination of its own
 /// number.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
-    pub targets: u32,
+pub struct EndpointList {
+    pub target_count: u32,
     pub port: u16,
 }
 
-impl Listed {
+impl EndpointList {
     /// Addresses from 127.1.0.0 on: the first 65,536 are left to the other peers of the laboratory.
     pub fn address(&self, target: u32) -> SocketAddrV4 {
         let [_, b, c, d] = (target + (1 << 16)).to_be_bytes();
@@ -31,27 +31,30 @@
     }
 
     /// The list as the platform's protocol has it.
-    pub fn text(&self) -> Value {
-        let member = |n| {
+    pub fn to_json(&self) -> Value {
+        let entry = |n| {
             json!({"id": format!("t{n}"), "host_port": self.address(n).to_string(), "locality": "a", "flavor": "m",
-                "cell": n, "phase": "Ready", "size": RATE, "up_since_ms": 0})
+                "cell": n, "phase": "Ready", "size": LISTED_RATE, "up_since_ms": 0})
         };
-        json!({"revision": 1, "complete": true, "members": (0..self.targets).map(member).collect::<Vec<_>>()})
+        json!({"revision": 1, "complete": true, "members": (0..self.target_count).map(entry).collect::<Vec<_>>()})
     }
 }
 
-fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 /// Listens at these targets and answers each call with 200. Gives the count of calls.
-pub fn targets(listed: Listed, used: &BTreeSet<u32>) -> io::Result<Arc<AtomicU64>> {
+pub fn start_targets(
+    list: EndpointList,
+    called_targets: &BTreeSet<u32>,
+) -> io::Result<Arc<AtomicU64>> {
     let calls = Arc::new(AtomicU64::new(0));
-    for target in used {
-        let (listener, calls) = (listen(listed.address(*target).into())?, calls.clone());
+    for target in called_targets {
+        let (listener, calls) = (bind_listener(list.address(*target).into())?, calls.clone());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let (mut conn, calls) = (Conn::new(stream), calls.clone());
@@ -71,36 +74,36 @@
 
 /// Discovery: the whole list to whoever asks for it, no changes to whoever watches, 204 to notices. Gives its address
 /// and the count of notices.
-pub async fn discovery(list: String) -> io::Result<(SocketAddr, Arc<AtomicU64>)> {
+pub async fn start_discovery(list: String) -> io::Result<(SocketAddr, Arc<AtomicU64>)> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
     let list: Arc<str> = list.into();
     let completion_reports = Arc::new(AtomicU64::new(0));
-    let counted = completion_reports.clone();
+    let report_count = completion_reports.clone();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let (mut conn, list, completion_reports) =
-                (Conn::new(stream), list.clone(), counted.clone());
+                (Conn::new(stream), list.clone(), report_count.clone());
             tokio::spawn(async move {
-                while let Ok(Some(asked)) = conn.request().await {
-                    let wait = asked
+                while let Ok(Some(request)) = conn.request().await {
+                    let wait_ms = request
                         .path
                         .split_once("wait=")
-                        .map(|(_, wait)| wait.parse::<u64>());
-                    let answered = match wait {
-                        _ if asked.method == "POST" => {
+                        .map(|(_, wait_ms)| wait_ms.parse::<u64>());
+                    let written = match wait_ms {
+                        _ if request.method == "POST" => {
                             completion_reports.fetch_add(1, Ordering::Relaxed);
                             conn.reply("204 No Content", "", "").await
                         }
-                        Some(wait) => {
-                            let wait = wait.unwrap_or(0).min(LONGEST_WATCH);
-                            tokio::time::sleep(Duration::from_millis(wait)).await;
-                            let nothing = r#"{"revision":1,"complete":false,"members":[]}"#;
-                            conn.reply("200 OK", "", nothing).await
+                        Some(wait_ms) => {
+                            let wait_ms = wait_ms.unwrap_or(0).min(MAX_WATCH_MS);
+                            tokio::time::sleep(Duration::from_millis(wait_ms)).await;
+                            let no_changes = r#"{"revision":1,"complete":false,"members":[]}"#;
+                            conn.reply("200 OK", "", no_changes).await
                         }
                         None => conn.reply("200 OK", "", &list).await,
                     };
-                    if answered.is_err() {
+                    if written.is_err() {
                         return;
                     }
                 }
@@ -111,7 +114,7 @@
 }
 
 /// An address of loopback where nobody listens.
-pub async fn nowhere() -> io::Result<SocketAddr> {
+pub async fn unused_address() -> io::Result<SocketAddr> {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
         .await?
         .local_addr()
--- a/crates/lab/src/capacity/process/startup_config.rs
+++ b/crates/lab/src/capacity/process/startup_config.rs
@@ -1,13 +1,13 @@
 //! The start-up configuration of the forwarder that is measured.
 
-use super::load::CLASS;
+use super::load::DELIVERY_CLASS;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// What the start-up configuration of a forwarder says beside its list.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct StartupOptions {
     /// Of its random draws.
     pub seed: u64,
     /// Forwarders of the fleet.
@@ -19,45 +19,45 @@
     /// The limit of open descriptors.
     pub descriptors: u32,
     /// Messages that it holds at most.
-    pub room: u32,
+    pub max_messages: u32,
     /// Time that a message has at most.
-    pub expiry: Duration,
+    pub time_to_live: Duration,
 }
 
-impl Default for Shape {
+impl Default for StartupOptions {
     /// The operators' figures.
-    fn default() -> Shape {
-        Shape {
+    fn default() -> StartupOptions {
+        StartupOptions {
             seed: 1,
             forwarders: 400,
             memory_mb: 192.0,
             disk_mb: 16.0,
             descriptors: 256,
-            room: 4_000,
-            expiry: Duration::from_secs(28),
+            max_messages: 4_000,
+            time_to_live: Duration::from_secs(28),
         }
     }
 }
 
 /// The configuration as the platform's deployment writes it; `known` is the list that it starts with.
 pub fn startup_config(
-    shape: &Shape,
+    options: &StartupOptions,
     listen: SocketAddr,
     discovery: SocketAddr,
     known: Option<Value>,
 ) -> Value {
     let mut config = json!({
-        "name": "n0", "seed": format!("{:016x}", shape.seed),
+        "name": "n0", "seed": format!("{:016x}", options.seed),
         "listen": listen.to_string(), "discovery": discovery.to_string(),
-        "limits": {"memory_mb": shape.memory_mb, "sockets": shape.descriptors, "disk_mb": shape.disk_mb},
+        "limits": {"memory_mb": options.memory_mb, "sockets": options.descriptors, "disk_mb": options.disk_mb},
         "settings": {
-            "Azs": ["a"], "Balancers": shape.forwarders, "Me": 0, "HostTypes": ["m"], "QuantumUs": 5000,
+            "Azs": ["a"], "Balancers": options.forwarders, "Me": 0, "HostTypes": ["m"], "QuantumUs": 5000,
             "Weights": "nominal",
             "Domain": {"Fades": "halving", "Workers": 200, "PerCall": [1], "RoutesApart": [false]},
             "Limits": {"Cancelling": true, "ConnIdleUs": 5_000_000, "ConnectTimeoutUs": 1_000_000, "MaxAttempts": 6,
-                "MaxOpen": shape.room, "MaxRetryAfterUs": 2_000_000, "Probing": true, "RetryAfter": true},
-            "Profiles": [{"Name": CLASS, "Effect": "free", "DedupWindowUs": 15_000_000, "GoalTimeUs": 2_500_000,
-                "HardLimitUs": shape.expiry.as_micros() as u64, "LateShare": 0.5, "Points": 1.0}],
+                "MaxOpen": options.max_messages, "MaxRetryAfterUs": 2_000_000, "Probing": true, "RetryAfter": true},
+            "Profiles": [{"Name": DELIVERY_CLASS, "Effect": "free", "DedupWindowUs": 15_000_000, "GoalTimeUs": 2_500_000,
+                "HardLimitUs": options.time_to_live.as_micros() as u64, "LateShare": 0.5, "Points": 1.0}],
             "Rules": {"AnswerSlackUs": 20_000, "ColdFrom": 0.2, "DrainGraceUs": 500_000, "FallMultiple": 2.0,
                 "OverloadForUs": 2_000_000, "WarmAfterUs": 10_000_000}
         }
--- a/crates/lab/src/capacity/slope.rs
+++ b/crates/lab/src/capacity/table.rs
@@ -9,10 +9,10 @@
 use std::fmt;
 
 /// Width and height of one plot, pixels.
-const PANEL: (u32, u32) = (420, 220);
-const PANELS_A_ROW: usize = 2;
+const PLOT_SIZE: (u32, u32) = (420, 220);
+const PLOTS_PER_ROW: usize = 2;
 /// Radius of a measured point, pixels.
-const POINT: u32 = 3;
+const POINT_RADIUS: u32 = 3;
 
 /// One figure that is measured at each size.
 #[derive(Clone, Debug, Serialize)]
@@ -34,7 +34,7 @@
 
 /// A straight line through measured points, by least squares.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Slope {
+pub struct LinearFit {
     /// Units of the figure for one more of the size.
     pub slope: f64,
     /// What the line says at size 0.
@@ -43,18 +43,18 @@
     pub fit: f64,
 }
 
-impl Slope {
+impl LinearFit {
     /// The line through points of size and value; none for fewer than two sizes.
-    pub fn through(points: &[(f64, f64)]) -> Option<Slope> {
+    pub fn through(points: &[(f64, f64)]) -> Option<LinearFit> {
         let count = points.len() as f64;
         let (mean_x, mean_y) = (
             points.iter().map(|p| p.0).sum::<f64>() / count,
             points.iter().map(|p| p.1).sum::<f64>() / count,
         );
-        let sum = |of: &dyn Fn(f64, f64) -> f64| {
+        let sum = |term: &dyn Fn(f64, f64) -> f64| {
             points
                 .iter()
-                .map(|p| of(p.0 - mean_x, p.1 - mean_y))
+                .map(|p| term(p.0 - mean_x, p.1 - mean_y))
                 .sum::<f64>()
         };
         let (xx, xy, yy) = (sum(&|x, _| x * x), sum(&|x, y| x * y), sum(&|_, y| y * y));
@@ -63,7 +63,7 @@
         }
         let slope = xy / xx;
         let fit = if yy > 0.0 { xy * xy / (xx * yy) } else { 1.0 };
-        Some(Slope {
+        Some(LinearFit {
             slope,
             intercept: mean_y - slope * mean_x,
             fit,
@@ -71,7 +71,7 @@
     }
 
     /// What the line says at a size.
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn value_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
@@ -88,21 +88,21 @@
     /// A row a size.
     pub rows: Vec<Row>,
     /// By figure; none where fewer than two sizes were measured.
-    pub slopes: Vec<Option<Slope>>,
+    pub slopes: Vec<Option<LinearFit>>,
 }
 
 impl Table {
     /// A table with these figures, each a name and a unit.
     pub fn new(title: &str, size: &str, figures: &[(&str, &str)], rows: Vec<Row>) -> Table {
         // A figure that was not reached at a size is not a number, and no point.
-        let points = |n: usize| -> Vec<(f64, f64)> {
+        let points = |index: usize| -> Vec<(f64, f64)> {
             rows.iter()
-                .map(|r| (r.size, r.values[n]))
+                .map(|row| (row.size, row.values[index]))
                 .filter(|(_, value)| value.is_finite())
                 .collect()
         };
         let slopes = (0..figures.len())
-            .map(|n| Slope::through(&points(n)))
+            .map(|index| LinearFit::through(&points(index)))
             .collect();
         let figures = figures
             .iter()
@@ -121,14 +121,14 @@
     }
 
     /// The slope of a figure, by its name.
-    pub fn slope(&self, name: &str) -> Option<Slope> {
-        let place = self.figures.iter().position(|f| f.name == name)?;
-        self.slopes[place]
+    pub fn slope(&self, name: &str) -> Option<LinearFit> {
+        let index = self.figures.iter().position(|f| f.name == name)?;
+        self.slopes[index]
     }
 }
 
 /// A number with four digits that count, for people.
-fn short(value: f64) -> String {
+fn format_short(value: f64) -> String {
     match value.abs() {
         _ if value.is_nan() => "-".into(),
         0.0 => "0".into(),
@@ -149,18 +149,18 @@
             write!(f, "{:>12}", row.size)?;
         }
         writeln!(f, "{:>14}{:>12}{:>7}", "slope", "at 0", "fit")?;
-        for (place, figure) in self.figures.iter().enumerate() {
+        for (index, figure) in self.figures.iter().enumerate() {
             write!(f, "  {:<44}", format!("{}, {}", figure.name, figure.unit))?;
             for row in &self.rows {
-                write!(f, "{:>12}", short(row.values[place]))?;
+                write!(f, "{:>12}", format_short(row.values[index]))?;
             }
-            match self.slopes[place] {
-                Some(s) => writeln!(
+            match self.slopes[index] {
+                Some(line) => writeln!(
                     f,
                     "{:>14}{:>12}{:>7.3}",
-                    short(s.slope),
-                    short(s.intercept),
-                    s.fit
+                    format_short(line.slope),
+                    format_short(line.intercept),
+                    line.fit
                 )?,
                 None => writeln!(f)?,
             }
@@ -170,20 +170,23 @@
 }
 
 /// One plot a figure: the points as measured and the line through them.
-pub fn plot(tables: &[Table]) -> Result<String, PlotError> {
-    let panels: Vec<(&Table, usize)> = tables
+pub fn render_plots(tables: &[Table]) -> Result<String, PlotError> {
+    let plots: Vec<(&Table, usize)> = tables
         .iter()
         .flat_map(|table| (0..table.figures.len()).map(move |figure| (table, figure)))
         .collect();
-    let rows = panels.len().div_ceil(PANELS_A_ROW).max(1);
-    let size = (PANEL.0 * PANELS_A_ROW as u32, PANEL.1 * rows as u32);
+    let rows = plots.len().div_ceil(PLOTS_PER_ROW).max(1);
+    let size = (
+        PLOT_SIZE.0 * PLOTS_PER_ROW as u32,
+        PLOT_SIZE.1 * rows as u32,
+    );
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, size).into_drawing_area();
         area.fill(&WHITE)?;
-        let places = area.split_evenly((rows, PANELS_A_ROW));
-        for ((table, figure), place) in panels.into_iter().zip(places) {
-            draw_panel(table, figure, &place)?;
+        let areas = area.split_evenly((rows, PLOTS_PER_ROW));
+        for ((table, figure), plot_area) in plots.into_iter().zip(areas) {
+            draw_plot(table, figure, &plot_area)?;
         }
         area.present()?;
     }
@@ -191,26 +194,29 @@
 }
 
 /// Draws the plot of one figure, by its place in the table.
-fn draw_panel(
+fn draw_plot(
     table: &Table,
-    figure: usize,
+    figure_index: usize,
     area: &DrawingArea<SVGBackend, Shift>,
 ) -> Result<(), PlotError> {
-    let rows = table.rows.iter().map(|row| (row.size, row.values[figure]));
+    let rows = table
+        .rows
+        .iter()
+        .map(|row| (row.size, row.values[figure_index]));
     let points: Vec<(f64, f64)> = rows.filter(|(_, value)| value.is_finite()).collect();
-    let widest = points.iter().map(|(size, _)| *size).fold(1.0, f64::max);
-    let slope = table.slopes[figure].iter();
-    let ends: Vec<(f64, f64)> = slope
-        .flat_map(|slope| [0.0, widest].map(|size| (size, slope.at(size))))
+    let largest_size = points.iter().map(|(size, _)| *size).fold(1.0, f64::max);
+    let line = table.slopes[figure_index].iter();
+    let line_ends: Vec<(f64, f64)> = line
+        .flat_map(|line| [0.0, largest_size].map(|size| (size, line.value_at(size))))
         .collect();
-    let (low, high) = range_of(points.iter().chain(&ends).map(|(_, value)| *value));
-    let Figure { name, unit } = &table.figures[figure];
+    let (min, max) = axis_range(points.iter().chain(&line_ends).map(|(_, value)| *value));
+    let Figure { name, unit } = &table.figures[figure_index];
     let mut chart = ChartBuilder::on(area)
         .caption(format!("{name} ({unit})"), ("sans-serif", 13))
         .margin(6)
         .x_label_area_size(34)
         .y_label_area_size(62)
-        .build_cartesian_2d(0.0..widest * 1.05, low..high)?;
+        .build_cartesian_2d(0.0..largest_size * 1.05, min..max)?;
     chart
         .configure_mesh()
         .x_desc(&table.size)
@@ -218,27 +224,27 @@
         .y_labels(5)
         .light_line_style(WHITE)
         .draw()?;
-    chart.draw_series(LineSeries::new(ends, BLUE.stroke_width(1)))?;
-    let dots = points
+    chart.draw_series(LineSeries::new(line_ends, BLUE.stroke_width(1)))?;
+    let markers = points
         .iter()
-        .map(|point| Circle::new(*point, POINT, RED.filled()));
-    chart.draw_series(dots)?;
+        .map(|point| Circle::new(*point, POINT_RADIUS, RED.filled()));
+    chart.draw_series(markers)?;
     Ok(())
 }
 
 /// The axis for these values: it holds 0, and room above them.
-fn range_of(values: impl Iterator<Item = f64> + Clone) -> (f64, f64) {
-    let low = values.clone().fold(0.0, f64::min);
-    let high = values.fold(0.0, f64::max);
-    if high > low {
-        (low, high + 0.1 * (high - low))
+fn axis_range(values: impl Iterator<Item = f64> + Clone) -> (f64, f64) {
+    let min = values.clone().fold(0.0, f64::min);
+    let max = values.fold(0.0, f64::max);
+    if max > min {
+        (min, max + 0.1 * (max - min))
     } else {
-        (low, low + 1.0)
+        (min, min + 1.0)
     }
 }
 
 /// Prints the tables and writes them where they were asked for.
-pub fn show(tables: &[Table], outputs: &Outputs) -> Result<(), CapacityError> {
+pub fn write_tables(tables: &[Table], outputs: &Outputs) -> Result<(), CapacityError> {
     for table in tables {
         println!("{table}");
     }
@@ -249,7 +255,7 @@
         write(path, serde_json::to_string_pretty(tables)? + "\n")?;
     }
     if let Some(path) = &outputs.plot {
-        write(path, plot(tables)?)?;
+        write(path, render_plots(tables)?)?;
     }
     Ok(())
 }
