--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -1,6 +1,7 @@
-//! Capacity: what the core and the program hold and use, measured at several sizes, and the slope of each figure against the
-//! size. `docs/CAPACITY.md` rests on these figures. Each size is measured in a process of its own, so that none
-//! inherits the memory of the one before.
+//! Capacity planning: memory, processor time and other resource usage of the core and of the forwarder program,
+//! measured at several sizes, with the slope of each figure against the size. `docs/CAPACITY.md` is based on these
+//! figures. Each size is measured in a process of its own, so that memory retained from an earlier size does not
+//! distort the figures.
 
 pub mod backlog;
 pub mod command;
--- a/crates/lab/src/capacity/backlog.rs
+++ b/crates/lab/src/capacity/backlog.rs
@@ -1,5 +1,5 @@
-//! A backlog: what a message that waits takes in the core, and in one real forwarder its memory, its journal and what a
-//! restart has to read. The destinations refuse connections all the while, so that every message waits.
+//! The cost of a backlog: memory per waiting message in the core, and in one real forwarder process the memory, the
+//! journal and the time of a restart. All destinations refuse connections throughout, so that every message waits.
 
 pub mod core_measurement;
 pub mod process_measurement;
@@ -15,27 +15,28 @@
 use process_measurement::ProcessBacklogMeasurement;
 use std::path::PathBuf;
 
-/// The part of its memory that the program lets the journal take at most.
+/// Upper bound on the share of its memory limit that the forwarder program grants to the journal.
 const MAX_JOURNAL_MEMORY_SHARE: f64 = 0.25;
 
 /// Options of `capacity backlog`.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// How many messages wait, one fresh process each; in the core only whole seconds of --rate are submitted
+    /// Numbers of waiting messages, each measured in a fresh process; the core gets only whole seconds of --rate
     #[arg(long, value_delimiter = ',', default_values_t = [2_000, 10_000, 20_000, 40_000])]
     pub sizes: Vec<u32>,
-    /// Destinations that they are for, none of which takes a connection
+    /// Number of destinations that the messages are for; each of them refuses connections
     #[arg(long, default_value_t = 100)]
     pub destinations: u32,
-    /// Messages a second while they are submitted
+    /// Messages submitted per second
     #[arg(long, default_value_t = 2_000)]
     pub rate: u64,
-    /// The journal's limit
+    /// Disk limit of the forwarder, in MB; the memory limit is derived from it
     #[arg(long, default_value_t = 200.0)]
     pub disk_mb: f64,
-    /// The forwarder's program; beside this one if not named
+    /// Path of the forwarder program; by default the one in the folder of this program
     #[arg(long)]
     pub forwarder: Option<PathBuf>,
+    /// Seed of the forwarder's random number generator
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     #[command(flatten)]
@@ -43,11 +44,12 @@
 }
 
 impl Options {
+    /// Returns the path of the forwarder program, which need not exist.
     fn program(&self) -> PathBuf {
         self.forwarder.clone().unwrap_or_else(program_beside)
     }
 
-    /// The start-up configuration's figures for so many waiting messages.
+    /// Returns the start-up options for a backlog of `messages`; the message limit leaves room for twice as many.
     fn startup_options(&self, messages: u32) -> StartupOptions {
         StartupOptions {
             seed: self.seed,
@@ -60,6 +62,7 @@
     }
 }
 
+/// Measures the core with `messages` waiting messages in a fresh process of this program.
 fn measure_core(options: &Options, messages: u32) -> Result<CoreBacklogMeasurement, CapacityError> {
     let arguments = [
         ("--messages", messages.to_string()),
@@ -70,7 +73,7 @@
     measure_in_fresh_process("backlog-point", &arguments)
 }
 
-/// A figure of a point: its name, its unit and its value.
+/// Name, unit and accessor of one figure of a measurement.
 type FigureDefinition<P> = (&'static str, &'static str, fn(&P) -> f64);
 
 const CORE_FIGURES: [FigureDefinition<CoreBacklogMeasurement>; 5] = [
@@ -123,7 +126,7 @@
     }),
 ];
 
-/// The core and one real forwarder with the same numbers of messages that wait.
+/// Measures the core and one real forwarder at each size and returns a table for each of them.
 pub fn tables(options: &Options) -> Result<Vec<Table>, CapacityError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -158,7 +161,7 @@
     ])
 }
 
-/// The figures of one point, by its size.
+/// Evaluates the figures of one measurement, in their order.
 fn row<P>(size: f64, figures: &[FigureDefinition<P>], measurement: &P) -> Row {
     let values = figures.iter().map(|(_, _, value_of)| value_of(measurement));
     Row {
@@ -167,6 +170,7 @@
     }
 }
 
+/// Builds a table whose sizes are numbers of waiting messages.
 fn table<P>(title: &str, figures: &[FigureDefinition<P>], rows: Vec<Row>) -> Table {
     let names: Vec<(&str, &str)> = figures
         .iter()
@@ -175,7 +179,8 @@
     Table::new(title, "waiting messages", &names, rows)
 }
 
-/// Measures, prints the tables and writes them where they were asked for.
+/// Measures, prints the tables and writes the output files. Fails before the first measurement if the forwarder program
+/// does not exist.
 pub fn run(options: &Options) -> Result<(), CapacityError> {
     let program = options.program();
     if !program.is_file() {
--- a/crates/lab/src/capacity/backlog/core_measurement.rs
+++ b/crates/lab/src/capacity/backlog/core_measurement.rs
@@ -1,4 +1,5 @@
-//! The core with so many messages that wait, measured in this process, which has to be a fresh one.
+//! Measures the core with a backlog of waiting messages. The measurement runs in this process, which has to be a fresh
+//! one: memory that an earlier measurement freed would be reused and not counted.
 
 use crate::capacity::core::environment::{EnvironmentConfig, SimulatedEnvironment, Spread, SECOND};
 use crate::capacity::error::CapacityError;
@@ -7,38 +8,45 @@
 use opalpulley::{EndpointListUpdate, Event};
 use serde::{Deserialize, Serialize};
 
-const TIME_TO_LIVE: u64 = 3_600 * SECOND; // long beside the time in which the messages are submitted
-const SETTLE_SECONDS: u64 = 5; // simulated s after the last message, until every destination is ejected
+/// Time to live of each message, in µs: much longer than the submission phase, so that no message expires.
+const TIME_TO_LIVE: u64 = 3_600 * SECOND;
+/// Simulated time after the last message, in s, in which every destination becomes ejected.
+const SETTLE_SECONDS: u64 = 5;
 
-/// What one size is measured with.
+/// Options of the hidden subcommand `capacity backlog-point`, which measures one size.
 #[derive(Args, Clone, Debug)]
 pub struct CoreBacklogOptions {
+    /// Number of messages, rounded down to whole seconds of --rate
     #[arg(long)]
     pub messages: u32,
+    /// Number of destinations, all of which refuse connections
     #[arg(long)]
     pub destinations: u32,
-    /// Messages a second
+    /// Messages submitted per simulated second
     #[arg(long)]
     pub rate: u64,
+    /// Seed of the core and of its simulated environment
     #[arg(long)]
     pub seed: u64,
 }
 
-/// The figures of one number of messages.
+/// The figures of the core at one backlog size; its fields are keys of the JSON that the subcommand prints.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CoreBacklogMeasurement {
+    /// Number of messages submitted.
     pub messages: f64,
-    /// Those without a final answer at the end.
+    /// Number of messages that had neither been delivered, failed nor been rejected at the end.
     pub waiting: f64,
-    /// Resident memory that came with them, bytes; that of the simulated surroundings included.
+    /// Growth of the resident memory from the first message to the end, in bytes, including the simulated environment.
     pub memory: f64,
-    /// Timers and answers that the surroundings hold at the end.
+    /// Number of events that the simulated environment has scheduled at the end.
     pub surroundings: f64,
-    /// Processor time, us.
+    /// Processor time from the first message to the end, in µs, including the simulated environment.
     pub processor: f64,
 }
 
-/// Lets so many messages wait in the core, and measures what they take.
+/// Submits the messages to a core whose destinations all refuse connections, and measures its memory and processor
+/// time.
 pub fn measure(options: &CoreBacklogOptions) -> Result<CoreBacklogMeasurement, CapacityError> {
     let config = EnvironmentConfig::new(
         options.destinations,
--- a/crates/lab/src/capacity/backlog/process_measurement.rs
+++ b/crates/lab/src/capacity/backlog/process_measurement.rs
@@ -1,4 +1,5 @@
-//! One real forwarder with so many messages that wait: submitted, then killed and started again on the same folder.
+//! Measures one real forwarder process with a backlog of waiting messages: the messages are submitted, then the process
+//! is killed and restarted on the same state folder.
 
 use crate::capacity::error::CapacityError;
 use crate::capacity::process::forwarder_process::{ForwarderProcess, READY_TIMEOUT};
@@ -12,44 +13,54 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The time to live of a message: long beside the measurement, so that none ends in it.
+/// Time to live of each message: much longer than the measurement, so that no message expires in it.
 pub const TIME_TO_LIVE: Duration = Duration::from_secs(3_600);
-/// After the last message, until every destination is ejected.
+/// Wait after the last message, in which every destination becomes ejected.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// What one size is measured with.
+/// The forwarder program and the load of one measurement.
 pub struct BacklogCase {
+    /// Path of the forwarder program.
     pub program: PathBuf,
+    /// Number of messages to submit.
     pub messages: u32,
+    /// Number of destinations, which get the messages in turn; all of them refuse connections.
     pub destinations: u32,
-    /// Messages a second
+    /// Messages submitted per second.
     pub rate: u64,
 }
 
-/// What was measured; a time that was never reached is not a number.
+/// The figures of one forwarder process at one backlog size.
 #[derive(Clone, Debug)]
 pub struct ProcessBacklogMeasurement {
+    /// Number of messages submitted.
     pub submitted: u64,
+    /// Number of messages that the forwarder answered with status 202.
     pub accepted: u64,
-    /// Notices of a message's end that came before the kill.
+    /// Number of completion reports received before the kill.
     pub completion_reports: u64,
-    /// From a start with an empty folder until it is up, and from the one after the kill, s.
+    /// Time from the first start, with an empty state folder, until the forwarder is ready, in s.
     pub ready_empty_s: f64,
+    /// Time from the start after the kill until the forwarder is ready again, in s.
     pub ready_after_restart_s: f64,
+    /// Usage when the forwarder is ready for the first time, before any message.
     pub usage_before: Usage,
+    /// Usage after the last message, when all destinations are ejected.
     pub usage_with_backlog: Usage,
+    /// Usage when the forwarder is ready again after the kill.
     pub usage_after_restart: Usage,
-    /// Bytes of the files in its folder at the kill.
+    /// Total size of the files in the state folder at the kill, in bytes.
     pub journal_bytes: u64,
 }
 
 impl ProcessBacklogMeasurement {
-    /// Messages that were taken and have not ended.
+    /// Returns the number of messages that were accepted and not reported as completed.
     pub fn waiting(&self) -> f64 {
         self.accepted as f64 - self.completion_reports as f64
     }
 }
 
+/// Returns the total size of all files in a folder and its subfolders, in bytes.
 fn folder_bytes(folder: &Path) -> std::io::Result<u64> {
     let mut bytes = 0;
     for entry in std::fs::read_dir(folder)? {
@@ -64,14 +75,15 @@
     Ok(bytes)
 }
 
-/// Lets so many messages wait in one forwarder, kills it and starts it again on the same folder.
+/// Builds up the backlog in one forwarder, kills the process and restarts it on the same folder. Fails if the forwarder
+/// can't be started or is not ready within [`READY_TIMEOUT`].
 pub async fn measure(
     case: &BacklogCase,
     startup: &StartupOptions,
 ) -> Result<ProcessBacklogMeasurement, CapacityError> {
     let folder = tempfile::tempdir()?;
     let listen = unused_address().await?;
-    // Nobody listens at the endpoints: each refuses connections.
+    // No process listens at the endpoints, so each of them refuses connections.
     let list = EndpointList {
         target_count: case.destinations,
         port: unused_address().await?.port(),
@@ -106,7 +118,8 @@
     })
 }
 
-/// Submits the messages, a destination after the other, and waits until all is settled; gives how many were accepted.
+/// Submits the messages to the destinations in turn and waits for [`SETTLE_TIME`]; returns the number of accepted
+/// messages.
 async fn submit_backlog(case: &BacklogCase, startup: &StartupOptions, listen: SocketAddr) -> u64 {
     let destinations = (0..case.messages).map(|index| index % case.destinations);
     let messages = MessageLoad {
--- a/crates/lab/src/capacity/command.rs
+++ b/crates/lab/src/capacity/command.rs
@@ -1,29 +1,29 @@
-//! The command line of `opalpulley-lab capacity`: one variant for each thing that is measured.
+//! The command line of `opalpulley-lab capacity`, with one subcommand per measurement.
 
 use super::{backlog, core, fleet, process};
 use crate::capacity::error::CapacityError;
 use clap::Subcommand;
 
-/// One thing that `opalpulley-lab capacity` measures, with its options.
+/// A measurement of `opalpulley-lab capacity`, with its options.
 #[derive(Subcommand, Clone, Debug)]
 pub enum Command {
     /// The core alone, without sockets, on a simulated clock
     Core(core::Options),
-    /// One size of `core`, as JSON: run by `core` itself, each in a fresh process
+    /// Prints the figures of one size of `core` as JSON; `core` runs it in a fresh process per size
     #[command(hide = true)]
     CorePoint(core::measurement::CoreOptions),
     /// One real forwarder on loopback sockets
     Process(process::Options),
-    /// Messages that wait: in the core, and in one real forwarder that is killed and started again
+    /// Waiting messages in the core, and in one real forwarder that is killed and restarted
     Backlog(backlog::Options),
-    /// One size of `backlog` in the core, as JSON: run by `backlog` itself, each in a fresh process
+    /// Prints the figures of the core at one size of `backlog` as JSON; `backlog` runs it in a fresh process per size
     #[command(hide = true)]
     BacklogPoint(backlog::core_measurement::CoreBacklogOptions),
-    /// A fleet of hollow forwarders in one process, on a simulated clock
+    /// A fleet of forwarders without sockets in one process, on a simulated clock
     Fleet(fleet::options::Options),
 }
 
-/// Runs one measurement and prints its figures.
+/// Runs a measurement and prints its figures to the standard output.
 pub fn run(command: Command) -> Result<(), CapacityError> {
     match command {
         Command::Core(options) => core::run(&options),
--- a/crates/lab/src/capacity/core.rs
+++ b/crates/lab/src/capacity/core.rs
@@ -1,5 +1,5 @@
-//! The core alone: `opalpulley::Forwarder` without sockets, on a simulated clock. Each size is measured in a fresh process of
-//! this program; see [`point`].
+//! Measures the core alone: `opalpulley::Forwarder` without sockets, on a simulated clock. Each size is measured in a
+//! fresh process of this program; see [`measurement`].
 
 pub mod environment;
 pub mod measurement;
@@ -15,15 +15,17 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// How many destinations the core holds in full before idle ones are summarised.
+/// The number of destinations whose full state the core holds before it replaces the state of idle ones by summaries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FullDestinations {
+    /// All destinations are held in full, and none is summarised.
     All,
+    /// Idle destinations beyond this number are summarised.
     UpTo(u32),
 }
 
 impl FullDestinations {
-    /// As the core's terms tell it.
+    /// Returns the limit in the form of `Config::full_destinations`: `None` means no limit.
     pub fn limit(self) -> Option<u32> {
         match self {
             FullDestinations::All => None,
@@ -32,9 +34,9 @@
     }
 }
 
-/// A text that is neither `all` nor a number.
+/// Error for a text that is neither `all` nor a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("`all` or a number")]
+#[error("must be `all` or a number")]
 pub struct ParseFullDestinationsError;
 
 impl FromStr for FullDestinations {
@@ -63,38 +65,42 @@
 /// Options of `capacity core`.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// How many destinations, one fresh process each
+    /// Numbers of destinations, each measured in a fresh process
     #[arg(long, value_delimiter = ',', default_values_t = [1_000, 4_000, 16_000, 60_000, 100_000])]
     pub sizes: Vec<u32>,
-    /// Messages a second
+    /// Messages submitted per simulated second
     #[arg(long, default_value_t = 200)]
     pub rate: u64,
-    /// Simulated seconds of each stretch: traffic, rest, traffic with a share down, rest with it
+    /// Simulated seconds of each phase: traffic, rest, traffic with a share of the destinations down, rest with it down
     #[arg(long, default_value_t = 60)]
     pub seconds: u64,
-    /// Part of the destinations that is down
+    /// Share of the destinations that is down in the last two phases, 0 to 1
     #[arg(long, default_value_t = 0.041)]
     pub down: f64,
-    /// How many destinations the core holds in full: `all`, or a number, which is then also paired with `all`
+    /// Limit of destinations held in full: `all`, or a number, which is then also compared with `all`
     #[arg(long, default_value = "1024")]
     pub full_destinations: FullDestinations,
+    /// Seed of the core and of its simulated environment
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     #[command(flatten)]
     pub outputs: Outputs,
 }
 
-/// What one size is measured with beside the options.
+/// The parameters that differ between the measurements of one run.
 #[derive(Clone, Copy)]
 struct CoreCase {
+    /// Number of targets of each destination.
     targets_each: u32,
     spread: Spread,
     full_destinations: FullDestinations,
 }
 
-/// Measured beside one target a destination, to tell what a target takes from what a destination takes.
+/// Number of targets of each destination in the second series of measurements. Its difference from the series with one
+/// target separates the cost of a target from the cost of a destination.
 const MULTIPLE_TARGETS: u32 = 3;
 
+/// Measures the core at one size in a fresh process of this program.
 fn measure_size(
     options: &Options,
     destinations: u32,
@@ -123,13 +129,15 @@
     })
 }
 
+/// Name, unit and accessor of one figure of a measurement.
 type FigureDefinition = (&'static str, &'static str, fn(&CoreMeasurement) -> f64);
 
+/// Returns a total of a phase divided by the messages submitted in it.
 fn per_message(phase: &Phase, value: f64) -> f64 {
     value / phase.messages
 }
 
-/// Part of a core.
+/// Returns the processor time of a phase as a share of one processor core over its simulated time.
 fn core_fraction(phase: &Phase) -> f64 {
     phase.processor / (phase.seconds * 1e6)
 }
@@ -213,7 +221,7 @@
     }),
 ];
 
-/// The figures that are shown side by side for all destinations in full and for a limit.
+/// The figures that are compared between all destinations in full and a limit of them.
 const PAIRED_FIGURES: [FigureDefinition; 10] = [
     ("bytes a destination, list in", "bytes", |p| {
         p.memory_listed / f64::from(p.destinations)
@@ -239,7 +247,8 @@
     }),
 ];
 
-/// Both sides of each figure, one under the other; the sizes and seeds are the same.
+/// Builds a table with two lines per figure, one for all destinations in full and one for the limit. Both series must
+/// have been measured at the same sizes, with the same seed.
 fn paired_table(
     all: &[CoreMeasurement],
     limited: &[CoreMeasurement],
@@ -267,6 +276,7 @@
     Table::new(&title, "destinations", &names, rows.collect())
 }
 
+/// Builds a table whose sizes are numbers of destinations.
 fn table(title: &str, measurements: &[CoreMeasurement], figures: &[&[FigureDefinition]]) -> Table {
     let figures: Vec<FigureDefinition> = figures.concat();
     let names: Vec<(&str, &str)> = figures
@@ -283,8 +293,9 @@
     Table::new(title, "destinations", &names, rows.collect())
 }
 
-/// The tables: one target each with uniform and with skewed traffic, several targets each, and where destinations are
-/// summarised the same once more beside all of them in full.
+/// Measures all sizes and returns the tables: one target per destination with uniform and with skewed traffic, then
+/// several targets per destination, and, unless all destinations are held in full, the comparison of the limit with
+/// `all`.
 pub fn tables(options: &Options) -> Result<Vec<Table>, CapacityError> {
     let full = options.full_destinations;
     let measurements =
@@ -327,7 +338,7 @@
     Ok(tables)
 }
 
-/// Measures, prints the tables and what an endpoint takes, and writes what was asked for.
+/// Measures, prints the tables and the bytes per target and per destination, and writes the output files.
 pub fn run(options: &Options) -> Result<(), CapacityError> {
     let tables = tables(options)?;
     write_tables(&tables, &options.outputs)?;
--- a/crates/lab/src/capacity/core/environment.rs
+++ b/crates/lab/src/capacity/core/environment.rs
@@ -1,5 +1,6 @@
-//! The simulated surroundings of one core: a list of destinations, messages, and answers to its calls after fixed times.
-//! They cost little beside the core, and are a function of the seed.
+//! The simulated environment of one core: an endpoint list, submitted messages, and responses to its calls after fixed
+//! delays. It uses little memory and processor time compared with the core, and is a deterministic function of the
+//! seed.
 
 pub use super::settings::SECOND;
 
@@ -16,51 +17,57 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Until an endpoint that works answers, µs.
+/// Time until a healthy endpoint responds, in µs.
 const RESPONSE_DELAY: Micros = 20_000;
-/// Until a connection is refused, µs.
+/// Time until a connection is refused, in µs.
 const REFUSAL_DELAY: Micros = 1_000;
-/// Until a health check of a silent endpoint is given up, µs, as the program does.
+/// Time until a health check of an unresponsive endpoint times out, in µs; the same as in the forwarder program.
 const HEALTH_CHECK_TIMEOUT: Micros = 1_500_000;
-/// Until a call without a timeout is given up, µs.
+/// Time until a call for which the core sets no timeout times out at an unresponsive endpoint, in µs.
 const DEFAULT_ATTEMPT_TIMEOUT: Micros = 60 * SECOND;
-/// Calls a second that a destination takes from all forwarders together, at least.
+/// Lower bound on the listed rate of a destination, in calls per second from the whole fleet.
 const MIN_LISTED_RATE: f64 = 50.0;
-/// The listed rate over the traffic, so that what is measured is not an overload.
+/// Ratio of the listed rate of a destination to its traffic; above 1, so that no destination is overloaded.
 const LISTED_RATE_HEADROOM: f64 = 2.0;
-/// Messages that the core holds at most.
+/// Default limit of messages that the core holds at once.
 const MAX_MESSAGES: u32 = 4_000;
-/// The time to live of a message, µs.
+/// Default time to live of a message, in µs.
 const TIME_TO_LIVE: Micros = 28 * SECOND;
-/// Exponent of the Zipf law of skewed traffic: the usual one for popularity.
+/// Exponent of the Zipf distribution of skewed traffic; 1 is the usual value for popularity.
 const ZIPF_EXPONENT: f64 = 1.0;
 
-/// How messages are spread over the destinations.
+/// Distribution of the messages over the destinations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Spread {
-    /// Each destination as often as any other.
+    /// Each destination gets the same expected share.
     Uniform,
-    /// By Zipf's law: the n-th destination gets an n-th part of what the first gets.
+    /// A Zipf distribution: the n-th destination gets 1/n of the messages of the first.
     Skewed,
 }
 
-/// How a destination answers.
+/// The behaviour of a destination towards calls and health checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Health {
+    /// Delivers after [`RESPONSE_DELAY`].
     Healthy,
+    /// Refuses the connection after [`REFUSAL_DELAY`].
     RefusesConnections,
+    /// Never responds, so that the call or health check times out.
     Unresponsive,
 }
 
-/// What happens next.
+/// An event that is delivered to the core at a later simulated time.
 enum ScheduledEvent {
+    /// A timer that the core has set fires.
     Timer(TimerToken),
+    /// An attempt ends with `outcome`; `started_at` is its start, in simulated µs.
     AttemptEnd {
         id: MessageId,
         endpoint: EndpointId,
         started_at: Micros,
         outcome: Outcome,
     },
+    /// A health check ends with `outcome`; `started_at` is its start, in simulated µs.
     HealthCheckEnd {
         endpoint: EndpointId,
         started_at: Micros,
@@ -68,41 +75,47 @@
     },
 }
 
-/// What was counted in a stretch of simulated time.
+/// Events counted since the start of a phase of simulated time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventCounts {
-    /// Messages that were submitted.
+    /// Number of messages submitted.
     pub messages: u64,
-    /// Calls of `Forwarder::handle`.
+    /// Number of events that the core handled.
     pub events: u64,
-    /// Calls that were sent.
+    /// Number of calls started.
     pub calls: u64,
-    /// Health checks that were sent.
+    /// Number of health checks started.
     pub probes: u64,
-    /// Messages that were delivered.
+    /// Number of messages delivered.
     pub delivered: u64,
-    /// Messages that failed or were rejected.
+    /// Number of messages that failed or were rejected.
     pub given_up: u64,
 }
 
-/// What a world is made of.
+/// Parameters of a simulated environment and its core.
 #[derive(Clone, Copy, Debug)]
 pub struct EnvironmentConfig {
+    /// Number of destinations.
     pub destinations: u32,
+    /// Number of targets of each destination.
     pub targets_each: u32,
-    /// How messages are spread, and how many come a second: the list tells rates that suit both.
+    /// Distribution of the messages, from which the listed rates are derived together with `rate`.
     pub spread: Spread,
+    /// Messages per second that the listed rates are based on.
     pub rate: u64,
-    /// Destinations held in full; none holds all of them so.
+    /// Limit of destinations held in full; `None` holds all of them in full.
     pub full_destinations: Option<u32>,
-    /// Messages that the core holds at most, and the time that each has.
+    /// Limit of messages that the core holds at once.
     pub max_messages: u32,
+    /// Time to live of each message, in µs.
     pub time_to_live: Micros,
+    /// Seed of the core and of the environment.
     pub seed: u64,
 }
 
 impl EnvironmentConfig {
-    /// A plan with the operators' room and expiry.
+    /// Creates a configuration with one target per destination, and with the message limit and time to live of the
+    /// operators' deployment.
     pub fn new(
         destinations: u32,
         spread: Spread,
@@ -123,30 +136,39 @@
     }
 }
 
-/// Of n destinations, the part of the first in Zipf's law: the m-th gets an m-th of it.
+/// Returns the share of the messages that the first of `destinations` gets in the Zipf distribution; the m-th gets 1/m
+/// of it.
 fn first_destination_share(destinations: u32) -> f64 {
     1.0 / (1..=destinations)
         .map(|rank| f64::from(rank).powf(-ZIPF_EXPONENT))
         .sum::<f64>()
 }
 
-/// One core and what is round it.
+/// One core together with the simulated clock, endpoints and traffic that drive it.
 pub struct SimulatedEnvironment {
     core: Forwarder,
     config: EnvironmentConfig,
+    /// Share of the messages that the first destination gets with [`Spread::Skewed`].
     first_destination_share: f64,
+    /// State of each destination, by its index.
     health: Vec<Health>,
+    /// Simulated time, in µs.
     now: Micros,
-    schedule: BTreeMap<(Micros, u64), ScheduledEvent>, // each leaves as its time comes
-    attempts_in_flight: BTreeMap<MessageId, (Micros, u64)>, // the answers under way; each leaves with its answer
+    /// Pending events by time and sequence number; an event is removed when it is dispatched or cancelled.
+    schedule: BTreeMap<(Micros, u64), ScheduledEvent>,
+    /// Key in `schedule` of the end of each attempt in flight; removed when the attempt ends.
+    attempts_in_flight: BTreeMap<MessageId, (Micros, u64)>,
+    /// The last sequence number given out; events and messages share the numbers.
     last_sequence: u64,
     rng: Pcg64Mcg,
+    /// Buffer for the actions of the core, kept to avoid an allocation per event.
     actions: Vec<Action>,
+    /// Counts since the start of the current phase.
     counts: EventCounts,
 }
 
 impl SimulatedEnvironment {
-    /// A core that knows no endpoint yet.
+    /// Creates a core with an empty endpoint list and healthy destinations.
     pub fn new(config: EnvironmentConfig) -> SimulatedEnvironment {
         SimulatedEnvironment {
             core: Forwarder::new(
@@ -170,22 +192,23 @@
         }
     }
 
-    /// How many endpoints there are.
+    /// Returns the number of endpoints of all destinations.
     pub fn endpoint_count(&self) -> u32 {
         self.config.destinations * self.config.targets_each
     }
 
-    /// What the core holds in full and as summaries.
+    /// Returns the numbers of destinations held in full and of endpoints held as summaries.
     pub fn state_counts(&self) -> StateCounts {
         self.core.state_counts()
     }
 
-    /// Alarms and answers that these surroundings hold for the core.
+    /// Returns the number of events scheduled for the core.
     pub fn scheduled_count(&self) -> usize {
         self.schedule.len()
     }
 
-    /// Calls a second that the list tells of a destination: over its part of all forwarders' traffic.
+    /// Returns the listed rate of a destination, in calls per second: its share of the fleet's traffic times
+    /// [`LISTED_RATE_HEADROOM`], but at least [`MIN_LISTED_RATE`].
     fn listed_rate(&self, destination: u32) -> f64 {
         let share = match self.config.spread {
             Spread::Uniform => 1.0 / f64::from(self.config.destinations),
@@ -197,7 +220,7 @@
         MIN_LISTED_RATE.max(LISTED_RATE_HEADROOM * traffic)
     }
 
-    /// One line of the list, by the number of its target.
+    /// Returns the list entry of an endpoint, with its listed rate multiplied by `rate_factor`.
     pub fn endpoint_entry(&self, endpoint_index: u32, rate_factor: f64) -> EndpointEntry {
         let destination = endpoint_index / self.config.targets_each;
         let [_, b, c, d] = endpoint_index.to_be_bytes();
@@ -216,7 +239,8 @@
         }
     }
 
-    /// Puts a share of the destinations down, half of them refusing connections and half silent; the others work.
+    /// Takes a random share of the destinations down: half of them refuse connections and half are unresponsive. All
+    /// other destinations become healthy.
     pub fn fail_destinations(&mut self, share: f64) {
         for health in &mut self.health {
             *health = match (self.rng.random_bool(share), self.rng.random_bool(0.5)) {
@@ -227,12 +251,12 @@
         }
     }
 
-    /// From now on every destination refuses connections.
+    /// Makes every destination refuse connections from now on.
     pub fn refuse_all(&mut self) {
         self.health.fill(Health::RefusesConnections);
     }
 
-    /// Has the core handle an event, and carries out its actions.
+    /// Passes an event to the core at the current simulated time and applies the actions that it returns.
     pub fn handle(&mut self, event: Event) {
         self.counts.events += 1;
         let mut actions = std::mem::take(&mut self.actions);
@@ -243,12 +267,14 @@
         self.actions = actions;
     }
 
+    /// Schedules an event and returns its key in `schedule`.
     fn schedule_at(&mut self, time: Micros, event: ScheduledEvent) -> (Micros, u64) {
         self.last_sequence += 1;
         self.schedule.insert((time, self.last_sequence), event);
         (time, self.last_sequence)
     }
 
+    /// Returns the state of the destination to which an endpoint belongs.
     fn health(&self, endpoint: EndpointId) -> Health {
         let [_, b, c, d] = endpoint.address;
         self.health[(u32::from_be_bytes([0, b, c, d]) / self.config.targets_each) as usize]
@@ -272,7 +298,8 @@
         }
     }
 
-    /// How long a call or health check takes there, and its outcome; `silence`: how long it waits where nothing answers.
+    /// Returns the duration and the outcome of a call or health check to an endpoint; `timeout_delay` is its duration
+    /// if the endpoint is unresponsive.
     fn attempt_result(&self, endpoint: EndpointId, timeout_delay: Micros) -> (Micros, Outcome) {
         match self.health(endpoint) {
             Health::Healthy => (RESPONSE_DELAY, Outcome::Delivered),
@@ -295,7 +322,7 @@
         self.attempts_in_flight.insert(id, key);
     }
 
-    /// The call of a message that is in flight ends now.
+    /// Ends the attempt of a message as cancelled at the current time; does nothing if no attempt is in flight.
     fn cancel_attempt(&mut self, id: MessageId) {
         let attempt = self
             .attempts_in_flight
@@ -368,7 +395,7 @@
         }
     }
 
-    /// All that falls due until then.
+    /// Dispatches all events scheduled up to and including `until`, then sets the clock to it.
     fn advance_to(&mut self, until: Micros) {
         while let Some(entry) = self
             .schedule
@@ -382,7 +409,8 @@
         self.now = until;
     }
 
-    /// So many seconds of messages, evenly spaced; a rate of 0 is rest. Gives what was counted.
+    /// Runs one phase of `seconds` with `rate` evenly spaced messages per second, or none if `rate` is 0. Returns the
+    /// counts of this phase; fails if there are no destinations.
     pub fn run_traffic(&mut self, seconds: u64, rate: u64) -> Result<EventCounts, CapacityError> {
         self.counts = EventCounts::default();
         let (phase_start, destination_count) = (self.now, f64::from(self.config.destinations));
--- a/crates/lab/src/capacity/core/settings.rs
+++ b/crates/lab/src/capacity/core/settings.rs
@@ -1,21 +1,24 @@
-//! The core's configuration at the operators' size, with the rules' usual figures.
+//! The configuration of the measured core: the fleet size and limits of the operators' deployment, with the usual
+//! service rules.
 
 use opalpulley::{
     Config, DeduplicationScope, DeliveryClassConfig, DeliverySemantics, EndpointKindConfig,
     ListedRateAccuracy, Micros, ServiceRuleConfig,
 };
 
-/// A second, µs.
+/// One second in µs.
 pub const SECOND: Micros = 1_000_000;
-/// Forwarders of the operators' fleet.
+/// Number of forwarders in the operators' fleet.
 pub(super) const FLEET_SIZE: u32 = 400;
-/// Calls that a forwarder has in flight at once.
+/// Upper bound on the calls that a forwarder has in flight at once.
 const CONCURRENCY_LIMIT: u32 = 116;
-/// Receivers know repeats for so long, µs.
+/// Time for which receivers recognize a repeated message by its idempotency key, in µs.
 const DEDUPLICATION_WINDOW: Micros = 15 * SECOND;
+/// Number of zones over which the endpoints are spread in turn.
 const ZONE_COUNT: usize = 4;
 
-/// The configuration of one forwarder.
+/// Returns the configuration of the measured core; `time_to_live` is in µs, and `full_destinations` is `None` for no
+/// limit.
 pub(super) fn forwarder_config(
     max_messages: u32,
     time_to_live: Micros,
@@ -46,7 +49,7 @@
     }
 }
 
-/// One delivery class for each kind of repeat, the heavier the less a message may be repeated.
+/// Returns one delivery class per delivery semantics; the stricter the semantics, the higher its priority weight.
 fn classes(time_to_live: Micros) -> Vec<DeliveryClassConfig> {
     let class_config = |semantics, priority_weight| DeliveryClassConfig {
         semantics,
--- a/crates/lab/src/capacity/error.rs
+++ b/crates/lab/src/capacity/error.rs
@@ -1,4 +1,4 @@
-//! Why a capacity measurement could not be carried out.
+//! The error type of the capacity measurements.
 
 use super::fleet::plan::BadPlan;
 use crate::report::PlotError;
@@ -6,16 +6,16 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Why a capacity measurement could not be carried out.
+/// The cause for which a capacity measurement failed. Its text is printed to the user in one line.
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
-    /// The program that is running can't be found, so no fresh process can be started.
-    #[error("this program's own path: {0}")]
+    /// The path of this program can't be determined, so that no fresh process can be started.
+    #[error("the path of this program can't be determined: {0}")]
     OwnPath(#[source] io::Error),
-    /// A fresh process failed; its words say why.
+    /// A fresh process of this program failed; the text is what it wrote to its standard error.
     #[error("{stderr}")]
     FreshProcess { stderr: String },
-    /// The core could not be measured at one size.
+    /// The measurement of the core failed at one size.
     #[error("{destinations} destinations, {full_destinations} in full, {targets_each} targets each: {source}")]
     AtCoreSize {
         destinations: u32,
@@ -26,43 +26,43 @@
     /// A socket, a process or the runtime can't be used.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Figures can't be read or written as JSON.
+    /// Figures can't be serialized or deserialized.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A file can't be read or written.
     #[error("{}: {source}", path.display())]
     File { path: PathBuf, source: io::Error },
-    /// The kernel's account of a process lacks a value.
-    #[error("{path}: {text}")]
+    /// A file below `/proc` does not have the expected format; `text` is its content.
+    #[error("{path} does not have the expected format: {text}")]
     MalformedProcFile { path: String, text: String },
-    /// The kernel's account of a process has no such line.
+    /// `/proc/<pid>/status` lacks a line or has no number in kB in it.
     #[error("/proc/{pid}/status has no {name}")]
     MissingStatusLine { pid: u32, name: String },
-    /// The processor time of this process can't be read.
+    /// The processor-time clock of this process can't be read.
     #[error("the processor time can't be read: {0}")]
     ProcessorTime(#[source] nix::Error),
     /// A plot can't be drawn.
     #[error(transparent)]
     Plot(#[from] PlotError),
-    /// The plan of a fleet can't be run.
+    /// The plan of a simulated fleet is invalid.
     #[error(transparent)]
     Plan(#[from] BadPlan),
-    /// The skew of the traffic can't be drawn from.
+    /// The Zipf distribution of the traffic has invalid parameters.
     #[error(transparent)]
     Zipf(#[from] rand_distr::ZipfError),
-    /// The forwarder's program is not there.
+    /// The forwarder program does not exist.
     #[error("{}: no such program; build it, or name one with --forwarder", program.display())]
     NoForwarderProgram { program: PathBuf },
-    /// The forwarder's program or its folder can't be used.
+    /// The forwarder program can't be started, or its folder can't be written.
     #[error("{}: {source}", program.display())]
     Program { program: PathBuf, source: io::Error },
-    /// The forwarder's process ended at once.
-    #[error("{}: ended at once", program.display())]
+    /// The forwarder process exited before its process id could be read.
+    #[error("{}: the process exited at its start", program.display())]
     ExitedAtStart { program: PathBuf },
-    /// The forwarder did not answer `GET /up` in time.
-    #[error("not up within {timeout:?}; its log: {log}")]
+    /// The forwarder did not answer `GET /up` with status 200 within the timeout; `log` is its standard error.
+    #[error("the forwarder was not ready within {timeout:?}; its log: {log}")]
     NotReady { timeout: Duration, log: String },
-    /// The forwarder did not come up with a list of this length.
+    /// The forwarder could not be measured with an endpoint list of this length.
     #[error("{listed_targets} targets: {source}")]
     AtListLength {
         listed_targets: u32,
@@ -71,7 +71,7 @@
 }
 
 impl CapacityError {
-    /// For a file that can't be read or written; an argument for `map_err`.
+    /// Returns a function for `map_err` that turns an I/O error on `path` into [`CapacityError::File`].
     pub fn file(path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> CapacityError {
         |source| CapacityError::File {
             path: path.into(),
--- a/crates/lab/src/capacity/fresh_process.rs
+++ b/crates/lab/src/capacity/fresh_process.rs
@@ -1,10 +1,13 @@
-//! A measurement in a fresh process of this program, so that it inherits the memory of none before it.
+//! Runs a measurement in a fresh process of this program, so that memory retained from an earlier measurement is not
+//! counted.
 
 use super::error::CapacityError;
 use serde::de::DeserializeOwned;
 use std::process::Command;
 
-/// Runs a hidden subcommand of `capacity` with these options, each a name and a value; gives the figures that it prints.
+/// Runs a hidden subcommand of `capacity` in a fresh process and returns the figures that it prints as JSON. Each
+/// option is a pair of its name, with the leading dashes, and its value. Fails if the process can't be started, exits
+/// with an error or prints anything else.
 pub fn measure_in_fresh_process<T: DeserializeOwned>(
     subcommand: &str,
     options: &[(&str, String)],
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -1,5 +1,5 @@
-//! One real forwarder process on loopback sockets: what it holds and uses with so many listed targets, and what comes on
-//! top for those that get messages; see [`point`].
+//! Measures one real forwarder process on loopback sockets: its resource usage by the number of listed targets, and by
+//! the number of targets that get messages; see [`measurement`].
 
 pub mod forwarder_process;
 pub mod load;
@@ -16,49 +16,52 @@
 use startup_config::StartupOptions;
 use std::path::PathBuf;
 
-/// Where the forwarder has its list from.
+/// Source of the endpoint list of the measured forwarder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum ListSource {
-    /// Its start object; discovery can't be reached.
+    /// The start-up configuration; discovery is unreachable.
     Known,
-    /// Discovery, which tells the whole list when it is asked.
+    /// Discovery, which returns the complete list on request.
     Discovery,
 }
 
 /// Options of `capacity process`.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// How many listed targets, one process each
+    /// Numbers of listed targets, each measured in a process of its own
     #[arg(long, value_delimiter = ',', default_values_t = [1_000, 4_000, 16_000, 60_000, 91_000])]
     pub sizes: Vec<u32>,
-    /// How many of them get messages
+    /// Number of the listed targets that get messages
     #[arg(long, default_value_t = 4_000)]
     pub in_use: u32,
-    /// How many get messages while the list stays at --listed, one process each
+    /// Numbers of targets that get messages out of --listed, each measured in a process of its own
     #[arg(long, value_delimiter = ',', default_values_t = [500, 2_000, 8_000])]
     pub in_use_sizes: Vec<u32>,
-    /// Listed targets while the number of those in use differs
+    /// Number of listed targets in the measurements of --in-use-sizes
     #[arg(long, default_value_t = 16_000)]
     pub listed: u32,
-    /// Messages a second under load
+    /// Messages submitted per second under load
     #[arg(long, default_value_t = 200)]
     pub rate: u64,
-    /// Seconds of load
+    /// Duration of the load, in seconds
     #[arg(long, default_value_t = 30)]
     pub seconds: u64,
-    /// Seconds of rest, before the load and after it
+    /// Duration of each rest, before and after the load, in seconds
     #[arg(long, default_value_t = 10)]
     pub rest: u64,
-    /// Forwarders that the settings tell of
+    /// Fleet size in the start-up configuration
     #[arg(long, default_value_t = 400)]
     pub forwarders: u32,
+    /// Memory limit of the forwarder, in MB
     #[arg(long, default_value_t = 192.0)]
     pub memory_mb: f64,
+    /// Limit of open descriptors of the forwarder
     #[arg(long, default_value_t = 256)]
     pub descriptors: u32,
-    /// The forwarder's program; beside this one if not named
+    /// Path of the forwarder program; by default the one in the folder of this program
     #[arg(long)]
     pub forwarder: Option<PathBuf>,
+    /// Seed of the forwarder and of the choice of targets
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     #[command(flatten)]
@@ -66,6 +69,7 @@
 }
 
 impl Options {
+    /// Returns the path of the forwarder program, which need not exist.
     fn program(&self) -> PathBuf {
         self.forwarder.clone().unwrap_or_else(program_beside)
     }
@@ -81,6 +85,7 @@
     }
 }
 
+/// Name, unit and accessor of one figure of a measurement.
 type FigureDefinition = (&'static str, &'static str, fn(&ProcessMeasurement) -> f64);
 
 const FIGURES: [FigureDefinition; 18] = [
@@ -149,7 +154,8 @@
     Table::new(title, size, &names, points.iter().map(row).collect())
 }
 
-/// One after the other, so that none disturbs another. A size that fails is told, and left out of the table.
+/// Measures the cases, pairs of listed targets and targets in use, one after the other, so that they don't compete for
+/// the machine. A case that fails is reported on the standard error and left out of the result.
 async fn measure_cases(
     options: &Options,
     cases: &[(u32, u32)],
@@ -159,13 +165,13 @@
     for (listed, in_use) in cases {
         match measure(options, *listed, *in_use, source).await {
             Ok(point) => points.push(point),
-            Err(error) => eprintln!("not measured, list from {source:?}: {error}"),
+            Err(error) => eprintln!("measurement failed with the list from {source:?}: {error}"),
         }
     }
     points
 }
 
-/// The tables by listed targets, and by targets in use.
+/// Measures all cases and returns two tables by listed targets, one per list source, and one by targets in use.
 pub fn tables(options: &Options) -> Result<Vec<Table>, CapacityError> {
     let runtime = || {
         tokio::runtime::Builder::new_multi_thread()
@@ -185,7 +191,7 @@
     let by_listed_targets = |points: &[ProcessMeasurement], title: &str| {
         table(title, "listed targets", points, |p| p.listed_targets.into())
     };
-    // A runtime each: the stand-ins of one end with it.
+    // Each series runs on a runtime of its own, so that its mock servers stop when the runtime is dropped.
     let known = runtime()?.block_on(measure_cases(options, &by_size, ListSource::Known));
     let discovered = runtime()?.block_on(measure_cases(options, &by_size, ListSource::Discovery));
     let in_use = runtime()?.block_on(measure_cases(
@@ -209,7 +215,8 @@
     ])
 }
 
-/// Measures, prints the tables and writes what was asked for.
+/// Measures, prints the tables and writes the output files. Fails before the first measurement if the forwarder program
+/// does not exist.
 pub fn run(options: &Options) -> Result<(), CapacityError> {
     let program = options.program();
     if !program.is_file() {
--- a/crates/lab/src/capacity/process/forwarder_process.rs
+++ b/crates/lab/src/capacity/process/forwarder_process.rs
@@ -1,4 +1,4 @@
-//! A forwarder process that is measured: started, asked, and its use of the machine read.
+//! The measured forwarder process: its start, its HTTP status and its resource usage.
 
 use crate::capacity::error::CapacityError;
 use crate::capacity::usage::Usage;
@@ -14,54 +14,62 @@
 use tokio::process::{Child, Command};
 use tokio::task::JoinHandle;
 
-/// A forwarder is up within this time.
+/// Upper bound on the time from the start of a forwarder until it is ready.
 pub const READY_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time between two questions whether it is ready.
+/// Time between two requests that poll for a status.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Time between two looks at its descriptors.
+/// Time between two samples of the number of open descriptors.
 const DESCRIPTOR_SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a process used over some time.
+/// Processor usage of a process over a period of time.
 #[derive(Clone, Copy, Debug)]
 pub struct UsagePeriod {
-    /// How long it lasted.
+    /// Wall-clock length of the period.
     pub elapsed: Duration,
-    /// Processor time of the process.
+    /// User and system time of the process in the period.
     pub processor_time: Duration,
 }
 
 impl UsagePeriod {
-    /// Part of a core.
+    /// Returns the processor time as a share of one processor core; above 1 if several cores were busy.
     pub fn core_fraction(&self) -> f64 {
         self.processor_time.as_secs_f64() / self.elapsed.as_secs_f64()
     }
 }
 
-/// The most descriptors that a process has had open.
+/// Background task that records the highest number of open descriptors of a process, from [`sample_descriptors`] until
+/// [`stop`].
+///
+/// [`sample_descriptors`]: ForwarderProcess::sample_descriptors
+/// [`stop`]: DescriptorSampler::stop
 pub struct DescriptorSampler {
+    /// Highest number sampled so far.
     max_descriptors: Arc<AtomicUsize>,
     task: JoinHandle<()>,
 }
 
 impl DescriptorSampler {
-    /// Stops looking; gives the most that was seen.
+    /// Stops the task and returns the highest number that it has sampled.
     pub fn stop(self) -> usize {
         self.task.abort();
         self.max_descriptors.load(Ordering::Relaxed)
     }
 }
 
-/// A forwarder process that ends with this.
+/// A running forwarder process, which is killed when this value is dropped.
 pub struct ForwarderProcess {
-    /// The process.
+    /// Handle of the process, to kill it earlier.
     pub child: Child,
     pid: u32,
+    /// Address at which the forwarder accepts HTTP requests.
     listen: SocketAddr,
+    /// File that receives the standard error of the process.
     log: PathBuf,
 }
 
 impl ForwarderProcess {
-    /// Starts the forwarder with this configuration, in this folder.
+    /// Starts the forwarder with this configuration. The configuration, the state and the log are written below
+    /// `folder`; state from an earlier start is kept. `listen` must be the address that `config` names.
     pub fn start(
         program: &Path,
         folder: &Path,
@@ -98,12 +106,12 @@
         })
     }
 
-    /// What the process uses now.
+    /// Reads the current usage of the process; fails if it has exited.
     pub fn usage(&self) -> Result<Usage, CapacityError> {
         Usage::of(self.pid)
     }
 
-    /// What the process uses while some work is done.
+    /// Runs `work` to its end and returns the usage of the process in the meantime.
     pub async fn usage_during(
         &self,
         work: impl std::future::Future<Output = ()>,
@@ -121,13 +129,13 @@
         })
     }
 
-    /// What the process uses at rest, for so many seconds.
+    /// Returns the usage of the process over a wait of `seconds`.
     pub async fn usage_at_rest(&self, seconds: u64) -> Result<UsagePeriod, CapacityError> {
         let rest = tokio::time::sleep(Duration::from_secs(seconds));
         self.usage_during(rest).await
     }
 
-    /// Looks at its descriptors again and again; until it is stopped.
+    /// Starts to sample the number of open descriptors, until the sampler is stopped or the process exits.
     pub fn sample_descriptors(&self) -> DescriptorSampler {
         let (pid, max_descriptors) = (self.pid, Arc::new(AtomicUsize::new(0)));
         let max_seen = max_descriptors.clone();
@@ -143,14 +151,15 @@
         }
     }
 
-    /// The status of one request on a connection of its own; none where there was no answer.
+    /// Sends one request on a new connection and returns the status of the answer, or `None` if there is no answer.
     async fn request_status(&self, request: &str) -> Option<u16> {
         let mut conn = Conn::new(TcpStream::connect(self.listen).await.ok()?);
         conn.write(request.as_bytes()).await.ok()?;
         conn.answer().await.ok().map(|answer| answer.status)
     }
 
-    /// Waits until it is up; gives the time since `begun`, s.
+    /// Waits until `GET /up` is answered with 200 and returns the time elapsed since `started`, in s. Fails if
+    /// `timeout` has elapsed since `started` or the process has exited.
     pub async fn wait_until_ready(
         &mut self,
         started: Instant,
@@ -165,7 +174,9 @@
         Ok(ready_s)
     }
 
-    /// Asks again and again until the status comes; gives the time since `begun`, s.
+    /// Repeats a request until it is answered with `status` and returns the time elapsed since `started`, in s;
+    /// `request` gets the number of the attempt. Returns NaN if `timeout` has elapsed since `started` or the process
+    /// has exited.
     pub async fn wait_for_status(
         &mut self,
         started: Instant,
--- a/crates/lab/src/capacity/process/load.rs
+++ b/crates/lab/src/capacity/process/load.rs
@@ -1,4 +1,4 @@
-//! Messages that a measured forwarder gets, at an even pace from a few clients.
+//! The load on a measured forwarder: messages that a few clients submit at a constant rate.
 
 use crate::sockets::wire::Conn;
 use std::io;
@@ -9,14 +9,14 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The delivery class of the messages.
+/// Delivery class of all messages.
 pub const DELIVERY_CLASS: &str = "notice";
-/// Connections that messages are submitted on: few beside the forwarder's descriptors.
+/// Number of connections on which messages are submitted; small compared with the descriptor limit of the forwarder.
 const CLIENT_COUNT: u32 = 16;
-/// Bytes of a message.
+/// Size of the body of a message, in bytes.
 const BODY_BYTES: usize = 512;
 
-/// The request that submits a message.
+/// Returns the HTTP request that submits a message with this id; its idempotency key is derived from the id.
 pub fn submission_request(id: &str, destination: u32, time_to_live: Duration) -> String {
     let time_to_live_ms = time_to_live.as_millis();
     format!(
@@ -27,18 +27,19 @@
     )
 }
 
-/// Messages that are submitted.
+/// The messages to submit to one forwarder.
 #[derive(Clone)]
 pub struct MessageLoad {
-    /// Their destinations, in order.
+    /// Destination of each message, in the order of submission.
     pub destinations: Arc<[u32]>,
-    /// How many a second.
+    /// Messages submitted per second by all clients together.
     pub rate: u64,
-    /// The time to live of each.
+    /// Time to live of each message.
     pub time_to_live: Duration,
 }
 
-/// Submits the messages at an even pace; counts those that were accepted.
+/// Submits the messages at a constant rate and adds the number of accepted messages to `accepted`. Returns when each
+/// message has been answered or has failed.
 pub async fn submit_all(messages: MessageLoad, listen: SocketAddr, accepted: Arc<AtomicU64>) {
     let next_index = Arc::new(AtomicUsize::new(0));
     let load_start = Instant::now();
@@ -55,18 +56,20 @@
         })
         .collect();
     for client in clients {
-        // One that panics has submitted less, which the count of those accepted shows.
+        // A client that panics submits fewer messages, which shows in the count of accepted messages.
         let _ = client.await;
     }
 }
 
-/// One client, with the connection that it keeps.
+/// A client that submits every message that no other client has taken yet.
 struct Client {
     messages: MessageLoad,
     listen: SocketAddr,
-    /// The number of the next message of all clients.
+    /// Index of the next message to submit, shared by all clients.
     next_index: Arc<AtomicUsize>,
+    /// Number of accepted messages, shared by all clients.
     accepted: Arc<AtomicU64>,
+    /// The open connection between two requests; `None` before the first one and after an error.
     idle_connection: Option<Conn>,
 }
 
@@ -84,14 +87,14 @@
                 destination,
                 self.messages.time_to_live,
             );
-            // One that fails is a message that was not accepted: it is counted as that.
+            // A failed request is not reported: its message counts as not accepted.
             if matches!(self.submit(&request).await, Ok(202)) {
                 self.accepted.fetch_add(1, Ordering::Relaxed);
             }
         }
     }
 
-    /// The status of the answer.
+    /// Sends a request on the idle connection or a new one, and returns the status of the answer.
     async fn submit(&mut self, request: &str) -> io::Result<u16> {
         let mut conn = match self.idle_connection.take() {
             Some(conn) => conn,
--- a/crates/lab/src/capacity/process/measurement.rs
+++ b/crates/lab/src/capacity/process/measurement.rs
@@ -1,4 +1,4 @@
-//! One forwarder process with one list: started, left at rest, put under load, left at rest again.
+//! Measures one forwarder process with one endpoint list: from its start through a rest, a load and a second rest.
 
 use super::forwarder_process::{ForwarderProcess, UsagePeriod, READY_TIMEOUT};
 use super::load::{submission_request, submit_all, MessageLoad};
@@ -18,48 +18,50 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
-/// A forwarder knows the whole list within this time.
+/// Upper bound on the time from the start until the forwarder accepts a message for the last listed destination.
 const LISTED_TIMEOUT: Duration = Duration::from_secs(20);
-/// After the load, for calls under way.
+/// Wait after the load, in which the calls in flight end.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
-/// The time to live of a message.
+/// Time to live of each message.
 const TIME_TO_LIVE: Duration = Duration::from_secs(20);
 
-/// What was measured; a figure that was never reached is not a number.
+/// The figures of one forwarder process; a time that was never reached is NaN.
 #[derive(Clone, Debug)]
 pub struct ProcessMeasurement {
-    /// Targets of the list.
+    /// Number of targets in the endpoint list.
     pub listed_targets: u32,
-    /// Distinct targets that were called.
+    /// Number of distinct targets that the messages of the load are for.
     pub distinct_targets: u32,
-    /// From the start until it is up, and until it takes a message for the last listed destination, s.
+    /// Time from the start until the forwarder is ready, in s.
     pub ready_s: f64,
+    /// Time from the start until the forwarder accepts a message for the last listed destination, in s; NaN if that
+    /// took longer than [`LISTED_TIMEOUT`].
     pub last_destination_accepted_s: f64,
-    /// As it is up.
+    /// Usage when the forwarder is ready.
     pub usage_at_ready: Usage,
-    /// After the first rest.
+    /// Usage at the end of the first rest.
     pub usage_after_first_rest: Usage,
-    /// The first rest.
+    /// Processor usage in the rest before the load.
     pub first_rest: UsagePeriod,
-    /// Under load.
+    /// Processor usage while the messages are submitted.
     pub under_load: UsagePeriod,
-    /// After the load.
+    /// Usage after the load, when [`SETTLE_TIME`] has elapsed.
     pub usage_after_load: Usage,
-    /// The second rest.
+    /// Processor usage in the rest after the load.
     pub second_rest: UsagePeriod,
-    /// After the second rest.
+    /// Usage at the end of the second rest.
     pub usage_after_second_rest: Usage,
-    /// The most descriptors under load.
+    /// Highest number of open descriptors sampled under load.
     pub max_descriptors: usize,
-    /// Messages that were submitted.
+    /// Number of messages submitted under load.
     pub submitted: u64,
-    /// Messages that were accepted.
+    /// Number of messages that the forwarder answered with status 202 under load.
     pub accepted: u64,
-    /// Calls that were answered under load.
+    /// Number of calls that the targets answered from the start of the load to the end of the second rest.
     pub calls_answered: u64,
 }
 
-/// Which targets get messages, in the order of the messages.
+/// Draws the target of each message of the load. The `in_use` targets are evenly spaced over the list.
 fn message_targets(options: &Options, listed: u32, in_use: u32) -> Arc<[u32]> {
     let mut rng = seeded_rng(options.seed, "capacity process", u64::from(in_use));
     let (in_use, messages) = (in_use.clamp(1, listed), options.rate * options.seconds);
@@ -69,13 +71,14 @@
         .collect()
 }
 
-/// A port that is free at the first address of the list.
+/// Returns a port that is free at the first address of the list; the other addresses are assumed to be unused.
 async fn free_port() -> io::Result<u16> {
     let free = TcpListener::bind((Ipv4Addr::new(127, 1, 0, 0), 0)).await?;
     Ok(free.local_addr()?.port())
 }
 
-/// The start-up configuration: it holds the list, or names a discovery that tells it.
+/// Returns the start-up configuration, which either contains the list or names a discovery server that is started here
+/// to return it.
 async fn startup_config_with_list(
     options: &Options,
     list: EndpointList,
@@ -93,18 +96,23 @@
     })
 }
 
-/// What stands round the forwarder, and what it is to get.
+/// The mock servers around one forwarder, its configuration and the messages of its load.
 struct Environment {
+    /// Address for the forwarder to listen at.
     listen: SocketAddr,
+    /// Start-up configuration of the forwarder.
     config: Value,
+    /// Destination of each message of the load, in the order of submission.
     destinations: Arc<[u32]>,
-    /// Distinct targets of the messages.
+    /// Number of distinct destinations in `destinations`.
     distinct_targets: u32,
-    /// Calls that the targets answered.
+    /// Number of calls that the targets have answered so far.
     calls_answered: Arc<AtomicU64>,
 }
 
 impl Environment {
+    /// Starts the mock servers: the targets of the load and the last listed target, and discovery if it is the list
+    /// source.
     async fn start(
         options: &Options,
         listed: u32,
@@ -131,14 +139,18 @@
     }
 }
 
-/// What was measured under load.
+/// The figures of the load.
 struct LoadMeasurement {
     period: UsagePeriod,
+    /// Usage when [`SETTLE_TIME`] has elapsed after the last message.
     usage_after: Usage,
+    /// Highest number of open descriptors sampled, including [`SETTLE_TIME`].
     max_descriptors: usize,
+    /// Number of accepted messages.
     accepted: u64,
 }
 
+/// Submits the messages and measures the forwarder until the calls in flight have ended.
 async fn measure_load(
     forwarder: &ForwarderProcess,
     messages: MessageLoad,
@@ -157,7 +169,8 @@
     })
 }
 
-/// Measures a forwarder with so many listed targets, of which so many get messages.
+/// Measures a forwarder with `listed` targets, of which up to `in_use` get messages. `listed` must be at least 1. Fails
+/// if the forwarder can't be started or is not ready within [`READY_TIMEOUT`].
 pub async fn measure(
     options: &Options,
     listed: u32,
--- a/crates/lab/src/capacity/process/mock_servers.rs
+++ b/crates/lab/src/capacity/process/mock_servers.rs
@@ -1,5 +1,5 @@
-//! What stands round the forwarder: targets that answer 200, and discovery that tells one list. All of it listens on
-//! loopback addresses only.
+//! Mock servers around the measured forwarder: targets that respond with 200, and a discovery server with one fixed
+//! list. All of them listen on loopback addresses only.
 
 use crate::sockets::wire::Conn;
 use serde_json::{json, Value};
@@ -11,26 +11,32 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket};
 
-const LISTEN_BACKLOG: u32 = 64; // connections that wait at one stand-in: one forwarder opens few
-const MAX_WATCH_MS: u64 = 60_000; // ms
-const LISTED_RATE: f64 = 50.0; // calls a second that the list tells of each destination
+/// Backlog of connections not yet accepted at one target; one forwarder opens only a few.
+const LISTEN_BACKLOG: u32 = 64;
+/// Upper bound on the time for which discovery holds a watch request open, in ms.
+const MAX_WATCH_MS: u64 = 60_000;
+/// Listed rate of each destination, in calls per second.
+const LISTED_RATE: f64 = 50.0;
 
-/// The list: so many targets, each at a loopback address of its own and at one port, and with a destination of its own
-/// number.
+/// An endpoint list in which each target has a loopback address of its own, the same port, and the destination whose
+/// number is the index of the target.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointList {
+    /// Number of targets.
     pub target_count: u32,
+    /// Port of all targets.
     pub port: u16,
 }
 
 impl EndpointList {
-    /// Addresses from 127.1.0.0 on: the first 65,536 are left to the other peers of the laboratory.
+    /// Returns the address of a target. The addresses start at 127.1.0.0: the first 65,536 loopback addresses are
+    /// reserved for the other peers of the laboratory.
     pub fn address(&self, target: u32) -> SocketAddrV4 {
         let [_, b, c, d] = (target + (1 << 16)).to_be_bytes();
         SocketAddrV4::new(Ipv4Addr::new(127, b, c, d), self.port)
     }
 
-    /// The list as the platform's protocol has it.
+    /// Returns the list in the format of the platform's discovery protocol.
     pub fn to_json(&self) -> Value {
         let entry = |n| {
             json!({"id": format!("t{n}"), "host_port": self.address(n).to_string(), "locality": "a", "flavor": "m",
@@ -40,6 +46,7 @@
     }
 }
 
+/// Listens at an address that may have been in use shortly before.
 fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -47,7 +54,8 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Listens at these targets and answers each call with 200. Gives the count of calls.
+/// Listens at the targets with these indices and responds to each call with 200. Returns the count of calls, which
+/// grows while the runtime lives. Fails if an address can't be bound.
 pub fn start_targets(
     list: EndpointList,
     called_targets: &BTreeSet<u32>,
@@ -72,8 +80,9 @@
     Ok(calls)
 }
 
-/// Discovery: the whole list to whoever asks for it, no changes to whoever watches, 204 to notices. Gives its address
-/// and the count of notices.
+/// Starts a discovery server that returns `list` to each list request, an empty update to each watch request after its
+/// waiting time, and 204 to each completion report. Returns its address and the count of completion reports, which
+/// grows while the runtime lives.
 pub async fn start_discovery(list: String) -> io::Result<(SocketAddr, Arc<AtomicU64>)> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
@@ -113,7 +122,7 @@
     Ok((address, completion_reports))
 }
 
-/// An address of loopback where nobody listens.
+/// Returns a loopback address at which no process listens, chosen by binding a port and releasing it.
 pub async fn unused_address() -> io::Result<SocketAddr> {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
         .await?
--- a/crates/lab/src/capacity/process/startup_config.rs
+++ b/crates/lab/src/capacity/process/startup_config.rs
@@ -1,31 +1,31 @@
-//! The start-up configuration of the forwarder that is measured.
+//! The start-up configuration of the measured forwarder.
 
 use super::load::DELIVERY_CLASS;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the start-up configuration of a forwarder says beside its list.
+/// The parameters of the start-up configuration of a forwarder, without its addresses and endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct StartupOptions {
-    /// Of its random draws.
+    /// Seed of the forwarder's random number generator.
     pub seed: u64,
-    /// Forwarders of the fleet.
+    /// Number of forwarders in the fleet.
     pub forwarders: u32,
-    /// The memory limit.
+    /// Memory limit, in MB.
     pub memory_mb: f64,
-    /// The disk limit.
+    /// Disk limit, in MB.
     pub disk_mb: f64,
-    /// The limit of open descriptors.
+    /// Limit of open descriptors.
     pub descriptors: u32,
-    /// Messages that it holds at most.
+    /// Limit of messages that the forwarder holds at once.
     pub max_messages: u32,
-    /// Time that a message has at most.
+    /// Upper bound on the time to live of a message.
     pub time_to_live: Duration,
 }
 
 impl Default for StartupOptions {
-    /// The operators' figures.
+    /// Returns the values of the operators' deployment.
     fn default() -> StartupOptions {
         StartupOptions {
             seed: 1,
@@ -39,7 +39,8 @@
     }
 }
 
-/// The configuration as the platform's deployment writes it; `known` is the list that it starts with.
+/// Returns the start-up configuration in the format that the platform's deployment writes. `known` is the endpoint list
+/// that the forwarder starts with; without it, the forwarder gets its list from discovery.
 pub fn startup_config(
     options: &StartupOptions,
     listen: SocketAddr,
--- a/crates/lab/src/capacity/table.rs
+++ b/crates/lab/src/capacity/table.rs
@@ -1,4 +1,4 @@
-//! Tables of figures by size, the least-squares slope of each figure, and how they are shown: as text, JSON and SVG.
+//! Tables of figures by size with a least-squares line per figure, and their output as text, JSON and SVG.
 
 use super::outputs::Outputs;
 use crate::capacity::error::CapacityError;
@@ -8,43 +8,43 @@
 use serde::Serialize;
 use std::fmt;
 
-/// Width and height of one plot, pixels.
+/// Width and height of one plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (420, 220);
 const PLOTS_PER_ROW: usize = 2;
-/// Radius of a measured point, pixels.
+/// Radius of the marker of a measured point, in pixels.
 const POINT_RADIUS: u32 = 3;
 
-/// One figure that is measured at each size.
+/// The description of a figure that is measured at each size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figure {
-    /// What it is.
+    /// Name of the figure, unique in its table.
     pub name: String,
-    /// Its unit.
+    /// Unit of the values, which may be empty.
     pub unit: String,
 }
 
-/// The figures at one size, in the order of the table's figures.
+/// The values measured at one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// The size.
+    /// The size, in the unit that [`Table::size`] names.
     pub size: f64,
-    /// The figures.
+    /// One value per figure, in the order of [`Table::figures`]; NaN if the figure was not reached.
     pub values: Vec<f64>,
 }
 
-/// A straight line through measured points, by least squares.
+/// A straight line fitted to measured points by least squares.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct LinearFit {
-    /// Units of the figure for one more of the size.
+    /// Increase of the figure when the size grows by one.
     pub slope: f64,
-    /// What the line says at size 0.
+    /// Value of the line at size 0.
     pub intercept: f64,
-    /// The part of the variance that the line explains, 0 to 1.
+    /// Coefficient of determination: the share of the variance that the line explains, 0 to 1.
     pub fit: f64,
 }
 
 impl LinearFit {
-    /// The line through points of size and value; none for fewer than two sizes.
+    /// Fits a line to points of size and value; returns `None` for fewer than two distinct sizes.
     pub fn through(points: &[(f64, f64)]) -> Option<LinearFit> {
         let count = points.len() as f64;
         let (mean_x, mean_y) = (
@@ -70,31 +70,31 @@
         })
     }
 
-    /// What the line says at a size.
+    /// Returns the value of the line at a size.
     pub fn value_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
 
-/// Figures by size.
+/// Values of several figures at several sizes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Table {
-    /// What was measured.
+    /// Names what was measured and under which conditions.
     pub title: String,
     /// What the size counts.
     pub size: String,
-    /// The names of the figures.
+    /// Descriptions of the figures, in the order of the values of each row.
     pub figures: Vec<Figure>,
-    /// A row a size.
+    /// One row per size.
     pub rows: Vec<Row>,
-    /// By figure; none where fewer than two sizes were measured.
+    /// One line per figure, in the order of `figures`; `None` if the figure was measured at fewer than two sizes.
     pub slopes: Vec<Option<LinearFit>>,
 }
 
 impl Table {
-    /// A table with these figures, each a name and a unit.
+    /// Creates a table and fits a line to each figure. `figures` holds a name and a unit for each value of a row.
     pub fn new(title: &str, size: &str, figures: &[(&str, &str)], rows: Vec<Row>) -> Table {
-        // A figure that was not reached at a size is not a number, and no point.
+        // A figure that was not reached at a size is NaN there and does not enter the fit.
         let points = |index: usize| -> Vec<(f64, f64)> {
             rows.iter()
                 .map(|row| (row.size, row.values[index]))
@@ -120,14 +120,14 @@
         }
     }
 
-    /// The slope of a figure, by its name.
+    /// Returns the line of the figure with this name, or `None` if there is no such figure or no line for it.
     pub fn slope(&self, name: &str) -> Option<LinearFit> {
         let index = self.figures.iter().position(|f| f.name == name)?;
         self.slopes[index]
     }
 }
 
-/// A number with four digits that count, for people.
+/// Formats a number with about four significant digits; NaN becomes a dash.
 fn format_short(value: f64) -> String {
     match value.abs() {
         _ if value.is_nan() => "-".into(),
@@ -140,7 +140,7 @@
     }
 }
 
-/// One line a figure, one column a size: sizes are few, figures many.
+/// Writes one line per figure and one column per size, since a table has few sizes and many figures.
 impl fmt::Display for Table {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{}", self.title)?;
@@ -169,7 +169,7 @@
     }
 }
 
-/// One plot a figure: the points as measured and the line through them.
+/// Renders an SVG image with one plot per figure, which shows the measured points and the line fitted to them.
 pub fn render_plots(tables: &[Table]) -> Result<String, PlotError> {
     let plots: Vec<(&Table, usize)> = tables
         .iter()
@@ -193,7 +193,7 @@
     Ok(svg)
 }
 
-/// Draws the plot of one figure, by its place in the table.
+/// Draws the plot of the figure at `figure_index` in the table.
 fn draw_plot(
     table: &Table,
     figure_index: usize,
@@ -232,7 +232,7 @@
     Ok(())
 }
 
-/// The axis for these values: it holds 0, and room above them.
+/// Returns the bounds of an axis that includes 0 and all values, with a margin above them; never empty.
 fn axis_range(values: impl Iterator<Item = f64> + Clone) -> (f64, f64) {
     let min = values.clone().fold(0.0, f64::min);
     let max = values.fold(0.0, f64::max);
@@ -243,7 +243,8 @@
     }
 }
 
-/// Prints the tables and writes them where they were asked for.
+/// Prints the tables and writes the output files that are named. Fails if a file can't be written or a plot can't be
+/// drawn.
 pub fn write_tables(tables: &[Table], outputs: &Outputs) -> Result<(), CapacityError> {
     for table in tables {
         println!("{table}");
--- a/crates/lab/src/capacity/usage.rs
+++ b/crates/lab/src/capacity/usage.rs
@@ -1,13 +1,14 @@
-//! What a process uses, from the kernel's own account.
+//! Resource usage of a process, read from `/proc` and the processor-time clock of Linux.
 
 use crate::capacity::error::CapacityError;
 use nix::time::{clock_gettime, ClockId};
 use std::fs;
 use std::time::Duration;
 
-const PAGE_BYTES: u64 = 4096; // bytes, on every Linux that this runs on
+/// Page size in bytes, the unit of `/proc/self/statm`; the same on every Linux that the laboratory runs on.
+const PAGE_BYTES: u64 = 4096;
 
-/// Processor time of this process so far, user and system.
+/// Returns the user and system time of this process since its start.
 pub fn own_processor_time() -> Result<Duration, CapacityError> {
     let processor_time = clock_gettime(ClockId::CLOCK_PROCESS_CPUTIME_ID);
     processor_time
@@ -15,7 +16,7 @@
         .map_err(CapacityError::ProcessorTime)
 }
 
-/// Resident memory of this process, bytes.
+/// Returns the resident memory of this process, in bytes.
 pub fn own_resident_bytes() -> Result<u64, CapacityError> {
     let path = "/proc/self/statm";
     let text = fs::read_to_string(path).map_err(CapacityError::file(path))?;
@@ -31,19 +32,21 @@
         })
 }
 
-/// What another process uses at one moment.
+/// Resource usage of a process at one instant.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
-    /// Resident memory now and at its highest, bytes.
+    /// Resident memory, in bytes.
     pub resident_bytes: u64,
+    /// Highest resident memory since the start of the process, in bytes.
     pub peak_resident_bytes: u64,
-    /// Processor time of all its threads that still run, user and system.
+    /// User and system time of all threads that are still running; the time of an exited thread is not included.
     pub processor_time: Duration,
+    /// Number of open file descriptors.
     pub descriptors: usize,
 }
 
 impl Usage {
-    /// What a process uses now, by its id.
+    /// Reads the current usage of a process. Fails if the process does not exist or its files in `/proc` can't be read.
     pub fn of(pid: u32) -> Result<Usage, CapacityError> {
         let read = |name: &str| {
             let path = format!("/proc/{pid}/{name}");
@@ -72,7 +75,7 @@
                 "task/{}/schedstat",
                 thread.file_name().to_string_lossy()
             ));
-            // A thread that has ended since it was listed is none.
+            // A thread may have exited since the folder was listed; it counts as 0.
             let run_time = schedstat
                 .ok()
                 .and_then(|text| text.split_whitespace().next()?.parse::<u64>().ok());
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,5 +1,6 @@
-//! Small twins of `opalpulley-lab capacity core` and `capacity backlog`: what the core holds and does by size, asserted by
-//! bytes and counts and never by time. Each size runs in a fresh process of the program, as in the commands.
+//! Tests of the core's memory and work by size, with smaller versions of `opalpulley-lab capacity core` and `capacity
+//! backlog`. They assert bytes and counts, never times, which depend on the machine. Each size runs in a fresh process
+//! of the program, as in the commands.
 
 use opalpulley_lab::capacity::backlog::core_measurement::CoreBacklogMeasurement;
 use opalpulley_lab::capacity::core::measurement::{CoreMeasurement, SINGLE_CHANGE_COUNT};
@@ -8,39 +9,54 @@
 use serde::de::DeserializeOwned;
 use std::process::Command;
 
-const SMALL_SIZE: u32 = 8_000; // destinations; both sizes are far beyond those held in full
+/// Numbers of destinations; both are far above the limit of those held in full.
+const SMALL_SIZE: u32 = 8_000;
 const LARGE_SIZE: u32 = 32_000;
-const FULL_LIMIT: u32 = 1_024; // destinations held in full, as the real program's terms say
-const LIST_STEP_ENTRIES: u32 = 1_024; // entries of a list that the core applies at a time: so many more may be in full then
-const MESSAGE_RATE: u32 = 200; // messages a second
-const PHASE_SECONDS: u32 = 20; // of each stretch
-const DOWN_SHARE: f64 = 0.041; // part of the destinations
-const RECENTLY_CALLED_DESTINATIONS: f64 = 2.0 * MESSAGE_RATE as f64; // destinations called in the last 2 s: these may not be summarised yet
-const DESTINATIONS_WITH_WAITING_MESSAGES: f64 = 28.0 * MESSAGE_RATE as f64 * DOWN_SHARE; // destinations that are down and have messages waiting: these live 28 s
+/// Limit of destinations held in full, the same as in the configuration of the forwarder program.
+const FULL_LIMIT: u32 = 1_024;
+/// Number of list entries that the core applies at a time; while it does, this many more destinations may be held in
+/// full.
+const LIST_STEP_ENTRIES: u32 = 1_024;
+/// Messages per second.
+const MESSAGE_RATE: u32 = 200;
+/// Simulated seconds of each phase.
+const PHASE_SECONDS: u32 = 20;
+/// Share of the destinations that is down in the last two phases.
+const DOWN_SHARE: f64 = 0.041;
+/// Upper bound on the destinations called in the last 2 s, which may not be summarised yet.
+const RECENTLY_CALLED_DESTINATIONS: f64 = 2.0 * MESSAGE_RATE as f64;
+/// Upper bound on the destinations that are down and have waiting messages, whose time to live is 28 s.
+const DESTINATIONS_WITH_WAITING_MESSAGES: f64 = 28.0 * MESSAGE_RATE as f64 * DOWN_SHARE;
 
-/// The operators' size and what a forwarder may hold there for control.
+/// Number of destinations in the operators' deployment.
 const OPERATOR_DESTINATIONS: f64 = 91_000.0;
-const CONTROL_BYTES_BUDGET: f64 = 32e6; // bytes
-/// Kept of the budget for the destinations in full, at up to 3,500 bytes each.
+/// Memory that a forwarder may use for control state in the operators' deployment, in bytes.
+const CONTROL_BYTES_BUDGET: f64 = 32e6;
+/// Part of the budget reserved for the destinations held in full, at up to 3,500 bytes each.
 const FULL_BYTES_RESERVE: f64 = FULL_LIMIT as f64 * MAX_BYTES_PER_FULL_DESTINATION;
+/// Upper bound on the bytes of one more destination with summaries: 312, the rest of the budget divided by the
+/// destinations.
 const MAX_BYTES_PER_DESTINATION: f64 =
-    (CONTROL_BYTES_BUDGET - FULL_BYTES_RESERVE) / OPERATOR_DESTINATIONS; // bytes a destination: 312
-const MAX_BYTES_PER_FULL_DESTINATION: f64 = 3_500.0; // bytes a destination: a fifth over the 2,875 first measured
-const MAX_BYTES_PER_WAITING_MESSAGE: f64 = 600.0; // bytes a message in the core: the record and its places in queues, without its body
+    (CONTROL_BYTES_BUDGET - FULL_BYTES_RESERVE) / OPERATOR_DESTINATIONS;
+/// Upper bound on the bytes of a destination held in full: a fifth above the 2,875 that it takes.
+const MAX_BYTES_PER_FULL_DESTINATION: f64 = 3_500.0;
+/// Upper bound on the bytes of a waiting message in the core: its record and its queue entries, without its body.
+const MAX_BYTES_PER_WAITING_MESSAGE: f64 = 600.0;
 
+/// Runs a hidden subcommand of `capacity` and returns the figures that it prints.
 fn run_capacity<T: DeserializeOwned>(args: &[String]) -> T {
     let program = env!("CARGO_BIN_EXE_opalpulley-lab");
     let output = Command::new(program)
         .arg("capacity")
         .args(args)
         .output()
-        .expect("it runs");
+        .expect("the laboratory program should start");
     assert!(
         output.status.success(),
-        "{}",
+        "the subcommand should succeed: {}",
         String::from_utf8_lossy(&output.stderr)
     );
-    serde_json::from_slice(&output.stdout).expect("figures")
+    serde_json::from_slice(&output.stdout).expect("the output should be figures as JSON")
 }
 
 fn measure_core(destinations: u32, full: FullDestinations, spread: &str) -> CoreMeasurement {
@@ -61,7 +77,7 @@
     [SMALL_SIZE, LARGE_SIZE].map(|destinations| measure_core(destinations, full, "uniform"))
 }
 
-/// Bytes for one more destination: with the list taken in, and after all stretches.
+/// Returns the bytes for one more destination: after the list was applied, and after all phases.
 fn bytes_per_destination(measurements: &[CoreMeasurement; 2]) -> [f64; 2] {
     [
         |p: &CoreMeasurement| p.memory_listed,
@@ -77,6 +93,7 @@
     })
 }
 
+/// Checks that one more destination takes at most `limit` bytes.
 fn check_bytes_per_destination(
     measurements: &[CoreMeasurement; 2],
     limit: f64,
@@ -85,9 +102,11 @@
     let within_limit = bytes.iter().all(|bytes| *bytes <= limit);
     within_limit
         .then_some(())
-        .ok_or_else(|| format!("{bytes:?} bytes a destination, {limit:.0} allowed"))
+        .ok_or_else(|| format!("{bytes:?} bytes per destination, at most {limit:.0} expected"))
 }
 
+/// Checks that the core never held more destinations in full than the limit, one step of a list, the recently called
+/// ones and those with waiting messages together, and at rest no more than the limit.
 fn check_full_destinations(measurements: &[CoreMeasurement]) -> Result<(), String> {
     for measurement in measurements {
         let phases = [
@@ -108,13 +127,13 @@
             + DESTINATIONS_WITH_WAITING_MESSAGES;
         if most_full > allowed {
             return Err(format!(
-                "{most_full} of {} in full, {allowed} allowed",
+                "{most_full} of {} destinations held in full, at most {allowed} expected",
                 measurement.destinations
             ));
         }
         if measurement.down_rest.held.full > f64::from(FULL_LIMIT) {
             return Err(format!(
-                "{} in full at rest, {FULL_LIMIT} allowed",
+                "{} destinations held in full at rest, at most {FULL_LIMIT} expected",
                 measurement.down_rest.held.full
             ));
         }
@@ -135,7 +154,7 @@
         assert_eq!(
             held.full + held.summaries,
             f64::from(measurement.destinations),
-            "each is held once"
+            "each destination should be held either in full or as a summary"
         );
     }
     let all = measure_both_sizes(FullDestinations::All);
@@ -143,10 +162,11 @@
         check_bytes_per_destination(&all, MAX_BYTES_PER_FULL_DESTINATION),
         Ok(())
     );
-    // The same checks see the mechanism switched off.
+    // The same checks must fail without summaries, or they would not detect that summaries are missing.
     check_bytes_per_destination(&all, MAX_BYTES_PER_DESTINATION)
-        .expect_err("all in full take more");
-    check_full_destinations(&all).expect_err("all in full are more");
+        .expect_err("destinations held in full should exceed the limit of bytes");
+    check_full_destinations(&all)
+        .expect_err("more destinations than the limit should be held in full");
 }
 
 #[test]
@@ -165,14 +185,14 @@
             let ratio = value_of(&large) / large.messages / (value_of(&small) / small.messages);
             assert!(
                 ratio < 1.1,
-                "{name} a message: {ratio} times those of the smaller list"
+                "{name} per message should not grow with the list: {ratio} times those of the smaller list"
             );
         }
-        // A message restores its destination at most once, and an answer of an earlier one may do so again.
+        // A message restores its destination at most once, and the response to an earlier message may restore it again.
         let restored = large.held.restored - small.held.restored;
         assert!(
             restored <= f64::from(LARGE_SIZE - SMALL_SIZE) + 2.0 * large.messages,
-            "{restored}"
+            "at most two restorations per message are expected beyond the difference of the sizes: {restored}"
         );
     }
     for measurement in [&small, &large] {
@@ -183,11 +203,11 @@
         );
         assert!(
             restored_by_list <= targets + changes,
-            "a whole list and {changes} changes restored {restored_by_list}"
+            "the complete list and {changes} changes should restore at most one destination per entry: {restored_by_list}"
         );
         assert!(
             measurement.rest.events <= f64::from(MESSAGE_RATE),
-            "events at rest: {}",
+            "at rest there should be few events: {}",
             measurement.rest.events
         );
     }
@@ -198,7 +218,7 @@
     let skewed = measure_core(SMALL_SIZE, FullDestinations::UpTo(FULL_LIMIT), "skewed");
     assert!(
         skewed.traffic.delivered >= 0.99 * skewed.traffic.messages,
-        "{:?}",
+        "99 % of the messages should be delivered: {:?}",
         skewed.traffic
     );
     assert_eq!(check_full_destinations(&[skewed]), Ok(()));
@@ -218,18 +238,18 @@
     for measurement in &measurements {
         assert!(
             measurement.waiting >= 0.95 * measurement.messages,
-            "{measurement:?}"
+            "95 % of the messages should wait: {measurement:?}"
         );
         assert!(
             measurement.surroundings < 1_000.0,
-            "what stands round the core holds nothing a message: {measurement:?}"
+            "the simulated environment should hold no events per message: {measurement:?}"
         );
     }
     let memory_fit =
         LinearFit::through(&measurements.map(|p| (p.waiting, p.memory))).expect("two sizes");
     assert!(
         memory_fit.slope <= MAX_BYTES_PER_WAITING_MESSAGE,
-        "{} bytes a message",
+        "a waiting message should take at most {MAX_BYTES_PER_WAITING_MESSAGE} bytes: {} bytes",
         memory_fit.slope
     );
 }
