--- a/crates/lab/src/oracle/submissions.rs
+++ b/crates/lab/src/oracle/submissions.rs
@@ -1,27 +1,27 @@
-//! Submissions from acceptance to final answer, and the effects of their messages.
+//! Tracks submissions from the client's request to the final answer, and the effects of their messages.
 
-use super::{Oracle, Rule, LINGER};
+use super::{Oracle, Rule, RETENTION_AFTER_DEADLINE};
 use crate::scenario::DeliverySemantics;
 use opalpulley::Micros;
 
-/// A final answer, as the client gets it.
+/// The final answer that a client gets for an accepted message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// Delivered.
+    /// The message was delivered.
     Served,
-    /// Rejected: the client may submit it again.
+    /// The message was rejected; the client may submit it again.
     Rejected,
-    /// Not delivered.
+    /// The message was not delivered.
     Failed,
 }
 
-/// What an outcome says about an effect, from outside.
+/// What the outcome of a call tells a forwarder about an effect at the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TookEffect {
-    /// It took none.
-    No,
-    /// It may have taken effect.
-    Perhaps,
+pub enum CallEffect {
+    /// The call took no effect.
+    None,
+    /// The call may have taken effect.
+    Possible,
 }
 
 /// A message as a client submits it to a forwarder.
@@ -29,40 +29,42 @@
 pub struct SubmissionRecord {
     /// The number of the submission.
     pub submission: u64,
-    /// The message as its client numbers it.
+    /// The client's number of the message.
     pub message: u64,
-    /// To whom it was submitted.
+    /// The number of the forwarder that it was submitted to.
     pub forwarder: u32,
     /// The deadline, µs.
-    pub expires: Micros,
-    /// The delivery class, by its place in the scenario.
+    pub deadline: Micros,
+    /// The index of the delivery class in the scenario.
     pub class: u16,
-    /// The destination, by its number.
+    /// The number of the destination.
     pub destination: u32,
-    /// The order key of an ordered message.
-    pub key: Option<u64>,
+    /// The order key; present for messages of ordered classes only.
+    pub order_key: Option<u64>,
 }
 
-/// A submission and what became of it so far.
+/// The state of one submission, from `message_submitted` until it is removed some time after its deadline.
 #[derive(Clone, Debug)]
 pub(super) struct TrackedSubmission {
     pub record: SubmissionRecord,
-    /// The client was told that it is accepted.
+    /// Whether the client was told that the message is accepted.
     pub accepted: bool,
-    /// When it was over.
-    pub ended: Option<Micros>,
+    /// When no final answer was expected any more, µs.
+    pub ended_at: Option<Micros>,
     pub answer: Option<FinalAnswer>,
-    /// Served while its forwarder was down or stopped. The forwarder may not know, goes on, and ends it once more.
+    /// Whether the message was delivered while its forwarder was down or paused. The forwarder may not have learnt of the
+    /// delivery, and may end the message once more.
     pub unacknowledged: bool,
-    /// On sockets: an endpoint answered at or after the deadline. The forwarder may read that answer too late to count
-    /// it, and still owes the final answer.
+    /// Whether, on sockets, an endpoint responded at or after the deadline. The forwarder may read the response too late to
+    /// count it, and still owes the final answer.
     pub delivered_late: bool,
-    /// Nothing is owed for it: it was not accepted, or its forwarder was lost with its folder.
-    pub void: bool,
-    /// When the first call that may have taken effect was sent.
-    pub possible_effect_since: Option<Micros>,
-    pub in_flight: u32,
-    pub attempts: u32,
+    /// Whether no final answer is owed: the message was not accepted, its forwarder was lost with its folder, or a missing
+    /// answer was reported already.
+    pub no_answer_owed: bool,
+    /// When the first call that may have taken effect was sent, µs.
+    pub possible_effect_sent_at: Option<Micros>,
+    pub calls_in_flight: u32,
+    pub attempt_count: u32,
 }
 
 impl TrackedSubmission {
@@ -70,113 +72,120 @@
         TrackedSubmission {
             record,
             accepted: false,
-            ended: None,
+            ended_at: None,
             answer: None,
             unacknowledged: false,
             delivered_late: false,
-            void: false,
-            possible_effect_since: None,
-            in_flight: 0,
-            attempts: 0,
+            no_answer_owed: false,
+            possible_effect_sent_at: None,
+            calls_in_flight: 0,
+            attempt_count: 0,
         }
     }
 }
 
 impl Oracle {
-    /// A client submits a message; the forwarder has not answered yet.
-    pub fn submitted(&mut self, record: SubmissionRecord) {
-        let number = record.submission;
-        self.by_deadline.insert((record.expires, number));
+    /// Starts to track a submission. The caller reports the forwarder's answer with `submission_accepted` or
+    /// `submission_refused`.
+    pub fn message_submitted(&mut self, record: SubmissionRecord) {
+        let submission_number = record.submission;
+        self.by_deadline
+            .insert((record.deadline, submission_number));
         let class = self.classes.get(usize::from(record.class));
         if let Some(key) = record
-            .key
+            .order_key
             .filter(|_| class.is_some_and(|class| class.ordered))
         {
             let queue = self.ordered_queues.entry((record.forwarder, key));
-            queue.or_default().push_back(number);
+            queue.or_default().push_back(submission_number);
         }
         self.submissions
-            .insert(number, TrackedSubmission::new(record));
+            .insert(submission_number, TrackedSubmission::new(record));
     }
 
-    /// The client was told that it is accepted.
-    pub fn accepted(&mut self, submission: u64) {
+    /// Records that the client was told that its message is accepted: a final answer is owed from now on.
+    pub fn submission_accepted(&mut self, submission: u64) {
         if let Some(submission) = self.submissions.get_mut(&submission) {
             submission.accepted = true;
         }
     }
 
-    /// The client was told that it is not accepted, or was told nothing: no final answer is owed.
-    pub fn refused(&mut self, number: u64, now: Micros) {
-        if let Some(submission) = self.submissions.get_mut(&number) {
-            submission.ended = submission.ended.or(Some(now));
-            submission.void = true;
+    /// Records that the client was told that its message is not accepted, or got no answer: no final answer is owed.
+    pub fn submission_refused(&mut self, submission_number: u64, now: Micros) {
+        if let Some(submission) = self.submissions.get_mut(&submission_number) {
+            submission.ended_at = submission.ended_at.or(Some(now));
+            submission.no_answer_owed = true;
         }
-        self.leave_order(number);
+        self.leave_order(submission_number);
     }
 
-    /// The forwarder is gone and its folder with it. Gives the messages that it had accepted.
+    /// Records that a forwarder was lost with its folder: it owes no final answers. Returns the client's numbers of the open
+    /// messages that it had accepted, in the order of their submissions.
     pub fn lost_with_folder(&mut self, forwarder: u32, now: Micros) -> Vec<u64> {
         let lost = self.submissions.values().filter(|submission| {
-            submission.record.forwarder == forwarder && submission.ended.is_none()
+            submission.record.forwarder == forwarder && submission.ended_at.is_none()
         });
         let mut records: Vec<(SubmissionRecord, bool)> = lost
             .map(|submission| (submission.record.clone(), submission.accepted))
             .collect();
         records.sort_unstable_by_key(|(record, _)| record.submission);
         for (record, _) in &records {
-            self.refused(record.submission, now);
+            self.submission_refused(record.submission, now);
         }
         let accepted = records.into_iter().filter(|(_, accepted)| *accepted);
         accepted.map(|(record, _)| record.message).collect()
     }
 
-    /// Whether a submission has this very answer already, from a report before.
+    /// Returns whether the submission already has this answer from an earlier completion report. Always false for `Served`,
+    /// which is not reported.
     pub fn already_reported(&self, submission: u64, answer: FinalAnswer) -> bool {
         let submission = self.submissions.get(&submission);
         let known = submission.is_some_and(|submission| submission.answer == Some(answer));
         known && answer != FinalAnswer::Served
     }
 
-    /// What a forwarder owes is not late before then.
-    pub fn excuse(&mut self, forwarder: u32, until: Micros) {
-        self.excused.insert(forwarder, until);
+    /// Excuses a forwarder from its deadlines until `until`, µs. Replaces an earlier excuse.
+    pub fn excuse_until(&mut self, forwarder: u32, until: Micros) {
+        self.excused_until.insert(forwarder, until);
     }
 
-    fn is_owed(&self, forwarder: u32, now: Micros) -> bool {
-        let until = self.excused.get(&forwarder);
+    fn is_answer_due(&self, forwarder: u32, now: Micros) -> bool {
+        let until = self.excused_until.get(&forwarder);
         until.is_none_or(|until| now > *until)
     }
 
-    /// A process ended: it has forgotten retry-after times, and none of its calls is in flight.
+    /// Records that a forwarder process ended: it has lost its retry-after times, and none of its calls is in flight.
     pub fn process_ended(&mut self, forwarder: u32) {
         self.limits.forget_retry_after(forwarder);
-        self.in_flight.remove(&forwarder);
+        self.calls_in_flight.remove(&forwarder);
         for submission in self.submissions.values_mut() {
             if submission.record.forwarder == forwarder {
-                submission.in_flight = 0;
+                submission.calls_in_flight = 0;
             }
         }
     }
 
-    /// Who submitted what to whom, and until when.
+    /// Returns the submission as the client made it, if it is still tracked.
     pub fn record(&self, submission: u64) -> Option<&SubmissionRecord> {
         let submission = self.submissions.get(&submission)?;
         Some(&submission.record)
     }
 
-    /// A final answer.
-    pub fn ended(&mut self, number: u64, answer: FinalAnswer, now: Micros) {
-        let forwarder = self.record(number).map_or(0, |record| record.forwarder);
-        let owed = self.is_owed(forwarder, now);
-        let slack = self.answer_slack + self.slack;
-        let is_on_sockets = self.slack > 0;
-        let Some(submission) = self.submissions.get_mut(&number) else {
-            let what = format!("message {number}: {answer:?}, long over or never submitted");
-            return self.broken(Rule::SecondFinalAnswer, now, what);
+    /// Judges a final answer that was given at `now`: whether it is the only one, and whether it is in time.
+    pub fn message_ended(&mut self, submission_number: u64, answer: FinalAnswer, now: Micros) {
+        let forwarder = self
+            .record(submission_number)
+            .map_or(0, |record| record.forwarder);
+        let answer_due = self.is_answer_due(forwarder, now);
+        let allowed_lateness = self.answer_slack + self.observation_slack;
+        let is_on_sockets = self.observation_slack > 0;
+        let Some(submission) = self.submissions.get_mut(&submission_number) else {
+            let description =
+                format!("message {submission_number}: {answer:?}, unknown, or ended long ago");
+            return self.record_violation(Rule::SecondFinalAnswer, now, description);
         };
-        match submission.ended {
-            Some(_) if submission.void => {}
+        match submission.ended_at {
+            Some(_) if submission.no_answer_owed => {}
             Some(_) if submission.unacknowledged => {
                 submission.unacknowledged = answer == FinalAnswer::Served;
             }
@@ -184,64 +193,66 @@
                 submission.delivered_late = false;
                 submission.answer = Some(answer);
             }
-            Some(before) => {
-                let what = format!(
-                    "message {number}: {answer:?} now, and a final answer at {before} already"
+            Some(ended_at) => {
+                let description = format!(
+                    "message {submission_number}: second final answer {answer:?}; the first was given at {ended_at}"
                 );
-                self.broken(Rule::SecondFinalAnswer, now, what);
+                self.record_violation(Rule::SecondFinalAnswer, now, description);
             }
             None => {
-                submission.ended = Some(now);
+                submission.ended_at = Some(now);
                 submission.answer = Some(answer);
-                submission.unacknowledged = !owed && answer == FinalAnswer::Served;
-                let expires = submission.record.expires;
+                submission.unacknowledged = !answer_due && answer == FinalAnswer::Served;
+                let deadline = submission.record.deadline;
                 submission.delivered_late =
-                    is_on_sockets && answer == FinalAnswer::Served && now >= expires;
-                if owed && now > expires + slack {
-                    let late = now - expires;
-                    let what =
-                        format!("message {number}: {answer:?} {late} us after its time was up");
-                    self.broken(Rule::Lost, now, what);
+                    is_on_sockets && answer == FinalAnswer::Served && now >= deadline;
+                if answer_due && now > deadline + allowed_lateness {
+                    let late = now - deadline;
+                    let description = format!(
+                        "message {submission_number}: final answer {answer:?} {late} us after the deadline"
+                    );
+                    self.record_violation(Rule::Lost, now, description);
                 }
             }
         }
-        self.leave_order(number);
+        self.leave_order(submission_number);
     }
 
-    /// A submission that is over, with no call in flight, does not hold up others of its order key.
-    pub(super) fn leave_order(&mut self, number: u64) {
-        let Some(submission) = self.submissions.get(&number) else {
+    /// Removes a submission from the queue of its order key once it has ended and has no call in flight.
+    pub(super) fn leave_order(&mut self, submission_number: u64) {
+        let Some(submission) = self.submissions.get(&submission_number) else {
             return;
         };
-        if submission.ended.is_none() || submission.in_flight > 0 {
+        if submission.ended_at.is_none() || submission.calls_in_flight > 0 {
             return;
         }
-        let Some(key) = submission.record.key else {
+        let Some(key) = submission.record.order_key else {
             return;
         };
         let queue_key = (submission.record.forwarder, key);
         if let Some(queue) = self.ordered_queues.get_mut(&queue_key) {
-            queue.retain(|other| *other != number);
+            queue.retain(|other| *other != submission_number);
             if queue.is_empty() {
                 self.ordered_queues.remove(&queue_key);
             }
         }
     }
 
-    /// The message took effect at a receiver that did not know it as a repeat.
+    /// Judges an effect at a receiver that didn't recognize the message as a repeat. Effects of idempotent and of never
+    /// accepted messages are ignored.
     pub fn took_effect(&mut self, message: u64, submission: u64, now: Micros) {
         self.forget_effects(now);
         let Some(submission) = self.submissions.get(&submission) else {
             return;
         };
         let class = &self.classes[usize::from(submission.record.class)];
-        let never_accepted = submission.void && !submission.accepted;
+        let never_accepted = submission.no_answer_owed && !submission.accepted;
         if class.semantics == DeliverySemantics::Idempotent || never_accepted {
             return;
         }
-        if self.effects.insert(message, now).is_some() {
-            let what = format!("message {message} took effect a second time");
-            self.broken(Rule::EffectTwice, now, what);
+        if self.effect_times.insert(message, now).is_some() {
+            let description = format!("message {message} took effect a second time");
+            self.record_violation(Rule::EffectTwice, now, description);
         } else {
             self.effects_by_age.push_back((now, message));
         }
@@ -249,58 +260,64 @@
 
     fn forget_effects(&mut self, now: Micros) {
         while let Some((at, message)) = self.effects_by_age.front().copied() {
-            if at + self.effect_memory >= now {
+            if at + self.effect_retention >= now {
                 return;
             }
             self.effects_by_age.pop_front();
-            self.effects.remove(&message);
+            self.effect_times.remove(&message);
         }
     }
 
-    /// Looks for final answers that are overdue, and forgets submissions that are long over.
+    /// Records a violation for each overdue final answer, and removes submissions whose retention has ended. Called at regular
+    /// intervals.
     pub fn sweep(&mut self, now: Micros) {
-        let grace = self.answer_slack + self.slack;
-        while let Some((expires, number)) = self.by_deadline.first().copied() {
-            if expires + grace >= now {
+        let allowed_lateness = self.answer_slack + self.observation_slack;
+        while let Some((deadline, submission_number)) = self.by_deadline.first().copied() {
+            if deadline + allowed_lateness >= now {
                 break;
             }
             self.by_deadline.pop_first();
-            self.judge_deadline(number, expires, now);
+            self.judge_deadline(submission_number, deadline, now);
         }
-        while let Some((forget_at, number)) = self.expired.front().copied() {
+        while let Some((forget_at, submission_number)) = self.expired.front().copied() {
             if forget_at >= now {
                 break;
             }
             self.expired.pop_front();
-            self.submissions.remove(&number);
+            self.submissions.remove(&submission_number);
         }
     }
 
-    /// A deadline has passed, with all that the rules allow after it. `listed_at` is the time under which it was found; it is
-    /// later than the deadline for a submission that was looked at before.
-    fn judge_deadline(&mut self, number: u64, listed_at: Micros, now: Micros) {
-        let Some(record) = self.record(number) else {
+    /// Judges a submission whose deadline, with the tolerances of the rules, has passed. `scheduled_at` is the time of its entry
+    /// in `by_deadline`, which is later than the deadline if the submission was scheduled again.
+    fn judge_deadline(&mut self, submission_number: u64, scheduled_at: Micros, now: Micros) {
+        let Some(record) = self.record(submission_number) else {
             return;
         };
-        let (forwarder, deadline) = (record.forwarder, record.expires);
-        let owed = self.is_owed(forwarder, now);
-        let Some(submission) = self.submissions.get_mut(&number) else {
+        let (forwarder, deadline) = (record.forwarder, record.deadline);
+        let answer_due = self.is_answer_due(forwarder, now);
+        let Some(submission) = self.submissions.get_mut(&submission_number) else {
             return;
         };
-        let open = submission.ended.is_none();
+        let is_open = submission.ended_at.is_none();
         let accepted = submission.accepted;
-        if open && (!owed || !accepted) && (accepted || now < deadline + LINGER) {
-            self.by_deadline.insert((now.max(listed_at), number));
+        if is_open
+            && (!answer_due || !accepted)
+            && (accepted || now < deadline + RETENTION_AFTER_DEADLINE)
+        {
+            self.by_deadline
+                .insert((now.max(scheduled_at), submission_number));
             return;
         }
-        if open && accepted {
-            submission.ended = Some(now);
-            submission.void = true;
-            let what =
-                format!("message {number} of forwarder {forwarder}: no final answer by {deadline}");
-            self.broken(Rule::Lost, now, what);
-            self.leave_order(number);
+        if is_open && accepted {
+            submission.ended_at = Some(now);
+            submission.no_answer_owed = true;
+            let description =
+                format!("message {submission_number} of forwarder {forwarder}: no final answer by {deadline}");
+            self.record_violation(Rule::Lost, now, description);
+            self.leave_order(submission_number);
         }
-        self.expired.push_back((now + LINGER, number));
+        self.expired
+            .push_back((now + RETENTION_AFTER_DEADLINE, submission_number));
     }
 }
