--- a/crates/lab/src/capacity/backlog.rs
+++ b/crates/lab/src/capacity/backlog.rs
@@ -1,41 +1,42 @@
-//! A backlog: what a message that waits takes in the core, and in one real forwarder its memory, its journal and what a
-//! restart has to read. The destinations refuse connections all the while, so that every message waits.
+//! The cost of a backlog: memory per waiting message in the core, and in one real forwarder process the memory, the
+//! journal and the time of a restart. All destinations refuse connections throughout, so that every message waits.
 
-pub mod core_point;
-pub mod process_point;
+pub mod core_measurement;
+pub mod process_measurement;
 
 use super::fresh_process::measure_in_fresh_process;
 use super::outputs::Outputs;
-use super::process::startup_config::Shape;
-use super::slope::{show, Row, Table};
+use super::process::startup_config::StartupOptions;
+use super::table::{write_tables, Row, Table};
 use crate::capacity::error::CapacityError;
 use crate::sockets::run::default_forwarder_program;
 use clap::Args;
-use core_point::CorePoint;
-use process_point::ProcessPoint;
+use core_measurement::CoreBacklogMeasurement;
+use process_measurement::ProcessBacklogMeasurement;
 use std::path::PathBuf;
 
-/// The part of its memory that the program lets the journal take at most.
-const JOURNAL_PART: f64 = 0.25;
+/// Upper bound on the share of its memory limit that the forwarder program grants to the journal.
+const MAX_JOURNAL_MEMORY_SHARE: f64 = 0.25;
 
 /// Options of `capacity backlog`.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// How many messages wait, one fresh process each; in the core only whole seconds of --rate are submitted
+    /// Numbers of waiting messages, each measured in a fresh process; the core gets only whole seconds of --rate
     #[arg(long, value_delimiter = ',', default_values_t = [2_000, 10_000, 20_000, 40_000])]
     pub sizes: Vec<u32>,
-    /// Destinations that they are for, none of which takes a connection
+    /// Number of destinations that the messages are for; each of them refuses connections
     #[arg(long, default_value_t = 100)]
     pub destinations: u32,
-    /// Messages a second while they are submitted
+    /// Messages submitted per second
     #[arg(long, default_value_t = 2_000)]
     pub rate: u64,
-    /// The journal's limit
+    /// Disk limit of the forwarder, in MB; the memory limit is derived from it
     #[arg(long, default_value_t = 200.0)]
     pub disk_mb: f64,
-    /// The forwarder's program; beside this one if not named
+    /// Path of the forwarder program; by default the one in the folder of this program
     #[arg(long)]
     pub forwarder: Option<PathBuf>,
+    /// Seed of the forwarder's random number generator
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     #[command(flatten)]
@@ -43,39 +44,41 @@
 }
 
 impl Options {
+    /// Returns the path of the forwarder program, which need not exist.
     fn program(&self) -> PathBuf {
         self.forwarder
             .clone()
             .unwrap_or_else(default_forwarder_program)
     }
 
-    /// The start-up configuration's figures for so many waiting messages.
-    fn shape(&self, messages: u32) -> Shape {
-        Shape {
+    /// Returns the start-up options for a backlog of `messages`; the message limit leaves room for twice as many.
+    fn startup_options(&self, messages: u32) -> StartupOptions {
+        StartupOptions {
             seed: self.seed,
             disk_mb: self.disk_mb,
-            memory_mb: self.disk_mb / JOURNAL_PART,
-            room: 2 * messages,
-            expiry: process_point::EXPIRY,
-            ..Shape::default()
+            memory_mb: self.disk_mb / MAX_JOURNAL_MEMORY_SHARE,
+            max_messages: 2 * messages,
+            time_to_live: process_measurement::TIME_TO_LIVE,
+            ..StartupOptions::default()
         }
     }
 }
 
-fn core_in_fresh_process(options: &Options, messages: u32) -> Result<CorePoint, CapacityError> {
-    let measured = [
+/// Measures the core with `messages` waiting messages in a fresh process of this program.
+fn measure_core(options: &Options, messages: u32) -> Result<CoreBacklogMeasurement, CapacityError> {
+    let arguments = [
         ("--messages", messages.to_string()),
         ("--destinations", options.destinations.to_string()),
         ("--rate", options.rate.to_string()),
         ("--seed", options.seed.to_string()),
     ];
-    measure_in_fresh_process("backlog-point", &measured)
+    measure_in_fresh_process("backlog-point", &arguments)
 }
 
-/// A figure of a point: its name, its unit and its value.
-type FigureOf<P> = (&'static str, &'static str, fn(&P) -> f64);
+/// Name, unit and accessor of one figure of a measurement.
+type FigureDefinition<P> = (&'static str, &'static str, fn(&P) -> f64);
 
-const CORE_FIGURES: [FigureOf<CorePoint>; 5] = [
+const CORE_FIGURES: [FigureDefinition<CoreBacklogMeasurement>; 5] = [
     ("messages handed in", "messages", |p| p.messages),
     ("memory", "bytes", |p| p.memory),
     ("memory a waiting message", "bytes", |p| {
@@ -89,77 +92,88 @@
     }),
 ];
 
-const PROCESS_FIGURES: [FigureOf<ProcessPoint>; 12] = [
+const PROCESS_FIGURES: [FigureDefinition<ProcessBacklogMeasurement>; 12] = [
     ("messages handed in", "messages", |p| p.submitted as f64),
     ("notices of an end, before the kill", "notices", |p| {
         p.completion_reports as f64
     }),
     ("memory before the messages", "bytes", |p| {
-        p.before.memory as f64
+        p.usage_before.resident_bytes as f64
     }),
     ("memory with them", "bytes", |p| {
-        p.with_backlog.memory as f64
+        p.usage_with_backlog.resident_bytes as f64
     }),
     ("memory a waiting message", "bytes", |p| {
-        (p.with_backlog.memory as f64 - p.before.memory as f64) / p.waiting()
+        (p.usage_with_backlog.resident_bytes as f64 - p.usage_before.resident_bytes as f64)
+            / p.waiting()
     }),
-    ("journal", "bytes", |p| p.journal as f64),
+    ("journal", "bytes", |p| p.journal_bytes as f64),
     ("journal a waiting message", "bytes", |p| {
-        p.journal as f64 / p.waiting()
+        p.journal_bytes as f64 / p.waiting()
+    }),
+    ("time to ready, nothing journalled", "s", |p| {
+        p.ready_empty_s
+    }),
+    ("time to ready after the kill", "s", |p| {
+        p.ready_after_restart_s
     }),
-    ("time to ready, nothing journalled", "s", |p| p.ready_empty),
-    ("time to ready after the kill", "s", |p| p.ready_again),
     ("time to ready a waiting message", "us", |p| {
-        (p.ready_again - p.ready_empty) * 1e6 / p.waiting()
+        (p.ready_after_restart_s - p.ready_empty_s) * 1e6 / p.waiting()
     }),
     ("processor time at ready after the kill", "s", |p| {
-        p.at_ready_again.processor.as_secs_f64()
+        p.usage_after_restart.processor_time.as_secs_f64()
     }),
     ("memory at ready after the kill", "bytes", |p| {
-        p.at_ready_again.memory as f64
+        p.usage_after_restart.resident_bytes as f64
     }),
 ];
 
-/// The core and one real forwarder with the same numbers of messages that wait.
+/// Measures the core and one real forwarder at each size and returns a table for each of them.
 pub fn tables(options: &Options) -> Result<Vec<Table>, CapacityError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
-    let mut core = Vec::new();
-    let mut process = Vec::new();
+    let mut core_rows = Vec::new();
+    let mut process_rows = Vec::new();
     for messages in &options.sizes {
-        let point = core_in_fresh_process(options, *messages)?;
-        core.push(row(point.waiting, &CORE_FIGURES, &point));
-        let setup = process_point::Setup {
+        let measurement = measure_core(options, *messages)?;
+        core_rows.push(row(measurement.waiting, &CORE_FIGURES, &measurement));
+        let case = process_measurement::BacklogCase {
             program: options.program(),
             messages: *messages,
             destinations: options.destinations,
             rate: options.rate,
         };
-        let shape = options.shape(*messages);
-        let point = runtime.block_on(process_point::measure(&setup, &shape))?;
-        process.push(row(point.waiting(), &PROCESS_FIGURES, &point));
+        let startup_options = options.startup_options(*messages);
+        let measurement =
+            runtime.block_on(process_measurement::measure(&case, &startup_options))?;
+        process_rows.push(row(measurement.waiting(), &PROCESS_FIGURES, &measurement));
     }
     Ok(vec![
-        table("the core alone, messages that wait", &CORE_FIGURES, core),
+        table(
+            "the core alone, messages that wait",
+            &CORE_FIGURES,
+            core_rows,
+        ),
         table(
             "one forwarder, messages that wait",
             &PROCESS_FIGURES,
-            process,
+            process_rows,
         ),
     ])
 }
 
-/// The figures of one point, by its size.
-fn row<P>(size: f64, figures: &[FigureOf<P>], point: &P) -> Row {
-    let values = figures.iter().map(|(_, _, value)| value(point));
+/// Evaluates the figures of one measurement, in their order.
+fn row<P>(size: f64, figures: &[FigureDefinition<P>], measurement: &P) -> Row {
+    let values = figures.iter().map(|(_, _, value_of)| value_of(measurement));
     Row {
         size,
         values: values.collect(),
     }
 }
 
-fn table<P>(title: &str, figures: &[FigureOf<P>], rows: Vec<Row>) -> Table {
+/// Builds a table whose sizes are numbers of waiting messages.
+fn table<P>(title: &str, figures: &[FigureDefinition<P>], rows: Vec<Row>) -> Table {
     let names: Vec<(&str, &str)> = figures
         .iter()
         .map(|(name, unit, _)| (*name, *unit))
@@ -167,11 +181,12 @@
     Table::new(title, "waiting messages", &names, rows)
 }
 
-/// Measures, prints the tables and writes them where they were asked for.
+/// Measures, prints the tables and writes the output files. Fails before the first measurement if the forwarder program
+/// does not exist.
 pub fn run(options: &Options) -> Result<(), CapacityError> {
     let program = options.program();
     if !program.is_file() {
         return Err(CapacityError::NoForwarderProgram { program });
     }
-    show(&tables(options)?, &options.outputs)
+    write_tables(&tables(options)?, &options.outputs)
 }
--- a/crates/lab/src/capacity/core/settings.rs
+++ b/crates/lab/src/capacity/core/settings.rs
@@ -1,29 +1,32 @@
-//! The core's configuration at the operators' size, with the rules' usual figures.
+//! The configuration of the measured core: the fleet size and limits of the operators' deployment, with the usual
+//! service rules.
 
 use opalpulley::{
     Config, DeduplicationScope, DeliveryClassConfig, DeliverySemantics, EndpointKindConfig,
     ListedRateAccuracy, Micros, ServiceRuleConfig,
 };
 
-/// A second, µs.
+/// One second in µs.
 pub const SECOND: Micros = 1_000_000;
-/// Forwarders of the operators' fleet.
-pub(super) const FORWARDERS: u32 = 400;
-/// Calls that a forwarder has in flight at once.
+/// Number of forwarders in the operators' fleet.
+pub(super) const FLEET_SIZE: u32 = 400;
+/// Upper bound on the calls that a forwarder has in flight at once.
 const CONCURRENCY_LIMIT: u32 = 116;
-/// Receivers know repeats for so long, µs.
+/// Time for which receivers recognize a repeated message by its idempotency key, in µs.
 const DEDUPLICATION_WINDOW: Micros = 15 * SECOND;
-const ZONES: usize = 4;
+/// Number of zones over which the endpoints are spread in turn.
+const ZONE_COUNT: usize = 4;
 
-/// The configuration of one forwarder.
-pub(super) fn config(
+/// Returns the configuration of the measured core; `time_to_live` is in µs, and `full_destinations` is `None` for no
+/// limit.
+pub(super) fn forwarder_config(
     max_messages: u32,
     time_to_live: Micros,
     full_destinations: Option<u32>,
 ) -> Config {
     Config {
         forwarder_id: 0,
-        fleet_size: FORWARDERS,
+        fleet_size: FLEET_SIZE,
         concurrency_limit: CONCURRENCY_LIMIT,
         max_messages,
         max_attempts: 6,
@@ -39,16 +42,16 @@
             has_independent_limits: false,
             max_batch_size: 1,
         }],
-        zone_costs: vec![0.0; ZONES],
+        zone_costs: vec![0.0; ZONE_COUNT],
         rules: rules(),
         full_destinations,
         ..Config::default()
     }
 }
 
-/// One delivery class for each kind of repeat, the heavier the less a message may be repeated.
+/// Returns one delivery class per delivery semantics; the stricter the semantics, the higher its priority weight.
 fn classes(time_to_live: Micros) -> Vec<DeliveryClassConfig> {
-    let class = |semantics, priority_weight| DeliveryClassConfig {
+    let class_config = |semantics, priority_weight| DeliveryClassConfig {
         semantics,
         latency_objective: 2_500_000,
         time_to_live,
@@ -56,14 +59,14 @@
         late_weight_share: 0.5,
         ordered: false,
     };
-    let keyed = DeliverySemantics::IdempotencyKeyed {
+    let idempotency_keyed = DeliverySemantics::IdempotencyKeyed {
         scope: DeduplicationScope::AllEndpoints,
         window: DEDUPLICATION_WINDOW,
     };
     vec![
-        class(DeliverySemantics::Idempotent, 1.0),
-        class(keyed, 2.0),
-        class(DeliverySemantics::AtMostOnce, 4.0),
+        class_config(DeliverySemantics::Idempotent, 1.0),
+        class_config(idempotency_keyed, 2.0),
+        class_config(DeliverySemantics::AtMostOnce, 4.0),
     ]
 }
 
--- a/crates/lab/src/capacity/fleet/figures.rs
+++ b/crates/lab/src/capacity/fleet/figures.rs
@@ -1,7 +1,7 @@
 //! Formats the figures of a run as a table with one line for each figure.
 
 use super::report::{Counts, FleetOutcome, MeanAndWorst, Measurements};
-use crate::capacity::slope::{Row, Table};
+use crate::capacity::table::{Row, Table};
 
 /// Returns `part` as a fraction of `total`, or 0 if both are 0.
 fn ratio(part: u64, total: u64) -> f64 {
--- a/crates/lab/src/capacity/usage.rs
+++ b/crates/lab/src/capacity/usage.rs
@@ -1,21 +1,23 @@
-//! What a process uses, from the kernel's own account.
+//! Resource usage of a process, read from `/proc` and the processor-time clock of Linux.
 
 use crate::capacity::error::CapacityError;
 use nix::time::{clock_gettime, ClockId};
 use std::fs;
 use std::time::Duration;
 
-const PAGE: u64 = 4096; // bytes, on every Linux that this runs on
+/// Page size in bytes, the unit of `/proc/self/statm`; the same on every Linux that the laboratory runs on.
+const PAGE_BYTES: u64 = 4096;
 
-/// Processor time of this process so far, user and system.
+/// Returns the user and system time of this process since its start.
 pub fn own_processor_time() -> Result<Duration, CapacityError> {
-    let used = clock_gettime(ClockId::CLOCK_PROCESS_CPUTIME_ID);
-    used.map(Duration::from)
+    let processor_time = clock_gettime(ClockId::CLOCK_PROCESS_CPUTIME_ID);
+    processor_time
+        .map(Duration::from)
         .map_err(CapacityError::ProcessorTime)
 }
 
-/// Resident memory of this process, bytes.
-pub fn own_memory() -> Result<u64, CapacityError> {
+/// Returns the resident memory of this process, in bytes.
+pub fn own_resident_bytes() -> Result<u64, CapacityError> {
     let path = "/proc/self/statm";
     let text = fs::read_to_string(path).map_err(CapacityError::file(path))?;
     let pages = text
@@ -23,40 +25,42 @@
         .nth(1)
         .and_then(|pages| pages.parse::<u64>().ok());
     pages
-        .map(|pages| pages * PAGE)
-        .ok_or_else(|| CapacityError::Account {
+        .map(|pages| pages * PAGE_BYTES)
+        .ok_or_else(|| CapacityError::MalformedProcFile {
             path: path.to_owned(),
             text: text.clone(),
         })
 }
 
-/// What another process uses at one moment.
+/// Resource usage of a process at one instant.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
-    /// Resident memory now and at its highest, bytes.
-    pub memory: u64,
-    pub memory_peak: u64,
-    /// Processor time of all its threads that still run, user and system.
-    pub processor: Duration,
+    /// Resident memory, in bytes.
+    pub resident_bytes: u64,
+    /// Highest resident memory since the start of the process, in bytes.
+    pub peak_resident_bytes: u64,
+    /// User and system time of all threads that are still running; the time of an exited thread is not included.
+    pub processor_time: Duration,
+    /// Number of open file descriptors.
     pub descriptors: usize,
 }
 
 impl Usage {
-    /// What a process uses now, by its id.
+    /// Reads the current usage of a process. Fails if the process does not exist or its files in `/proc` can't be read.
     pub fn of(pid: u32) -> Result<Usage, CapacityError> {
         let read = |name: &str| {
             let path = format!("/proc/{pid}/{name}");
             fs::read_to_string(&path).map_err(CapacityError::file(path))
         };
         let status = read("status")?;
-        let memory = |name: &str| {
+        let status_bytes = |name: &str| {
             let line = status
                 .lines()
                 .find_map(|line| line.strip_prefix(name)?.strip_suffix(" kB"));
             let kilobytes = line.and_then(|line| line.trim().parse::<u64>().ok());
             kilobytes
                 .map(|kb| kb * 1024)
-                .ok_or_else(|| CapacityError::NoStatusLine {
+                .ok_or_else(|| CapacityError::MissingStatusLine {
                     pid,
                     name: name.to_owned(),
                 })
@@ -67,20 +71,20 @@
         };
         let mut nanoseconds = 0;
         for thread in entries("task")?.flatten() {
-            let schedule = read(&format!(
+            let schedstat = read(&format!(
                 "task/{}/schedstat",
                 thread.file_name().to_string_lossy()
             ));
-            // A thread that has ended since it was listed is none.
-            let used = schedule
+            // A thread may have exited since the folder was listed; it counts as 0.
+            let run_time = schedstat
                 .ok()
-                .and_then(|s| s.split_whitespace().next()?.parse::<u64>().ok());
-            nanoseconds += used.unwrap_or(0);
+                .and_then(|text| text.split_whitespace().next()?.parse::<u64>().ok());
+            nanoseconds += run_time.unwrap_or(0);
         }
         Ok(Usage {
-            memory: memory("VmRSS:")?,
-            memory_peak: memory("VmHWM:")?,
-            processor: Duration::from_nanos(nanoseconds),
+            resident_bytes: status_bytes("VmRSS:")?,
+            peak_resident_bytes: status_bytes("VmHWM:")?,
+            processor_time: Duration::from_nanos(nanoseconds),
             descriptors: entries("fd")?.count(),
         })
     }
