--- a/src/destination.rs
+++ b/src/destination.rs
@@ -38,7 +38,7 @@
     /// Pacers by [`Destination::pacer_key`]. A pacer is removed once its endpoints are discarded
     /// and its pause has ended.
     pub pacers: BTreeMap<Option<EndpointId>, Pacer>,
-    /// Messages that have no final answer yet or an attempt in flight.
+    /// Messages that await their final answer or have an attempt in flight.
     pub messages: BTreeMap<MessageId, Message>,
     /// The messages that wait for an attempt.
     queue: DispatchQueue,
--- a/src/destination/message.rs
+++ b/src/destination/message.rs
@@ -13,7 +13,7 @@
     pub sent_at: Micros,
 }
 
-/// A message that has no final answer yet or an attempt in flight. It is owned by its destination.
+/// A message that awaits its final answer or has an attempt in flight. Owned by its destination.
 #[derive(Default)]
 pub(crate) struct Message {
     pub id: MessageId,
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -238,10 +238,10 @@
         elapsed: Micros,
         context: &mut DecisionContext,
     ) {
-        let circumstances = OutcomeContext {
+        let outcome_context = OutcomeContext {
             now: context.now,
             overload_window: context.config.rules.overload_window,
-            is_budget_negligible: self
+            is_share_negligible: self
                 .forwarder_share(context.now, context.config)
                 .is_negligible,
         };
@@ -254,7 +254,7 @@
                 self.readmit(context);
             }
         }
-        if self.failures.record(outcome, circumstances) == Verdict::Eject {
+        if self.failures.record(outcome, outcome_context) == Verdict::Eject {
             self.eject(EjectionReason::Failures, context);
         }
     }
--- a/src/endpoint/snapshot.rs
+++ b/src/endpoint/snapshot.rs
@@ -24,7 +24,8 @@
     /// Whether the endpoint fails, is slow or is ejected.
     pub is_degraded: bool,
     /// Whether the endpoint needs no timer ticks: it has no calls in flight, and it is healthy or
-    /// its budget is scant. With a scant budget, the next message is the trial of the endpoint.
+    /// the forwarder's share of its allowed load is negligible. With a negligible share, the next
+    /// message is the trial of the endpoint.
     pub needs_no_ticks: bool,
     /// Mean latency of a call, in µs.
     pub mean_latency: f64,
--- a/src/forwarder.rs
+++ b/src/forwarder.rs
@@ -1,9 +1,9 @@
 //! The forwarder: it receives events, owns the state of all parts and returns actions.
 //!
-//! [`Forwarder::handle`] is the whole interface. It applies one event (`events`), lets the parts
-//! exchange events until all mailboxes are empty (`mailbox`), grants permits (`scheduler`), and
-//! summarises idle destinations (`idle_destinations`). The same configuration, seed and sequence of
-//! events always produce the same actions.
+//! [`Forwarder::handle`] is the only entry point for events. It applies one event (`events`), lets
+//! the parts exchange events until all mailboxes are empty (`mailbox`), grants permits
+//! (`scheduler`), and summarises idle destinations (`idle_destinations`). The same configuration,
+//! seed and sequence of events always produce the same actions.
 
 pub(crate) mod context;
 mod endpoint_list;
@@ -55,7 +55,7 @@
     config: Config,
     rng: Pcg64Mcg,
     mailboxes: Mailboxes,
-    /// Messages that have no final answer yet or an attempt in flight.
+    /// Messages that await their final answer or have an attempt in flight.
     messages: BTreeMap<MessageId, MessageLocation>,
     /// Destinations that are held in full. A destination is removed once it has no endpoints,
     /// messages and pauses.
@@ -112,7 +112,7 @@
 
     /// Handles one event and appends the actions to carry out, in order, to `actions`.
     ///
-    /// `now` is in µs and must not be less than at the call before.
+    /// `now` is in µs and must not be less than in the previous call.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.detect_stall(now);
         self.list_poller
--- a/src/forwarder/endpoint_list.rs
+++ b/src/forwarder/endpoint_list.rs
@@ -92,10 +92,10 @@
     /// Discards the endpoints that left the list at least the warm-up time ago and have no calls in
     /// flight. `entry_count` is the number of entries of the list that is applied.
     fn discard_removed(&mut self, now: Micros, entry_count: usize) {
-        let forgotten = self
+        let discarded = self
             .endpoints
             .extract_if(.., |_, endpoint| endpoint.is_discardable(now));
-        for (id, endpoint) in forgotten {
+        for (id, endpoint) in discarded {
             let event = DestinationEvent::EndpointDiscarded(id);
             self.mailboxes
                 .send_to_destination(endpoint.destination, event);
--- a/src/forwarder/idle_destinations.rs
+++ b/src/forwarder/idle_destinations.rs
@@ -279,9 +279,9 @@
             1
         };
         let is_unused = !self.activities.contains_key(&id) && destination.messages.is_empty();
-        let is_complete =
+        let has_endpoints_and_pacers =
             !destination.endpoints.is_empty() && destination.pacers.len() == limit_count;
-        if !is_unused || !is_complete {
+        if !is_unused || !has_endpoints_and_pacers {
             return None;
         }
         let destination = self.destinations.get(&id)?;
--- a/src/idle.rs
+++ b/src/idle.rs
@@ -12,7 +12,8 @@
 //!
 //! A summary is removed when its destination is restored, or once its endpoint has been off the
 //! list for the warm-up time. Binding state is removed with its summary, or when a sweep finds that
-//! it has no effect any more. The sweep checks two records after each event.
+//! it has no effect any more. A sweep checks at most two binding states; it runs after each event
+//! and each chunk of a list.
 
 mod binding_state;
 mod summary;
@@ -49,8 +50,8 @@
 pub struct StateCounts {
     /// Destinations that are held in full now.
     pub full: usize,
-    /// Maximum of the destinations held in full at once. It is updated at the end of each event and
-    /// whenever a destination is summarised.
+    /// Maximum of the destinations held in full at once. It is updated after each event and each
+    /// chunk of a list, before destinations are summarised; 0 if `full_destinations` is not set.
     pub most_full: usize,
     /// Idle endpoints, each of which has a summary.
     pub summaries: usize,
--- a/src/idle/binding_state.rs
+++ b/src/idle/binding_state.rs
@@ -22,7 +22,7 @@
     pub health: Health,
     pub budget: SlowStartBudget,
     pub consecutive_failures: u32,
-    pub refused_connections: u32,
+    pub excused_connection_failures: u32,
 }
 
 impl BindingState {
@@ -38,7 +38,7 @@
             paused_until: pacer.paused_until,
             next_call_at: pacer.next_call_at,
             pace_settled_at: pacer.settled_at(),
-            failure_run_started_at: endpoint.failures.run_started_at,
+            failure_run_started_at: endpoint.failures.failure_run_started_at,
             retained_until: match endpoint.status {
                 EndpointStatus::Removed => endpoint.next_check_or_discard_at,
                 _ => 0,
@@ -46,7 +46,7 @@
             health: endpoint.health,
             budget: endpoint.budget,
             consecutive_failures: endpoint.failures.consecutive_failures,
-            refused_connections: endpoint.failures.refused_connections,
+            excused_connection_failures: endpoint.failures.excused_connection_failures,
         };
         state.is_binding(now, warm_up_time).then_some(state)
     }
@@ -58,7 +58,7 @@
             Health::Ejected | Health::HalfOpen => true,
             Health::WarmingUp { since } => now < since.saturating_add(warm_up_time),
         };
-        let has_failures = self.consecutive_failures + self.refused_connections > 0;
+        let has_failures = self.consecutive_failures + self.excused_connection_failures > 0;
         let last_timer_at = self
             .paused_until
             .max(self.pace_settled_at)
@@ -72,8 +72,8 @@
         endpoint.next_check_or_discard_at = self.retained_until;
         endpoint.health = self.health;
         endpoint.budget = self.budget;
-        endpoint.failures.run_started_at = self.failure_run_started_at;
+        endpoint.failures.failure_run_started_at = self.failure_run_started_at;
         endpoint.failures.consecutive_failures = self.consecutive_failures;
-        endpoint.failures.refused_connections = self.refused_connections;
+        endpoint.failures.excused_connection_failures = self.excused_connection_failures;
     }
 }
--- a/src/idle/table.rs
+++ b/src/idle/table.rs
@@ -8,9 +8,10 @@
 /// Number of removed endpoints that a list may discard beyond one per entry. A table that has grown
 /// larger than the list thereby shrinks again.
 const MAX_EXTRA_DISCARDS_PER_LIST: usize = 1_024;
-/// Number of binding states that are checked after each event. It exceeds the number that one event
-/// can add.
-const BINDING_STATES_SWEPT_PER_EVENT: usize = 2;
+/// Upper bound on the binding states that one sweep checks. One event can add more: it may
+/// summarise several destinations or apply a peer's rejection to one, and each destination adds up
+/// to one binding state per endpoint. The table never holds more than one per idle endpoint.
+const BINDING_STATES_PER_SWEEP: usize = 2;
 
 const MIN_ENDPOINT_ID: EndpointId = EndpointId {
     address: [0; 4],
@@ -180,7 +181,7 @@
 
     /// Checks the next binding states and removes those that have no effect any more.
     pub fn sweep(&mut self, now: Micros, warm_up_time: Micros) {
-        for _ in 0..BINDING_STATES_SWEPT_PER_EVENT {
+        for _ in 0..BINDING_STATES_PER_SWEEP {
             let from = self.last_swept.map_or(Bound::Unbounded, Bound::Excluded);
             let next = self.binding_states.range((from, Bound::Unbounded)).next();
             let Some((endpoint, binding_state)) = next else {
--- a/src/model/config.rs
+++ b/src/model/config.rs
@@ -97,7 +97,7 @@
     pub cold_capacity_share: f64,
     /// Time in µs from the return of a destination until it has its whole capacity.
     pub warm_up_time: Micros,
-    /// The load at which a returning destination fails again, as a multiple of its capacity at the moment.
+    /// The load at which a returning destination fails again, as a multiple of its current capacity.
     pub overload_multiple: f64,
     /// Time in µs for which a returning destination must be overloaded to fail again.
     pub overload_window: Micros,
@@ -181,7 +181,7 @@
 
     /// Returns the longest time to live of all delivery classes, in µs; 0 without classes.
     pub fn longest_time_to_live(&self) -> Micros {
-        let lives = self.classes.iter().map(|class| class.time_to_live);
-        lives.max().unwrap_or(0)
+        let times_to_live = self.classes.iter().map(|class| class.time_to_live);
+        times_to_live.max().unwrap_or(0)
     }
 }
--- a/src/model/outcome.rs
+++ b/src/model/outcome.rs
@@ -25,10 +25,10 @@
     /// The request was withdrawn before its last byte was written. The message can't have taken effect, and the
     /// attempt does not count.
     WithdrawnBeforeSend,
-    /// The message did not run at the endpoint. Unlike a withdrawn attempt, the attempt counts, and the message
+    /// The endpoint did not process the message. Unlike a withdrawn attempt, the attempt counts, and the message
     /// backs off.
     NotAttempted {
-        /// Whether the attempt was refused for want of a concurrency permit.
+        /// Whether the attempt was refused for lack of a concurrency permit.
         no_permit: bool,
     },
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,14 +1,14 @@
 //! Admission: the weight of a new message, load shedding, and the final answer to the client of an
 //! undelivered message.
 //!
-//! A message over its tenant's quota has a reduced weight. When the forwarder holds nearly as many
-//! messages as its capacity allows, it sheds the message with the lowest weight in the longest
-//! queue. A waiting message that is shed is rejected with a retry-after if a resubmission does no
-//! harm, and fails otherwise. `destination/attempts.rs` ends messages in two further cases, without
-//! calling this module: a message fails if its next attempt would be too late, or if it was
-//! delivered after its deadline.
+//! A message over its tenant's quota has a reduced weight. When the forwarder holds nearly
+//! `max_messages` messages, it sheds the message with the lowest weight in the longest queue. A
+//! waiting message that is shed is rejected with a retry-after if a resubmission does no harm, and
+//! fails otherwise. `destination/attempts.rs` ends messages in two further cases, without calling
+//! this module: a message fails if its next attempt would be too late, or if it was delivered after
+//! its deadline.
 //!
-//! Times are in µs, quotas in messages per second for the whole fleet. See the design page on
+//! Times are in µs, quotas in messages per second for the whole fleet. See `docs/design.md` on
 //! bounded work and final answers.
 
 use super::retry;
@@ -19,9 +19,9 @@
 
 /// Burst that a tenant's quota allows, in seconds of the quota. Arrivals are uneven.
 const QUOTA_BURST_SECONDS: f64 = 2.0;
-/// Share of the message capacity above which load is shed. Beyond the full capacity, submissions
-/// are refused before the decision core sees them.
-const CAPACITY_SHARE_IN_USE: f64 = 0.95;
+/// Share of `max_messages` above which load is shed. Beyond `max_messages`, submissions are refused
+/// before the decision core sees them.
+const LOAD_SHEDDING_THRESHOLD: f64 = 0.95;
 /// Lower bound on the retry-after of a rejection, in µs, unless `max_retry_after` is shorter.
 const MIN_RETRY_AFTER: Micros = 1_000_000;
 
@@ -81,8 +81,8 @@
 }
 
 /// Returns whether a message must be shed when `message_count` messages are held.
-pub fn is_overloaded(message_count: usize, capacity: u32) -> bool {
-    message_count as f64 > CAPACITY_SHARE_IN_USE * f64::from(capacity)
+pub fn is_overloaded(message_count: usize, max_messages: u32) -> bool {
+    message_count as f64 > LOAD_SHEDDING_THRESHOLD * f64::from(max_messages)
 }
 
 /// A waiting message that the forwarder ends without delivery.
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn is_overloaded_above_95_percent_of_capacity() {
+fn is_overloaded_above_95_percent_of_max_messages() {
     assert!(!is_overloaded(95, 100));
     assert!(is_overloaded(96, 100));
 }
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -61,23 +61,23 @@
 /// Returns the expected latency of an endpoint, in µs.
 ///
 /// While the endpoint has few responses of its own (`own`), the result is blended with the estimate
-/// over all endpoints (`all`).
-pub fn mean_latency(own: &LatencyEstimator, all: &LatencyEstimator) -> f64 {
-    own.blend_with(all, TRUSTED_RESPONSES, |estimate| estimate.mean)
+/// over all endpoints (`overall`).
+pub fn mean_latency(own: &LatencyEstimator, overall: &LatencyEstimator) -> f64 {
+    own.blend_with(overall, TRUSTED_RESPONSES, |estimate| estimate.mean)
 }
 
 /// Returns the time within which an endpoint is expected to respond, in µs: at least
 /// [`SILENCE_THRESHOLD`].
-pub fn latency_bound(own: &LatencyEstimator, all: &LatencyEstimator) -> f64 {
+pub fn latency_bound(own: &LatencyEstimator, overall: &LatencyEstimator) -> f64 {
     let bound = |estimate: &LatencyEstimator| estimate.mean + BOUND_DEVIATIONS * estimate.deviation;
-    own.blend_with(all, TRUSTED_RESPONSES, bound)
+    own.blend_with(overall, TRUSTED_RESPONSES, bound)
         .max(SILENCE_THRESHOLD as f64)
 }
 
 /// Returns the time from which a call counts as slow, in µs; 0 while there is no response to
 /// estimate it from.
-pub fn slow_threshold(own: &LatencyEstimator, all: &LatencyEstimator) -> f64 {
-    own.blend_with(all, TRUSTED_RESPONSES, |estimate| {
+pub fn slow_threshold(own: &LatencyEstimator, overall: &LatencyEstimator) -> f64 {
+    own.blend_with(overall, TRUSTED_RESPONSES, |estimate| {
         estimate.mean + SLOW_DEVIATIONS * estimate.deviation
     })
 }
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -4,9 +4,10 @@
 //! A forwarder has a fixed number of concurrency permits. The calls to a destination are limited to
 //! a share of the permits, which is smaller while any of its endpoints is degraded. All degraded
 //! destinations together are limited to a share as well, so that the rest remains for healthy ones.
-//! The calls to an endpoint are limited to twice the number that its capacity keeps busy.
+//! The calls to an endpoint are limited to one more than twice its calls at capacity: the mean
+//! number in flight when it is called at its capacity.
 //!
-//! See the design page ("calls per destination under a share of slots").
+//! See `docs/design.md` on the limit of calls per destination.
 
 use crate::model::MICROS_PER_SECOND;
 
@@ -16,8 +17,7 @@
 const DEGRADED_SHARE: f64 = 0.5;
 /// Share of the permits that all degraded destinations together may use.
 const ALL_DEGRADED_SHARE: f64 = 0.5;
-/// Limit on the concurrent calls to an endpoint, as a multiple of the calls that its capacity keeps
-/// busy.
+/// Limit on the concurrent calls to an endpoint, as a multiple of its calls at capacity.
 const ENDPOINT_QUEUE_FACTOR: f64 = 2.0;
 /// Lower bound on the limit of an endpoint. Fewer calls give too few outcomes to estimate from.
 const MIN_ENDPOINT_LIMIT: usize = 4;
@@ -41,8 +41,8 @@
 ///
 /// `capacity` is in calls per second, `mean_latency` in µs.
 pub fn endpoint_limit(capacity: f64, mean_latency: f64) -> usize {
-    let busy_calls = capacity * mean_latency / MICROS_PER_SECOND;
-    ((1.0 + ENDPOINT_QUEUE_FACTOR * busy_calls).ceil() as usize).max(MIN_ENDPOINT_LIMIT)
+    let calls_at_capacity = capacity * mean_latency / MICROS_PER_SECOND;
+    ((1.0 + ENDPOINT_QUEUE_FACTOR * calls_at_capacity).ceil() as usize).max(MIN_ENDPOINT_LIMIT)
 }
 
 #[cfg(test)]
--- a/src/policy/concurrency/tests.rs
+++ b/src/policy/concurrency/tests.rs
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn limits_endpoint_to_twice_its_busy_calls() {
-    // 100 calls per second that take 50 ms each keep 5 calls busy.
+fn limits_endpoint_to_one_more_than_twice_its_calls_at_capacity() {
+    // At 100 calls per second that take 50 ms each, 5 calls are in flight on average.
     assert_eq!(endpoint_limit(100.0, 50_000.0), 11);
     assert_eq!(
         endpoint_limit(0.0, 0.0),
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -1,9 +1,10 @@
 //! Whether an ejected endpoint is tried with a health check or with a message.
 //!
 //! An ejected endpoint is tried once its budget holds a call ([`super::slow_start`]). Usually the
-//! trial is a health check, which puts no message at risk. A message is sent instead if the budget
-//! is negligible, if the next call would be too late for the shortest latency objective, and
-//! sometimes at random, because health checks may fail at an endpoint that serves messages.
+//! trial is a health check, which puts no message at risk. A message is sent instead if the
+//! forwarder's share is negligible, if the next call would be too late for the shortest latency
+//! objective, and sometimes at random, because health checks may fail at an endpoint that serves
+//! messages.
 
 use super::slow_start::ForwarderShare;
 use crate::model::{Config, MICROS_PER_SECOND};
--- a/src/policy/health_check/tests.rs
+++ b/src/policy/health_check/tests.rs
@@ -40,6 +40,6 @@
 }
 
 #[test]
-fn chooses_message_if_budget_is_negligible() {
+fn chooses_message_if_share_is_negligible() {
     assert!(!trials(10.0, true).contains(&Trial::HealthCheck));
 }
--- a/src/policy/ordering.rs
+++ b/src/policy/ordering.rs
@@ -5,7 +5,7 @@
 //! attempt with an unknown outcome, and after an attempt that an earlier run of the forwarder left
 //! unfinished, because the endpoint may still be processing the message.
 //!
-//! The operators' rule on order by key requires this.
+//! The operators' service rules require this order and the pauses.
 
 use crate::model::{DestinationId, MessageId, Micros, OrderKey, Outcome};
 use std::collections::{BTreeMap, VecDeque};
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -21,9 +21,10 @@
 /// Number of consecutive failures or rejections from which an endpoint is ejected. Three are seldom
 /// a coincidence.
 const EJECT_AFTER_FAILURES: u32 = 3;
-/// Number of consecutive failures from which an endpoint is ejected if this forwarder's share of it
-/// is negligible, or would be if the endpoint were cold. The retries of a large fleet add up.
-const EJECT_AFTER_FAILURES_NEGLIGIBLE_BUDGET: u32 = 2;
+/// Number of consecutive failures from which an endpoint is ejected if this forwarder's share of
+/// its allowed load is negligible, or would be if the endpoint were cold. The retries of a large
+/// fleet add up.
+const EJECT_AFTER_FAILURES_NEGLIGIBLE_SHARE: u32 = 2;
 /// Upper bound on the consecutive failed connections that are excused while other calls succeed.
 const MAX_EXCUSED_CONNECTION_FAILURES: u32 = 4;
 /// Number of failures in the window from which an endpoint is degraded. One may be a coincidence.
@@ -104,9 +105,9 @@
     /// Time for which a destination must be overloaded to fail, in µs. Rejections over a shorter
     /// time come from a rate limit and not from an outage.
     pub overload_window: Micros,
-    /// Whether this forwarder's share of the endpoint is negligible. For a healthy endpoint:
-    /// whether the share would be negligible if the endpoint were cold.
-    pub is_budget_negligible: bool,
+    /// Whether this forwarder's share of the endpoint's allowed load is negligible. For a healthy
+    /// endpoint: whether the share would be negligible if the endpoint were cold.
+    pub is_share_negligible: bool,
 }
 
 /// Accumulates the outcomes of the attempts at one endpoint, which owns it.
@@ -118,9 +119,9 @@
     /// not counted.
     pub consecutive_failures: u32,
     /// Number of excused connection failures since the last response.
-    pub refused_connections: u32,
+    pub excused_connection_failures: u32,
     /// Time of the first of the consecutive failures; without one, the time of the last outcome.
-    pub run_started_at: Micros,
+    pub failure_run_started_at: Micros,
     /// Time of the last response that accepted or rejected a request, in µs. For a new endpoint,
     /// the owner sets the time from which the grace for failed connections counts.
     pub last_response_at: Micros,
@@ -131,18 +132,18 @@
     pub fn record(&mut self, outcome: Outcome, context: OutcomeContext) -> Verdict {
         let now = context.now;
         if self.consecutive_failures == 0 {
-            self.run_started_at = now;
+            self.failure_run_started_at = now;
         }
         if matches!(outcome, Outcome::Delivered | Outcome::Rejected { .. }) {
-            self.refused_connections = 0;
+            self.excused_connection_failures = 0;
         }
         match outcome {
             Outcome::NoConnection if self.excuses_connection_failure(now) => {
-                self.refused_connections += 1;
+                self.excused_connection_failures += 1;
                 return Verdict::Keep;
             }
             Outcome::WithdrawnBeforeSend | Outcome::NotAttempted { .. } => return Verdict::Keep,
-            Outcome::Cancelled if !context.is_budget_negligible => return Verdict::Keep,
+            Outcome::Cancelled if !context.is_share_negligible => return Verdict::Keep,
             Outcome::Delivered => {
                 self.last_response_at = now;
                 self.consecutive_failures = 0;
@@ -163,7 +164,7 @@
     /// Returns whether a failed connection is excused because other calls have succeeded recently.
     fn excuses_connection_failure(&self, now: Micros) -> bool {
         now < self.last_response_at + CONNECTION_GRACE
-            && self.refused_connections < MAX_EXCUSED_CONNECTION_FAILURES
+            && self.excused_connection_failures < MAX_EXCUSED_CONNECTION_FAILURES
     }
 
     /// Judges the outcomes so far. `is_rejection` describes the outcome that was recorded last.
@@ -173,13 +174,15 @@
         } else {
             0
         };
-        let run_length = self.consecutive_failures.max(self.refused_connections);
+        let run_length = self
+            .consecutive_failures
+            .max(self.excused_connection_failures);
         let is_long_run = run_length >= EJECT_AFTER_FAILURES
-            && context.now >= self.run_started_at + min_run_duration;
-        let is_run_on_negligible_budget = !is_rejection
-            && context.is_budget_negligible
-            && self.consecutive_failures >= EJECT_AFTER_FAILURES_NEGLIGIBLE_BUDGET;
-        if is_long_run || is_run_on_negligible_budget || self.window.has_mostly_failures() {
+            && context.now >= self.failure_run_started_at + min_run_duration;
+        let is_run_on_negligible_share = !is_rejection
+            && context.is_share_negligible
+            && self.consecutive_failures >= EJECT_AFTER_FAILURES_NEGLIGIBLE_SHARE;
+        if is_long_run || is_run_on_negligible_share || self.window.has_mostly_failures() {
             Verdict::Eject
         } else {
             Verdict::Keep
--- a/src/policy/outlier/tests.rs
+++ b/src/policy/outlier/tests.rs
@@ -10,7 +10,7 @@
     OutcomeContext {
         now,
         overload_window: 2 * SECOND,
-        is_budget_negligible: false,
+        is_share_negligible: false,
     }
 }
 
@@ -44,18 +44,18 @@
 }
 
 #[test]
-fn ejects_after_two_failures_if_budget_is_negligible() {
-    let negligible_budget = OutcomeContext {
-        is_budget_negligible: true,
+fn ejects_after_two_failures_if_share_is_negligible() {
+    let negligible_share = OutcomeContext {
+        is_share_negligible: true,
         ..context(NOW)
     };
     let mut failures = FailureAccrual::default();
     assert_eq!(
-        failures.record(Outcome::Error, negligible_budget),
+        failures.record(Outcome::Error, negligible_share),
         Verdict::Keep
     );
     assert_eq!(
-        failures.record(Outcome::Error, negligible_budget),
+        failures.record(Outcome::Error, negligible_share),
         Verdict::Eject
     );
 }
@@ -136,13 +136,13 @@
 }
 
 #[test]
-fn counts_cancelled_attempt_if_budget_is_negligible() {
+fn counts_cancelled_attempt_if_share_is_negligible() {
     let mut failures = FailureAccrual::default();
-    let negligible_budget = OutcomeContext {
-        is_budget_negligible: true,
+    let negligible_share = OutcomeContext {
+        is_share_negligible: true,
         ..context(NOW)
     };
-    failures.record(Outcome::Cancelled, negligible_budget);
+    failures.record(Outcome::Cancelled, negligible_share);
     assert_eq!(failures.consecutive_failures, 1);
 }
 
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -7,7 +7,8 @@
 //!
 //! Intervals and times are in µs, capacities in calls per second for the whole fleet. "Even shares"
 //! as a unit of an interval means multiples of the interval at an even share of the capacity.
-//! Retry-After is handled as in the paper; see `docs/design.md` for the interval.
+//! The handling of Retry-After follows "Implementing Webhooks and Observing Failure Modes"; see
+//! `docs/design.md` for the interval.
 
 use crate::model::{Config, ListedRateAccuracy, Micros, MICROS_PER_SECOND};
 use rand::Rng;
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -20,8 +20,8 @@
 /// own upper bound long before.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// Time before the last permitted send in which a message is no longer sent, in µs. Timers may fire
-/// this late.
+/// Time before `latest_send_at` during which no attempt is started any more, in µs, because timers
+/// may fire this late.
 pub const SEND_MARGIN: Micros = 2 * TIMER_INTERVAL;
 
 /// Returns the delay after a failed attempt, in µs. The first attempt has number 1.
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -96,18 +96,18 @@
 /// Returns the range of latency objectives (`objective_at`) of the messages that may be sent to an
 /// endpoint now.
 ///
-/// The messages share `objective_to_deadline` and `objective_to_last_send`: the times from the
-/// latency objective to the deadline and to the last permitted send, in µs. A message with
+/// The messages share `objective_to_deadline` and `objective_to_latest_send`: the times from the
+/// latency objective to the deadline and to the latest instant to send, in µs. A message with
 /// at-most-once semantics is not sent to a degraded endpoint before the last quarter of its time to
 /// live, because a message that such an endpoint loses can't be repeated.
 pub fn eligible_objectives(
     now: Micros,
     objective_to_deadline: i64,
-    objective_to_last_send: i64,
+    objective_to_latest_send: i64,
     class: &DeliveryClassConfig,
     is_degraded: bool,
 ) -> RangeInclusive<i64> {
-    let earliest = (now + SEND_MARGIN) as i64 - objective_to_last_send + 1;
+    let earliest = (now + SEND_MARGIN) as i64 - objective_to_latest_send + 1;
     let latest = if class.semantics == DeliverySemantics::AtMostOnce && is_degraded {
         let last_resort_time = (class.time_to_live / LAST_RESORT_TIME_TO_LIVE_DIVISOR) as i64;
         now as i64 + last_resort_time - objective_to_deadline - 1
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -6,7 +6,7 @@
 //! even share of the fleet's. If the even share is negligible, half of it is instead earned by the
 //! forwarders that have messages for the endpoint.
 //!
-//! Rates are in calls per second, times in µs. See the design page on returning destinations.
+//! Rates are in calls per second, times in µs. See `docs/design.md` on returning destinations.
 
 use crate::model::{Config, Micros, ServiceRuleConfig, MICROS_PER_SECOND};
 use crate::token_bucket::TokenBucket;
@@ -16,7 +16,7 @@
 /// Number of calls per overload window below which a forwarder's even share is negligible.
 const NEGLIGIBLE_CALLS: f64 = 0.25;
 /// Upper bound on the calls that messages earn while the share is negligible, as a multiple of the
-/// halved share: 1.5 halves.
+/// halved share. 1.5 times the half is three quarters of the even share.
 const MAX_EARNED_SHARES: f64 = 1.5;
 /// Cost of each further message in the same call, in calls.
 const BATCHED_MESSAGE_COST: f64 = 0.15;
--- a/tests/common/oracle.rs
+++ b/tests/common/oracle.rs
@@ -9,9 +9,9 @@
 use opalpulley::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The scope of a limit and of a retry-after: a whole destination, or one of its endpoints where
-/// endpoints have independent limits.
-type Route = (DestinationId, Option<EndpointId>);
+/// Identifies a limit, which a retry-after pauses: that of a whole destination, or of one endpoint
+/// where endpoints have independent limits.
+type LimitKey = (DestinationId, Option<EndpointId>);
 
 /// Records the past events on which the service rules depend. Owned by the world.
 pub struct Oracle {
@@ -21,10 +21,10 @@
     /// Endpoints that drain or have left the list, with the time in µs at which the drain began or
     /// the endpoint left.
     leaving_since: BTreeMap<EndpointId, Micros>,
-    /// End of the retry-after pause of each route, in µs.
-    paused_until: BTreeMap<Route, Micros>,
+    /// End of the retry-after pause under each limit, in µs.
+    paused_until: BTreeMap<LimitKey, Micros>,
     /// Time in µs before which the next message of an order key must not be sent, because an
-    /// attempt at the previous one ended without a clear outcome.
+    /// attempt at the previous one ended with an unknown outcome.
     key_settles_at: BTreeMap<OrderKey, Micros>,
     endpoint_records: BTreeMap<EndpointId, EndpointRecord>,
 }
@@ -65,7 +65,7 @@
         self.config.endpoint_kinds[0].max_batch_size > 1
     }
 
-    fn route(&self, destination: DestinationId, endpoint: EndpointId) -> Route {
+    fn limit_key(&self, destination: DestinationId, endpoint: EndpointId) -> LimitKey {
         let has_own_limit = self.config.endpoint_kinds[0].has_independent_limits;
         (destination, has_own_limit.then_some(endpoint))
     }
@@ -109,8 +109,8 @@
         endpoint: EndpointId,
         retry_after: Micros,
     ) {
-        let route = self.route(destination, endpoint);
-        let paused_until = self.paused_until.entry(route).or_default();
+        let limit_key = self.limit_key(destination, endpoint);
+        let paused_until = self.paused_until.entry(limit_key).or_default();
         *paused_until = (*paused_until).max(now + retry_after);
     }
 
@@ -121,8 +121,8 @@
         record.observe_outcome(now, attempt.sent_at, outcome, has_batches);
     }
 
-    /// Records that an attempt at a message of this key ended without a clear outcome.
-    pub fn observe_unclear_outcome(&mut self, now: Micros, key: OrderKey) {
+    /// Records that an attempt at a message of this key ended with an unknown outcome.
+    pub fn observe_unknown_outcome(&mut self, now: Micros, key: OrderKey) {
         let settles_at = now + self.config.rules.order_settle_time;
         let current = self.key_settles_at.entry(key).or_default();
         *current = settles_at.max(*current);
--- a/tests/common/oracle/endpoint_record.rs
+++ b/tests/common/oracle/endpoint_record.rs
@@ -19,7 +19,7 @@
     /// Times in µs at which the calls were sent whose outcome was counted.
     counted_calls_sent_at: BTreeSet<Micros>,
     is_failing: bool,
-    /// Time in µs since which the forwarder knows whether the endpoint fails.
+    /// Time in µs at which the forwarder last learned that the endpoint fails or has returned.
     state_known_since: Micros,
     /// Time in µs of the first response after an outage.
     returned_at: Option<Micros>,
@@ -86,8 +86,8 @@
         let window_seconds = rules.overload_window as f64 / 1e6;
         let budget = rules.overload_multiple * capacity_share * f64::from(rate) * window_seconds;
         let limit = budget / f64::from(config.fleet_size) + SLACK_CALLS;
-        let is_since_known = |sent_at: &&Micros| **sent_at >= self.state_known_since;
-        let calls = self.calls_sent_at.iter().filter(is_since_known).count();
+        let is_counted = |sent_at: &&Micros| **sent_at >= self.state_known_since;
+        let calls = self.calls_sent_at.iter().filter(is_counted).count();
         if calls as f64 > limit {
             return Err(format!(
                 "{calls} calls to an endpoint that fails or warms up, expected at most {limit}"
--- a/tests/common/oracle/sending.rs
+++ b/tests/common/oracle/sending.rs
@@ -75,7 +75,7 @@
     }
 
     /// Rule: messages of one order key are sent one at a time and in the order of submission, with
-    /// a pause after an attempt without a clear outcome.
+    /// a pause after an attempt with an unknown outcome.
     fn check_order(
         &self,
         now: Micros,
@@ -99,7 +99,7 @@
         let settles_at = self.key_settles_at.get(&key);
         if message.attempts.is_empty() && settles_at.is_some_and(|at| now < *at) {
             return Err(
-                "the order key still settles after an attempt without a clear outcome".into(),
+                "the order key still settles after an attempt with an unknown outcome".into(),
             );
         }
         Ok(())
@@ -124,8 +124,8 @@
         if leaving_since.is_some_and(|since| now > since + drain_grace) {
             return Err("the endpoint drains or has left the list".into());
         }
-        let route = self.route(self.entries[&endpoint].destination, endpoint);
-        let paused_until = self.paused_until.get(&route);
+        let limit_key = self.limit_key(self.entries[&endpoint].destination, endpoint);
+        let paused_until = self.paused_until.get(&limit_key);
         if paused_until.is_some_and(|until| now < *until) {
             return Err("a retry-after pause is in force".into());
         }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -284,12 +284,12 @@
         if outcome == Outcome::Delivered {
             message.completed = true;
         }
-        let is_unclear = matches!(
+        let is_unknown = matches!(
             outcome,
             Outcome::Timeout | Outcome::ConnectionReset | Outcome::Cancelled
         );
-        if let (true, Some(key)) = (is_unclear, self.oracle.order_key(&self.messages[id])) {
-            self.oracle.observe_unclear_outcome(self.now, key);
+        if let (true, Some(key)) = (is_unknown, self.oracle.order_key(&self.messages[id])) {
+            self.oracle.observe_unknown_outcome(self.now, key);
         }
         Ok(())
     }
--- a/tests/idle/bounds.rs
+++ b/tests/idle/bounds.rs
@@ -121,7 +121,7 @@
     assert_eq!(
         world.forwarder.state_counts().summaries,
         1,
-        "expected the replaced endpoint to be forgotten by now"
+        "expected the replaced endpoint to be discarded by now"
     );
     Ok(())
 }
@@ -149,13 +149,13 @@
     }
     deliver_one_by_one(&mut world, 20, 500 * MS)?;
     let sent_at = call_times_after(&world, attempts_before);
-    check_pacing_bound_expires(&mut world)?;
+    check_pacing_restriction_ends(&mut world)?;
     Ok(sent_at.into_iter().map(|at| at - start).collect())
 }
 
 /// Delivers the remaining messages and one more, and checks that pacing no longer restricts the
 /// calls in the next summary.
-fn check_pacing_bound_expires(world: &mut World) -> CheckResult {
+fn check_pacing_restriction_ends(world: &mut World) -> CheckResult {
     for _ in 0..90 {
         world.advance(100 * MS)?;
         world.end_all_attempts(Outcome::Delivered)?;
--- a/tests/idle/histories.rs
+++ b/tests/idle/histories.rs
@@ -40,9 +40,9 @@
     ))
 }
 
-/// The oracle never forgets an endpoint, whereas the core forgets one that has been gone for the
-/// warm-up time. A history that breaks a rule for this reason alone breaks it with all destinations
-/// in full as well, with the same error, and is discarded.
+/// The oracle never discards an endpoint, whereas the core discards one that has been off the list
+/// for the warm-up time. A history that breaks a rule for this reason alone breaks it with all
+/// destinations in full as well, with the same error, and does not count as a case.
 #[test]
 fn keeps_service_rules_with_summaries_as_in_full() {
     check_property(20_261_203, 60, |seed| {
--- a/tests/idle/large_lists.rs
+++ b/tests/idle/large_lists.rs
@@ -79,7 +79,7 @@
 
 /// The destination numbers exceed 65,536.
 #[test]
-fn bounds_destinations_in_full_and_forgets_all_state_of_100_000_entries() {
+fn bounds_destinations_in_full_and_discards_all_state_of_100_000_entries() {
     let mut forwarder = forwarder();
     for now in [0, 1_000 * MS] {
         report_complete(
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -116,7 +116,7 @@
 /// A health check uses up a call of the slow-start budget, and the next call follows only seconds
 /// later. A message makes better use of the call.
 #[test]
-fn sends_message_as_health_check_under_small_slow_start_budget() -> CheckResult {
+fn sends_message_instead_of_health_check_under_small_slow_start_budget() -> CheckResult {
     let mut world = World::new(config_in_fleet(60), vec![listed_endpoint(1, 0, 60.0)]);
     for _ in 0..4 {
         let id = world.submit_with_time_left(IDEMPOTENT, 0, 60_000 * MS)?;
--- a/tests/rules/admission.rs
+++ b/tests/rules/admission.rs
@@ -1,10 +1,10 @@
-//! Admission of messages, and load shedding near the capacity.
+//! Admission of messages, and load shedding near `max_messages`.
 
 use super::common::*;
 use opalpulley::*;
 
 #[test]
-fn rejects_lowest_weight_message_near_capacity() -> CheckResult {
+fn rejects_lowest_weight_message_near_max_messages() -> CheckResult {
     let mut config = config();
     config.max_messages = 20;
     let mut world = World::new(config, vec![listed_endpoint(1, 0, 2.0)]);
