--- a/crates/config/src/start_object.rs
+++ b/crates/config/src/start_object.rs
@@ -106,7 +106,7 @@
     /// Upper bound on the number of messages that the forwarder holds; at least 1.
     #[serde(rename = "MaxOpen")]
     pub max_messages: u32,
-    /// Upper bound on the retry-after that clients honour, in µs.
+    /// Upper bound on the retry-after that clients honor, in µs.
     #[serde(rename = "MaxRetryAfterUs", default)]
     pub max_retry_after: Micros,
     /// Whether health checks may be sent.
--- a/crates/forwarder/src/clients/connection.rs
+++ b/crates/forwarder/src/clients/connection.rs
@@ -82,7 +82,7 @@
     let log = service.submission_service.log.clone();
     let state = service.state.clone();
     if let Err(error) = socket.set_nodelay(true) {
-        debug!(log, "client connection closed before it was served"; "problem" => %error);
+        debug!(log, "client connection served without TCP_NODELAY: the option could not be set"; "problem" => %error);
     }
     let stream = ClientStream::new(socket, state.clone());
     let connection = http1::Builder::new()
--- a/crates/forwarder/src/clients/listener.rs
+++ b/crates/forwarder/src/clients/listener.rs
@@ -36,7 +36,7 @@
                 accepted = accept(listener.as_ref(), has_capacity) => match accepted {
                     Ok(socket) => connections.admit(socket),
                     Err(error) => {
-                        warn!(self.submission_service.log, "accepting a client connection failed"; "problem" => %error);
+                        warn!(self.submission_service.log, "client connection could not be accepted"; "problem" => %error);
                         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 },
--- a/crates/forwarder/src/clients/open_connections.rs
+++ b/crates/forwarder/src/clients/open_connections.rs
@@ -123,7 +123,7 @@
     /// Requests the close of the connection that has waited longest for its first request, or else of the one that has
     /// been idle longest, or else of the one that has been reading a head longest. Otherwise new clients would be
     /// locked out by rarely used connections. A connection that has received a whole head is never closed, because its
-    /// message may already be accepted (rule 1). Returns whether a close was requested.
+    /// message may already be accepted (service rule 1). Returns whether a close was requested.
     fn evict_least_used(&self) -> bool {
         let open_states = self
             .states
--- a/crates/forwarder/src/completion_reports.rs
+++ b/crates/forwarder/src/completion_reports.rs
@@ -146,7 +146,10 @@
     ) -> Result<(), DispatcherEnded> {
         queue.max_batch_reports = MAX_BATCH_REPORTS;
         if queue.reachability.update(Reachability::Reachable) {
-            info!(self.log, "platform acknowledged completion reports again");
+            info!(
+                self.log,
+                "completion reports acknowledged by the platform again"
+            );
         }
         let acknowledged = queue.unacknowledged.drain(..batch_len);
         let serials = acknowledged.map(|report| report.serial).collect();
@@ -166,7 +169,7 @@
     /// the request has waited already.
     async fn handle_failure(&self, queue: &mut ReportQueue, error: PlatformError) {
         if queue.reachability.update(Reachability::Unreachable) {
-            warn!(self.log, "platform did not acknowledge completion reports"; "problem" => %error);
+            warn!(self.log, "completion reports not acknowledged by the platform; they will be sent again"; "problem" => %error);
         }
         if !matches!(error, PlatformError::Timeout) {
             tokio::time::sleep(RETRY_DELAY).await;
--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -95,7 +95,7 @@
 
 /// The mailboxes and shared state through which the dispatcher reaches the other actors.
 pub struct ActorHandles {
-    /// The configuration and resources that all endpoint actors share.
+    /// The state that all endpoint actors share.
     pub context: Arc<EndpointContext>,
     /// The mailbox of the endpoint-list watch.
     pub list_watch: mpsc::Sender<EndpointListCommand>,
@@ -110,7 +110,7 @@
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher without messages. `seed` initialises the core's random number generator.
+    /// Creates a dispatcher without messages. `seed` initializes the core's random number generator.
     pub fn new(
         config: Config,
         seed: u64,
@@ -255,7 +255,7 @@
     /// already accepted.
     fn log_journal_error(&self, result: Result<(), JournalError>) {
         if let Err(error) = result {
-            error!(self.log, "journal write failed"; "problem" => %error);
+            error!(self.log, "journal write failed; a restart may not recover this change of a message"; "problem" => %error);
         }
     }
 }
--- a/crates/forwarder/src/dispatcher/attempts.rs
+++ b/crates/forwarder/src/dispatcher/attempts.rs
@@ -50,7 +50,7 @@
             return;
         }
         if self.send_endpoint_command(endpoint, EndpointCommand::StartAttempt(Box::new(request))) {
-            self.record_attempt_start(id, outstanding);
+            self.add_outstanding_attempt(id, outstanding);
             return;
         }
         let end_written = self
@@ -60,7 +60,7 @@
         self.queue_not_attempted(id, outstanding);
     }
 
-    fn record_attempt_start(&mut self, id: MessageId, attempt: OutstandingAttempt) {
+    fn add_outstanding_attempt(&mut self, id: MessageId, attempt: OutstandingAttempt) {
         self.endpoint_actors.attempt_started(attempt.endpoint);
         if let Some(message) = self.in_flight.get_mut(id) {
             message.outstanding_attempts.push(attempt);
@@ -146,7 +146,7 @@
                 .record_attempt_end(serial, attempt_index, may_have_taken_effect)
         };
         self.log_journal_error(end_written);
-        self.in_flight.remove_if_finished(id);
+        self.in_flight.remove_if_possible(id);
     }
 }
 
--- a/crates/forwarder/src/dispatcher/completion.rs
+++ b/crates/forwarder/src/dispatcher/completion.rs
@@ -23,7 +23,7 @@
         let written = self.journal.record_pending_report(report.serial, ending);
         self.log_journal_error(written);
         self.send_report(report, is_ordered.then_some(id));
-        self.in_flight.remove_if_finished(id);
+        self.in_flight.remove_if_possible(id);
     }
 
     /// Ends a message without a completion report, because its client gets the answer itself or has disconnected. Does
@@ -36,7 +36,7 @@
         let serial = message.serial;
         let written = self.journal.record_message_end(serial);
         self.log_journal_error(written);
-        self.in_flight.remove_if_finished(id);
+        self.in_flight.remove_if_possible(id);
     }
 
     /// Hands a completion report to the actor that sends it until the platform acknowledges it. `ordered_message` is the
--- a/crates/forwarder/src/dispatcher/in_flight.rs
+++ b/crates/forwarder/src/dispatcher/in_flight.rs
@@ -1,10 +1,11 @@
-//! The messages in flight: accepted, and not yet finished.
+//! The messages in flight: those whose ending is not decided or that have an outstanding attempt.
 
 use crate::protocol::SubmittedMessage;
 use opalpulley::{EndpointId, MessageId, Micros};
 use std::collections::BTreeMap;
 
-/// A message that is not finished. It is finished once its ending is decided and none of its attempts is outstanding.
+/// A message in flight. It is removed from the table once its ending is decided and none of its attempts is
+/// outstanding. The journal may keep it longer, until its completion report is acknowledged.
 pub struct InFlightMessage {
     /// Serial number of the message in the journal.
     pub serial: u64,
@@ -46,7 +47,7 @@
         attempt_index
     }
 
-    fn is_finished(&self) -> bool {
+    fn can_be_removed(&self) -> bool {
         self.ending_decided && self.outstanding_attempts.is_empty()
     }
 }
@@ -115,7 +116,7 @@
             .any(|message| !message.outstanding_attempts.is_empty())
     }
 
-    /// Returns an id that no message in flight has. An id may be reused once its message is finished.
+    /// Returns an id that no message in flight has. An id may be reused once its message has been removed.
     pub fn unused_id(&mut self) -> MessageId {
         loop {
             self.last_id = self.last_id.wrapping_add(1);
@@ -133,9 +134,9 @@
         self.messages.insert(id, message);
     }
 
-    /// Removes a message if it is finished.
-    pub fn remove_if_finished(&mut self, id: MessageId) {
-        if !self.get(id).is_some_and(InFlightMessage::is_finished) {
+    /// Removes a message if its ending is decided and none of its attempts is outstanding.
+    pub fn remove_if_possible(&mut self, id: MessageId) {
+        if !self.get(id).is_some_and(InFlightMessage::can_be_removed) {
             return;
         }
         if let Some(message) = self.messages.remove(&id) {
--- a/crates/forwarder/src/endpoint_list/golden_tests.rs
+++ b/crates/forwarder/src/endpoint_list/golden_tests.rs
@@ -1,5 +1,5 @@
 //! Checks that the exchange with discovery stays the same: the bytes of the requests for the complete list and for a
-//! watch, and the events that each recorded answer is decoded to.
+//! watch, and the events that each recorded response is decoded to.
 
 use super::*;
 use crate::commands::{DispatcherCommand, EndpointListCommand};
@@ -60,14 +60,14 @@
     }
 }
 
-/// Answers the requests of one actor in turn. Returns the bytes of each request, including the one after the last
-/// answer, and the events that the answers led to.
+/// Responds to the requests of one actor in turn. Returns the bytes of each request, including the one after the last
+/// response, and the events that the responses led to.
 async fn exchange(input: &Value) -> Value {
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
         .expect("the listener is bound");
     let address = listener.local_addr().expect("the listener has an address");
-    let (_address_sender, discovery) = watch::channel(address);
+    let (_address_sender, agent_address) = watch::channel(address);
     let (dispatcher, mut events) = mpsc::channel(64);
     let (commands, command_receiver) = mpsc::channel(4);
     let must_be_polled = input["must be asked"] == true;
@@ -76,7 +76,7 @@
     let table = EndpointTable::default();
     let list_watch = EndpointListWatch {
         platform,
-        discovery,
+        agent_address,
         names: names(),
         table,
         must_be_polled,
@@ -86,10 +86,10 @@
     tokio::spawn(list_watch.run(command_receiver));
     let mut requests = Vec::new();
     let mut rendered_events = Vec::new();
-    let answers = input["answers"]
+    let responses = input["answers"]
         .as_array()
-        .expect("the input has a list of answers");
-    for answer in answers.iter().map(Some).chain([None]) {
+        .expect("the input has a list of responses");
+    for response in responses.iter().map(Some).chain([None]) {
         let (mut stream, _) = tokio::time::timeout(TIMEOUT, listener.accept())
             .await
             .expect("the exchange continues within 10 s")
@@ -110,23 +110,23 @@
                 .replace(&address.to_string(), "127.0.0.1:PORT")
                 .as_bytes(),
         ));
-        // A request arrives once the answer before it has been handled.
+        // A request arrives once the response before it has been handled.
         while let Ok(event) = events.try_recv() {
             rendered_events.push(render_event(event));
         }
-        let Some(answer) = answer else { break };
-        let status = answer["status"].as_str().unwrap_or("200 OK");
-        let body = answer["body"].as_str().unwrap_or("");
-        let length = answer["announced length"]
+        let Some(response) = response else { break };
+        let status = response["status"].as_str().unwrap_or("200 OK");
+        let body = response["body"].as_str().unwrap_or("");
+        let length = response["announced length"]
             .as_u64()
             .unwrap_or(body.len() as u64);
-        let answer = format!(
+        let response = format!(
             "HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
         );
         stream
-            .write_all(answer.as_bytes())
+            .write_all(response.as_bytes())
             .await
-            .expect("the answer is written");
+            .expect("the response is written");
         if must_be_polled {
             let event = tokio::time::timeout(TIMEOUT, events.recv())
                 .await
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn sends_golden_requests_and_decodes_golden_answers() {
+async fn sends_golden_requests_and_decodes_golden_responses() {
     let mut golden = GoldenCases::read("endpoint-list.json");
     for input in golden.inputs() {
         golden.compare_next(exchange(&input).await);
--- a/crates/forwarder/src/endpoint_list/watch.rs
+++ b/crates/forwarder/src/endpoint_list/watch.rs
@@ -1,7 +1,7 @@
 //! The actor that gets the endpoint list. It fetches the complete list once and then watches for changes with long
 //! polls.
 //!
-//! Where discovery reports changes by itself, the actor polls again right after each answer. Where discovery must be
+//! Where discovery reports changes by itself, the actor polls again right after each response. Where discovery must be
 //! polled, each poll has a cost, so the actor polls only when the dispatcher requests it, and reports each failure to
 //! the dispatcher.
 
@@ -19,21 +19,21 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Upper bound on the time that the agent waits for a change before it answers a watch. It bounds how long a watch that
-/// has fallen silent goes unnoticed.
+/// Upper bound on the time that the agent waits for a change before it responds to a watch. It bounds how long a watch
+/// that has fallen silent goes unnoticed.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(5);
 
 /// Upper bound on the duration of a fetch, and on how much longer than the requested wait a watch may take. The agent
 /// runs on the same machine.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Counterpart of [`MAX_WATCH_WAIT`] where discovery must be polled. The next poll comes later there, so silence must
 /// be noticed sooner.
 const POLLED_MAX_WATCH_WAIT: Duration = Duration::from_secs(2);
 
-/// Counterpart of [`ANSWER_TIMEOUT`] where discovery must be polled. The core relies on the sum of the wait and this
+/// Counterpart of [`RESPONSE_TIMEOUT`] where discovery must be polled. The core relies on the sum of the wait and this
 /// timeout, which is [`MAX_POLL_SILENCE`].
-const POLLED_ANSWER_TIMEOUT: Duration =
+const POLLED_RESPONSE_TIMEOUT: Duration =
     Duration::from_micros(MAX_POLL_SILENCE).saturating_sub(POLLED_MAX_WATCH_WAIT);
 
 /// Upper bound on the duration of a poll where discovery must be polled, including the time that it continues in the
@@ -46,10 +46,10 @@
 
 /// The actor that gets the endpoint list.
 pub struct EndpointListWatch {
-    /// A connection to the platform's agent.
+    /// The client of the platform's agent.
     pub platform: PlatformClient,
     /// The address of the agent. A change takes effect at once, also during a poll.
-    pub discovery: watch::Receiver<SocketAddr>,
+    pub agent_address: watch::Receiver<SocketAddr>,
     /// The names of zones and endpoint kinds in the settings.
     pub names: Names,
     /// The known list.
@@ -76,8 +76,8 @@
     /// Whether the latest poll succeeded. Only a change of this state is logged.
     reachability: Reachability,
     /// The latest poll that timed out, which continues in the background. It is dropped once a later poll succeeds, or
-    /// replaced once a later poll times out. An overloaded discovery answers late: dropping its answers and polling
-    /// again would add load without ever getting an answer in time.
+    /// replaced once a later poll times out. An overloaded discovery responds late: dropping its responses and polling
+    /// again would add load without ever getting a response in time.
     late_poll: Option<PollInFlight>,
 }
 
@@ -110,7 +110,7 @@
     /// The revision after which changes are requested, and the maximum time that the agent may wait for one. `None`
     /// requests the complete list.
     watch: Option<(u64, Duration)>,
-    /// Upper bound on the time until the whole answer is read.
+    /// Upper bound on the time until the whole response is read.
     timeout: Duration,
 }
 
@@ -125,14 +125,14 @@
 
 /// The way in which a poll ended.
 enum PollOutcome {
-    /// The poll was answered, failed or timed out.
+    /// The poll got a response, failed or timed out.
     Finished(PollResult),
     /// The poll was dropped, because no poll, a fetch in place of a watch, or a poll of another address is wanted.
     Superseded,
 }
 
-/// The signal to stop the actor: the dispatcher has ended, so nothing needs the list any more.
-struct DispatcherStopped;
+/// The dispatcher has ended, so that the list is no longer needed.
+struct DispatcherEnded;
 
 impl EndpointListWatch {
     /// Runs the actor until the dispatcher ends.
@@ -155,7 +155,7 @@
         &mut self,
         state: &mut WatchState,
         commands: &mut mpsc::Receiver<EndpointListCommand>,
-    ) -> Result<(), DispatcherStopped> {
+    ) -> Result<(), DispatcherEnded> {
         if !state.poll_wanted() {
             return self.handle_next_input(state, commands).await;
         }
@@ -175,10 +175,10 @@
         &mut self,
         state: &mut WatchState,
         commands: &mut mpsc::Receiver<EndpointListCommand>,
-    ) -> Result<(), DispatcherStopped> {
+    ) -> Result<(), DispatcherEnded> {
         tokio::select! {
-            command = commands.recv() => state.handle_command(command.ok_or(DispatcherStopped)?),
-            Ok(()) = self.discovery.changed() => self.handle_address_change(state),
+            command = commands.recv() => state.handle_command(command.ok_or(DispatcherEnded)?),
+            Ok(()) = self.agent_address.changed() => self.handle_address_change(state),
             result = state.late_result() => self.apply_late_result(state, result).await?,
         }
         Ok(())
@@ -189,7 +189,7 @@
         &mut self,
         state: &mut WatchState,
         commands: &mut mpsc::Receiver<EndpointListCommand>,
-    ) -> Result<PollOutcome, DispatcherStopped> {
+    ) -> Result<PollOutcome, DispatcherEnded> {
         let request = self.next_request(state);
         let mut poll = self.start_poll(&request);
         let timeout = tokio::time::sleep(request.timeout);
@@ -210,8 +210,8 @@
                     }
                     return Ok(PollOutcome::Finished(Err(PlatformError::Timeout)));
                 }
-                command = commands.recv() => state.handle_command(command.ok_or(DispatcherStopped)?),
-                Ok(()) = self.discovery.changed() => {
+                command = commands.recv() => state.handle_command(command.ok_or(DispatcherEnded)?),
+                Ok(()) = self.agent_address.changed() => {
                     self.handle_address_change(state);
                     return Ok(PollOutcome::Superseded);
                 }
@@ -226,20 +226,20 @@
     fn next_request(&self, state: &WatchState) -> PollRequest {
         // Where discovery must be polled, a fetch may take as long as a watch, because giving it up would waste its
         // cost.
-        let (max_wait, answer_timeout, fetch_timeout) = if self.must_be_polled {
-            let max_poll_duration = POLLED_MAX_WATCH_WAIT + POLLED_ANSWER_TIMEOUT;
+        let (max_wait, response_timeout, fetch_timeout) = if self.must_be_polled {
+            let max_poll_duration = POLLED_MAX_WATCH_WAIT + POLLED_RESPONSE_TIMEOUT;
             (
                 POLLED_MAX_WATCH_WAIT,
-                POLLED_ANSWER_TIMEOUT,
+                POLLED_RESPONSE_TIMEOUT,
                 max_poll_duration,
             )
         } else {
-            (MAX_WATCH_WAIT, ANSWER_TIMEOUT, ANSWER_TIMEOUT)
+            (MAX_WATCH_WAIT, RESPONSE_TIMEOUT, RESPONSE_TIMEOUT)
         };
         match self.table.revision {
             Some(revision) if !state.fetch_wanted => PollRequest {
                 watch: Some((revision, max_wait)),
-                timeout: max_wait + answer_timeout,
+                timeout: max_wait + response_timeout,
             },
             _ => PollRequest {
                 watch: None,
@@ -260,10 +260,10 @@
         let replacement = self.platform.clone_without_connection();
         let mut platform = std::mem::replace(&mut self.platform, replacement);
         Box::pin(async move {
-            let answer = platform
+            let response = platform
                 .request(Method::GET, &path, Default::default(), timeout)
                 .await;
-            let result = answer.and_then(decode_document);
+            let result = response.and_then(decode_document);
             (platform, result)
         })
     }
@@ -273,7 +273,7 @@
         &mut self,
         state: &mut WatchState,
         document: EndpointListDocument,
-    ) -> Result<(), DispatcherStopped> {
+    ) -> Result<(), DispatcherEnded> {
         if state.reachability.update(Reachability::Reachable) {
             info!(self.log, "endpoint list received again"; "revision" => document.revision);
         }
@@ -284,12 +284,12 @@
     }
 
     /// Applies the result of a poll that timed out, unless a later revision is known. The watch continues from the
-    /// revision of that result, so that discovery need not answer another poll for it.
+    /// revision of that result, so that discovery need not respond to another poll for it.
     async fn apply_late_result(
         &mut self,
         state: &mut WatchState,
         result: PollResult,
-    ) -> Result<(), DispatcherStopped> {
+    ) -> Result<(), DispatcherEnded> {
         // The failure was already reported when the poll timed out.
         let Ok(document) = result else {
             return Ok(());
@@ -311,9 +311,9 @@
         &mut self,
         state: &mut WatchState,
         error: PlatformError,
-    ) -> Result<(), DispatcherStopped> {
+    ) -> Result<(), DispatcherEnded> {
         if state.reachability.update(Reachability::Unreachable) {
-            warn!(self.log, "endpoint list poll failed"; "problem" => %error);
+            warn!(self.log, "endpoint list not updated: the poll failed"; "problem" => %error);
         }
         if self.must_be_polled {
             state.watch_wanted = false;
@@ -327,18 +327,18 @@
         Ok(())
     }
 
-    async fn send_update(&self, update: EndpointListUpdate) -> Result<(), DispatcherStopped> {
+    async fn send_update(&self, update: EndpointListUpdate) -> Result<(), DispatcherEnded> {
         let event = DispatcherCommand::Event(Event::EndpointListUpdated(update));
         self.dispatcher
             .send(event)
             .await
-            .map_err(|_| DispatcherStopped)
+            .map_err(|_| DispatcherEnded)
     }
 
     /// Switches to the agent's new address. The agent there counts its own revisions, so the complete list is fetched
     /// again. The list from the previous address stays in use until then.
     fn handle_address_change(&mut self, state: &mut WatchState) {
-        let address = *self.discovery.borrow_and_update();
+        let address = *self.agent_address.borrow_and_update();
         self.platform.set_address(address);
         self.table.revision = None;
         state.fetch_wanted = true;
@@ -346,11 +346,11 @@
     }
 }
 
-fn decode_document(answer: PlatformResponse) -> PollResult {
-    if answer.status != StatusCode::OK {
-        return Err(PlatformError::Status(answer.status));
+fn decode_document(response: PlatformResponse) -> PollResult {
+    if response.status != StatusCode::OK {
+        return Err(PlatformError::Status(response.status));
     }
-    serde_json::from_slice(&answer.body).map_err(PlatformError::Decode)
+    serde_json::from_slice(&response.body).map_err(PlatformError::Decode)
 }
 
 #[cfg(test)]
--- a/crates/forwarder/src/endpoint_list/watch/tests.rs
+++ b/crates/forwarder/src/endpoint_list/watch/tests.rs
@@ -29,7 +29,7 @@
         .await
         .expect("the listener is bound");
     let address = agent.local_addr().expect("the listener has an address");
-    let (_address_sender, discovery) = watch::channel(address);
+    let (_address_sender, agent_address) = watch::channel(address);
     let (commands, command_receiver) = mpsc::channel(4);
     let (dispatcher, _events) = mpsc::channel(4);
     let mut table = EndpointTable::default();
@@ -38,7 +38,7 @@
     let platform = PlatformClient::new(address);
     let list_watch = EndpointListWatch {
         platform,
-        discovery,
+        agent_address,
         names: names(),
         table,
         must_be_polled: true,
@@ -78,20 +78,20 @@
     );
 }
 
-/// A watch may fall silent right after it was opened, or within its answer. Two seconds after the requested wait, the
+/// A watch may fall silent right after it was opened, or within its response. Two seconds after the requested wait, the
 /// forwarder counts as notified of changes that it misses. The next watch must be open by then.
 #[tokio::test(start_paused = true)]
 async fn reopens_silent_watch_before_notification_deadline() {
-    for answer in [
+    for partial_response in [
         "",
         "HTTP/1.1 200 OK\r\nContent-",
         "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"revision\":2,",
     ] {
-        assert_silent_watch_is_reopened(answer).await;
+        assert_silent_watch_is_reopened(partial_response).await;
     }
 }
 
-async fn assert_silent_watch_is_reopened(partial_answer: &'static str) {
+async fn assert_silent_watch_is_reopened(partial_response: &'static str) {
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
         .expect("the listener is bound");
@@ -118,28 +118,28 @@
                         .await
                         .expect("the test receives the watches");
                     stream
-                        .write_all(partial_answer.as_bytes())
+                        .write_all(partial_response.as_bytes())
                         .await
-                        .expect("the partial answer is written");
+                        .expect("the partial response is written");
                     break silent.push(stream);
                 }
                 let list = r#"{"revision":1,"complete":true,"members":[]}"#;
-                let answer = format!(
+                let response = format!(
                     "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
                     list.len()
                 );
                 stream
-                    .write_all(answer.as_bytes())
+                    .write_all(response.as_bytes())
                     .await
-                    .expect("the answer is written");
+                    .expect("the response is written");
             }
         }
     });
     let (dispatcher, _events) = mpsc::channel(8);
-    let (_address_sender, discovery) = watch::channel(address);
+    let (_address_sender, agent_address) = watch::channel(address);
     let list_watch = EndpointListWatch {
         platform: PlatformClient::new(address),
-        discovery,
+        agent_address,
         names: names(),
         table: EndpointTable::default(),
         must_be_polled: false,
@@ -156,7 +156,7 @@
     let notified_after = Duration::from_millis(max_wait) + Duration::from_secs(2);
     assert!(
         reopened_at - opened_at < notified_after + Duration::from_millis(50),
-        "after the answer {partial_answer:?} the watch was reopened after {:?}",
+        "after the response {partial_response:?} the watch was reopened after {:?}",
         reopened_at - opened_at
     );
 }
@@ -174,16 +174,16 @@
     }
 }
 
-/// Starts an agent that gives one answer on each connection, whole or cut off after the given number of bytes, and then
-/// closes the connection. After the last answer it accepts connections but does not answer.
-async fn start_agent(answers: Vec<(String, Option<usize>)>) -> SocketAddr {
+/// Starts an agent that gives one response on each connection, whole or cut off after the given number of bytes, and then
+/// closes the connection. After the last response it accepts connections but does not respond.
+async fn start_agent(responses: Vec<(String, Option<usize>)>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
         .expect("the listener is bound");
     let address = listener.local_addr().expect("the listener has an address");
     tokio::spawn(async move {
         let mut silent = Vec::new(); // connections that are kept open
-        for (body, cut_at) in answers {
+        for (body, cut_at) in responses {
             let (mut stream, _) = listener.accept().await.expect("a connection is accepted");
             let mut head = vec![0; 1024];
             assert!(
@@ -200,11 +200,11 @@
             stream
                 .write_all(response_head.as_bytes())
                 .await
-                .expect("the answer is written");
+                .expect("the response is written");
             stream
                 .write_all(&body.as_bytes()[..cut_at.unwrap_or(body.len())])
                 .await
-                .expect("the answer is written");
+                .expect("the response is written");
         }
         loop {
             silent.push(listener.accept().await.expect("a connection is accepted"));
@@ -234,10 +234,10 @@
     let half_list = list((0..MEMBER_COUNT).step_by(2).map(member).collect());
     let unreadable =
         |from: &str, to: &str| list(vec![member(1), member(2).replace(from, to), member(3)]);
-    let mut answers = vec![(complete_list.clone(), None), (half_list.clone(), None)];
-    answers.push((complete_list[..complete_list.len() / 2].to_owned(), None));
-    answers.push((complete_list.clone(), Some(complete_list.len() / 2)));
-    answers.extend(
+    let mut responses = vec![(complete_list.clone(), None), (half_list.clone(), None)];
+    responses.push((complete_list[..complete_list.len() / 2].to_owned(), None));
+    responses.push((complete_list.clone(), Some(complete_list.len() / 2)));
+    responses.extend(
         [
             ("Ready", "Sideways"),
             (":80", ""),
@@ -247,14 +247,14 @@
         ]
         .map(|(from, to)| (unreadable(from, to), None)),
     );
-    answers.extend([(half_list, None), (complete_list, None)]);
-    let address = start_agent(answers).await;
+    responses.extend([(half_list, None), (complete_list, None)]);
+    let address = start_agent(responses).await;
     let line_count = std::sync::Arc::default();
     let (dispatcher, mut events) = mpsc::channel(4);
-    let (_address_sender, discovery) = watch::channel(address);
+    let (_address_sender, agent_address) = watch::channel(address);
     let list_watch = EndpointListWatch {
         platform: PlatformClient::new(address),
-        discovery,
+        agent_address,
         names: names(),
         table: EndpointTable::default(),
         must_be_polled: false,
--- a/crates/forwarder/src/endpoints.rs
+++ b/crates/forwarder/src/endpoints.rs
@@ -41,7 +41,7 @@
     async fn send_event(&self, event: Event) {
         let command = DispatcherCommand::Event(event);
         if self.dispatcher.send(command).await.is_err() {
-            debug!(self.log, "event dropped: the dispatcher has ended");
+            debug!(self.log, "endpoint event dropped: the dispatcher has ended");
         }
     }
 }
--- a/crates/forwarder/src/endpoints/attempt.rs
+++ b/crates/forwarder/src/endpoints/attempt.rs
@@ -59,7 +59,7 @@
 pub struct AttemptResult {
     /// The outcome of the request.
     pub outcome: Outcome,
-    /// Whether the message is complete, so that no further attempt is wanted.
+    /// Whether the message is completed, so that no further attempt is needed.
     pub completed: bool,
     /// The load that the endpoint reported, in the order of the settings. Empty if it reported none.
     pub load_report: Vec<f32>,
@@ -114,7 +114,7 @@
         let result = match request {
             Ok(request) => self.exchange(request).run(idle, stop_requests).await,
             Err(error) => {
-                error!(self.context.log, "request to an endpoint could not be encoded"; "problem" => %error);
+                error!(self.context.log, "attempt or health check not sent: its request could not be encoded"; "problem" => %error);
                 Err(AttemptError {
                     stage: AttemptStage::Writing,
                     cause: FailureCause::ConnectionLost,
--- a/crates/forwarder/src/endpoints/connection.rs
+++ b/crates/forwarder/src/endpoints/connection.rs
@@ -98,22 +98,22 @@
 
     fn call(&mut self, request: EndpointRequest) -> Self::Future {
         let stream_state = self.stream_state.clone();
-        let request_length = request.wire_bytes;
+        let wire_bytes = request.wire_bytes;
         let response = self.http.sender.send_request(request.http_request);
         Box::pin(async move {
             response.await.map_err(|_| AttemptError {
-                stage: stage_reached(stream_state.request_bytes_written(), request_length),
+                stage: stage_reached(stream_state.request_bytes_written(), wire_bytes),
                 cause: FailureCause::ConnectionLost,
             })
         })
     }
 }
 
-/// Returns the stage of a request of `request_length` bytes whose connection ended after `bytes_written` of them.
-fn stage_reached(bytes_written: u64, request_length: u64) -> AttemptStage {
+/// Returns the stage of a request of `wire_bytes` bytes whose connection ended after `bytes_written` of them.
+fn stage_reached(bytes_written: u64, wire_bytes: u64) -> AttemptStage {
     if bytes_written == 0 {
         AttemptStage::Connecting
-    } else if bytes_written < request_length {
+    } else if bytes_written < wire_bytes {
         AttemptStage::Writing
     } else {
         AttemptStage::Written
--- a/crates/forwarder/src/main.rs
+++ b/crates/forwarder/src/main.rs
@@ -70,7 +70,7 @@
     match run_to_end(startup, &log) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            error!(log, "forwarder failed"; "problem" => %error);
+            error!(log, "forwarder could not be started"; "problem" => %error);
             ExitCode::FAILURE
         }
     }
--- a/crates/forwarder/src/protocol/completion_report.rs
+++ b/crates/forwarder/src/protocol/completion_report.rs
@@ -1,11 +1,11 @@
-//! Completion reports: the messages that ended without delivery, sent to the platform as one JSON object per line.
+//! Completion reports, which tell the platform how messages ended without delivery. Each is a JSON object on one line.
 
 use bytes::Bytes;
 use opalpulley::Micros;
 use opalpulley_config::MICROS_PER_MILLI;
 use serde::{Deserialize, Serialize};
 
-/// Path at which the platform takes completion reports.
+/// Path at which the platform receives completion reports.
 pub const COMPLETION_REPORTS_PATH: &str = "/v1/outcomes";
 
 const STATUS_FAILED: &str = "undeliverable";
@@ -24,7 +24,7 @@
     },
 }
 
-/// One line of a report, about one message.
+/// The JSON object of one completion report.
 #[derive(Serialize)]
 struct ReportLine<'a> {
     #[serde(rename = "id")]
@@ -36,7 +36,7 @@
 }
 
 impl<'a> ReportLine<'a> {
-    /// Returns the line of a message. A retry-after is rounded up to whole milliseconds.
+    /// Creates the report of a message. A retry-after is rounded up to whole milliseconds.
     fn new(request_id: &'a str, ending: Ending) -> ReportLine<'a> {
         match ending {
             Ending::Failed => ReportLine {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Encodes the body of a report: one line for each message, which is named by the client's id.
+/// Encodes the body of a request with completion reports: one line for each, with the client's id of the message.
 pub fn encode_completion_reports<'a>(reports: impl Iterator<Item = (&'a str, Ending)>) -> Bytes {
     let mut text = Vec::new();
     for (request_id, ending) in reports {
--- a/crates/forwarder/src/protocol/submission.rs
+++ b/crates/forwarder/src/protocol/submission.rs
@@ -246,8 +246,8 @@
     }
 }
 
-/// Encodes the value of `Retry-After`: seconds with three decimals, as the operators' page requires. RFC 9110 section
-/// 10.2.3 allows only whole seconds.
+/// Encodes the value of `Retry-After`: seconds with three decimals, as the operators' documentation requires. RFC 9110
+/// section 10.2.3 allows only whole seconds.
 pub fn encode_retry_after(retry_after: Micros) -> String {
     format!("{:.3}", retry_after as f64 / MICROS_PER_SECOND)
 }
--- a/crates/forwarder/src/shutdown.rs
+++ b/crates/forwarder/src/shutdown.rs
@@ -38,7 +38,7 @@
 ) {
     terminate.await;
     let started_at = Instant::now();
-    info!(log, "shutdown requested");
+    info!(log, "forwarder shutdown started: termination was requested");
     stage.send_replace(ShutdownStage::Draining);
     tokio::time::sleep_until(started_at + STOP_ACCEPTING_AFTER).await;
     stage.send_replace(ShutdownStage::NotAccepting);
--- a/crates/forwarder/src/startup.rs
+++ b/crates/forwarder/src/startup.rs
@@ -274,12 +274,12 @@
     fn start_list_watch(
         &self,
         endpoint_table: EndpointTable,
-        discovery: watch::Receiver<SocketAddr>,
+        agent_address: watch::Receiver<SocketAddr>,
         commands: mpsc::Receiver<EndpointListCommand>,
     ) {
         let list_watch = EndpointListWatch {
             platform: self.platform(),
-            discovery,
+            agent_address,
             names: self.names(),
             table: endpoint_table,
             must_be_polled: self.config.list_poll_interval.is_some(),
@@ -309,7 +309,7 @@
             gossip_socket::run(peers, datagrams, self.dispatcher.clone(), log.clone());
         tokio::spawn(async move {
             if let Err(error) = socket_task.await {
-                error!(log, "gossip socket failed"; "problem" => %error);
+                error!(log, "gossip not started: its socket could not be opened"; "problem" => %error);
             }
         });
     }
--- a/crates/forwarder/tests/polled_list.rs
+++ b/crates/forwarder/tests/polled_list.rs
@@ -146,7 +146,7 @@
     }
 }
 
-/// Returns the start-up configuration of one forwarder of the fleet. The poll interval is in seconds.
+/// Returns the startup configuration of one forwarder of the fleet. The poll interval is in seconds.
 fn config_file(number: usize, poll_interval_s: u64) -> String {
     config("notice", "free", 200, 3.0)
         .replace(
--- a/crates/forwarder/tests/program/configuration.rs
+++ b/crates/forwarder/tests/program/configuration.rs
@@ -1,4 +1,4 @@
-//! The start-up configuration at start-up and after a reload.
+//! The startup configuration at the start and after a reload.
 
 use crate::common::*;
 use std::process::Stdio;
