--- a/crates/lab/src/capacity/backlog.rs
+++ b/crates/lab/src/capacity/backlog.rs
@@ -21,7 +21,7 @@
 /// Options of `capacity backlog`.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// Numbers of waiting messages, each measured in a fresh process; the core gets only whole seconds of --rate
+    /// Numbers of waiting messages, each measured in a fresh process; for the core rounded down to whole seconds of --rate
     #[arg(long, value_delimiter = ',', default_values_t = [2_000, 10_000, 20_000, 40_000])]
     pub sizes: Vec<u32>,
     /// Number of destinations that the messages are for; each of them refuses connections
--- a/crates/lab/src/capacity/fleet/counters.rs
+++ b/crates/lab/src/capacity/fleet/counters.rs
@@ -46,7 +46,7 @@
     pub delivered: u64,
     /// Messages that the core gave up.
     pub failed: u64,
-    /// Messages that the core refused to take.
+    /// Messages that the core rejected.
     pub rejected: u64,
     /// Attempts started; health checks are counted apart.
     pub attempts: u64,
--- a/crates/lab/src/capacity/fleet/discovery.rs
+++ b/crates/lab/src/capacity/fleet/discovery.rs
@@ -185,8 +185,8 @@
                 revision,
             } => {
                 let watch = &mut self.watches[forwarder as usize];
-                // The partition keeps the change from this forwarder's server; `propagate_after_partition` sends the then
-                // current revision.
+                // The partition keeps the change from this forwarder's server; `propagate_after_partition` sends the
+                // revision that is current when the partition heals.
                 if !is_reachable(network.partition, forwarder) {
                     return None;
                 }
--- a/crates/lab/src/capacity/fleet/receivers.rs
+++ b/crates/lab/src/capacity/fleet/receivers.rs
@@ -18,7 +18,7 @@
 const RETRY_AFTER: Micros = 400_000;
 /// Capacity of a receiver's token bucket, in seconds of its rate: a burst of this size is accepted at once.
 const BURST_SECONDS: f64 = 1.0;
-/// Share of the outages in which connections are refused. In the other outages nothing is answered.
+/// Share of the outages in which connections are refused. In the other outages no response is sent.
 const REFUSING_SHARE: f64 = 0.5;
 /// Lower bound on the share of its rate that a cold receiver accepts.
 const MIN_CAPACITY_SHARE: f64 = 0.05;
@@ -28,20 +28,20 @@
 pub enum OutageKind {
     /// Connections are refused.
     Refusing,
-    /// Nothing is answered.
+    /// No response is sent.
     Silent,
 }
 
 /// The response of a receiver to a call or health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceiverResponse {
-    /// The call is accepted and answered after this time, in µs.
+    /// The call is accepted, and its response is sent after this time, in µs.
     Served(Micros),
     /// The call is refused because it exceeds the receiver's rate. `retry_after` is in µs.
     RateLimited { retry_after: Micros },
     /// The connection is refused.
     Refused,
-    /// Nothing is answered.
+    /// No response is sent.
     NoResponse,
 }
 
--- a/crates/lab/src/capacity/fleet/transport.rs
+++ b/crates/lab/src/capacity/fleet/transport.rs
@@ -162,8 +162,8 @@
     }
 }
 
-/// Returns the outcome that the forwarder sees of a response, and the delay of the response in µs; `None` if nothing is
-/// answered.
+/// Returns the outcome that the forwarder sees of a response, and the delay of the response in µs; `None` if no response
+/// is sent.
 pub(super) fn response_outcome(response: ReceiverResponse) -> Option<(Micros, Outcome)> {
     match response {
         ReceiverResponse::Served(after) => Some((after, Outcome::Delivered)),
--- a/crates/lab/src/capacity/process/measurement.rs
+++ b/crates/lab/src/capacity/process/measurement.rs
@@ -57,7 +57,7 @@
     pub submitted: u64,
     /// Number of messages that the forwarder answered with status 202 under load.
     pub accepted: u64,
-    /// Number of calls that the targets answered from the start of the load to the end of the second rest.
+    /// Number of calls that the targets responded to from the start of the load to the end of the second rest.
     pub calls_answered: u64,
 }
 
@@ -106,7 +106,7 @@
     destinations: Arc<[u32]>,
     /// Number of distinct destinations in `destinations`.
     distinct_targets: u32,
-    /// Number of calls that the targets have answered so far.
+    /// Number of calls that the targets have responded to so far.
     calls_answered: Arc<AtomicU64>,
 }
 
--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -22,7 +22,7 @@
 /// The exit code of a subcommand that ran, or the reason why it could not run.
 type CommandResult = Result<ExitCode, CommandError>;
 
-/// Exit code for a void run: the machine or the load tool was too slow, or a forwarder crashed, so the run shows nothing.
+/// Exit code for a void run: the machine or the load generator was too slow, or a forwarder crashed, so the run shows nothing.
 const EXIT_VOID: u8 = 3;
 
 /// A subcommand with its options.
@@ -32,19 +32,19 @@
     Run(run::Options),
     /// Submits the load of a scenario to forwarders that are already running
     Load(load::Options),
-    /// Serves the receivers and the discovery of a scenario, to try a forwarder by hand
+    /// Serves the receivers and discovery of a scenario, to try a forwarder by hand
     StandIns(stand_ins::Options),
     /// Compares two variants of a scenario, or two builds, in runs that are paired by seed
     Compare(compare::Options),
     /// Runs a scenario with each of several values of one key
     Sweep(sweep::Options),
-    /// Runs random variants of a scenario, and shrinks the one that breaks a rule or loses the most
+    /// Runs random variants of a scenario, and shrinks the one that breaks a rule or loses the most weight
     Hunt(hunt::Options),
     /// Writes an HTML report of outcomes that were written as JSON
     Report(report::Options),
     /// Measures the CPU cost of core events while a given number of messages waits in one queue
     Bids(bids::Options),
-    /// Measures the memory and CPU use of the core and the program at several sizes, with the slope of each figure
+    /// Measures the memory and CPU use of the core and the forwarder program at several sizes, with the slope of each figure
     #[command(subcommand)]
     Capacity(capacity::command::Command),
     /// Runs every scenario in a directory
--- a/crates/lab/src/commands/load.rs
+++ b/crates/lab/src/commands/load.rs
@@ -48,7 +48,7 @@
         println!("{name}: {count}");
     }
     println!(
-        "the load tool submitted {} us late at p99",
+        "the load generator submitted {} us late at p99",
         outcome.load_late
     );
 }
--- a/crates/lab/src/commands/stand_ins.rs
+++ b/crates/lab/src/commands/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The subcommand `stand-ins`, which serves the receivers and the discovery of a scenario to try a forwarder by hand.
+//! The subcommand `stand-ins`, which serves the receivers and discovery of a scenario to try a forwarder by hand.
 
 use super::error::CommandError;
 use super::options::RunOptions;
--- a/crates/lab/src/experiments/tests.rs
+++ b/crates/lab/src/experiments/tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn verdict_is_worse_better_or_inconclusive_for_narrow_wide_or_equal_sides() {
+fn verdict_is_worse_better_or_inconclusive_for_fewer_more_or_equal_permits() {
     // The load exceeds what two forwarders carry with one permit each (2 / 40 ms = 50 messages per second), and is well below
     // the rate limits of the receivers.
     let base = with_assignments(&scenario(""), &["loads[0].rate=65".into()])
@@ -51,17 +51,23 @@
             simulate(scenario, *seed, variant).expect("the scenario should run")
         })
     };
-    let narrow = with_assignments(&base, &["forwarders.slots=1".into()])
+    let few_permits = with_assignments(&base, &["forwarders.slots=1".into()])
         .expect("the assignment should be valid");
-    let (wide, narrow) = (
+    let (many_permits, few_permits) = (
         runs(&base, ForwarderVariant::True),
-        runs(&narrow, ForwarderVariant::True),
+        runs(&few_permits, ForwarderVariant::True),
     );
-    assert_eq!(compare(&wide, &wide).verdict, Verdict::CantTell);
-    assert_eq!(compare(&wide, &narrow).verdict, Verdict::Worse);
-    assert_eq!(compare(&narrow, &wide).verdict, Verdict::Better);
     assert_eq!(
-        compare(&narrow, &runs(&base, ForwarderVariant::SecondAnswer)).verdict,
+        compare(&many_permits, &many_permits).verdict,
+        Verdict::CantTell
+    );
+    assert_eq!(compare(&many_permits, &few_permits).verdict, Verdict::Worse);
+    assert_eq!(
+        compare(&few_permits, &many_permits).verdict,
+        Verdict::Better
+    );
+    assert_eq!(
+        compare(&few_permits, &runs(&base, ForwarderVariant::SecondAnswer)).verdict,
         Verdict::Worse,
         "a variant that breaks a rule should be worse, whatever its figures are"
     );
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,6 +1,6 @@
-//! The open-loop load generator. When a message is due doesn't depend on the outcome of earlier ones. Equal seeds give the
-//! same messages on the simulated clock and on sockets. `Loads` owns the streams; its memory doesn't grow with the number of
-//! messages drawn. `shape` gives the rate over time, and `replay` reads times from a file.
+//! The open-loop load generator. The time at which a message is due doesn't depend on the outcome of earlier messages. Equal
+//! seeds give the same messages on the simulated clock and on sockets. `Loads` owns the streams; its memory doesn't grow with
+//! the number of messages drawn. `shape` gives the rate over time, and `replay` reads times from a file.
 
 mod replay;
 mod shape;
@@ -28,7 +28,7 @@
     pub tenant: Option<u32>,
     /// Order key; used only if the delivery class is ordered.
     pub order_key: u64,
-    /// How long the message may be delivered from the time when it is due, in µs.
+    /// Time to live of the message, counted from the time when it is due, in µs.
     pub time_left: Micros,
     /// Size of the body on sockets, in bytes.
     pub body_bytes: usize,
--- a/crates/lab/src/oracle/calls.rs
+++ b/crates/lab/src/oracle/calls.rs
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Uncounts an attempt that was withdrawn before its bytes left.
+    /// Removes an attempt that was withdrawn before its bytes left from the counts.
     pub fn withdrawn_before_send(&mut self, submission: u64) {
         if let Some(submission) = self.submissions.get_mut(&submission) {
             submission.attempt_count = submission.attempt_count.saturating_sub(1);
--- a/crates/lab/src/oracle/rule.rs
+++ b/crates/lab/src/oracle/rule.rs
@@ -14,7 +14,7 @@
     SecondFinalAnswer,
     /// A message was sent after its final answer.
     SentAfterEnd,
-    /// A message took effect twice, or was sent again when it could.
+    /// A message took effect twice, or was sent again when a second effect was possible.
     EffectTwice,
     /// A message was sent while another of its attempts was in flight.
     #[serde(rename = "two-trips-out")]
--- a/crates/lab/src/oracle/submissions.rs
+++ b/crates/lab/src/oracle/submissions.rs
@@ -49,7 +49,7 @@
     pub record: SubmissionRecord,
     /// Whether the client was told that the message is accepted.
     pub accepted: bool,
-    /// When no final answer was expected any more, µs.
+    /// Time from which on no final answer is expected, µs; `None` as long as one may follow.
     pub ended_at: Option<Micros>,
     pub answer: Option<FinalAnswer>,
     /// Whether the message was delivered while its forwarder was down or paused. The forwarder may not have learnt of the
@@ -58,7 +58,7 @@
     /// Whether, on sockets, an endpoint responded at or after the deadline. The forwarder may read the response too late to
     /// count it, and still owes the final answer.
     pub delivered_late: bool,
-    /// Whether no final answer is owed: the message was not accepted, its forwarder was lost with its folder, or a missing
+    /// Whether no final answer is owed: the message was not accepted, its forwarder was lost with its state folder, or a missing
     /// answer was reported already.
     pub no_answer_owed: bool,
     /// When the first call that may have taken effect was sent, µs.
@@ -119,8 +119,8 @@
         self.leave_order(submission_number);
     }
 
-    /// Records that a forwarder was lost with its folder: it owes no final answers. Returns the client's numbers of the open
-    /// messages that it had accepted, in the order of their submissions.
+    /// Records that a forwarder was lost with its state folder: it owes no final answers. Returns the client's numbers of the
+    /// open messages that it had accepted, in the order of their submissions.
     pub fn lost_with_folder(&mut self, forwarder: u32, now: Micros) -> Vec<u64> {
         let lost = self.submissions.values().filter(|submission| {
             submission.record.forwarder == forwarder && submission.ended_at.is_none()
--- a/crates/lab/src/receivers.rs
+++ b/crates/lab/src/receivers.rs
@@ -23,7 +23,7 @@
 use opalpulley::Micros;
 use rate_limiter::RateLimiter;
 
-/// Time that an endpoint takes to answer a health check, µs.
+/// Time that an endpoint takes to respond to a health check, µs.
 const HEALTH_CHECK_TIME: Micros = 1_000;
 /// Lower bound on the share of its capacity that an endpoint has during faults and warm-up.
 const MIN_CAPACITY_SHARE: f64 = 0.01;
--- a/crates/lab/src/receivers/reply.rs
+++ b/crates/lab/src/receivers/reply.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// What the client of a receiver sees of a call.
+/// What a forwarder observes of a call or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceiverReply {
     /// A 200 response.
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -103,7 +103,7 @@
         .unwrap_or("");
     let destination = envelope.trim_start_matches("dest=").to_owned();
     if let Ok(call) = call.body(Full::new(body.to_bytes())) {
-        // The relay doesn't report the outcome of the call, as part of doing the least possible work.
+        // The relay doesn't report the outcome of the call, because the baseline does the least possible work.
         tokio::spawn(async move { drop(relay.forward(call, &destination).await) });
     }
     *response.status_mut() = StatusCode::ACCEPTED;
--- a/crates/lab/src/scenario/classes.rs
+++ b/crates/lab/src/scenario/classes.rs
@@ -18,7 +18,7 @@
     /// Latency objective. A message served within it keeps its full weight; must be above 0.
     #[serde(rename = "contract_time")]
     pub latency_objective: Span,
-    /// How long a message may be delivered; at least the latency objective.
+    /// Time to live of a message; at least the latency objective.
     #[serde(rename = "expiry")]
     pub time_to_live: Span,
     /// Weight of a message relative to others.
--- a/crates/lab/src/scenario/fault.rs
+++ b/crates/lab/src/scenario/fault.rs
@@ -72,7 +72,7 @@
     Stale,
     /// Discovery sends a full list that lacks the share `missing` of the entries, and the complete list at the end.
     Partial { missing: f64 },
-    /// Forwarders are killed and restart at the end, with or without their data directory.
+    /// Forwarders are killed and restart at the end, with or without their state folder.
     Killed {
         #[serde(rename = "folder")]
         folder_kept: bool,
--- a/crates/lab/src/scenario/fleet.rs
+++ b/crates/lab/src/scenario/fleet.rs
@@ -39,7 +39,7 @@
     /// Upper bound on the clock skew of a forwarder, which is drawn once per forwarder (simulated clock only).
     #[serde(rename = "clocks_differ")]
     pub max_clock_skew: Span,
-    /// Size limit of a forwarder's data directory on sockets, in megabytes; above 0.
+    /// Size limit of a forwarder's state folder on sockets, in megabytes; above 0.
     pub disk_mb: f64,
 }
 
--- a/crates/lab/src/scenario/load.rs
+++ b/crates/lab/src/scenario/load.rs
@@ -4,7 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
-/// A stream of messages in an open loop: when a message is due doesn't depend on the outcome of earlier ones.
+/// A stream of messages in an open loop: the time at which a message is due doesn't depend on the outcome of earlier
+/// messages.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -1,9 +1,10 @@
 //! The simulated clock: a deterministic event loop around the core that runs in production. It simulates the forwarders,
 //! clients, discovery, connections and receivers of a scenario in one thread; the same scenario and seed give the same run.
 //!
-//! `Sim` owns the whole simulated world. A message is removed when it ends, an attempt with its outcome, and an event when it
-//! happens. `event` defines the events and their queue, and `handlers` dispatches each event to the module that handles it:
-//! `clients`, `attempts`, `connections`, `health_checks`, `discovery`, `simulated_process`, `lifecycle` or `faults`.
+//! `Sim` owns the whole state of the simulation. A message is removed when it ends, an attempt with its outcome, and an event
+//! when it happens. `event` defines the events and their queue, and `handlers` dispatches each event to the module that
+//! handles it: `clients`, `attempts`, `connections`, `health_checks`, `discovery`, `simulated_process`, `lifecycle` or
+//! `faults`.
 
 mod attempts;
 mod clients;
@@ -98,7 +99,7 @@
 }
 
 impl Sim {
-    /// Sets up the simulated world, schedules the faults and starts the forwarders. Fails if a recorded load can't be replayed.
+    /// Sets up the simulation, schedules the faults and starts the forwarders. Fails if a recorded load can't be replayed.
     pub fn new(
         scenario: &Scenario,
         seed: u64,
@@ -122,7 +123,7 @@
         Ok(sim)
     }
 
-    /// Returns a world in which no process runs and no event is scheduled.
+    /// Returns a simulation in which no process runs and no event is scheduled.
     fn empty(scenario: &Scenario, seed: u64, variant: ForwarderVariant, loads: Loads) -> Sim {
         let layout = Layout::new(scenario);
         let endpoints = layout.endpoints.len();
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -290,7 +290,7 @@
     }
 
     fn count_outcome(&mut self, outcome: Outcome) {
-        let (name, tick) = match outcome {
+        let (name, bucket_event) = match outcome {
             Outcome::Delivered => ("delivered", BucketEvent::CallSucceeded),
             Outcome::Error => ("error", BucketEvent::CallFailed),
             Outcome::Rejected { .. } => ("refused", BucketEvent::CallRefused),
@@ -302,7 +302,7 @@
             Outcome::NotAttempted { .. } => ("moot", BucketEvent::CallFailed),
         };
         self.tally.count_outcome(name);
-        self.tally.count(self.now, tick);
+        self.tally.count(self.now, bucket_event);
     }
 
     /// Delivers the retry-after time in the head of a response to the forwarder, which reads it at once unless it is paused.
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -14,7 +14,7 @@
 use rand::Rng;
 
 /// Delay before a client tries another forwarder after a refused connection, µs.
-const OTHER_FORWARDER_DELAY: Micros = 50_000;
+const FAILOVER_DELAY: Micros = 50_000;
 /// Time for which a client waits for the answer to a request, µs.
 const ANSWER_TIMEOUT: Micros = 400_000;
 /// Delay before a resubmission if the rejection gave no retry-after time, µs.
@@ -77,7 +77,7 @@
         let forwarder = self.client_rng.random_range(0..self.processes.len());
         let process = &self.processes[forwarder];
         if !process.is_up() {
-            return self.try_another_forwarder(message_number, OTHER_FORWARDER_DELAY);
+            return self.try_another_forwarder(message_number, FAILOVER_DELAY);
         }
         if process.paused {
             return self.try_another_forwarder(message_number, ANSWER_TIMEOUT);
--- a/crates/lab/src/sim/discovery.rs
+++ b/crates/lab/src/sim/discovery.rs
@@ -33,10 +33,10 @@
         Sim::complete_list(&self.layout, &self.scenario, &self.listed_endpoints)
     }
 
-    /// Starts to drain an endpoint; or, if `gone`, removes it and lists a new holder of its address as ready.
-    pub(super) fn endpoint_drains(&mut self, endpoint: usize, gone: bool) {
+    /// Starts to drain an endpoint; or, if `removed`, removes it and lists a new holder of its address as ready.
+    pub(super) fn endpoint_drains(&mut self, endpoint: usize, removed: bool) {
         let incarnation = self.listed_endpoints[endpoint].incarnation;
-        let changes = if gone {
+        let changes = if removed {
             self.receivers.replace(self.now, endpoint);
             self.connections[endpoint].idle.clear();
             vec![
--- a/crates/lab/src/sim/event.rs
+++ b/crates/lab/src/sim/event.rs
@@ -1,4 +1,4 @@
-//! The events of the simulated world, and the queue that orders them by time.
+//! The events of the simulation, and the queue that orders them by time.
 
 use crate::load::DueMessage;
 use opalpulley::{EndpointId, EndpointListUpdate, Micros, Outcome, TimerToken};
@@ -14,7 +14,7 @@
     pub sent_at: Micros,
 }
 
-/// An event of the simulated world, owned by the queue until it happens.
+/// An event of the simulation, owned by the queue until it happens.
 pub(super) enum SimulatedEvent {
     /// A message of the load is due.
     Due(DueMessage),
@@ -61,8 +61,8 @@
     /// A fault begins or ends.
     FaultChanges { fault: usize, begins: bool },
     /// An endpoint begins to drain, or is removed.
-    EndpointDrains { endpoint: usize, gone: bool },
-    /// A killed forwarder restarts, with or without its folder.
+    EndpointDrains { endpoint: usize, removed: bool },
+    /// A killed forwarder restarts, with or without its state folder.
     ProcessRestarts { forwarder: u32, folder_kept: bool },
     /// A paused forwarder resumes.
     ProcessResumes { forwarder: u32 },
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -77,8 +77,8 @@
         let each = fault.lasts.0 / endpoints.len().max(1) as u64;
         for (position, endpoint) in endpoints.into_iter().enumerate() {
             let begins_at = fault.at.0 + each * position as u64;
-            for (at, gone) in [(begins_at, false), (begins_at + each, true)] {
-                self.schedule(at, SimulatedEvent::EndpointDrains { endpoint, gone });
+            for (at, removed) in [(begins_at, false), (begins_at + each, true)] {
+                self.schedule(at, SimulatedEvent::EndpointDrains { endpoint, removed });
             }
         }
     }
--- a/crates/lab/src/sim/handlers.rs
+++ b/crates/lab/src/sim/handlers.rs
@@ -25,8 +25,8 @@
                 outcome,
             } => self.health_check_ends(health_check, outcome),
             SimulatedEvent::FaultChanges { fault, begins } => self.fault_changes(fault, begins),
-            SimulatedEvent::EndpointDrains { endpoint, gone } => {
-                self.endpoint_drains(endpoint, gone)
+            SimulatedEvent::EndpointDrains { endpoint, removed } => {
+                self.endpoint_drains(endpoint, removed)
             }
             SimulatedEvent::OracleSweep => self.sweep_oracle(),
             other => self.handle_for_forwarder(other),
--- a/crates/lab/src/sim/lifecycle.rs
+++ b/crates/lab/src/sim/lifecycle.rs
@@ -7,11 +7,11 @@
 use opalpulley::{AttemptHistory, Event, Micros, PossibleEffect, Submission, ZoneId};
 
 /// Time after a restart or a resumption during which final answers may be late, µs.
-const RECOVERY_ALLOWANCE: Micros = 1_500_000;
+const RESTART_GRACE: Micros = 1_500_000;
 
 impl Sim {
-    /// Kills a process and aborts its calls. If its folder is kept, its messages are recovered at the restart; otherwise they
-    /// are lost.
+    /// Kills a process and aborts its calls. If its state folder is kept, its messages are recovered at the restart;
+    /// otherwise they are lost.
     pub(super) fn kill_process(&mut self, forwarder: u32, folder_kept: bool) {
         let process = &mut self.processes[forwarder as usize];
         if !process.is_up() {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Drops the messages of a killed process whose folder is lost, and its endpoint list.
+    /// Drops the messages of a killed process whose state folder is lost, and its endpoint list.
     fn lose_folder(&mut self, forwarder: u32) {
         let process = &mut self.processes[forwarder as usize];
         let lost = std::mem::take(&mut process.open_messages);
@@ -87,10 +87,10 @@
         }
     }
 
-    /// Restarts a killed process, which recovers the messages of its folder if that was kept.
+    /// Restarts a killed process, which recovers the messages of its state folder if that was kept.
     pub(super) fn restart_process(&mut self, forwarder: u32, folder_kept: bool) {
         self.oracle
-            .excuse_until(forwarder, self.now + RECOVERY_ALLOWANCE);
+            .excuse_until(forwarder, self.now + RESTART_GRACE);
         self.start_process(forwarder);
         if self.processes[forwarder as usize].follows_list {
             self.send_complete_list(forwarder);
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Submits a message of the folder to the restarted forwarder, with the history of its attempts.
+    /// Submits a message of the state folder to the restarted forwarder, with the history of its attempts.
     fn recover_message(&mut self, forwarder: u32, mut held: HeldMessage) {
         let process = &mut self.processes[forwarder as usize];
         let id = process.new_id();
@@ -143,7 +143,7 @@
         }
         process.paused = false;
         self.oracle
-            .excuse_until(forwarder, self.now + RECOVERY_ALLOWANCE);
+            .excuse_until(forwarder, self.now + RESTART_GRACE);
         while let Some(event) = self.processes[forwarder as usize].inbox.pop_front() {
             self.run_forwarder(forwarder, event, None);
         }
--- a/crates/lab/src/sim/tests.rs
+++ b/crates/lab/src/sim/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn true_forwarder_breaks_no_rule_and_ends_every_message() {
+fn unmodified_forwarder_breaks_no_rule_and_ends_every_message() {
     for seed in 1..=4 {
         let outcome = run(&hostile_scenario(), seed, ForwarderVariant::True);
         assert!(
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -1,7 +1,7 @@
 //! Plays a scenario in real time on loopback sockets, against one or several real forwarder processes.
 //!
 //! All stand-ins (receivers, platform agents, clients) share a `RunContext`. The lock on its state is never held across an
-//! await. A message is removed from the state when it is over.
+//! await. A message is removed from the state when it ends.
 
 mod accept_queue;
 pub mod agents;
@@ -46,7 +46,7 @@
 /// Significant decimal digits that the lateness histograms keep.
 const LATENESS_HISTOGRAM_DIGITS: u8 = 2;
 
-/// The client's view of a message that is not over. Owned by [`RunState`].
+/// The client's view of an open message. Owned by [`RunState`].
 #[derive(Clone, Debug)]
 pub(crate) struct ClientMessage {
     pub due: DueMessage,
@@ -74,7 +74,7 @@
     pub receivers: Receivers,
     pub oracle: Oracle,
     pub tally: Tally,
-    /// Messages that are not over, by message number.
+    /// Open messages, by message number.
     pub messages: HashMap<u64, ClientMessage>,
     pub next_submission_number: u64,
     pub next_message_number: u64,
--- a/crates/lab/src/sockets/accept_queue.rs
+++ b/crates/lab/src/sockets/accept_queue.rs
@@ -17,7 +17,7 @@
 
 /// Delays the establishment of connections to one listener. On sockets only a full accept queue does so: the kernel of the
 /// client retries the connection 1 s later. For a share of each cycle the queue therefore has room for one connection, and a
-/// connection of its own takes that place.
+/// connection that the laboratory opens takes that place.
 pub(super) struct AcceptQueue {
     /// Share of each cycle for which the queue is full, from 0 to 1.
     full_share: f64,
--- a/crates/lab/src/sockets/run.rs
+++ b/crates/lab/src/sockets/run.rs
@@ -129,7 +129,7 @@
     Some(log_folder.join(format!("forwarder-{forwarder}.log")))
 }
 
-/// Waits until all messages and faults are over, or the time limit of the run is reached. Returns the resource usage of the
+/// Waits until all messages and faults have ended, or the time limit of the run is reached. Returns the resource usage of the
 /// forwarders while the load ran.
 async fn wait_until_over(
     timeline: &FaultTimeline,
@@ -172,7 +172,7 @@
     }
 }
 
-/// Lets the oracle check for overdue final answers. Returns the number of messages that are not over.
+/// Lets the oracle check for overdue final answers. Returns the number of open messages.
 fn sweep_oracle(context: &RunContext, now: Micros) -> usize {
     let mut state = context.lock_state();
     state.oracle.sweep(now);
--- a/crates/lab/src/sockets/submissions.rs
+++ b/crates/lab/src/sockets/submissions.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// Records a submission and returns its request. Returns none if the message is over or about to expire; in the latter case
+/// Records a submission and returns its request. Returns none if the message has ended or is about to expire; in the latter case
 /// the client gives it up.
 fn begin_submission(
     context: &RunContext,
--- a/crates/lab/src/sockets/timeline.rs
+++ b/crates/lab/src/sockets/timeline.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Mutex as AsyncMutex;
 
-/// Time after a restart or a pause for which a forwarder may be late with final answers, in µs.
+/// Time after a restart or a resumption during which final answers may be late, in µs.
 const RESTART_GRACE: Micros = 1_500_000;
 
 /// The forwarders of a run with their agents and clients, indexed by forwarder number. Without forwarder processes, `clients`
--- a/crates/lab/src/subject/broken.rs
+++ b/crates/lab/src/subject/broken.rs
@@ -1,4 +1,4 @@
-//! A forwarder with a deliberate fault: the real core, whose events or actions are altered in between.
+//! A forwarder with a deliberate fault: the real core with altered events or actions.
 
 use super::{ForwarderVariant, Subject};
 use opalpulley::{
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -31,7 +31,7 @@
     MessageFailed,
     /// A call was sent.
     Call,
-    /// A call was answered with success.
+    /// A call got a successful response.
     CallSucceeded,
     /// A call was refused.
     CallRefused,
--- a/crates/lab/src/tally/outcome.rs
+++ b/crates/lab/src/tally/outcome.rs
@@ -36,7 +36,7 @@
     pub failed: u64,
     /// Messages that their clients gave up after rejections or unreachable forwarders.
     pub given_up: u64,
-    /// Messages that were lost with a forwarder's folder.
+    /// Messages that were lost with a forwarder's state folder.
     pub gone: u64,
     /// Messages that were still open when the run ended.
     pub open: u64,
@@ -91,7 +91,7 @@
     pub failed_messages: u64,
     /// Calls that were sent.
     pub calls: u64,
-    /// Calls that were answered with success.
+    /// Calls that got a successful response.
     pub good: u64,
     /// Calls that were refused.
     pub refused: u64,
--- a/crates/lab/tests/tool.rs
+++ b/crates/lab/tests/tool.rs
@@ -229,7 +229,7 @@
         "--forwarder",
         relay,
     ];
-    // A void run shows nothing, because the machine was too slow for the load tool.
+    // A void run shows nothing, because the machine was too slow for the load generator.
     let is_void = |output: &Output| output.status.code() == Some(EXIT_VOID);
     let output = (0..MAX_VOID_RUNS)
         .map(|_| run_lab(&arguments))
