--- a/crates/lab/src/scenario/validation.rs
+++ b/crates/lab/src/scenario/validation.rs
@@ -238,9 +238,9 @@
             load.rate,
             remedy,
         );
-        let skew_is_good = load.skew >= 0.0 && load.skew.is_finite();
+        let skew_is_valid = load.skew >= 0.0 && load.skew.is_finite();
         self.check(
-            skew_is_good,
+            skew_is_valid,
             &format!("{key_prefix}.skew"),
             load.skew,
             "must be at least 0",
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -113,14 +113,14 @@
 
     fn describe_call(&self, forwarder: u32, submission: u64, endpoint: EndpointId) -> SentCall {
         let index = Layout::endpoint_index(endpoint);
-        let place = self.layout.endpoints[index];
+        let layout_endpoint = self.layout.endpoints[index];
         SentCall {
             submission,
             forwarder,
-            destination: place.destination,
+            destination: layout_endpoint.destination,
             endpoint: index,
             incarnation: endpoint.incarnation,
-            limiter: place.limiter_index,
+            limiter: layout_endpoint.limiter_index,
         }
     }
 
@@ -225,13 +225,18 @@
         let process = &mut self.processes[attempt.forwarder as usize];
         let incarnation = process.incarnation;
         let clock_offset = process.clock_offset;
-        let place = self.layout.endpoints[Layout::endpoint_index(attempt.endpoint)];
+        let layout_endpoint = self.layout.endpoints[Layout::endpoint_index(attempt.endpoint)];
         let Some(held) = process.open_messages.get_mut(&attempt.id) else {
             return;
         };
         let served = outcome == Outcome::Delivered && !held.ended;
         let sent_at = attempt.sent_at + clock_offset;
-        held.attempt_ended(attempt_number, outcome, sent_at, ZoneId(place.zone));
+        held.attempt_ended(
+            attempt_number,
+            outcome,
+            sent_at,
+            ZoneId(layout_endpoint.zone),
+        );
         let message_completed = held.ended;
         if served {
             self.final_answer(
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -124,14 +124,14 @@
             destination: message.due.destination,
             order_key: key,
         };
-        let new = NewSubmission {
+        let new_submission = NewSubmission {
             submission,
             client_message: message_number,
             deadline: message.deadline,
             message: message.as_submitted(key, self.now),
         };
         self.oracle.message_submitted(record);
-        match self.accept_submission(forwarder, new) {
+        match self.accept_submission(forwarder, new_submission) {
             SubmissionAnswer::Accepted => self.oracle.submission_accepted(submission),
             SubmissionAnswer::Rejected(retry_after) => {
                 self.oracle.submission_refused(submission, self.now);
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -74,10 +74,10 @@
     /// Drains the affected endpoints one after the other, each for an equal part of the fault's duration.
     fn drain_endpoints(&mut self, fault_index: usize, fault: &Fault) {
         let endpoints = self.affected_endpoints(fault_index, fault);
-        let each = fault.lasts.0 / endpoints.len().max(1) as u64;
+        let drain_time = fault.lasts.0 / endpoints.len().max(1) as u64;
         for (position, endpoint) in endpoints.into_iter().enumerate() {
-            let begins_at = fault.at.0 + each * position as u64;
-            for (at, removed) in [(begins_at, false), (begins_at + each, true)] {
+            let begins_at = fault.at.0 + drain_time * position as u64;
+            for (at, removed) in [(begins_at, false), (begins_at + drain_time, true)] {
                 self.schedule(at, SimulatedEvent::EndpointDrains { endpoint, removed });
             }
         }
--- a/crates/lab/src/sockets/run.rs
+++ b/crates/lab/src/sockets/run.rs
@@ -238,8 +238,9 @@
 
 /// Returns the default path of the forwarder's executable, which is in the same folder as the running program.
 pub fn default_forwarder_program() -> PathBuf {
-    let here = std::env::current_exe().unwrap_or_default();
-    here.parent()
+    let own_program = std::env::current_exe().unwrap_or_default();
+    own_program
+        .parent()
         .unwrap_or(Path::new("."))
         .join("opalpulley-forwarder")
 }
