--- a/crates/lab/src/oracle/submissions.rs
+++ b/crates/lab/src/oracle/submissions.rs
@@ -270,7 +270,7 @@
 
     /// Records a violation for each overdue final answer, and removes submissions whose retention has ended. Called at regular
     /// intervals.
-    pub fn sweep(&mut self, now: Micros) {
+    pub fn check_overdue_answers(&mut self, now: Micros) {
         let allowed_lateness = self.answer_slack + self.observation_slack;
         while let Some((deadline, submission_number)) = self.by_deadline.first().copied() {
             if deadline + allowed_lateness >= now {
--- a/crates/lab/src/oracle/tests.rs
+++ b/crates/lab/src/oracle/tests.rs
@@ -57,8 +57,8 @@
     oracle.call_ended(1, 0, 100, CallEffect::Possible);
     oracle.took_effect(1, 1, 200);
     oracle.message_ended(1, FinalAnswer::Served, 300);
-    oracle.sweep(200_000_000);
-    oracle.sweep(300_000_000);
+    oracle.check_overdue_answers(200_000_000);
+    oracle.check_overdue_answers(300_000_000);
     oracle.took_effect(2, 2, 200_000_000);
     assert!(
         broken_rules(&oracle).is_empty() && oracle.table_entries() == 0,
@@ -77,7 +77,7 @@
             Rule::Lost,
             |oracle, value| {
                 submit(oracle, 1, 0, None);
-                oracle.sweep(value)
+                oracle.check_overdue_answers(value)
             },
             10_021_000,
             10_021_001,
@@ -237,10 +237,10 @@
     let mut oracle = new_oracle();
     submit(&mut oracle, 1, 0, None);
     oracle.excuse_until(0, 51_000_000);
-    oracle.sweep(50_000_000);
+    oracle.check_overdue_answers(50_000_000);
     assert!(broken_rules(&oracle).is_empty());
     oracle.lost_with_folder(0, 50_000_000);
-    oracle.sweep(60_000_000);
+    oracle.check_overdue_answers(60_000_000);
     assert!(broken_rules(&oracle).is_empty() && oracle.open_submissions() == 0);
 }
 
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -36,7 +36,7 @@
 use std::collections::HashMap;
 
 /// Interval between the oracle's checks for overdue final answers, µs.
-const SWEEP_INTERVAL: Micros = 250_000;
+const OVERDUE_CHECK_INTERVAL: Micros = 250_000;
 /// Time for which a run continues after the last deadline, µs: a restarted forwarder may still owe a final answer.
 const TIME_AFTER_LAST_DEADLINE: Micros = 3_000_000;
 /// Number of events between two progress reports.
@@ -118,7 +118,7 @@
         for forwarder in 0..scenario.forwarders.count {
             sim.start_process(forwarder);
         }
-        sim.schedule(SWEEP_INTERVAL, SimulatedEvent::OracleSweep);
+        sim.schedule(OVERDUE_CHECK_INTERVAL, SimulatedEvent::OverdueCheck);
         sim.schedule_next_due();
         Ok(sim)
     }
--- a/crates/lab/src/sim/event.rs
+++ b/crates/lab/src/sim/event.rs
@@ -67,7 +67,7 @@
     /// A paused forwarder resumes.
     ProcessResumes { forwarder: u32 },
     /// The oracle checks for overdue final answers.
-    OracleSweep,
+    OverdueCheck,
 }
 
 struct QueuedEvent {
--- a/crates/lab/src/sim/handlers.rs
+++ b/crates/lab/src/sim/handlers.rs
@@ -1,7 +1,7 @@
 //! Dispatches each simulated event to the method that handles it.
 
 use super::event::SimulatedEvent;
-use super::{Sim, SWEEP_INTERVAL};
+use super::{Sim, OVERDUE_CHECK_INTERVAL};
 use opalpulley::Event;
 
 impl Sim {
@@ -28,7 +28,7 @@
             SimulatedEvent::EndpointDrains { endpoint, removed } => {
                 self.endpoint_drains(endpoint, removed)
             }
-            SimulatedEvent::OracleSweep => self.sweep_oracle(),
+            SimulatedEvent::OverdueCheck => self.check_overdue_answers(),
             other => self.handle_for_forwarder(other),
         }
     }
@@ -66,13 +66,16 @@
     }
 
     /// Runs the oracle's check for overdue answers, updates the peak table size, and schedules the next check.
-    fn sweep_oracle(&mut self) {
-        self.oracle.sweep(self.now);
+    fn check_overdue_answers(&mut self) {
+        self.oracle.check_overdue_answers(self.now);
         let table_entries = self.oracle.table_entries()
             + self.receivers.entry_count()
             + self.messages.len()
             + self.attempts.len();
         self.stats.peak_table_entries = self.stats.peak_table_entries.max(table_entries);
-        self.schedule(self.now + SWEEP_INTERVAL, SimulatedEvent::OracleSweep);
+        self.schedule(
+            self.now + OVERDUE_CHECK_INTERVAL,
+            SimulatedEvent::OverdueCheck,
+        );
     }
 }
--- a/crates/lab/src/sockets/run.rs
+++ b/crates/lab/src/sockets/run.rs
@@ -19,7 +19,7 @@
 use tokio::task::JoinHandle;
 
 /// Interval at which the oracle checks for overdue final answers.
-pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+pub(super) const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Upper bound on the duration of a run after the deadline of the last message, in µs.
 const MAX_TIME_AFTER_LAST_DEADLINE: Micros = 3_000_000;
 /// Delay between the start of the last forwarder and the start of the load, in µs.
@@ -145,15 +145,15 @@
     };
     let cpu_before = timeline.usage().await.cpu_micros;
     let mut load_has_ended = false;
-    let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
+    let mut check_timer = tokio::time::interval(OVERDUE_CHECK_INTERVAL);
     loop {
-        sweep.tick().await;
+        check_timer.tick().await;
         let now = timeline.context.now();
         progress(
             now.saturating_sub(timeline.begins_at),
             ends_at - timeline.begins_at,
         );
-        let open_messages = sweep_oracle(&timeline.context, now);
+        let open_messages = check_overdue_answers(&timeline.context, now);
         timeline.record_crashes().await;
         if !load_has_ended {
             let used = timeline.usage().await;
@@ -173,9 +173,9 @@
 }
 
 /// Lets the oracle check for overdue final answers. Returns the number of open messages.
-fn sweep_oracle(context: &RunContext, now: Micros) -> usize {
+fn check_overdue_answers(context: &RunContext, now: Micros) -> usize {
     let mut state = context.lock_state();
-    state.oracle.sweep(now);
+    state.oracle.check_overdue_answers(now);
     state.messages.len()
 }
 
--- a/crates/lab/src/sockets/without_forwarders.rs
+++ b/crates/lab/src/sockets/without_forwarders.rs
@@ -3,7 +3,7 @@
 use super::agents::PlatformAgent;
 use super::clients::ForwarderClient;
 use super::endpoints;
-use super::run::{percentile_99, SWEEP_INTERVAL};
+use super::run::{percentile_99, OVERDUE_CHECK_INTERVAL};
 use super::timeline::{FaultTimeline, Fleet};
 use super::{load_thread, RunContext, SocketsError, MAX_LATENESS_P99};
 use crate::load::Loads;
@@ -81,7 +81,7 @@
     .map_err(SocketsError::LoadGenerator)?;
     let ends_at = begins_at + scenario.lasts.0 + LAST_ANSWERS_WAIT;
     while context.now() < ends_at {
-        tokio::time::sleep(SWEEP_INTERVAL).await;
+        tokio::time::sleep(OVERDUE_CHECK_INTERVAL).await;
         progress(context.now().saturating_sub(begins_at), ends_at - begins_at);
     }
     drop(load_thread);
