--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -1,9 +1,10 @@
 //! The simulated clock: a deterministic event loop around the core that runs in production. It simulates the forwarders,
 //! clients, discovery, connections and receivers of a scenario in one thread; the same scenario and seed give the same run.
 //!
-//! `Sim` owns the whole simulated world. A message is removed when it ends, an attempt with its outcome, and an event when it
-//! happens. `event` defines the events and their queue, and `handlers` dispatches each event to the module that handles it:
-//! `clients`, `attempts`, `connections`, `health_checks`, `discovery`, `simulated_process`, `lifecycle` or `faults`.
+//! `Sim` owns the whole state of the simulation. A message is removed when it ends, an attempt with its outcome, and an event
+//! when it happens. `event` defines the events and their queue, and `handlers` dispatches each event to the module that
+//! handles it: `clients`, `attempts`, `connections`, `health_checks`, `discovery`, `simulated_process`, `lifecycle` or
+//! `faults`.
 
 mod attempts;
 mod clients;
@@ -35,7 +36,7 @@
 use std::collections::HashMap;
 
 /// Interval between the oracle's checks for overdue final answers, µs.
-const SWEEP_INTERVAL: Micros = 250_000;
+const OVERDUE_CHECK_INTERVAL: Micros = 250_000;
 /// Time for which a run continues after the last deadline, µs: a restarted forwarder may still owe a final answer.
 const TIME_AFTER_LAST_DEADLINE: Micros = 3_000_000;
 /// Number of events between two progress reports.
@@ -98,7 +99,7 @@
 }
 
 impl Sim {
-    /// Sets up the simulated world, schedules the faults and starts the forwarders. Fails if a recorded load can't be replayed.
+    /// Sets up the simulation, schedules the faults and starts the forwarders. Fails if a recorded load can't be replayed.
     pub fn new(
         scenario: &Scenario,
         seed: u64,
@@ -117,12 +118,12 @@
         for forwarder in 0..scenario.forwarders.count {
             sim.start_process(forwarder);
         }
-        sim.schedule(SWEEP_INTERVAL, SimulatedEvent::OracleSweep);
+        sim.schedule(OVERDUE_CHECK_INTERVAL, SimulatedEvent::OverdueCheck);
         sim.schedule_next_due();
         Ok(sim)
     }
 
-    /// Returns a world in which no process runs and no event is scheduled.
+    /// Returns a simulation in which no process runs and no event is scheduled.
     fn empty(scenario: &Scenario, seed: u64, variant: ForwarderVariant, loads: Loads) -> Sim {
         let layout = Layout::new(scenario);
         let endpoints = layout.endpoints.len();
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -113,14 +113,14 @@
 
     fn describe_call(&self, forwarder: u32, submission: u64, endpoint: EndpointId) -> SentCall {
         let index = Layout::endpoint_index(endpoint);
-        let place = self.layout.endpoints[index];
+        let layout_endpoint = self.layout.endpoints[index];
         SentCall {
             submission,
             forwarder,
-            destination: place.destination,
+            destination: layout_endpoint.destination,
             endpoint: index,
             incarnation: endpoint.incarnation,
-            limiter: place.limiter_index,
+            limiter: layout_endpoint.limiter_index,
         }
     }
 
@@ -225,13 +225,18 @@
         let process = &mut self.processes[attempt.forwarder as usize];
         let incarnation = process.incarnation;
         let clock_offset = process.clock_offset;
-        let place = self.layout.endpoints[Layout::endpoint_index(attempt.endpoint)];
+        let layout_endpoint = self.layout.endpoints[Layout::endpoint_index(attempt.endpoint)];
         let Some(held) = process.open_messages.get_mut(&attempt.id) else {
             return;
         };
         let served = outcome == Outcome::Delivered && !held.ended;
         let sent_at = attempt.sent_at + clock_offset;
-        held.attempt_ended(attempt_number, outcome, sent_at, ZoneId(place.zone));
+        held.attempt_ended(
+            attempt_number,
+            outcome,
+            sent_at,
+            ZoneId(layout_endpoint.zone),
+        );
         let message_completed = held.ended;
         if served {
             self.final_answer(
@@ -290,7 +295,7 @@
     }
 
     fn count_outcome(&mut self, outcome: Outcome) {
-        let (name, tick) = match outcome {
+        let (name, bucket_event) = match outcome {
             Outcome::Delivered => ("delivered", BucketEvent::CallSucceeded),
             Outcome::Error => ("error", BucketEvent::CallFailed),
             Outcome::Rejected { .. } => ("refused", BucketEvent::CallRefused),
@@ -302,7 +307,7 @@
             Outcome::NotAttempted { .. } => ("moot", BucketEvent::CallFailed),
         };
         self.tally.count_outcome(name);
-        self.tally.count(self.now, tick);
+        self.tally.count(self.now, bucket_event);
     }
 
     /// Delivers the retry-after time in the head of a response to the forwarder, which reads it at once unless it is paused.
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -14,7 +14,7 @@
 use rand::Rng;
 
 /// Delay before a client tries another forwarder after a refused connection, µs.
-const OTHER_FORWARDER_DELAY: Micros = 50_000;
+const FAILOVER_DELAY: Micros = 50_000;
 /// Time for which a client waits for the answer to a request, µs.
 const ANSWER_TIMEOUT: Micros = 400_000;
 /// Delay before a resubmission if the rejection gave no retry-after time, µs.
@@ -77,7 +77,7 @@
         let forwarder = self.client_rng.random_range(0..self.processes.len());
         let process = &self.processes[forwarder];
         if !process.is_up() {
-            return self.try_another_forwarder(message_number, OTHER_FORWARDER_DELAY);
+            return self.try_another_forwarder(message_number, FAILOVER_DELAY);
         }
         if process.paused {
             return self.try_another_forwarder(message_number, ANSWER_TIMEOUT);
@@ -124,14 +124,14 @@
             destination: message.due.destination,
             order_key: key,
         };
-        let new = NewSubmission {
+        let new_submission = NewSubmission {
             submission,
             client_message: message_number,
             deadline: message.deadline,
             message: message.as_submitted(key, self.now),
         };
         self.oracle.message_submitted(record);
-        match self.accept_submission(forwarder, new) {
+        match self.accept_submission(forwarder, new_submission) {
             SubmissionAnswer::Accepted => self.oracle.submission_accepted(submission),
             SubmissionAnswer::Rejected(retry_after) => {
                 self.oracle.submission_refused(submission, self.now);
