--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: the actor that owns the decision core, the journal and the messages in flight.
+//! The dispatcher: the actor that owns the decision core, the journal and the open messages.
 //!
 //! The dispatcher passes the events from the other actors to the core, and executes the core's actions in order. State
 //! that must survive the process is written to the journal before it takes effect: a message before its client
@@ -11,8 +11,8 @@
 mod completion;
 mod endpoint_list;
 mod endpoints;
-mod in_flight;
 mod log_events;
+mod open_messages;
 mod recovery;
 mod submissions;
 mod timers;
@@ -26,8 +26,8 @@
 use crate::journal::{Journal, JournalError, StoredMessage};
 use endpoint_list::ListedEndpoint;
 use endpoints::EndpointActors;
-use in_flight::InFlightMessages;
 use opalpulley::{Action, Config, DestinationId, EndpointId, Event, Forwarder, MessageId, Micros};
+use open_messages::OpenMessages;
 use slog::{error, Logger};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::future::Future;
@@ -60,7 +60,7 @@
     log: Logger,
     /// Whether clients may submit messages. See [`ActorHandles::ready`].
     ready: Arc<AtomicBool>,
-    in_flight: InFlightMessages,
+    open_messages: OpenMessages,
     /// The destinations of all endpoint lists since the start. None is removed: the size is bounded by the number of
     /// destinations.
     known_destinations: BTreeSet<DestinationId>,
@@ -133,7 +133,7 @@
             gossip: handles.gossip,
             log,
             ready: handles.ready,
-            in_flight: InFlightMessages::default(),
+            open_messages: OpenMessages::default(),
             known_destinations: BTreeSet::new(),
             listed_endpoints: BTreeMap::new(),
             timers: Timers::default(),
@@ -182,7 +182,7 @@
 
     /// Whether neither an attempt nor a completion report is in flight.
     fn has_nothing_in_flight(&self) -> bool {
-        !self.in_flight.has_outstanding_attempts() && self.pending_reports.is_empty()
+        !self.open_messages.has_outstanding_attempts() && self.pending_reports.is_empty()
     }
 
     /// Handles one command from another actor.
--- a/crates/forwarder/src/dispatcher/log_events.rs
+++ b/crates/forwarder/src/dispatcher/log_events.rs
@@ -21,8 +21,10 @@
         } => info!(log, "endpoint readmitted";
             "destination" => destination.0,
             "endpoint" => %address(*endpoint)),
-        LogEvent::GossipIgnored { peer, problem } => warn!(log, "gossip message ignored";
+        LogEvent::GossipIgnored { peer, problem } => {
+            warn!(log, "gossip message ignored: its payload is invalid";
             "forwarder" => peer,
-            "problem" => problem),
+            "problem" => problem)
+        }
     }
 }
--- a/crates/forwarder/src/dispatcher/in_flight.rs
+++ b/crates/forwarder/src/dispatcher/open_messages.rs
@@ -1,12 +1,13 @@
-//! The messages in flight: those whose ending is not decided or that have an outstanding attempt.
+//! The open messages: those whose ending is not decided, whether they wait or are being attempted, and those that still
+//! have an outstanding attempt.
 
 use crate::protocol::SubmittedMessage;
 use opalpulley::{EndpointId, MessageId, Micros};
 use std::collections::BTreeMap;
 
-/// A message in flight. It is removed from the table once its ending is decided and none of its attempts is
+/// An open message. It is removed from the table once its ending is decided and none of its attempts is
 /// outstanding. The journal may keep it longer, until its completion report is acknowledged.
-pub struct InFlightMessage {
+pub struct OpenMessage {
     /// Serial number of the message in the journal.
     pub serial: u64,
     /// The message as the client submitted it.
@@ -22,15 +23,15 @@
     pub ending_decided: bool,
 }
 
-impl InFlightMessage {
+impl OpenMessage {
     /// Creates a message without an outstanding attempt.
     pub fn new(
         serial: u64,
         submitted: SubmittedMessage,
         deadline: Micros,
         attempts_started: u32,
-    ) -> InFlightMessage {
-        InFlightMessage {
+    ) -> OpenMessage {
+        OpenMessage {
             serial,
             submitted,
             deadline,
@@ -61,40 +62,40 @@
     pub endpoint: EndpointId,
 }
 
-/// The messages in flight, by the core's id and by the client's request id. Owned by the dispatcher.
+/// The open messages, by the core's id and by the client's request id. Owned by the dispatcher.
 #[derive(Default)]
-pub struct InFlightMessages {
-    messages: BTreeMap<MessageId, InFlightMessage>,
+pub struct OpenMessages {
+    messages: BTreeMap<MessageId, OpenMessage>,
     /// The core's id of each message, by the client's request id.
     ids_by_request_id: BTreeMap<String, MessageId>,
     last_id: u32,
 }
 
-impl InFlightMessages {
-    /// Returns the number of messages in flight.
+impl OpenMessages {
+    /// Returns the number of open messages.
     pub fn len(&self) -> usize {
         self.messages.len()
     }
 
     /// Returns the message with this id.
-    pub fn get(&self, id: MessageId) -> Option<&InFlightMessage> {
+    pub fn get(&self, id: MessageId) -> Option<&OpenMessage> {
         self.messages.get(&id)
     }
 
     /// Returns the message with this id, for changes.
-    pub fn get_mut(&mut self, id: MessageId) -> Option<&mut InFlightMessage> {
+    pub fn get_mut(&mut self, id: MessageId) -> Option<&mut OpenMessage> {
         self.messages.get_mut(&id)
     }
 
     /// Returns the message with this id if its ending is not decided.
-    pub fn get_undecided(&mut self, id: MessageId) -> Option<&mut InFlightMessage> {
+    pub fn get_undecided(&mut self, id: MessageId) -> Option<&mut OpenMessage> {
         self.messages
             .get_mut(&id)
             .filter(|message| !message.ending_decided)
     }
 
     /// Returns the message with this request id.
-    pub fn get_by_request_id(&self, request_id: &str) -> Option<&InFlightMessage> {
+    pub fn get_by_request_id(&self, request_id: &str) -> Option<&OpenMessage> {
         let id = self.ids_by_request_id.get(request_id)?;
         self.messages.get(id)
     }
@@ -116,7 +117,7 @@
             .any(|message| !message.outstanding_attempts.is_empty())
     }
 
-    /// Returns an id that no message in flight has. An id may be reused once its message has been removed.
+    /// Returns an id that no open message has. An id may be reused once its message has been removed.
     pub fn unused_id(&mut self) -> MessageId {
         loop {
             self.last_id = self.last_id.wrapping_add(1);
@@ -128,7 +129,7 @@
     }
 
     /// Adds a message. Its id must be unused.
-    pub fn insert(&mut self, id: MessageId, message: InFlightMessage) {
+    pub fn insert(&mut self, id: MessageId, message: OpenMessage) {
         let request_id = message.submitted.request_id.clone();
         self.ids_by_request_id.insert(request_id, id);
         self.messages.insert(id, message);
@@ -136,7 +137,7 @@
 
     /// Removes a message if its ending is decided and none of its attempts is outstanding.
     pub fn remove_if_possible(&mut self, id: MessageId) {
-        if !self.get(id).is_some_and(InFlightMessage::can_be_removed) {
+        if !self.get(id).is_some_and(OpenMessage::can_be_removed) {
             return;
         }
         if let Some(message) = self.messages.remove(&id) {
@@ -145,16 +146,16 @@
     }
 
     /// Removes and returns all messages, in the order of their ids.
-    pub fn take_all(&mut self) -> BTreeMap<MessageId, InFlightMessage> {
+    pub fn take_all(&mut self) -> BTreeMap<MessageId, OpenMessage> {
         self.ids_by_request_id.clear();
         std::mem::take(&mut self.messages)
     }
 }
 
 #[cfg(test)]
-impl InFlightMessages {
+impl OpenMessages {
     /// Returns all messages, in the order of their ids.
-    pub fn iter(&self) -> impl Iterator<Item = (MessageId, &InFlightMessage)> {
+    pub fn iter(&self) -> impl Iterator<Item = (MessageId, &OpenMessage)> {
         self.messages.iter().map(|(id, message)| (*id, message))
     }
 
--- a/crates/forwarder/src/endpoint_list/watch.rs
+++ b/crates/forwarder/src/endpoint_list/watch.rs
@@ -275,7 +275,8 @@
         document: EndpointListDocument,
     ) -> Result<(), DispatcherEnded> {
         if state.reachability.update(Reachability::Reachable) {
-            info!(self.log, "endpoint list received again"; "revision" => document.revision);
+            info!(self.log, "discovery poll succeeded after failures; endpoint list is up to date";
+                "revision" => document.revision);
         }
         match self.table.apply(document, &self.names) {
             Some(update) => self.send_update(update).await,
--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -22,8 +22,8 @@
 /// The exit code of a subcommand that ran, or the reason why it could not run.
 type CommandResult = Result<ExitCode, CommandError>;
 
-/// Exit code for a void run: the machine or the load tool was too slow, or a forwarder crashed, so the run shows nothing.
-const EXIT_VOID: u8 = 3;
+/// Exit code for an invalid run: the machine or the load tool was too slow, or a forwarder crashed, so the run shows nothing.
+const EXIT_INVALID_RUN: u8 = 3;
 
 /// A subcommand with its options.
 #[derive(Subcommand)]
@@ -54,7 +54,7 @@
 impl Command {
     /// Executes the subcommand and returns the exit code of the program.
     ///
-    /// Fails if an input is unusable, if a file can't be read or written, or if a compared run is void.
+    /// Fails if an input is unusable, if a file can't be read or written, or if a compared run is invalid and shows nothing.
     pub fn execute(self) -> CommandResult {
         match self {
             Command::Run(options) => run::execute(&options),
--- a/crates/lab/src/commands/compare.rs
+++ b/crates/lab/src/commands/compare.rs
@@ -57,7 +57,8 @@
     json: Option<PathBuf>,
 }
 
-/// Runs both sides with each seed, then prints the comparison and its verdict. Fails if a run is void.
+/// Runs both sides with each seed, then prints the comparison and its verdict. Fails if a run is invalid and thus
+/// shows nothing.
 pub fn execute(options: Options) -> CommandResult {
     let seeds: Vec<u64> = (1..=options.seeds).collect();
     let (use_sockets, json_path) = (options.sockets, options.json.clone());
@@ -69,7 +70,7 @@
     };
     let mut all_outcomes = outcomes_a.iter().chain(&outcomes_b);
     if let Some(reason) = all_outcomes.find_map(|outcome| outcome.void.clone()) {
-        return Err(CommandError::VoidRun { reason });
+        return Err(CommandError::InvalidRun { reason });
     }
     let comparison = compare(&outcomes_a, &outcomes_b);
     println!("{comparison}");
--- a/crates/lab/src/commands/error.rs
+++ b/crates/lab/src/commands/error.rs
@@ -1,6 +1,6 @@
 //! The errors of the subcommands.
 
-use super::EXIT_VOID;
+use super::EXIT_INVALID_RUN;
 use opalpulley_lab::capacity::error::CapacityError;
 use opalpulley_lab::experiments::ExperimentError;
 use opalpulley_lab::load::ReplayError;
@@ -66,9 +66,9 @@
     /// The asynchronous runtime for sockets can't be started.
     #[error(transparent)]
     Runtime(io::Error),
-    /// A run of a comparison is void, so the comparison shows nothing.
+    /// A run of a comparison is invalid, so the comparison shows nothing.
     #[error("a compared run is void: {reason}")]
-    VoidRun { reason: String },
+    InvalidRun { reason: String },
 }
 
 impl CommandError {
@@ -83,7 +83,7 @@
     /// Returns the exit code of a program that fails with this error.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
-            CommandError::VoidRun { .. } => EXIT_VOID,
+            CommandError::InvalidRun { .. } => EXIT_INVALID_RUN,
             _ => EXIT_UNUSABLE_INPUT,
         })
     }
--- a/crates/lab/src/commands/load.rs
+++ b/crates/lab/src/commands/load.rs
@@ -3,7 +3,7 @@
 use super::options::RunOptions;
 use super::output::{progress_bar, progress_callback};
 use super::run_scenario::build_runtime;
-use super::{CommandResult, EXIT_VOID};
+use super::{CommandResult, EXIT_INVALID_RUN};
 use clap::Args;
 use opalpulley_lab::sockets::without_forwarders::run_load_only;
 use opalpulley_lab::tally::Outcome;
@@ -33,7 +33,7 @@
     bar.finish_and_clear();
     print_counts(&outcome);
     Ok(match outcome.void {
-        Some(_) => ExitCode::from(EXIT_VOID),
+        Some(_) => ExitCode::from(EXIT_INVALID_RUN),
         None => ExitCode::SUCCESS,
     })
 }
--- a/crates/lab/src/commands/run_scenario.rs
+++ b/crates/lab/src/commands/run_scenario.rs
@@ -3,7 +3,7 @@
 use super::error::CommandError;
 use super::options::{ClockOptions, RunOptions};
 use super::output::{create_dir, progress_bar, progress_callback};
-use super::EXIT_VOID;
+use super::EXIT_INVALID_RUN;
 use opalpulley_lab::scenario::Scenario;
 use opalpulley_lab::sim::Sim;
 use opalpulley_lab::sockets::run::{default_forwarder_program, run, SocketRunOptions};
@@ -95,10 +95,10 @@
         .map_err(CommandError::Runtime)
 }
 
-/// Returns the exit code for the outcomes. A void run takes precedence over a missed expectation.
+/// Returns the exit code for the outcomes. An invalid run, which shows nothing, takes precedence over a missed expectation.
 pub fn exit_code(outcomes: &[Outcome]) -> ExitCode {
     if outcomes.iter().any(|outcome| outcome.void.is_some()) {
-        return ExitCode::from(EXIT_VOID);
+        return ExitCode::from(EXIT_INVALID_RUN);
     }
     if outcomes.iter().any(|outcome| !outcome.misses().is_empty()) {
         return ExitCode::FAILURE;
--- a/crates/lab/src/oracle/calls.rs
+++ b/crates/lab/src/oracle/calls.rs
@@ -16,7 +16,7 @@
     pub destination: u32,
     /// The index of the endpoint in the layout.
     pub endpoint: usize,
-    /// The incarnation of the endpoint: each new holder of its address has the next number.
+    /// The incarnation of the endpoint: each new endpoint at the same address has the next number.
     pub incarnation: u32,
     /// The index of the rate limiter that the endpoint shares.
     pub limiter: usize,
--- a/crates/lab/src/scenario/fault.rs
+++ b/crates/lab/src/scenario/fault.rs
@@ -63,7 +63,7 @@
         #[serde(rename = "left")]
         capacity_left: f64,
     },
-    /// Service takes `times` as long, and stays slow after the end of the fault until the queue has been empty.
+    /// Congestion: service takes `times` as long, and stays slow after the end of the fault until the queue has been empty.
     Jam { times: f64 },
     /// The endpoint list shows each endpoint as draining and then removes it; a new incarnation at the same address becomes
     /// ready. The endpoints drain one after the other.
--- a/crates/lab/src/sim/discovery.rs
+++ b/crates/lab/src/sim/discovery.rs
@@ -10,7 +10,7 @@
 /// The entry of an endpoint's address in the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListedEndpoint {
-    /// The incarnation of the endpoint; each new holder of the address has the next number.
+    /// The incarnation of the endpoint; each new endpoint at the same address has the next number.
     pub incarnation: u32,
     pub status: EndpointStatus,
 }
@@ -33,7 +33,7 @@
         Sim::complete_list(&self.layout, &self.scenario, &self.listed_endpoints)
     }
 
-    /// Starts to drain an endpoint; or, if `gone`, removes it and lists a new holder of its address as ready.
+    /// Starts to drain an endpoint; or, if `gone`, removes it and lists a new endpoint at its address as ready.
     pub(super) fn endpoint_drains(&mut self, endpoint: usize, gone: bool) {
         let incarnation = self.listed_endpoints[endpoint].incarnation;
         let changes = if gone {
@@ -175,7 +175,7 @@
                 listed.insert(index, entry.clone());
                 continue;
             }
-            // The entry of a newer holder of the address stays.
+            // The entry of a newer endpoint at the same address stays.
             let known = listed.get(&index);
             if known.is_some_and(|known| known.endpoint == entry.endpoint) {
                 listed.remove(&index);
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -37,7 +37,7 @@
 /// platform's protocol adds to each limit, and 50 ms for scheduling delays of this machine.
 const OBSERVATION_SLACK: Micros = 100_000;
 /// Upper bound on the 99th percentile of the lateness of the load generator and of the receivers, in µs. A run that exceeds it
-/// is void.
+/// is invalid and shows nothing.
 pub const MAX_LATENESS_P99: Micros = 25_000;
 /// Delay before a client resubmits a rejected message if the rejection has no retry-after time, in µs.
 const DEFAULT_RETRY_AFTER: Micros = 1_000_000;
@@ -133,7 +133,7 @@
         tokio::time::Instant::from_std(self.started_at + Duration::from_micros(time))
     }
 
-    /// Locks the state, also if a holder of the lock has panicked. The guard must not be held across an await.
+    /// Locks the state, also if a thread panicked while it held the lock. The guard must not be held across an await.
     pub(crate) fn lock_state(&self) -> MutexGuard<'_, RunState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/lab/src/sockets/calls.rs
+++ b/crates/lab/src/sockets/calls.rs
@@ -200,9 +200,9 @@
         let mut state = context.lock_state();
         let lateness = now.saturating_sub(self.result.reply_at);
         state.receiver_lateness.saturating_record(lateness.max(1));
-        let (outcome, tick, took_effect) = classify_reply(self.result.reply);
+        let (outcome, bucket_event, took_effect) = classify_reply(self.result.reply);
         state.tally.count_outcome(outcome);
-        state.tally.count(now, tick);
+        state.tally.count(now, bucket_event);
         state.tally.calls_in_flight = state.tally.calls_in_flight.saturating_sub(1);
         self.record_end(&mut state, took_effect);
         if let ReceiverReply::TooManyRequests {
@@ -224,8 +224,8 @@
     }
 }
 
-/// Returns the outcome and the tick under which a reply is counted, and what the forwarder can know about the effect of the
-/// call.
+/// Returns the outcome and the event of the time bucket under which a reply is counted, and what the forwarder
+/// can know about the effect of the call.
 fn classify_reply(reply: ReceiverReply) -> (&'static str, BucketEvent, CallEffect) {
     match reply {
         ReceiverReply::Served | ReceiverReply::ServedThenReset | ReceiverReply::Endless => (
--- a/crates/lab/src/sockets/run.rs
+++ b/crates/lab/src/sockets/run.rs
@@ -205,13 +205,17 @@
     outcome.falls = overload_failures.len() as u64;
     outcome.load_late = load_lateness;
     outcome.receivers_late = receiver_lateness;
-    outcome.void = void_reason(&lock(&timeline.crashes), load_lateness, receiver_lateness);
+    outcome.void = invalidity_reason(&lock(&timeline.crashes), load_lateness, receiver_lateness);
     outcome
 }
 
-/// Returns the reason why a run is void: a crashed forwarder, or a late load generator or receiver. The latenesses are 99th
-/// percentiles in µs.
-fn void_reason(crashes: &[String], load_lateness: u64, receiver_lateness: u64) -> Option<String> {
+/// Returns the reason why a run is invalid and shows nothing: a crashed forwarder, or a late load generator or receiver. The
+/// latenesses are 99th percentiles in µs.
+fn invalidity_reason(
+    crashes: &[String],
+    load_lateness: u64,
+    receiver_lateness: u64,
+) -> Option<String> {
     if !crashes.is_empty() {
         return Some(crashes.join("; "));
     }
--- a/crates/lab/src/sockets/timeline.rs
+++ b/crates/lab/src/sockets/timeline.rs
@@ -42,13 +42,13 @@
     phases: Mutex<Vec<Phase>>,
     /// Time until which discovery sends no updates, in µs on the run's clock.
     stale_until: Mutex<Micros>,
-    /// Descriptions of crashes and failed restarts of forwarders. The run is void if there are any.
+    /// Descriptions of crashes and failed restarts of forwarders. If there are any, the run is invalid and shows nothing.
     pub crashes: Mutex<Vec<String>>,
     /// Forwarders that are known to be down, killed or crashed. Any other forwarder that has exited has crashed.
     down_forwarders: Mutex<BTreeSet<u32>>,
 }
 
-/// Locks a mutex, also if a holder of the lock has panicked.
+/// Locks a mutex, also if a thread panicked while it held the lock.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -165,7 +165,7 @@
     }
 
     /// Closes the last time bucket and returns the outcome of the run. The caller fills in what the tally doesn't know: broken
-    /// rules, overload failures, the lateness of load and receivers, and whether the run is void.
+    /// rules, overload failures, the lateness of load and receivers, and whether the run is invalid.
     pub fn into_outcome(
         mut self,
         now: Micros,
--- a/crates/lab/src/tally/outcome.rs
+++ b/crates/lab/src/tally/outcome.rs
@@ -155,7 +155,7 @@
     pub breaks: Vec<RuleViolation>,
     /// Overload failures of endpoints during warm-up, whether or not forwarders caused them.
     pub falls: u64,
-    /// Why the run is void, if it is: nothing can be concluded from it.
+    /// Why the run is invalid, if it is: nothing can be concluded from it.
     pub void: Option<String>,
     /// How late the load generator submitted messages, 99th percentile, µs; on sockets only.
     pub load_late: u64,
@@ -193,8 +193,8 @@
         count as f64 / self.counts.due.max(1) as f64
     }
 
-    /// Returns a line for each broken rule and each expectation that the run doesn't meet; none if all are met. A void run
-    /// returns the reason alone.
+    /// Returns a line for each broken rule and each expectation that the run doesn't meet; none if all are met. An invalid
+    /// run returns the reason alone.
     pub fn misses(&self) -> Vec<String> {
         if let Some(void) = &self.void {
             return vec![format!("void: {void}")];
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -3,8 +3,8 @@
 //! The first calls of a whole fleet can overload a destination that has just returned. While an
 //! endpoint is ejected or warming up, the fleet therefore limits its load to a share of the
 //! endpoint's capacity that grows over the warm-up time, and each forwarder limits its load to an
-//! even share of the fleet's. If the even share is negligible, half of it is instead earned by the
-//! forwarders that have messages for the endpoint.
+//! even share of the fleet's. If the even share is negligible, half of it is instead credited to
+//! the forwarders for the messages that arrive for the endpoint.
 //!
 //! Rates are in calls per second, times in µs. See `docs/design.md` on returning destinations.
 
@@ -15,9 +15,9 @@
 const ALLOWED_LOAD_SHARE_USED: f64 = 0.8;
 /// Number of calls per overload window below which a forwarder's even share is negligible.
 const NEGLIGIBLE_CALLS: f64 = 0.25;
-/// Upper bound on the calls that messages earn while the share is negligible, as a multiple of the
-/// halved share. 1.5 times the half is three quarters of the even share.
-const MAX_EARNED_SHARES: f64 = 1.5;
+/// Upper bound on the calls that are credited for arriving messages while the share is negligible,
+/// as a multiple of the halved share. 1.5 times the half is three quarters of the even share.
+const MAX_CREDITED_SHARES: f64 = 1.5;
 /// Cost of each further message in the same call, in calls.
 const BATCHED_MESSAGE_COST: f64 = 0.15;
 /// Upper bound on the calls that a budget holds.
@@ -28,7 +28,8 @@
 pub struct ForwarderShare {
     /// Calls per second that are allowed independently of the messages for the endpoint.
     pub calls_per_second: f64,
-    /// Whether the even share is negligible, so that messages earn additional calls.
+    /// Whether the even share is negligible, so that additional calls are credited for arriving
+    /// messages.
     pub is_negligible: bool,
 }
 
@@ -68,8 +69,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStartBudget {
     calls: TokenBucket,
-    /// Bounds the calls that messages earn.
-    earned: TokenBucket,
+    /// Calls that may still be credited for arriving messages.
+    creditable_calls: TokenBucket,
 }
 
 impl SlowStartBudget {
@@ -82,7 +83,7 @@
                 tokens: calls,
                 refilled_at: now,
             },
-            earned: TokenBucket {
+            creditable_calls: TokenBucket {
                 tokens: 0.0,
                 refilled_at: now,
             },
@@ -91,20 +92,20 @@
 
     /// Adds the calls that have accrued since the last refill.
     ///
-    /// `arrivals` is the number of messages for the endpoint since then. They earn calls only if
-    /// the share is negligible.
+    /// `arrivals` is the number of messages for the endpoint since then. Calls are
+    /// credited for them only if the share is negligible.
     pub fn refill(&mut self, now: Micros, share: ForwarderShare, arrivals: f64, allowed_load: f64) {
-        let earned = if share.is_negligible {
+        let credited_calls = if share.is_negligible {
             arrivals / 2.0 * allowed_load
         } else {
             0.0
         };
-        let max_earned_per_second = MAX_EARNED_SHARES * share.calls_per_second;
-        self.earned
-            .refill(now, max_earned_per_second, MAX_BUDGET_CALLS);
-        let earned = earned.min(self.earned.tokens);
-        self.earned.tokens -= earned;
-        self.calls.tokens += earned;
+        let max_credited_per_second = MAX_CREDITED_SHARES * share.calls_per_second;
+        self.creditable_calls
+            .refill(now, max_credited_per_second, MAX_BUDGET_CALLS);
+        let credited_calls = credited_calls.min(self.creditable_calls.tokens);
+        self.creditable_calls.tokens -= credited_calls;
+        self.calls.tokens += credited_calls;
         self.calls
             .refill(now, share.calls_per_second, MAX_BUDGET_CALLS);
     }
