--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn halves_negligible_share_and_lets_messages_earn_calls() {
+fn halves_negligible_share_and_credits_calls_for_messages() {
     let share = forwarder_share(0.16, 100.0, &config(400));
     assert!(share.is_negligible);
     assert_close(share.calls_per_second, 16.0 / 400.0 / 2.0);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn messages_earn_no_calls_if_share_is_not_negligible() {
+fn credits_no_calls_for_messages_if_share_is_not_negligible() {
     let share = forwarder_share(0.16, 1.0, &config(1));
     assert!(share.is_negligible);
     let not_negligible = ForwarderShare {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn messages_earn_at_most_one_and_a_half_times_halved_share() {
+fn credits_at_most_one_and_a_half_times_halved_share() {
     let share = forwarder_share(0.16, 100.0, &config(400));
     let mut budget = SlowStartBudget::new(0.0, 0);
     budget.refill(10 * SECOND, share, 1e6, 0.16);
