--- a/crates/lab/src/capacity/fleet/plan.rs
+++ b/crates/lab/src/capacity/fleet/plan.rs
@@ -10,6 +10,7 @@
 pub const SECOND: Micros = 1_000_000;
 /// Number of zones over both regions, as in the deployment whose capacity is planned.
 pub const ZONE_COUNT: u16 = 8;
+/// Number of consecutive zones that form one region.
 pub const ZONES_PER_REGION: u16 = 4;
 /// Latency target: time from the arrival of a message within which it should be delivered, in µs.
 pub const LATENCY_TARGET: Micros = 2_500_000;
--- a/crates/lab/src/receivers/faults.rs
+++ b/crates/lab/src/receivers/faults.rs
@@ -51,10 +51,12 @@
 }
 
 impl ActiveFaults {
+    /// Activates a fault. An active fault with the same index is replaced.
     pub fn insert(&mut self, fault_index: usize, fault: ActiveFault) {
         self.by_index.insert(fault_index, fault);
     }
 
+    /// Ends a fault. Does nothing if it is not active.
     pub fn remove(&mut self, fault_index: usize) {
         self.by_index.remove(&fault_index);
     }
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -123,10 +123,12 @@
         }
     }
 
+    /// Returns whether no call awaits an outcome. Health checks are not counted.
     pub fn has_no_calls_in_flight(&self) -> bool {
         self.calls.is_empty()
     }
 
+    /// Returns whether the next health check waits for the outcome of one in flight.
     pub fn has_health_check_in_flight(&self) -> bool {
         self.next_check_or_discard_at == HEALTH_CHECK_IN_FLIGHT
     }
--- a/src/idle/table.rs
+++ b/src/idle/table.rs
@@ -216,10 +216,12 @@
         (due_at <= now).then_some(id)
     }
 
+    /// Counts a destination whose summaries were turned back into full state.
     pub fn count_restored(&mut self) {
         self.restored += 1;
     }
 
+    /// Counts a destination whose full state was reduced to summaries.
     pub fn count_summarised(&mut self) {
         self.summarised += 1;
     }
