--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,6 @@
-//! The laboratory of opalpulley. It plays scenarios on a simulated clock and on sockets, checks every run against the oracle
-//! of the rules, and runs experiments on top of that. Its programs and the tests use it; the forwarder doesn't depend on it.
+//! The laboratory of opalpulley. It runs scenarios on a simulated clock and on sockets, lets an oracle check every run against
+//! the platform's rules, runs experiments that consist of many runs, and measures the capacity of forwarders. Its programs and
+//! the tests use it; the forwarder doesn't depend on it.
 
 // docs/ROADMAP.md counts the struct fields and variants that still lack a doc comment.
 #![allow(missing_docs)]
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -32,7 +32,7 @@
     pub time_left: Micros,
     /// Size of the body on sockets, in bytes.
     pub body_bytes: usize,
-    /// Upper bound on how often the client resubmits the message after a rejection.
+    /// Upper bound on the number of times that the client resubmits the message after a rejection.
     pub resubmissions: u32,
 }
 
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -1,6 +1,6 @@
-//! The oracle checks the six rules and the final answers from outside a forwarder, on the simulated clock and on sockets. It
-//! observes the answers to clients, the calls that reach the receivers, and the endpoint statuses and retry-after times that
-//! forwarders were notified of. It has no access to a forwarder's decisions.
+//! The oracle checks the platform's six rules and the final answers from outside a forwarder, on the simulated clock and on
+//! sockets. It observes the answers to clients, the calls that reach the receivers, and the endpoint statuses and retry-after
+//! times that forwarders were notified of. It has no access to a forwarder's decisions.
 //!
 //! A submission is one message as submitted to one forwarder; a resubmission by the client is a new submission. A submission
 //! is removed from the tables some time after its deadline, once none of its calls is in flight. A retry-after time, a drain
--- a/crates/lab/src/oracle/calls.rs
+++ b/crates/lab/src/oracle/calls.rs
@@ -89,7 +89,8 @@
         let Some(ended_at) = submission.ended_at else {
             return false;
         };
-        // Without slack both are observed on one clock, and a call observed at the instant of the answer was sent after it.
+        // Without slack, calls and answers are observed on one clock, and a call observed at the instant of the answer was sent
+        // after it.
         let seen_after_end = match self.observation_slack {
             0 => now >= ended_at,
             observation_slack => now > ended_at + observation_slack,
@@ -136,14 +137,14 @@
         let Some(queue) = self.ordered_queues.get(&(call.forwarder, key)) else {
             return;
         };
-        let mut earlier = queue
+        let mut earlier_submissions = queue
             .iter()
             .take_while(|submission_number| **submission_number != call.submission);
         let is_open = |submission_number: &u64| {
             let earlier = self.submissions.get(submission_number);
             earlier.is_some_and(|earlier| earlier.ended_at.is_none() || earlier.calls_in_flight > 0)
         };
-        if earlier.any(is_open) {
+        if earlier_submissions.any(is_open) {
             let description =
                 format!("{description}: an earlier message of its order key has not ended");
             self.record_violation(Rule::OrderNotKept, now, description);
@@ -183,7 +184,8 @@
         self.check_retry_after(forwarder, limiter, now, &description);
     }
 
-    /// Checks the retry-after time that binds calls and health checks alike. `description` is that of the violation.
+    /// Checks the retry-after time that binds calls and health checks alike. `description` is recorded with
+    /// a violation.
     pub fn check_retry_after(
         &mut self,
         forwarder: u32,
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Removes an attempt that was withdrawn before its bytes left from the counts.
+    /// Subtracts an attempt that was withdrawn before its bytes were sent from the attempt count of its submission.
     pub fn withdrawn_before_send(&mut self, submission: u64) {
         if let Some(submission) = self.submissions.get_mut(&submission) {
             submission.attempt_count = submission.attempt_count.saturating_sub(1);
--- a/crates/lab/src/oracle/limits.rs
+++ b/crates/lab/src/oracle/limits.rs
@@ -21,7 +21,7 @@
 }
 
 impl NotifiedLimits {
-    /// Creates the state of a run in which no forwarder was notified of a limit. `drain_grace` is the time after a
+    /// Creates the state of a run in which no forwarder has been notified of a limit. `drain_grace` is the time after a
     /// notification for which calls to a draining endpoint are allowed, µs.
     pub fn new(drain_grace: Micros, observation_slack: Micros) -> NotifiedLimits {
         NotifiedLimits {
@@ -68,7 +68,8 @@
 
     /// Removes the retry-after times of a forwarder whose process has ended: it keeps none of them.
     pub fn forget_retry_after(&mut self, forwarder: u32) {
-        self.retry_after.retain(|(of, _), _| *of != forwarder);
+        self.retry_after
+            .retain(|(notified_forwarder, _), _| *notified_forwarder != forwarder);
     }
 
     /// Returns whether a call at `now` comes after the grace time of a drain.
--- a/crates/lab/src/oracle/submissions.rs
+++ b/crates/lab/src/oracle/submissions.rs
@@ -149,6 +149,7 @@
         self.excused_until.insert(forwarder, until);
     }
 
+    /// Returns whether the forwarder must give its final answers in time at `now`: it is not excused.
     fn is_answer_due(&self, forwarder: u32, now: Micros) -> bool {
         let until = self.excused_until.get(&forwarder);
         until.is_none_or(|until| now > *until)
@@ -207,9 +208,9 @@
                 submission.delivered_late =
                     is_on_sockets && answer == FinalAnswer::Served && now >= deadline;
                 if answer_due && now > deadline + allowed_lateness {
-                    let late = now - deadline;
+                    let lateness = now - deadline;
                     let description = format!(
-                        "message {submission_number}: final answer {answer:?} {late} us after the deadline"
+                        "message {submission_number}: final answer {answer:?} {lateness} us after the deadline"
                     );
                     self.record_violation(Rule::Lost, now, description);
                 }
@@ -238,7 +239,7 @@
         }
     }
 
-    /// Judges an effect at a receiver that didn't recognize the message as a repeat. Effects of idempotent and of never
+    /// Judges an effect at a receiver that didn't recognise the message as a repeat. Effects of idempotent and of never
     /// accepted messages are ignored.
     pub fn took_effect(&mut self, message: u64, submission: u64, now: Micros) {
         self.forget_effects(now);
--- a/crates/lab/src/oracle/tests.rs
+++ b/crates/lab/src/oracle/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 fn new_oracle() -> Oracle {
-    let class = |name: &str, effect: &str, more: &str| {
-        format!("[[profiles]]\nname = \"{name}\"\neffect = \"{effect}\"\nwindow = \"2s\"\ncontract_time = \"1s\"\nexpiry = \"10s\"\n{more}\n")
+    let class = |name: &str, effect: &str, further_keys: &str| {
+        format!("[[profiles]]\nname = \"{name}\"\neffect = \"{effect}\"\nwindow = \"2s\"\ncontract_time = \"1s\"\nexpiry = \"10s\"\n{further_keys}\n")
     };
     let text = format!(
         "version = 1\nname = \"o\"\nshows = \"o\"\nlasts = \"1s\"\n[forwarders]\nslots = 2\ntrips = 3\n{}{}{}\
@@ -69,9 +69,9 @@
 }
 
 #[test]
-fn accepts_each_rule_at_its_bound_and_reports_violation_past_it() {
+fn allows_value_at_bound_of_each_rule_and_reports_violation_past_it() {
     type Case = (Rule, fn(&mut Oracle, Micros), Micros, Micros);
-    // The rule, the steps that lead to a value, a value that the rule allows, and one that it forbids.
+    // The rule, the steps of a run with a given value, a value that the rule allows, and one that it forbids.
     let cases: [Case; 8] = [
         (
             Rule::Lost,
@@ -156,16 +156,16 @@
             3,
         ),
     ];
-    for (rule, case, allowed_value, forbidden_value) in cases {
+    for (rule, run_steps, allowed_value, forbidden_value) in cases {
         let mut oracle = new_oracle();
-        case(&mut oracle, allowed_value);
+        run_steps(&mut oracle, allowed_value);
         assert!(
             broken_rules(&oracle).is_empty(),
             "expected no violation of {rule} at its bound, got {:?}",
             oracle.violations
         );
         let mut oracle = new_oracle();
-        case(&mut oracle, forbidden_value);
+        run_steps(&mut oracle, forbidden_value);
         assert_eq!(
             broken_rules(&oracle),
             [rule],
@@ -246,7 +246,7 @@
 
 #[test]
 fn allows_one_more_answer_for_message_served_while_its_forwarder_was_down() {
-    for (down, broken) in [(true, 0), (false, 1)] {
+    for (down, violated_rule_count) in [(true, 0), (false, 1)] {
         let mut oracle = new_oracle();
         submit(&mut oracle, 1, 1, None);
         send(&mut oracle, 1, 0);
@@ -254,7 +254,7 @@
         oracle.call_ended(1, 0, 0, CallEffect::Possible);
         oracle.message_ended(1, FinalAnswer::Served, 500_000);
         oracle.message_ended(1, FinalAnswer::Failed, 2_000_000);
-        assert_eq!(oracle.violation_counts.len(), broken);
+        assert_eq!(oracle.violation_counts.len(), violated_rule_count);
         oracle.message_ended(1, FinalAnswer::Failed, 3_000_000);
         assert_eq!(
             broken_rules(&oracle),
--- a/crates/lab/src/receivers.rs
+++ b/crates/lab/src/receivers.rs
@@ -2,8 +2,8 @@
 //! sockets ask the same model for the result of a call when the call reaches its endpoint, and deliver the reply at the time
 //! that the result gives. Queues are first in, first out, so the end of a call is known on arrival.
 //!
-//! `Receivers` owns the state of the receivers. Idempotency keys are kept for twice the longest window or time to live, and
-//! recorded arrivals at an endpoint that warms up for the overload window. `endpoint` serves calls, `faults` holds the
+//! `Receivers` owns the state of the receivers. It keeps an idempotency key for twice the longest window or time to live and,
+//! while an endpoint warms up, each arrival for the length of the overload window. `endpoint` serves calls, `faults` holds the
 //! active faults, `idempotency_keys` recognises repeated calls, `rate_limiter` rejects calls over the limit, and `reply`
 //! defines the results.
 
@@ -180,7 +180,7 @@
         idempotency_key: Option<u64>,
     ) -> CallResult {
         let mut result = self.process_call(now, endpoint_index, idempotency_key);
-        // Every call draws, whatever its reply, so that replies don't change the later draws of a run.
+        // The truncation is drawn whatever the reply, so that replies don't change the later draws of a run.
         let truncated = self.draw_truncation(endpoint_index);
         if let (ReceiverReply::TooManyRequests { retry_after }, true) = (result.reply, truncated) {
             result.reply = ReceiverReply::TooManyRequestsTruncated { retry_after };
--- a/crates/lab/src/receivers/endpoint.rs
+++ b/crates/lab/src/receivers/endpoint.rs
@@ -195,13 +195,13 @@
         now: Micros,
         faults: &[&ActiveFault],
     ) -> Option<ReceiverReply> {
-        let mut kinds = faults.iter();
-        if let Some(shut) = kinds.find(|fault| fault.kind == FaultKind::Shut) {
+        let mut all_faults = faults.iter();
+        if let Some(shut) = all_faults.find(|fault| fault.kind == FaultKind::Shut) {
             let retry_after = Some(shut.ends_at.saturating_sub(now));
             return Some(ReceiverReply::TooManyRequests { retry_after });
         }
-        let mut kinds = faults.iter();
-        if kinds.any(|fault| fault.kind == FaultKind::Silent) {
+        let mut all_faults = faults.iter();
+        if all_faults.any(|fault| fault.kind == FaultKind::Silent) {
             return Some(ReceiverReply::Silent);
         }
         let rate = faults.iter().find_map(|fault| match fault.kind {
@@ -235,9 +235,9 @@
             }
         }
         if self.congestion_slowdown > 1.0 {
-            let mut kinds = faults.iter();
+            let mut all_faults = faults.iter();
             let has_congestion_fault =
-                kinds.any(|fault| matches!(fault.kind, FaultKind::Jam { .. }));
+                all_faults.any(|fault| matches!(fault.kind, FaultKind::Jam { .. }));
             if !has_congestion_fault && self.queued_starts.is_empty() {
                 self.congestion_slowdown = 1.0;
             }
--- a/crates/lab/src/receivers/faults.rs
+++ b/crates/lab/src/receivers/faults.rs
@@ -78,7 +78,7 @@
     /// Returns the share of its 429 responses that an endpoint truncates, if a fault does so.
     pub fn truncation_rate(&self, endpoint: &Endpoint) -> Option<f64> {
         self.affecting(endpoint).find_map(|fault| match fault.kind {
-            FaultKind::RefusalsTruncated { rate } => Some(rate),
+            FaultKind::RejectionsTruncated { rate } => Some(rate),
             _ => None,
         })
     }
--- a/crates/lab/src/receivers/rate_limiter.rs
+++ b/crates/lab/src/receivers/rate_limiter.rs
@@ -16,7 +16,7 @@
     refilled_at: Micros,
     /// Whether calls without a token are rejected.
     enforced: bool,
-    /// How far rejected calls may take the tokens below 0.
+    /// How far rejected calls may take `tokens` below 0.
     max_debt: f64,
     /// Retry-after time of a rejection, in µs; 0 sends none.
     retry_after: Micros,
@@ -32,7 +32,7 @@
             tokens: max_tokens,
             refilled_at: 0,
             enforced: group.limited,
-            max_debt: if group.refusals_use_limit {
+            max_debt: if group.rejections_consume_tokens {
                 max_tokens
             } else {
                 0.0
@@ -42,7 +42,7 @@
     }
 
     /// Refills the bucket at `rate_share` of its rate and returns whether a call is admitted, which takes a token. A limit that
-    /// isn't enforced admits every call and takes none.
+    /// isn't enforced admits every call and takes no token.
     pub fn try_admit(&mut self, now: Micros, rate_share: f64) -> bool {
         let elapsed_seconds = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         let refilled = self.tokens + elapsed_seconds * self.rate * rate_share;
--- a/crates/lab/src/receivers/tests.rs
+++ b/crates/lab/src/receivers/tests.rs
@@ -70,26 +70,35 @@
     assert_close("p99", p99(&times), (100.0 * load).ln() / (1.0 - load), 0.05);
 }
 
-/// M/M/c with load r per slot, in units of the mean service time: the probability C of a wait is given by the Erlang C
-/// formula, the mean wait is C/(c(1-r)), and P(W > t) = C e^(-c(1-r)t).
+/// M/M/c with c slots and load r per slot, in units of the mean service time: the probability C of a wait is given by the
+/// Erlang C formula, the mean wait is C/(c(1-r)), and P(W > t) = C e^(-c(1-r)t).
 #[test]
 fn several_slots_with_exponential_service_times_match_mmc_queue() {
-    let (load, c) = (0.8, 5u32);
-    let a = load * f64::from(c);
-    let term = |n: u32| (1..=n).map(|k| a / f64::from(k)).product::<f64>();
-    let total: f64 = (0..c).map(term).sum();
-    let erlang = term(c) / (1.0 - load) / (total + term(c) / (1.0 - load));
+    let (load, slots) = (0.8, 5u32);
+    let offered_load = load * f64::from(slots);
+    let term = |n: u32| {
+        (1..=n)
+            .map(|k| offered_load / f64::from(k))
+            .product::<f64>()
+    };
+    let total: f64 = (0..slots).map(term).sum();
+    let wait_probability = term(slots) / (1.0 - load) / (total + term(slots) / (1.0 - load));
     let (times, mean) = queueing_times(
         r#"{ kind = "exponential", mean = "100ms" }"#,
-        c,
+        slots,
         load,
         CALL_COUNT,
     );
-    assert_close("mean", mean, erlang / (f64::from(c) * (1.0 - load)), 0.02);
+    assert_close(
+        "mean",
+        mean,
+        wait_probability / (f64::from(slots) * (1.0 - load)),
+        0.02,
+    );
     assert_close(
         "p99",
         p99(&times),
-        (100.0 * erlang).ln() / (f64::from(c) * (1.0 - load)),
+        (100.0 * wait_probability).ln() / (f64::from(slots) * (1.0 - load)),
         0.05,
     );
 }
@@ -126,7 +135,8 @@
     assert_close("p99", p99(&times), low, 0.05);
 }
 
-/// Creates the receivers of one destination with 10 calls per second and a burst of 2, with additional keys.
+/// Creates the receivers of one destination with 10 calls per second, a burst of 2, and the given further keys of the
+/// scenario file.
 fn receivers_with(destination_keys: &str) -> (Receivers, Scenario, Layout) {
     let text = format!(
         "version = 1\nname = \"q\"\nshows = \"q\"\nlasts = \"1s\"\n[[destinations]]\nname = \"d\"\nrate = 10.0\nburst = 2.0\n\
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -132,14 +132,14 @@
         .to_bytes();
     let list: serde_json::Value = serde_json::from_slice(&list)?;
     let members = list["members"].as_array().cloned().unwrap_or_default();
-    let member = |member: &serde_json::Value| {
+    let destination_and_address = |member: &serde_json::Value| {
         Some((
             member["cell"].to_string(),
             member["host_port"].as_str()?.to_owned(),
         ))
     };
     let relay = Arc::new(Relay {
-        endpoints: members.iter().filter_map(member).collect(),
+        endpoints: members.iter().filter_map(destination_and_address).collect(),
         idle_connections: Mutex::default(),
     });
     let listener = TcpListener::bind(address("listen")?).await?;
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -82,7 +82,7 @@
     /// Share of the due messages that were served by their first attempt.
     #[serde(rename = "first_trip")]
     pub first_attempt: Option<[f64; 2]>,
-    /// Upper bound on the 99th percentile of the time from due to served.
+    /// Upper bound on the 99th percentile of the latency, counted from when a message is due until it is served.
     pub p99: Option<Span>,
     /// Upper bound on the same percentile on sockets, where noise of the host adds to the latency. Defaults to `p99`.
     pub p99_sockets: Option<Span>,
--- a/crates/lab/src/scenario/classes.rs
+++ b/crates/lab/src/scenario/classes.rs
@@ -24,7 +24,8 @@
     /// Weight of a message relative to others.
     #[serde(default = "defaults::weight", rename = "importance")]
     pub priority_weight: f64,
-    /// Share of its weight that a message still has at its deadline, from 0 to 1.
+    /// Lower bound on the share of its weight that a late message keeps until its deadline, from 0 to 1. A linear decay
+    /// reaches it at the deadline.
     #[serde(default = "defaults::late_weight_share", rename = "late_share")]
     pub late_weight_share: f64,
     /// Whether messages with the same order key are delivered one after the other.
--- a/crates/lab/src/scenario/destination.rs
+++ b/crates/lab/src/scenario/destination.rs
@@ -29,7 +29,7 @@
     pub burst: Option<f64>,
     /// Whether rejected calls consume tokens too, down to a debt of one burst.
     #[serde(default, rename = "refused_count")]
-    pub refusals_use_limit: bool,
+    pub rejections_consume_tokens: bool,
     /// Retry-after time sent with a 429 above the limit; 0 sends none.
     #[serde(default, rename = "wait")]
     pub retry_after: Span,
--- a/crates/lab/src/scenario/fault.rs
+++ b/crates/lab/src/scenario/fault.rs
@@ -34,11 +34,11 @@
     Refusing,
     /// The endpoint accepts calls and sends no response; afterwards it warms up.
     Silent,
-    /// Service takes `times` as long.
+    /// The service time is multiplied by `times`.
     Slow { times: f64 },
     /// Calls end with an error. If `rate` is at least one half, the endpoint warms up afterwards.
     Erring { rate: f64 },
-    /// Calls have their connection reset.
+    /// The connection of a call is reset.
     Reset {
         rate: f64,
         #[serde(rename = "when")]
@@ -49,7 +49,7 @@
     /// 429 responses are cut off after a valid head, which may hold a retry-after time. `rate` is a share of these
     /// responses.
     #[serde(rename = "refusals-cut")]
-    RefusalsTruncated { rate: f64 },
+    RejectionsTruncated { rate: f64 },
     /// Calls take effect, but their responses can't be parsed.
     Garbled { rate: f64 },
     /// Responses begin and never end.
@@ -63,21 +63,22 @@
         #[serde(rename = "left")]
         capacity_left: f64,
     },
-    /// Congestion: service takes `times` as long, and stays slow after the end of the fault until the queue has been empty.
+    /// Congestion: the service time is multiplied by `times`, also after the end of the fault until the queue has been empty.
     Jam { times: f64 },
     /// The endpoint list shows each endpoint as draining and then removes it; a new incarnation at the same address becomes
     /// ready. The endpoints drain one after the other.
     Drain,
     /// Discovery withholds list updates until the end of the fault.
     Stale,
-    /// Discovery sends a full list that lacks the share `missing` of the entries, and the complete list at the end.
+    /// Discovery sends a list that is marked as complete but lacks the share `missing` of the entries, and sends the complete
+    /// list at the end of the fault.
     Partial { missing: f64 },
-    /// Forwarders are killed and restart at the end, with or without their state folder.
+    /// Forwarders are killed and restart at the end of the fault, with or without their state folder.
     Killed {
         #[serde(rename = "folder")]
         folder_kept: bool,
     },
-    /// Forwarders are stopped: they neither read nor send until the end.
+    /// Forwarders are stopped: they neither read nor send until the end of the fault.
     Paused,
     /// Health checks get no response, while calls are served.
     #[serde(rename = "probes-fail")]
@@ -98,7 +99,7 @@
             | FaultKind::Reset { rate, .. }
             | FaultKind::AnswerLost { rate }
             | FaultKind::Garbled { rate }
-            | FaultKind::RefusalsTruncated { rate }
+            | FaultKind::RejectionsTruncated { rate }
             | FaultKind::Endless { rate } => Some(*rate),
             FaultKind::Partial { missing } => Some(*missing),
             FaultKind::Brownout { capacity_left } => Some(*capacity_left),
--- a/crates/lab/src/scenario/fleet.rs
+++ b/crates/lab/src/scenario/fleet.rs
@@ -135,7 +135,7 @@
     pub max_queue_wait: Span,
 }
 
-/// The parameters of the platform's rules. Forwarders are configured with them; receivers and oracle apply them.
+/// The parameters of the platform's rules. Forwarders are configured with them; the receivers and the oracle apply them.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct RuleSettings {
--- a/crates/lab/src/scenario/load.rs
+++ b/crates/lab/src/scenario/load.rs
@@ -38,7 +38,7 @@
     /// Size of a message body on sockets, in bytes; at most 65536.
     #[serde(default = "defaults::body_bytes", rename = "body")]
     pub body_bytes: usize,
-    /// Upper bound on how often a client resubmits a rejected message.
+    /// Upper bound on the number of times that a client resubmits a rejected message.
     #[serde(default = "defaults::resubmissions", rename = "returns")]
     pub resubmissions: u32,
 }
--- a/crates/lab/src/scenario/units.rs
+++ b/crates/lab/src/scenario/units.rs
@@ -12,7 +12,7 @@
     #[error("\"{text}\": {SPAN_FORMAT_HELP}")]
     Malformed { text: String },
     /// The span is negative, or too long to be counted in µs.
-    #[error("\"{text}\": is out of range; {SPAN_FORMAT_HELP}")]
+    #[error("\"{text}\" is out of range; {SPAN_FORMAT_HELP}")]
     OutOfRange { text: String },
 }
 
--- a/crates/lab/src/scenario/validation.rs
+++ b/crates/lab/src/scenario/validation.rs
@@ -144,9 +144,9 @@
             late.share,
             "`share` must be from 0 to 1",
         );
-        let in_time = late.most.0 <= scenario.network.connect_timeout.0;
+        let within_timeout = late.most.0 <= scenario.network.connect_timeout.0;
         self.check(
-            in_time,
+            within_timeout,
             key,
             late.most,
             "`most` must not exceed network.connect_within",
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -48,17 +48,17 @@
         };
         let attempt_index = open_message.attempts.min(255) as u8;
         open_message.attempts += 1;
-        let attempt = self.next_attempt;
+        let attempt_number = self.next_attempt;
         self.next_attempt += 1;
-        open_message.in_flight.push((attempt_index, attempt));
+        open_message.in_flight.push((attempt_index, attempt_number));
         let time_left = open_message.deadline.saturating_sub(self.now);
         let (submission, client_message) = (open_message.submission, open_message.client_message);
         let class = open_message.message.class.0;
         let timeout = timeout.map_or(time_left, |limit| limit.min(time_left));
         self.record_call(forwarder, submission, endpoint);
         let index = Layout::endpoint_index(endpoint);
-        let connected = self.connect(forwarder, index);
-        let in_flight = Attempt {
+        let connect_delay = self.connect(forwarder, index);
+        let attempt = Attempt {
             forwarder,
             id,
             submission,
@@ -67,12 +67,12 @@
             endpoint,
             sent_at: self.now,
             idempotency_key: self.idempotency_key_of(client_message, class),
-            unsent: connected.is_some_and(|delay| delay.lateness > 0),
+            unsent: connect_delay.is_some_and(|delay| delay.lateness > 0),
         };
-        self.attempts.insert(attempt, in_flight);
-        match connected {
-            Some(delay) => self.schedule_call(attempt, delay, timeout),
-            None => self.schedule_refusal(attempt, index),
+        self.attempts.insert(attempt_number, attempt);
+        match connect_delay {
+            Some(delay) => self.schedule_call(attempt_number, delay, timeout),
+            None => self.schedule_refusal(attempt_number, index),
         }
     }
 
@@ -90,10 +90,10 @@
 
     /// Schedules the failure of a call whose connection the endpoint refuses. The attempt counts as a connection until its
     /// outcome releases it.
-    fn schedule_refusal(&mut self, attempt: u64, endpoint: usize) {
+    fn schedule_refusal(&mut self, attempt_number: u64, endpoint: usize) {
         self.connections[endpoint].in_use += 1;
         let refused_at = self.now + 2 * self.scenario.network.delay.0;
-        self.schedule_attempt_end(refused_at, attempt, Outcome::NoConnection);
+        self.schedule_attempt_end(refused_at, attempt_number, Outcome::NoConnection);
     }
 
     pub(super) fn schedule_attempt_end(&mut self, at: Micros, attempt: u64, outcome: Outcome) {
@@ -187,12 +187,12 @@
         };
         let at = result.reply_at.max(self.now) + self.scenario.network.delay.0;
         if let ReceiverReply::TooManyRequestsTruncated {
-            retry_after: Some(wait),
+            retry_after: Some(retry_after),
         } = result.reply
         {
             let received = SimulatedEvent::RetryAfterReceived {
                 attempt: attempt_number,
-                retry_after: wait,
+                retry_after,
             };
             self.schedule(at, received);
         }
@@ -270,7 +270,7 @@
         );
         self.release_connection(attempt.forwarder, index, usable);
         self.count_outcome(outcome);
-        let took_effect = match outcome.may_have_taken_effect() {
+        let effect = match outcome.may_have_taken_effect() {
             true => CallEffect::Possible,
             false => CallEffect::None,
         };
@@ -278,7 +278,7 @@
             attempt.submission,
             attempt.forwarder,
             attempt.sent_at,
-            took_effect,
+            effect,
         );
         if outcome == Outcome::WithdrawnBeforeSend {
             self.oracle.withdrawn_before_send(attempt.submission);
@@ -298,7 +298,7 @@
         let (name, bucket_event) = match outcome {
             Outcome::Delivered => ("delivered", BucketEvent::CallSucceeded),
             Outcome::Error => ("error", BucketEvent::CallFailed),
-            Outcome::Rejected { .. } => ("refused", BucketEvent::CallRefused),
+            Outcome::Rejected { .. } => ("refused", BucketEvent::CallRejected),
             Outcome::Timeout => ("time-out", BucketEvent::CallFailed),
             Outcome::NoConnection => ("no-connection", BucketEvent::CallFailed),
             Outcome::ConnectionReset => ("reset", BucketEvent::CallFailed),
@@ -389,9 +389,7 @@
             Outcome::Delivered
         }
         ReceiverReply::InternalError => Outcome::Error,
-        ReceiverReply::TooManyRequests { retry_after: wait } => {
-            Outcome::Rejected { retry_after: wait }
-        }
+        ReceiverReply::TooManyRequests { retry_after } => Outcome::Rejected { retry_after },
         ReceiverReply::Overloaded => Outcome::Rejected { retry_after: None },
         ReceiverReply::Refused | ReceiverReply::ClosedEarly => Outcome::NoConnection,
         ReceiverReply::Reset
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -19,7 +19,7 @@
 const ANSWER_TIMEOUT: Micros = 400_000;
 /// Delay before a resubmission if the rejection gave no retry-after time, µs.
 const DEFAULT_RETRY_AFTER: Micros = 1_000_000;
-/// Number of unreachable forwarders after which a client gives up.
+/// Number of times that the chosen forwarder is unreachable after which a client gives a message up.
 const MAX_UNREACHABLE_FORWARDERS: u32 = 20;
 /// Upper bound on the random delay of a resubmission, as a share of the retry-after time. It spreads the resubmissions of
 /// clients that were rejected at the same time.
@@ -36,7 +36,7 @@
     resubmissions_left: u32,
     /// Whether the message was rejected before.
     resubmitted: bool,
-    /// Number of tries that found their forwarder unreachable.
+    /// Number of times that the chosen forwarder was unreachable.
     unreachable_forwarders: u32,
 }
 
@@ -90,8 +90,8 @@
         self.submit_to(forwarder as u32, message_number);
     }
 
-    /// Schedules a try with another forwarder `after` µs from now, because one was unreachable.
-    fn try_another_forwarder(&mut self, message_number: u64, after: Micros) {
+    /// Schedules a submission to another forwarder after `delay`, µs, because the chosen one was unreachable.
+    fn try_another_forwarder(&mut self, message_number: u64, delay: Micros) {
         self.tally.counts.turned_away += 1;
         let Some(message) = self.messages.get_mut(&message_number) else {
             return;
@@ -101,7 +101,7 @@
             return self.give_up(message_number);
         }
         self.schedule(
-            self.now + after,
+            self.now + delay,
             SimulatedEvent::Submit {
                 message: message_number,
             },
--- a/crates/lab/src/sim/discovery.rs
+++ b/crates/lab/src/sim/discovery.rs
@@ -16,7 +16,7 @@
 }
 
 impl Sim {
-    /// Returns the complete list, in the order of the endpoint indexes.
+    /// Returns the complete list, in the order of the endpoint indices.
     pub(super) fn complete_list(
         layout: &Layout,
         scenario: &Scenario,
@@ -153,15 +153,16 @@
 
     /// Removes endpoints that are missing from a complete list.
     fn remove_missing(&mut self, forwarder: u32, entries: &[EndpointEntry]) {
-        let listed = &self.processes[forwarder as usize].known_endpoints;
+        let known_endpoints = &self.processes[forwarder as usize].known_endpoints;
         let missing = |known: &&EndpointEntry| {
-            let mut named = entries.iter();
-            !named.any(|entry| entry.endpoint == known.endpoint)
+            let mut listed = entries.iter();
+            !listed.any(|entry| entry.endpoint == known.endpoint)
         };
-        let missing: Vec<EndpointEntry> = listed.values().filter(missing).cloned().collect();
+        let missing: Vec<EndpointEntry> =
+            known_endpoints.values().filter(missing).cloned().collect();
         for entry in missing {
-            let listed = &mut self.processes[forwarder as usize].known_endpoints;
-            listed.remove(&Layout::endpoint_index(entry.endpoint));
+            let known_endpoints = &mut self.processes[forwarder as usize].known_endpoints;
+            known_endpoints.remove(&Layout::endpoint_index(entry.endpoint));
             self.notify_oracle(forwarder, &entry, false);
         }
     }
@@ -169,16 +170,16 @@
     fn apply_entries(&mut self, forwarder: u32, entries: &[EndpointEntry]) {
         for entry in entries {
             self.notify_oracle(forwarder, entry, entry.status == EndpointStatus::Ready);
-            let listed = &mut self.processes[forwarder as usize].known_endpoints;
+            let known_endpoints = &mut self.processes[forwarder as usize].known_endpoints;
             let index = Layout::endpoint_index(entry.endpoint);
             if entry.status != EndpointStatus::Removed {
-                listed.insert(index, entry.clone());
+                known_endpoints.insert(index, entry.clone());
                 continue;
             }
             // The entry of a newer endpoint at the same address stays.
-            let known = listed.get(&index);
+            let known = known_endpoints.get(&index);
             if known.is_some_and(|known| known.endpoint == entry.endpoint) {
-                listed.remove(&index);
+                known_endpoints.remove(&index);
             }
         }
     }
--- a/crates/lab/src/sim/lifecycle.rs
+++ b/crates/lab/src/sim/lifecycle.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Restarts a killed process, which recovers the messages of its state folder if that was kept.
+    /// Restarts a killed process, which recovers the messages of its state folder if the folder was kept.
     pub(super) fn restart_process(&mut self, forwarder: u32, folder_kept: bool) {
         self.oracle
             .excuse_until(forwarder, self.now + RESTART_GRACE);
--- a/crates/lab/src/sim/simulated_process.rs
+++ b/crates/lab/src/sim/simulated_process.rs
@@ -14,7 +14,8 @@
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Number of finished messages that are kept, so that the oracle can judge a call with one of them by a faulty forwarder.
+/// Number of finished messages that are kept, so that the oracle can judge a call that a faulty forwarder sends with one of
+/// them.
 const MAX_RECENTLY_FINISHED: usize = 8;
 /// Lower bound on the start of a process's clock, µs; a real clock doesn't start at 0.
 const MIN_CLOCK_START: Micros = 1_000_000;
@@ -134,8 +135,8 @@
     /// Starts a process with the endpoint list that it knew last. A process that knows none gets the current list.
     pub(super) fn start_process(&mut self, forwarder: u32) {
         let incarnation = self.processes[forwarder as usize].incarnation;
-        let number = u64::from(forwarder) << 32 | u64::from(incarnation);
-        let seed = seeded_rng(self.seed, "forwarder", number).random();
+        let rng_index = u64::from(forwarder) << 32 | u64::from(incarnation);
+        let seed = seeded_rng(self.seed, "forwarder", rng_index).random();
         let subject = self.variant.build(self.scenario.config(forwarder), seed);
         let process = &mut self.processes[forwarder as usize];
         process.subject = Some(subject);
--- a/crates/lab/src/sim/tests.rs
+++ b/crates/lab/src/sim/tests.rs
@@ -148,9 +148,9 @@
     }
 }
 
-/// When forwarders may gossip about refused calls, fewer calls must be refused and more messages served.
+/// When forwarders may gossip about rejected calls, fewer calls must be rejected and more messages served.
 #[test]
-fn gossip_reduces_refused_calls_and_serves_more_messages() {
+fn gossip_reduces_rejected_calls_and_serves_more_messages() {
     let path = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../lab/scenarios/fleet-limits-full.toml"
@@ -172,15 +172,15 @@
             );
         }
     }
-    let [(served, refused), (served_without_gossip, refused_without_gossip)] = sums;
+    let [(served, rejected), (served_without_gossip, rejected_without_gossip)] = sums;
     assert!(
-        served > served_without_gossip && 2 * refused < refused_without_gossip,
-        "expected more served and under half the refused calls with gossip, got {sums:?}"
+        served > served_without_gossip && 2 * rejected < rejected_without_gossip,
+        "expected more served and under half the rejected calls with gossip, got {sums:?}"
     );
 }
 
-/// Guards against a failure that the operators' full fleet showed: a retry-after time or a drain is notified while connections
-/// are not established yet, and the calls on them are sent all the same.
+/// Guards against a failure that the operators' full fleet showed: a forwarder is notified of a retry-after time or a drain
+/// while connections are not established yet, and sends the calls on them all the same.
 #[test]
 fn calls_on_late_connections_respect_limits_notified_before_sending() {
     let path = concat!(
--- a/crates/lab/src/sockets/calls.rs
+++ b/crates/lab/src/sockets/calls.rs
@@ -235,7 +235,7 @@
         ),
         ReceiverReply::InternalError => ("error", BucketEvent::CallFailed, CallEffect::Possible),
         ReceiverReply::TooManyRequests { .. } | ReceiverReply::Overloaded => {
-            ("refused", BucketEvent::CallRefused, CallEffect::None)
+            ("refused", BucketEvent::CallRejected, CallEffect::None)
         }
         ReceiverReply::Refused | ReceiverReply::ClosedEarly => {
             ("no-connection", BucketEvent::CallFailed, CallEffect::None)
--- a/crates/lab/src/subject.rs
+++ b/crates/lab/src/subject.rs
@@ -40,7 +40,7 @@
     /// Ignores retry-after times.
     #[value(name = "ignores-waits")]
     IgnoresRetryAfter,
-    /// Doesn't withdraw calls whose endpoint was chosen before a retry-after time or a drain was notified.
+    /// Doesn't withdraw calls whose endpoint was chosen before the forwarder was notified of a retry-after time or a drain.
     #[value(name = "takes-nothing-back")]
     WithdrawsNothing,
     /// Drops one final answer in ten.
--- a/crates/lab/src/subject/broken.rs
+++ b/crates/lab/src/subject/broken.rs
@@ -86,8 +86,9 @@
     fn alter_outcome(&self, id: MessageId, outcome: Outcome) -> Outcome {
         match (self.variant, outcome) {
             (ForwarderVariant::ResendsAtMostOnce, outcome) => {
-                let may_have_run = outcome != Outcome::Delivered && outcome.may_have_taken_effect();
-                if may_have_run && self.open_at_most_once.contains(&id) {
+                let effect_is_unknown =
+                    outcome != Outcome::Delivered && outcome.may_have_taken_effect();
+                if effect_is_unknown && self.open_at_most_once.contains(&id) {
                     return Outcome::Rejected { retry_after: None };
                 }
                 outcome
@@ -138,7 +139,7 @@
         }
         let is_send = matches!(action, Action::StartAttempt { .. });
         let is_withdrawal = matches!(action, Action::WithdrawUnsent { .. });
-        let times = match self.variant {
+        let copies = match self.variant {
             ForwarderVariant::SecondAnswer if answered.is_some() => 2,
             ForwarderVariant::SendsTwice if is_send => 2,
             ForwarderVariant::WithdrawsNothing if is_withdrawal => 0,
@@ -150,7 +151,7 @@
             }
             _ => 1,
         };
-        for _ in 0..times {
+        for _ in 0..copies {
             actions.push(action.clone());
         }
     }
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -33,8 +33,8 @@
     Call,
     /// A call got a successful response.
     CallSucceeded,
-    /// A call was refused.
-    CallRefused,
+    /// An endpoint rejected a call.
+    CallRejected,
     /// A call ended with any other outcome.
     CallFailed,
 }
@@ -115,7 +115,7 @@
             BucketEvent::MessageFailed => &mut bucket.failed_messages,
             BucketEvent::Call => &mut bucket.calls,
             BucketEvent::CallSucceeded => &mut bucket.good,
-            BucketEvent::CallRefused => &mut bucket.refused,
+            BucketEvent::CallRejected => &mut bucket.refused,
             BucketEvent::CallFailed => &mut bucket.failed,
         };
         *count += 1;
@@ -203,16 +203,16 @@
     }
 
     fn latency(&self) -> Latency {
-        let quantile = |quantile| match self.latencies.is_empty() {
+        let latency_at = |quantile| match self.latencies.is_empty() {
             true => 0,
             false => self.latencies.value_at_quantile(quantile),
         };
         Latency {
             mean: self.latencies.mean(),
-            p50: quantile(0.5),
-            p90: quantile(0.9),
-            p99: quantile(0.99),
-            p999: quantile(0.999),
+            p50: latency_at(0.5),
+            p90: latency_at(0.9),
+            p99: latency_at(0.99),
+            p999: latency_at(0.999),
             most: self.latencies.max(),
         }
     }
--- a/crates/lab/src/tally/outcome.rs
+++ b/crates/lab/src/tally/outcome.rs
@@ -93,7 +93,7 @@
     pub calls: u64,
     /// Calls that got a successful response.
     pub good: u64,
-    /// Calls that were refused.
+    /// Calls that an endpoint rejected.
     pub refused: u64,
     /// Calls that ended with any other outcome.
     pub failed: u64,
@@ -193,8 +193,8 @@
         count as f64 / self.counts.due.max(1) as f64
     }
 
-    /// Returns a line for each broken rule and each expectation that the run doesn't meet; none if all are met. An invalid
-    /// run returns the reason alone.
+    /// Returns a line for each broken rule, for each expectation that the run doesn't meet, and for messages that were still
+    /// open at the end; an empty list if there are none. For an invalid run it returns only why the run is invalid.
     pub fn misses(&self) -> Vec<String> {
         if let Some(void) = &self.void {
             return vec![format!("void: {void}")];
