--- a/crates/lab/src/capacity/backlog.rs
+++ b/crates/lab/src/capacity/backlog.rs
@@ -33,7 +33,7 @@
     /// Disk limit of the forwarder, in MB; the memory limit is derived from it
     #[arg(long, default_value_t = 200.0)]
     pub disk_mb: f64,
-    /// Path of the forwarder program; by default the one in the folder of this program
+    /// Path of the forwarder program; by default the one in the directory of this program
     #[arg(long)]
     pub forwarder: Option<PathBuf>,
     /// Seed of the forwarder's random number generator
--- a/crates/lab/src/capacity/backlog/core_measurement.rs
+++ b/crates/lab/src/capacity/backlog/core_measurement.rs
@@ -35,7 +35,7 @@
 pub struct CoreBacklogMeasurement {
     /// Number of messages submitted.
     pub messages: f64,
-    /// Number of messages that had neither been delivered, failed nor been rejected at the end.
+    /// Number of messages that were neither delivered, failed nor rejected by the end.
     pub waiting: f64,
     /// Growth of the resident memory from the first message to the end, in bytes, including the simulated environment.
     pub memory: f64,
--- a/crates/lab/src/capacity/command.rs
+++ b/crates/lab/src/capacity/command.rs
@@ -27,10 +27,12 @@
 pub fn run(command: Command) -> Result<(), CapacityError> {
     match command {
         Command::Core(options) => core::run(&options),
-        Command::CorePoint(setup) => print_json(&core::measurement::measure(&setup)?),
+        Command::CorePoint(options) => print_json(&core::measurement::measure(&options)?),
         Command::Process(options) => process::run(&options),
         Command::Backlog(options) => backlog::run(&options),
-        Command::BacklogPoint(setup) => print_json(&backlog::core_measurement::measure(&setup)?),
+        Command::BacklogPoint(options) => {
+            print_json(&backlog::core_measurement::measure(&options)?)
+        }
         Command::Fleet(options) => fleet::options::run(&options),
     }
 }
--- a/crates/lab/src/capacity/core.rs
+++ b/crates/lab/src/capacity/core.rs
@@ -254,13 +254,13 @@
     limited: &[CoreMeasurement],
     limit: FullDestinations,
 ) -> Table {
-    let named = |(name, unit, _): &FigureDefinition| {
+    let paired_names = |(name, unit, _): &FigureDefinition| {
         [
             (format!("all in full: {name}"), *unit),
             (format!("{limit} in full: {name}"), *unit),
         ]
     };
-    let names: Vec<(String, &str)> = PAIRED_FIGURES.iter().flat_map(named).collect();
+    let names: Vec<(String, &str)> = PAIRED_FIGURES.iter().flat_map(paired_names).collect();
     let names: Vec<(&str, &str)> = names
         .iter()
         .map(|(name, unit)| (name.as_str(), *unit))
@@ -311,7 +311,8 @@
                 .map(|size| measure_size(options, *size, case))
                 .collect()
         };
-    let title = |what: &str| format!("the core alone, {full} destinations in full, {what}");
+    let title =
+        |conditions: &str| format!("the core alone, {full} destinations in full, {conditions}");
     let uniform = measurements(1, Spread::Uniform, full)?;
     let list_and_traffic: [&[FigureDefinition]; 2] = [&LIST_FIGURES, &TRAFFIC_FIGURES];
     let mut tables = vec![
--- a/crates/lab/src/capacity/core/environment.rs
+++ b/crates/lab/src/capacity/core/environment.rs
@@ -136,7 +136,7 @@
     }
 }
 
-/// Returns the share of the messages that the first of `destinations` gets in the Zipf distribution; the m-th gets 1/m
+/// Returns the share of the messages that the first of `destinations` gets in the Zipf distribution; the n-th gets 1/n
 /// of it.
 fn first_destination_share(destinations: u32) -> f64 {
     1.0 / (1..=destinations)
@@ -150,7 +150,7 @@
     config: EnvironmentConfig,
     /// Share of the messages that the first destination gets with [`Spread::Skewed`].
     first_destination_share: f64,
-    /// State of each destination, by its index.
+    /// Health of each destination, by its index.
     health: Vec<Health>,
     /// Simulated time, in µs.
     now: Micros,
@@ -274,7 +274,7 @@
         (time, self.last_sequence)
     }
 
-    /// Returns the state of the destination to which an endpoint belongs.
+    /// Returns the health of the destination to which an endpoint belongs.
     fn health(&self, endpoint: EndpointId) -> Health {
         let [_, b, c, d] = endpoint.address;
         self.health[(u32::from_be_bytes([0, b, c, d]) / self.config.targets_each) as usize]
--- a/crates/lab/src/capacity/core/measurement.rs
+++ b/crates/lab/src/capacity/core/measurement.rs
@@ -12,7 +12,7 @@
 
 /// Number of entries of each partial update that builds the list; bounds the temporary memory of one update.
 const ENTRIES_PER_STEP: u32 = 1_000;
-/// Factor on the listed rate in a single change.
+/// Factor by which a single change multiplies the listed rate.
 const CHANGED_RATE_FACTOR: f64 = 1.5;
 /// Number of single changes of the list over which the processor time of one change is averaged.
 pub const SINGLE_CHANGE_COUNT: u32 = 200;
--- a/crates/lab/src/capacity/error.rs
+++ b/crates/lab/src/capacity/error.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The cause for which a capacity measurement failed. Its text is printed to the user in one line.
+/// The reason why a capacity measurement failed. Its text is printed to the user in one line.
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
     /// The path of this program can't be determined, so that no fresh process can be started.
@@ -36,7 +36,7 @@
     #[error("{path} does not have the expected format: {text}")]
     MalformedProcFile { path: String, text: String },
     /// `/proc/<pid>/status` lacks a line or has no number in kB in it.
-    #[error("/proc/{pid}/status has no {name}")]
+    #[error("/proc/{pid}/status has no line `{name}` with a value in kB")]
     MissingStatusLine { pid: u32, name: String },
     /// The processor-time clock of this process can't be read.
     #[error("the processor time can't be read: {0}")]
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -44,6 +44,7 @@
 
 /// Length of a time step, in µs. It is shorter than [`MIN_DELAY`], so nothing sent within a step arrives within it.
 const TIME_STEP: Micros = MIN_DELAY - 1_000;
+
 /// An event outside the forwarders: at a destination, in discovery or in the network.
 enum ExternalEvent {
     /// A call reaches its endpoint.
@@ -215,9 +216,9 @@
 
     /// Schedules the next random change of configuration, if the plan has any.
     fn schedule_config_change(&mut self, now: Micros) {
-        if let Some(gap) = self.changes.draw_delay() {
+        if let Some(delay) = self.changes.draw_delay() {
             self.events
-                .push(now + gap, ExternalEvent::ConfigChange { is_random: true });
+                .push(now + delay, ExternalEvent::ConfigChange { is_random: true });
         }
     }
 
--- a/crates/lab/src/capacity/fleet/config_changes.rs
+++ b/crates/lab/src/capacity/fleet/config_changes.rs
@@ -50,12 +50,12 @@
         let destination = self.rng.random_range(0..self.destinations);
         let (incarnation, rate) = receivers.address_and_rate(destination);
         if self.rng.random_bool(MOVE_SHARE) {
-            let new = receivers.relocate(destination);
+            let new_incarnation = receivers.relocate(destination);
             let removed =
                 layout.list_entry(destination, incarnation, rate, EndpointStatus::Removed);
             return vec![
                 removed,
-                layout.list_entry(destination, new, rate, EndpointStatus::Ready),
+                layout.list_entry(destination, new_incarnation, rate, EndpointStatus::Ready),
             ];
         }
         let rate = rate * self.rng.random_range(RATE_FACTOR);
--- a/crates/lab/src/capacity/fleet/counters.rs
+++ b/crates/lab/src/capacity/fleet/counters.rs
@@ -97,10 +97,10 @@
 impl EventCost {
     /// Calls `work`, and counts it as one event with the processor time that this thread spent in it.
     pub fn measure(&mut self, work: impl FnOnce()) {
-        let began = thread_cpu_time();
+        let started_at = thread_cpu_time();
         work();
         self.events += 1;
-        self.cpu_time += thread_cpu_time().saturating_sub(began);
+        self.cpu_time += thread_cpu_time().saturating_sub(started_at);
     }
 }
 
--- a/crates/lab/src/capacity/fleet/destination_states.rs
+++ b/crates/lab/src/capacity/fleet/destination_states.rs
@@ -1,4 +1,4 @@
-//! How many destinations the forwarders held in full and how many as summaries.
+//! Counts of the destinations that the forwarders held in full and as summaries.
 
 use super::report::MeanAndWorst;
 use super::simulated_forwarder::SimulatedForwarder;
@@ -14,7 +14,7 @@
     pub most_full: MeanAndWorst,
     /// Endpoints of idle destinations at the end, each held as a summary.
     pub summaries: MeanAndWorst,
-    /// Of these endpoints, those whose summary carries a bound in force.
+    /// Of these endpoints, those whose summary holds binding state.
     pub bounds: MeanAndWorst,
     /// Number of times that a destination was restored from summaries to its full state, over the whole run.
     pub restored: MeanAndWorst,
@@ -29,14 +29,15 @@
             .iter()
             .map(SimulatedForwarder::state_counts)
             .collect();
-        let over = |of: fn(&StateCounts) -> f64| MeanAndWorst::of(counts.iter().map(of));
+        let mean_and_worst =
+            |count_of: fn(&StateCounts) -> f64| MeanAndWorst::of(counts.iter().map(count_of));
         DestinationStates {
-            full: over(|c| c.full as f64),
-            most_full: over(|c| c.most_full as f64),
-            summaries: over(|c| c.summaries as f64),
-            bounds: over(|c| c.bounds as f64),
-            restored: over(|c| c.restored as f64),
-            summarised: over(|c| c.summarised as f64),
+            full: mean_and_worst(|c| c.full as f64),
+            most_full: mean_and_worst(|c| c.most_full as f64),
+            summaries: mean_and_worst(|c| c.summaries as f64),
+            bounds: mean_and_worst(|c| c.bounds as f64),
+            restored: mean_and_worst(|c| c.restored as f64),
+            summarised: mean_and_worst(|c| c.summarised as f64),
         }
     }
 }
--- a/crates/lab/src/capacity/fleet/discovery.rs
+++ b/crates/lab/src/capacity/fleet/discovery.rs
@@ -14,7 +14,7 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// Range of the delay from the making of a change until the discovery server of a forwarder has it, in µs.
+/// Range of the delay from a change until the discovery server of a forwarder has it, in µs.
 const PROPAGATION_DELAY: Range<Micros> = 350_000..2_200_000;
 /// Time for which a watch stays open if nothing changes, in µs, as the forwarder requests it.
 const WATCH_TIMEOUT: Micros = 5_000_000;
@@ -123,7 +123,7 @@
     ) -> Vec<(Micros, DiscoveryEvent)> {
         for entry in entries
             .iter()
-            .filter(|l| l.status != EndpointStatus::Removed)
+            .filter(|entry| entry.status != EndpointStatus::Removed)
         {
             let index = super::layout::destination_of(entry.endpoint) as usize;
             self.current_entries[index] = entry.clone();
@@ -227,8 +227,8 @@
             .add_http_message(request_bytes(watch.sent_revision));
         watch.sequence += 1;
         if !is_reachable(network.partition, forwarder) {
-            let opens_again = now + WATCH_TIMEOUT + RESPONSE_GRACE + RETRY_DELAY;
-            follow_ups.push((opens_again, DiscoveryEvent::WatchOpens { forwarder }));
+            let reopens_at = now + WATCH_TIMEOUT + RESPONSE_GRACE + RETRY_DELAY;
+            follow_ups.push((reopens_at, DiscoveryEvent::WatchOpens { forwarder }));
             return None;
         }
         watch.open = true;
@@ -236,11 +236,11 @@
             return self.respond(now, forwarder, network, follow_ups);
         }
         let sequence = watch.sequence;
-        let ends = DiscoveryEvent::WatchTimesOut {
+        let timeout = DiscoveryEvent::WatchTimesOut {
             forwarder,
             sequence,
         };
-        follow_ups.push((now + WATCH_TIMEOUT, ends));
+        follow_ups.push((now + WATCH_TIMEOUT, timeout));
         None
     }
 
@@ -255,13 +255,13 @@
     ) -> Option<(u32, ListResponse)> {
         let watch = &mut self.watches[forwarder as usize];
         watch.open = false;
-        let opens_again = DiscoveryEvent::WatchOpens { forwarder };
+        let next_watch = DiscoveryEvent::WatchOpens { forwarder };
         if !is_reachable(network.partition, forwarder) {
-            follow_ups.push((now + RESPONSE_GRACE + RETRY_DELAY, opens_again));
+            follow_ups.push((now + RESPONSE_GRACE + RETRY_DELAY, next_watch));
             return None;
         }
         let arrives_at = now + network.call_delay();
-        follow_ups.push((arrives_at + network.call_delay(), opens_again));
+        follow_ups.push((arrives_at + network.call_delay(), next_watch));
         let (from, revision) = (watch.sent_revision, watch.available_revision);
         watch.sent_revision = revision;
         let complete = revision - from > MAX_RETAINED_CHANGES;
@@ -319,15 +319,18 @@
 
 /// Returns the size of a response with its head and body, in bytes.
 pub fn response_bytes(revision: usize, complete: bool, entries: &[EndpointEntry]) -> u64 {
-    let frame = json!({"revision": revision, "complete": complete, "members": []})
+    let empty_body_length = json!({"revision": revision, "complete": complete, "members": []})
         .to_string()
         .len();
-    let members: usize = entries.iter().map(|l| member_json(l).len() + 1).sum();
-    let body = frame + members.saturating_sub(1);
+    let members: usize = entries
+        .iter()
+        .map(|entry| member_json(entry).len() + 1)
+        .sum();
+    let body_length = empty_body_length + members.saturating_sub(1);
     let head = format!(
-        "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: {body}\r\n\r\n"
+        "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: {body_length}\r\n\r\n"
     );
-    (head.len() + body) as u64
+    (head.len() + body_length) as u64
 }
 
 /// Formats an entry of the list as a member in the protocol's JSON.
--- a/crates/lab/src/capacity/fleet/figures.rs
+++ b/crates/lab/src/capacity/fleet/figures.rs
@@ -62,7 +62,7 @@
     let forwarder_seconds = f64::from(plan.forwarders) * f64::from(plan.seconds);
     add_attempts(&mut figures, counts, forwarder_seconds);
     add_messages(&mut figures, counts);
-    add_returns(&mut figures, counts);
+    add_recoveries(&mut figures, counts);
     add_losses(&mut figures, counts);
     figures.add("wall time", "s", measured.wall_seconds);
     figures.add("  of it the start", "s", measured.start_seconds);
@@ -224,7 +224,7 @@
 }
 
 /// Adds the recoveries of destinations and the load that they received, compared with their budget.
-fn add_returns(figures: &mut Figures, counts: &Counts) {
+fn add_recoveries(figures: &mut Figures, counts: &Counts) {
     let receivers = &counts.receivers;
     let worst = receivers.worst;
     figures.add(
--- a/crates/lab/src/capacity/fleet/incidents.rs
+++ b/crates/lab/src/capacity/fleet/incidents.rs
@@ -7,6 +7,7 @@
 
 /// The zone that [`Incident::ZoneCut`] isolates. It is not in the region of discovery, so the other zones keep discovery.
 const ISOLATED_ZONE: u16 = ZONE_COUNT - 1;
+
 impl Fleet<'_> {
     /// Schedules the incident of the plan, if it has one.
     pub(super) fn schedule_incident(&mut self) {
--- a/crates/lab/src/capacity/fleet/layout.rs
+++ b/crates/lab/src/capacity/fleet/layout.rs
@@ -38,7 +38,8 @@
     pub destinations: Vec<DestinationSpec>,
     /// Number of the destination at each rank of Zipf's law, the busiest first.
     destinations_by_rank: Vec<u32>,
-    /// Ranks from 1; `None`, where every message goes to the busiest destination, if the distribution can't be built.
+    /// Distribution of the ranks, which start at 1. `None` if it can't be built; every message then goes to the busiest
+    /// destination.
     rank_distribution: Option<Zipf<f64>>,
 }
 
@@ -51,7 +52,8 @@
         let weight = |rank: usize| ((rank + 1) as f64).powf(-plan.skew);
         let sum: f64 = (0..destinations_by_rank.len()).map(weight).sum();
         let busiest = (destinations_by_rank.len() / BUSIEST_DIVISOR).max(1);
-        let at_limit = plan.at_limit_share * destinations_by_rank.len() as f64 / busiest as f64;
+        let at_limit_probability =
+            plan.at_limit_share * destinations_by_rank.len() as f64 / busiest as f64;
         let mut destinations = vec![
             DestinationSpec {
                 zone: 0,
@@ -61,8 +63,8 @@
         ];
         for (rank, destination) in destinations_by_rank.iter().enumerate() {
             let sent_rate = plan.events_a_second * weight(rank) / sum;
-            let limited = rank < busiest && rng.random_bool(at_limit.min(1.0));
-            let rate = if limited {
+            let is_at_limit = rank < busiest && rng.random_bool(at_limit_probability.min(1.0));
+            let rate = if is_at_limit {
                 sent_rate * HEADROOM_AT_LIMIT
             } else {
                 (sent_rate * HEADROOM).max(MIN_RATE)
--- a/crates/lab/src/capacity/fleet/observer.rs
+++ b/crates/lab/src/capacity/fleet/observer.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// Fraction (numerator, denominator) of the calls to a recovering destination from which on the overload is attributed to
-/// the witnesses: the forwarders that had noticed the outage.
+/// Smallest fraction, as numerator and denominator, of the calls to a recovering destination for which its overload is
+/// attributed to the witnesses: the forwarders that had noticed the outage.
 const WITNESS_SHARE: (usize, usize) = (2, 3);
 
 /// Tracks the load on a destination since it recovered, until its warm-up ends.
--- a/crates/lab/src/capacity/fleet/options.rs
+++ b/crates/lab/src/capacity/fleet/options.rs
@@ -21,7 +21,7 @@
     /// Number of destinations, each with one endpoint
     #[arg(long, default_value_t = 8_000)]
     pub destinations: u32,
-    /// Simulated time, s
+    /// Simulated time, in seconds
     #[arg(long, default_value_t = 60)]
     pub seconds: u32,
     /// Messages per second for the whole fleet [default: 200 for each forwarder]
@@ -30,10 +30,10 @@
     /// Share of the destinations that is down at any time
     #[arg(long, default_value_t = 0.041)]
     pub down_share: f64,
-    /// Mean duration of an outage, s
+    /// Mean duration of an outage, in seconds
     #[arg(long, default_value_t = 60.0)]
     pub outage_seconds: f64,
-    /// Share of the destinations that is sent more than its rate
+    /// Share of the destinations that are sent more messages than their rate allows
     #[arg(long, default_value_t = 0.004)]
     pub at_limit_share: f64,
     /// Exponent of the Zipf distribution of the messages over the destinations
--- a/crates/lab/src/capacity/fleet/plan.rs
+++ b/crates/lab/src/capacity/fleet/plan.rs
@@ -16,10 +16,10 @@
 pub const LATENCY_TARGET: Micros = 2_500_000;
 /// Time from the arrival of a message to its deadline, in µs.
 const DEADLINE: Micros = 28_000_000;
-/// Calls in flight at a forwarder at most: the number of connections to endpoints that a limit of 256 file descriptors
-/// allows.
+/// Upper bound on the calls in flight at a forwarder: the number of connections to endpoints that a limit of 256 file
+/// descriptors allows.
 const CONCURRENCY_LIMIT: u32 = 116;
-/// Messages that a forwarder holds at most.
+/// Upper bound on the messages that a forwarder holds.
 const MAX_MESSAGES: u32 = 4_000;
 const MAX_ATTEMPTS: u32 = 6;
 /// Upper bound on the number of destinations, because three bytes of an endpoint's address encode the destination.
@@ -84,9 +84,9 @@
 /// The parameters of a run. The same plan gives the same counts.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Plan {
-    /// At least 2, and at most as many as forwarder ids allow.
+    /// Number of forwarders, from 2 to the number of forwarder ids.
     pub forwarders: u32,
-    /// At least 1, and at most as many as endpoint addresses allow.
+    /// Number of destinations, from 1 to the number of endpoint addresses.
     pub destinations: u32,
     /// Simulated duration of the run, in s; at least 4.
     pub seconds: u32,
@@ -114,9 +114,9 @@
 /// The reason why a plan is invalid.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PlanError {
-    /// There are no destinations, or more than endpoint addresses.
+    /// There are no destinations, or more than there are endpoint addresses.
     Destinations { requested: u32 },
-    /// There are fewer than two forwarders, or more than forwarder ids.
+    /// There are fewer than two forwarders, or more than there are forwarder ids.
     Forwarders { requested: u32 },
     /// The value of another option is out of range: a share outside 0 to 0.9, a skew outside 0 to 3, a run shorter than 4 s,
     /// a rate or duration that is not positive and finite, or a negative number of changes.
@@ -129,11 +129,11 @@
             PlanError::Destinations { requested } => {
                 write!(
                     f,
-                    "--destinations {requested}: 1 to {MAX_DESTINATIONS} can run"
+                    "--destinations must be 1 to {MAX_DESTINATIONS}, got {requested}"
                 )
             }
             PlanError::Forwarders { requested } => {
-                write!(f, "--forwarders {requested}: 2 to {} can run", u16::MAX)
+                write!(f, "--forwarders must be 2 to {}, got {requested}", u16::MAX)
             }
             PlanError::OutOfRange { option, value } => {
                 write!(f, "{option} {value} is out of range")
--- a/crates/lab/src/capacity/fleet/receivers.rs
+++ b/crates/lab/src/capacity/fleet/receivers.rs
@@ -91,7 +91,7 @@
     receivers: Vec<Receiver>,
     /// Counts of the observer.
     pub counts: ReceiverCounts,
-    /// `None`, where every response takes the mean time, if the distribution can't be built.
+    /// `None` if the distribution can't be built; every response then takes the mean time.
     response_times: Option<LogNormal<f64>>,
     rng: Pcg64Mcg,
 }
@@ -269,10 +269,10 @@
     /// Applies `change` to the causes of an outage, and updates the observer and the warm-up accordingly. Returns whether
     /// the receiver has recovered by the change.
     fn update_outage(&mut self, now: Micros, change: impl FnOnce(&mut Receiver)) -> bool {
-        let before = self.outage_kind().is_some();
+        let was_down = self.outage_kind().is_some();
         change(self);
-        let after = self.outage_kind().is_some();
-        match (before, after) {
+        let is_down = self.outage_kind().is_some();
+        match (was_down, is_down) {
             (false, true) => (self.outage, self.recovery) = (Some(Box::default()), None),
             (true, false) => {
                 let outage = self.outage.take().map(|outage| *outage).unwrap_or_default();
@@ -281,7 +281,7 @@
             }
             _ => {}
         }
-        before && !after
+        was_down && !is_down
     }
 
     /// Returns the outcome of a call or health check that arrives during an outage, or `None` while the receiver is up.
@@ -289,12 +289,13 @@
         let response = self.outage_kind()?.response();
         let (forwarder, sent_at) = (arrival.forwarder, arrival.sent_at);
         let outage = self.outage.as_ref();
-        let another = outage.is_some_and(|outage| outage.known_to_another(forwarder, sent_at));
-        let own = outage.is_some_and(|outage| outage.known_to(forwarder, sent_at));
+        let known_to_another =
+            outage.is_some_and(|outage| outage.known_to_another(forwarder, sent_at));
+        let known_to_sender = outage.is_some_and(|outage| outage.known_to(forwarder, sent_at));
         Some(ArrivalDuringOutage {
             response,
-            another_knew: another,
-            only_others_knew: another && !own,
+            another_knew: known_to_another,
+            only_others_knew: known_to_another && !known_to_sender,
         })
     }
 
@@ -304,12 +305,12 @@
             return 1.0;
         };
         let rules = rules();
-        let warmth = (now - since) as f64 / rules.warm_up_time as f64;
-        if warmth >= 1.0 {
+        let warm_up_progress = (now - since) as f64 / rules.warm_up_time as f64;
+        if warm_up_progress >= 1.0 {
             (self.warm_up, self.recovery) = (WarmUpState::Warm, None);
             return 1.0;
         }
-        rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warmth
+        rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * warm_up_progress
     }
 
     /// Refills the token bucket and takes one token. Returns whether there was one.
--- a/crates/lab/src/capacity/fleet/report.rs
+++ b/crates/lab/src/capacity/fleet/report.rs
@@ -41,7 +41,7 @@
     pub gossip_in: MeanAndWorst,
     pub list_out: MeanAndWorst,
     pub list_in: MeanAndWorst,
-    /// The four kinds together.
+    /// The sum of the four kinds above.
     pub all: MeanAndWorst,
 }
 
@@ -247,13 +247,15 @@
             |bytes: u64| bytes.saturating_sub(resident_before) as f64 / forwarders.len() as f64;
         let cost_of = |kind: EventKind| {
             let costs = || forwarders.iter().map(|f| f.costs[kind as usize]);
-            let events: u64 = costs().map(|d| d.events).sum();
-            let time: f64 = costs().map(|d| d.cpu_time.as_secs_f64()).sum();
+            let events: u64 = costs().map(|cost| cost.events).sum();
+            let time: f64 = costs().map(|cost| cost.cpu_time.as_secs_f64()).sum();
             EventKindCost {
                 kind,
                 events_a_second: events as f64 / seconds / forwarders.len() as f64,
                 microseconds_an_event: time * 1e6 / events.max(1) as f64,
-                core_share: MeanAndWorst::of(costs().map(|d| d.cpu_time.as_secs_f64() / seconds)),
+                core_share: MeanAndWorst::of(
+                    costs().map(|cost| cost.cpu_time.as_secs_f64() / seconds),
+                ),
             }
         };
         Measurements {
--- a/crates/lab/src/capacity/fleet/simulated_forwarder.rs
+++ b/crates/lab/src/capacity/fleet/simulated_forwarder.rs
@@ -102,12 +102,12 @@
         self.schedule_next_message(now);
     }
 
-    /// Schedules the next arrival after an exponentially distributed gap, unless the rate is 0.
+    /// Schedules the next arrival after an exponentially distributed interval, unless the rate is 0.
     fn schedule_next_message(&mut self, now: Micros) {
         if self.arrival_rate > 0.0 {
-            let gap = exponential(&mut self.rng) / self.arrival_rate * SECOND as f64;
+            let interval = exponential(&mut self.rng) / self.arrival_rate * SECOND as f64;
             self.inbox.push(
-                now + gap.max(1.0) as Micros,
+                now + interval.max(1.0) as Micros,
                 ForwarderInput::Message {
                     generation: self.generation,
                 },
@@ -117,8 +117,8 @@
 
     /// Handles all inputs that are due before `until`. What the forwarder sends is left in the outbox.
     pub fn advance(&mut self, until: Micros, layout: &Layout, receivers: &Receivers) {
-        while let Some((now, incoming)) = self.inbox.pop_before(until) {
-            self.handle_input(now, incoming, layout, receivers);
+        while let Some((now, input)) = self.inbox.pop_before(until) {
+            self.handle_input(now, input, layout, receivers);
         }
     }
 
@@ -126,11 +126,11 @@
     fn handle_input(
         &mut self,
         now: Micros,
-        incoming: ForwarderInput,
+        input: ForwarderInput,
         layout: &Layout,
         receivers: &Receivers,
     ) {
-        match incoming {
+        match input {
             ForwarderInput::Message { generation } if generation == self.generation => {
                 self.schedule_next_message(now);
                 self.submit_message(now, layout, receivers);
@@ -294,7 +294,7 @@
         ));
     }
 
-    /// Has the core handle one event, accounts the processor time, and performs the core's actions.
+    /// Has the core handle one event, measures the processor time, and performs the core's actions.
     fn handle_event(&mut self, now: Micros, kind: EventKind, event: Event) {
         let SimulatedForwarder { core, actions, .. } = self;
         self.costs[kind as usize].measure(|| core.handle(now, event, actions));
@@ -388,12 +388,12 @@
         self.health_checks.insert(endpoint, now);
         self.outbox
             .push((now, ForwarderOutput::HealthCheck { endpoint }));
-        let failed = ForwarderInput::HealthCheckEnded {
+        let timeout = ForwarderInput::HealthCheckEnded {
             endpoint,
             sent_at: now,
             outcome: Outcome::Timeout,
         };
-        self.inbox.push(now + HEALTH_CHECK_TIMEOUT, failed);
+        self.inbox.push(now + HEALTH_CHECK_TIMEOUT, timeout);
     }
 
     /// Returns the numbers of destinations and endpoints that the core holds in full and as summaries.
--- a/crates/lab/src/capacity/fleet/tests.rs
+++ b/crates/lab/src/capacity/fleet/tests.rs
@@ -30,8 +30,8 @@
     run(plan, THREADS).expect("the plan should be valid").counts
 }
 
-/// Asserts what holds for every run: each message ends exactly once or is still open, and all bytes are accounted for.
-fn assert_accounts_balance(plan: &Plan, counts: &Counts) {
+/// Asserts the invariants of every run: each message ends exactly once or is still open, and all bytes are accounted for.
+fn assert_invariants(plan: &Plan, counts: &Counts) {
     let messages = &counts.messages;
     assert_eq!(messages.core_errors, 0);
     let ended = messages.delivered + messages.failed + messages.rejected;
@@ -83,7 +83,7 @@
 fn accounts_for_each_message_and_byte() {
     let plan = small_plan(3);
     let counts = run_counts(&plan);
-    assert_accounts_balance(&plan, &counts);
+    assert_invariants(&plan, &counts);
     let (messages, receivers) = (&counts.messages, &counts.receivers);
     let expected = plan.events_a_second * f64::from(plan.seconds);
     assert!(
@@ -159,15 +159,15 @@
             ..busy.clone()
         };
         let counts = run_counts(&plan);
-        assert_accounts_balance(&plan, &counts);
+        assert_invariants(&plan, &counts);
         counts
     };
-    let (all, none) = (
+    let (all_full, none_full) = (
         counts_with(FullDestinations::All),
         counts_with(FullDestinations::Beyond(0)),
     );
-    assert_eq!(all.messages.arrived, none.messages.arrived);
-    for counts in [&all, &none] {
+    assert_eq!(all_full.messages.arrived, none_full.messages.arrived);
+    for counts in [&all_full, &none_full] {
         assert!(
             counts.receivers.recoveries > 0,
             "some destinations should recover"
@@ -179,19 +179,22 @@
         );
     }
     assert_eq!(
-        (all.states.summaries.worst, all.states.restored.worst),
+        (
+            all_full.states.summaries.worst,
+            all_full.states.restored.worst
+        ),
         (0.0, 0.0)
     );
-    assert_eq!(all.states.full.mean, f64::from(busy.destinations));
+    assert_eq!(all_full.states.full.mean, f64::from(busy.destinations));
     assert!(
-        none.states.summaries.mean > 0.0 && none.states.restored.mean > 0.0,
+        none_full.states.summaries.mean > 0.0 && none_full.states.restored.mean > 0.0,
         "{:?}",
-        none.states
+        none_full.states
     );
     assert!(
-        none.states.full.worst < f64::from(busy.destinations),
+        none_full.states.full.worst < f64::from(busy.destinations),
         "{:?}",
-        none.states
+        none_full.states
     );
 }
 
@@ -215,7 +218,7 @@
         ..small_plan(5)
     };
     let counts = run_counts(&plan);
-    assert_accounts_balance(&plan, &counts);
+    assert_invariants(&plan, &counts);
     let [change] = counts.changes.as_slice() else {
         panic!("expected one change, got {:?}", counts.changes)
     };
@@ -236,7 +239,7 @@
         ..small_plan(6)
     };
     let counts = run_counts(&plan);
-    assert_accounts_balance(&plan, &counts);
+    assert_invariants(&plan, &counts);
     assert!(
         counts.attempts_lost > 0 && counts.gossip_lost > 0,
         "{counts:?}"
@@ -272,7 +275,7 @@
         ..small_plan(7)
     };
     let counts = run_counts(&plan);
-    assert_accounts_balance(&plan, &counts);
+    assert_invariants(&plan, &counts);
     let during = &counts.changes[0];
     let [first_region, second_region] = during
         .last_by_region
--- a/crates/lab/src/capacity/process.rs
+++ b/crates/lab/src/capacity/process.rs
@@ -58,7 +58,7 @@
     /// Limit of open descriptors of the forwarder
     #[arg(long, default_value_t = 256)]
     pub descriptors: u32,
-    /// Path of the forwarder program; by default the one in the folder of this program
+    /// Path of the forwarder program; by default the one in the directory of this program
     #[arg(long)]
     pub forwarder: Option<PathBuf>,
     /// Seed of the forwarder and of the choice of targets
@@ -142,7 +142,7 @@
 fn table(
     title: &str,
     size: &str,
-    points: &[ProcessMeasurement],
+    measurements: &[ProcessMeasurement],
     size_of: fn(&ProcessMeasurement) -> f64,
 ) -> Table {
     let names: Vec<(&str, &str)> = FIGURES
@@ -153,7 +153,7 @@
         size: size_of(p),
         values: FIGURES.iter().map(|(_, _, value_of)| value_of(p)).collect(),
     };
-    Table::new(title, size, &names, points.iter().map(row).collect())
+    Table::new(title, size, &names, measurements.iter().map(row).collect())
 }
 
 /// Measures the cases, pairs of listed targets and targets in use, one after the other, so that they don't compete for
@@ -163,14 +163,14 @@
     cases: &[(u32, u32)],
     source: ListSource,
 ) -> Vec<ProcessMeasurement> {
-    let mut points = Vec::new();
+    let mut measurements = Vec::new();
     for (listed, in_use) in cases {
         match measure(options, *listed, *in_use, source).await {
-            Ok(point) => points.push(point),
+            Ok(measurement) => measurements.push(measurement),
             Err(error) => eprintln!("measurement failed with the list from {source:?}: {error}"),
         }
     }
-    points
+    measurements
 }
 
 /// Measures all cases and returns two tables by listed targets, one per list source, and one by targets in use.
@@ -190,8 +190,10 @@
         .iter()
         .map(|in_use| (options.listed, *in_use))
         .collect();
-    let by_listed_targets = |points: &[ProcessMeasurement], title: &str| {
-        table(title, "listed targets", points, |p| p.listed_targets.into())
+    let by_listed_targets = |measurements: &[ProcessMeasurement], title: &str| {
+        table(title, "listed targets", measurements, |p| {
+            p.listed_targets.into()
+        })
     };
     // Each series runs on a runtime of its own, so that its mock servers stop when the runtime is dropped.
     let known = runtime()?.block_on(measure_cases(options, &by_size, ListSource::Known));
--- a/crates/lab/src/capacity/process/forwarder_process.rs
+++ b/crates/lab/src/capacity/process/forwarder_process.rs
@@ -1,4 +1,4 @@
-//! The measured forwarder process: its start, its HTTP status and its resource usage.
+//! The measured forwarder process: its start, the status of its answers and its resource usage.
 
 use crate::capacity::error::CapacityError;
 use crate::capacity::usage::Usage;
--- a/crates/lab/src/capacity/process/measurement.rs
+++ b/crates/lab/src/capacity/process/measurement.rs
@@ -25,7 +25,7 @@
 /// Time to live of each message.
 const TIME_TO_LIVE: Duration = Duration::from_secs(20);
 
-/// The figures of one forwarder process; a time that was never reached is NaN.
+/// The figures of one forwarder process; a time is NaN if its event did not occur.
 #[derive(Clone, Debug)]
 pub struct ProcessMeasurement {
     /// Number of targets in the endpoint list.
@@ -204,7 +204,7 @@
         rate: options.rate,
         time_to_live: TIME_TO_LIVE,
     };
-    let loaded = measure_load(&forwarder, messages, listen).await?;
+    let load = measure_load(&forwarder, messages, listen).await?;
     let second_rest = forwarder.usage_at_rest(options.rest).await?;
     let usage_after_second_rest = forwarder.usage()?;
     forwarder.child.kill().await?;
@@ -216,13 +216,13 @@
         usage_at_ready,
         usage_after_first_rest,
         first_rest,
-        under_load: loaded.period,
-        usage_after_load: loaded.usage_after,
+        under_load: load.period,
+        usage_after_load: load.usage_after,
         second_rest,
         usage_after_second_rest,
-        max_descriptors: loaded.max_descriptors,
+        max_descriptors: load.max_descriptors,
         submitted,
-        accepted: loaded.accepted,
+        accepted: load.accepted,
         calls_answered: environment.calls_answered.load(Ordering::Relaxed) - calls_before,
     })
 }
--- a/crates/lab/src/capacity/table.rs
+++ b/crates/lab/src/capacity/table.rs
@@ -28,7 +28,7 @@
 pub struct Row {
     /// The size, in the unit that [`Table::size`] names.
     pub size: f64,
-    /// One value per figure, in the order of [`Table::figures`]; NaN if the figure was not reached.
+    /// One value per figure, in the order of [`Table::figures`]; NaN if the figure could not be measured.
     pub values: Vec<f64>,
 }
 
@@ -94,7 +94,7 @@
 impl Table {
     /// Creates a table and fits a line to each figure. `figures` holds a name and a unit for each value of a row.
     pub fn new(title: &str, size: &str, figures: &[(&str, &str)], rows: Vec<Row>) -> Table {
-        // A figure that was not reached at a size is NaN there and does not enter the fit.
+        // A figure that could not be measured at a size is NaN there and does not enter the fit.
         let points = |index: usize| -> Vec<(f64, f64)> {
             rows.iter()
                 .map(|row| (row.size, row.values[index]))
--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -22,7 +22,8 @@
 /// The exit code of a subcommand that ran, or the reason why it could not run.
 type CommandResult = Result<ExitCode, CommandError>;
 
-/// Exit code for an invalid run: the machine or the load generator was too slow, or a forwarder crashed, so the run shows nothing.
+/// Exit code for an invalid run: the machine or the load generator was too slow, or a forwarder crashed, so that nothing can
+/// be concluded from the run.
 const EXIT_INVALID_RUN: u8 = 3;
 
 /// A subcommand with its options.
@@ -42,7 +43,7 @@
     Hunt(hunt::Options),
     /// Writes an HTML report of outcomes that were written as JSON
     Report(report::Options),
-    /// Measures the CPU cost of core events while a given number of messages waits in one queue
+    /// Measures the wall-clock time that core events take while a given number of messages waits in one queue
     Bids(bids::Options),
     /// Measures the memory and CPU use of the core and the forwarder program at several sizes, with the slope of each figure
     #[command(subcommand)]
@@ -54,7 +55,7 @@
 impl Command {
     /// Executes the subcommand and returns the exit code of the program.
     ///
-    /// Fails if an input is unusable, if a file can't be read or written, or if a compared run is invalid and shows nothing.
+    /// Fails if an input is unusable, if a file can't be read or written, or if a compared run is invalid.
     pub fn execute(self) -> CommandResult {
         match self {
             Command::Run(options) => run::execute(&options),
--- a/crates/lab/src/commands/compare.rs
+++ b/crates/lab/src/commands/compare.rs
@@ -40,10 +40,10 @@
     /// The forwarder variant of side B in runs that this program simulates
     #[arg(long = "make-b", default_value_t = ForwarderVariant::True)]
     variant_b: ForwarderVariant,
-    /// The forwarder program of side A with --sockets; by default the one beside this program
+    /// The forwarder program of side A with --sockets; by default the one in the directory of this program
     #[arg(long)]
     forwarder_a: Option<PathBuf>,
-    /// The forwarder program of side B with --sockets; by default the one beside this program
+    /// The forwarder program of side B with --sockets; by default the one in the directory of this program
     #[arg(long)]
     forwarder_b: Option<PathBuf>,
     /// Runs both sides on sockets in real time
@@ -57,8 +57,7 @@
     json: Option<PathBuf>,
 }
 
-/// Runs both sides with each seed, then prints the comparison and its verdict. Fails if a run is invalid and thus
-/// shows nothing.
+/// Runs both sides with each seed, then prints the comparison and its verdict. Fails if a run is invalid.
 pub fn execute(options: Options) -> CommandResult {
     let seeds: Vec<u64> = (1..=options.seeds).collect();
     let (use_sockets, json_path) = (options.sockets, options.json.clone());
@@ -131,7 +130,7 @@
     build: Option<PathBuf>,
     /// Ignored if another build simulates this side.
     variant: ForwarderVariant,
-    /// The forwarder program on sockets; the one beside this program if none is named.
+    /// The forwarder program on sockets; the one in the directory of this program if none is named.
     forwarder: Option<PathBuf>,
 }
 
--- a/crates/lab/src/commands/error.rs
+++ b/crates/lab/src/commands/error.rs
@@ -39,7 +39,7 @@
     #[error("{}: {source}", path.display())]
     File { path: PathBuf, source: io::Error },
     /// A file does not contain an outcome as JSON.
-    #[error("{}: not an outcome as JSON: {source}", path.display())]
+    #[error("{}: the file does not contain an outcome as JSON: {source}", path.display())]
     Outcome {
         path: PathBuf,
         source: serde_json::Error,
@@ -66,8 +66,8 @@
     /// The asynchronous runtime for sockets can't be started.
     #[error(transparent)]
     Runtime(io::Error),
-    /// A run of a comparison is invalid, so the comparison shows nothing.
-    #[error("a compared run is void: {reason}")]
+    /// A run of a comparison is invalid, so the two sides can't be compared.
+    #[error("a compared run is invalid: {reason}")]
     InvalidRun { reason: String },
 }
 
--- a/crates/lab/src/commands/options.rs
+++ b/crates/lab/src/commands/options.rs
@@ -16,7 +16,7 @@
     /// Runs on sockets in real time
     #[arg(long)]
     pub sockets: bool,
-    /// The forwarder program for sockets; by default the one beside this program
+    /// The forwarder program for sockets; by default the one in the directory of this program
     #[arg(long)]
     pub forwarder: Option<PathBuf>,
     /// The directory for the logs of the forwarders; no logs are kept by default
--- a/crates/lab/src/commands/run_scenario.rs
+++ b/crates/lab/src/commands/run_scenario.rs
@@ -95,7 +95,7 @@
         .map_err(CommandError::Runtime)
 }
 
-/// Returns the exit code for the outcomes. An invalid run, which shows nothing, takes precedence over a missed expectation.
+/// Returns the exit code for the outcomes. An invalid run takes precedence over a missed expectation.
 pub fn exit_code(outcomes: &[Outcome]) -> ExitCode {
     if outcomes.iter().any(|outcome| outcome.void.is_some()) {
         return ExitCode::from(EXIT_INVALID_RUN);
--- a/crates/lab/src/commands/sweep.rs
+++ b/crates/lab/src/commands/sweep.rs
@@ -20,7 +20,7 @@
     /// The values of the key
     #[arg(long, required = true, value_delimiter = ',')]
     values: Vec<String>,
-    /// Runs with each value; the seeds count from 1
+    /// Number of runs with each value; the seeds count from 1
     #[arg(long, default_value_t = 8)]
     seeds: u64,
     /// The forwarder variant to simulate
--- a/crates/lab/src/experiments.rs
+++ b/crates/lab/src/experiments.rs
@@ -20,7 +20,8 @@
 /// Returns a copy of the scenario with the assignments applied. Each is written as `KEY=VALUE` with the keys of the scenario
 /// file, such as `forwarders.slots=16` or `destinations[0].rate=50.0`.
 ///
-/// Fails if an assignment is malformed, if a key names no place for a value, or if the changed scenario is invalid.
+/// Fails if an assignment is malformed, if a key does not fit the structure of the scenario, or if the changed scenario is
+/// invalid.
 pub fn with_assignments(
     scenario: &Scenario,
     assignments: &[String],
--- a/crates/lab/src/experiments/compare.rs
+++ b/crates/lab/src/experiments/compare.rs
@@ -57,9 +57,9 @@
 pub struct Comparison {
     /// Number of pairs of runs.
     pub pairs: usize,
-    /// The figures of both variants, the share of the weight first.
+    /// The figures of both variants, the delivered share of the weight first.
     pub figures: Vec<Figure>,
-    /// How many times A and B broke a rule, over all runs.
+    /// Number of rule violations in all runs of A and in all runs of B.
     pub broken: [u64; 2],
     /// Whether B is better than A. If one variant alone broke rules, it is the worse one; otherwise the share of the weight
     /// that was delivered decides.
@@ -134,10 +134,10 @@
         .iter()
         .map(|metric| metric.compare(&a[..pairs], &b[..pairs]))
         .collect();
-    let broken = [a, b].map(count_broken_rules);
+    let broken = [a, b].map(count_violations);
     let verdict = match broken {
-        [0, broken_by_b] if broken_by_b > 0 => Verdict::Worse,
-        [broken_by_a, 0] if broken_by_a > 0 => Verdict::Better,
+        [0, violations_of_b] if violations_of_b > 0 => Verdict::Worse,
+        [violations_of_a, 0] if violations_of_a > 0 => Verdict::Better,
         _ => figures[0].verdict,
     };
     Comparison {
@@ -148,7 +148,7 @@
     }
 }
 
-fn count_broken_rules(outcomes: &[Outcome]) -> u64 {
+fn count_violations(outcomes: &[Outcome]) -> u64 {
     let counts = outcomes.iter().flat_map(|outcome| outcome.broken.values());
     counts.sum()
 }
@@ -166,7 +166,7 @@
         let difference = mean(&differences);
         let (low, high) = confidence_interval(&differences, 1);
         let negligible = difference.abs() < MIN_RELATIVE_DIFFERENCE * mean(&a).abs();
-        // A single pair has no spread, so its interval says nothing about chance.
+        // A single pair has no variance, so its interval says nothing about the random variation between runs.
         let verdict = match a.len() < 2 || negligible {
             true => Verdict::CantTell,
             false => self.verdict(low, high),
--- a/crates/lab/src/experiments/core_cost.rs
+++ b/crates/lab/src/experiments/core_cost.rs
@@ -10,9 +10,9 @@
 use serde::Serialize;
 use std::time::Instant;
 
-/// Simulated time between two submissions or two rounds, µs.
+/// Simulated time between two submissions or two rounds, in µs.
 const EVENT_INTERVAL: Micros = 100;
-/// Simulated time at which the benchmark begins, µs.
+/// Simulated time at which the benchmark begins, in µs.
 const START_TIME: Micros = 1_000_000;
 /// Calls per second that the endpoint accepts: more than the core sends, so that its rate never limits an attempt.
 const ENDPOINT_RATE: f32 = 1e6;
@@ -49,10 +49,10 @@
 pub struct CoreCost {
     /// Number of waiting messages.
     pub waiting: u32,
-    /// Mean time of a submission with the scheduling that follows it, ns.
+    /// Mean time of a submission with the scheduling that follows it, in ns.
     #[serde(rename = "arrival")]
     pub submission_ns: f64,
-    /// Mean time of an attempt's end with the scheduling that follows it, ns.
+    /// Mean time of an attempt's end with the scheduling that follows it, in ns.
     #[serde(rename = "end")]
     pub attempt_end_ns: f64,
 }
@@ -92,9 +92,9 @@
 /// A core with one endpoint, and the state of the benchmark around it.
 struct CoreBenchmark {
     core: Forwarder,
-    /// Time to live of each submitted message, µs.
+    /// Time to live of each submitted message, in µs.
     time_to_live: Micros,
-    /// Simulated time, µs.
+    /// Simulated time, in µs.
     now: Micros,
     /// Actions of the core; cleared in each round before its events.
     actions: Vec<Action>,
--- a/crates/lab/src/experiments/sweep.rs
+++ b/crates/lab/src/experiments/sweep.rs
@@ -16,14 +16,14 @@
     pub service: f64,
     /// The share of the messages that were served in time.
     pub served: f64,
-    /// The median latency, ms.
+    /// The median latency, in ms.
     pub p50: f64,
-    /// The 99th percentile of the latency, ms.
+    /// The 99th percentile of the latency, in ms.
     pub p99: f64,
     /// Calls per message that was due.
     #[serde(rename = "calls_a_packet")]
     pub calls_per_message: f64,
-    /// How many times a rule was broken, over all runs.
+    /// Number of rule violations in all runs.
     pub broken: u64,
 }
 
--- a/crates/lab/src/experiments/worst_case.rs
+++ b/crates/lab/src/experiments/worst_case.rs
@@ -1,5 +1,5 @@
 //! Searches random variants of a scenario for the worst one, which breaks a rule or loses the largest share of the weight,
-//! and shrinks it to the smallest scenario that still shows the same.
+//! and shrinks it to the smallest scenario that still shows the same finding.
 
 use super::{parallelism, run_in_parallel, simulate, ExperimentError};
 use crate::load::ReplayError;
@@ -16,15 +16,15 @@
 
 /// Share of the loss that each shrinking step must preserve.
 const MIN_KEPT_LOSS_SHARE: f64 = 0.9;
-/// Most forwarders in a generated scenario.
+/// Upper bound on the number of forwarders in a generated scenario.
 const MAX_FORWARDERS: u32 = 64;
 const RESET_MOMENTS: [ResetMoment; 3] =
     [ResetMoment::Before, ResetMoment::Within, ResetMoment::After];
-/// The load of a scenario is halved in duration only if it lasts longer than this, µs.
+/// The duration of a scenario is halved only if it is longer than this, in µs.
 const MIN_HALVED_DURATION: u64 = 4_000_000;
-/// A fault is halved in duration only if it lasts longer than this, µs.
+/// The duration of a fault is halved only if it is longer than this, in µs.
 const MIN_HALVED_FAULT_DURATION: u64 = 400_000;
-/// The rate of a load is halved only if it is above this, messages per second.
+/// The rate of a load is halved only if it is above this, in messages per second.
 const MIN_HALVED_RATE: f64 = 2.0;
 
 /// The worst scenario that a search found, after shrinking.
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,7 +1,7 @@
 //! The program `opalpulley-lab`. It parses the command line and calls the function of the subcommand.
 //!
 //! Exit codes: 0 if every result is as expected; 1 if a rule was broken or an expectation missed; 2 if an input is unusable;
-//! 3 if a run is invalid, that is, if it shows nothing about the forwarder.
+//! 3 if a run is invalid, that is, if nothing about the forwarder can be concluded from it.
 
 mod commands;
 
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -11,10 +11,10 @@
 use crate::tally::Outcome;
 use rows::FIGURES;
 
-/// Most broken rules that are printed with their descriptions in a terminal.
-const MAX_PRINTED_BREAKS: usize = 5;
+/// Upper bound on the rule violations that the text for a terminal contains.
+const MAX_PRINTED_VIOLATIONS: usize = 5;
 
-/// Renders the figures of an outcome as text for a terminal, with its missed expectations and its first broken rules.
+/// Renders the figures of an outcome as text for a terminal, with its missed expectations and its first rule violations.
 pub fn text(outcome: &Outcome) -> String {
     let mut text = format!("{}: {}\n", outcome.scenario, outcome.shows);
     for (label, format_figure) in FIGURES {
@@ -23,10 +23,10 @@
     for miss in outcome.misses() {
         text += &format!("  MISSED: {miss}\n");
     }
-    for broken in outcome.breaks.iter().take(MAX_PRINTED_BREAKS) {
-        let broken_at_s = broken.at as f64 / 1e6;
-        let (rule, description) = (broken.rule, &broken.what);
-        text += &format!("  {rule} at {broken_at_s:.3} s: {description}\n");
+    for violation in outcome.breaks.iter().take(MAX_PRINTED_VIOLATIONS) {
+        let violated_at_s = violation.at as f64 / 1e6;
+        let (rule, description) = (violation.rule, &violation.what);
+        text += &format!("  {rule} at {violated_at_s:.3} s: {description}\n");
     }
     text
 }
--- a/crates/lab/src/report/page.rs
+++ b/crates/lab/src/report/page.rs
@@ -52,7 +52,7 @@
     table + "</table>\n"
 }
 
-/// Renders the section of one outcome: its missed expectations, plots, faults and broken rules.
+/// Renders the section of one outcome: its missed expectations, plots, faults and rule violations.
 fn outcome_section(outcome: &Outcome) -> Result<String, PlotError> {
     let clock = match outcome.clock {
         Clock::Simulated => "Simulated",
@@ -94,17 +94,17 @@
     table + "</table>\n"
 }
 
-fn violation_table(breaks: &[RuleViolation]) -> String {
-    if breaks.is_empty() {
+fn violation_table(violations: &[RuleViolation]) -> String {
+    if violations.is_empty() {
         return String::new();
     }
     let mut table =
         String::from("<table class=\"bad\"><tr><th>rule</th><th>at s</th><th>what</th></tr>\n");
-    for broken in breaks {
-        let broken_at_s = broken.at as f64 / 1e6;
-        let (rule, description) = (broken.rule, escape_html(&broken.what));
+    for violation in violations {
+        let violated_at_s = violation.at as f64 / 1e6;
+        let (rule, description) = (violation.rule, escape_html(&violation.what));
         table +=
-            &format!("<tr><td>{rule}</td><td>{broken_at_s:.3}</td><td>{description}</td></tr>\n");
+            &format!("<tr><td>{rule}</td><td>{violated_at_s:.3}</td><td>{description}</td></tr>\n");
     }
     table + "</table>\n"
 }
--- a/crates/lab/src/report/plots.rs
+++ b/crates/lab/src/report/plots.rs
@@ -11,7 +11,7 @@
 
 /// Width and height of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 240);
-/// Colours of the series of a plot, in their order; no plot has more series than this.
+/// Colours of the series of a plot, in their order; no plot has more series than there are colours.
 const SERIES_COLOURS: [RGBColor; 4] = [
     RGBColor(31, 119, 180),
     RGBColor(44, 160, 44),
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -14,7 +14,8 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-const MAX_WAIT: Duration = Duration::from_secs(10); // for a condition or a response that a test requires
+/// Upper bound on the wait for a condition or a response that a test requires.
+const MAX_WAIT: Duration = Duration::from_secs(10);
 
 /// A request or a response as it was received. Header names are in lower case.
 #[derive(Clone, Debug, Default)]
@@ -77,22 +78,24 @@
         .local_addr()
         .expect("the listener should have an address");
     let (log, respond) = (RequestLog::default(), Arc::new(respond));
-    let seen = log.clone();
+    let request_log = log.clone();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, seen, respond) = (
+            let (mut stream, request_log, respond) = (
                 stream.expect("the connection should be accepted"),
-                seen.clone(),
+                request_log.clone(),
                 respond.clone(),
             );
             thread::spawn(move || {
-                while let Some(message) = read_http_message(&mut stream) {
+                while let Some(request) = read_http_message(&mut stream) {
                     let request_index = {
-                        let mut seen = seen.lock().expect("the request log should not be poisoned");
-                        seen.push(message.clone());
-                        seen.len() - 1
+                        let mut request_log = request_log
+                            .lock()
+                            .expect("the request log should not be poisoned");
+                        request_log.push(request.clone());
+                        request_log.len() - 1
                     };
-                    match respond(&message, request_index) {
+                    match respond(&request, request_index) {
                         Some(text) => stream
                             .write_all(text.as_bytes())
                             .expect("the response should be written"),
@@ -201,19 +204,19 @@
     let pending_changes: Arc<Mutex<Vec<String>>> = Arc::default();
     let completion_reports = RequestLog::default();
     let (changes, reports) = (pending_changes.clone(), completion_reports.clone());
-    let (address, _) = serve(move |message, _| {
-        if message.first_line.starts_with("POST /v1/outcomes") {
+    let (address, _) = serve(move |request, _| {
+        if request.first_line.starts_with("POST /v1/outcomes") {
             let mut reports = reports
                 .lock()
                 .expect("the completion reports should not be poisoned");
-            reports.push(message.clone());
+            reports.push(request.clone());
             return empty_response(if reports.len() > refused_reports {
                 "204 No Content"
             } else {
                 "500 Oops"
             });
         }
-        if !message.first_line.contains("index=") {
+        if !request.first_line.contains("index=") {
             return ok_response(&endpoint_list(1, true, &members));
         }
         let started = Instant::now();
@@ -419,8 +422,8 @@
 pub fn count_calls(log: &RequestLog, id: &str) -> usize {
     let log = log.lock().expect("the request log should not be poisoned");
     log.iter()
-        .filter(|message| {
-            message
+        .filter(|request| {
+            request
                 .headers
                 .get("request-id")
                 .is_some_and(|value| value == id)
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -37,11 +37,11 @@
 /// platform's protocol adds to each limit, and 50 ms for scheduling delays of this machine.
 const OBSERVATION_SLACK: Micros = 100_000;
 /// Upper bound on the 99th percentile of the lateness of the load generator and of the receivers, in µs. A run that exceeds it
-/// is invalid and shows nothing.
+/// is invalid.
 pub const MAX_LATENESS_P99: Micros = 25_000;
 /// Delay before a client resubmits a rejected message if the rejection has no retry-after time, in µs.
 const DEFAULT_RETRY_AFTER: Micros = 1_000_000;
-/// Highest value that the lateness histograms distinguish, in µs; longer ones are counted as this one.
+/// Highest value that the lateness histograms distinguish, in µs; higher values are recorded as this one.
 const LATENESS_HISTOGRAM_MAX: u64 = 3_600_000_000;
 /// Significant decimal digits that the lateness histograms keep.
 const LATENESS_HISTOGRAM_DIGITS: u8 = 2;
--- a/crates/lab/src/sockets/accept_queue.rs
+++ b/crates/lab/src/sockets/accept_queue.rs
@@ -7,8 +7,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// Cycle in which the accept queue is full for a share of the time. It is longer than 1 s because the kernel of a
-/// client retries a connection that was not established after 1 s, and the retry must not find the queue full each time.
+/// Cycle in which the accept queue is full for a share of the time. The kernel of a client retries an attempt to connect
+/// after 1 s. The cycle is longer, so that the retry doesn't find the queue full each time.
 const CYCLE: Duration = Duration::from_millis(1300);
 /// Backlog of the listener while the queue is open, in connections.
 const OPEN_BACKLOG: i32 = 1024;
--- a/crates/lab/src/sockets/agents.rs
+++ b/crates/lab/src/sockets/agents.rs
@@ -112,7 +112,7 @@
     Json(#[from] serde_json::Error),
     /// The id of the report doesn't belong to a submission of the laboratory.
     #[error("{id}: nobody handed that in")]
-    UnknownMessage { id: String },
+    UnknownSubmission { id: String },
     /// The status of the report is unknown to the platform.
     #[error("{status}: no such status")]
     UnknownStatus { status: String },
@@ -143,7 +143,7 @@
     fn submission(&self) -> Result<u64, ReportError> {
         let number = self.id.strip_prefix('p');
         let number = number.and_then(|number| number.parse().ok());
-        number.ok_or_else(|| ReportError::UnknownMessage {
+        number.ok_or_else(|| ReportError::UnknownSubmission {
             id: self.id.clone(),
         })
     }
--- a/crates/lab/src/sockets/run.rs
+++ b/crates/lab/src/sockets/run.rs
@@ -199,8 +199,8 @@
     );
     outcome.broken = state.oracle.violation_counts_by_name();
     outcome.breaks = state.oracle.violations.clone();
-    for broken in &mut outcome.breaks {
-        broken.at = broken.at.saturating_sub(timeline.begins_at);
+    for violation in &mut outcome.breaks {
+        violation.at = violation.at.saturating_sub(timeline.begins_at);
     }
     outcome.falls = overload_failures.len() as u64;
     outcome.load_late = load_lateness;
@@ -209,7 +209,7 @@
     outcome
 }
 
-/// Returns the reason why a run is invalid and shows nothing: a crashed forwarder, or a late load generator or receiver. The
+/// Returns the reason why a run is invalid, if it is: a crashed forwarder, or a late load generator or receiver. The
 /// latenesses are 99th percentiles in µs.
 fn invalidity_reason(
     crashes: &[String],
@@ -240,7 +240,7 @@
     values.value_at_quantile(0.99)
 }
 
-/// Returns the default path of the forwarder's executable, which is in the same folder as the running program.
+/// Returns the default path of the forwarder's executable, which is in the directory of the running program.
 pub fn default_forwarder_program() -> PathBuf {
     let own_program = std::env::current_exe().unwrap_or_default();
     own_program
--- a/crates/lab/src/sockets/submissions.rs
+++ b/crates/lab/src/sockets/submissions.rs
@@ -169,7 +169,7 @@
 }
 
 /// Records that a forwarder was unreachable or gave no answer in time. The client submits the message to another forwarder,
-/// with another id.
+/// with another request id.
 fn record_unanswered(
     state: &mut RunState,
     context: &RunContext,
--- a/crates/lab/src/sockets/timeline.rs
+++ b/crates/lab/src/sockets/timeline.rs
@@ -42,7 +42,7 @@
     phases: Mutex<Vec<Phase>>,
     /// Time until which discovery sends no updates, in µs on the run's clock.
     stale_until: Mutex<Micros>,
-    /// Descriptions of crashes and failed restarts of forwarders. If there are any, the run is invalid and shows nothing.
+    /// Descriptions of crashes and failed restarts of forwarders. If there are any, the run is invalid.
     pub crashes: Mutex<Vec<String>>,
     /// Forwarders that are known to be down, killed or crashed. Any other forwarder that has exited has crashed.
     down_forwarders: Mutex<BTreeSet<u32>>,
--- a/crates/lab/src/sockets/wire.rs
+++ b/crates/lab/src/sockets/wire.rs
@@ -10,7 +10,8 @@
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 const MAX_HEADERS: usize = 64;
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-const MAX_PORT_ATTEMPTS: u32 = 100; // to reserve a free port
+/// Upper bound on the attempts to reserve a free port.
+const MAX_PORT_ATTEMPTS: u32 = 100;
 
 /// An HTTP/1.1 connection with the bytes that have been read but not consumed.
 pub struct HttpConnection {
@@ -169,7 +170,8 @@
     }
 }
 
-static PORT_CHOICE: Mutex<()> = Mutex::new(()); // held from the choice of a port until it is reserved
+/// Lock that is held from the choice of a port until the port is reserved.
+static PORT_CHOICE: Mutex<()> = Mutex::new(());
 
 /// A loopback port that stays reserved while no listener uses it, so that no other run on this machine gets the port or the
 /// traffic to it.
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -23,7 +23,7 @@
 const PHASE_SECONDS: u32 = 20;
 /// Share of the destinations that is down in the last two phases.
 const DOWN_SHARE: f64 = 0.041;
-/// Upper bound on the destinations called in the last 2 s, which may not be summarised yet.
+/// Upper bound on the destinations called in the last 2 s, which may still be held in full.
 const RECENTLY_CALLED_DESTINATIONS: f64 = 2.0 * MESSAGE_RATE as f64;
 /// Upper bound on the destinations that are down and have waiting messages, whose time to live is 28 s.
 const DESTINATIONS_WITH_WAITING_MESSAGES: f64 = 28.0 * MESSAGE_RATE as f64 * DOWN_SHARE;
@@ -88,7 +88,7 @@
             .each_ref()
             .map(|p| (f64::from(p.destinations), memory(p)));
         LinearFit::through(&sizes_and_bytes)
-            .expect("two sizes")
+            .expect("a line should fit two distinct sizes")
             .slope
     })
 }
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn holds_memory_budget_only_with_idle_destinations_summarised() {
+fn stays_within_memory_budget_only_if_idle_destinations_are_summarised() {
     let limited = measure_both_sizes(FullDestinations::UpTo(FULL_LIMIT));
     assert_eq!(
         check_bytes_per_destination(&limited, MAX_BYTES_PER_DESTINATION),
@@ -245,8 +245,8 @@
             "the simulated environment should hold no events per message: {measurement:?}"
         );
     }
-    let memory_fit =
-        LinearFit::through(&measurements.map(|p| (p.waiting, p.memory))).expect("two sizes");
+    let memory_fit = LinearFit::through(&measurements.map(|p| (p.waiting, p.memory)))
+        .expect("a line should fit two distinct sizes");
     assert!(
         memory_fit.slope <= MAX_BYTES_PER_WAITING_MESSAGE,
         "a waiting message should take at most {MAX_BYTES_PER_WAITING_MESSAGE} bytes: {} bytes",
--- a/crates/lab/tests/tool.rs
+++ b/crates/lab/tests/tool.rs
@@ -3,11 +3,11 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// Exit code of an invalid run, which shows nothing because the machine was too slow for it.
+/// Exit code of an invalid run, for which the machine was too slow.
 const EXIT_INVALID_RUN: i32 = 3;
 
-/// Most runs on sockets until one is valid.
-const MAX_INVALID_RUNS: usize = 3;
+/// Upper bound on the number of runs on sockets until one is valid.
+const MAX_RUNS: usize = 3;
 
 fn run_lab(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_opalpulley-lab"))
@@ -132,7 +132,7 @@
         )
     };
     let first = scenario_path("first");
-    let (file, to) = path("compare.json");
+    let (file, file_arg) = path("compare.json");
     let args = [
         "compare",
         &first,
@@ -142,7 +142,7 @@
         "--seeds",
         "4",
         "--json",
-        &to,
+        &file_arg,
     ];
     assert_eq!(
         run_lab(&args).status.code(),
@@ -172,7 +172,7 @@
         "{}",
         to_text(&same_build.stdout)
     );
-    let (file, to) = path("sweep.json");
+    let (file, file_arg) = path("sweep.json");
     let args = [
         "sweep",
         &first,
@@ -183,7 +183,7 @@
         "--seeds",
         "2",
         "--json",
-        &to,
+        &file_arg,
     ];
     assert!(run_lab(&args).status.success());
     let sweep: serde_json::Value =
@@ -197,12 +197,12 @@
     assert!(service(0) < service(2), "{sweep}");
     let (outcome, _) = path("outcome.json");
     simulate(&first, "1", &outcome);
-    let (page, to) = path("page.html");
+    let (page, file_arg) = path("page.html");
     assert!(run_lab(&[
         "report",
         outcome.to_str().expect("the path should be UTF-8"),
         "--to",
-        &to
+        &file_arg
     ])
     .status
     .success());
@@ -229,9 +229,9 @@
         "--forwarder",
         relay,
     ];
-    // An invalid run shows nothing, because the machine was too slow for the load generator.
+    // A run is invalid if the machine was too slow for the load generator. It is then repeated.
     let is_invalid = |output: &Output| output.status.code() == Some(EXIT_INVALID_RUN);
-    let output = (0..MAX_INVALID_RUNS)
+    let output = (0..MAX_RUNS)
         .map(|_| run_lab(&arguments))
         .find(|output| !is_invalid(output))
         .expect("one of the runs should be valid");
