--- a/crates/forwarder/src/dispatcher.rs
+++ b/crates/forwarder/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: the actor that owns the decision core, the journal and the open messages.
+//! The dispatcher: the actor that owns the decision core, the journal and the unfinished messages.
 //!
 //! The dispatcher passes the events from the other actors to the core, and executes the core's actions in order. State
 //! that must survive the process is written to the journal before it takes effect: a message before its client
@@ -12,10 +12,10 @@
 mod endpoint_list;
 mod endpoints;
 mod log_events;
-mod open_messages;
 mod recovery;
 mod submissions;
 mod timers;
+mod unfinished_messages;
 
 use crate::clock::Clock;
 use crate::commands::{
@@ -27,7 +27,6 @@
 use endpoint_list::ListedEndpoint;
 use endpoints::EndpointActors;
 use opalpulley::{Action, Config, DestinationId, EndpointId, Event, Forwarder, MessageId, Micros};
-use open_messages::OpenMessages;
 use slog::{error, Logger};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::future::Future;
@@ -38,6 +37,7 @@
 use timers::Timers;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
+use unfinished_messages::UnfinishedMessages;
 
 /// Time after the start for which the messages of a previous run wait for an endpoint list. They are submitted to the
 /// core afterwards even if no list is known.
@@ -60,7 +60,7 @@
     log: Logger,
     /// Whether clients may submit messages. See [`ActorHandles::ready`].
     ready: Arc<AtomicBool>,
-    open_messages: OpenMessages,
+    unfinished_messages: UnfinishedMessages,
     /// The destinations of all endpoint lists since the start. None is removed: the size is bounded by the number of
     /// destinations.
     known_destinations: BTreeSet<DestinationId>,
@@ -133,7 +133,7 @@
             gossip: handles.gossip,
             log,
             ready: handles.ready,
-            open_messages: OpenMessages::default(),
+            unfinished_messages: UnfinishedMessages::default(),
             known_destinations: BTreeSet::new(),
             listed_endpoints: BTreeMap::new(),
             timers: Timers::default(),
@@ -182,7 +182,7 @@
 
     /// Whether neither an attempt nor a completion report is in flight.
     fn has_nothing_in_flight(&self) -> bool {
-        !self.open_messages.has_outstanding_attempts() && self.pending_reports.is_empty()
+        !self.unfinished_messages.has_outstanding_attempts() && self.pending_reports.is_empty()
     }
 
     /// Handles one command from another actor.
--- a/crates/forwarder/src/dispatcher/attempts.rs
+++ b/crates/forwarder/src/dispatcher/attempts.rs
@@ -1,6 +1,6 @@
 //! Starts, cancels and records attempts. An attempt is journalled before it is sent, and again once its outcome is known.
 
-use super::open_messages::{OpenMessage, OutstandingAttempt};
+use super::unfinished_messages::{OutstandingAttempt, UnfinishedMessage};
 use super::Dispatcher;
 use crate::commands::{AttemptRequest, EndpointCommand};
 use opalpulley::{EndpointId, Event, MessageId, Micros, Outcome};
@@ -27,7 +27,7 @@
             .get(&endpoint)
             .map_or(0, |listed| listed.zone.0);
         let send_by = self.clock.at(send_by);
-        let Some(message) = self.open_messages.get_undecided(id) else {
+        let Some(message) = self.unfinished_messages.get_undecided(id) else {
             error!(self.log, "attempt from the core ignored: its message is unknown or has ended";
                 "message" => id.0);
             return;
@@ -62,7 +62,7 @@
 
     fn add_outstanding_attempt(&mut self, id: MessageId, attempt: OutstandingAttempt) {
         self.endpoint_actors.attempt_started(attempt.endpoint);
-        if let Some(message) = self.open_messages.get_mut(id) {
+        if let Some(message) = self.unfinished_messages.get_mut(id) {
             message.outstanding_attempts.push(attempt);
         }
     }
@@ -82,7 +82,10 @@
 
     /// Tells the endpoint's actor to cancel an attempt. Does nothing if the attempt is not outstanding.
     pub(super) fn cancel_attempt(&mut self, id: MessageId, attempt_index: u8) {
-        if let Some(endpoint) = self.open_messages.endpoint_of_attempt(id, attempt_index) {
+        if let Some(endpoint) = self
+            .unfinished_messages
+            .endpoint_of_attempt(id, attempt_index)
+        {
             self.send_endpoint_command(
                 endpoint,
                 EndpointCommand::CancelAttempt { id, attempt_index },
@@ -105,7 +108,7 @@
             return;
         };
         let is_late = self
-            .open_messages
+            .unfinished_messages
             .get(*id)
             .is_some_and(|message| self.clock.now() >= message.deadline);
         if is_late && *outcome == Outcome::Delivered {
@@ -124,7 +127,7 @@
         outcome: Outcome,
         message_completed: bool,
     ) {
-        let Some(message) = self.open_messages.get_mut(id) else {
+        let Some(message) = self.unfinished_messages.get_mut(id) else {
             return;
         };
         message
@@ -146,14 +149,14 @@
                 .record_attempt_end(serial, attempt_index, may_have_taken_effect)
         };
         self.log_journal_error(end_written);
-        self.open_messages.remove_if_possible(id);
+        self.unfinished_messages.remove_if_possible(id);
     }
 }
 
 fn attempt_request(
     id: MessageId,
     attempt_index: u8,
-    message: &OpenMessage,
+    message: &UnfinishedMessage,
     timeout: Micros,
     send_by: Instant,
 ) -> AttemptRequest {
--- a/crates/forwarder/src/dispatcher/completion.rs
+++ b/crates/forwarder/src/dispatcher/completion.rs
@@ -10,7 +10,7 @@
     /// Ends a message that was not delivered, and sends its completion report to the platform. Does nothing if the
     /// ending is already decided.
     pub(super) fn end_with_report(&mut self, id: MessageId, ending: Ending) {
-        let Some(message) = self.open_messages.get_undecided(id) else {
+        let Some(message) = self.unfinished_messages.get_undecided(id) else {
             return;
         };
         message.ending_decided = true;
@@ -23,20 +23,20 @@
         let written = self.journal.record_pending_report(report.serial, ending);
         self.log_journal_error(written);
         self.send_report(report, is_ordered.then_some(id));
-        self.open_messages.remove_if_possible(id);
+        self.unfinished_messages.remove_if_possible(id);
     }
 
     /// Ends a message without a completion report, because its client gets the answer itself or has disconnected. Does
     /// nothing if the ending is already decided.
     pub(super) fn end_without_report(&mut self, id: MessageId) {
-        let Some(message) = self.open_messages.get_undecided(id) else {
+        let Some(message) = self.unfinished_messages.get_undecided(id) else {
             return;
         };
         message.ending_decided = true;
         let serial = message.serial;
         let written = self.journal.record_message_end(serial);
         self.log_journal_error(written);
-        self.open_messages.remove_if_possible(id);
+        self.unfinished_messages.remove_if_possible(id);
     }
 
     /// Hands a completion report to the actor that sends it until the platform acknowledges it. `ordered_message` is the
--- a/crates/forwarder/src/dispatcher/recovery.rs
+++ b/crates/forwarder/src/dispatcher/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery: passes the messages of the journal to a new core, after a restart of the process or a panic of the core.
 
-use super::open_messages::OpenMessage;
 use super::submissions::core_submission;
+use super::unfinished_messages::UnfinishedMessage;
 use super::{CoreState, Dispatcher};
 use crate::commands::{EndpointCommand, PendingCompletionReport};
 use crate::journal::StoredMessage;
@@ -37,7 +37,7 @@
     pub(super) fn restore_messages(&mut self, messages: Vec<StoredMessage>) {
         let now = self.clock.now();
         for stored in messages {
-            let id = self.open_messages.unused_id();
+            let id = self.unfinished_messages.unused_id();
             match stored.pending_report {
                 Some(ending) => self.restore_pending_report(id, stored, ending),
                 None => self.restore_message(now, id, stored),
@@ -75,8 +75,8 @@
             resubmitted: true,
             ..core_submission(id, &submitted, history)
         };
-        let message = OpenMessage::new(serial, submitted, deadline, history.attempts);
-        self.open_messages.insert(id, message);
+        let message = UnfinishedMessage::new(serial, submitted, deadline, history.attempts);
+        self.unfinished_messages.insert(id, message);
         self.handle_event(Event::MessageSubmitted(submission));
     }
 
@@ -123,9 +123,9 @@
         self.core_state = CoreState::Running;
     }
 
-    /// Removes all open messages and cancels their attempts.
+    /// Removes all unfinished messages and cancels their attempts.
     fn cancel_all_attempts(&mut self) {
-        for (id, message) in self.open_messages.take_all() {
+        for (id, message) in self.unfinished_messages.take_all() {
             for attempt in message.outstanding_attempts {
                 let attempt_index = attempt.attempt_index;
                 self.send_endpoint_command(
--- a/crates/forwarder/src/dispatcher/submissions.rs
+++ b/crates/forwarder/src/dispatcher/submissions.rs
@@ -1,6 +1,6 @@
 //! Accepts or rejects the messages that clients submit.
 
-use super::open_messages::OpenMessage;
+use super::unfinished_messages::UnfinishedMessage;
 use super::{Decision, Dispatcher};
 use crate::clock::micros;
 use crate::commands::{SubmissionAnswer, SubmissionRequest};
@@ -50,14 +50,19 @@
     }
 
     /// Returns the answer to a submission that needs no space in the journal: a submission to an unknown destination, or
-    /// the repeat of an open message, which a client sends if the first answer was lost.
+    /// the repeat of an unfinished message, which a client sends if the first answer was lost.
     fn answer_without_acceptance(&self, submitted: &SubmittedMessage) -> Option<SubmissionAnswer> {
-        if let Some(open_message) = self.open_messages.get_by_request_id(&submitted.request_id) {
-            return Some(if has_same_content(&open_message.submitted, submitted) {
-                SubmissionAnswer::Accepted
-            } else {
-                SubmissionAnswer::ConflictingContent
-            });
+        if let Some(unfinished_message) = self
+            .unfinished_messages
+            .get_by_request_id(&submitted.request_id)
+        {
+            return Some(
+                if has_same_content(&unfinished_message.submitted, submitted) {
+                    SubmissionAnswer::Accepted
+                } else {
+                    SubmissionAnswer::ConflictingContent
+                },
+            );
         }
         if !self.known_destinations.contains(&submitted.destination) {
             return Some(SubmissionAnswer::UnknownDestination);
@@ -65,13 +70,13 @@
         None
     }
 
-    /// Journals a message and adds it to the open messages. Returns `None` if there is no capacity for it or the
+    /// Journals a message and adds it to the unfinished messages. Returns `None` if there is no capacity for it or the
     /// journal fails.
     fn accept_message(&mut self, submitted: SubmittedMessage) -> Option<Submission> {
         let deadline = self.clock.now() + submitted.time_left;
         let stored = stored_message(&submitted, deadline);
         // The configured capacity is checked before the core gets the submission, as in the simulator.
-        let is_full = self.open_messages.len() >= self.config.max_messages as usize;
+        let is_full = self.unfinished_messages.len() >= self.config.max_messages as usize;
         if is_full || !self.journal.has_space_for(&stored) {
             return None;
         }
@@ -83,10 +88,10 @@
                 return None;
             }
         };
-        let id = self.open_messages.unused_id();
+        let id = self.unfinished_messages.unused_id();
         let submission = core_submission(id, &submitted, AttemptHistory::default());
-        let message = OpenMessage::new(serial, submitted, deadline, 0);
-        self.open_messages.insert(id, message);
+        let message = UnfinishedMessage::new(serial, submitted, deadline, 0);
+        self.unfinished_messages.insert(id, message);
         Some(submission)
     }
 
--- a/crates/forwarder/src/dispatcher/tests.rs
+++ b/crates/forwarder/src/dispatcher/tests.rs
@@ -156,10 +156,10 @@
     }
 }
 
-/// After a panic of the core, the new core gets each open message with the attempts that may have taken effect, so
-/// that an at-most-once message is not sent again and fails.
+/// After a panic of the core, the new core gets each unfinished message with the attempts that may have taken effect,
+/// so that an at-most-once message is not sent again and fails.
 #[tokio::test]
-async fn replacement_core_retries_open_messages_except_at_most_once() {
+async fn replacement_core_retries_unfinished_messages_except_at_most_once() {
     let mut fixture = fixture().await;
     for (id, class) in [("keyed", 0), ("idempotent", 1), ("at-most-once", 2)] {
         assert_eq!(
@@ -182,7 +182,7 @@
         ("at-most-once", Ending::Failed)
     );
     assert!(fixture.pending_reports.try_recv().is_err());
-    assert_eq!(fixture.dispatcher.open_messages.len(), 2);
+    assert_eq!(fixture.dispatcher.unfinished_messages.len(), 2);
     fixture
         .dispatcher
         .handle_command(DispatcherCommand::CompletionReportsAcknowledged(vec![
@@ -220,7 +220,7 @@
     assert_eq!(
         fixture
             .dispatcher
-            .open_messages
+            .unfinished_messages
             .iter()
             .map(|(_, message)| message.submitted.request_id.as_str())
             .collect::<Vec<_>>(),
@@ -240,10 +240,10 @@
     fixture.run_for(100).await;
     let (id, _) = fixture
         .dispatcher
-        .open_messages
+        .unfinished_messages
         .iter()
         .next()
-        .expect("a message is open");
+        .expect("a message is unfinished");
     let endpoint = *fixture
         .dispatcher
         .listed_endpoints
@@ -262,12 +262,12 @@
     fixture
         .dispatcher
         .handle_command(DispatcherCommand::Event(ended(Outcome::Delivered)));
-    assert!(fixture.dispatcher.open_messages.is_empty());
+    assert!(fixture.dispatcher.unfinished_messages.is_empty());
     assert!(fixture.dispatcher.journal.recover_messages().is_empty());
     fixture
         .dispatcher
         .handle_command(DispatcherCommand::Event(ended(Outcome::Error)));
-    assert!(fixture.dispatcher.open_messages.is_empty());
+    assert!(fixture.dispatcher.unfinished_messages.is_empty());
     assert!(fixture.dispatcher.pending_reports.is_empty());
 }
 
@@ -307,7 +307,7 @@
     });
     let times_left = fixture
         .dispatcher
-        .open_messages
+        .unfinished_messages
         .iter()
         .map(|(_, message)| message.deadline - fixture.dispatcher.clock.now())
         .collect::<Vec<_>>();
--- a/crates/forwarder/src/dispatcher/open_messages.rs
+++ b/crates/forwarder/src/dispatcher/unfinished_messages.rs
@@ -1,13 +1,16 @@
-//! The open messages: those whose ending is not decided, whether they wait or are being attempted, and those that still
-//! have an outstanding attempt.
+//! The unfinished messages: those whose ending is not decided, whether they wait or are being attempted, and those that
+//! still have an outstanding attempt.
 
 use crate::protocol::SubmittedMessage;
 use opalpulley::{EndpointId, MessageId, Micros};
 use std::collections::BTreeMap;
 
-/// An open message. It is removed from the table once its ending is decided and none of its attempts is
-/// outstanding. The journal may keep it longer, until its completion report is acknowledged.
-pub struct OpenMessage {
+/// An unfinished message. It is removed from the table once its ending is decided and none of its attempts is
+/// outstanding.
+///
+/// The journal keeps a message until its completion report is acknowledged or, if it has none, until its ending is
+/// decided. A message may therefore leave this table earlier or later than the journal.
+pub struct UnfinishedMessage {
     /// Serial number of the message in the journal.
     pub serial: u64,
     /// The message as the client submitted it.
@@ -23,15 +26,15 @@
     pub ending_decided: bool,
 }
 
-impl OpenMessage {
+impl UnfinishedMessage {
     /// Creates a message without an outstanding attempt.
     pub fn new(
         serial: u64,
         submitted: SubmittedMessage,
         deadline: Micros,
         attempts_started: u32,
-    ) -> OpenMessage {
-        OpenMessage {
+    ) -> UnfinishedMessage {
+        UnfinishedMessage {
             serial,
             submitted,
             deadline,
@@ -62,40 +65,40 @@
     pub endpoint: EndpointId,
 }
 
-/// The open messages, by the core's id and by the client's request id. Owned by the dispatcher.
+/// The unfinished messages, by the core's id and by the client's request id. Owned by the dispatcher.
 #[derive(Default)]
-pub struct OpenMessages {
-    messages: BTreeMap<MessageId, OpenMessage>,
+pub struct UnfinishedMessages {
+    messages: BTreeMap<MessageId, UnfinishedMessage>,
     /// The core's id of each message, by the client's request id.
     ids_by_request_id: BTreeMap<String, MessageId>,
     last_id: u32,
 }
 
-impl OpenMessages {
-    /// Returns the number of open messages.
+impl UnfinishedMessages {
+    /// Returns the number of unfinished messages.
     pub fn len(&self) -> usize {
         self.messages.len()
     }
 
     /// Returns the message with this id.
-    pub fn get(&self, id: MessageId) -> Option<&OpenMessage> {
+    pub fn get(&self, id: MessageId) -> Option<&UnfinishedMessage> {
         self.messages.get(&id)
     }
 
     /// Returns the message with this id, for changes.
-    pub fn get_mut(&mut self, id: MessageId) -> Option<&mut OpenMessage> {
+    pub fn get_mut(&mut self, id: MessageId) -> Option<&mut UnfinishedMessage> {
         self.messages.get_mut(&id)
     }
 
     /// Returns the message with this id if its ending is not decided.
-    pub fn get_undecided(&mut self, id: MessageId) -> Option<&mut OpenMessage> {
+    pub fn get_undecided(&mut self, id: MessageId) -> Option<&mut UnfinishedMessage> {
         self.messages
             .get_mut(&id)
             .filter(|message| !message.ending_decided)
     }
 
     /// Returns the message with this request id.
-    pub fn get_by_request_id(&self, request_id: &str) -> Option<&OpenMessage> {
+    pub fn get_by_request_id(&self, request_id: &str) -> Option<&UnfinishedMessage> {
         let id = self.ids_by_request_id.get(request_id)?;
         self.messages.get(id)
     }
@@ -117,7 +120,7 @@
             .any(|message| !message.outstanding_attempts.is_empty())
     }
 
-    /// Returns an id that no open message has. An id may be reused once its message has been removed.
+    /// Returns an id that no unfinished message has. An id may be reused once its message has been removed.
     pub fn unused_id(&mut self) -> MessageId {
         loop {
             self.last_id = self.last_id.wrapping_add(1);
@@ -129,7 +132,7 @@
     }
 
     /// Adds a message. Its id must be unused.
-    pub fn insert(&mut self, id: MessageId, message: OpenMessage) {
+    pub fn insert(&mut self, id: MessageId, message: UnfinishedMessage) {
         let request_id = message.submitted.request_id.clone();
         self.ids_by_request_id.insert(request_id, id);
         self.messages.insert(id, message);
@@ -137,7 +140,7 @@
 
     /// Removes a message if its ending is decided and none of its attempts is outstanding.
     pub fn remove_if_possible(&mut self, id: MessageId) {
-        if !self.get(id).is_some_and(OpenMessage::can_be_removed) {
+        if !self.get(id).is_some_and(UnfinishedMessage::can_be_removed) {
             return;
         }
         if let Some(message) = self.messages.remove(&id) {
@@ -146,16 +149,16 @@
     }
 
     /// Removes and returns all messages, in the order of their ids.
-    pub fn take_all(&mut self) -> BTreeMap<MessageId, OpenMessage> {
+    pub fn take_all(&mut self) -> BTreeMap<MessageId, UnfinishedMessage> {
         self.ids_by_request_id.clear();
         std::mem::take(&mut self.messages)
     }
 }
 
 #[cfg(test)]
-impl OpenMessages {
+impl UnfinishedMessages {
     /// Returns all messages, in the order of their ids.
-    pub fn iter(&self) -> impl Iterator<Item = (MessageId, &OpenMessage)> {
+    pub fn iter(&self) -> impl Iterator<Item = (MessageId, &UnfinishedMessage)> {
         self.messages.iter().map(|(id, message)| (*id, message))
     }
 
--- a/crates/forwarder/tests/program/submissions.rs
+++ b/crates/forwarder/tests/program/submissions.rs
@@ -94,7 +94,7 @@
 
 /// Two messages with the same id and different content must not be taken for one.
 #[test]
-fn rejects_the_id_of_an_open_message_with_different_content() {
+fn rejects_the_id_of_an_unfinished_message_with_different_content() {
     let (endpoint, _) = silent_endpoint();
     let platform = start_platform(vec![member(endpoint, 7, "Ready")], 0);
     let (_dir, state) = state_folder();
--- a/crates/lab/src/capacity/fleet/report.rs
+++ b/crates/lab/src/capacity/fleet/report.rs
@@ -137,7 +137,7 @@
         messages,
         open: forwarders
             .iter()
-            .map(|f| f.open_message_count() as u64)
+            .map(|f| f.unfinished_message_count() as u64)
             .sum(),
         receivers: receivers.counts,
         control,
--- a/crates/lab/src/capacity/fleet/simulated_forwarder.rs
+++ b/crates/lab/src/capacity/fleet/simulated_forwarder.rs
@@ -23,8 +23,9 @@
 /// Time from the arrival of a message to its deadline, in µs, equal to the time to live of the delivery classes.
 const DEADLINE: Micros = 28 * SECOND;
 
-/// A message that the core holds.
-struct OpenMessage {
+/// An unfinished message: one that is not delivered, failed or rejected. Unlike in the dispatcher, an attempt may be in
+/// flight when the message is removed.
+struct UnfinishedMessage {
     /// Simulated time of its submission, in µs.
     arrived_at: Micros,
     /// Whether its destination was down when it was submitted.
@@ -52,8 +53,8 @@
     core: Forwarder,
     /// Buffer for the core's actions, empty between events.
     actions: Vec<Action>,
-    /// Messages that the core holds, until they are delivered, failed or rejected.
-    open_messages: HashMap<MessageId, OpenMessage>,
+    /// The unfinished messages, until they are delivered, failed or rejected.
+    unfinished_messages: HashMap<MessageId, UnfinishedMessage>,
     /// Start of the health check in flight at each endpoint, in µs, until its response or timeout.
     health_checks: HashMap<EndpointId, Micros>,
     rng: Pcg64Mcg,
@@ -77,7 +78,7 @@
             costs: Default::default(),
             core: Forwarder::new(plan.forwarder_config(id), plan.seed << 20 ^ u64::from(id)),
             actions: Vec::new(),
-            open_messages: HashMap::new(),
+            unfinished_messages: HashMap::new(),
             health_checks: HashMap::new(),
             rng: seeded_rng(plan.seed, "messages", u64::from(id)),
             arrival_rate: 0.0,
@@ -210,9 +211,9 @@
         self.counts.arrived += 1;
         self.counts.eligible_while_down += u64::from(measured && destination_was_down);
         self.counts.eligible_while_up += u64::from(measured && !destination_was_down);
-        self.open_messages.insert(
+        self.unfinished_messages.insert(
             id,
-            OpenMessage {
+            UnfinishedMessage {
                 arrived_at: now,
                 destination_was_down,
                 measured,
@@ -234,10 +235,10 @@
     }
 
     /// Handles the end of an attempt. An end is ignored if the attempt has ended before, a later one has started, or the
-    /// message is no longer open.
+    /// message is no longer unfinished.
     fn end_attempt(&mut self, now: Micros, id: MessageId, attempt_index: u8, outcome: Outcome) {
         let Some(message) = self
-            .open_messages
+            .unfinished_messages
             .get_mut(&id)
             .filter(|m| m.attempts == attempt_index + 1)
         else {
@@ -253,7 +254,7 @@
         let counted = message.measured && on_time;
         match outcome {
             Outcome::Delivered => {
-                self.open_messages.remove(&id);
+                self.unfinished_messages.remove(&id);
                 self.counts.delivered += 1;
                 self.counts.on_time_while_up += u64::from(counted && !destination_was_down);
                 self.counts.on_time_while_down += u64::from(counted && destination_was_down);
@@ -319,12 +320,12 @@
             }
             Action::StartHealthCheck { endpoint } => self.start_health_check(now, endpoint),
             Action::Fail { id } => {
-                if self.open_messages.remove(&id).is_some() {
+                if self.unfinished_messages.remove(&id).is_some() {
                     self.counts.failed += 1;
                 }
             }
             Action::Reject { id, .. } => {
-                if self.open_messages.remove(&id).is_some() {
+                if self.unfinished_messages.remove(&id).is_some() {
                     self.counts.rejected += 1;
                 }
             }
@@ -346,7 +347,7 @@
         }
     }
 
-    /// Starts an attempt of an open message: transmits the call and schedules its timeout, if it has one.
+    /// Starts an attempt of an unfinished message: transmits the call and schedules its timeout, if it has one.
     fn start_attempt(
         &mut self,
         now: Micros,
@@ -354,7 +355,7 @@
         endpoint: EndpointId,
         timeout: Option<Micros>,
     ) {
-        let Some(message) = self.open_messages.get_mut(&id) else {
+        let Some(message) = self.unfinished_messages.get_mut(&id) else {
             return;
         };
         let attempt = message.attempts;
@@ -402,7 +403,7 @@
     }
 
     /// Returns the number of messages that are not yet delivered, failed or rejected.
-    pub fn open_message_count(&self) -> usize {
-        self.open_messages.len()
+    pub fn unfinished_message_count(&self) -> usize {
+        self.unfinished_messages.len()
     }
 }
--- a/crates/lab/src/capacity/fleet/tests.rs
+++ b/crates/lab/src/capacity/fleet/tests.rs
@@ -30,7 +30,7 @@
     run(plan, THREADS).expect("the plan should be valid").counts
 }
 
-/// Asserts what holds for every run: each message ends exactly once or is still open, and all bytes are accounted for.
+/// Asserts what holds for every run: each message ends exactly once or is unfinished, and all bytes are accounted for.
 fn assert_accounts_balance(plan: &Plan, counts: &Counts) {
     let messages = &counts.messages;
     assert_eq!(messages.core_errors, 0);
--- a/crates/lab/src/oracle.rs
+++ b/crates/lab/src/oracle.rs
@@ -132,7 +132,7 @@
     }
 
     /// Returns the number of accepted submissions without a final answer.
-    pub fn open_submissions(&self) -> usize {
+    pub fn unanswered_submissions(&self) -> usize {
         let submissions = self.submissions.values();
         submissions
             .filter(|submission| submission.accepted && submission.ended_at.is_none())
--- a/crates/lab/src/oracle/calls.rs
+++ b/crates/lab/src/oracle/calls.rs
@@ -139,11 +139,11 @@
         let mut earlier = queue
             .iter()
             .take_while(|submission_number| **submission_number != call.submission);
-        let is_open = |submission_number: &u64| {
+        let is_unfinished = |submission_number: &u64| {
             let earlier = self.submissions.get(submission_number);
             earlier.is_some_and(|earlier| earlier.ended_at.is_none() || earlier.calls_in_flight > 0)
         };
-        if earlier.any(is_open) {
+        if earlier.any(is_unfinished) {
             let description =
                 format!("{description}: an earlier message of its order key has not ended");
             self.record_violation(Rule::OrderNotKept, now, description);
--- a/crates/lab/src/oracle/submissions.rs
+++ b/crates/lab/src/oracle/submissions.rs
@@ -120,7 +120,7 @@
     }
 
     /// Records that a forwarder was lost with its state folder: it owes no final answers. Returns the client's numbers of the
-    /// open messages that it had accepted, in the order of their submissions.
+    /// messages that it had accepted and that have no final answer, in the order of their submissions.
     pub fn lost_with_folder(&mut self, forwarder: u32, now: Micros) -> Vec<u64> {
         let lost = self.submissions.values().filter(|submission| {
             submission.record.forwarder == forwarder && submission.ended_at.is_none()
@@ -299,9 +299,9 @@
         let Some(submission) = self.submissions.get_mut(&submission_number) else {
             return;
         };
-        let is_open = submission.ended_at.is_none();
+        let is_unanswered = submission.ended_at.is_none();
         let accepted = submission.accepted;
-        if is_open
+        if is_unanswered
             && (!answer_due || !accepted)
             && (accepted || now < deadline + RETENTION_AFTER_DEADLINE)
         {
@@ -309,7 +309,7 @@
                 .insert((now.max(scheduled_at), submission_number));
             return;
         }
-        if is_open && accepted {
+        if is_unanswered && accepted {
             submission.ended_at = Some(now);
             submission.no_answer_owed = true;
             let description =
--- a/crates/lab/src/oracle/tests.rs
+++ b/crates/lab/src/oracle/tests.rs
@@ -241,7 +241,7 @@
     assert!(broken_rules(&oracle).is_empty());
     oracle.lost_with_folder(0, 50_000_000);
     oracle.check_overdue_answers(60_000_000);
-    assert!(broken_rules(&oracle).is_empty() && oracle.open_submissions() == 0);
+    assert!(broken_rules(&oracle).is_empty() && oracle.unanswered_submissions() == 0);
 }
 
 #[test]
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -71,7 +71,7 @@
     processes: Vec<SimulatedProcess>,
     /// The entry of each endpoint in the endpoint list.
     listed_endpoints: Vec<ListedEndpoint>,
-    /// Open messages, by the client's number.
+    /// Unfinished messages, by the client's number.
     messages: HashMap<u64, ClientMessage>,
     next_message: u64,
     next_submission: u64,
@@ -168,8 +168,8 @@
         self.run_until(Micros::MAX, progress).0
     }
 
-    /// Runs to the end or until `cut_off_at`, µs. Messages that are open at that time are counted as open, and the oracle
-    /// expects no final answer for them.
+    /// Runs to the end or until `cut_off_at`, µs. Messages that are unfinished at that time are counted in `Counts::open`, and
+    /// the oracle expects no final answer for them.
     pub fn run_until(
         mut self,
         cut_off_at: Micros,
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/lab/src/sim/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::connections::ConnectDelay;
 use super::event::SimulatedEvent;
-use super::simulated_process::OpenMessage;
+use super::simulated_process::UnfinishedMessage;
 use super::Sim;
 use crate::oracle::{CallEffect, FinalAnswer, SentCall};
 use crate::receivers::ReceiverReply;
@@ -43,17 +43,20 @@
         timeout: Option<Micros>,
     ) {
         let process = &mut self.processes[forwarder as usize];
-        let Some(open_message) = process.open_messages.get_mut(&id) else {
+        let Some(unfinished_message) = process.unfinished_messages.get_mut(&id) else {
             return self.record_send_after_end(forwarder, id, endpoint);
         };
-        let attempt_index = open_message.attempts.min(255) as u8;
-        open_message.attempts += 1;
+        let attempt_index = unfinished_message.attempts.min(255) as u8;
+        unfinished_message.attempts += 1;
         let attempt = self.next_attempt;
         self.next_attempt += 1;
-        open_message.in_flight.push((attempt_index, attempt));
-        let time_left = open_message.deadline.saturating_sub(self.now);
-        let (submission, client_message) = (open_message.submission, open_message.client_message);
-        let class = open_message.message.class.0;
+        unfinished_message.in_flight.push((attempt_index, attempt));
+        let time_left = unfinished_message.deadline.saturating_sub(self.now);
+        let (submission, client_message) = (
+            unfinished_message.submission,
+            unfinished_message.client_message,
+        );
+        let class = unfinished_message.message.class.0;
         let timeout = timeout.map_or(time_left, |limit| limit.min(time_left));
         self.record_call(forwarder, submission, endpoint);
         let index = Layout::endpoint_index(endpoint);
@@ -226,18 +229,18 @@
         let incarnation = process.incarnation;
         let clock_offset = process.clock_offset;
         let layout_endpoint = self.layout.endpoints[Layout::endpoint_index(attempt.endpoint)];
-        let Some(open_message) = process.open_messages.get_mut(&attempt.id) else {
+        let Some(unfinished_message) = process.unfinished_messages.get_mut(&attempt.id) else {
             return;
         };
-        let served = outcome == Outcome::Delivered && !open_message.ended;
+        let served = outcome == Outcome::Delivered && !unfinished_message.ended;
         let sent_at = attempt.sent_at + clock_offset;
-        open_message.attempt_ended(
+        unfinished_message.attempt_ended(
             attempt_number,
             outcome,
             sent_at,
             ZoneId(layout_endpoint.zone),
         );
-        let message_completed = open_message.ended;
+        let message_completed = unfinished_message.ended;
         if served {
             self.final_answer(
                 attempt.client_message,
@@ -338,9 +341,11 @@
 
     /// Ends an attempt in flight that its forwarder cancels.
     pub(super) fn cancel_attempt(&mut self, forwarder: u32, id: MessageId, attempt_index: u8) {
-        let open_message = self.processes[forwarder as usize].open_messages.get(&id);
+        let unfinished_message = self.processes[forwarder as usize]
+            .unfinished_messages
+            .get(&id);
         if let Some(attempt) =
-            open_message.and_then(|open_message| open_message.attempt_in_flight(attempt_index))
+            unfinished_message.and_then(|message| message.attempt_in_flight(attempt_index))
         {
             self.schedule_attempt_end(self.now, attempt, Outcome::Cancelled);
         }
@@ -359,7 +364,7 @@
     }
 }
 
-impl OpenMessage {
+impl UnfinishedMessage {
     /// Records the outcome of an attempt of this message. `sent_at` is in µs on the forwarder's clock.
     fn attempt_ended(
         &mut self,
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -28,7 +28,8 @@
 /// The id that stands for no tenant; the core has no quota for it.
 const NO_TENANT: TenantId = TenantId(u32::MAX);
 
-/// The state of an open message at its client.
+/// The state of an unfinished message at its client. It is removed when the client gets the final answer or gives up, or when
+/// the message is lost. Unlike in the forwarder, attempts may still be in flight then.
 pub(super) struct ClientMessage {
     due: DueMessage,
     deadline: Micros,
@@ -83,7 +84,7 @@
             return self.try_another_forwarder(message_number, ANSWER_TIMEOUT);
         }
         self.tally.counts.submissions += 1;
-        if process.open_messages.len() >= self.scenario.forwarders.message_capacity as usize {
+        if process.unfinished_messages.len() >= self.scenario.forwarders.message_capacity as usize {
             self.tally.counts.turned_away += 1;
             return self.schedule_resubmission(message_number, None);
         }
--- a/crates/lab/src/sim/lifecycle.rs
+++ b/crates/lab/src/sim/lifecycle.rs
@@ -1,6 +1,6 @@
 //! Kills, restarts, pauses and resumes simulated forwarder processes.
 
-use super::simulated_process::OpenMessage;
+use super::simulated_process::UnfinishedMessage;
 use super::Sim;
 use crate::oracle::CallEffect;
 use crate::world::Layout;
@@ -29,8 +29,8 @@
         self.oracle.excuse_until(forwarder, Micros::MAX);
         let process = &mut self.processes[forwarder as usize];
         process
-            .open_messages
-            .retain(|_, open_message| !open_message.ended);
+            .unfinished_messages
+            .retain(|_, message| !message.ended);
         if !folder_kept {
             self.lose_folder(forwarder);
         }
@@ -70,20 +70,26 @@
             sent_at: attempt.sent_at + process.clock_offset,
             zone: ZoneId(self.layout.endpoints[index].zone),
         };
-        if let Some(open_message) = process.open_messages.get_mut(&attempt.id) {
-            open_message.in_flight.clear();
-            open_message.possible_effect.get_or_insert(possible_effect);
+        if let Some(unfinished_message) = process.unfinished_messages.get_mut(&attempt.id) {
+            unfinished_message.in_flight.clear();
+            unfinished_message
+                .possible_effect
+                .get_or_insert(possible_effect);
         }
     }
 
     /// Drops the messages of a killed process whose state folder is lost, and its endpoint list.
     fn lose_folder(&mut self, forwarder: u32) {
         let process = &mut self.processes[forwarder as usize];
-        let lost = std::mem::take(&mut process.open_messages);
+        let lost = std::mem::take(&mut process.unfinished_messages);
         process.known_endpoints.clear();
         self.oracle.lost_with_folder(forwarder, self.now);
-        for open_message in lost.into_values() {
-            if self.messages.remove(&open_message.client_message).is_some() {
+        for unfinished_message in lost.into_values() {
+            if self
+                .messages
+                .remove(&unfinished_message.client_message)
+                .is_some()
+            {
                 self.tally.counts.gone += 1;
             }
         }
@@ -101,30 +107,30 @@
             return;
         }
         let process = &mut self.processes[forwarder as usize];
-        let messages: Vec<OpenMessage> = std::mem::take(&mut process.open_messages)
+        let messages: Vec<UnfinishedMessage> = std::mem::take(&mut process.unfinished_messages)
             .into_values()
             .collect();
-        for open_message in messages {
-            self.recover_message(forwarder, open_message);
+        for unfinished_message in messages {
+            self.recover_message(forwarder, unfinished_message);
         }
     }
 
     /// Submits a message of the state folder to the restarted forwarder, with the history of its attempts.
-    fn recover_message(&mut self, forwarder: u32, mut open_message: OpenMessage) {
+    fn recover_message(&mut self, forwarder: u32, mut unfinished_message: UnfinishedMessage) {
         let process = &mut self.processes[forwarder as usize];
         let id = process.new_id();
-        open_message.message = Submission {
+        unfinished_message.message = Submission {
             id,
-            time_left: open_message.deadline.saturating_sub(self.now),
+            time_left: unfinished_message.deadline.saturating_sub(self.now),
             resubmitted: true,
             history: AttemptHistory {
-                attempts: open_message.attempts,
-                possible_effect: open_message.possible_effect,
+                attempts: unfinished_message.attempts,
+                possible_effect: unfinished_message.possible_effect,
             },
-            ..open_message.message
+            ..unfinished_message.message
         };
-        let message = open_message.message.clone();
-        process.open_messages.insert(id, open_message);
+        let message = unfinished_message.message.clone();
+        process.unfinished_messages.insert(id, unfinished_message);
         self.run_forwarder(forwarder, Event::MessageSubmitted(message), None);
     }
 
--- a/crates/lab/src/sim/simulated_process.rs
+++ b/crates/lab/src/sim/simulated_process.rs
@@ -19,8 +19,8 @@
 /// Lower bound on the start of a process's clock, µs; a real clock doesn't start at 0.
 const MIN_CLOCK_START: Micros = 1_000_000;
 
-/// An open message of a forwarder process, from its submission until it is finished.
-pub(super) struct OpenMessage {
+/// An unfinished message of a forwarder process: one without its final answer or with an attempt in flight.
+pub(super) struct UnfinishedMessage {
     /// The oracle's number of the submission.
     pub submission: u64,
     /// The client's number of the message.
@@ -37,7 +37,7 @@
     pub possible_effect: Option<PossibleEffect>,
 }
 
-impl OpenMessage {
+impl UnfinishedMessage {
     /// Returns the number in `Sim::attempts` of an attempt in flight.
     pub fn attempt_in_flight(&self, attempt_index: u8) -> Option<u64> {
         let mut in_flight = self.in_flight.iter();
@@ -73,8 +73,8 @@
     pub paused: bool,
     /// Events that wait while the process is paused.
     pub inbox: VecDeque<Event>,
-    /// Messages that the process holds. A message is removed once it has its final answer and no attempt in flight.
-    pub open_messages: BTreeMap<MessageId, OpenMessage>,
+    /// The unfinished messages of the process. A message is removed once it has its final answer and no attempt in flight.
+    pub unfinished_messages: BTreeMap<MessageId, UnfinishedMessage>,
     recently_finished: VecDeque<FinishedMessage>,
     next_id: u32,
     /// Offset of the process's clock from the simulated clock, µs.
@@ -97,7 +97,7 @@
             incarnation: 0,
             paused: false,
             inbox: VecDeque::new(),
-            open_messages: BTreeMap::new(),
+            unfinished_messages: BTreeMap::new(),
             recently_finished: VecDeque::new(),
             next_id: 0,
             clock_offset: MIN_CLOCK_START + skew,
@@ -112,11 +112,14 @@
         self.subject.is_some()
     }
 
-    /// Returns the next id that no open message has.
+    /// Returns the next id that no unfinished message has.
     pub fn new_id(&mut self) -> MessageId {
         loop {
             self.next_id = self.next_id.wrapping_add(1);
-            if !self.open_messages.contains_key(&MessageId(self.next_id)) {
+            if !self
+                .unfinished_messages
+                .contains_key(&MessageId(self.next_id))
+            {
                 return MessageId(self.next_id);
             }
         }
@@ -158,7 +161,7 @@
         let process = &mut self.processes[forwarder as usize];
         let id = process.new_id();
         let message = Submission { id, ..new.message };
-        let open_message = OpenMessage {
+        let unfinished_message = UnfinishedMessage {
             submission: new.submission,
             client_message: new.client_message,
             message: message.clone(),
@@ -168,10 +171,12 @@
             ended: false,
             possible_effect: None,
         };
-        process.open_messages.insert(id, open_message);
+        process.unfinished_messages.insert(id, unfinished_message);
         let answer = self.run_forwarder(forwarder, Event::MessageSubmitted(message), Some(id));
         if !matches!(answer, SubmissionAnswer::Accepted) {
-            self.processes[forwarder as usize].open_messages.remove(&id);
+            self.processes[forwarder as usize]
+                .unfinished_messages
+                .remove(&id);
         }
         answer
     }
@@ -272,12 +277,16 @@
     pub(super) fn forget_finished(&mut self, forwarder: u32, id: MessageId) {
         let process = &mut self.processes[forwarder as usize];
         let is_finished =
-            |open_message: &OpenMessage| open_message.ended && open_message.in_flight.is_empty();
-        if !process.open_messages.get(&id).is_some_and(is_finished) {
+            |message: &UnfinishedMessage| message.ended && message.in_flight.is_empty();
+        if !process
+            .unfinished_messages
+            .get(&id)
+            .is_some_and(is_finished)
+        {
             return;
         }
-        if let Some(open_message) = process.open_messages.remove(&id) {
-            let submission = open_message.submission;
+        if let Some(unfinished_message) = process.unfinished_messages.remove(&id) {
+            let submission = unfinished_message.submission;
             let finished = FinishedMessage { id, submission };
             process.recently_finished.push_front(finished);
             process.recently_finished.truncate(MAX_RECENTLY_FINISHED);
@@ -294,17 +303,20 @@
         retry_after: Option<Micros>,
     ) {
         let process = &mut self.processes[forwarder as usize];
-        let Some(open_message) = process.open_messages.get_mut(&id) else {
+        let Some(unfinished_message) = process.unfinished_messages.get_mut(&id) else {
             if let Some(submission) = process.finished_submission(id) {
                 self.oracle.message_ended(submission, answer, self.now);
             }
             return;
         };
-        let (submission, client_message) = (open_message.submission, open_message.client_message);
-        if open_message.ended {
+        let (submission, client_message) = (
+            unfinished_message.submission,
+            unfinished_message.client_message,
+        );
+        if unfinished_message.ended {
             return self.oracle.message_ended(submission, answer, self.now);
         }
-        open_message.ended = true;
+        unfinished_message.ended = true;
         self.final_answer(client_message, submission, answer, retry_after, 0);
         self.forget_finished(forwarder, id);
     }
--- a/crates/lab/src/sim/tests.rs
+++ b/crates/lab/src/sim/tests.rs
@@ -62,18 +62,18 @@
 }
 
 #[test]
-fn run_cut_off_early_counts_open_messages_and_breaks_no_rule() {
+fn run_cut_off_early_counts_unfinished_messages_and_breaks_no_rule() {
     let sim = Sim::new(&hostile_scenario(), 1, ForwarderVariant::True)
         .expect("the simulation can be set up");
     let (outcome, _) = sim.run_until(12_000_000, |_, _| {});
     assert!(
         outcome.counts.open > 0 && outcome.broken.is_empty(),
-        "expected open messages and no broken rule, got {:?}",
+        "expected unfinished messages and no broken rule, got {:?}",
         outcome.broken
     );
 }
 
-/// The table sizes must depend on the number of open messages, not on the number of messages seen so far.
+/// The table sizes must depend on the number of unfinished messages, not on the number of messages seen so far.
 #[test]
 fn table_sizes_do_not_grow_with_run_length() {
     let peak_entries = |lasts: u64| {
@@ -106,7 +106,7 @@
     let outcome = run(&scenario, 3, ForwarderVariant::True);
     assert!(
         outcome.broken.is_empty() && outcome.counts.open == 0,
-        "expected no violation and no open message, got {:?} {:?}",
+        "expected no violation and no unfinished message, got {:?} {:?}",
         outcome.breaks,
         outcome.counts
     );
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -46,7 +46,9 @@
 /// Significant decimal digits that the lateness histograms keep.
 const LATENESS_HISTOGRAM_DIGITS: u8 = 2;
 
-/// The client's view of an open message. Owned by [`RunState`].
+/// The client's view of an unfinished message. Owned by [`RunState`], and removed when the client gets the final answer or gives
+/// up, when the message is lost or, without the oracle, when a forwarder accepts it. Unlike in the forwarder, attempts may still
+/// be in flight then.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientMessage {
     pub due: DueMessage,
@@ -74,7 +76,7 @@
     pub receivers: Receivers,
     pub oracle: Oracle,
     pub tally: Tally,
-    /// Open messages, by message number.
+    /// Unfinished messages, by message number.
     pub messages: HashMap<u64, ClientMessage>,
     pub next_submission_number: u64,
     pub next_message_number: u64,
--- a/crates/lab/src/sockets/run.rs
+++ b/crates/lab/src/sockets/run.rs
@@ -153,7 +153,7 @@
             now.saturating_sub(timeline.begins_at),
             ends_at - timeline.begins_at,
         );
-        let open_messages = check_overdue_answers(&timeline.context, now);
+        let unfinished_messages = check_overdue_answers(&timeline.context, now);
         timeline.record_crashes().await;
         if !load_has_ended {
             let used = timeline.usage().await;
@@ -164,7 +164,7 @@
             }
         }
         let is_over = now > load_ends_at
-            && open_messages == 0
+            && unfinished_messages == 0
             && fault_tasks.iter().all(JoinHandle::is_finished);
         if is_over || now > ends_at {
             return usage;
@@ -172,7 +172,7 @@
     }
 }
 
-/// Lets the oracle check for overdue final answers. Returns the number of open messages.
+/// Lets the oracle check for overdue final answers. Returns the number of unfinished messages.
 fn check_overdue_answers(context: &RunContext, now: Micros) -> usize {
     let mut state = context.lock_state();
     state.oracle.check_overdue_answers(now);
--- a/crates/lab/src/subject/broken.rs
+++ b/crates/lab/src/subject/broken.rs
@@ -15,8 +15,9 @@
     variant: ForwarderVariant,
     core: Forwarder,
     semantics: Vec<DeliverySemantics>,
-    /// Open messages of at-most-once classes, for `ResendsAtMostOnce`. A message is removed with its final answer.
-    open_at_most_once: BTreeSet<MessageId>,
+    /// Messages of at-most-once classes, for `ResendsAtMostOnce`. A message is removed when the core fails or rejects it; a
+    /// delivered one is kept.
+    at_most_once_messages: BTreeSet<MessageId>,
     /// Endpoints that the core knows to be ready, for `SendsAfterDrain`.
     ready_endpoints: BTreeMap<EndpointId, EndpointEntry>,
     /// Number of final answers of the core so far.
@@ -31,7 +32,7 @@
             variant,
             semantics: classes.map(|class| class.semantics).collect(),
             core: Forwarder::new(config, seed),
-            open_at_most_once: BTreeSet::new(),
+            at_most_once_messages: BTreeSet::new(),
             ready_endpoints: BTreeMap::new(),
             final_answer_count: 0,
         }
@@ -75,7 +76,7 @@
             ForwarderVariant::ResendsAtMostOnce => {
                 let semantics = self.semantics.get(usize::from(message.class.0));
                 if semantics == Some(&DeliverySemantics::AtMostOnce) {
-                    self.open_at_most_once.insert(message.id);
+                    self.at_most_once_messages.insert(message.id);
                 }
             }
             _ => {}
@@ -87,7 +88,7 @@
         match (self.variant, outcome) {
             (ForwarderVariant::ResendsAtMostOnce, outcome) => {
                 let may_have_run = outcome != Outcome::Delivered && outcome.may_have_taken_effect();
-                if may_have_run && self.open_at_most_once.contains(&id) {
+                if may_have_run && self.at_most_once_messages.contains(&id) {
                     return Outcome::Rejected { retry_after: None };
                 }
                 outcome
@@ -134,7 +135,7 @@
         };
         if let Some(id) = answered {
             self.final_answer_count += 1;
-            self.open_at_most_once.remove(&id);
+            self.at_most_once_messages.remove(&id);
         }
         let is_send = matches!(action, Action::StartAttempt { .. });
         let is_withdrawal = matches!(action, Action::WithdrawUnsent { .. });
--- a/crates/lab/src/tally/outcome.rs
+++ b/crates/lab/src/tally/outcome.rs
@@ -38,7 +38,7 @@
     pub given_up: u64,
     /// Messages that were lost with a forwarder's state folder.
     pub gone: u64,
-    /// Messages that were still open when the run ended.
+    /// Messages that were unfinished at their clients when the run ended.
     pub open: u64,
     /// Submissions, including resubmissions.
     #[serde(rename = "hand_ins")]
